--- a/src/main/java/laneflow/assembly/FleetSubsystem.java
+++ b/src/main/java/laneflow/assembly/FleetSubsystem.java
@@ -183,7 +183,7 @@
                 () -> new Members.Standing(
                         policy == null ? -1 : policy.number(),
                         condition(),
-                        scheduler.open() / (double) config.sockets,
+                        scheduler.openRequests() / (double) config.sockets,
                         served(scheduler)),
                 reading,
                 seed));
@@ -205,8 +205,8 @@
 
     private static long served(Scheduler scheduler) {
         long all = 0;
-        for (long[] row : scheduler.tallies()) {
-            all += row[Scheduler.TAKEN] - row[Scheduler.FAILED] - row[Scheduler.REFUSED];
+        for (long[] row : scheduler.countsByClass()) {
+            all += row[Scheduler.ACCEPTED] - row[Scheduler.FAILED] - row[Scheduler.REFUSED];
         }
         return all;
     }
--- a/src/main/java/laneflow/assembly/Serve.java
+++ b/src/main/java/laneflow/assembly/Serve.java
@@ -140,7 +140,7 @@
 
     private boolean knowsEndpoints() {
         return watch == null
-                || watch.hasLooked() && (scheduler.destinations().size() > 0 || counters.get("discovery.lists") > 0);
+                || watch.hasLooked() && (scheduler.endpoints().size() > 0 || counters.get("discovery.lists") > 0);
     }
 
     /**
@@ -260,7 +260,7 @@
 
     /** Answers all that was and is still taken, then ends. */
     public void stop() {
-        stop(scheduler::hasTakenOver);
+        stop(scheduler::hasArrivalSurge);
     }
 
     /** The same; the condition tells whether its clients may have nobody else yet, and are served on. */
@@ -268,7 +268,7 @@
         try {
             loop.call(() -> drain(last.getAsBoolean()));
             if (!drained.await(LONGEST_DRAIN_S, TimeUnit.SECONDS)) {
-                LOG.warn("not all answered: {}", scheduler.open());
+                LOG.warn("not all answered: {}", scheduler.openRequests());
             }
             String[] line = new String[1];
             loop.call(() -> line[0] = counters.line());
@@ -286,7 +286,7 @@
         }
         stopping = true;
         counters.add("stop.begun");
-        LOG.info("stopping, {} open; {}", scheduler.open(), counters.line());
+        LOG.info("stopping, {} open; {}", scheduler.openRequests(), counters.line());
         double longest = 0;
         for (JobClass type : scheduler.settings().classes) {
             longest = Math.max(longest, type.deadline);
@@ -310,7 +310,7 @@
         subsystems.letGo();
         // What is read behind an answer that is given now would be unanswered at the kill.
         front.refuseFurther();
-        scheduler.giveUpSince(since);
+        scheduler.abandonSince(since);
     }
 
     private void stopAccepting() {
@@ -333,7 +333,7 @@
         boolean alone = leaving || front.isAlone() && gearman == null;
         if (alone
                 && !subsystems.isOwed()
-                && scheduler.open() == 0
+                && scheduler.openRequests() == 0
                 && front.busy() == 0
                 && (gearman == null || gearman.busy() == 0)) {
             drained.countDown();
--- a/src/main/java/laneflow/assembly/StreamedTypes.java
+++ b/src/main/java/laneflow/assembly/StreamedTypes.java
@@ -11,7 +11,7 @@
 import laneflow.control.ResourceType;
 import laneflow.control.SettingTypes;
 import laneflow.core.EndpointSet.Entry;
-import laneflow.core.Replacement;
+import laneflow.core.StagedUpdate;
 import laneflow.decision.Dispatch.Settings;
 import laneflow.durable.DurableConfig;
 import laneflow.gearman.GearmanConfig;
@@ -27,7 +27,7 @@
         Adopters NONE = new Adopters() {};
 
         @Override
-        default Replacement replacement(List<Entry> entries, Set<String> named) {
+        default StagedUpdate replacement(List<Entry> entries, Set<String> named) {
             throw new IllegalStateException("adopted by nobody");
         }
 
--- a/src/main/java/laneflow/assembly/Streaming.java
+++ b/src/main/java/laneflow/assembly/Streaming.java
@@ -18,7 +18,7 @@
 import laneflow.control.LastGood;
 import laneflow.control.ResourceType;
 import laneflow.core.EndpointSet.Entry;
-import laneflow.core.Replacement;
+import laneflow.core.StagedUpdate;
 import laneflow.durable.DurableConfig;
 import laneflow.gearman.GearmanConfig;
 import laneflow.http.OperatorPort;
@@ -112,8 +112,8 @@
     /** Adopting, with the parts that run. */
     private final class Live implements StreamedTypes.Adopters {
         @Override
-        public Replacement replacement(List<Entry> entries, Set<String> named) {
-            return core.scheduler().replacement(core.connector(), entries, named);
+        public StagedUpdate replacement(List<Entry> entries, Set<String> named) {
+            return core.scheduler().stageUpdate(core.connector(), entries, named);
         }
 
         @Override
--- a/src/main/java/laneflow/capacity/CapacityPart.java
+++ b/src/main/java/laneflow/capacity/CapacityPart.java
@@ -25,7 +25,7 @@
  * with the view's datagrams, what others told comes to the module as reports of their age. On the control
  * thread; what the scheduler hears comes, and reports go, as messages between the two loops.
  */
-public final class CapacityPart implements Capacity.Out, Members.Cargo, Scheduler.Ear {
+public final class CapacityPart implements Capacity.Out, Members.Cargo, Scheduler.AttemptListener {
     private static final String PATH = "/capacity";
     private static final long LISTS_EVERY = 500_000;
     private static final long MILLI = 1000;
@@ -75,12 +75,12 @@
     }
 
     private static int number(String name) {
-        return (int) Endpoint.number(name) & 0xffff;
+        return (int) Endpoint.stableId(name) & 0xffff;
     }
 
     /** News goes out from now on. On the control thread. */
     public void begin() {
-        traffic.later(() -> scheduler.listen(this));
+        traffic.later(() -> scheduler.setAttemptListener(this));
         members.carry(this);
         fleet.serve(PATH, (verb, path, body, answer) -> {
             if (verb.equals("GET") && path.equals(PATH)) {
@@ -118,7 +118,7 @@
     /** On the traffic's thread. */
     private void look() {
         List<Ready> ready = new ArrayList<>();
-        scheduler.destinations().forEach(endpoint -> {
+        scheduler.endpoints().forEach(endpoint -> {
             if (endpoint.state() == State.READY && !scheduler.isDown(endpoint)) {
                 ready.add(new Ready(
                         endpoint.id, endpoint.name, endpoint.zone, endpoint.kind, endpoint.startedAt / MILLI));
@@ -181,7 +181,7 @@
         LoadReport copy = new LoadReport();
         copy.freeSlots = report.freeSlots;
         copy.queue = report.queue;
-        traffic.later(() -> scheduler.told(endpoint, age, copy));
+        traffic.later(() -> scheduler.reportFromPeer(endpoint, age, copy));
     }
 
     @Override
--- a/src/main/java/laneflow/control/ControlClient.java
+++ b/src/main/java/laneflow/control/ControlClient.java
@@ -132,7 +132,8 @@
         counters = scheduler.counters();
         history = new History(config.folder, around.disk(), wall);
         types.forEach((type, file) -> this.types.put(type.url(), new TypeRun(type, file, around.disk())));
-        trial = new Trial(classNames, Math.max(1, config.probation), config.bound, loop.micros(), scheduler.tallies());
+        trial = new Trial(
+                classNames, Math.max(1, config.probation), config.bound, loop.micros(), scheduler.countsByClass());
         again = loop.deadlines().create(this::connect);
         look = loop.deadlines().create(this::look);
         tell = loop.deadlines().create(this::tellFigures);
@@ -432,7 +433,7 @@
         history.add(run.type.url(), offered.toString(), "adopted", streamAt, String.join(";", run.later));
         stamp();
         if (config.probation > 0 && !first) {
-            trial.adopted(loop.micros(), scheduler.tallies(), group);
+            trial.adopted(loop.micros(), scheduler.countsByClass(), group);
         } else {
             run.settle();
         }
@@ -441,7 +442,7 @@
     private void look() {
         long now = loop.micros();
         boolean running = trial.isRunning();
-        Probation.Finding finding = trial.look(now, scheduler.tallies(), group);
+        Probation.Finding finding = trial.look(now, scheduler.countsByClass(), group);
         if (running && finding.verdict() == Verdict.TAKE_BACK) {
             takeBack(finding.figures());
         } else if (running && finding.verdict() == Verdict.KEEP) {
@@ -492,7 +493,7 @@
             for (int i = 0; i < classNames.length; i++) {
                 JsonObject one = new JsonObject();
                 for (int k = 0; k < COUNTS.length; k++) {
-                    one.addProperty(COUNTS[k], scheduler.tallies()[i][k]);
+                    one.addProperty(COUNTS[k], scheduler.countsByClass()[i][k]);
                 }
                 classes.add(classNames[i], one);
             }
@@ -574,7 +575,7 @@
 
     /** From now on requests come under another state of the settings. */
     private void stamp() {
-        int epoch = scheduler.retuned();
+        int epoch = scheduler.settingsChanged();
         if (!config.tellVersions) {
             return;
         }
--- a/src/main/java/laneflow/control/DestinationType.java
+++ b/src/main/java/laneflow/control/DestinationType.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import laneflow.config.AddressRange;
 import laneflow.core.EndpointSet.Entry;
-import laneflow.core.Replacement;
+import laneflow.core.StagedUpdate;
 import laneflow.decision.Dispatch.State;
 import laneflow.net.Loop;
 
@@ -24,7 +24,7 @@
     /** Who puts sets to work. */
     public interface Adopter {
         /** The set, whole, with the names of all that are in it; to be prepared and adopted. */
-        Replacement replacement(List<Entry> entries, Set<String> named);
+        StagedUpdate replacement(List<Entry> entries, Set<String> named);
     }
 
     private final Form form = new Form("destinations");
@@ -75,8 +75,8 @@
         Set<String> named = new HashSet<>();
         entries.forEach(entry -> named.add(entry.name));
         return new Reading(findings, entries.size()) {
-            private Replacement next;
-            private Replacement last;
+            private StagedUpdate next;
+            private StagedUpdate last;
 
             @Override
             public boolean prepare() {
@@ -95,7 +95,7 @@
 
             @Override
             public boolean tidy() {
-                return last != null && last.tidy();
+                return last != null && last.removeIdle();
             }
         };
     }
--- a/src/main/java/laneflow/control/Warmup.java
+++ b/src/main/java/laneflow/control/Warmup.java
@@ -37,7 +37,7 @@
                 List.of("c"),
                 List.of(AddressRange.parse("127.0.0.0/8")),
                 false,
-                (entries, named) -> scratch.replacement(nobody, entries, named));
+                (entries, named) -> scratch.stageUpdate(nobody, entries, named));
     }
 
     /** Does a part; false once there is nothing left to do. */
--- a/src/main/java/laneflow/control/decision/Rollout.java
+++ b/src/main/java/laneflow/control/decision/Rollout.java
@@ -14,7 +14,7 @@
     /** The scheduler's place in the order of this seed, 0 to 1; those below the share take part. */
     public static double place(String scheduler, long seed) {
         // FNV leaves the high bits of short names alike: the generator's own mixing spreads them.
-        return new SplittableRandom(Endpoint.number(scheduler) ^ seed * 0x9e3779b97f4a7c15L).nextDouble();
+        return new SplittableRandom(Endpoint.stableId(scheduler) ^ seed * 0x9e3779b97f4a7c15L).nextDouble();
     }
 
     public static boolean takesPart(String scheduler, long seed, double share) {
--- a/src/main/java/laneflow/core/AdmissionGate.java
+++ b/src/main/java/laneflow/core/AdmissionGate.java
@@ -12,8 +12,8 @@
      * Microseconds from this turn's instant until it decides again, where that is known; else
      * {@link Long#MAX_VALUE}.
      */
-    long decidesWithin();
+    long microsUntilOpen();
 
     /** Seconds after which a client that is turned away may find it otherwise. */
-    double comeBack();
+    double retryAfter();
 }
--- a/src/main/java/laneflow/core/Clock.java
+++ b/src/main/java/laneflow/core/Clock.java
@@ -12,7 +12,7 @@
      * The same clock read at this very instant, where it can be: a turn may have lasted. Never before
      * {@link #micros}.
      */
-    default long fresh() {
+    default long currentMicros() {
         return micros();
     }
 
--- a/src/main/java/laneflow/core/Connector.java
+++ b/src/main/java/laneflow/core/Connector.java
@@ -2,7 +2,7 @@
 
 /** How attempts reach an endpoint. Ends are told by {@link Scheduler#ended}, exactly once a call. */
 public interface Connector {
-    /** Sends the call's request; before its first byte {@link Scheduler#mayBegin} is asked. */
+    /** Sends the call's request; before its first byte {@link Scheduler#maySend} is asked. */
     void open(Attempt call);
 
     /**
--- a/src/main/java/laneflow/core/Deadlines.java
+++ b/src/main/java/laneflow/core/Deadlines.java
@@ -111,7 +111,7 @@
     }
 
     /** Runs those that may ride from then on; the loop is awake for something else. */
-    public void runRiders(long now) {
+    public void runEarly(long now) {
         if (riders.isEmpty()) {
             return;
         }
--- a/src/main/java/laneflow/core/DurableJobService.java
+++ b/src/main/java/laneflow/core/DurableJobService.java
@@ -46,64 +46,64 @@
     }
 
     /** What became of a submission. */
-    enum Taken {
+    enum SubmissionOutcome {
         /** It is on disk. */
-        YES,
+        ACCEPTED,
         /** No room: refused, to be tried again later. */
         FULL,
         /** The key belongs to another job. */
-        OTHER,
+        KEY_CONFLICT,
         /** The store takes nothing more until a restart. */
-        BROKEN
+        STORE_BROKEN
     }
 
     /** The word on a submission: the job's id, or when to come back, in seconds. */
-    record Word(Taken taken, long id, double comeBack) {}
+    record SubmissionResult(SubmissionOutcome outcome, long id, double retryAfter) {}
 
     /** One attempt, for whoever asks. Times are Unix time in milliseconds. */
-    record Try(int number, String endpoint, long leasedMs, long endMs, String known) {}
+    record AttemptView(int number, String endpoint, long leasedMs, long endMs, String known) {}
 
     /** A job as it stands; the result is null unless it is done. */
-    record View(
+    record JobView(
             long id,
             String jobClass,
             String state,
             String reason,
             long acceptedMs,
             long changedMs,
-            List<Try> attempts,
+            List<AttemptView> attempts,
             byte[] result,
             boolean ended,
-            boolean atWork,
+            boolean running,
             long done,
-            long of) {}
+            long total) {}
 
     /** What became of a wish to cancel. */
-    enum Cancelled {
-        YES,
-        UNKNOWN,
-        BEGUN,
+    enum CancelOutcome {
+        CANCELLED,
+        NOT_FOUND,
+        ALREADY_STARTED,
         BUSY
     }
 
     /** Whether HTTP clients may hand in jobs of this class to be kept. */
-    boolean takes(int jobClass);
+    boolean accepts(int jobClass);
 
     /** Takes a job on; the word comes when it is on disk, or will not be. */
-    void submit(Submission submission, Consumer<Word> answer);
+    void submit(Submission submission, Consumer<SubmissionResult> answer);
 
     /** Looks a job up; null where there is none. */
-    void view(long id, Consumer<View> answer);
+    void view(long id, Consumer<JobView> answer);
 
     /** A job's state as the loop knows it, its result left out; null where there is none. */
-    View peek(long id);
+    JobView peek(long id);
 
     /** Cancels a job that has not begun. */
-    void cancel(long id, Consumer<Cancelled> answer);
+    void cancel(long id, Consumer<CancelOutcome> answer);
 
     /**
      * A word on an attempt that came by another way than its call, as after a restart; false: no such
      * attempt.
      */
-    boolean late(long id, int lease, boolean served, byte[] result);
+    boolean lateOutcome(long id, int lease, boolean served, byte[] result);
 }
--- a/src/main/java/laneflow/core/Endpoint.java
+++ b/src/main/java/laneflow/core/Endpoint.java
@@ -35,11 +35,11 @@
         this.name = name;
         this.connector = connector;
         // Shares of a cold endpoint's budget follow from the number, so all schedulers must agree on it.
-        this.id = number(name);
+        this.id = stableId(name);
     }
 
     /** A number drawn from a text, the same everywhere: FNV-1a. */
-    public static long number(String text) {
+    public static long stableId(String text) {
         long hash = 0xcbf29ce484222325L;
         for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
             hash = (hash ^ b & 0xff) * 0x100000001b3L;
--- a/src/main/java/laneflow/core/EndpointSet.java
+++ b/src/main/java/laneflow/core/EndpointSet.java
@@ -39,7 +39,7 @@
         public double slots = 1;
 
         public String rack = "";
-        /** Numbers of functions by {@link Endpoint#number}, in ascending order; null: any function. */
+        /** Numbers of functions by {@link Endpoint#stableId}, in ascending order; null: any function. */
         public long[] abilities;
 
         /** The same in another state. */
@@ -138,12 +138,12 @@
     }
 
     /** True if an endpoint of that name was ever listed, or is set down. */
-    public boolean hasListed(String name) {
-        return everListed.contains(Endpoint.number(name)) || down.contains(name);
+    public boolean isKnown(String name) {
+        return everListed.contains(Endpoint.stableId(name)) || down.contains(name);
     }
 
     /** The names of the endpoints that are set down, in order. */
-    public Set<String> down() {
+    public Set<String> downNames() {
         return Collections.unmodifiableSet(down);
     }
 
--- a/src/main/java/laneflow/core/Front.java
+++ b/src/main/java/laneflow/core/Front.java
@@ -25,24 +25,24 @@
     default void started(long tag) {}
 
     /**
-     * Whether its calls go out under leases: then each is handed to {@link #lease} first, and goes out with
-     * {@link Scheduler#open}.
+     * Whether its calls go out under leases: then each is handed to {@link #recordLease} first, and goes out with
+     * {@link Scheduler#openRequests}.
      */
-    default boolean leases() {
+    default boolean usesLeases() {
         return false;
     }
 
-    /** A call is to go out: it does once {@link Scheduler#open} is called, or ends unsent. */
-    default void lease(Attempt call) {}
+    /** A call is to go out: it does once {@link Scheduler#openRequests} is called, or ends unsent. */
+    default void recordLease(Attempt call) {}
 
     /** Under leases: a call has ended, and the request may go on. */
-    default void callEnded(Attempt call, Outcome outcome) {}
+    default void attemptEnded(Attempt call, Outcome outcome) {}
 
     /** Under leases: an endpoint's word on a call that had ended already. */
-    default void late(Attempt call, Outcome outcome, byte[] result) {}
+    default void lateOutcome(Attempt call, Outcome outcome, byte[] result) {}
 
     /** Under leases: the endpoint is at it still. */
-    default void heard(Attempt call) {}
+    default void stillRunning(Attempt call) {}
 
     /** An endpoint's word on how much is done. */
     default void progress(long tag, long done, long of) {}
--- a/src/main/java/laneflow/core/Request.java
+++ b/src/main/java/laneflow/core/Request.java
@@ -22,7 +22,7 @@
     /** Whose it is, by the settings' tenants; -1: nobody's that is known. */
     public int tenant = -1;
     /** What it concerns, as its wire told: kept with a durable job, and nothing is decided by it. */
-    public long key;
+    public long subject;
     /** Which of several waiting at one endpoint goes first: the higher. */
     public int urgency;
     /** The name by which a wire with functions knows the job, or null: any function of its class will do. */
@@ -71,7 +71,7 @@
      * Before it is submitted: another scheduler, or this one before a restart, sent it then, and it may
      * have run.
      */
-    public void ranAt(long instant) {
+    public void mayHaveRunSince(long instant) {
         mayHaveRun(instant);
     }
 
@@ -79,7 +79,7 @@
         mayHaveRunAt = Math.min(mayHaveRunAt, sentAt);
     }
 
-    /** Which state of the settings it came under; see {@link Scheduler#retuned}. */
+    /** Which state of the settings it came under; see {@link Scheduler#settingsChanged}. */
     public int epoch() {
         return epoch;
     }
@@ -92,6 +92,6 @@
         to.hint = hint;
         to.slots = slots;
         to.memory = memory;
-        to.ability = function == null ? 0 : Endpoint.number(function);
+        to.ability = function == null ? 0 : Endpoint.stableId(function);
     }
 }
--- a/src/main/java/laneflow/core/Scheduler.java
+++ b/src/main/java/laneflow/core/Scheduler.java
@@ -27,13 +27,13 @@
  */
 public final class Scheduler {
     private static final Logger LOG = LoggerFactory.getLogger(Scheduler.class);
-    /** What {@link #tallies} counts of each class. */
-    public static final int TAKEN = 0;
+    /** What {@link #countsByClass} counts of each class. */
+    public static final int ACCEPTED = 0;
 
     public static final int FAILED = 1;
     public static final int CONNECT_FAILED = 2;
     public static final int REFUSED = 3;
-    public static final int TALLIES = 4;
+    public static final int COUNTS_PER_CLASS = 4;
     /** So long, in microseconds, a request waits for a policy that is about to begin; no longer. */
     private static final long MOST_HELD = 10_000;
 
@@ -49,7 +49,7 @@
     private final Counters counters;
     private final Doer doer;
     private final Dispatch module;
-    private final EndpointSet destinations = new EndpointSet();
+    private final EndpointSet endpoints = new EndpointSet();
     private final SlotTable<Request> requests = new SlotTable<>();
     private final SlotTable<Attempt> calls = new SlotTable<>();
     /** Events that came up while the module was at work: it must not be called from its own actions. */
@@ -63,11 +63,11 @@
     /** Null where nobody else has a say. */
     private AdmissionGate gate;
     /** Endpoints that the policy in force bans, beside those that operators have set down here. */
-    private volatile Set<String> barred = Set.of();
+    private volatile Set<String> banned = Set.of();
 
-    private final long[][] tallies;
+    private final long[][] countsByClass;
     /** Null where nobody listens. */
-    private Ear ear;
+    private AttemptListener ear;
 
     public Scheduler(Settings settings, long seed, Clock clock, Deadlines deadlines, Counters counters) {
         this.settings = settings;
@@ -76,13 +76,13 @@
         this.counters = counters;
         doer = new Doer();
         module = new Logic(settings, seed, doer);
-        tallies = new long[settings.classes.length][TALLIES];
+        countsByClass = new long[settings.classes.length][COUNTS_PER_CLASS];
     }
 
     /** Starts with the list of endpoints last held, or an empty one. */
     public void start(Connector connector, List<EndpointSet.Entry> known) {
         event(() -> module.start(now()));
-        List<Dispatch.Worker> workers = destinations.apply(connector, true, known, clock.micros());
+        List<Dispatch.Worker> workers = endpoints.apply(connector, true, known, clock.micros());
         event(() -> module.list(now(), ListKind.CACHED, workers));
     }
 
@@ -98,65 +98,65 @@
      *     from there
      */
     public void list(Connector connector, boolean whole, List<EndpointSet.Entry> entries, long toldAt) {
-        List<Dispatch.Worker> changes = destinations.apply(connector, whole, entries, toldAt);
+        List<Dispatch.Worker> changes = endpoints.apply(connector, whole, entries, toldAt);
         if (!changes.isEmpty()) {
             event(() -> module.list(now(), ListKind.CHANGES, changes));
             // Replaced endpoints come under new names: kept, the old ones would pile up with every release.
-            event(() -> destinations.forgetGone(changes));
+            event(() -> endpoints.forgetGone(changes));
         }
     }
 
     /** Operators want nothing more sent there, whatever lists say; repeats change nothing. */
     public void setDown(String name) {
-        destinations.down(name, true);
-        event(() -> module.setDown(now(), Endpoint.number(name)));
+        endpoints.down(name, true);
+        event(() -> module.setDown(now(), Endpoint.stableId(name)));
     }
 
     /** This process is that part of the scheduler; the rest is another process's that it takes over from. */
-    public void share(double part) {
+    public void setShare(double part) {
         event(() -> module.share(now(), part));
     }
 
     /** The endpoint is to be used again. */
     public void setUp(String name) {
-        destinations.down(name, false);
-        if (!barred.contains(name)) {
-            event(() -> module.setUp(now(), Endpoint.number(name)));
+        endpoints.down(name, false);
+        if (!banned.contains(name)) {
+            event(() -> module.setUp(now(), Endpoint.stableId(name)));
         }
     }
 
     /** Exactly these are banned from now on, besides those that are set down; calls that are out go on. */
-    public void bar(Set<String> names) {
-        Set<String> before = barred;
-        barred = Set.copyOf(names);
+    public void ban(Set<String> names) {
+        Set<String> before = banned;
+        banned = Set.copyOf(names);
         for (String name : names) {
             if (!before.contains(name)) {
-                event(() -> module.setDown(now(), Endpoint.number(name)));
+                event(() -> module.setDown(now(), Endpoint.stableId(name)));
             }
         }
         for (String name : before) {
-            Endpoint back = names.contains(name) ? null : destinations.get(name);
+            Endpoint back = names.contains(name) ? null : endpoints.get(name);
             if (back != null) {
                 // What was known of it before says nothing of what comes back.
                 back.unreached = 0;
             }
-            if (!names.contains(name) && !destinations.down().contains(name)) {
-                event(() -> module.setUp(now(), Endpoint.number(name)));
+            if (!names.contains(name) && !endpoints.downNames().contains(name)) {
+                event(() -> module.setUp(now(), Endpoint.stableId(name)));
             }
         }
     }
 
     /** Those that are banned so; on any thread. */
-    public Set<String> barred() {
-        return barred;
+    public Set<String> banned() {
+        return banned;
     }
 
     /** Those of them to which a call is out still. */
-    public Set<String> sendsToBarred() {
+    public Set<String> bannedWithOpenAttempts() {
         Set<String> names = new HashSet<>();
-        if (!barred.isEmpty()) {
+        if (!banned.isEmpty()) {
             calls.forEach(call -> {
-                if (barred.contains(call.endpoint.name)) {
+                if (banned.contains(call.endpoint.name)) {
                     names.add(call.endpoint.name);
                 }
             });
@@ -165,10 +165,10 @@
     }
 
     /** Endpoints to which the last so many calls came to no connection, or more. */
-    public Set<String> unreached(int least) {
+    public Set<String> unreachable(int least) {
         Set<String> names = new HashSet<>();
-        destinations.forEach(endpoint -> {
-            if (endpoint.unreached >= least && !barred.contains(endpoint.name)) {
+        endpoints.forEach(endpoint -> {
+            if (endpoint.unreached >= least && !banned.contains(endpoint.name)) {
                 names.add(endpoint.name);
             }
         });
@@ -179,24 +179,24 @@
      * Adds the slots of all requests that are open to what is there, by tenant and class; the last row is
      * that of those whose tenant is not known.
      */
-    public void demand(double[][] to) {
+    public void addDemand(double[][] to) {
         requests.forEach(
                 request -> to[request.tenant < 0 ? to.length - 1 : request.tenant][request.jobClass] += request.slots);
     }
 
     /** Hears of every call that goes out, and of its end behind the module. */
-    public interface Ear {
+    public interface AttemptListener {
         void sent(Endpoint endpoint);
 
         void ended(Endpoint endpoint, Outcome outcome, LoadReport report);
     }
 
-    public void listen(Ear by) {
+    public void setAttemptListener(AttemptListener by) {
         ear = by;
     }
 
     /** Another scheduler's report of an endpoint, so many seconds old and newer than any own one. */
-    public void told(long endpoint, double age, LoadReport report) {
+    public void reportFromPeer(long endpoint, double age, LoadReport report) {
         LoadReport copy = new LoadReport();
         copy.freeSlots = report.freeSlots;
         copy.queue = report.queue;
@@ -204,7 +204,7 @@
     }
 
     /** From now on requests are decided on only while it lets them be. */
-    public void decideWhile(AdmissionGate condition) {
+    public void setAdmissionGate(AdmissionGate condition) {
         gate = condition;
     }
 
@@ -213,26 +213,26 @@
      *
      * @param named the names of all entries
      */
-    public Replacement replacement(Connector connector, List<EndpointSet.Entry> entries, Set<String> named) {
-        return new Replacement(this, destinations, connector, entries, named);
+    public StagedUpdate stageUpdate(Connector connector, List<EndpointSet.Entry> entries, Set<String> named) {
+        return new StagedUpdate(this, endpoints, connector, entries, named);
     }
 
     /**
      * What may change of the settings has changed; requests that are open keep what they came under. Returns
      * the number that those to come carry ({@link Request#epoch}).
      */
-    public int retuned() {
+    public int settingsChanged() {
         event(module::retuned);
         return ++epoch;
     }
 
     /** Counts by class since the start; the array is the core's own and changes. */
-    public long[][] tallies() {
-        return tallies;
+    public long[][] countsByClass() {
+        return countsByClass;
     }
 
-    public EndpointSet destinations() {
-        return destinations;
+    public EndpointSet endpoints() {
+        return endpoints;
     }
 
     public Settings settings() {
@@ -244,7 +244,7 @@
     }
 
     /** Requests taken that have no answer yet. */
-    public int open() {
+    public int openRequests() {
         return requests.size();
     }
 
@@ -253,7 +253,7 @@
     /** Takes a request in; the answer may come before this returns. */
     public void submit(Request request) {
         if (gate != null && !gate.mayDecide()) {
-            long within = gate.decidesWithin();
+            long within = gate.microsUntilOpen();
             if (within <= MOST_HELD && !request.held) {
                 // It is about to decide: turned away, a client would be away for longer than that takes.
                 request.held = true;
@@ -269,7 +269,7 @@
             // It came under no state of the settings: nothing decided on it.
             request.epoch = -1;
             counters.add(request.front.name() + ".fenced");
-            request.front.refused(request.tag, gate.comeBack());
+            request.front.refused(request.tag, gate.retryAfter());
             return;
         }
         request.held = false;
@@ -278,12 +278,12 @@
         request.type = settings.classes[request.jobClass];
         request.mostCalls = settings.maxAttempts;
         request.epoch = epoch;
-        if (!request.front.leases()) {
+        if (!request.front.usesLeases()) {
             // Durable jobs come as there is room for them: they show nothing of who is away.
             arrivals.add(request.takenAt);
         }
         counters.add(request.front.name() + ".taken");
-        tallies[request.jobClass][TAKEN]++;
+        countsByClass[request.jobClass][ACCEPTED]++;
         // The module answers in time by itself; this catches what would otherwise stay without an answer.
         request.backstop = deadlines.at(request.deadline, () -> overdue(request));
         event(() -> {
@@ -338,12 +338,12 @@
     }
 
     /** True if requests have grown much of late, as where a sibling is away and its clients came here. */
-    public boolean hasTakenOver() {
+    public boolean hasArrivalSurge() {
         return arrivals.surge(clock.micros());
     }
 
     /** Gives up what was taken since then and is still open: clients hear so, and may go elsewhere. */
-    public void giveUpSince(long instant) {
+    public void abandonSince(long instant) {
         requests.forEach(request -> {
             if (request.takenAt >= instant) {
                 giveUp(request);
@@ -367,7 +367,7 @@
      * Whether a call's first byte, or its last one where that was held back, may go out at this instant: the
      * connection may have come up late, or the call may have waited to be grabbed.
      */
-    public boolean mayBegin(Attempt call) {
+    public boolean maySend(Attempt call) {
         String kept = forbidsNow(call);
         if (kept != null) {
             counters.add("core.kept." + kept);
@@ -385,17 +385,17 @@
         if (call.sentAt != clock.micros() && call.request.front.hasLeft(call.request.tag)) {
             return "left";
         }
-        if (!mayBegin(call.endpoint)) {
+        if (!maySend(call.endpoint)) {
             return "drain";
         }
-        if (clock.fresh() >= call.request.deadline) {
+        if (clock.currentMicros() >= call.request.deadline) {
             return "spent";
         }
         return mayRepeat(call.request) ? null : "effect";
     }
 
     /** Sends a call whose lease is on record; false if it has ended meanwhile. */
-    public boolean open(Attempt call) {
+    public boolean sendLeased(Attempt call) {
         boolean out = calls.get(call.handle) == call;
         if (out) {
             call.endpoint.connector.open(call);
@@ -407,7 +407,7 @@
      * A call's lease has run out. What must not run twice is listened to on: its endpoint's late word is all
      * that can still settle it.
      */
-    public void expire(Attempt call) {
+    public void leaseExpired(Attempt call) {
         if (calls.get(call.handle) == call) {
             counters.add("lease.expired");
             if (call.request.type.effect != Effect.UNSAFE) {
@@ -418,21 +418,21 @@
     }
 
     /** The endpoint is at it still. */
-    public void heard(Attempt call) {
-        if (calls.get(call.handle) == call && call.request.front.leases()) {
-            call.request.front.heard(call);
+    public void stillRunning(Attempt call) {
+        if (calls.get(call.handle) == call && call.request.front.usesLeases()) {
+            call.request.front.stillRunning(call);
         }
     }
 
-    private boolean mayBegin(Endpoint endpoint) {
+    private boolean maySend(Endpoint endpoint) {
         long grace = Math.max(0, (long) (settings.drainGrace * 1e6) - HELD_UP);
         return !isDown(endpoint)
-                && (endpoint.drainToldAt == Long.MAX_VALUE || clock.fresh() < endpoint.drainToldAt + grace);
+                && (endpoint.drainToldAt == Long.MAX_VALUE || clock.currentMicros() < endpoint.drainToldAt + grace);
     }
 
     /** True if operators want nothing sent there: what was about to go there goes elsewhere. */
     public boolean isDown(Endpoint endpoint) {
-        return destinations.isDown(endpoint) || barred.contains(endpoint.name);
+        return endpoints.isDown(endpoint) || banned.contains(endpoint.name);
     }
 
     private boolean mayRepeat(Request request) {
@@ -440,14 +440,14 @@
         return !request.mayHaveRun()
                 || type.effect == Effect.SAFE
                 || type.effect == Effect.KEYED
-                        && clock.fresh() < request.firstMayHaveRun() + (long) (type.window * 1e6);
+                        && clock.currentMicros() < request.firstMayHaveRun() + (long) (type.window * 1e6);
     }
 
     /** The endpoint has started on it. */
     public void started(Attempt call) {
         counters.add("call.started");
         note(call, Note.STARTED, 0);
-        heard(call);
+        stillRunning(call);
         if (!call.request.answered) {
             call.request.front.started(call.request.tag);
         }
@@ -456,7 +456,7 @@
     /** The endpoint has done a part of it. */
     public void progress(Attempt call, long done, long of) {
         note(call, Note.PROGRESS, of > 0 ? Math.min(1, Math.max(0, (double) done / of)) : 0);
-        heard(call);
+        stillRunning(call);
         if (!call.request.answered) {
             call.request.front.progress(call.request.tag, done, of);
         }
@@ -478,15 +478,15 @@
     public void ended(Attempt call, Outcome outcome, byte[] result, LoadReport report) {
         Request request = call.request;
         if (calls.get(call.handle) != call) {
-            if (request.front.leases()) {
-                request.front.late(call, outcome, result);
+            if (request.front.usesLeases()) {
+                request.front.lateOutcome(call, outcome, result);
             }
             return;
         }
         release(call);
         counters.add("call." + outcome.name().toLowerCase(Locale.ROOT));
         if (outcome == Outcome.CONNECT_FAILED) {
-            tallies[request.jobClass][CONNECT_FAILED]++;
+            countsByClass[request.jobClass][CONNECT_FAILED]++;
             call.endpoint.unreached++;
         } else if (outcome != Outcome.MOOT) {
             call.endpoint.unreached = 0;
@@ -495,8 +495,8 @@
             request.mayHaveRun(call.sentAt);
         }
         request.sentOn |= outcome != Outcome.CONNECT_FAILED && outcome != Outcome.MOOT;
-        if (request.front.leases()) {
-            request.front.callEnded(call, outcome);
+        if (request.front.usesLeases()) {
+            request.front.attemptEnded(call, outcome);
         }
         boolean over = request.answered;
         if (outcome == Outcome.OK && !over) {
@@ -568,7 +568,7 @@
         if (!request.sentOn) {
             counters.add("clients.failed_unsent");
         }
-        tallies[request.jobClass][FAILED]++;
+        countsByClass[request.jobClass][FAILED]++;
         request.front.failed(request.tag);
     }
 
@@ -598,7 +598,7 @@
         @Override
         public void send(long id, int attempt, long worker) {
             Request request = requests.get(id);
-            Endpoint endpoint = destinations.get(worker);
+            Endpoint endpoint = endpoints.get(worker);
             if (request == null || endpoint == null) {
                 counters.add("core.kept.unknown");
                 event(() -> module.outcome(now(), id, attempt, worker, Outcome.MOOT, request == null, null));
@@ -626,8 +626,8 @@
             if (ear != null) {
                 ear.sent(endpoint);
             }
-            if (request.front.leases()) {
-                request.front.lease(call);
+            if (request.front.usesLeases()) {
+                request.front.recordLease(call);
             } else {
                 endpoint.connector.open(call);
             }
@@ -638,7 +638,7 @@
             if (request.out != null) {
                 return "second_call";
             }
-            if (!mayBegin(endpoint)) {
+            if (!maySend(endpoint)) {
                 return "drain";
             }
             if (clock.micros() >= request.deadline || request.calls > request.mostCalls) {
@@ -664,7 +664,7 @@
             close(request);
             closeUnsent(request);
             counters.add(request.front.name() + ".refused");
-            tallies[request.jobClass][REFUSED]++;
+            countsByClass[request.jobClass][REFUSED]++;
             request.front.refused(request.tag, retryAfter);
         }
 
@@ -699,7 +699,7 @@
 
         @Override
         public void probe(long worker) {
-            Endpoint endpoint = destinations.get(worker);
+            Endpoint endpoint = endpoints.get(worker);
             if (endpoint != null) {
                 counters.add("probe.sent");
                 endpoint.connector.probe(endpoint);
@@ -708,7 +708,7 @@
 
         @Override
         public void closeIdle(long worker) {
-            Endpoint endpoint = destinations.get(worker);
+            Endpoint endpoint = endpoints.get(worker);
             if (endpoint != null) {
                 endpoint.connector.closeIdle(endpoint);
             }
--- a/src/main/java/laneflow/core/Replacement.java
+++ b/src/main/java/laneflow/core/StagedUpdate.java
@@ -12,7 +12,7 @@
  * no request sees any of it: what is new is known as draining, and what changes or leaves is only noted.
  * Between its first step and {@link #adopt} nobody else may speak for the source.
  */
-public final class Replacement {
+public final class StagedUpdate {
     /** Endpoints looked at in one step. */
     static final int PART = 64;
 
@@ -30,7 +30,7 @@
     private int looked;
     private int passed;
 
-    Replacement(
+    StagedUpdate(
             Scheduler scheduler,
             EndpointSet destinations,
             Connector connector,
@@ -94,7 +94,7 @@
     }
 
     /** Behind it, in as many calls as it takes: forgets those that drained already; false once all are. */
-    public boolean tidy() {
+    public boolean removeIdle() {
         int from = Math.max(0, idle.size() - PART);
         List<Entry> part = idle.subList(from, idle.size());
         // One that was named anew meanwhile is somebody's again.
--- a/src/main/java/laneflow/durable/DurableJob.java
+++ b/src/main/java/laneflow/durable/DurableJob.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import laneflow.core.Attempt;
 import laneflow.core.Deadlines.Deadline;
-import laneflow.core.DurableJobService.Word;
+import laneflow.core.DurableJobService.SubmissionResult;
 import laneflow.core.Request;
 import laneflow.durable.decision.AttemptRecord;
 
@@ -25,7 +25,7 @@
     long changedMs;
     final List<AttemptRecord> attempts;
     /** Those who wait for the word that it is on disk; null once it is. */
-    List<Consumer<Word>> waiters;
+    List<Consumer<SubmissionResult>> waiters;
     /** The end that is on its way to disk, or null. */
     State ending;
     /** Instants are microseconds on the loop. */
--- a/src/main/java/laneflow/durable/DurableJobs.java
+++ b/src/main/java/laneflow/durable/DurableJobs.java
@@ -221,12 +221,12 @@
     // ---- taking on ----
 
     @Override
-    public boolean takes(int jobClass) {
+    public boolean accepts(int jobClass) {
         return config.classes[jobClass].respondAsync;
     }
 
     @Override
-    public void submit(Submission given, Consumer<Word> answer) {
+    public void submit(Submission given, Consumer<SubmissionResult> answer) {
         DurableJob same = table.get(given.key());
         if (same != null) {
             boolean other = given.exact() && RowCodec.sum(given.payload().body()) != same.row.bodySum();
@@ -235,21 +235,22 @@
                 // Handed in again before the first is on disk: both hear when it is.
                 same.waiters.add(answer);
             } else {
-                answer.accept(new Word(other ? Taken.OTHER : Taken.YES, same.id(), 0));
+                answer.accept(new SubmissionResult(
+                        other ? SubmissionOutcome.KEY_CONFLICT : SubmissionOutcome.ACCEPTED, same.id(), 0));
             }
             return;
         }
         byte[] body = given.payload().body();
         if (journal.broken() != null) {
-            turnDown(answer, Taken.BROKEN, 0);
+            turnDown(answer, SubmissionOutcome.STORE_BROKEN, 0);
             return;
         }
         if (clock.micros() < storeFullUntil || journal.usedBytes() > FULL_PART * config.storeBytes) {
-            turnDown(answer, Taken.FULL, Math.max(1, quota.comeBack()));
+            turnDown(answer, SubmissionOutcome.FULL, Math.max(1, quota.comeBack()));
             return;
         }
         if (!quota.admits(given.jobClass(), body.length)) {
-            turnDown(answer, Taken.FULL, quota.comeBack());
+            turnDown(answer, SubmissionOutcome.FULL, quota.comeBack());
             return;
         }
         long now = wall.getAsLong();
@@ -280,7 +281,7 @@
         job.waiters = new ArrayList<>(1);
         job.waiters.add(answer);
         if (!journal.write(Op.accept(row), failure -> accepted(job, failure))) {
-            turnDown(answer, Taken.FULL, quota.comeBack());
+            turnDown(answer, SubmissionOutcome.FULL, quota.comeBack());
             return;
         }
         owed++;
@@ -288,19 +289,19 @@
         quota.add(job.jobClass, body.length);
     }
 
-    private void turnDown(Consumer<Word> answer, Taken why, double comeBack) {
+    private void turnDown(Consumer<SubmissionResult> answer, SubmissionOutcome why, double comeBack) {
         counters.add("durable.turned_down");
-        answer.accept(new Word(why, 0, comeBack));
+        answer.accept(new SubmissionResult(why, 0, comeBack));
     }
 
     private void accepted(DurableJob job, StoreException failure) {
-        List<Consumer<Word>> waiters = job.waiters;
+        List<Consumer<SubmissionResult>> waiters = job.waiters;
         job.waiters = null;
         owed--;
         if (failure == null) {
             counters.add("durable.accepted");
             see(job.row.acceptedMs());
-            waiters.forEach(waiter -> waiter.accept(new Word(Taken.YES, job.id(), 0)));
+            waiters.forEach(waiter -> waiter.accept(new SubmissionResult(SubmissionOutcome.ACCEPTED, job.id(), 0)));
             queue(job);
             return;
         }
@@ -308,7 +309,8 @@
         quota.remove(clock.micros(), job.jobClass, job.row.bodyBytes());
         storeTrouble(failure);
         boolean full = failure.kind == StoreException.Kind.FULL;
-        waiters.forEach(waiter -> turnDown(waiter, full ? Taken.FULL : Taken.BROKEN, full ? 1 : 0));
+        waiters.forEach(waiter ->
+                turnDown(waiter, full ? SubmissionOutcome.FULL : SubmissionOutcome.STORE_BROKEN, full ? 1 : 0));
     }
 
     private void storeTrouble(StoreException failure) {
@@ -415,7 +417,7 @@
                 : row.key().substring("gearman/".length() + row.function().length() + 1);
         for (AttemptRecord attempt : job.attempts) {
             if (attempt.mayHaveRun()) {
-                request.ranAt(now - (nowMs - attempt.leasedMs()) * 1000);
+                request.mayHaveRunSince(now - (nowMs - attempt.leasedMs()) * 1000);
             }
         }
         job.request = request;
@@ -424,13 +426,13 @@
     }
 
     @Override
-    public boolean leases() {
+    public boolean usesLeases() {
         return true;
     }
 
     /** The lease goes to disk, and only then the call's first byte out. */
     @Override
-    public void lease(Attempt call) {
+    public void recordLease(Attempt call) {
         DurableJob job = table.get(call.request.tag);
         if (job == null
                 || job.request != call.request
@@ -471,11 +473,11 @@
         job.openedAt = now;
         job.recordedAt = now;
         if (job.lease == null) {
-            job.lease = deadlines.create(() -> scheduler.expire(job.call));
+            job.lease = deadlines.create(() -> scheduler.leaseExpired(job.call));
         }
         deadlines.set(job.lease, now + job.terms.leaseMs * 1000);
         counters.add("lease.given");
-        scheduler.open(call);
+        scheduler.sendLeased(call);
     }
 
     private void unleased(DurableJob job, Attempt call) {
@@ -486,7 +488,7 @@
     // ---- at work ----
 
     @Override
-    public void heard(Attempt call) {
+    public void stillRunning(Attempt call) {
         DurableJob job = table.get(call.request.tag);
         if (job == null || job.call != call || !job.opened) {
             return;
@@ -526,7 +528,7 @@
     }
 
     @Override
-    public void callEnded(Attempt call, Outcome outcome) {
+    public void attemptEnded(Attempt call, Outcome outcome) {
         DurableJob job = table.get(call.request.tag);
         if (job == null || letGo || job.call != call || call.lease == 0) {
             return;
@@ -553,14 +555,14 @@
 
     /** A word on an attempt that had ended: it counts by its lease. */
     @Override
-    public void late(Attempt call, Outcome outcome, byte[] result) {
+    public void lateOutcome(Attempt call, Outcome outcome, byte[] result) {
         if (outcome == Outcome.OK || outcome == Outcome.ERROR) {
-            late(call.request.tag, call.lease, outcome == Outcome.OK, result);
+            lateOutcome(call.request.tag, call.lease, outcome == Outcome.OK, result);
         }
     }
 
     @Override
-    public boolean late(long id, int lease, boolean served, byte[] result) {
+    public boolean lateOutcome(long id, int lease, boolean served, byte[] result) {
         DurableJob job = table.get(id);
         AttemptRecord attempt = job == null ? null : job.attempt(lease);
         if (attempt == null
@@ -738,13 +740,13 @@
     // ---- asking and cancelling ----
 
     @Override
-    public View peek(long id) {
+    public JobView peek(long id) {
         DurableJob job = table.get(id);
         return job == null || job.waiters != null ? null : view(job, null);
     }
 
     @Override
-    public void view(long id, Consumer<View> answer) {
+    public void view(long id, Consumer<JobView> answer) {
         DurableJob job = table.get(id);
         if (job == null || job.waiters != null) {
             answer.accept(null);
@@ -755,17 +757,17 @@
         }
     }
 
-    private View view(DurableJob job, byte[] result) {
-        List<Try> tries = new ArrayList<>();
+    private JobView view(DurableJob job, byte[] result) {
+        List<AttemptView> tries = new ArrayList<>();
         for (AttemptRecord attempt : job.attempts) {
-            tries.add(new Try(
+            tries.add(new AttemptView(
                     attempt.number(),
                     attempt.endpoint(),
                     attempt.leasedMs(),
                     attempt.endMs(),
                     RowCodec.word(attempt.known())));
         }
-        return new View(
+        return new JobView(
                 job.id(),
                 job.row.jobClass(),
                 job.state.name().toLowerCase(Locale.ROOT),
@@ -781,16 +783,16 @@
     }
 
     @Override
-    public void cancel(long id, Consumer<Cancelled> answer) {
+    public void cancel(long id, Consumer<CancelOutcome> answer) {
         DurableJob job = table.get(id);
         if (job == null || job.waiters != null) {
-            answer.accept(Cancelled.UNKNOWN);
+            answer.accept(CancelOutcome.NOT_FOUND);
         } else if (job.state != State.QUEUED
                 || job.ending != null
                 || job.isAtWork()
                 || job.mayHaveRun()
                 || job.jobClass < 0) {
-            answer.accept(Cancelled.BEGUN);
+            answer.accept(CancelOutcome.ALREADY_STARTED);
         } else {
             job.ending = State.CANCELLED;
             job.reason = "cancelled";
@@ -798,12 +800,12 @@
             boolean asked =
                     journal.write(Op.end(id, State.CANCELLED, job.attempts, job.reason, null, nowMs), failure -> {
                         ended(job, State.CANCELLED, nowMs, null, failure);
-                        answer.accept(failure == null ? Cancelled.YES : Cancelled.BUSY);
+                        answer.accept(failure == null ? CancelOutcome.CANCELLED : CancelOutcome.BUSY);
                     });
             if (!asked) {
                 job.ending = null;
                 queue(job);
-                answer.accept(Cancelled.BUSY);
+                answer.accept(CancelOutcome.BUSY);
             }
         }
     }
--- a/src/main/java/laneflow/gearman/GearmanFront.java
+++ b/src/main/java/laneflow/gearman/GearmanFront.java
@@ -280,13 +280,13 @@
                         urgency,
                         notBeforeMs),
                 said -> {
-                    if (said.taken() == DurableJobService.Taken.YES) {
+                    if (said.outcome() == DurableJobService.SubmissionOutcome.ACCEPTED) {
                         word.is(Packet.JOB_CREATED, KEPT + hex(said.id()));
-                    } else if (said.taken() == DurableJobService.Taken.FULL) {
+                    } else if (said.outcome() == DurableJobService.SubmissionOutcome.FULL) {
                         word.is(
                                 Packet.ERROR,
                                 "QUEUE_FULL",
-                                "come back in " + Math.ceil(said.comeBack() * 1000) / 1000 + " s");
+                                "come back in " + Math.ceil(said.retryAfter() * 1000) / 1000 + " s");
                     } else {
                         word.is(Packet.ERROR, "STORE_FAILED", "no durable job is taken on until a restart");
                     }
@@ -294,7 +294,7 @@
     }
 
     private static long subject(String unique) {
-        return unique.isEmpty() ? 0 : Endpoint.number(unique);
+        return unique.isEmpty() ? 0 : Endpoint.stableId(unique);
     }
 
     /** The job in the words of the platform's wire too: an HTTP endpoint may be the one to run it. */
@@ -369,10 +369,11 @@
     }
 
     void status(Peer client, String handle) {
-        DurableJobService.View view = keeper == null ? null : keeper.peek(kept(handle));
+        DurableJobService.JobView view = keeper == null ? null : keeper.peek(kept(handle));
         if (view != null) {
             boolean open = !view.ended();
-            client.send(Packet.STATUS_RES, handle, open ? 1 : 0, open && view.atWork() ? 1 : 0, view.done(), view.of());
+            client.send(
+                    Packet.STATUS_RES, handle, open ? 1 : 0, open && view.running() ? 1 : 0, view.done(), view.total());
             return;
         }
         Job job = byHandle.get(handle);
--- a/src/main/java/laneflow/gearman/Worker.java
+++ b/src/main/java/laneflow/gearman/Worker.java
@@ -143,8 +143,10 @@
             entry.classes |= 1L << front.config.function(function).jobClass();
         }
         // Which of a class's functions it has: sent to one that has not, a job would come back unbegun.
-        entry.abilities =
-                abilities.keySet().stream().mapToLong(Endpoint::number).sorted().toArray();
+        entry.abilities = abilities.keySet().stream()
+                .mapToLong(Endpoint::stableId)
+                .sorted()
+                .toArray();
         scheduler.list(front.connector, false, List.of(entry));
     }
 
@@ -276,7 +278,7 @@
     /** The first call waiting that it can run now, under the rule on drains. */
     private Attempt next() {
         for (Attempt waiting : queue) {
-            if (function(waiting) != null && scheduler.mayBegin(waiting)) {
+            if (function(waiting) != null && scheduler.maySend(waiting)) {
                 queue.remove(waiting);
                 return waiting;
             }
@@ -324,7 +326,9 @@
     private boolean late(int type, String of, byte[] said) {
         long[] lease = front.keeper == null ? null : GearmanFront.lease(of);
         boolean ends = type == Packet.WORK_COMPLETE || type == Packet.WORK_FAIL;
-        return lease != null && ends && front.keeper.late(lease[0], (int) lease[1], type == Packet.WORK_COMPLETE, said);
+        return lease != null
+                && ends
+                && front.keeper.lateOutcome(lease[0], (int) lease[1], type == Packet.WORK_COMPLETE, said);
     }
 
     private void status(byte[] said) throws Packet.Malformed {
@@ -354,7 +358,7 @@
             data.writeBytes(said);
         }
         if (call != null) {
-            scheduler.heard(call);
+            scheduler.stillRunning(call);
         }
     }
 
--- a/src/main/java/laneflow/http/EndpointConnection.java
+++ b/src/main/java/laneflow/http/EndpointConnection.java
@@ -235,7 +235,7 @@
         taken = 0;
         tail = 0;
         held = null;
-        if (connector.scheduler.isDown(endpoint) || call != null && !connector.scheduler.mayBegin(call)) {
+        if (connector.scheduler.isDown(endpoint) || call != null && !connector.scheduler.maySend(call)) {
             // Forbidden since it was decided: nothing has been written, and the endpoint is not to blame.
             finish(Outcome.MOOT);
             return;
@@ -260,7 +260,7 @@
         String key = payload.repeatKey();
         int hold = mayBeStale() || !connector.mayRepeat(call) ? 1 : 0;
         // Counted anew, since a turn may last, and from when the last byte goes out.
-        long left = (call.request.deadline - connector.loop.fresh() - hold * hold()) / MS;
+        long left = (call.request.deadline - connector.loop.currentMicros() - hold * hold()) / MS;
         if (left <= 0) {
             return false;
         }
@@ -279,7 +279,7 @@
 
     /** Nothing speaks against the connection: the request's last byte goes out, unless it must not now. */
     private void release() {
-        if (!connector.scheduler.mayBegin(call)) {
+        if (!connector.scheduler.maySend(call)) {
             finish(Outcome.MOOT);
             return;
         }
--- a/src/main/java/laneflow/http/JobReader.java
+++ b/src/main/java/laneflow/http/JobReader.java
@@ -57,7 +57,7 @@
         // An owner that no settings name has no share that it could be beyond.
         request.tenant = tenants.getOrDefault(head.header(Names.OWNER), -1);
         request.hint = number(head.header(Names.COST), Names.COST, Double.NaN) / 1e6;
-        request.key = query < 0 ? 0 : key(target, query + 1);
+        request.subject = query < 0 ? 0 : key(target, query + 1);
         extras(request, head.header(Names.EXTRA));
         return request;
     }
--- a/src/main/java/laneflow/http/KeptJobs.java
+++ b/src/main/java/laneflow/http/KeptJobs.java
@@ -8,9 +8,9 @@
 import java.util.Base64;
 import java.util.Locale;
 import laneflow.core.DurableJobService;
+import laneflow.core.DurableJobService.AttemptView;
+import laneflow.core.DurableJobService.JobView;
 import laneflow.core.DurableJobService.Submission;
-import laneflow.core.DurableJobService.Try;
-import laneflow.core.DurableJobService.View;
 import laneflow.core.Request;
 
 /**
@@ -32,7 +32,7 @@
     /** Whether this message asks for a job to be kept. */
     boolean wants(HttpHead head, Request request) {
         String prefer = head.header("prefer");
-        if (prefer == null || !keeper.takes(request.jobClass)) {
+        if (prefer == null || !keeper.accepts(request.jobClass)) {
             return false;
         }
         for (String one : prefer.split(",")) {
@@ -54,11 +54,11 @@
                 asked.hint,
                 asked.slots,
                 asked.memory,
-                asked.key,
+                asked.subject,
                 0);
         keeper.submit(submission, word -> {
-            switch (word.taken()) {
-                case YES:
+            switch (word.outcome()) {
+                case ACCEPTED:
                     String id = hex(word.id());
                     client.answer(
                             202,
@@ -70,10 +70,10 @@
                     client.answer(
                             503,
                             "Service Unavailable",
-                            String.format(Locale.ROOT, "Retry-After: %.3f\r\n", word.comeBack()),
+                            String.format(Locale.ROOT, "Retry-After: %.3f\r\n", word.retryAfter()),
                             Client.ascii("fail-fast\n"));
                     break;
-                case OTHER:
+                case KEY_CONFLICT:
                     // As the IETF's draft on Idempotency-Key has it.
                     client.answer(
                             422,
@@ -125,13 +125,13 @@
     void delete(Client client, String path) {
         keeper.cancel(id(path), how -> {
             switch (how) {
-                case YES:
+                case CANCELLED:
                     client.answer(204, "No Content", "", new byte[0]);
                     break;
-                case UNKNOWN:
+                case NOT_FOUND:
                     client.answer(404, "Not Found", "", Client.ascii("no such job, or its retention is over\n"));
                     break;
-                case BEGUN:
+                case ALREADY_STARTED:
                     client.answer(409, "Conflict", "", Client.ascii("it has begun, or is at its end\n"));
                     break;
                 default:
@@ -141,7 +141,7 @@
         });
     }
 
-    private static JsonObject json(View view) {
+    private static JsonObject json(JobView view) {
         JsonObject all = new JsonObject();
         all.addProperty("id", hex(view.id()));
         all.addProperty("class", view.jobClass());
@@ -152,7 +152,7 @@
         all.addProperty("accepted_ms", view.acceptedMs());
         all.addProperty("changed_ms", view.changedMs());
         JsonArray tries = new JsonArray();
-        for (Try one : view.attempts()) {
+        for (AttemptView one : view.attempts()) {
             JsonObject attempt = new JsonObject();
             attempt.addProperty("lease", one.number());
             attempt.addProperty("endpoint", one.endpoint());
--- a/src/main/java/laneflow/lab/world/CapacityWorld.java
+++ b/src/main/java/laneflow/lab/world/CapacityWorld.java
@@ -104,7 +104,7 @@
         private int busy;
 
         private Node(int number) {
-            id = Endpoint.number("e" + number);
+            id = Endpoint.stableId("e" + number);
             zone = number % day.zones;
         }
 
--- a/src/main/java/laneflow/maintenance/CallWatch.java
+++ b/src/main/java/laneflow/maintenance/CallWatch.java
@@ -66,11 +66,11 @@
     private Seen seen() {
         int classes = scheduler.settings().classes.length;
         double[][] demand = new double[scheduler.settings().tenants.length + 1][classes];
-        scheduler.demand(demand);
+        scheduler.addDemand(demand);
         return new Seen(
                 policy.getAsLong(),
-                scheduler.sendsToBarred(),
-                scheduler.unreached(lostAfter),
+                scheduler.bannedWithOpenAttempts(),
+                scheduler.unreachable(lostAfter),
                 demand,
                 longest(scheduler));
     }
--- a/src/main/java/laneflow/maintenance/Maintenance.java
+++ b/src/main/java/laneflow/maintenance/Maintenance.java
@@ -161,11 +161,11 @@
 
     @Override
     public JsonElement says() {
-        if (config == null && scheduler.barred().isEmpty() && !toldOnce) {
+        if (config == null && scheduler.banned().isEmpty() && !toldOnce) {
             return null;
         }
         // Behind a first word it goes on: what was said once must not stand for ever.
-        toldOnce = config != null || !scheduler.barred().isEmpty();
+        toldOnce = config != null || !scheduler.banned().isEmpty();
         watch.look();
         if (seen == null) {
             return null;
--- a/src/main/java/laneflow/net/Loop.java
+++ b/src/main/java/laneflow/net/Loop.java
@@ -107,7 +107,7 @@
      * The same clock, read now: for what must hold at this very instant, however long the turn has lasted, as
      * one does amid which the process was stopped.
      */
-    public long fresh() {
+    public long currentMicros() {
         return origin + System.nanoTime() / 1000;
     }
 
@@ -140,7 +140,7 @@
 
     private void endTurn() {
         try {
-            deadlines.runRiders(now);
+            deadlines.runEarly(now);
         } catch (RuntimeException e) {
             LOG.error("event failed", e);
         }
--- a/src/main/java/laneflow/ops/Operations.java
+++ b/src/main/java/laneflow/ops/Operations.java
@@ -109,7 +109,7 @@
     }
 
     private void worker(boolean down, String name, Consumer<String> answer) {
-        if (!scheduler.destinations().hasListed(name)) {
+        if (!scheduler.endpoints().isKnown(name)) {
             answer.accept("error no worker " + name + " was ever listed here");
             return;
         }
@@ -130,7 +130,7 @@
 
     /** Answers once the next process would find it too. What holds here holds whether or not that works. */
     private void keep(String order, Consumer<String> answer) {
-        Set<String> names = new TreeSet<>(scheduler.destinations().down());
+        Set<String> names = new TreeSet<>(scheduler.endpoints().downNames());
         writer.execute(() -> {
             String said = "done";
             try {
@@ -198,7 +198,7 @@
                         recall();
                         return;
                     }
-                    Set<String> before = new TreeSet<>(scheduler.destinations().down());
+                    Set<String> before = new TreeSet<>(scheduler.endpoints().downNames());
                     before.stream().filter(name -> !names.contains(name)).forEach(scheduler::setUp);
                     names.stream().filter(name -> !before.contains(name)).forEach(scheduler::setDown);
                 })));
@@ -207,7 +207,7 @@
     /** What holds now, as orders. */
     List<String> orders() {
         List<String> all = new ArrayList<>();
-        scheduler.destinations().down().forEach(name -> all.add("set-down " + name));
+        scheduler.endpoints().downNames().forEach(name -> all.add("set-down " + name));
         if (drain.isOrdered()) {
             all.add("drain-on");
         }
--- a/src/main/java/laneflow/ops/Succession.java
+++ b/src/main/java/laneflow/ops/Succession.java
@@ -103,7 +103,7 @@
             handover.serving(now);
         }
         handover.tick(now);
-        if (handover.isSuperseded() && front.isAlone() && scheduler.open() == 0 && drain.isOver(now)) {
+        if (handover.isSuperseded() && front.isAlone() && scheduler.openRequests() == 0 && drain.isOver(now)) {
             LOG.info("all clients have gone over to the other process");
             end.run();
             return;
@@ -146,7 +146,7 @@
         if (now != role) {
             role = now;
             if (now != Handover.Role.ALONE) {
-                scheduler.share(0.5);
+                scheduler.setShare(0.5);
             }
             loop.share(part(NEWER_LINKS));
             loop.deadlines().set(settled, loop.micros() + (long) (scheduler.settings().fallWithin * 1e6));
@@ -154,7 +154,7 @@
     }
 
     private void settled() {
-        scheduler.share(part(NEWER_SENDS));
+        scheduler.setShare(part(NEWER_SENDS));
     }
 
     private double part(double newer) {
--- a/src/main/java/laneflow/policy/LeaseGate.java
+++ b/src/main/java/laneflow/policy/LeaseGate.java
@@ -124,20 +124,20 @@
     }
 
     @Override
-    public long decidesWithin() {
+    public long microsUntilOpen() {
         return left || !isAboutToBegin() ? Long.MAX_VALUE : untilNext();
     }
 
     /** From the turn's instant on, which deadlines are set by and which lags behind now. */
     private long untilNext() {
-        return traffic.fresh()
+        return traffic.currentMicros()
                 - traffic.micros()
                 + Math.max(0, published.leave().nextStart() - clock.getAsLong())
                 + 1;
     }
 
     @Override
-    public double comeBack() {
+    public double retryAfter() {
         return comeBack;
     }
 
--- a/src/main/java/laneflow/policy/Policy.java
+++ b/src/main/java/laneflow/policy/Policy.java
@@ -125,9 +125,9 @@
 
     /** A process's clock for leases: monotonic, read now, by any thread. */
     static LongSupplier clock(Loop loop, double rate) {
-        long origin = loop.fresh();
+        long origin = loop.currentMicros();
         return () -> {
-            long passed = loop.fresh() - origin;
+            long passed = loop.currentMicros() - origin;
             return origin + (rate == 1 ? passed : (long) (passed * rate));
         };
     }
--- a/src/main/java/laneflow/policy/PolicyPart.java
+++ b/src/main/java/laneflow/policy/PolicyPart.java
@@ -78,14 +78,14 @@
         Scheduler scheduler = given.scheduler();
         traffic = given.traffic();
         LongSupplier clock = Policy.clock(loop, given.clockRate());
-        gate = new LeaseGate(traffic, scheduler.counters(), scheduler::retuned, config, clock, this::adopted);
+        gate = new LeaseGate(traffic, scheduler.counters(), scheduler::settingsChanged, config, clock, this::adopted);
         policy = new Policy(
                 new Policy.Parts(
                         loop,
                         fleet,
                         given.counters(),
                         config,
-                        given.types().apply(new BansType(scheduler::bar)),
+                        given.types().apply(new BansType(scheduler::ban)),
                         given.reading(),
                         given.seed(),
                         clock,
@@ -106,7 +106,7 @@
             }
         }
         Opened opened = votes;
-        traffic.call(() -> scheduler.decideWhile(gate));
+        traffic.call(() -> scheduler.setAdmissionGate(gate));
         loop.call(() -> {
             Leadership leadership = opened == null ? null : vote(given, opened);
             port = new PolicyPort(fleet, policy, given.counters(), given.parts().keySet(), leadership);
@@ -132,7 +132,7 @@
     /** On the traffic's thread, whose counts they are. */
     private void tally(Scheduler scheduler) {
         JsonArray all = new JsonArray();
-        for (long[] row : scheduler.tallies()) {
+        for (long[] row : scheduler.countsByClass()) {
             JsonArray counts = new JsonArray();
             for (long one : row) {
                 counts.add(one);
--- a/src/test/java/laneflow/core/DeadlinesTest.java
+++ b/src/test/java/laneflow/core/DeadlinesTest.java
@@ -22,12 +22,12 @@
         Deadline rider = one("rider");
         deadlines.set(rider, 80, 100);
         deadlines.at(90, () -> ran.add("plain"));
-        deadlines.runRiders(79);
+        deadlines.runEarly(79);
         assertEquals(List.of(), ran);
-        deadlines.runRiders(80);
+        deadlines.runEarly(80);
         assertEquals(List.of("rider"), ran);
         assertFalse(rider.isSet());
-        deadlines.runRiders(85);
+        deadlines.runEarly(85);
         deadlines.runDue(200);
         assertEquals(List.of("rider", "plain"), ran);
     }
@@ -38,15 +38,15 @@
         deadlines.set(rider, 80, 100);
         assertEquals(100, deadlines.next());
         deadlines.runDue(100);
-        deadlines.runRiders(101);
+        deadlines.runEarly(101);
         assertEquals(List.of("rider"), ran);
         // Set to one instant it rides no more.
         deadlines.set(rider, 110, 130);
         deadlines.set(rider, 130);
-        deadlines.runRiders(120);
+        deadlines.runEarly(120);
         deadlines.set(rider, 110, 130);
         deadlines.cancel(rider);
-        deadlines.runRiders(120);
+        deadlines.runEarly(120);
         deadlines.runDue(200);
         assertEquals(List.of("rider"), ran);
     }
@@ -62,9 +62,9 @@
         });
         deadlines.set(own[0], 10, 40);
         deadlines.set(other, 10, 40);
-        deadlines.runRiders(20);
+        deadlines.runEarly(20);
         assertEquals(List.of("own"), ran);
-        deadlines.runRiders(20);
+        deadlines.runEarly(20);
         assertEquals(List.of("own", "own"), ran);
     }
 }
--- a/src/test/java/laneflow/core/FleetDay.java
+++ b/src/test/java/laneflow/core/FleetDay.java
@@ -433,7 +433,7 @@
             ends(out, Outcome.CONNECT_FAILED);
             return;
         }
-        if (broken != Broken.GRACE_NOT_ASKED && !out.ask.node.scheduler.mayBegin(out.call)) {
+        if (broken != Broken.GRACE_NOT_ASKED && !out.ask.node.scheduler.maySend(out.call)) {
             ends(out, Outcome.CONNECT_FAILED);
             return;
         }
--- a/src/test/java/laneflow/core/GateTest.java
+++ b/src/test/java/laneflow/core/GateTest.java
@@ -22,12 +22,12 @@
     }
 
     @Override
-    public long decidesWithin() {
+    public long microsUntilOpen() {
         return within;
     }
 
     @Override
-    public double comeBack() {
+    public double retryAfter() {
         return 0.3;
     }
 
@@ -55,11 +55,11 @@
 
     @Test
     void whatItMayNotDecideOnIsAnsweredAtOnceAndReachesNoModule() {
-        scheduler.decideWhile(this);
+        scheduler.setAdmissionGate(this);
         Request request = ask();
         assertEquals(List.of("refused 0.3"), answers);
         assertEquals(-1, request.epoch());
-        assertEquals(0, scheduler.open() + counters.get("http.taken"));
+        assertEquals(0, scheduler.openRequests() + counters.get("http.taken"));
         assertEquals(1, counters.get("http.fenced"));
         // It has left and has its answer: nothing more is owed.
         scheduler.withdraw(request);
@@ -71,7 +71,7 @@
 
     @Test
     void whatComesRightBeforeABeginningWaitsForItAndNoLonger() {
-        scheduler.decideWhile(this);
+        scheduler.setAdmissionGate(this);
         within = 10_001;
         ask();
         assertEquals(List.of("refused 0.3"), answers);
@@ -101,13 +101,13 @@
 
     @Test
     void whatAPolicyBansStaysBannedWhateverOperatorsSetUp() {
-        scheduler.bar(java.util.Set.of("e1"));
+        scheduler.ban(java.util.Set.of("e1"));
         scheduler.setDown("e1");
         scheduler.setUp("e1");
         Endpoint endpoint = new Endpoint("e1", null);
         assertEquals(true, scheduler.isDown(endpoint));
         scheduler.setDown("e1");
-        scheduler.bar(java.util.Set.of());
+        scheduler.ban(java.util.Set.of());
         assertEquals(true, scheduler.isDown(endpoint));
         scheduler.setUp("e1");
         assertEquals(false, scheduler.isDown(endpoint));
--- a/src/test/java/laneflow/core/ReplacementTest.java
+++ b/src/test/java/laneflow/core/ReplacementTest.java
@@ -54,7 +54,7 @@
     /** The live ones, and where they are called. */
     private static Map<String, String> live(Scheduler scheduler, Connector connector) {
         Map<String, String> live = new TreeMap<>();
-        scheduler.destinations().of(connector).stream()
+        scheduler.endpoints().of(connector).stream()
                 .filter(one -> one.state() == State.READY)
                 .forEach(one -> live.put(one.name, one.dial));
         return live;
@@ -88,7 +88,7 @@
                     }
                 }
             }
-            Replacement replacement = scheduler.replacement(connector, entries, named);
+            StagedUpdate replacement = scheduler.stageUpdate(connector, entries, named);
             // All steps, or only some of them: what is left is done with adopting.
             int most = random.nextInt(3) == 0 ? random.nextInt(5) : Integer.MAX_VALUE;
             for (int step = 0; step < most && replacement.step(); step++) {
@@ -96,13 +96,13 @@
             }
             replacement.adopt();
             assertEquals(next, live(scheduler, connector));
-            while (replacement.tidy()) {
+            while (replacement.removeIdle()) {
                 assertEquals(next, live(scheduler, connector));
             }
             Map<String, State> known = new TreeMap<>();
-            scheduler.destinations().of(connector).forEach(one -> known.put(one.name, one.state()));
+            scheduler.endpoints().of(connector).forEach(one -> known.put(one.name, one.state()));
             assertEquals(all, known);
-            assertEquals("127.0.0.1:77", scheduler.destinations().get("e7").dial);
+            assertEquals("127.0.0.1:77", scheduler.endpoints().get("e7").dial);
             holds = next;
         }
     }
--- a/src/test/java/laneflow/core/SchedulerTest.java
+++ b/src/test/java/laneflow/core/SchedulerTest.java
@@ -43,7 +43,7 @@
         }
 
         @Override
-        public long fresh() {
+        public long currentMicros() {
             return now + lasted;
         }
     };
@@ -99,15 +99,15 @@
     void aCallThatComesUpAfterTheGraceMustNotBegin() {
         endpoints("a");
         submit(UNSAFE);
-        assertTrue(scheduler.mayBegin(calls.get(0)));
+        assertTrue(scheduler.maySend(calls.get(0)));
         scheduler.list(this, false, List.of(entry("a", State.DRAINING)));
         // The process may be held up for 0.15 s between this and the write: the grace of 0.5 s has to cover that.
         pass(349_000);
-        assertTrue(scheduler.mayBegin(calls.get(0)));
+        assertTrue(scheduler.maySend(calls.get(0)));
         // A second word of the same drain does not start the grace again.
         scheduler.list(this, false, List.of(entry("a", State.GONE)));
         pass(1_000);
-        assertFalse(scheduler.mayBegin(calls.get(0)));
+        assertFalse(scheduler.maySend(calls.get(0)));
         assertEquals(1, counters.get("core.kept.drain"));
     }
 
@@ -118,10 +118,10 @@
         submit(UNSAFE);
         scheduler.list(this, false, List.of(entry(calls.get(0).endpoint.name, State.DRAINING)), now - 300_000);
         scheduler.list(this, false, List.of(entry(calls.get(1).endpoint.name, State.GONE)), now - 350_000);
-        assertTrue(scheduler.mayBegin(calls.get(0)));
-        assertFalse(scheduler.mayBegin(calls.get(1)));
+        assertTrue(scheduler.maySend(calls.get(0)));
+        assertFalse(scheduler.maySend(calls.get(1)));
         pass(50_000);
-        assertFalse(scheduler.mayBegin(calls.get(0)));
+        assertFalse(scheduler.maySend(calls.get(0)));
     }
 
     /** What its front says of its client. */
@@ -141,7 +141,7 @@
         scheduler.ended(calls.get(0), Outcome.RESET, null, null);
         assertEquals(1, calls.size());
         assertEquals(List.of(), answers);
-        assertEquals(0, scheduler.open());
+        assertEquals(0, scheduler.openRequests());
         assertEquals(1, counters.get("core.kept.left"));
         assertEquals(1, counters.get("http.withdrawn"));
     }
@@ -152,9 +152,9 @@
         endpoints("a");
         submit(UNSAFE);
         clientHasLeft = true;
-        assertTrue(scheduler.mayBegin(calls.get(0)), "it was looked at in this very turn");
+        assertTrue(scheduler.maySend(calls.get(0)), "it was looked at in this very turn");
         pass(1_000);
-        assertFalse(scheduler.mayBegin(calls.get(0)));
+        assertFalse(scheduler.maySend(calls.get(0)));
         assertEquals(1, counters.get("core.kept.left"));
     }
 
@@ -163,7 +163,7 @@
     void whatWasNeverSentOnAndFailsIsCountedApart() {
         endpoints("a");
         Request request = new Request(this, 0, new Payload("", "", "r", null, new byte[0]), UNSAFE, now + 5_000_000);
-        request.ranAt(now - 1);
+        request.mayHaveRunSince(now - 1);
         scheduler.submit(request);
         pass(5_000_000);
         assertEquals(List.of("failed"), answers);
@@ -187,7 +187,7 @@
         scheduler.ended(calls.get(3), Outcome.OK, new byte[0], null);
         scheduler.ended(calls.get(3), Outcome.OK, new byte[0], null);
         assertEquals(List.of("failed", "served"), answers);
-        assertEquals(0, scheduler.open());
+        assertEquals(0, scheduler.openRequests());
     }
 
     /** What a version changes holds for requests that come behind it; one that is open keeps what it came under. */
@@ -196,14 +196,14 @@
         endpoints("a", "b", "c", "d", "e");
         Settings settings = scheduler.settings();
         submit(SAFE);
-        int epoch = scheduler.retuned();
+        int epoch = scheduler.settingsChanged();
         settings.maxAttempts = 1;
         JobClass other = new JobClass();
         other.effect = Effect.SAFE;
         other.group = Group.ALL;
         other.stretch = 2;
         settings.classes[SAFE] = other;
-        assertEquals(epoch + 1, scheduler.retuned());
+        assertEquals(epoch + 1, scheduler.settingsChanged());
         // It has five attempts, as when it came.
         scheduler.ended(calls.get(0), Outcome.RESET, null, null);
         assertEquals(2, calls.size());
@@ -241,12 +241,12 @@
         long since = now;
         submit(UNSAFE);
         submit(SAFE);
-        scheduler.giveUpSince(since);
+        scheduler.abandonSince(since);
         assertEquals(List.of("failed", "refused"), answers);
         assertEquals(calls.subList(1, 3), closed);
         scheduler.ended(calls.get(0), Outcome.OK, new byte[0], null);
         assertEquals(List.of("failed", "refused", "served"), answers);
-        assertEquals(0, scheduler.open());
+        assertEquals(0, scheduler.openRequests());
     }
 
     /** A silent endpoint must not hold a connection, and its place in the module's books, for ever. */
@@ -336,11 +336,11 @@
         Connector other = new SchedulerTest();
         scheduler.list(other, false, List.of(entry("w", State.READY)));
         scheduler.list(this, true, List.of(entry("b", State.READY)));
-        assertNull(scheduler.destinations().get("a"));
-        assertEquals(State.READY, scheduler.destinations().get("w").state());
+        assertNull(scheduler.endpoints().get("a"));
+        assertEquals(State.READY, scheduler.endpoints().get("w").state());
         // Nobody takes over another source's name.
         scheduler.list(other, false, List.of(entry("b", State.GONE)));
-        assertEquals(State.READY, scheduler.destinations().get("b").state());
+        assertEquals(State.READY, scheduler.endpoints().get("b").state());
     }
 
     /** Nothing of the core is locked: a call from another thread than its owner's must not pass unseen in tests. */
@@ -450,9 +450,9 @@
         scheduler.settings().mayCancel = false;
         endpoints("a");
         Request request = submit(SAFE);
-        assertTrue(scheduler.mayBegin(calls.get(0)));
+        assertTrue(scheduler.maySend(calls.get(0)));
         scheduler.withdraw(request);
-        assertFalse(scheduler.mayBegin(calls.get(0)));
+        assertFalse(scheduler.maySend(calls.get(0)));
         assertEquals(1, counters.get("core.kept.answered"));
     }
 
@@ -466,7 +466,7 @@
         }
         assertEquals(calls, closed);
         assertEquals(3, counters.get("call.moot"));
-        assertEquals(0, scheduler.open());
+        assertEquals(0, scheduler.openRequests());
         neverSent = false;
         // One that may be at work goes on, to its client's time.
         scheduler.withdraw(submit(SAFE));
@@ -486,26 +486,26 @@
         pass(4_999_000);
         assertEquals(List.of("refused"), answers);
         assertEquals(calls, closed);
-        assertFalse(scheduler.mayBegin(calls.get(0)));
+        assertFalse(scheduler.maySend(calls.get(0)));
     }
 
     @Test
     void aRequestHeldForAPolicyIsNotDecidedOnOnceItsClientHasLeft() {
         endpoints("a");
         boolean[] may = new boolean[1];
-        scheduler.decideWhile(new AdmissionGate() {
+        scheduler.setAdmissionGate(new AdmissionGate() {
             @Override
             public boolean mayDecide() {
                 return may[0];
             }
 
             @Override
-            public long decidesWithin() {
+            public long microsUntilOpen() {
                 return 5_000;
             }
 
             @Override
-            public double comeBack() {
+            public double retryAfter() {
                 return 1;
             }
         });
@@ -527,15 +527,15 @@
         submit(UNSAFE);
         scheduler.list(this, false, List.of(entry(calls.get(0).endpoint.name, State.DRAINING)));
         lasted = 349_000;
-        assertTrue(scheduler.mayBegin(calls.get(0)));
+        assertTrue(scheduler.maySend(calls.get(0)));
         lasted = 350_000;
-        assertFalse(scheduler.mayBegin(calls.get(0)));
+        assertFalse(scheduler.maySend(calls.get(0)));
         lasted = 0;
         submit(SAFE);
         lasted = 4_999_999;
-        assertTrue(scheduler.mayBegin(calls.get(1)));
+        assertTrue(scheduler.maySend(calls.get(1)));
         lasted = 5_000_000;
-        assertFalse(scheduler.mayBegin(calls.get(1)));
+        assertFalse(scheduler.maySend(calls.get(1)));
         assertEquals(1, counters.get("core.kept.spent"));
     }
 
@@ -553,7 +553,7 @@
         assertEquals(3, answers.size());
         assertEquals(3, counters.get("call.ok"));
         assertEquals(0, counters.get("call.cancelled") + counters.get("call.timeout"));
-        assertEquals(0, scheduler.open());
+        assertEquals(0, scheduler.openRequests());
     }
 
     /** Where endpoints may have begun what they shed, a key's window runs from that call on. */
@@ -570,9 +570,9 @@
             other.scheduler.ended(other.calls.get(0), Outcome.FULL, null, null);
             other.scheduler.settings().classes[KEYED].window = 1;
             other.pass(999_000);
-            assertTrue(other.scheduler.mayBegin(other.calls.get(1)));
+            assertTrue(other.scheduler.maySend(other.calls.get(1)));
             other.pass(1_000);
-            assertEquals(!may, other.scheduler.mayBegin(other.calls.get(1)));
+            assertEquals(!may, other.scheduler.maySend(other.calls.get(1)));
         }
     }
 
@@ -584,10 +584,10 @@
         scheduler.ended(calls.get(0), Outcome.RESET, null, null);
         Attempt again = calls.get(1);
         now += 9_900_000;
-        assertTrue(scheduler.mayBegin(again));
+        assertTrue(scheduler.maySend(again));
         // Its connection comes up, or its worker grabs it, when endpoints no longer drop a repeat.
         now += 100_000;
-        assertFalse(scheduler.mayBegin(again));
+        assertFalse(scheduler.maySend(again));
         assertEquals(1, counters.get("core.kept.effect"));
     }
 }
--- a/src/test/java/laneflow/core/World.java
+++ b/src/test/java/laneflow/core/World.java
@@ -358,7 +358,7 @@
     private boolean mayBegin(Out out) {
         boolean may = broken == Broken.GRACE_NOT_ASKED
                 || broken == Broken.SENDS_REGARDLESS
-                || out.ask.node.scheduler.mayBegin(out.call);
+                || out.ask.node.scheduler.maySend(out.call);
         if (!may) {
             ends(out, Outcome.MOOT, null);
         }
--- a/src/test/java/laneflow/durable/DurableJobsTest.java
+++ b/src/test/java/laneflow/durable/DurableJobsTest.java
@@ -15,8 +15,8 @@
 import laneflow.core.Counters;
 import laneflow.core.Deadlines;
 import laneflow.core.DurableJobService.Submission;
-import laneflow.core.DurableJobService.Taken;
-import laneflow.core.DurableJobService.Word;
+import laneflow.core.DurableJobService.SubmissionOutcome;
+import laneflow.core.DurableJobService.SubmissionResult;
 import laneflow.core.Endpoint;
 import laneflow.core.EndpointSet.Entry;
 import laneflow.core.Payload;
@@ -45,7 +45,7 @@
     private final Semaphore writes = new Semaphore(0);
     private final List<Op> written = new ArrayList<>();
     private final List<Attempt> calls = new ArrayList<>();
-    private final List<Word> words = new ArrayList<>();
+    private final List<SubmissionResult> words = new ArrayList<>();
     private volatile StoreException.Kind fails;
     private final Journal journal = new Journal(this, news::add, 64);
     private final DurableJobs jobs = jobs();
@@ -176,7 +176,7 @@
         assertEquals(0, calls.size());
         disk();
         assertEquals(2, words.size());
-        assertEquals(Taken.YES, words.get(0).taken());
+        assertEquals(SubmissionOutcome.ACCEPTED, words.get(0).outcome());
         assertEquals(words.get(0).id(), words.get(1).id());
         // It has been decided where it goes, and nothing has gone out: its lease is not on disk yet.
         assertEquals(0, calls.size());
@@ -224,11 +224,11 @@
         fails = StoreException.Kind.BROKEN;
         submit(UNSAFE, "k");
         disk();
-        assertEquals(Taken.BROKEN, words.get(0).taken());
+        assertEquals(SubmissionOutcome.STORE_BROKEN, words.get(0).outcome());
         fails = null;
         // Nothing more is asked of that disk.
         submit(UNSAFE, "k");
-        assertEquals(Taken.BROKEN, words.get(1).taken());
+        assertEquals(SubmissionOutcome.STORE_BROKEN, words.get(1).outcome());
         assertEquals(0, jobs.size());
     }
 
@@ -266,7 +266,7 @@
         assertEquals("unknown", jobs.peek(2).state());
         // Of a class that the settings no longer name: kept, and a late word on it breaks nothing.
         assertEquals("queued", jobs.peek(6).state());
-        jobs.late(6, 1, true, new byte[0]);
+        jobs.lateOutcome(6, 1, true, new byte[0]);
         writes.release();
         for (Runnable run = news.poll(100, TimeUnit.MILLISECONDS); run != null; run = news.poll()) {
             run.run();
--- a/src/test/java/laneflow/http/ClientStoryTest.java
+++ b/src/test/java/laneflow/http/ClientStoryTest.java
@@ -167,7 +167,7 @@
                     } else {
                         client.close();
                     }
-                    stand.serve.scheduler().giveUpSince(0);
+                    stand.serve.scheduler().abandonSince(0);
                 });
                 await(stand, () -> stand.serve.front().isAlone());
                 assertEquals(1, stand.counter("http.taken"));
@@ -413,7 +413,7 @@
             inOneTurn(stand, () -> {
                 stand.serve.front().drain();
                 stand.serve.front().refuseFurther();
-                stand.serve.scheduler().giveUpSince(0);
+                stand.serve.scheduler().abandonSince(0);
             });
             String first = client.message();
             assertTrue(first.startsWith("HTTP/1.1 503 ") && !first.contains("Connection: close"), first);
--- a/src/test/java/laneflow/http/EndpointCrossingTest.java
+++ b/src/test/java/laneflow/http/EndpointCrossingTest.java
@@ -99,7 +99,7 @@
         Payload payload =
                 new Payload("POST", "/" + CLASSES[jobClass], id, jobClass == POST ? "k" + id : null, "pay".getBytes());
         Request request =
-                new Request(clients, 0, payload, jobClass, stand.serve.loop().fresh() + within);
+                new Request(clients, 0, payload, jobClass, stand.serve.loop().currentMicros() + within);
         stand.serve.scheduler().submit(request);
         return request;
     }
@@ -126,7 +126,7 @@
 
     /** On any thread: waits for the clock alone. */
     private static void untilPast(Stand stand, long instant) throws InterruptedException {
-        while (stand.serve.loop().fresh() <= instant) {
+        while (stand.serve.loop().currentMicros() <= instant) {
             Thread.sleep(1);
         }
     }
@@ -166,7 +166,7 @@
     /** The same, at rest for so long that a last byte is held back on it whatever the job. */
     private Peer stale(Stand stand, Endpoint endpoint) throws Exception {
         Peer call = rested(stand, endpoint);
-        untilPast(stand, stand.serve.loop().fresh() + STALE);
+        untilPast(stand, stand.serve.loop().currentMicros() + STALE);
         return call;
     }
 
@@ -194,7 +194,7 @@
         stand.serve
                 .scheduler()
                 .list(
-                        stand.serve.scheduler().destinations().get(name).connector,
+                        stand.serve.scheduler().endpoints().get(name).connector,
                         false,
                         List.of(draining(name)),
                         stand.serve.loop().micros() - SECOND);
@@ -274,15 +274,15 @@
         Endpoint first = new Endpoint("e1");
         Endpoint second = new Endpoint("e2");
         try (Stand stand = new Stand(null, first, second)) {
-            inOneTurn(stand, () -> stand.serve.scheduler().bar(Set.of("e2")));
+            inOneTurn(stand, () -> stand.serve.scheduler().ban(Set.of("e2")));
             Peer client = stand.http().post("basket-check", "1", "Req-Cost: 1500000\r\n", "");
             Peer call = first.accept();
             call.message();
             inOneTurn(stand, () -> {
-                stand.serve.scheduler().bar(Set.of());
+                stand.serve.scheduler().ban(Set.of());
                 client.close();
                 call.reset();
-                untilPast(stand, stand.serve.loop().fresh() + CONNECT_TIMEOUT);
+                untilPast(stand, stand.serve.loop().currentMicros() + CONNECT_TIMEOUT);
             });
             stand.await("http.withdrawn", 1);
             assertEquals(1, stand.counter("call.reset"));
@@ -348,7 +348,7 @@
             asOneComesToRest(stand, endpoint, call -> {
                 submit(stand, POST, "1", 5 * SECOND);
                 answers(call);
-                untilPast(stand, stand.serve.loop().fresh() + SILENT);
+                untilPast(stand, stand.serve.loop().currentMicros() + SILENT);
             });
             assertEquals("served", clients.next());
             assertEquals(0, stand.counter("endpoint.silent"));
@@ -405,7 +405,7 @@
                 submit(stand, CAPTURE, "1", 5 * SECOND);
                 call.readTo("\r\n\r\npa");
                 call.close();
-                untilPast(stand, stand.serve.loop().fresh() + HELD);
+                untilPast(stand, stand.serve.loop().currentMicros() + HELD);
             });
             assertEquals("refused", clients.next());
             assertEquals(0, stand.counter("call.reset"));
--- a/src/test/java/laneflow/http/HttpStoryTest.java
+++ b/src/test/java/laneflow/http/HttpStoryTest.java
@@ -176,7 +176,7 @@
                         client.post("card-capture", "" + i, "", "pay").message().startsWith("HTTP/1.1 503 "));
             }
             int[] open = new int[1];
-            stand.serve.loop().call(() -> open[0] = stand.serve.scheduler().open());
+            stand.serve.loop().call(() -> open[0] = stand.serve.scheduler().openRequests());
             assertEquals(0, open[0]);
             assertEquals(299, stand.counter("clients.refused"));
         }
@@ -371,7 +371,7 @@
             int[] left = {1, 1};
             while (left[0] + left[1] > 0) {
                 stand.serve.loop().call(() -> {
-                    left[0] = stand.serve.scheduler().open();
+                    left[0] = stand.serve.scheduler().openRequests();
                     left[1] = stand.serve.front().busy();
                 });
             }
