--- a/src/test/java/laneflow/core/GateTest.java
+++ b/src/test/java/laneflow/core/AdmissionGateTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Requests where something outside the scheduler says whether it may decide. */
-class GateTest implements NotingFront, AdmissionGate {
+class AdmissionGateTest implements RecordingFront, AdmissionGate {
     private long now = 1_000_000_000L;
     private final Deadlines deadlines = new Deadlines();
     private final Counters counters = new Counters();
--- a/src/test/java/laneflow/core/OrdersTest.java
+++ b/src/test/java/laneflow/core/EventOrderTest.java
@@ -8,8 +8,8 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import laneflow.core.World.Broken;
-import laneflow.core.World.Violation;
+import laneflow.core.SchedulerPairModel.Fault;
+import laneflow.core.SchedulerPairModel.Violation;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -17,13 +17,13 @@
  * the beginning, and at its end all time left is let pass. How many there were is asserted, so that a search which
  * finds nothing to play does not pass; and each rule's check is seen to speak where it is broken on purpose.
  */
-class OrdersTest {
+class EventOrderTest {
     private static final String END = "end";
     private long orders;
     private boolean mayCancel = true;
 
     /** The shortest order of these events that breaks a rule, and which; null if there is none that long. */
-    private String search(Broken broken, int longest, List<String> first, String... kinds) {
+    private String search(Fault broken, int longest, List<String> first, String... kinds) {
         Set<String> all = new LinkedHashSet<>(List.of(kinds));
         String found = null;
         for (int length = first.size() + 1; length <= longest && found == null; length++) {
@@ -33,8 +33,8 @@
         return found;
     }
 
-    private String extend(Broken broken, int length, Set<String> kinds, List<String> order) {
-        World world = new World(broken, mayCancel);
+    private String extend(Fault broken, int length, Set<String> kinds, List<String> order) {
+        SchedulerPairModel world = new SchedulerPairModel(broken, mayCancel);
         try {
             order.forEach(world::play);
             if (order.size() == length) {
@@ -60,15 +60,15 @@
     }
 
     private void holds(int longest, long count, List<String> first, String... kinds) {
-        assertNull(search(Broken.NOTHING, longest, first, kinds));
+        assertNull(search(Fault.NOTHING, longest, first, kinds));
         assertEquals(count, orders, "orders of length " + longest);
     }
 
-    private void speaks(String rule, Broken broken, int longest, String... kinds) {
+    private void speaks(String rule, Fault broken, int longest, String... kinds) {
         speaks(rule, broken, longest, List.of(), kinds);
     }
 
-    private void speaks(String rule, Broken broken, int longest, List<String> first, String... kinds) {
+    private void speaks(String rule, Fault broken, int longest, List<String> first, String... kinds) {
         String found = search(broken, longest, first, kinds);
         assertNotNull(found, broken + " is not seen");
         assertEquals(rule, found.substring(found.indexOf(" breaks ") + 8, found.lastIndexOf(": ")), found);
@@ -107,7 +107,7 @@
         for (boolean may : new boolean[] {true, false}) {
             mayCancel = may;
             for (String type : new String[] {"safe", "keyed", "capture"}) {
-                assertNull(search(Broken.NOTHING, longest, List.of(type + " 0"), kinds), "cancel " + may);
+                assertNull(search(Fault.NOTHING, longest, List.of(type + " 0"), kinds), "cancel " + may);
                 found.append(type).append(' ').append(orders).append(may ? ", " : "; ");
             }
         }
@@ -179,22 +179,22 @@
     @Test
     void everyRulesCheckSpeaksWhereItIsBroken() {
         String[] ends = {"safe", "capture", "up", "refused", "ok", "full", "reset"};
-        speaks("one answer", Broken.ANSWERS_TWICE, 4, ends);
-        speaks("in time", Broken.ANSWER_LOST, 5, ends);
-        speaks("at once", Broken.ANSWER_WAITS, 5, ends);
+        speaks("one answer", Fault.ANSWERS_TWICE, 4, ends);
+        speaks("in time", Fault.ANSWER_LOST, 5, ends);
+        speaks("at once", Fault.ANSWER_WAITS, 5, ends);
         // The shortest order ends before a second call begins: the job that ran is refused as one that did not.
-        speaks("true answers", Broken.RUN_TOLD_AS_NEVER, 5, "capture", "up", "reset");
-        speaks("no repeat", Broken.RUN_TOLD_AS_NEVER, 5, List.of("capture 0", "up 0", "reset 0", "up 1"), "up");
-        speaks("true answers", Broken.REFUSAL_OF_A_RUN, 5, ends);
-        speaks("armed", Broken.TIMERS_LOST, 4, ends);
-        speaks("nothing left", Broken.CLOSE_NOT_HEARD, 4, "capture", "up", "leave", END);
-        speaks("drains", Broken.GRACE_NOT_ASKED, 5, "capture", "up", "drain", "grace");
-        speaks("bans", Broken.GRACE_NOT_ASKED, 5, "capture", "up", "down");
+        speaks("true answers", Fault.RUN_TOLD_AS_NEVER, 5, "capture", "up", "reset");
+        speaks("no repeat", Fault.RUN_TOLD_AS_NEVER, 5, List.of("capture 0", "up 0", "reset 0", "up 1"), "up");
+        speaks("true answers", Fault.REFUSAL_OF_A_RUN, 5, ends);
+        speaks("armed", Fault.TIMERS_LOST, 4, ends);
+        speaks("nothing left", Fault.CLOSE_NOT_HEARD, 4, "capture", "up", "leave", END);
+        speaks("drains", Fault.GRACE_NOT_ASKED, 5, "capture", "up", "drain", "grace");
+        speaks("bans", Fault.GRACE_NOT_ASKED, 5, "capture", "up", "down");
         mayCancel = false;
-        speaks("gone", Broken.SENDS_REGARDLESS, 4, "safe", "leave", "up");
+        speaks("gone", Fault.SENDS_REGARDLESS, 4, "safe", "leave", "up");
         mayCancel = true;
-        speaks("drains", Broken.GRACE_NOT_ASKED, 5, "capture", "part", "drain", "grace");
-        speaks("no repeat", Broken.GRACE_NOT_ASKED, 5, List.of("keyed 0", "up 0", "reset 0"), "grace", "up");
-        speaks("cold budget", Broken.COLD_TENFOLD, 6, List.of("safe 0", "up 0", "report 0", "burst 0"), "up");
+        speaks("drains", Fault.GRACE_NOT_ASKED, 5, "capture", "part", "drain", "grace");
+        speaks("no repeat", Fault.GRACE_NOT_ASKED, 5, List.of("keyed 0", "up 0", "reset 0"), "grace", "up");
+        speaks("cold budget", Fault.COLD_TENFOLD, 6, List.of("safe 0", "up 0", "report 0", "burst 0"), "up");
     }
 }
--- a/src/test/java/laneflow/core/FleetRules.java
+++ b/src/test/java/laneflow/core/FleetInvariants.java
@@ -1,39 +1,39 @@
 package laneflow.core;
 
-import laneflow.core.FleetDay.Broken;
-import laneflow.core.FleetDay.Out;
+import laneflow.core.FleetSimulation.Fault;
+import laneflow.core.FleetSimulation.Out;
 import laneflow.decision.Dispatch.Effect;
 import laneflow.decision.Dispatch.Group;
 import laneflow.decision.Dispatch.JobClass;
 
-/** The rules of a {@link FleetDay}, read off what clients and endpoints see, not off what the program says. */
-final class FleetRules {
+/** The rules of a {@link FleetSimulation}, read off what clients and endpoints see, not off what the program says. */
+final class FleetInvariants {
     /** What the protocol page adds to every limit, microseconds. */
     private static final long SLACK = 50_000;
 
-    private final DrawnSettings drawn;
-    private final Broken broken;
+    private final RandomSettings drawn;
+    private final Fault broken;
     final double meanWork;
     /** Calls that came to cold endpoints, and the most of what fells one that any of these had got. */
     int coldSends;
 
     double mostOfBudget;
 
-    FleetRules(DrawnSettings drawn, Broken broken, double meanWork) {
+    FleetInvariants(RandomSettings drawn, Fault broken, double meanWork) {
         this.drawn = drawn;
         this.broken = broken;
         this.meanWork = meanWork;
     }
 
     /** More than N + 2 x root of N + 2 mean jobs in the time named fell it, N being what is allowed then. */
-    void cold(FleetEndpoint endpoint, Out out, long now) {
+    void cold(SimulatedEndpoint endpoint, Out out, long now) {
         coldSends++;
         // By what can be known: of a job without a hint, the mean of its class; no job is worth a longer run
         // than its client's wait.
         double longest = out.ask.type.deadlineMs() / 1e3;
         double told = drawn.hints > 0 ? Math.min(longest, out.ask.request.hint) : out.ask.type.workMs / 1e3;
         double work = told * drawn.slotsOf(out.ask.type);
-        work *= broken == Broken.COLD_TENFOLD ? 10 : 1;
+        work *= broken == Fault.COLD_TENFOLD ? 10 : 1;
         endpoint.cold.add(new double[] {now, work, out.knows ? work : 0});
         while (endpoint.cold.peek()[0] < now - drawn.fallMs * 1e3) {
             endpoint.cold.poll();
@@ -92,11 +92,11 @@
     }
 
     static void broke(String rule, String what) {
-        throw new World.Violation(rule, what);
+        throw new SchedulerPairModel.Violation(rule, what);
     }
 
     /** How a request was answered. */
-    void answered(FleetDay.Ask ask, String what, long now) {
+    void answered(FleetSimulation.Ask ask, String what, long now) {
         if (ask.answered || ask.left) {
             broke("one answer", "a second one, " + what);
         }
--- a/src/test/java/laneflow/core/FleetDay.java
+++ b/src/test/java/laneflow/core/FleetSimulation.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
-import laneflow.core.DrawnSettings.DrawnClass;
 import laneflow.core.EndpointSet.Entry;
+import laneflow.core.RandomSettings.RandomClass;
 import laneflow.decision.Dispatch.JobClass;
 import laneflow.decision.Dispatch.Outcome;
 import laneflow.decision.Dispatch.State;
@@ -16,9 +16,9 @@
  * A short day of several schedulers before one fleet, on one clock in memory: the real core and module, endpoints
  * that queue, run, fall silent, die and come back cold, lists that come late, schedulers that restart.
  */
-final class FleetDay {
+final class FleetSimulation {
     /** What a test breaks on purpose, to see that the rule's check speaks. */
-    enum Broken {
+    enum Fault {
         NOTHING,
         ANSWERS_TWICE,
         ANSWER_LOST,
@@ -41,19 +41,19 @@
     /** Part of what a zone can do that calm days ask of it at most. */
     private static final double CALM = 0.6;
 
-    final DrawnSettings drawn;
-    private final Broken broken;
+    final RandomSettings drawn;
+    private final Fault broken;
     final boolean rough;
     final Random random;
     private final Deadlines deadlines = new Deadlines();
-    private final List<FleetEndpoint> machines = new ArrayList<>();
+    private final List<SimulatedEndpoint> machines = new ArrayList<>();
     final Node[] nodes;
     private final List<Ask> asks = new ArrayList<>();
     private final int[] asked;
     private final int[] served;
     final int[] tenantAsked;
     final int[] tenantServed;
-    final FleetRules rules;
+    final FleetInvariants rules;
     long now = START;
     private long busySince = Long.MIN_VALUE;
     private int busy;
@@ -63,7 +63,7 @@
     static final class Ask {
         Node node;
         Request request;
-        DrawnClass type;
+        RandomClass type;
         int tenant;
         double work;
         final List<Out> outs = new ArrayList<>();
@@ -75,7 +75,7 @@
     static final class Out {
         Ask ask;
         Attempt call;
-        FleetEndpoint machine;
+        SimulatedEndpoint machine;
         boolean begun;
         boolean over;
         boolean mayHaveRun;
@@ -114,7 +114,7 @@
             scheduler.start(this, known);
         }
 
-        private boolean knowsStartOf(FleetEndpoint machine) {
+        private boolean knowsStartOf(SimulatedEndpoint machine) {
             return heard.get(machine.entry.name).startedAt == machine.entry.startedAt;
         }
 
@@ -150,7 +150,7 @@
         }
 
         private void answer(long tag, String what) {
-            if (!dead && !(broken == Broken.ANSWER_LOST && what.equals("refused"))) {
+            if (!dead && !(broken == Fault.ANSWER_LOST && what.equals("refused"))) {
                 answered(asks.get((int) tag), what);
             }
         }
@@ -161,7 +161,7 @@
             out.ask = asks.get((int) call.request.tag);
             out.call = call;
             call.attachment = out;
-            for (FleetEndpoint machine : machines) {
+            for (SimulatedEndpoint machine : machines) {
                 if (machine.entry.name.equals(call.endpoint.name)) {
                     out.machine = machine;
                 }
@@ -186,16 +186,16 @@
         @Override
         public void probe(Endpoint endpoint) {
             if (!drawn.probes) {
-                FleetRules.broke("probes", "these settings have none");
+                FleetInvariants.broke("probes", "these settings have none");
             }
-            for (FleetEndpoint machine : machines) {
+            for (SimulatedEndpoint machine : machines) {
                 if (machine.entry.name.equals(endpoint.name)) {
                     after(2000, () -> probed(endpoint, machine));
                 }
             }
         }
 
-        private void probed(Endpoint endpoint, FleetEndpoint machine) {
+        private void probed(Endpoint endpoint, SimulatedEndpoint machine) {
             if (dead) {
                 return;
             }
@@ -211,7 +211,7 @@
         public void closeIdle(Endpoint endpoint) {}
     }
 
-    FleetDay(DrawnSettings drawn, Broken broken, boolean rough) {
+    FleetSimulation(RandomSettings drawn, Fault broken, boolean rough) {
         this.drawn = drawn;
         this.broken = broken;
         this.rough = rough;
@@ -223,16 +223,16 @@
         for (int i = 0; i < drawn.workersEach * drawn.zones; i++) {
             for (int kind = 0; kind < drawn.kinds; kind++) {
                 // Every zone has as many of each kind: where a class is tied, its home can always serve it.
-                FleetEndpoint machine = new FleetEndpoint(this, machines.size(), kind);
+                SimulatedEndpoint machine = new SimulatedEndpoint(this, machines.size(), kind);
                 machine.entry.zone = i % drawn.zones;
                 machines.add(machine);
             }
         }
         double meanWork = 0;
-        for (DrawnClass type : drawn.classes) {
+        for (RandomClass type : drawn.classes) {
             meanWork += type.workMs / 1e3 * drawn.slotsOf(type) / drawn.classes.size();
         }
-        rules = new FleetRules(drawn, broken, meanWork);
+        rules = new FleetInvariants(drawn, broken, meanWork);
         nodes = new Node[drawn.siblings];
         for (int i = 0; i < nodes.length; i++) {
             nodes[i] = new Node(i, drawn.seed + i, null);
@@ -251,11 +251,11 @@
     }
 
     private boolean atRest() {
-        return busy == 0 && now - busySince >= AT_REST && machines.stream().allMatch(FleetEndpoint::isWarm);
+        return busy == 0 && now - busySince >= AT_REST && machines.stream().allMatch(SimulatedEndpoint::isWarm);
     }
 
     /** Plays so many seconds of requests, and lets all end. */
-    FleetDay play(double seconds) {
+    FleetSimulation play(double seconds) {
         long end = now + (long) (seconds * 1e6);
         arrivals(end, 1e6 / rate());
         if (rough) {
@@ -264,7 +264,7 @@
         run(end + 30_000_000);
         for (Ask ask : asks) {
             if (!ask.answered && !ask.left) {
-                FleetRules.broke("in time", ask.type + " has no answer");
+                FleetInvariants.broke("in time", ask.type + " has no answer");
             }
         }
         return this;
@@ -283,13 +283,13 @@
         double most = Double.POSITIVE_INFINITY;
         for (int kind = -1; kind < drawn.kinds; kind++) {
             double need = 0;
-            for (DrawnClass type : drawn.classes) {
+            for (RandomClass type : drawn.classes) {
                 if (kind < 0 || drawn.kindOf(type) == kind) {
                     need += type.workMs / 1e3 * drawn.slotsOf(type) / drawn.classes.size();
                 }
             }
             double have = 0;
-            for (FleetEndpoint machine : machines) {
+            for (SimulatedEndpoint machine : machines) {
                 have += kind < 0 || machine.entry.kind == kind ? machine.slots * machine.speed : 0;
             }
             most = Math.min(most, have / need);
@@ -329,9 +329,9 @@
         asks.add(ask);
         asked[jobClass]++;
         tenantAsked[ask.tenant]++;
-        boolean refused = broken == Broken.CLASS_REFUSED && jobClass == 0
-                || broken == Broken.TENANT_REFUSED && ask.tenant == 0
-                || broken == Broken.IDLE_REFUSED && ask.atRest;
+        boolean refused = broken == Fault.CLASS_REFUSED && jobClass == 0
+                || broken == Fault.TENANT_REFUSED && ask.tenant == 0
+                || broken == Fault.IDLE_REFUSED && ask.atRest;
         if (refused) {
             answered(ask, "refused");
         } else {
@@ -372,7 +372,7 @@
         if (now >= end) {
             return;
         }
-        FleetEndpoint machine = machines.get(random.nextInt(machines.size()));
+        SimulatedEndpoint machine = machines.get(random.nextInt(machines.size()));
         switch (random.nextInt(8)) {
             case 0, 1 -> {
                 if (machine.up) {
@@ -433,7 +433,7 @@
             ends(out, Outcome.CONNECT_FAILED);
             return;
         }
-        if (broken != Broken.GRACE_NOT_ASKED && !out.ask.node.scheduler.maySend(out.call)) {
+        if (broken != Fault.GRACE_NOT_ASKED && !out.ask.node.scheduler.maySend(out.call)) {
             ends(out, Outcome.CONNECT_FAILED);
             return;
         }
@@ -450,7 +450,7 @@
         }
         out.over = true;
         out.mayHaveRun &= !outcome.neverRan;
-        Outcome told = outcome == Outcome.RESET && broken == Broken.RUN_TOLD_AS_NEVER ? Outcome.FULL : outcome;
+        Outcome told = outcome == Outcome.RESET && broken == Fault.RUN_TOLD_AS_NEVER ? Outcome.FULL : outcome;
         boolean reports = drawn.source().equals("answers") && (outcome == Outcome.OK || outcome == Outcome.FULL);
         out.ask.node.scheduler.ended(out.call, told, new byte[0], reports ? out.machine.report() : null);
     }
@@ -463,7 +463,7 @@
             tenantServed[ask.tenant]++;
         }
         answeredAtRest += ask.atRest ? 1 : 0;
-        if (broken == Broken.ANSWERS_TWICE) {
+        if (broken == Fault.ANSWERS_TWICE) {
             answered(ask, what);
         }
     }
--- a/src/test/java/laneflow/core/DrawnSettings.java
+++ b/src/test/java/laneflow/core/RandomSettings.java
@@ -16,9 +16,9 @@
  * fleet they speak of. No two deployments are alike: what holds must hold for any draw. Each figure is drawn by
  * itself, so that a fault shrinks to the ones it needs.
  */
-final class DrawnSettings {
+final class RandomSettings {
     /** One class; its mean work is no part of the settings, but of the traffic. */
-    static final class DrawnClass {
+    static final class RandomClass {
         int semantics;
         int group;
         int aimMs;
@@ -57,7 +57,7 @@
     private static final String[] ORDERS = {"fifo", "backfill", "priority"};
     private static final String[] WEIGHTS = {"nominal", "none", "rough", "live"};
 
-    List<DrawnClass> classes = new ArrayList<>();
+    List<RandomClass> classes = new ArrayList<>();
     int zones;
     int siblings;
     int kinds;
@@ -111,8 +111,8 @@
         return Arbitraries.of(false, true);
     }
 
-    private static Arbitrary<DrawnClass> anyClass() {
-        return Builders.withBuilder(DrawnClass::new)
+    private static Arbitrary<RandomClass> anyClass() {
+        return Builders.withBuilder(RandomClass::new)
                 .use(of(0, 2))
                 .inSetter((c, v) -> c.semantics = v)
                 .use(of(0, 2))
@@ -139,8 +139,8 @@
     }
 
     /** Any whole settings, and a fleet for them. */
-    static Arbitrary<DrawnSettings> any() {
-        return Builders.withBuilder(DrawnSettings::new)
+    static Arbitrary<RandomSettings> any() {
+        return Builders.withBuilder(RandomSettings::new)
                 .use(anyClass().list().ofMinSize(1).ofMaxSize(5))
                 .inSetter((s, v) -> s.classes = v)
                 .use(of(1, 5))
@@ -223,12 +223,12 @@
     }
 
     /** The kind a class is tied to, -1 where any will do. */
-    int kindOf(DrawnClass of) {
+    int kindOf(RandomClass of) {
         return of.kind < 0 ? -1 : of.kind % kinds;
     }
 
     /** No job is wider than the worker it may come to. */
-    int slotsOf(DrawnClass of) {
+    int slotsOf(RandomClass of) {
         int least = Integer.MAX_VALUE;
         for (int kind = 0; kind < kinds; kind++) {
             least = Math.min(least, slotsOf(kind));
@@ -297,7 +297,7 @@
 
     private JsonArray classes() {
         JsonArray all = new JsonArray();
-        for (DrawnClass from : classes) {
+        for (RandomClass from : classes) {
             JsonObject to = new JsonObject();
             to.addProperty("name", "class" + all.size());
             to.addProperty("aim", from.aimMs() / 1e3);
@@ -316,7 +316,7 @@
         JsonObject info = new JsonObject();
         JsonArray kind = new JsonArray();
         JsonArray stretch = new JsonArray();
-        for (DrawnClass from : classes) {
+        for (RandomClass from : classes) {
             kind.add(kindOf(from));
             stretch.add(from.stretchTenths / 10.0);
         }
--- a/src/test/java/laneflow/core/DrawnSettingsTest.java
+++ b/src/test/java/laneflow/core/RandomSettingsTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Random;
-import laneflow.core.FleetDay.Broken;
-import laneflow.core.World.Violation;
+import laneflow.core.FleetSimulation.Fault;
+import laneflow.core.SchedulerPairModel.Violation;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.EdgeCasesMode;
 import net.jqwik.api.Example;
@@ -15,40 +15,40 @@
 import net.jqwik.api.RandomGenerator;
 
 /** Short days under whole settings drawn at random: what one deployment's settings hide, another's show. */
-class DrawnSettingsTest {
+class RandomSettingsTest {
     private static final double SECONDS = 12;
     /** Part of its requests that a class or tenant has served at least, where there is room for all of them. */
     private static final double LEAST = 0.2;
 
     @Provide
-    Arbitrary<DrawnSettings> settings() {
-        return DrawnSettings.any();
+    Arbitrary<RandomSettings> settings() {
+        return RandomSettings.any();
     }
 
     /** Crashes, drains, silence, errors, restarts of schedulers, clients that leave: no rule falls. */
     @Property(tries = 100, seed = "7", edgeCases = EdgeCasesMode.NONE)
-    void roughDaysBreakNoRule(@ForAll("settings") DrawnSettings drawn) {
-        new FleetDay(drawn, Broken.NOTHING, true).play(SECONDS);
+    void roughDaysBreakNoRule(@ForAll("settings") RandomSettings drawn) {
+        new FleetSimulation(drawn, Fault.NOTHING, true).play(SECONDS);
     }
 
     /** As many of each class and tenant, within what the fleet can do: each is served, and nothing refused at rest. */
     @Property(tries = 100, seed = "7", edgeCases = EdgeCasesMode.NONE)
-    void calmDaysServeEveryClassAndTenant(@ForAll("settings") DrawnSettings drawn) {
-        FleetDay day = new FleetDay(drawn, Broken.NOTHING, false).play(SECONDS);
+    void calmDaysServeEveryClassAndTenant(@ForAll("settings") RandomSettings drawn) {
+        FleetSimulation day = new FleetSimulation(drawn, Fault.NOTHING, false).play(SECONDS);
         assertTrue(day.leastServed() >= LEAST, "a class has " + day.leastServed());
         assertTrue(day.leastServedTenant() >= LEAST, "a tenant has " + day.leastServedTenant());
     }
 
-    private static DrawnSettings draw(long seed) {
-        RandomGenerator<DrawnSettings> any = DrawnSettings.any().generator(1000, false);
+    private static RandomSettings draw(long seed) {
+        RandomGenerator<RandomSettings> any = RandomSettings.any().generator(1000, false);
         return any.next(new Random(seed)).value();
     }
 
     /** What speaks first, in some day, where that is broken on purpose. */
-    private static String speaks(Broken broken, boolean rough) {
+    private static String speaks(Fault broken, boolean rough) {
         for (long seed = 1; seed < 60; seed++) {
             try {
-                FleetDay day = new FleetDay(draw(seed), broken, rough).play(SECONDS);
+                FleetSimulation day = new FleetSimulation(draw(seed), broken, rough).play(SECONDS);
                 if (!rough && day.leastServed() < LEAST) {
                     return "class starved";
                 } else if (!rough && day.leastServedTenant() < LEAST) {
@@ -63,14 +63,14 @@
 
     @Example
     void everyRulesCheckSpeaksWhereItIsBroken() {
-        assertEquals("one answer", speaks(Broken.ANSWERS_TWICE, true));
-        assertEquals("in time", speaks(Broken.ANSWER_LOST, true));
-        assertEquals("drains", speaks(Broken.GRACE_NOT_ASKED, true));
-        assertEquals("no repeat", speaks(Broken.RUN_TOLD_AS_NEVER, true));
-        assertEquals("cold budget", speaks(Broken.COLD_TENFOLD, true));
-        assertEquals("class starved", speaks(Broken.CLASS_REFUSED, false));
-        assertEquals("tenant starved", speaks(Broken.TENANT_REFUSED, false));
-        assertEquals("at rest", speaks(Broken.IDLE_REFUSED, false));
+        assertEquals("one answer", speaks(Fault.ANSWERS_TWICE, true));
+        assertEquals("in time", speaks(Fault.ANSWER_LOST, true));
+        assertEquals("drains", speaks(Fault.GRACE_NOT_ASKED, true));
+        assertEquals("no repeat", speaks(Fault.RUN_TOLD_AS_NEVER, true));
+        assertEquals("cold budget", speaks(Fault.COLD_TENFOLD, true));
+        assertEquals("class starved", speaks(Fault.CLASS_REFUSED, false));
+        assertEquals("tenant starved", speaks(Fault.TENANT_REFUSED, false));
+        assertEquals("at rest", speaks(Fault.IDLE_REFUSED, false));
     }
 
     /** Days that had nothing to break would prove nothing. */
@@ -81,8 +81,8 @@
         int atRest = 0;
         double budget = 0;
         for (long seed = 1; seed <= 60; seed++) {
-            FleetDay rough = new FleetDay(draw(seed), Broken.NOTHING, true).play(SECONDS);
-            FleetDay calm = new FleetDay(draw(seed), Broken.NOTHING, false).play(SECONDS);
+            FleetSimulation rough = new FleetSimulation(draw(seed), Fault.NOTHING, true).play(SECONDS);
+            FleetSimulation calm = new FleetSimulation(draw(seed), Fault.NOTHING, false).play(SECONDS);
             requests += rough.requests() + calm.requests();
             cold += rough.rules.coldSends;
             atRest += calm.answeredAtRest;
--- a/src/test/java/laneflow/core/NotingFront.java
+++ b/src/test/java/laneflow/core/RecordingFront.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** A front that notes its answers, but for refusals, of which each test wants something else. */
-interface NotingFront extends Front {
+interface RecordingFront extends Front {
     List<String> answers();
 
     @Override
--- a/src/test/java/laneflow/core/World.java
+++ b/src/test/java/laneflow/core/SchedulerPairModel.java
@@ -16,11 +16,11 @@
 /**
  * Two schedulers of two zones and three endpoints, of which e2 is cold, on a clock and a connector in memory. One
  * event at a time is played on it, and behind each one the rules are read over what has happened, from what the
- * connector and the fronts saw alone. {@link OrdersTest} plays every order.
+ * connector and the fronts saw alone. {@link EventOrderTest} plays every order.
  */
-final class World {
+final class SchedulerPairModel {
     /** What a test breaks on purpose, to see that the rule's check speaks. */
-    enum Broken {
+    enum Fault {
         NOTHING,
         ANSWERS_TWICE,
         ANSWER_LOST,
@@ -53,7 +53,7 @@
     private static final long START = 1_000_000_000L;
     private static final String[] WHAT = {"safe ", "keyed ", "capture "};
 
-    private final Broken broken;
+    private final Fault broken;
     /** Whether the settings allow calls that are at work to be cancelled. */
     private final boolean mayCancel;
 
@@ -102,7 +102,7 @@
                     settings(number),
                     seed,
                     () -> now,
-                    broken == Broken.TIMERS_LOST ? new Deadlines() : deadlines,
+                    broken == Fault.TIMERS_LOST ? new Deadlines() : deadlines,
                     new Counters());
             scheduler.start(this, new ArrayList<>(entries.values()));
         }
@@ -127,14 +127,14 @@
 
         @Override
         public void failed(long tag) {
-            answer(tag, broken == Broken.REFUSAL_OF_A_RUN ? "refused" : "failed");
+            answer(tag, broken == Fault.REFUSAL_OF_A_RUN ? "refused" : "failed");
         }
 
         private void answer(long tag, String what) {
-            if (broken == Broken.ANSWER_LOST && !what.equals("served")) {
+            if (broken == Fault.ANSWER_LOST && !what.equals("served")) {
                 return;
             }
-            if (broken == Broken.ANSWER_WAITS && !what.equals("served")) {
+            if (broken == Fault.ANSWER_WAITS && !what.equals("served")) {
                 // As a front would that keeps its client quiet until just before its deadline.
                 Ask ask = asks.get((int) tag);
                 deadlines.at(ask.request.deadline - 1, () -> ask.answers.add(what));
@@ -142,7 +142,7 @@
             }
             asks.get((int) tag).answers.add(what);
             asks.get((int) tag).answeredAt = now;
-            if (broken == Broken.ANSWERS_TWICE) {
+            if (broken == Fault.ANSWERS_TWICE) {
                 asks.get((int) tag).answers.add(what);
             }
         }
@@ -159,7 +159,7 @@
         public boolean close(Attempt call) {
             boolean unsent = false;
             for (Out out : outs) {
-                if (out.call == call && broken != Broken.CLOSE_NOT_HEARD) {
+                if (out.call == call && broken != Fault.CLOSE_NOT_HEARD) {
                     out.over = true;
                     unsent = !out.mayHaveRun;
                 }
@@ -170,7 +170,7 @@
         @Override
         public boolean closeUnsent(Attempt call) {
             for (Out out : outs) {
-                if (out.call == call && !out.begun && broken != Broken.SENDS_REGARDLESS) {
+                if (out.call == call && !out.begun && broken != Fault.SENDS_REGARDLESS) {
                     return close(call);
                 }
             }
@@ -186,11 +186,11 @@
         public void closeIdle(Endpoint endpoint) {}
     }
 
-    World(Broken broken) {
+    SchedulerPairModel(Fault broken) {
         this(broken, true);
     }
 
-    World(Broken broken, boolean mayCancel) {
+    SchedulerPairModel(Fault broken, boolean mayCancel) {
         this.broken = broken;
         this.mayCancel = mayCancel;
         for (String name : new String[] {"e1", "e2", "e3"}) {
@@ -308,7 +308,7 @@
             }
             case "full" -> ends(outs.get(who), Outcome.FULL, null);
             case "reset" ->
-                ends(outs.get(who), broken == Broken.RUN_TOLD_AS_NEVER ? Outcome.CONNECT_FAILED : Outcome.RESET, null);
+                ends(outs.get(who), broken == Fault.RUN_TOLD_AS_NEVER ? Outcome.CONNECT_FAILED : Outcome.RESET, null);
             case "silent" -> ends(outs.get(who), Outcome.TIMEOUT, null);
             case "late" -> outs.get(who).ask.node.scheduler.ended(outs.get(who).call, Outcome.OK, new byte[0], null);
             case "leave" -> {
@@ -356,8 +356,8 @@
 
     /** Asks as a connector does before bytes go out, and ends the call if the core says no. */
     private boolean mayBegin(Out out) {
-        boolean may = broken == Broken.GRACE_NOT_ASKED
-                || broken == Broken.SENDS_REGARDLESS
+        boolean may = broken == Fault.GRACE_NOT_ASKED
+                || broken == Fault.SENDS_REGARDLESS
                 || out.ask.node.scheduler.maySend(out.call);
         if (!may) {
             ends(out, Outcome.MOOT, null);
@@ -408,7 +408,7 @@
         double sum = 0;
         for (Out out : outs) {
             if (out.begun && out.call.endpoint.name.equals("e2") && out.begunAt > now - 1_500_000) {
-                sum += broken == Broken.COLD_TENFOLD ? 10 * HINT : HINT;
+                sum += broken == Fault.COLD_TENFOLD ? 10 * HINT : HINT;
             }
         }
         double share = 0.13 + 0.87 * (now - START + 2_000_000) / 24e6;
--- a/src/test/java/laneflow/core/SchedulerTest.java
+++ b/src/test/java/laneflow/core/SchedulerTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The core's rules, with a clock that the test sets, and a front and a connector that write down. */
-class SchedulerTest implements NotingFront, Connector {
+class SchedulerTest implements RecordingFront, Connector {
     static final int SAFE = 0;
     static final int KEYED = 1;
     static final int UNSAFE = 2;
--- a/src/test/java/laneflow/core/FleetEndpoint.java
+++ b/src/test/java/laneflow/core/SimulatedEndpoint.java
@@ -5,17 +5,17 @@
 import java.util.List;
 import java.util.stream.Stream;
 import laneflow.core.EndpointSet.Entry;
-import laneflow.core.FleetDay.Out;
+import laneflow.core.FleetSimulation.Out;
 import laneflow.decision.Dispatch.LoadReport;
 import laneflow.decision.Dispatch.Outcome;
 import laneflow.decision.Dispatch.State;
 
-/** An endpoint of a {@link FleetDay}: it queues, runs, falls silent, dies with all that it has, and comes back cold. */
-final class FleetEndpoint {
+/** An endpoint of a {@link FleetSimulation}: it queues, runs, falls silent, dies with all that it has, and comes back cold. */
+final class SimulatedEndpoint {
     private static final int QUEUE_EACH_SLOT = 6;
 
-    private final FleetDay day;
-    private final DrawnSettings drawn;
+    private final FleetSimulation day;
+    private final RandomSettings drawn;
     final Entry entry = new Entry();
     final int slots;
     final double speed;
@@ -31,7 +31,7 @@
     private long reportedAt;
     private int served; // Since then.
 
-    FleetEndpoint(FleetDay day, int number, int kind) {
+    SimulatedEndpoint(FleetSimulation day, int number, int kind) {
         this.day = day;
         drawn = day.drawn;
         entry.name = "e" + number;
@@ -162,7 +162,7 @@
     void tell(State state) {
         entry.state = state;
         Entry word = entry.in(state);
-        for (FleetDay.Node node : day.nodes) {
+        for (FleetSimulation.Node node : day.nodes) {
             day.after(day.random.nextInt(800_000), () -> node.hear(word));
         }
     }
--- a/src/test/java/laneflow/core/ReplacementTest.java
+++ b/src/test/java/laneflow/core/StagedUpdateTest.java
@@ -17,7 +17,7 @@
 import net.jqwik.api.Property;
 
 /** Whole sets adopted in steps: nothing is to be seen before, all of it after. */
-class ReplacementTest {
+class StagedUpdateTest {
     private static final int NAMES = 300;
 
     private static final class Nobody implements Connector {
--- a/src/test/java/laneflow/core/TenantDayTest.java
+++ b/src/test/java/laneflow/core/TenantFairnessTest.java
@@ -3,18 +3,18 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import laneflow.core.DrawnSettings.DrawnClass;
-import laneflow.core.FleetDay.Broken;
+import laneflow.core.FleetSimulation.Fault;
+import laneflow.core.RandomSettings.RandomClass;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Days on which one of two tenants asks for ten times what the other does, and both for four times what there is. */
-class TenantDayTest {
+class TenantFairnessTest {
     private static final double SECONDS = 20;
     private static final double QUOTA_PART = 0.4;
 
-    private static DrawnClass type(int semantics, int worth, int workMs) {
-        DrawnClass type = new DrawnClass();
+    private static RandomClass type(int semantics, int worth, int workMs) {
+        RandomClass type = new RandomClass();
         type.semantics = semantics;
         type.aimMs = 300;
         type.stretchTenths = 20;
@@ -26,8 +26,8 @@
         return type;
     }
 
-    private static DrawnSettings settings(int siblings, int overShareTenths) {
-        DrawnSettings drawn = new DrawnSettings();
+    private static RandomSettings settings(int siblings, int overShareTenths) {
+        RandomSettings drawn = new RandomSettings();
         drawn.classes = List.of(type(0, 2, 100), type(2, 8, 200));
         drawn.zones = 2;
         drawn.siblings = siblings;
@@ -55,13 +55,13 @@
         // 0.6 of it are asked for on a calm day: 4.5 times what there is.
         drawn.loadDown = -17;
         drawn.seed = 11;
-        drawn.quota = QUOTA_PART * new FleetDay(drawn, Broken.NOTHING, false).capacity();
+        drawn.quota = QUOTA_PART * new FleetSimulation(drawn, Fault.NOTHING, false).capacity();
         return drawn;
     }
 
     /** Each one's served requests, as a part of those it asked for inside its share. */
-    private static double[] served(DrawnSettings drawn) {
-        FleetDay day = new FleetDay(drawn, Broken.NOTHING, false).play(SECONDS);
+    private static double[] served(RandomSettings drawn) {
+        FleetSimulation day = new FleetSimulation(drawn, Fault.NOTHING, false).play(SECONDS);
         double[] parts = new double[2];
         for (int i = 0; i < 2; i++) {
             parts[i] = day.tenantServed[i] / Math.min(day.tenantAsked[i], drawn.quota * SECONDS);
--- a/src/test/java/laneflow/transcripts/CliTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/CliTranscriptsTest.java
@@ -14,7 +14,7 @@
 
     private static void run(Transcript transcript, String... args) {
         CliRun run = CliRun.of(args);
-        transcript.said("laneflow " + String.join(" ", args), "exit code " + run.code(), sorted(run.text()));
+        transcript.message("laneflow " + String.join(" ", args), "exit code " + run.code(), sorted(run.text()));
     }
 
     /** The order of commands is free: the library finds some of them by their methods, in no order. */
@@ -91,7 +91,7 @@
     @Test
     void operatorsFile() throws Exception {
         Transcript.of("Operators' files that can't be used: every finding at once, and no start.", transcript -> {
-            transcript.call(folder.toString(), "<folder>");
+            transcript.alias(folder.toString(), "<folder>");
             for (String text : new String[] {
                 "listen = ",
                 "zones = ['a']\n",
@@ -103,7 +103,7 @@
                 "listen = '127.0.0.1:1'\nzones = ['a']\n[classes.c]\n[members]\nlisten = '127.0.0.1:2'\n"
             }) {
                 Path file = Files.writeString(folder.resolve("laneflow.toml"), text);
-                transcript.said("laneflow.toml", "serve", text);
+                transcript.message("laneflow.toml", "serve", text);
                 run(transcript, "serve", "--config", file.toString());
             }
         });
--- a/src/test/java/laneflow/transcripts/ControlTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/ControlTranscriptsTest.java
@@ -23,8 +23,8 @@
     }
 
     /** Its stream, behind what each type begins with; the order of types is the program's, so nothing is sorted. */
-    private static Party stream(Transcript transcript, String name, Endpoint service) throws Exception {
-        Party peer = new Party(transcript, name, service.accept());
+    private static RecordedPeer stream(Transcript transcript, String name, Endpoint service) throws Exception {
+        RecordedPeer peer = new RecordedPeer(transcript, name, service.accept());
         peer.head();
         peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         for (int i = 0; i < TYPES; i++) {
@@ -33,11 +33,11 @@
         return peer;
     }
 
-    private static void told(Party peer, String version, String nonce, String... resources) throws Exception {
+    private static void told(RecordedPeer peer, String version, String nonce, String... resources) throws Exception {
         offered(peer, DESTINATIONS, version, nonce, resources);
     }
 
-    private static void offered(Party peer, String type, String version, String nonce, String... resources)
+    private static void offered(RecordedPeer peer, String type, String version, String nonce, String... resources)
             throws Exception {
         String line = ("{'type_url':'" + type + "','version_info':'" + version + "','nonce':'" + nonce
                         + "','resources':[" + String.join(",", resources) + "]}\n")
@@ -58,13 +58,13 @@
                     Endpoint service = new Endpoint("control");
                     Endpoint one = new Endpoint("e1");
                     try (Stand stand = Stand.streaming(control(service));
-                            Party client = new Party(transcript, "client", stand.http())) {
-                        Party peer = stream(transcript, "control", service);
+                            RecordedPeer client = new RecordedPeer(transcript, "client", stand.http())) {
+                        RecordedPeer peer = stream(transcript, "control", service);
                         told(peer, "1-aa", "x1", resource(one));
                         client.post("card-capture", "1", "", "pay");
-                        Party call = new Party(transcript, "e1", one.accept());
+                        RecordedPeer call = new RecordedPeer(transcript, "e1", one.accept());
                         call.message();
-                        call.says("{'id':'1','state':'done','result':'paid'}");
+                        call.reply("{'id':'1','state':'done','result':'paid'}");
                         client.message();
                         told(
                                 peer,
@@ -95,7 +95,7 @@
             Endpoint service = new Endpoint("control");
             Endpoint one = new Endpoint("e1");
             try (Stand stand = Stand.streaming(control(service))) {
-                Party peer = stream(transcript, "control", service);
+                RecordedPeer peer = stream(transcript, "control", service);
                 told(peer, "9-bb", "x1", resource(one));
                 told(peer, "9-bb", "x2", resource(one));
                 told(peer, "8-cc", "x3", resource(one));
@@ -111,10 +111,10 @@
                     Endpoint service = new Endpoint("control");
                     Endpoint one = new Endpoint("e1");
                     try (Stand stand = Stand.streaming(control(service))) {
-                        Party peer = stream(transcript, "control", service);
+                        RecordedPeer peer = stream(transcript, "control", service);
                         told(peer, "5-aa", "x1", resource(one));
                         peer.write("e\r\n{\"type_url\":}\n\r\n");
-                        peer.ended();
+                        peer.expectEnd();
                         stream(transcript, "control, 2nd stream", service);
                     }
                 });
--- a/src/test/java/laneflow/transcripts/FleetTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/FleetTranscriptsTest.java
@@ -40,7 +40,7 @@
                             && MEMBER.matcher(text).results().count() % 3 == 0;
                 },
                 () -> run[0].text());
-        transcript.said(
+        transcript.message(
                 "laneflow fleet show --at " + addresses,
                 "exit code " + run[0].code(),
                 SINCE.matcher(said(run[0])).replaceAll("<instant>"));
--- a/src/test/java/laneflow/transcripts/GearmanParty.java
+++ b/src/test/java/laneflow/transcripts/GearmanParty.java
@@ -16,7 +16,7 @@
     }
 
     GearmanParty says(String packet, Object... args) throws Exception {
-        transcript.said(name, "scheduler", shown(packet, args));
+        transcript.message(name, "scheduler", shown(packet, args));
         Gearman.send(peer, Gearman.type(packet), args);
         return this;
     }
@@ -24,7 +24,7 @@
     /** The next packet's arguments; whatever it is, it is written down. */
     String[] hears() throws Exception {
         Gearman.Said said = Gearman.next(peer);
-        transcript.said("scheduler", name, shown(Gearman.name(said.type()), (Object[]) said.args()));
+        transcript.message("scheduler", name, shown(Gearman.name(said.type()), (Object[]) said.args()));
         return said.args();
     }
 
--- a/src/test/java/laneflow/transcripts/GearmanTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/GearmanTranscriptsTest.java
@@ -163,14 +163,14 @@
                     Endpoint endpoint = new Endpoint("e1");
                     try (Stand stand = new Stand(null, endpoint)) {
                         GearmanParty client = submitted(transcript, "client", stand, "capture", "till-7");
-                        Party call = new Party(transcript, "e1", endpoint.accept());
+                        RecordedPeer call = new RecordedPeer(transcript, "e1", endpoint.accept());
                         String sent = call.message();
                         String id = sent.substring(sent.indexOf("Req-Id: ") + 8, sent.indexOf("\r\nReq-Deadline"));
-                        call.says("{'id':'" + id + "','state':'done','result':'paid'}");
+                        call.reply("{'id':'" + id + "','state':'done','result':'paid'}");
                         client.hears();
                     }
                     try (Stand stand = new Stand(null);
-                            Party http = new Party(transcript, "HTTP client", stand.http())) {
+                            RecordedPeer http = new RecordedPeer(transcript, "HTTP client", stand.http())) {
                         GearmanParty worker = party(transcript, "worker", stand).able("capture");
                         http.post("card-capture", "1", "", "pay");
                         worker.says("WORK_COMPLETE", worker.grabs(), "paid");
@@ -192,7 +192,7 @@
                 client.says("OPTION_REQ", "exceptions").hears();
                 client.says("OPTION_REQ", "colours").hears();
                 client.says("JOB_CREATED", "H:x:1").hears();
-                transcript.said("client", "scheduler", "(twelve bytes that are no head)");
+                transcript.message("client", "scheduler", "(twelve bytes that are no head)");
                 client.peer.write("\0XYZ12345678");
                 client.hears();
                 if (!client.peer.ended()) {
@@ -209,10 +209,10 @@
             try (Stand stand = new Stand(null)) {
                 party(transcript, "worker", stand).able("check");
                 for (String command : new String[] {"status", "maxqueue check 9", "shutdown", "nonsense"}) {
-                    try (Party caller = new Party(transcript, "caller", stand.gearman())) {
+                    try (RecordedPeer caller = new RecordedPeer(transcript, "caller", stand.gearman())) {
                         caller.write(command + "\n");
                         if (command.equals("status")) {
-                            caller.until(".\n");
+                            caller.readUntil(".\n");
                         } else {
                             caller.line();
                         }
--- a/src/test/java/laneflow/transcripts/GossipTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/GossipTranscriptsTest.java
@@ -79,9 +79,9 @@
 
         private void looks() throws IOException, InterruptedException {
             for (int i : rig.all()) {
-                transcript.said("operator", Rig.name(i), "GET /capacity");
+                transcript.message("operator", Rig.name(i), "GET /capacity");
                 String plain = AGE.matcher(held(i)).replaceAll("<ms>");
-                transcript.said(
+                transcript.message(
                         Rig.name(i),
                         "operator",
                         SUM.matcher(plain)
--- a/src/test/java/laneflow/transcripts/HttpTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/HttpTranscriptsTest.java
@@ -9,13 +9,13 @@
 /** A request's life on the platform's front, with each outcome and repeat. */
 @Timeout(120)
 class HttpTranscriptsTest {
-    private static Party client(Transcript transcript, Stand stand) throws IOException {
-        return new Party(transcript, "client", stand.http());
+    private static RecordedPeer client(Transcript transcript, Stand stand) throws IOException {
+        return new RecordedPeer(transcript, "client", stand.http());
     }
 
     /** The next connection there, whatever endpoint it is for: two that listen at one address are told apart so. */
-    private static Party call(Transcript transcript, String name, Endpoint at) throws IOException {
-        return new Party(transcript, name, at.accept());
+    private static RecordedPeer call(Transcript transcript, String name, Endpoint at) throws IOException {
+        return new RecordedPeer(transcript, name, at.accept());
     }
 
     @Test
@@ -23,15 +23,15 @@
         Transcript.of("A request is served, and another on the same connections.", transcript -> {
             Endpoint endpoint = new Endpoint("e1");
             try (Stand stand = new Stand(null, endpoint);
-                    Party client = client(transcript, stand)) {
+                    RecordedPeer client = client(transcript, stand)) {
                 client.post("card-capture", "1", "", "pay");
-                Party call = call(transcript, "e1", endpoint);
+                RecordedPeer call = call(transcript, "e1", endpoint);
                 call.message();
-                call.says("{'id':'1','state':'started'}", "{'id':'1','state':'done','result':'paid'}");
+                call.reply("{'id':'1','state':'started'}", "{'id':'1','state':'done','result':'paid'}");
                 client.message();
                 client.post("basket-check", "2", "", "two");
                 call.message();
-                call.says("{'id':'2','state':'done','result':'priced'}");
+                call.reply("{'id':'2','state':'done','result':'priced'}");
                 client.message();
             }
         });
@@ -41,7 +41,7 @@
     void refusedForWantOfAnEndpoint() throws Exception {
         Transcript.of("No endpoint is known: refused at once, with a time to come back.", transcript -> {
             try (Stand stand = new Stand(null);
-                    Party client = client(transcript, stand)) {
+                    RecordedPeer client = client(transcript, stand)) {
                 client.post("card-capture", "1", "", "pay");
                 client.message();
             }
@@ -53,11 +53,11 @@
         Transcript.of("The endpoint says that the job failed: it ran, so it is failed and not refused.", transcript -> {
             Endpoint endpoint = new Endpoint("e1");
             try (Stand stand = new Stand(null, endpoint);
-                    Party client = client(transcript, stand)) {
+                    RecordedPeer client = client(transcript, stand)) {
                 client.post("card-capture", "1", "", "pay");
-                Party call = call(transcript, "e1", endpoint);
+                RecordedPeer call = call(transcript, "e1", endpoint);
                 call.message();
-                call.says("{'id':'1','state':'started'}", "{'id':'1','state':'failed'}");
+                call.reply("{'id':'1','state':'started'}", "{'id':'1','state':'failed'}");
                 client.message();
             }
         });
@@ -69,7 +69,7 @@
             Endpoint closed = new Endpoint("e1");
             closed.close();
             try (Stand stand = new Stand(null, closed);
-                    Party client = client(transcript, stand)) {
+                    RecordedPeer client = client(transcript, stand)) {
                 client.post("card-capture", "1", "", "pay");
                 client.message();
                 transcript.note("calls that could not connect: " + stand.counter("call.connect_failed"));
@@ -86,13 +86,13 @@
                     Endpoint one = new Endpoint("e1");
                     Endpoint two = new Endpoint("e2", one);
                     try (Stand stand = new Stand(null, one, two);
-                            Party client = client(transcript, stand)) {
+                            RecordedPeer client = client(transcript, stand)) {
                         client.post("basket-check", "1", "", "two");
-                        Party first = call(transcript, "first endpoint", one);
+                        RecordedPeer first = call(transcript, "first endpoint", one);
                         first.reset();
-                        Party second = call(transcript, "second endpoint", one);
+                        RecordedPeer second = call(transcript, "second endpoint", one);
                         second.message();
-                        second.says("{'id':'1','state':'done','result':'priced'}");
+                        second.reply("{'id':'1','state':'done','result':'priced'}");
                         client.message();
                     }
                 });
@@ -106,14 +106,14 @@
                     Endpoint one = new Endpoint("e1");
                     Endpoint two = new Endpoint("e2", one);
                     try (Stand stand = new Stand(null, one, two);
-                            Party client = client(transcript, stand)) {
+                            RecordedPeer client = client(transcript, stand)) {
                         client.post("basket-check", "1", "", "two");
-                        Party first = call(transcript, "first endpoint", one);
+                        RecordedPeer first = call(transcript, "first endpoint", one);
                         first.message();
                         first.reset();
-                        Party second = call(transcript, "second endpoint", one);
+                        RecordedPeer second = call(transcript, "second endpoint", one);
                         second.message();
-                        second.says("{'id':'1','state':'done','result':'priced'}");
+                        second.reply("{'id':'1','state':'done','result':'priced'}");
                         client.message();
                     }
                 });
@@ -127,9 +127,9 @@
                     Endpoint one = new Endpoint("e1");
                     Endpoint two = new Endpoint("e2", one);
                     try (Stand stand = new Stand(null, one, two);
-                            Party client = client(transcript, stand)) {
+                            RecordedPeer client = client(transcript, stand)) {
                         client.post("card-capture", "1", "", "pay");
-                        Party first = call(transcript, "first endpoint", one);
+                        RecordedPeer first = call(transcript, "first endpoint", one);
                         first.message();
                         first.reset();
                         client.message();
@@ -144,9 +144,9 @@
                 "The endpoint declines: the job never ran, and is refused with a time to come back.", transcript -> {
                     Endpoint endpoint = new Endpoint("e1");
                     try (Stand stand = new Stand(null, endpoint);
-                            Party client = client(transcript, stand)) {
+                            RecordedPeer client = client(transcript, stand)) {
                         client.post("card-capture", "1", "", "pay");
-                        Party call = call(transcript, "e1", endpoint);
+                        RecordedPeer call = call(transcript, "e1", endpoint);
                         call.message();
                         call.write("HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nSrv-Load: util=1,queue=3,x0=0\r\n"
                                 + "Content-Length: 0\r\n\r\n");
@@ -170,9 +170,9 @@
                     }) {
                         Endpoint endpoint = new Endpoint("e1");
                         try (Stand stand = new Stand(null, endpoint);
-                                Party client = client(transcript, stand)) {
+                                RecordedPeer client = client(transcript, stand)) {
                             client.post("card-capture", "1", "", "pay");
-                            Party call = call(transcript, "e1", endpoint);
+                            RecordedPeer call = call(transcript, "e1", endpoint);
                             call.message();
                             call.write(garbage);
                             client.message();
@@ -189,14 +189,14 @@
                     Endpoint one = new Endpoint("e1");
                     Endpoint two = new Endpoint("e2", one);
                     try (Stand stand = new Stand(null, one, two);
-                            Party client = client(transcript, stand)) {
+                            RecordedPeer client = client(transcript, stand)) {
                         client.post("basket-check", "1", "", "two");
-                        Party first = call(transcript, "first endpoint", one);
+                        RecordedPeer first = call(transcript, "first endpoint", one);
                         first.message();
                         first.write("HTTP/9 what\r\n\r\n");
-                        Party second = call(transcript, "second endpoint", one);
+                        RecordedPeer second = call(transcript, "second endpoint", one);
                         second.message();
-                        second.says("{'id':'1','state':'done','result':'priced'}");
+                        second.reply("{'id':'1','state':'done','result':'priced'}");
                         client.message();
                     }
                 });
@@ -210,14 +210,14 @@
                     Endpoint one = new Endpoint("e1");
                     Endpoint two = new Endpoint("e2", one);
                     try (Stand stand = Stand.changed("'connectTimeout':1", "'connectTimeout':0.25", null, one, two);
-                            Party client = client(transcript, stand)) {
+                            RecordedPeer client = client(transcript, stand)) {
                         client.post("basket-check", "1", "", "two");
-                        Party first = call(transcript, "first endpoint", one);
+                        RecordedPeer first = call(transcript, "first endpoint", one);
                         first.message();
-                        Party second = call(transcript, "second endpoint", one);
+                        RecordedPeer second = call(transcript, "second endpoint", one);
                         second.message();
-                        first.ended();
-                        second.says("{'id':'1','state':'done','result':'priced'}");
+                        first.expectEnd();
+                        second.reply("{'id':'1','state':'done','result':'priced'}");
                         client.message();
                     }
                 });
@@ -228,12 +228,12 @@
         Transcript.of("The client leaves: its call is cancelled.", transcript -> {
             Endpoint endpoint = new Endpoint("e1");
             try (Stand stand = new Stand(null, endpoint);
-                    Party client = client(transcript, stand)) {
+                    RecordedPeer client = client(transcript, stand)) {
                 client.post("basket-check", "1", "", "");
-                Party call = call(transcript, "e1", endpoint);
+                RecordedPeer call = call(transcript, "e1", endpoint);
                 call.message();
-                client.leaves();
-                call.ended();
+                client.disconnect();
+                call.expectEnd();
                 transcript.note("requests withdrawn: " + stand.counter("http.withdrawn"));
             }
         });
@@ -246,12 +246,12 @@
                 transcript -> {
                     Endpoint endpoint = new Endpoint("e1");
                     try (Stand stand = new Stand(null, endpoint);
-                            Party client = client(transcript, stand)) {
+                            RecordedPeer client = client(transcript, stand)) {
                         client.post("card-capture", "1", "Req-Deadline-Ms: 600\r\n", "pay");
-                        Party call = call(transcript, "e1", endpoint);
+                        RecordedPeer call = call(transcript, "e1", endpoint);
                         call.message();
                         client.message();
-                        call.ended();
+                        call.expectEnd();
                     }
                 });
     }
@@ -263,14 +263,14 @@
                 transcript -> {
                     Endpoint endpoint = new Endpoint("e1");
                     try (Stand stand = new Stand(null, endpoint);
-                            Party client = client(transcript, stand);
-                            Party other = new Party(transcript, "another client", stand.http())) {
+                            RecordedPeer client = client(transcript, stand);
+                            RecordedPeer other = new RecordedPeer(transcript, "another client", stand.http())) {
                         client.post("card-capture", "1", "", "pay");
-                        Party call = call(transcript, "e1", endpoint);
+                        RecordedPeer call = call(transcript, "e1", endpoint);
                         call.message();
                         other.post("card-capture", "1", "", "pay");
                         other.message();
-                        call.says("{'id':'1','state':'done','result':'paid'}");
+                        call.reply("{'id':'1','state':'done','result':'paid'}");
                         client.message();
                         transcript.note("calls sent: " + stand.counter("call.sent"));
                     }
@@ -297,8 +297,8 @@
                             "POST /basket-check\u0001 HTTP/1.1\r\nReq-Id: 1\r\n\r\n",
                             post + "Req-Id: 1\r\n\r\n"
                         }) {
-                            try (Party client = client(transcript, stand)) {
-                                client.peer.noted(said -> transcript.said(
+                            try (RecordedPeer client = client(transcript, stand)) {
+                                client.peer.noted(said -> transcript.message(
                                         "client",
                                         "scheduler",
                                         said.length() < 1000 ? said : said.replaceAll("a{1000,}", "aaa...")));
@@ -326,7 +326,7 @@
                             "GET /nothing HTTP/1.1\r\n\r\n",
                             "DELETE /basket-check HTTP/1.1\r\n" + rest
                         }) {
-                            try (Party client = client(transcript, stand)) {
+                            try (RecordedPeer client = client(transcript, stand)) {
                                 client.write(bad);
                                 client.message();
                             }
--- a/src/test/java/laneflow/transcripts/MaintenanceCliTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/MaintenanceCliTranscriptsTest.java
@@ -38,7 +38,7 @@
 
         Leader(Transcript transcript) throws IOException {
             this.transcript = transcript;
-            transcript.call(folder.toString(), "<folder>");
+            transcript.alias(folder.toString(), "<folder>");
             server.createContext("/", this::answer);
             server.start();
         }
@@ -58,7 +58,7 @@
             String path = call.getRequestURI().getPath();
             String body = new String(call.getRequestBody().readAllBytes(), StandardCharsets.UTF_8);
             if (!body.isEmpty()) {
-                transcript.said("laneflow", "scheduler", "POST " + path + "\n" + body);
+                transcript.message("laneflow", "scheduler", "POST " + path + "\n" + body);
             }
             Deque<String> all = answers.getOrDefault(path, new ArrayDeque<>());
             String next = all.size() > 1 ? all.remove() : all.isEmpty() ? "404 nothing here" : all.peek();
@@ -75,7 +75,7 @@
             System.arraycopy(more, 0, args, from, more.length);
             transcript.note("laneflow " + String.join(" ", args));
             CliRun run = CliRun.of(args);
-            transcript.said("laneflow", "exit code " + run.code(), run.text());
+            transcript.message("laneflow", "exit code " + run.code(), run.text());
         }
 
         @Override
@@ -85,7 +85,7 @@
     }
 
     private String file(Transcript transcript, String name, String text) throws IOException {
-        transcript.said(name, "laneflow", text);
+        transcript.message(name, "laneflow", text);
         return Files.writeString(folder.resolve(name), text).toString();
     }
 
@@ -248,7 +248,7 @@
                 "finish --at 127.0.0.1:1"
             }) {
                 CliRun run = CliRun.of(("maintenance " + call).split(" "));
-                transcript.said("laneflow maintenance " + call, "exit code " + run.code(), run.text());
+                transcript.message("laneflow maintenance " + call, "exit code " + run.code(), run.text());
             }
         });
     }
--- a/src/test/java/laneflow/transcripts/MaintenanceTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/MaintenanceTranscriptsTest.java
@@ -125,7 +125,7 @@
         }
 
         private void asks(String who, String request) throws IOException {
-            try (Party operator = new Party(transcript, who, Stand.peer("127.0.0.1", fleet))) {
+            try (RecordedPeer operator = new RecordedPeer(transcript, who, Stand.peer("127.0.0.1", fleet))) {
                 operator.write(request).message();
             }
         }
@@ -133,11 +133,11 @@
 
     /** A client's request, and the call that it leads to, at whichever endpoint is to have it. */
     private static void served(Transcript transcript, int clients, String id, Endpoint at) throws IOException {
-        try (Party client = new Party(transcript, "client", Stand.peer("127.0.0.1", clients))) {
+        try (RecordedPeer client = new RecordedPeer(transcript, "client", Stand.peer("127.0.0.1", clients))) {
             client.post("capture", id, "Req-Owner: shops\r\n", "pay");
-            Party call = new Party(transcript, at.name, at.accept());
+            RecordedPeer call = new RecordedPeer(transcript, at.name, at.accept());
             call.message();
-            call.says("{'id':'" + id + "','state':'done','result':'paid'}");
+            call.reply("{'id':'" + id + "','state':'done','result':'paid'}");
             client.message();
         }
     }
--- a/src/test/java/laneflow/transcripts/PolicyTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/PolicyTranscriptsTest.java
@@ -22,7 +22,7 @@
 
     /** What happens at a scheduler that decides by its first policy. */
     private interface Story {
-        void tell(Operator operator, Party client, Endpoint endpoint) throws Exception;
+        void tell(Operator operator, RecordedPeer client, Endpoint endpoint) throws Exception;
     }
 
     private void decided(Transcript transcript, Story story) throws Exception {
@@ -43,7 +43,7 @@
                     "it decides",
                     () -> raw(fleet, "/policy").contains("\"state\":\"deciding\""),
                     () -> raw(fleet, "/policy"));
-            try (Party client = new Party(
+            try (RecordedPeer client = new RecordedPeer(
                     transcript,
                     "client",
                     Stand.peer("127.0.0.1", serve.front().address().getPort()))) {
@@ -90,7 +90,7 @@
         }
 
         private void asks(String request) throws IOException {
-            try (Party operator = new Party(transcript, "operator", Stand.peer("127.0.0.1", fleet))) {
+            try (RecordedPeer operator = new RecordedPeer(transcript, "operator", Stand.peer("127.0.0.1", fleet))) {
                 operator.write(request).message();
             }
         }
@@ -110,9 +110,9 @@
                     operator.awaits("no-bans", "applied");
                     operator.decidesBy(2);
                     client.post("capture", "2", "", "pay");
-                    Party call = new Party(transcript, "e1", endpoint.accept());
+                    RecordedPeer call = new RecordedPeer(transcript, "e1", endpoint.accept());
                     call.message();
-                    call.says("{'id':'2','state':'done','result':'paid'}");
+                    call.reply("{'id':'2','state':'done','result':'paid'}");
                     client.message();
                 }));
     }
@@ -126,9 +126,9 @@
                             + "\"repeat\":\"safe\"},{\"name\":\"capture\",\"repeat\":\"safe\"}]}}");
                     operator.awaits("capture-safe", "abandoned");
                     client.post("capture", "1", "", "pay");
-                    Party call = new Party(transcript, "e1", endpoint.accept());
+                    RecordedPeer call = new RecordedPeer(transcript, "e1", endpoint.accept());
                     call.message();
-                    call.says("{'id':'1','state':'done','result':'paid'}");
+                    call.reply("{'id':'1','state':'done','result':'paid'}");
                     client.message();
                 }));
     }
--- a/src/test/java/laneflow/transcripts/Party.java
+++ b/src/test/java/laneflow/transcripts/RecordedPeer.java
@@ -4,7 +4,7 @@
 import laneflow.net.Stand.Peer;
 
 /** One end of a connection whose every message goes into a transcript, as a reader wants it: no CR, chunks as lines. */
-final class Party implements AutoCloseable {
+final class RecordedPeer implements AutoCloseable {
     private static final String HEAD_END = "\r\n\r\n";
 
     final Peer peer;
@@ -12,30 +12,30 @@
     private final String name;
     private final String other;
 
-    Party(Transcript transcript, String name, String other, Peer peer) {
+    RecordedPeer(Transcript transcript, String name, String other, Peer peer) {
         this.transcript = transcript;
         this.name = name;
         this.other = other;
-        this.peer = peer.noted(said -> transcript.said(name, other, readable(said)));
+        this.peer = peer.noted(said -> transcript.message(name, other, readable(said)));
     }
 
-    Party(Transcript transcript, String name, Peer peer) {
+    RecordedPeer(Transcript transcript, String name, Peer peer) {
         this(transcript, name, "scheduler", peer);
     }
 
     /** Hands in a job. */
-    Party post(String jobClass, String id, String more, String body) throws IOException {
+    RecordedPeer post(String jobClass, String id, String more, String body) throws IOException {
         peer.post(jobClass, id, more, body);
         return this;
     }
 
-    Party write(String bytes) throws IOException {
+    RecordedPeer write(String bytes) throws IOException {
         peer.write(bytes);
         return this;
     }
 
     /** Answers a call, as an endpoint does. */
-    Party says(String... lines) throws IOException {
+    RecordedPeer reply(String... lines) throws IOException {
         peer.says(lines);
         return this;
     }
@@ -54,22 +54,22 @@
     String chunk() throws IOException {
         int size = Integer.parseInt(peer.readTo("\r\n").strip(), 16);
         String line = new String(peer.read(size + 2), java.nio.charset.StandardCharsets.ISO_8859_1);
-        transcript.said(other, name, line.strip());
+        transcript.message(other, name, line.strip());
         return line;
     }
 
     /** A line of text. */
     String line() throws IOException {
-        return until("\n");
+        return readUntil("\n");
     }
 
     /** Text up to that, which belongs to it. */
-    String until(String end) throws IOException {
+    String readUntil(String end) throws IOException {
         return heard(peer.readTo(end));
     }
 
     /** The other side ends the connection, and says nothing more. */
-    void ended() throws IOException {
+    void expectEnd() throws IOException {
         if (!peer.ended()) {
             throw new AssertionError(other + " says more to " + name);
         }
@@ -82,13 +82,13 @@
         peer.reset();
     }
 
-    void leaves() throws IOException {
+    void disconnect() throws IOException {
         transcript.note(name + " ends the connection with " + other);
         peer.close();
     }
 
     private String heard(String message) {
-        transcript.said(other, name, readable(message));
+        transcript.message(other, name, readable(message));
         return message;
     }
 
--- a/src/test/java/laneflow/transcripts/SchedulerTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/SchedulerTranscriptsTest.java
@@ -16,12 +16,12 @@
     @TempDir
     private Path folder;
 
-    private static Party client(Transcript transcript, Stand stand) throws IOException {
-        return new Party(transcript, "client", stand.http());
+    private static RecordedPeer client(Transcript transcript, Stand stand) throws IOException {
+        return new RecordedPeer(transcript, "client", stand.http());
     }
 
-    private static Party watch(Transcript transcript, String name, Endpoint discovery) throws IOException {
-        Party watch = new Party(transcript, name, discovery.accept());
+    private static RecordedPeer watch(Transcript transcript, String name, Endpoint discovery) throws IOException {
+        RecordedPeer watch = new RecordedPeer(transcript, name, discovery.accept());
         watch.head();
         return watch;
     }
@@ -33,20 +33,20 @@
             Endpoint one = new Endpoint("e1");
             Endpoint two = new Endpoint("e2");
             try (Stand stand = new Stand(discovery, one);
-                    Party client = client(transcript, stand);
-                    Party other = new Party(transcript, "another client", stand.http())) {
-                Party watch = watch(transcript, "discovery", discovery);
+                    RecordedPeer client = client(transcript, stand);
+                    RecordedPeer other = new RecordedPeer(transcript, "another client", stand.http())) {
+                RecordedPeer watch = watch(transcript, "discovery", discovery);
                 client.post("card-capture", "1", "", "pay");
-                Party call = new Party(transcript, "e1", one.accept());
+                RecordedPeer call = new RecordedPeer(transcript, "e1", one.accept());
                 call.message();
                 watch.write(Stand.watching(Stand.list(2, false, one.host("Terminating"), two.host("Ready"))));
                 stand.await("discovery.lists", 1);
                 other.post("card-capture", "2", "", "pay");
-                Party next = new Party(transcript, "e2", two.accept());
+                RecordedPeer next = new RecordedPeer(transcript, "e2", two.accept());
                 next.message();
-                call.says("{'id':'1','state':'done','result':'paid'}");
+                call.reply("{'id':'1','state':'done','result':'paid'}");
                 client.message();
-                next.says("{'id':'2','state':'done','result':'paid'}");
+                next.reply("{'id':'2','state':'done','result':'paid'}");
                 other.message();
             }
         });
@@ -59,11 +59,11 @@
                     Endpoint discovery = new Endpoint("discovery");
                     Endpoint one = new Endpoint("e1");
                     try (Stand stand = new Stand(discovery, one)) {
-                        Party first = watch(transcript, "discovery", discovery);
-                        first.says(Stand.list(2, false, one.host("Ready")).replace('"', '\''));
-                        Party second = watch(transcript, "discovery, 2nd watch", discovery);
-                        second.says("no list at all");
-                        Party third = watch(transcript, "discovery, 3rd watch", discovery);
+                        RecordedPeer first = watch(transcript, "discovery", discovery);
+                        first.reply(Stand.list(2, false, one.host("Ready")).replace('"', '\''));
+                        RecordedPeer second = watch(transcript, "discovery, 2nd watch", discovery);
+                        second.reply("no list at all");
+                        RecordedPeer third = watch(transcript, "discovery, 3rd watch", discovery);
                         third.write(Stand.watching(Stand.list(9, true, one.host("Ready"))));
                         stand.await("discovery.lists", 2);
                     }
@@ -78,15 +78,15 @@
                     Endpoint discovery = new Endpoint("discovery");
                     Endpoint one = new Endpoint("e1");
                     try (Stand stand = new Stand(discovery, one)) {
-                        Party first = watch(transcript, "discovery", discovery);
+                        RecordedPeer first = watch(transcript, "discovery", discovery);
                         first.write(Stand.watching(Stand.list(2, true, one.host("Ready"))));
                         stand.await("discovery.lists", 1);
                         watch(transcript, "discovery, 2nd watch", discovery);
-                        Party client = client(transcript, stand);
+                        RecordedPeer client = client(transcript, stand);
                         client.post("card-capture", "1", "", "pay");
-                        Party call = new Party(transcript, "e1", one.accept());
+                        RecordedPeer call = new RecordedPeer(transcript, "e1", one.accept());
                         call.message();
-                        call.says("{'id':'1','state':'done','result':'paid'}");
+                        call.reply("{'id':'1','state':'done','result':'paid'}");
                         client.message();
                     }
                 });
@@ -97,8 +97,8 @@
         Transcript.of("With nothing known it is live and not ready until discovery has spoken.", transcript -> {
             Endpoint discovery = new Endpoint("discovery");
             try (Stand stand = new Stand(discovery);
-                    Party client = client(transcript, stand)) {
-                Party watch = watch(transcript, "discovery", discovery);
+                    RecordedPeer client = client(transcript, stand)) {
+                RecordedPeer watch = watch(transcript, "discovery", discovery);
                 client.write("GET /health/live HTTP/1.1\r\n\r\n").message();
                 client.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
                 watch.write(Stand.watching(Stand.list(2, true)));
@@ -117,19 +117,19 @@
                     Endpoint second = new Endpoint("d2");
                     Endpoint one = new Endpoint("e1");
                     try (Stand stand = new Stand(first, one)) {
-                        Party old = watch(transcript, "discovery", first);
+                        RecordedPeer old = watch(transcript, "discovery", first);
                         for (String bad : new String[] {"{\"disco", Stand.config("discovery.svc")}) {
                             transcript.note("SIGHUP with a file that is none, or names no address");
                             hangup(stand, bad);
                         }
                         transcript.note("SIGHUP with another address");
                         hangup(stand, Stand.config(second.dial()));
-                        Party next = watch(transcript, "discovery, moved", second);
+                        RecordedPeer next = watch(transcript, "discovery, moved", second);
                         old.write(Stand.watching(Stand.list(8, false, one.host("Terminating"))));
                         stand.await("discovery.lists", 1);
                         next.write(Stand.watching(Stand.list(3, true, one.host("Ready"))));
                         stand.await("discovery.lists", 2);
-                        old.ended();
+                        old.expectEnd();
                         transcript.note("moves: " + stand.counter("discovery.moves"));
                     }
                 });
@@ -140,19 +140,19 @@
         Transcript.of("SIGTERM: who is connected is served, then sent away; what is out is answered.", transcript -> {
             Endpoint endpoint = new Endpoint("e1");
             try (Stand stand = new Stand(null, endpoint);
-                    Party client = client(transcript, stand);
-                    Party idle = new Party(transcript, "idle client", stand.http())) {
+                    RecordedPeer client = client(transcript, stand);
+                    RecordedPeer idle = new RecordedPeer(transcript, "idle client", stand.http())) {
                 idle.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
                 client.post("card-capture", "1", "", "pay");
-                Party call = new Party(transcript, "e1", endpoint.accept());
+                RecordedPeer call = new RecordedPeer(transcript, "e1", endpoint.accept());
                 call.message();
                 transcript.note("SIGTERM");
                 Thread stop = new Thread(stand.serve::stop);
                 stop.start();
-                idle.ended();
-                call.says("{'id':'1','state':'done','result':'paid'}");
+                idle.expectEnd();
+                call.reply("{'id':'1','state':'done','result':'paid'}");
                 client.message();
-                client.ended();
+                client.expectEnd();
                 stop.join(30_000);
                 transcript.note(stop.isAlive() ? "it goes on" : "it has ended");
             }
@@ -170,14 +170,14 @@
                 }) {
                     operator(transcript, stand, call);
                 }
-                try (Party client = client(transcript, stand)) {
+                try (RecordedPeer client = client(transcript, stand)) {
                     client.post("card-capture", "1", "", "pay");
                     client.message();
                     operator(transcript, stand, "set-up e1");
                     client.post("card-capture", "2", "", "pay");
-                    Party call = new Party(transcript, "e1", endpoint.accept());
+                    RecordedPeer call = new RecordedPeer(transcript, "e1", endpoint.accept());
                     call.message();
-                    call.says("{'id':'2','state':'done','result':'paid'}");
+                    call.reply("{'id':'2','state':'done','result':'paid'}");
                     client.message();
                 }
             }
@@ -191,10 +191,10 @@
     }
 
     private static void operator(Transcript transcript, Stand stand, String call) throws IOException {
-        try (Party operator = new Party(transcript, "operator", stand.operator())) {
+        try (RecordedPeer operator = new RecordedPeer(transcript, "operator", stand.operator())) {
             operator.write(call + "\n");
             operator.line();
-            operator.ended();
+            operator.expectEnd();
         }
     }
 }
--- a/src/test/java/laneflow/transcripts/TaskTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/TaskTranscriptsTest.java
@@ -66,7 +66,7 @@
         }
 
         void called(String by, String answer) throws IOException {
-            try (Party call = new Party(transcript, "receiver", by, receiver.accept())) {
+            try (RecordedPeer call = new RecordedPeer(transcript, "receiver", by, receiver.accept())) {
                 call.message();
                 call.write(answer);
             }
@@ -77,7 +77,7 @@
             Await.until("it is told: " + part, () -> raw().contains(part), this::raw);
             String text =
                     CliRun.of("task", "show", "--at", "127.0.0.1:" + leader).text();
-            transcript.said(
+            transcript.message(
                     "laneflow task show --at 127.0.0.1:" + leader,
                     "operator",
                     text.replaceAll("(?m)( \\d+) +\\d+  ", "$1 <ms left>  "));
--- a/src/test/java/laneflow/transcripts/Transcript.java
+++ b/src/test/java/laneflow/transcripts/Transcript.java
@@ -33,8 +33,8 @@
     private final Map<String, String> names = new LinkedHashMap<>();
 
     /** What happens in it, told to a transcript. */
-    interface Story {
-        void tell(Transcript transcript) throws Exception;
+    interface Scenario {
+        void play(Transcript transcript) throws Exception;
     }
 
     private Transcript(String title) {
@@ -42,17 +42,17 @@
     }
 
     /** Tells the story and holds what was said against the approved text beside the test that calls this. */
-    static void of(String title, Story story) throws Exception {
-        String first = told(title, story);
+    static void of(String title, Scenario story) throws Exception {
+        String first = record(title, story);
         for (int i = 1; i < RUNS; i++) {
-            assertEquals(first, told(title, story), "run " + (i + 1));
+            assertEquals(first, record(title, story), "run " + (i + 1));
         }
         Approvals.verify(first, new Options().withReporter(QuietReporter.INSTANCE));
     }
 
-    private static String told(String title, Story story) throws Exception {
+    private static String record(String title, Scenario story) throws Exception {
         Transcript transcript = new Transcript(title);
-        story.tell(transcript);
+        story.play(transcript);
         return transcript.text.toString();
     }
 
@@ -62,7 +62,7 @@
     }
 
     /** A message, as it is to be read. */
-    void said(String from, String to, String message) {
+    void message(String from, String to, String message) {
         text.append('\n').append(named(from)).append(" -> ").append(to).append('\n');
         named(message)
                 .lines()
@@ -71,7 +71,7 @@
     }
 
     /** A text by which this value is called from now on, in the place of one by order. */
-    void call(String value, String name) {
+    void alias(String value, String name) {
         names.put(value, name);
     }
 
