--- a/src/main/java/laneflow/control/DestinationType.java
+++ b/src/main/java/laneflow/control/DestinationType.java
@@ -95,7 +95,7 @@
 
             @Override
             public boolean tidy() {
-                return last != null && last.removeIdle();
+                return last != null && last.removeDrained();
             }
         };
     }
--- a/src/main/java/laneflow/core/StagedUpdate.java
+++ b/src/main/java/laneflow/core/StagedUpdate.java
@@ -94,7 +94,7 @@
     }
 
     /** Behind it, in as many calls as it takes: forgets those that drained already; false once all are. */
-    public boolean removeIdle() {
+    public boolean removeDrained() {
         int from = Math.max(0, idle.size() - PART);
         List<Entry> part = idle.subList(from, idle.size());
         // One that was named anew meanwhile is somebody's again.
--- a/src/test/java/laneflow/core/StagedUpdateTest.java
+++ b/src/test/java/laneflow/core/StagedUpdateTest.java
@@ -96,7 +96,7 @@
             }
             replacement.adopt();
             assertEquals(next, live(scheduler, connector));
-            while (replacement.removeIdle()) {
+            while (replacement.removeDrained()) {
                 assertEquals(next, live(scheduler, connector));
             }
             Map<String, State> known = new TreeMap<>();
