--- a/src/main/java/laneflow/core/Arrivals.java
+++ b/src/main/java/laneflow/core/ArrivalRate.java
@@ -1,28 +1,28 @@
 package laneflow.core;
 
 /** How many requests came of late, in half seconds: shows where another scheduler's clients have come. */
-final class Arrivals {
-    private static final long BUCKET = 500_000;
-    private static final int RECENT = 4;
-    private static final int BEFORE = 12;
+final class ArrivalRate {
+    private static final long BUCKET_MICROS = 500_000;
+    private static final int RECENT_BUCKETS = 4;
+    private static final int EARLIER_BUCKETS = 12;
     /** Fewer recent requests than that show nothing. */
-    private static final int LEAST = 20;
+    private static final int MIN_RECENT = 20;
     /** Times the rate before: with one scheduler of three away the others have 1.5 times theirs. */
-    private static final double SURGE = 1.4;
+    private static final double SURGE_FACTOR = 1.4;
 
-    private final int[] counts = new int[1 + RECENT + BEFORE];
+    private final int[] counts = new int[1 + RECENT_BUCKETS + EARLIER_BUCKETS];
     private long bucket = Long.MIN_VALUE;
     /** The half second of the first request of all: before it there is nothing to compare with. */
-    private long first = Long.MAX_VALUE;
+    private long firstBucket = Long.MAX_VALUE;
 
     void add(long now) {
-        roll(now);
-        first = Math.min(first, bucket);
+        advance(now);
+        firstBucket = Math.min(firstBucket, bucket);
         counts[(int) (bucket % counts.length)]++;
     }
 
-    private void roll(long now) {
-        long to = now / BUCKET;
+    private void advance(long now) {
+        long to = now / BUCKET_MICROS;
         for (long at = Math.max(bucket + 1, to - counts.length + 1); at <= to; at++) {
             counts[(int) (at % counts.length)] = 0;
         }
@@ -33,18 +33,20 @@
      * True if the last two seconds brought clearly more than the six before did, or as many of these as there
      * were. A start must not look like a surge.
      */
-    boolean surge(long now) {
-        roll(now);
+    boolean isSurge(long now) {
+        advance(now);
         int recent = 0;
-        int before = 0;
-        int known = 0;
+        int earlier = 0;
+        int knownBuckets = 0;
         // The present half second is not over and would speak for calm.
         for (int i = 1; i < counts.length; i++) {
             int count = counts[(int) ((bucket - i) % counts.length)];
-            recent += i <= RECENT ? count : 0;
-            before += i <= RECENT ? 0 : count;
-            known += i > RECENT && bucket - i > first ? 1 : 0;
+            recent += i <= RECENT_BUCKETS ? count : 0;
+            earlier += i <= RECENT_BUCKETS ? 0 : count;
+            knownBuckets += i > RECENT_BUCKETS && bucket - i > firstBucket ? 1 : 0;
         }
-        return recent >= LEAST && known >= RECENT && recent * known > SURGE * before * RECENT;
+        return recent >= MIN_RECENT
+                && knownBuckets >= RECENT_BUCKETS
+                && recent * knownBuckets > SURGE_FACTOR * earlier * RECENT_BUCKETS;
     }
 }
--- a/src/main/java/laneflow/core/Connector.java
+++ b/src/main/java/laneflow/core/Connector.java
@@ -3,13 +3,13 @@
 /** How attempts reach an endpoint. Ends are told by {@link Scheduler#ended}, exactly once a call. */
 public interface Connector {
     /** Sends the call's request; before its first byte {@link Scheduler#maySend} is asked. */
-    void open(Attempt call);
+    void open(Attempt attempt);
 
     /**
      * Nobody waits for this call any more; its end is not to be told. True if it can't have run: its endpoint
      * has not got, and will not get, the request's last byte.
      */
-    boolean close(Attempt call);
+    boolean close(Attempt attempt);
 
     /**
      * Closes a call whose endpoint has not got the request's last byte; one that has got it goes on. Its end
@@ -17,7 +17,7 @@
      *
      * @return true if it was closed, and so can't have run; a connector that can't tell leaves it
      */
-    default boolean closeUnsent(Attempt call) {
+    default boolean closeUnsent(Attempt attempt) {
         return false;
     }
 
--- a/src/main/java/laneflow/core/Counters.java
+++ b/src/main/java/laneflow/core/Counters.java
@@ -6,10 +6,10 @@
 /** What the program took in, sent and answered, and what the core's rules kept from happening. */
 public final class Counters {
     private final Map<String, Long> counts = new TreeMap<>();
-    private final Owner owner = new Owner();
+    private final OwnerThread owner = new OwnerThread();
 
     public void add(String name) {
-        assert owner.isHere() : "counters are their loop's own";
+        assert owner.isCurrent() : "counters are their loop's own";
         counts.merge(name, 1L, Long::sum);
     }
 
--- a/src/main/java/laneflow/core/Deadlines.java
+++ b/src/main/java/laneflow/core/Deadlines.java
@@ -13,18 +13,18 @@
     private Deadline[] heap = new Deadline[64];
     private int count;
     private long sequence;
-    private final Owner owner = new Owner();
+    private final OwnerThread owner = new OwnerThread();
     /** Those that may come early; few. */
-    private final List<Deadline> riders = new ArrayList<>();
+    private final List<Deadline> earlyRunnable = new ArrayList<>();
 
     /** One deadline: it may be set, moved and called off any number of times. */
     public static final class Deadline {
         private final Runnable action;
-        private long at;
+        private long dueAt;
         /** From when on it may ride. */
-        private long from;
+        private long earliest;
 
-        private boolean rides;
+        private boolean mayRunEarly;
         private long order;
         private int index = -1;
 
@@ -38,7 +38,7 @@
         }
 
         private boolean before(Deadline other) {
-            return at < other.at || at == other.at && order < other.order;
+            return dueAt < other.dueAt || dueAt == other.dueAt && order < other.order;
         }
     }
 
@@ -57,53 +57,53 @@
     /** Sets or moves it. */
     public void set(Deadline deadline, long micros) {
         cancel(deadline);
-        deadline.at = micros;
+        deadline.dueAt = micros;
         deadline.order = sequence++;
         if (count == heap.length) {
             heap = Arrays.copyOf(heap, count * 2);
         }
-        up(count++, deadline);
+        siftUp(count++, deadline);
     }
 
     /** Sets or moves it: it runs by then, and from the earlier instant on as soon as its loop is awake. */
-    public void set(Deadline deadline, long from, long micros) {
+    public void set(Deadline deadline, long earliest, long micros) {
         set(deadline, micros);
-        deadline.from = from;
-        deadline.rides = true;
-        riders.add(deadline);
+        deadline.earliest = earliest;
+        deadline.mayRunEarly = true;
+        earlyRunnable.add(deadline);
     }
 
     /** Calls it off, if it is set. */
     public void cancel(Deadline deadline) {
-        assert owner.isHere() : "deadlines are their loop's own";
-        int at = deadline.index;
-        if (at < 0) {
+        assert owner.isCurrent() : "deadlines are their loop's own";
+        int index = deadline.index;
+        if (index < 0) {
             return;
         }
         deadline.index = -1;
-        if (deadline.rides) {
-            deadline.rides = false;
-            riders.remove(deadline);
+        if (deadline.mayRunEarly) {
+            deadline.mayRunEarly = false;
+            earlyRunnable.remove(deadline);
         }
         Deadline last = heap[--count];
         heap[count] = null;
         if (last != deadline) {
-            if (at > 0 && last.before(heap[(at - 1) / 2])) {
-                up(at, last);
+            if (index > 0 && last.before(heap[(index - 1) / 2])) {
+                siftUp(index, last);
             } else {
-                down(at, last);
+                siftDown(index, last);
             }
         }
     }
 
     /** The earliest instant, or {@link Long#MAX_VALUE}. */
     public long next() {
-        return count == 0 ? Long.MAX_VALUE : heap[0].at;
+        return count == 0 ? Long.MAX_VALUE : heap[0].dueAt;
     }
 
     /** Runs all that are due; one set anew for the past by an action runs too. */
     public void runDue(long now) {
-        while (count > 0 && heap[0].at <= now) {
+        while (count > 0 && heap[0].dueAt <= now) {
             Deadline due = heap[0];
             cancel(due);
             due.action.run();
@@ -112,19 +112,19 @@
 
     /** Runs those that may ride from then on; the loop is awake for something else. */
     public void runEarly(long now) {
-        if (riders.isEmpty()) {
+        if (earlyRunnable.isEmpty()) {
             return;
         }
         // An action may set and call off any of them, itself among them: each is looked at once.
-        for (Deadline one : riders.toArray(new Deadline[0])) {
-            if (one.rides && one.from <= now) {
-                cancel(one);
-                one.action.run();
+        for (Deadline deadline : earlyRunnable.toArray(new Deadline[0])) {
+            if (deadline.mayRunEarly && deadline.earliest <= now) {
+                cancel(deadline);
+                deadline.action.run();
             }
         }
     }
 
-    private void up(int from, Deadline deadline) {
+    private void siftUp(int from, Deadline deadline) {
         int i = from;
         while (i > 0 && deadline.before(heap[(i - 1) / 2])) {
             place(i, heap[(i - 1) / 2]);
@@ -133,7 +133,7 @@
         place(i, deadline);
     }
 
-    private void down(int from, Deadline deadline) {
+    private void siftDown(int from, Deadline deadline) {
         int i = from;
         for (int child = 2 * i + 1; child < count; child = 2 * i + 1) {
             if (child + 1 < count && heap[child + 1].before(heap[child])) {
--- a/src/main/java/laneflow/core/Endpoint.java
+++ b/src/main/java/laneflow/core/Endpoint.java
@@ -27,9 +27,9 @@
 
     State state = State.READY;
     /** How many calls in a row have come to no connection. */
-    int unreached;
+    int connectFailures;
     /** When this scheduler was told that it drains or is gone. */
-    long drainToldAt = Long.MAX_VALUE;
+    long drainNotifiedAt = Long.MAX_VALUE;
 
     public Endpoint(String name, Connector connector) {
         this.name = name;
@@ -48,7 +48,7 @@
     }
 
     /** True if an entry says nothing new of it. */
-    boolean isAs(EndpointSet.Entry entry) {
+    boolean matches(EndpointSet.Entry entry) {
         return state == entry.state
                 && dial.equals(entry.dial)
                 && zone == entry.zone
--- a/src/main/java/laneflow/core/EndpointSet.java
+++ b/src/main/java/laneflow/core/EndpointSet.java
@@ -22,7 +22,7 @@
     /** The numbers of all that were ever listed: operators may speak of those that are gone. */
     private final LongHashSet everListed = new LongHashSet();
     /** The names of those that operators have set down, listed now or not. */
-    private final TreeSet<String> down = new TreeSet<>();
+    private final TreeSet<String> downNames = new TreeSet<>();
 
     /** One line of a list. */
     public static final class Entry {
@@ -43,14 +43,14 @@
         public long[] abilities;
 
         /** The same in another state. */
-        Entry in(State other) {
+        Entry withState(State newState) {
             Entry copy = new Entry();
             copy.name = name;
             copy.dial = dial;
             copy.zone = zone;
             copy.kind = kind;
             copy.cell = cell;
-            copy.state = other;
+            copy.state = newState;
             copy.weight = weight;
             copy.startedAt = startedAt;
             copy.classes = classes;
@@ -62,7 +62,7 @@
     }
 
     /** Takes a list in, told at that instant, and returns what has changed, as the module reads it. */
-    List<Worker> apply(Connector connector, boolean whole, List<Entry> entries, long toldAt) {
+    List<Worker> apply(Connector connector, boolean fullList, List<Entry> entries, long notifiedAt) {
         List<Worker> changes = new ArrayList<>();
         Map<String, Entry> listed = new HashMap<>();
         for (Entry entry : entries) {
@@ -81,7 +81,7 @@
                 continue;
             }
             if (entry.state == State.GONE) {
-                changes.add(state(endpoint, State.GONE, toldAt));
+                changes.add(changeState(endpoint, State.GONE, notifiedAt));
                 continue;
             }
             endpoint.dial = entry.dial.isEmpty() ? endpoint.dial : entry.dial;
@@ -92,14 +92,14 @@
             endpoint.startedAt = entry.startedAt;
             endpoint.classes = entry.classes;
             endpoint.abilities = entry.abilities;
-            changes.add(state(endpoint, entry.state, toldAt));
+            changes.add(changeState(endpoint, entry.state, notifiedAt));
         }
-        if (whole) {
+        if (fullList) {
             for (Endpoint endpoint : byName.values()) {
                 if (endpoint.connector == connector
                         && !listed.containsKey(endpoint.name)
                         && endpoint.state != State.GONE) {
-                    changes.add(state(endpoint, State.GONE, toldAt));
+                    changes.add(changeState(endpoint, State.GONE, notifiedAt));
                 }
             }
         }
@@ -107,7 +107,7 @@
     }
 
     /** The endpoints of one source. */
-    List<Endpoint> of(Connector connector) {
+    List<Endpoint> ofSource(Connector connector) {
         List<Endpoint> all = new ArrayList<>();
         for (Endpoint endpoint : byName.values()) {
             if (endpoint.connector == connector) {
@@ -117,11 +117,11 @@
         return all;
     }
 
-    private Worker state(Endpoint endpoint, State state, long toldAt) {
+    private Worker changeState(Endpoint endpoint, State state, long notifiedAt) {
         if (state == State.READY) {
-            endpoint.drainToldAt = Long.MAX_VALUE;
+            endpoint.drainNotifiedAt = Long.MAX_VALUE;
         } else if (endpoint.state == State.READY) {
-            endpoint.drainToldAt = toldAt;
+            endpoint.drainNotifiedAt = notifiedAt;
         }
         endpoint.state = state;
         Worker worker = new Worker();
@@ -139,25 +139,25 @@
 
     /** True if an endpoint of that name was ever listed, or is set down. */
     public boolean isKnown(String name) {
-        return everListed.contains(Endpoint.stableId(name)) || down.contains(name);
+        return everListed.contains(Endpoint.stableId(name)) || downNames.contains(name);
     }
 
     /** The names of the endpoints that are set down, in order. */
     public Set<String> downNames() {
-        return Collections.unmodifiableSet(down);
+        return Collections.unmodifiableSet(downNames);
     }
 
-    void down(String name, boolean is) {
-        if (is) {
-            down.add(name);
+    void setDown(String name, boolean isDown) {
+        if (isDown) {
+            downNames.add(name);
         } else {
-            down.remove(name);
+            downNames.remove(name);
         }
     }
 
     /** By name: a call may hold on to an endpoint that has left the set, and been listed anew, meanwhile. */
     boolean isDown(Endpoint endpoint) {
-        return down.contains(endpoint.name);
+        return downNames.contains(endpoint.name);
     }
 
     Endpoint get(long id) {
@@ -165,7 +165,7 @@
     }
 
     /** Drops those of them that are gone; calls still out hold on to theirs. */
-    void forgetGone(List<Worker> changes) {
+    void removeGone(List<Worker> changes) {
         for (Worker change : changes) {
             Endpoint endpoint = change.state == State.GONE ? byId.get(change.id) : null;
             if (endpoint != null && endpoint.state == State.GONE) {
@@ -181,8 +181,8 @@
     }
 
     /** All that are held, whatever their state. */
-    public void forEach(Consumer<Endpoint> what) {
-        byName.values().forEach(what);
+    public void forEach(Consumer<Endpoint> action) {
+        byName.values().forEach(action);
     }
 
     public int size() {
--- a/src/main/java/laneflow/core/Front.java
+++ b/src/main/java/laneflow/core/Front.java
@@ -33,17 +33,17 @@
     }
 
     /** A call is to go out: it does once {@link Scheduler#openRequests} is called, or ends unsent. */
-    default void recordLease(Attempt call) {}
+    default void recordLease(Attempt attempt) {}
 
     /** Under leases: a call has ended, and the request may go on. */
-    default void attemptEnded(Attempt call, Outcome outcome) {}
+    default void attemptEnded(Attempt attempt, Outcome outcome) {}
 
     /** Under leases: an endpoint's word on a call that had ended already. */
-    default void lateOutcome(Attempt call, Outcome outcome, byte[] result) {}
+    default void lateOutcome(Attempt attempt, Outcome outcome, byte[] result) {}
 
     /** Under leases: the endpoint is at it still. */
-    default void stillRunning(Attempt call) {}
+    default void stillRunning(Attempt attempt) {}
 
     /** An endpoint's word on how much is done. */
-    default void progress(long tag, long done, long of) {}
+    default void progress(long tag, long done, long total) {}
 }
--- a/src/main/java/laneflow/core/Request.java
+++ b/src/main/java/laneflow/core/Request.java
@@ -33,22 +33,22 @@
     /** What held when it came: a version adopted since is for those that come later. */
     JobClass type;
 
-    int mostCalls;
+    int maxAttempts;
     int epoch;
 
     long handle;
-    long takenAt;
+    long acceptedAt;
     boolean answered;
     /** It waits, undecided, for a policy that is about to begin. */
     boolean held;
 
-    int calls;
+    int attemptCount;
     /** A call of it was taken up by an endpoint's connection, whatever came of it. */
-    boolean sentOn;
+    boolean forwarded;
 
-    Attempt out;
+    Attempt openAttempt;
     Deadline backstop;
-    private long mayHaveRunAt = Long.MAX_VALUE;
+    private long firstMayHaveRunAt = Long.MAX_VALUE;
 
     public Request(Front front, long tag, Payload payload, int jobClass, long deadline) {
         this.front = front;
@@ -59,12 +59,12 @@
     }
 
     boolean mayHaveRun() {
-        return mayHaveRunAt < Long.MAX_VALUE;
+        return firstMayHaveRunAt < Long.MAX_VALUE;
     }
 
     /** When the first call was sent that may have run. */
-    long firstMayHaveRun() {
-        return mayHaveRunAt;
+    long firstMayHaveRunAt() {
+        return firstMayHaveRunAt;
     }
 
     /**
@@ -72,11 +72,11 @@
      * have run.
      */
     public void mayHaveRunSince(long instant) {
-        mayHaveRun(instant);
+        markMayHaveRun(instant);
     }
 
-    void mayHaveRun(long sentAt) {
-        mayHaveRunAt = Math.min(mayHaveRunAt, sentAt);
+    void markMayHaveRun(long sentAt) {
+        firstMayHaveRunAt = Math.min(firstMayHaveRunAt, sentAt);
     }
 
     /** Which state of the settings it came under; see {@link Scheduler#settingsChanged}. */
@@ -84,14 +84,14 @@
         return epoch;
     }
 
-    void fill(Dispatch.Request to) {
-        to.id = handle;
-        to.jobClass = jobClass;
-        to.tenant = tenant;
-        to.deadline = Clock.seconds(deadline);
-        to.hint = hint;
-        to.slots = slots;
-        to.memory = memory;
-        to.ability = function == null ? 0 : Endpoint.stableId(function);
+    void copyTo(Dispatch.Request target) {
+        target.id = handle;
+        target.jobClass = jobClass;
+        target.tenant = tenant;
+        target.deadline = Clock.seconds(deadline);
+        target.hint = hint;
+        target.slots = slots;
+        target.memory = memory;
+        target.ability = function == null ? 0 : Endpoint.stableId(function);
     }
 }
--- a/src/main/java/laneflow/core/Scheduler.java
+++ b/src/main/java/laneflow/core/Scheduler.java
@@ -35,93 +35,93 @@
     public static final int REFUSED = 3;
     public static final int COUNTS_PER_CLASS = 4;
     /** So long, in microseconds, a request waits for a policy that is about to begin; no longer. */
-    private static final long MOST_HELD = 10_000;
+    private static final long MAX_HOLD_MICROS = 10_000;
 
     /**
      * The process may be held up for so long, in microseconds, between reading its clock and writing. Deadlines and
      * windows have slack for that by the operators' page; the grace of a drain has to cover it.
      */
-    private static final long HELD_UP = 150_000;
+    private static final long MAX_STALL_MICROS = 150_000;
 
     private final Settings settings;
     private final Clock clock;
     private final Deadlines deadlines;
     private final Counters counters;
-    private final Doer doer;
+    private final ModuleActions actions;
     private final Dispatch module;
     private final EndpointSet endpoints = new EndpointSet();
     private final SlotTable<Request> requests = new SlotTable<>();
-    private final SlotTable<Attempt> calls = new SlotTable<>();
+    private final SlotTable<Attempt> attempts = new SlotTable<>();
     /** Events that came up while the module was at work: it must not be called from its own actions. */
-    private final ArrayDeque<Runnable> events = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> pendingEvents = new ArrayDeque<>();
 
-    private final Dispatch.Request told = new Dispatch.Request();
-    private final Arrivals arrivals = new Arrivals();
-    private final Owner owner = new Owner();
-    private boolean atWork;
+    private final Dispatch.Request requestView = new Dispatch.Request();
+    private final ArrivalRate arrivalRate = new ArrivalRate();
+    private final OwnerThread owner = new OwnerThread();
+    private boolean dispatching;
     private int epoch;
     /** Null where nobody else has a say. */
-    private AdmissionGate gate;
+    private AdmissionGate admissionGate;
     /** Endpoints that the policy in force bans, beside those that operators have set down here. */
     private volatile Set<String> banned = Set.of();
 
     private final long[][] countsByClass;
     /** Null where nobody listens. */
-    private AttemptListener ear;
+    private AttemptListener attemptListener;
 
     public Scheduler(Settings settings, long seed, Clock clock, Deadlines deadlines, Counters counters) {
         this.settings = settings;
         this.clock = clock;
         this.deadlines = deadlines;
         this.counters = counters;
-        doer = new Doer();
-        module = new Logic(settings, seed, doer);
+        actions = new ModuleActions();
+        module = new Logic(settings, seed, actions);
         countsByClass = new long[settings.classes.length][COUNTS_PER_CLASS];
     }
 
     /** Starts with the list of endpoints last held, or an empty one. */
     public void start(Connector connector, List<EndpointSet.Entry> known) {
-        event(() -> module.start(now()));
+        dispatch(() -> module.start(now()));
         List<Dispatch.Worker> workers = endpoints.apply(connector, true, known, clock.micros());
-        event(() -> module.list(now(), ListKind.CACHED, workers));
+        dispatch(() -> module.list(now(), ListKind.CACHED, workers));
     }
 
     /** A source's word on its endpoints: changes, or all that it has. */
-    public void list(Connector connector, boolean whole, List<EndpointSet.Entry> entries) {
-        list(connector, whole, entries, clock.micros());
+    public void list(Connector connector, boolean fullList, List<EndpointSet.Entry> entries) {
+        list(connector, fullList, entries, clock.micros());
     }
 
     /**
      * The same, learned late.
      *
-     * @param toldAt since when, in microseconds of the clock, it may count as told: the grace of a drain runs
+     * @param notifiedAt since when, in microseconds of the clock, it may count as told: the grace of a drain runs
      *     from there
      */
-    public void list(Connector connector, boolean whole, List<EndpointSet.Entry> entries, long toldAt) {
-        List<Dispatch.Worker> changes = endpoints.apply(connector, whole, entries, toldAt);
+    public void list(Connector connector, boolean fullList, List<EndpointSet.Entry> entries, long notifiedAt) {
+        List<Dispatch.Worker> changes = endpoints.apply(connector, fullList, entries, notifiedAt);
         if (!changes.isEmpty()) {
-            event(() -> module.list(now(), ListKind.CHANGES, changes));
+            dispatch(() -> module.list(now(), ListKind.CHANGES, changes));
             // Replaced endpoints come under new names: kept, the old ones would pile up with every release.
-            event(() -> endpoints.forgetGone(changes));
+            dispatch(() -> endpoints.removeGone(changes));
         }
     }
 
     /** Operators want nothing more sent there, whatever lists say; repeats change nothing. */
     public void setDown(String name) {
-        endpoints.down(name, true);
-        event(() -> module.setDown(now(), Endpoint.stableId(name)));
+        endpoints.setDown(name, true);
+        dispatch(() -> module.setDown(now(), Endpoint.stableId(name)));
     }
 
     /** This process is that part of the scheduler; the rest is another process's that it takes over from. */
-    public void setShare(double part) {
-        event(() -> module.share(now(), part));
+    public void setShare(double share) {
+        dispatch(() -> module.share(now(), share));
     }
 
     /** The endpoint is to be used again. */
     public void setUp(String name) {
-        endpoints.down(name, false);
+        endpoints.setDown(name, false);
         if (!banned.contains(name)) {
-            event(() -> module.setUp(now(), Endpoint.stableId(name)));
+            dispatch(() -> module.setUp(now(), Endpoint.stableId(name)));
         }
     }
 
@@ -131,17 +131,17 @@
         banned = Set.copyOf(names);
         for (String name : names) {
             if (!before.contains(name)) {
-                event(() -> module.setDown(now(), Endpoint.stableId(name)));
+                dispatch(() -> module.setDown(now(), Endpoint.stableId(name)));
             }
         }
         for (String name : before) {
-            Endpoint back = names.contains(name) ? null : endpoints.get(name);
-            if (back != null) {
+            Endpoint returning = names.contains(name) ? null : endpoints.get(name);
+            if (returning != null) {
                 // What was known of it before says nothing of what comes back.
-                back.unreached = 0;
+                returning.connectFailures = 0;
             }
             if (!names.contains(name) && !endpoints.downNames().contains(name)) {
-                event(() -> module.setUp(now(), Endpoint.stableId(name)));
+                dispatch(() -> module.setUp(now(), Endpoint.stableId(name)));
             }
         }
     }
@@ -155,9 +155,9 @@
     public Set<String> bannedWithOpenAttempts() {
         Set<String> names = new HashSet<>();
         if (!banned.isEmpty()) {
-            calls.forEach(call -> {
-                if (banned.contains(call.endpoint.name)) {
-                    names.add(call.endpoint.name);
+            attempts.forEach(attempt -> {
+                if (banned.contains(attempt.endpoint.name)) {
+                    names.add(attempt.endpoint.name);
                 }
             });
         }
@@ -165,10 +165,10 @@
     }
 
     /** Endpoints to which the last so many calls came to no connection, or more. */
-    public Set<String> unreachable(int least) {
+    public Set<String> unreachable(int minFailures) {
         Set<String> names = new HashSet<>();
         endpoints.forEach(endpoint -> {
-            if (endpoint.unreached >= least && !banned.contains(endpoint.name)) {
+            if (endpoint.connectFailures >= minFailures && !banned.contains(endpoint.name)) {
                 names.add(endpoint.name);
             }
         });
@@ -179,9 +179,9 @@
      * Adds the slots of all requests that are open to what is there, by tenant and class; the last row is
      * that of those whose tenant is not known.
      */
-    public void addDemand(double[][] to) {
-        requests.forEach(
-                request -> to[request.tenant < 0 ? to.length - 1 : request.tenant][request.jobClass] += request.slots);
+    public void addDemand(double[][] totals) {
+        requests.forEach(request ->
+                totals[request.tenant < 0 ? totals.length - 1 : request.tenant][request.jobClass] += request.slots);
     }
 
     /** Hears of every call that goes out, and of its end behind the module. */
@@ -191,30 +191,30 @@
         void ended(Endpoint endpoint, Outcome outcome, LoadReport report);
     }
 
-    public void setAttemptListener(AttemptListener by) {
-        ear = by;
+    public void setAttemptListener(AttemptListener listener) {
+        attemptListener = listener;
     }
 
     /** Another scheduler's report of an endpoint, so many seconds old and newer than any own one. */
-    public void reportFromPeer(long endpoint, double age, LoadReport report) {
+    public void reportFromPeer(long endpoint, double ageSeconds, LoadReport report) {
         LoadReport copy = new LoadReport();
         copy.freeSlots = report.freeSlots;
         copy.queue = report.queue;
-        event(() -> module.probed(now(), endpoint, age, Outcome.MOOT, copy));
+        dispatch(() -> module.probed(now(), endpoint, ageSeconds, Outcome.MOOT, copy));
     }
 
     /** From now on requests are decided on only while it lets them be. */
-    public void setAdmissionGate(AdmissionGate condition) {
-        gate = condition;
+    public void setAdmissionGate(AdmissionGate gate) {
+        admissionGate = gate;
     }
 
     /**
      * A whole set of a source, to be prepared in steps and then adopted at once.
      *
-     * @param named the names of all entries
+     * @param names the names of all entries
      */
-    public StagedUpdate stageUpdate(Connector connector, List<EndpointSet.Entry> entries, Set<String> named) {
-        return new StagedUpdate(this, endpoints, connector, entries, named);
+    public StagedUpdate stageUpdate(Connector connector, List<EndpointSet.Entry> entries, Set<String> names) {
+        return new StagedUpdate(this, endpoints, connector, entries, names);
     }
 
     /**
@@ -222,7 +222,7 @@
      * the number that those to come carry ({@link Request#epoch}).
      */
     public int settingsChanged() {
-        event(module::retuned);
+        dispatch(module::retuned);
         return ++epoch;
     }
 
@@ -252,13 +252,13 @@
 
     /** Takes a request in; the answer may come before this returns. */
     public void submit(Request request) {
-        if (gate != null && !gate.mayDecide()) {
-            long within = gate.microsUntilOpen();
-            if (within <= MOST_HELD && !request.held) {
+        if (admissionGate != null && !admissionGate.mayDecide()) {
+            long wait = admissionGate.microsUntilOpen();
+            if (wait <= MAX_HOLD_MICROS && !request.held) {
                 // It is about to decide: turned away, a client would be away for longer than that takes.
                 request.held = true;
                 counters.add(request.front.name() + ".held");
-                deadlines.at(clock.micros() + within, () -> {
+                deadlines.at(clock.micros() + wait, () -> {
                     if (!request.answered) {
                         submit(request);
                     }
@@ -269,26 +269,26 @@
             // It came under no state of the settings: nothing decided on it.
             request.epoch = -1;
             counters.add(request.front.name() + ".fenced");
-            request.front.refused(request.tag, gate.retryAfter());
+            request.front.refused(request.tag, admissionGate.retryAfter());
             return;
         }
         request.held = false;
         request.handle = requests.add(request);
-        request.takenAt = clock.micros();
+        request.acceptedAt = clock.micros();
         request.type = settings.classes[request.jobClass];
-        request.mostCalls = settings.maxAttempts;
+        request.maxAttempts = settings.maxAttempts;
         request.epoch = epoch;
         if (!request.front.usesLeases()) {
             // Durable jobs come as there is room for them: they show nothing of who is away.
-            arrivals.add(request.takenAt);
+            arrivalRate.add(request.acceptedAt);
         }
         counters.add(request.front.name() + ".taken");
         countsByClass[request.jobClass][ACCEPTED]++;
         // The module answers in time by itself; this catches what would otherwise stay without an answer.
-        request.backstop = deadlines.at(request.deadline, () -> overdue(request));
-        event(() -> {
-            request.fill(told);
-            module.request(now(), told);
+        request.backstop = deadlines.at(request.deadline, () -> deadlinePassed(request));
+        dispatch(() -> {
+            request.copyTo(requestView);
+            module.request(now(), requestView);
         });
     }
 
@@ -302,8 +302,8 @@
             request.answered = true;
             return;
         }
-        close(request);
-        event(() -> module.abandoned(now(), request.handle));
+        finish(request);
+        dispatch(() -> module.abandoned(now(), request.handle));
         closeUnsent(request);
     }
 
@@ -312,53 +312,53 @@
      * is no cancelling of work, and so not a matter of whether the settings allow it.
      */
     private void closeUnsent(Request request) {
-        Attempt call = request.out;
-        if (call != null && call.endpoint.connector.closeUnsent(call)) {
-            endUnlessEnded(call, Outcome.MOOT);
+        Attempt attempt = request.openAttempt;
+        if (attempt != null && attempt.endpoint.connector.closeUnsent(attempt)) {
+            endIfOpen(attempt, Outcome.MOOT);
         }
     }
 
     /** No call outlives its request's deadline: with cancelling off, a silent endpoint would hold it on. */
-    private void overdue(Request request) {
+    private void deadlinePassed(Request request) {
         if (!request.answered) {
             counters.add("core.overdue");
         }
-        Attempt call = request.out;
-        if (call != null) {
-            close(call, Outcome.TIMEOUT);
+        Attempt attempt = request.openAttempt;
+        if (attempt != null) {
+            close(attempt, Outcome.TIMEOUT);
         }
         if (!request.answered) {
-            event(() -> module.abandoned(now(), request.handle));
+            dispatch(() -> module.abandoned(now(), request.handle));
             if (request.mayHaveRun()) {
                 answerFailed(request);
             } else {
-                doer.refuse(request.handle, settings.retryAfter ? settings.tick : 0);
+                actions.refuse(request.handle, settings.retryAfter ? settings.tick : 0);
             }
         }
     }
 
     /** True if requests have grown much of late, as where a sibling is away and its clients came here. */
     public boolean hasArrivalSurge() {
-        return arrivals.surge(clock.micros());
+        return arrivalRate.isSurge(clock.micros());
     }
 
     /** Gives up what was taken since then and is still open: clients hear so, and may go elsewhere. */
     public void abandonSince(long instant) {
         requests.forEach(request -> {
-            if (request.takenAt >= instant) {
-                giveUp(request);
+            if (request.acceptedAt >= instant) {
+                abandon(request);
             }
         });
     }
 
-    private void giveUp(Request request) {
+    private void abandon(Request request) {
         counters.add("core.given_up");
-        event(() -> module.abandoned(now(), request.handle));
-        Attempt call = request.out;
-        if (call != null) {
-            close(call, Outcome.CANCELLED);
+        dispatch(() -> module.abandoned(now(), request.handle));
+        Attempt attempt = request.openAttempt;
+        if (attempt != null) {
+            close(attempt, Outcome.CANCELLED);
         }
-        doer.refuse(request.handle, settings.retryAfter ? settings.tick : 0);
+        actions.refuse(request.handle, settings.retryAfter ? settings.tick : 0);
     }
 
     // ---- from connectors ----
@@ -367,67 +367,68 @@
      * Whether a call's first byte, or its last one where that was held back, may go out at this instant: the
      * connection may have come up late, or the call may have waited to be grabbed.
      */
-    public boolean maySend(Attempt call) {
-        String kept = forbidsNow(call);
-        if (kept != null) {
-            counters.add("core.kept." + kept);
+    public boolean maySend(Attempt attempt) {
+        String reason = blockReasonNow(attempt);
+        if (reason != null) {
+            counters.add("core.kept." + reason);
         }
-        return kept == null;
+        return reason == null;
     }
 
     /** What has come to speak against a call since it was decided on; null if nothing has. */
-    private String forbidsNow(Attempt call) {
-        if (calls.get(call.handle) != call || call.request.answered) {
+    private String blockReasonNow(Attempt attempt) {
+        if (attempts.get(attempt.handle) != attempt || attempt.request.answered) {
             // Its client has left or has its answer.
             return "answered";
         }
         // In the turn of the decision that was looked at before it.
-        if (call.sentAt != clock.micros() && call.request.front.hasLeft(call.request.tag)) {
+        if (attempt.sentAt != clock.micros() && attempt.request.front.hasLeft(attempt.request.tag)) {
             return "left";
         }
-        if (!maySend(call.endpoint)) {
+        if (!maySend(attempt.endpoint)) {
             return "drain";
         }
-        if (clock.currentMicros() >= call.request.deadline) {
+        if (clock.currentMicros() >= attempt.request.deadline) {
             return "spent";
         }
-        return mayRepeat(call.request) ? null : "effect";
+        return mayRepeat(attempt.request) ? null : "effect";
     }
 
     /** Sends a call whose lease is on record; false if it has ended meanwhile. */
-    public boolean sendLeased(Attempt call) {
-        boolean out = calls.get(call.handle) == call;
-        if (out) {
-            call.endpoint.connector.open(call);
+    public boolean sendLeased(Attempt attempt) {
+        boolean open = attempts.get(attempt.handle) == attempt;
+        if (open) {
+            attempt.endpoint.connector.open(attempt);
         }
-        return out;
+        return open;
     }
 
     /**
      * A call's lease has run out. What must not run twice is listened to on: its endpoint's late word is all
      * that can still settle it.
      */
-    public void leaseExpired(Attempt call) {
-        if (calls.get(call.handle) == call) {
+    public void leaseExpired(Attempt attempt) {
+        if (attempts.get(attempt.handle) == attempt) {
             counters.add("lease.expired");
-            if (call.request.type.effect != Effect.UNSAFE) {
-                call.endpoint.connector.close(call);
+            if (attempt.request.type.effect != Effect.UNSAFE) {
+                attempt.endpoint.connector.close(attempt);
             }
-            endUnlessEnded(call, Outcome.TIMEOUT);
+            endIfOpen(attempt, Outcome.TIMEOUT);
         }
     }
 
     /** The endpoint is at it still. */
-    public void stillRunning(Attempt call) {
-        if (calls.get(call.handle) == call && call.request.front.usesLeases()) {
-            call.request.front.stillRunning(call);
+    public void stillRunning(Attempt attempt) {
+        if (attempts.get(attempt.handle) == attempt && attempt.request.front.usesLeases()) {
+            attempt.request.front.stillRunning(attempt);
         }
     }
 
     private boolean maySend(Endpoint endpoint) {
-        long grace = Math.max(0, (long) (settings.drainGrace * 1e6) - HELD_UP);
+        long grace = Math.max(0, (long) (settings.drainGrace * 1e6) - MAX_STALL_MICROS);
         return !isDown(endpoint)
-                && (endpoint.drainToldAt == Long.MAX_VALUE || clock.currentMicros() < endpoint.drainToldAt + grace);
+                && (endpoint.drainNotifiedAt == Long.MAX_VALUE
+                        || clock.currentMicros() < endpoint.drainNotifiedAt + grace);
     }
 
     /** True if operators want nothing sent there: what was about to go there goes elsewhere. */
@@ -440,74 +441,75 @@
         return !request.mayHaveRun()
                 || type.effect == Effect.SAFE
                 || type.effect == Effect.KEYED
-                        && clock.currentMicros() < request.firstMayHaveRun() + (long) (type.window * 1e6);
+                        && clock.currentMicros() < request.firstMayHaveRunAt() + (long) (type.window * 1e6);
     }
 
     /** The endpoint has started on it. */
-    public void started(Attempt call) {
+    public void started(Attempt attempt) {
         counters.add("call.started");
-        note(call, Note.STARTED, 0);
-        stillRunning(call);
-        if (!call.request.answered) {
-            call.request.front.started(call.request.tag);
+        reportNote(attempt, Note.STARTED, 0);
+        stillRunning(attempt);
+        if (!attempt.request.answered) {
+            attempt.request.front.started(attempt.request.tag);
         }
     }
 
     /** The endpoint has done a part of it. */
-    public void progress(Attempt call, long done, long of) {
-        note(call, Note.PROGRESS, of > 0 ? Math.min(1, Math.max(0, (double) done / of)) : 0);
-        stillRunning(call);
-        if (!call.request.answered) {
-            call.request.front.progress(call.request.tag, done, of);
+    public void progress(Attempt attempt, long done, long total) {
+        reportNote(attempt, Note.PROGRESS, total > 0 ? Math.min(1, Math.max(0, (double) done / total)) : 0);
+        stillRunning(attempt);
+        if (!attempt.request.answered) {
+            attempt.request.front.progress(attempt.request.tag, done, total);
         }
     }
 
     /** The first bytes of its final line have come and the rest has not: the endpoint has done the job. */
-    public void answering(Attempt call) {
+    public void answering(Attempt attempt) {
         counters.add("call.answering");
-        note(call, Note.ANSWERING, 0);
+        reportNote(attempt, Note.ANSWERING, 0);
     }
 
-    private void note(Attempt call, Note note, double share) {
-        if (calls.get(call.handle) == call) {
-            event(() -> module.note(now(), call.request.handle, call.number, call.endpoint.id, note, share));
+    private void reportNote(Attempt attempt, Note note, double share) {
+        if (attempts.get(attempt.handle) == attempt) {
+            dispatch(
+                    () -> module.note(now(), attempt.request.handle, attempt.number, attempt.endpoint.id, note, share));
         }
     }
 
     /** How a call ended; the result only where it was served. One that has ended already is passed over. */
-    public void ended(Attempt call, Outcome outcome, byte[] result, LoadReport report) {
-        Request request = call.request;
-        if (calls.get(call.handle) != call) {
+    public void ended(Attempt attempt, Outcome outcome, byte[] result, LoadReport report) {
+        Request request = attempt.request;
+        if (attempts.get(attempt.handle) != attempt) {
             if (request.front.usesLeases()) {
-                request.front.lateOutcome(call, outcome, result);
+                request.front.lateOutcome(attempt, outcome, result);
             }
             return;
         }
-        release(call);
+        remove(attempt);
         counters.add("call." + outcome.name().toLowerCase(Locale.ROOT));
         if (outcome == Outcome.CONNECT_FAILED) {
             countsByClass[request.jobClass][CONNECT_FAILED]++;
-            call.endpoint.unreached++;
+            attempt.endpoint.connectFailures++;
         } else if (outcome != Outcome.MOOT) {
-            call.endpoint.unreached = 0;
+            attempt.endpoint.connectFailures = 0;
         }
         if (mayHaveRun(outcome)) {
-            request.mayHaveRun(call.sentAt);
+            request.markMayHaveRun(attempt.sentAt);
         }
-        request.sentOn |= outcome != Outcome.CONNECT_FAILED && outcome != Outcome.MOOT;
+        request.forwarded |= outcome != Outcome.CONNECT_FAILED && outcome != Outcome.MOOT;
         if (request.front.usesLeases()) {
-            request.front.attemptEnded(call, outcome);
+            request.front.attemptEnded(attempt, outcome);
         }
-        boolean over = request.answered;
-        if (outcome == Outcome.OK && !over) {
-            over = true;
+        boolean answered = request.answered;
+        if (outcome == Outcome.OK && !answered) {
+            answered = true;
             counters.add(request.front.name() + ".served");
-            close(request);
+            finish(request);
             request.front.served(request.tag, result);
         }
-        tell(call, outcome, over, report);
-        if (ear != null) {
-            ear.ended(call.endpoint, outcome, report);
+        reportOutcome(attempt, outcome, answered, report);
+        if (attemptListener != null) {
+            attemptListener.ended(attempt.endpoint, outcome, report);
         }
     }
 
@@ -517,55 +519,55 @@
     }
 
     /** How a probe ended. */
-    public void probed(Endpoint endpoint, double took, Outcome outcome, LoadReport report) {
+    public void probed(Endpoint endpoint, double seconds, Outcome outcome, LoadReport report) {
         counters.add("probe." + outcome.name().toLowerCase(Locale.ROOT));
-        event(() -> module.probed(now(), endpoint.id, took, outcome, report));
+        dispatch(() -> module.probed(now(), endpoint.id, seconds, outcome, report));
     }
 
     /** Gives a call up, which ended so unless its endpoint never had the whole of it; true if that is so. */
-    private boolean close(Attempt call, Outcome how) {
-        boolean unsent = call.endpoint.connector.close(call);
-        endUnlessEnded(call, unsent ? Outcome.MOOT : how);
+    private boolean close(Attempt attempt, Outcome outcome) {
+        boolean unsent = attempt.endpoint.connector.close(attempt);
+        endIfOpen(attempt, unsent ? Outcome.MOOT : outcome);
         return unsent;
     }
 
     /** A connector that is told to close a call may find its answer there, and tell of that first. */
-    private void endUnlessEnded(Attempt call, Outcome how) {
-        if (calls.get(call.handle) == call) {
-            ended(call, how, null, null);
+    private void endIfOpen(Attempt attempt, Outcome outcome) {
+        if (attempts.get(attempt.handle) == attempt) {
+            ended(attempt, outcome, null, null);
         }
     }
 
-    private void release(Attempt call) {
-        calls.remove(call.handle);
-        if (call.request.out == call) {
-            call.request.out = null;
+    private void remove(Attempt attempt) {
+        attempts.remove(attempt.handle);
+        if (attempt.request.openAttempt == attempt) {
+            attempt.request.openAttempt = null;
         }
-        if (call.request.answered) {
-            deadlines.cancel(call.request.backstop);
+        if (attempt.request.answered) {
+            deadlines.cancel(attempt.request.backstop);
         }
     }
 
-    private void tell(Attempt call, Outcome outcome, boolean over, LoadReport report) {
-        long id = call.request.handle;
-        event(() -> module.outcome(now(), id, call.number, call.endpoint.id, outcome, over, report));
+    private void reportOutcome(Attempt attempt, Outcome outcome, boolean answered, LoadReport report) {
+        long id = attempt.request.handle;
+        dispatch(() -> module.outcome(now(), id, attempt.number, attempt.endpoint.id, outcome, answered, report));
     }
 
     // ---- answers ----
 
-    private void close(Request request) {
+    private void finish(Request request) {
         request.answered = true;
-        if (request.out == null) {
+        if (request.openAttempt == null) {
             deadlines.cancel(request.backstop);
         }
         requests.remove(request.handle);
     }
 
     private void answerFailed(Request request) {
-        close(request);
+        finish(request);
         closeUnsent(request);
         counters.add(request.front.name() + ".failed");
-        if (!request.sentOn) {
+        if (!request.forwarded) {
             counters.add("clients.failed_unsent");
         }
         countsByClass[request.jobClass][FAILED]++;
@@ -578,70 +580,70 @@
         return Clock.seconds(clock.micros());
     }
 
-    private void event(Runnable event) {
-        assert owner.isHere() : "the core is its loop's own";
-        events.add(event);
-        if (atWork) {
+    private void dispatch(Runnable event) {
+        assert owner.isCurrent() : "the core is its loop's own";
+        pendingEvents.add(event);
+        if (dispatching) {
             return;
         }
-        atWork = true;
+        dispatching = true;
         try {
-            for (Runnable next = events.poll(); next != null; next = events.poll()) {
+            for (Runnable next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
                 next.run();
             }
         } finally {
-            atWork = false;
+            dispatching = false;
         }
     }
 
-    private final class Doer implements Dispatch.Actions {
+    private final class ModuleActions implements Dispatch.Actions {
         @Override
-        public void send(long id, int attempt, long worker) {
+        public void send(long id, int number, long worker) {
             Request request = requests.get(id);
             Endpoint endpoint = endpoints.get(worker);
             if (request == null || endpoint == null) {
                 counters.add("core.kept.unknown");
-                event(() -> module.outcome(now(), id, attempt, worker, Outcome.MOOT, request == null, null));
+                dispatch(() -> module.outcome(now(), id, number, worker, Outcome.MOOT, request == null, null));
                 return;
             }
-            Attempt call = new Attempt(request, endpoint, attempt, clock.micros());
-            if (request.calls > 0 && request.front.hasLeft(request.tag)) {
+            Attempt attempt = new Attempt(request, endpoint, number, clock.micros());
+            if (request.attemptCount > 0 && request.front.hasLeft(request.tag)) {
                 // Its end may lie unread behind what brought this turn, which a stall can have made late.
                 counters.add("core.kept.left");
                 withdraw(request);
-                tell(call, Outcome.MOOT, true, null);
+                reportOutcome(attempt, Outcome.MOOT, true, null);
                 return;
             }
-            request.calls++;
-            String kept = forbids(request, endpoint);
-            if (kept != null) {
-                counters.add("core.kept." + kept);
-                LOG.warn("{} to {} not sent: {}", request.payload.requestId(), endpoint, kept);
-                tell(call, Outcome.MOOT, false, null);
+            request.attemptCount++;
+            String reason = blockReason(request, endpoint);
+            if (reason != null) {
+                counters.add("core.kept." + reason);
+                LOG.warn("{} to {} not sent: {}", request.payload.requestId(), endpoint, reason);
+                reportOutcome(attempt, Outcome.MOOT, false, null);
                 return;
             }
-            request.out = call;
-            call.handle = calls.add(call);
+            request.openAttempt = attempt;
+            attempt.handle = attempts.add(attempt);
             counters.add("call.sent");
-            if (ear != null) {
-                ear.sent(endpoint);
+            if (attemptListener != null) {
+                attemptListener.sent(endpoint);
             }
             if (request.front.usesLeases()) {
-                request.front.recordLease(call);
+                request.front.recordLease(attempt);
             } else {
-                endpoint.connector.open(call);
+                endpoint.connector.open(attempt);
             }
         }
 
         /** What speaks against this call, whatever the module wants; null if nothing does. */
-        private String forbids(Request request, Endpoint endpoint) {
-            if (request.out != null) {
+        private String blockReason(Request request, Endpoint endpoint) {
+            if (request.openAttempt != null) {
                 return "second_call";
             }
             if (!maySend(endpoint)) {
                 return "drain";
             }
-            if (clock.micros() >= request.deadline || request.calls > request.mostCalls) {
+            if (clock.micros() >= request.deadline || request.attemptCount > request.maxAttempts) {
                 return "spent";
             }
             return mayRepeat(request) ? null : "effect";
@@ -655,13 +657,13 @@
             }
             // A refusal asks the client back: what may have run must not be asked for again.
             JobClass type = request.type;
-            boolean apart = type.effect == Effect.KEYED && type.group != Group.ALL && request.mayHaveRun();
-            if (apart || !mayRepeat(request)) {
+            boolean elsewhere = type.effect == Effect.KEYED && type.group != Group.ALL && request.mayHaveRun();
+            if (elsewhere || !mayRepeat(request)) {
                 counters.add("core.kept.refusal");
                 answerFailed(request);
                 return;
             }
-            close(request);
+            finish(request);
             closeUnsent(request);
             counters.add(request.front.name() + ".refused");
             countsByClass[request.jobClass][REFUSED]++;
@@ -689,9 +691,9 @@
         public boolean cancel(long id, int number) {
             boolean[] unsent = new boolean[1];
             // An answered request is off the table, but the call of one that was withdrawn is still out.
-            calls.forEach(call -> {
-                if (call.request.handle == id && call.number == number) {
-                    unsent[0] = close(call, Outcome.CANCELLED);
+            attempts.forEach(attempt -> {
+                if (attempt.request.handle == id && attempt.number == number) {
+                    unsent[0] = close(attempt, Outcome.CANCELLED);
                 }
             });
             return unsent[0];
@@ -717,7 +719,7 @@
         @Override
         public void wake(double delay, long token) {
             long at = clock.micros() + (long) Math.ceil(delay * 1e6);
-            deadlines.at(at, () -> event(() -> module.timer(now(), token)));
+            deadlines.at(at, () -> dispatch(() -> module.timer(now(), token)));
         }
 
         @Override
--- a/src/main/java/laneflow/core/SlotTable.java
+++ b/src/main/java/laneflow/core/SlotTable.java
@@ -55,10 +55,10 @@
 
     /** Calls for each item; the call may take that item out. */
     @SuppressWarnings("unchecked")
-    public void forEach(Consumer<? super T> call) {
+    public void forEach(Consumer<? super T> action) {
         for (int i = 0; i < used; i++) {
             if (items[i] != null) {
-                call.accept((T) items[i]);
+                action.accept((T) items[i]);
             }
         }
     }
--- a/src/main/java/laneflow/core/StagedUpdate.java
+++ b/src/main/java/laneflow/core/StagedUpdate.java
@@ -14,72 +14,70 @@
  */
 public final class StagedUpdate {
     /** Endpoints looked at in one step. */
-    static final int PART = 64;
+    static final int STEP_SIZE = 64;
 
     private final Scheduler scheduler;
-    private final EndpointSet destinations;
+    private final EndpointSet endpoints;
     private final Connector connector;
     private final List<Entry> entries;
-    private final Set<String> named;
+    private final Set<String> names;
     private final List<Entry> changed = new ArrayList<>();
-    private final List<Entry> leaving = new ArrayList<>();
+    private final List<Entry> leavingReady = new ArrayList<>();
     /** Leave too, but get no request as it is: there is time for them. */
-    private final List<Entry> idle = new ArrayList<>();
+    private final List<Entry> leavingDraining = new ArrayList<>();
 
     private List<Endpoint> known;
-    private int looked;
-    private int passed;
+    private int nextEntry;
+    private int nextKnown;
 
     StagedUpdate(
-            Scheduler scheduler,
-            EndpointSet destinations,
-            Connector connector,
-            List<Entry> entries,
-            Set<String> named) {
+            Scheduler scheduler, EndpointSet endpoints, Connector connector, List<Entry> entries, Set<String> names) {
         this.scheduler = scheduler;
-        this.destinations = destinations;
+        this.endpoints = endpoints;
         this.connector = connector;
         this.entries = entries;
-        this.named = named;
+        this.names = names;
     }
 
     /** Does a step; false once all are done. */
     public boolean step() {
-        if (looked < entries.size()) {
-            look();
+        if (nextEntry < entries.size()) {
+            stageEntries();
         } else {
-            pass();
+            collectMissing();
         }
-        return looked < entries.size() || known == null || passed < known.size();
+        return nextEntry < entries.size() || known == null || nextKnown < known.size();
     }
 
-    private void look() {
+    private void stageEntries() {
         List<Entry> staged = new ArrayList<>();
-        for (int end = Math.min(entries.size(), looked + PART); looked < end; looked++) {
-            Entry entry = entries.get(looked);
-            Endpoint there = destinations.get(entry.name);
-            if (there == null) {
-                staged.add(entry.in(State.DRAINING));
+        for (int end = Math.min(entries.size(), nextEntry + STEP_SIZE); nextEntry < end; nextEntry++) {
+            Entry entry = entries.get(nextEntry);
+            Endpoint existing = endpoints.get(entry.name);
+            if (existing == null) {
+                staged.add(entry.withState(State.DRAINING));
             }
             // One of another source keeps what that says of it.
-            if (there == null ? entry.state != State.DRAINING : there.connector == connector && !there.isAs(entry)) {
+            if (existing == null
+                    ? entry.state != State.DRAINING
+                    : existing.connector == connector && !existing.matches(entry)) {
                 changed.add(entry);
             }
         }
         scheduler.list(connector, false, staged);
     }
 
-    private void pass() {
+    private void collectMissing() {
         if (known == null) {
-            known = destinations.of(connector);
+            known = endpoints.ofSource(connector);
         }
-        for (int end = Math.min(known.size(), passed + PART); passed < end; passed++) {
-            Endpoint endpoint = known.get(passed);
-            if (!named.contains(endpoint.name) && endpoint.state != State.GONE) {
+        for (int end = Math.min(known.size(), nextKnown + STEP_SIZE); nextKnown < end; nextKnown++) {
+            Endpoint endpoint = known.get(nextKnown);
+            if (!names.contains(endpoint.name) && endpoint.state != State.GONE) {
                 Entry gone = new Entry();
                 gone.name = endpoint.name;
                 gone.state = State.GONE;
-                (endpoint.state == State.READY ? leaving : idle).add(gone);
+                (endpoint.state == State.READY ? leavingReady : leavingDraining).add(gone);
             }
         }
     }
@@ -89,18 +87,18 @@
         while (step()) {
             continue;
         }
-        changed.addAll(leaving);
+        changed.addAll(leavingReady);
         scheduler.list(connector, false, changed);
     }
 
     /** Behind it, in as many calls as it takes: forgets those that drained already; false once all are. */
     public boolean removeDrained() {
-        int from = Math.max(0, idle.size() - PART);
-        List<Entry> part = idle.subList(from, idle.size());
+        int from = Math.max(0, leavingDraining.size() - STEP_SIZE);
+        List<Entry> batch = leavingDraining.subList(from, leavingDraining.size());
         // One that was named anew meanwhile is somebody's again.
-        part.removeIf(gone -> destinations.get(gone.name) == null || destinations.get(gone.name).state == State.READY);
-        scheduler.list(connector, false, new ArrayList<>(part));
-        part.clear();
-        return !idle.isEmpty();
+        batch.removeIf(gone -> endpoints.get(gone.name) == null || endpoints.get(gone.name).state == State.READY);
+        scheduler.list(connector, false, new ArrayList<>(batch));
+        batch.clear();
+        return !leavingDraining.isEmpty();
     }
 }
--- a/src/test/java/laneflow/core/FleetSimulation.java
+++ b/src/test/java/laneflow/core/FleetSimulation.java
@@ -100,7 +100,7 @@
             this.number = number;
             scheduler = new Scheduler(drawn.of(number), seed, () -> now, deadlines, new Counters());
             if (before == null) {
-                machines.forEach(machine -> heard.put(machine.entry.name, machine.entry.in(State.READY)));
+                machines.forEach(machine -> heard.put(machine.entry.name, machine.entry.withState(State.READY)));
             } else {
                 heard.putAll(before.heard);
                 toldToStop.putAll(before.toldToStop);
--- a/src/test/java/laneflow/core/SchedulerPairModel.java
+++ b/src/test/java/laneflow/core/SchedulerPairModel.java
@@ -426,7 +426,7 @@
 
     /** The first scheduler's list has this word of e1. */
     private void told(State state) {
-        Entry entry = entries.get("e1").in(state);
+        Entry entry = entries.get("e1").withState(state);
         nodes[0].scheduler.list(nodes[0], false, List.of(entry));
         if (state == State.READY) {
             nodes[0].toldToStop.remove("e1");
--- a/src/test/java/laneflow/core/SchedulerTest.java
+++ b/src/test/java/laneflow/core/SchedulerTest.java
@@ -288,21 +288,21 @@
 
     @Test
     void aSurgeIsSeenAndEvenOrFewRequestsAreNone() {
-        Arrivals arrivals = new Arrivals();
+        ArrivalRate arrivals = new ArrivalRate();
         long at = now;
         for (; at < now + 9_000_000; at += 50_000) {
             arrivals.add(at);
             // Not at its start either, where there was nothing before.
-            assertFalse(arrivals.surge(at));
+            assertFalse(arrivals.isSurge(at));
         }
         for (; at < now + 11_500_000; at += 25_000) {
             arrivals.add(at);
         }
-        assertTrue(arrivals.surge(at));
+        assertTrue(arrivals.isSurge(at));
         // Long gone, and then a handful.
         at += 30_000_000;
         arrivals.add(at);
-        assertFalse(arrivals.surge(at));
+        assertFalse(arrivals.isSurge(at));
     }
 
     @Test
--- a/src/test/java/laneflow/core/SimulatedEndpoint.java
+++ b/src/test/java/laneflow/core/SimulatedEndpoint.java
@@ -161,7 +161,7 @@
     /** Each scheduler hears of it in its own time. */
     void tell(State state) {
         entry.state = state;
-        Entry word = entry.in(state);
+        Entry word = entry.withState(state);
         for (FleetSimulation.Node node : day.nodes) {
             day.after(day.random.nextInt(800_000), () -> node.hear(word));
         }
--- a/src/test/java/laneflow/core/StagedUpdateTest.java
+++ b/src/test/java/laneflow/core/StagedUpdateTest.java
@@ -54,7 +54,7 @@
     /** The live ones, and where they are called. */
     private static Map<String, String> live(Scheduler scheduler, Connector connector) {
         Map<String, String> live = new TreeMap<>();
-        scheduler.endpoints().of(connector).stream()
+        scheduler.endpoints().ofSource(connector).stream()
                 .filter(one -> one.state() == State.READY)
                 .forEach(one -> live.put(one.name, one.dial));
         return live;
@@ -100,7 +100,7 @@
                 assertEquals(next, live(scheduler, connector));
             }
             Map<String, State> known = new TreeMap<>();
-            scheduler.endpoints().of(connector).forEach(one -> known.put(one.name, one.state()));
+            scheduler.endpoints().ofSource(connector).forEach(one -> known.put(one.name, one.state()));
             assertEquals(all, known);
             assertEquals("127.0.0.1:77", scheduler.endpoints().get("e7").dial);
             holds = next;
