--- a/src/main/java/laneflow/core/AdmissionGate.java
+++ b/src/main/java/laneflow/core/AdmissionGate.java
@@ -1,19 +1,19 @@
 package laneflow.core;
 
 /**
- * Whether this scheduler may decide on requests at all, where something outside it has a say in that. What it
- * may not decide on reaches no module: it is answered at once, with a time to come back.
+ * Lets something outside the scheduler stop it from deciding on requests. While it may not decide, a request
+ * does not reach the decision module: it is refused at once with a time to retry.
  */
 public interface AdmissionGate {
-    /** Asked for each request when it is taken. */
+    /** Asked for each request on arrival. */
     boolean mayDecide();
 
     /**
-     * Microseconds from this turn's instant until it decides again, where that is known; else
-     * {@link Long#MAX_VALUE}.
+     * Microseconds from this turn's instant until the gate opens, or {@link Long#MAX_VALUE} if that is not
+     * known.
      */
     long microsUntilOpen();
 
-    /** Seconds after which a client that is turned away may find it otherwise. */
+    /** Seconds after which a refused client should retry. */
     double retryAfter();
 }
--- a/src/main/java/laneflow/core/ArrivalRate.java
+++ b/src/main/java/laneflow/core/ArrivalRate.java
@@ -1,18 +1,21 @@
 package laneflow.core;
 
-/** How many requests came of late, in half seconds: shows where another scheduler's clients have come. */
+/**
+ * Counts arriving requests in buckets of half a second. A surge suggests that another scheduler is down and its
+ * clients have moved here.
+ */
 final class ArrivalRate {
     private static final long BUCKET_MICROS = 500_000;
     private static final int RECENT_BUCKETS = 4;
     private static final int EARLIER_BUCKETS = 12;
-    /** Fewer recent requests than that show nothing. */
+    /** Fewer recent requests than this are not enough to detect a surge. */
     private static final int MIN_RECENT = 20;
-    /** Times the rate before: with one scheduler of three away the others have 1.5 times theirs. */
+    /** Multiple of the earlier rate: when one of three schedulers is down, the others get 1.5 times theirs. */
     private static final double SURGE_FACTOR = 1.4;
 
     private final int[] counts = new int[1 + RECENT_BUCKETS + EARLIER_BUCKETS];
     private long bucket = Long.MIN_VALUE;
-    /** The half second of the first request of all: before it there is nothing to compare with. */
+    /** The bucket of the first request ever: earlier buckets hold nothing to compare with. */
     private long firstBucket = Long.MAX_VALUE;
 
     void add(long now) {
@@ -30,15 +33,15 @@
     }
 
     /**
-     * True if the last two seconds brought clearly more than the six before did, or as many of these as there
-     * were. A start must not look like a surge.
+     * True if the rate over the last two seconds is clearly above that of the six seconds before, or of as many
+     * of them as have passed since the first request, so that a start does not look like a surge.
      */
     boolean isSurge(long now) {
         advance(now);
         int recent = 0;
         int earlier = 0;
         int knownBuckets = 0;
-        // The present half second is not over and would speak for calm.
+        // The current bucket is left out: it is not complete and would lower the recent rate.
         for (int i = 1; i < counts.length; i++) {
             int count = counts[(int) ((bucket - i) % counts.length)];
             recent += i <= RECENT_BUCKETS ? count : 0;
--- a/src/main/java/laneflow/core/Attempt.java
+++ b/src/main/java/laneflow/core/Attempt.java
@@ -7,9 +7,9 @@
     final int number;
     final long sentAt;
     long handle;
-    /** The number of its lease, from 1; 0 where it has none. */
+    /** The number of its lease, from 1; 0 if it has none. */
     public int lease;
-    /** What its connector keeps about it. */
+    /** The connector's own state for this attempt. */
     public Object attachment;
 
     Attempt(Request request, Endpoint endpoint, int number, long sentAt) {
@@ -19,7 +19,7 @@
         this.sentAt = sentAt;
     }
 
-    /** A mark that is void once the call has ended. */
+    /** A handle that becomes invalid once the attempt has ended. */
     public long handle() {
         return handle;
     }
--- a/src/main/java/laneflow/core/Connector.java
+++ b/src/main/java/laneflow/core/Connector.java
@@ -1,29 +1,30 @@
 package laneflow.core;
 
-/** How attempts reach an endpoint. Ends are told by {@link Scheduler#ended}, exactly once a call. */
+/** Performs attempts at endpoints and reports the end of each to {@link Scheduler#ended}, exactly once. */
 public interface Connector {
-    /** Sends the call's request; before its first byte {@link Scheduler#maySend} is asked. */
+    /** Sends the attempt's request; {@link Scheduler#maySend} is asked before its first byte. */
     void open(Attempt attempt);
 
     /**
-     * Nobody waits for this call any more; its end is not to be told. True if it can't have run: its endpoint
-     * has not got, and will not get, the request's last byte.
+     * Closes an attempt that nobody waits for any more; its end is not reported.
+     *
+     * @return true if it cannot have run: its endpoint has not received the request's last byte and will not
      */
     boolean close(Attempt attempt);
 
     /**
-     * Closes a call whose endpoint has not got the request's last byte; one that has got it goes on. Its end
-     * is not to be told.
+     * Closes an attempt whose endpoint has not received the request's last byte; otherwise the attempt goes on.
+     * The end of a closed attempt is not reported.
      *
-     * @return true if it was closed, and so can't have run; a connector that can't tell leaves it
+     * @return true if it was closed and so cannot have run; a connector that cannot tell returns false
      */
     default boolean closeUnsent(Attempt attempt) {
         return false;
     }
 
-    /** Asks an endpoint for its load; {@link Scheduler#probed} tells. */
+    /** Asks an endpoint for its load; the result goes to {@link Scheduler#probed}. */
     void probe(Endpoint endpoint);
 
-    /** Closes idle connections to an endpoint. */
+    /** Closes the idle connections to an endpoint. */
     void closeIdle(Endpoint endpoint);
 }
--- a/src/main/java/laneflow/core/Counters.java
+++ b/src/main/java/laneflow/core/Counters.java
@@ -3,17 +3,17 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What the program took in, sent and answered, and what the core's rules kept from happening. */
+/** Named counters, among them requests taken, attempts sent, answers, and attempts blocked by the scheduler. */
 public final class Counters {
     private final Map<String, Long> counts = new TreeMap<>();
     private final OwnerThread owner = new OwnerThread();
 
     public void add(String name) {
-        assert owner.isCurrent() : "counters are their loop's own";
+        assert owner.isCurrent() : "counters used outside their loop's thread";
         counts.merge(name, 1L, Long::sum);
     }
 
-    /** Puts a counter to a value. */
+    /** Sets a counter to a value. */
     public void set(String name, long value) {
         counts.put(name, value);
     }
@@ -22,7 +22,7 @@
         return counts.getOrDefault(name, 0L);
     }
 
-    /** One line a counter, in order of their names. */
+    /** All counters, one per line, sorted by name. */
     public String text() {
         StringBuilder text = new StringBuilder();
         counts.forEach(
@@ -30,7 +30,7 @@
         return text.toString();
     }
 
-    /** All on one line. */
+    /** All counters on one line, as {@code name=count}. */
     public String line() {
         return text().trim().replace(' ', '=').replace('\n', ' ');
     }
--- a/src/main/java/laneflow/core/Deadlines.java
+++ b/src/main/java/laneflow/core/Deadlines.java
@@ -5,23 +5,23 @@
 import java.util.List;
 
 /**
- * All deadlines of the program in one ordered structure: a binary heap in which each knows its place. One
- * that may come a little early rides with whatever wakes its loop by then: waking costs more than most of
- * what is due.
+ * The timers of a loop, in a binary heap in which each deadline knows its index. A deadline with an earliest
+ * instant may run as soon as the loop is awake for another reason, because a wake-up costs more than most
+ * actions do.
  */
 public final class Deadlines {
     private Deadline[] heap = new Deadline[64];
     private int count;
     private long sequence;
     private final OwnerThread owner = new OwnerThread();
-    /** Those that may come early; few. */
+    /** Deadlines with an earliest instant; there are few, so a list is enough. */
     private final List<Deadline> earlyRunnable = new ArrayList<>();
 
-    /** One deadline: it may be set, moved and called off any number of times. */
+    /** A timer that may be set, moved and cancelled any number of times. */
     public static final class Deadline {
         private final Runnable action;
         private long dueAt;
-        /** From when on it may ride. */
+        /** The instant from which it may run early. */
         private long earliest;
 
         private boolean mayRunEarly;
@@ -32,7 +32,7 @@
             this.action = action;
         }
 
-        /** True while it has yet to run. */
+        /** True if it is set and has not run yet. */
         public boolean isSet() {
             return index >= 0;
         }
@@ -42,19 +42,19 @@
         }
     }
 
-    /** A deadline that is not set yet. */
+    /** Creates a deadline without setting it. */
     public Deadline create(Runnable action) {
         return new Deadline(action);
     }
 
-    /** Sets a deadline that nobody will move. */
+    /** Creates a deadline and sets it. */
     public Deadline at(long micros, Runnable action) {
         Deadline deadline = create(action);
         set(deadline, micros);
         return deadline;
     }
 
-    /** Sets or moves it. */
+    /** Sets or moves a deadline. */
     public void set(Deadline deadline, long micros) {
         cancel(deadline);
         deadline.dueAt = micros;
@@ -65,7 +65,7 @@
         siftUp(count++, deadline);
     }
 
-    /** Sets or moves it: it runs by then, and from the earlier instant on as soon as its loop is awake. */
+    /** Sets or moves a deadline that may run early, from the earlier instant on, if the loop is awake. */
     public void set(Deadline deadline, long earliest, long micros) {
         set(deadline, micros);
         deadline.earliest = earliest;
@@ -73,9 +73,9 @@
         earlyRunnable.add(deadline);
     }
 
-    /** Calls it off, if it is set. */
+    /** Cancels a deadline; does nothing if it is not set. */
     public void cancel(Deadline deadline) {
-        assert owner.isCurrent() : "deadlines are their loop's own";
+        assert owner.isCurrent() : "deadlines used outside their loop's thread";
         int index = deadline.index;
         if (index < 0) {
             return;
@@ -96,12 +96,12 @@
         }
     }
 
-    /** The earliest instant, or {@link Long#MAX_VALUE}. */
+    /** The instant of the earliest deadline, or {@link Long#MAX_VALUE} if none is set. */
     public long next() {
         return count == 0 ? Long.MAX_VALUE : heap[0].dueAt;
     }
 
-    /** Runs all that are due; one set anew for the past by an action runs too. */
+    /** Runs all deadlines that are due, including those that an action sets to an instant already past. */
     public void runDue(long now) {
         while (count > 0 && heap[0].dueAt <= now) {
             Deadline due = heap[0];
@@ -110,12 +110,12 @@
         }
     }
 
-    /** Runs those that may ride from then on; the loop is awake for something else. */
+    /** Runs the deadlines whose earliest instant has come; called when the loop is awake for another reason. */
     public void runEarly(long now) {
         if (earlyRunnable.isEmpty()) {
             return;
         }
-        // An action may set and call off any of them, itself among them: each is looked at once.
+        // An action may set or cancel any deadline, its own included: a copy visits each once.
         for (Deadline deadline : earlyRunnable.toArray(new Deadline[0])) {
             if (deadline.mayRunEarly && deadline.earliest <= now) {
                 cancel(deadline);
--- a/src/main/java/laneflow/core/DurableJobService.java
+++ b/src/main/java/laneflow/core/DurableJobService.java
@@ -4,17 +4,17 @@
 import java.util.function.Consumer;
 
 /**
- * Who keeps jobs beyond their client's connection, as the fronts see it. Fronts have none where durable jobs
- * are off. Answers come on the loop, at once or later.
+ * The interface through which fronts hand in jobs that outlive their client's connection. Fronts have none if
+ * durable jobs are off. Callbacks run on the loop, before the method returns or later.
  */
 public interface DurableJobService {
     /**
-     * A job to be kept.
+     * A job to be stored.
      *
      * @param function the Gearman function, or empty
-     * @param key what marks the same job handed in again, or empty
-     * @param notBeforeMs it is not begun before that instant of the wall clock; 0: at once
-     * @param exact the same key with another body is a mistake, not the same job
+     * @param key the key by which a repeated submission of the same job is recognised, or empty
+     * @param exact whether the same key with another body is an error rather than the same job
+     * @param notBeforeMs the earliest start in Unix time in milliseconds; 0 for no limit
      */
     record Submission(
             int jobClass,
@@ -29,7 +29,7 @@
             int urgency,
             long notBeforeMs) {
 
-        /** One that may begin at once. */
+        /** A submission that may start at once. */
         public Submission(
                 int jobClass,
                 String function,
@@ -45,25 +45,31 @@
         }
     }
 
-    /** What became of a submission. */
+    /** How a submission ended. */
     enum SubmissionOutcome {
         /** It is on disk. */
         ACCEPTED,
-        /** No room: refused, to be tried again later. */
+        /** The store has no room; the client may retry later. */
         FULL,
-        /** The key belongs to another job. */
+        /** The key belongs to a job with another body. */
         KEY_CONFLICT,
-        /** The store takes nothing more until a restart. */
+        /** The store accepts nothing more until a restart. */
         STORE_BROKEN
     }
 
-    /** The word on a submission: the job's id, or when to come back, in seconds. */
+    /** The result of a submission: the job's id, or the seconds after which to retry. */
     record SubmissionResult(SubmissionOutcome outcome, long id, double retryAfter) {}
 
-    /** One attempt, for whoever asks. Times are Unix time in milliseconds. */
+    /** An attempt as shown to clients. Times are Unix time in milliseconds. */
     record AttemptView(int number, String endpoint, long leasedMs, long endMs, String known) {}
 
-    /** A job as it stands; the result is null unless it is done. */
+    /**
+     * A job's current state as shown to clients.
+     *
+     * @param result null unless the job is done
+     * @param running whether an endpoint is working on it
+     * @param done the part done, out of {@code total}, as last reported
+     */
     record JobView(
             long id,
             String jobClass,
@@ -78,7 +84,7 @@
             long done,
             long total) {}
 
-    /** What became of a wish to cancel. */
+    /** How a request to cancel a job ended. */
     enum CancelOutcome {
         CANCELLED,
         NOT_FOUND,
@@ -86,24 +92,24 @@
         BUSY
     }
 
-    /** Whether HTTP clients may hand in jobs of this class to be kept. */
+    /** Whether HTTP clients may submit durable jobs of this class. */
     boolean accepts(int jobClass);
 
-    /** Takes a job on; the word comes when it is on disk, or will not be. */
+    /** Submits a job; the callback runs once the job is on disk or is rejected. */
     void submit(Submission submission, Consumer<SubmissionResult> answer);
 
-    /** Looks a job up; null where there is none. */
+    /** Looks a job up, its result included; passes null if there is no such job. */
     void view(long id, Consumer<JobView> answer);
 
-    /** A job's state as the loop knows it, its result left out; null where there is none. */
+    /** A job's state as held in memory, without its result; null if there is no such job. */
     JobView peek(long id);
 
-    /** Cancels a job that has not begun. */
+    /** Cancels a job that has not started. */
     void cancel(long id, Consumer<CancelOutcome> answer);
 
     /**
-     * A word on an attempt that came by another way than its call, as after a restart; false: no such
-     * attempt.
+     * Reports the result of an attempt that did not arrive through the attempt itself, for example after a
+     * restart. Returns false if there is no such attempt.
      */
     boolean lateOutcome(long id, int lease, boolean served, byte[] result);
 }
--- a/src/main/java/laneflow/core/Endpoint.java
+++ b/src/main/java/laneflow/core/Endpoint.java
@@ -4,41 +4,41 @@
 import java.util.Arrays;
 import laneflow.decision.Dispatch.State;
 
-/** A worker, as the endpoint set holds it. */
+/** A worker as held in the {@link EndpointSet}. */
 public final class Endpoint {
     public final String name;
-    /** The module's number for it: drawn from its name, and so the same at every scheduler. */
+    /** Its id in the decision module, derived from the name and so the same at every scheduler. */
     public final long id;
 
     public final Connector connector;
-    /** Where its connector finds it; the core does not read this. */
+    /** The address for its connector; the core does not read it. */
     public String dial = "";
 
     public int zone;
     public int kind;
     public int cell;
     public double weight = 1;
-    /** Its last start on the loop's clock; 0: long ago. */
+    /** Its last start on the loop's clock; 0 if long ago. */
     public long startedAt;
-    /** The classes it runs, a bit each. */
+    /** The classes it runs, one bit each. */
     public long classes = -1;
-    /** The functions it runs, by number; null: any of its classes. */
+    /** The ids of the functions it runs; null for any function of its classes. */
     public long[] abilities;
 
     State state = State.READY;
-    /** How many calls in a row have come to no connection. */
+    /** Consecutive attempts that could not connect. */
     int connectFailures;
-    /** When this scheduler was told that it drains or is gone. */
+    /** When this scheduler learned that it drains or is gone. */
     long drainNotifiedAt = Long.MAX_VALUE;
 
     public Endpoint(String name, Connector connector) {
         this.name = name;
         this.connector = connector;
-        // Shares of a cold endpoint's budget follow from the number, so all schedulers must agree on it.
+        // The schedulers' shares of a cold endpoint's budget are derived from the id, so all must agree on it.
         this.id = stableId(name);
     }
 
-    /** A number drawn from a text, the same everywhere: FNV-1a. */
+    /** Hashes a text to an id that is the same in every process (64-bit FNV-1a). */
     public static long stableId(String text) {
         long hash = 0xcbf29ce484222325L;
         for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
@@ -47,7 +47,7 @@
         return hash;
     }
 
-    /** True if an entry says nothing new of it. */
+    /** True if the entry changes nothing about this endpoint. */
     boolean matches(EndpointSet.Entry entry) {
         return state == entry.state
                 && dial.equals(entry.dial)
--- a/src/main/java/laneflow/core/EndpointSet.java
+++ b/src/main/java/laneflow/core/EndpointSet.java
@@ -13,18 +13,18 @@
 import org.agrona.collections.LongHashSet;
 
 /**
- * The endpoints that may be called, by name, as their sources (discovery, connected workers, a file) tell of
- * them. A whole list speaks for its own source only, so the module is told of changes.
+ * The known endpoints by name, as listed by their sources (discovery, connected workers, a file). A full list
+ * replaces the endpoints of its own source only, so the decision module is given changes.
  */
 public final class EndpointSet {
     private final Map<String, Endpoint> byName = new HashMap<>();
     private final Map<Long, Endpoint> byId = new HashMap<>();
-    /** The numbers of all that were ever listed: operators may speak of those that are gone. */
+    /** The ids of all endpoints ever listed: operators may name one that is gone. */
     private final LongHashSet everListed = new LongHashSet();
-    /** The names of those that operators have set down, listed now or not. */
+    /** The names of the endpoints that operators have set down, whether listed now or not. */
     private final TreeSet<String> downNames = new TreeSet<>();
 
-    /** One line of a list. */
+    /** An endpoint as listed by its source. */
     public static final class Entry {
         public String name;
         public String dial = "";
@@ -35,14 +35,15 @@
         public double weight = 1;
         public long startedAt;
         public long classes = -1;
-        /** What it can do at once, and the rack it stands in, empty: one of its own; for planning only. */
+        /** How many slots it runs at once; used for planning maintenance only. */
         public double slots = 1;
 
+        /** The rack it stands in, empty for a rack of its own; used for planning maintenance only. */
         public String rack = "";
-        /** Numbers of functions by {@link Endpoint#stableId}, in ascending order; null: any function. */
+        /** Ids of its functions by {@link Endpoint#stableId}, in ascending order; null for any function. */
         public long[] abilities;
 
-        /** The same in another state. */
+        /** A copy in another state. */
         Entry withState(State newState) {
             Entry copy = new Entry();
             copy.name = name;
@@ -61,7 +62,7 @@
         }
     }
 
-    /** Takes a list in, told at that instant, and returns what has changed, as the module reads it. */
+    /** Applies a list that was received at the given instant and returns the changes for the decision module. */
     List<Worker> apply(Connector connector, boolean fullList, List<Entry> entries, long notifiedAt) {
         List<Worker> changes = new ArrayList<>();
         Map<String, Entry> listed = new HashMap<>();
@@ -106,7 +107,7 @@
         return changes;
     }
 
-    /** The endpoints of one source. */
+    /** The endpoints of one source, in any state. */
     List<Endpoint> ofSource(Connector connector) {
         List<Endpoint> all = new ArrayList<>();
         for (Endpoint endpoint : byName.values()) {
@@ -137,12 +138,12 @@
         return worker;
     }
 
-    /** True if an endpoint of that name was ever listed, or is set down. */
+    /** True if an endpoint of that name was ever listed or is set down. */
     public boolean isKnown(String name) {
         return everListed.contains(Endpoint.stableId(name)) || downNames.contains(name);
     }
 
-    /** The names of the endpoints that are set down, in order. */
+    /** The names of the endpoints that are set down, sorted. */
     public Set<String> downNames() {
         return Collections.unmodifiableSet(downNames);
     }
@@ -155,7 +156,7 @@
         }
     }
 
-    /** By name: a call may hold on to an endpoint that has left the set, and been listed anew, meanwhile. */
+    /** Looks up by name: an attempt may hold an object that was removed and listed anew in the meantime. */
     boolean isDown(Endpoint endpoint) {
         return downNames.contains(endpoint.name);
     }
@@ -164,7 +165,7 @@
         return byId.get(id);
     }
 
-    /** Drops those of them that are gone; calls still out hold on to theirs. */
+    /** Removes the changed endpoints that are gone; open attempts keep their reference. */
     void removeGone(List<Worker> changes) {
         for (Worker change : changes) {
             Endpoint endpoint = change.state == State.GONE ? byId.get(change.id) : null;
@@ -180,7 +181,7 @@
         return byName.get(name);
     }
 
-    /** All that are held, whatever their state. */
+    /** Runs the action on every endpoint, whatever its state. */
     public void forEach(Consumer<Endpoint> action) {
         byName.values().forEach(action);
     }
--- a/src/main/java/laneflow/core/Front.java
+++ b/src/main/java/laneflow/core/Front.java
@@ -2,48 +2,55 @@
 
 import laneflow.decision.Dispatch.Outcome;
 
-/** Where requests come from. For each one exactly one of the answers is called, unless it was withdrawn. */
+/**
+ * A source of requests. For each request exactly one of {@link #served}, {@link #refused} and {@link #failed}
+ * is called, unless the request was withdrawn.
+ */
 public interface Front {
-    /** The name under which its requests are counted. */
+    /** The prefix of this front's counters. */
     String name();
 
-    /** An endpoint has done the job. */
+    /** An endpoint has completed the job. */
     void served(long tag, byte[] result);
 
-    /** Refused: not served, and trying again, after that many seconds if above 0, does no harm. */
+    /**
+     * The request was not served, and a retry is safe.
+     *
+     * @param retryAfter seconds to wait before the retry; 0 if not stated
+     */
     void refused(long tag, double retryAfter);
 
-    /** Not served, and it may have had its effect. */
+    /** The request was not served, but may have been executed. */
     void failed(long tag);
 
-    /** True if its client is known to have gone, or is seen to have now: its connection has ended. */
+    /** True if the client's connection has ended, as already recorded or as found by checking it now. */
     default boolean hasLeft(long tag) {
         return false;
     }
 
-    /** An endpoint has started on it. */
+    /** An endpoint has started the job. */
     default void started(long tag) {}
 
     /**
-     * Whether its calls go out under leases: then each is handed to {@link #recordLease} first, and goes out with
-     * {@link Scheduler#openRequests}.
+     * Whether attempts need a lease: if so, each one is passed to {@link #recordLease} first and sent by
+     * {@link Scheduler#sendLeased}.
      */
     default boolean usesLeases() {
         return false;
     }
 
-    /** A call is to go out: it does once {@link Scheduler#openRequests} is called, or ends unsent. */
+    /** Records the lease of an attempt, which is sent by {@link Scheduler#sendLeased} or ends unsent. */
     default void recordLease(Attempt attempt) {}
 
-    /** Under leases: a call has ended, and the request may go on. */
+    /** With leases: an attempt has ended; the request itself may continue. */
     default void attemptEnded(Attempt attempt, Outcome outcome) {}
 
-    /** Under leases: an endpoint's word on a call that had ended already. */
+    /** With leases: an endpoint's result for an attempt that had already ended. */
     default void lateOutcome(Attempt attempt, Outcome outcome, byte[] result) {}
 
-    /** Under leases: the endpoint is at it still. */
+    /** With leases: the endpoint is still working on the attempt. */
     default void stillRunning(Attempt attempt) {}
 
-    /** An endpoint's word on how much is done. */
+    /** An endpoint reports how much of the job is done. */
     default void progress(long tag, long done, long total) {}
 }
--- a/src/main/java/laneflow/core/OwnerThread.java
+++ b/src/main/java/laneflow/core/OwnerThread.java
@@ -1,8 +1,8 @@
 package laneflow.core;
 
 /**
- * The thread that owns what is not locked: the first one that touches it. Asked in assertions, which are on
- * in tests: there a call from another thread shows, and in service it costs nothing.
+ * The thread that owns an unsynchronized object: the first one to use it. It is checked in assertions only,
+ * which are enabled in tests and cost nothing in production.
  */
 final class OwnerThread {
     private Thread thread;
--- a/src/main/java/laneflow/core/Payload.java
+++ b/src/main/java/laneflow/core/Payload.java
@@ -1,12 +1,13 @@
 package laneflow.core;
 
 /**
- * What a client hands in, in words that no wire owns; fronts and connectors read it, the core does not.
+ * The content of a client's request, independent of the protocol. Fronts and connectors read it, the core does
+ * not.
  *
- * @param verb what is to be done with the target
- * @param target what is asked for, its parameters included
- * @param requestId the client's name for the request
- * @param repeatKey what marks repeats of one and the same job, or null
- * @param body the job itself
+ * @param verb the method to apply to the target
+ * @param target the requested resource with its parameters
+ * @param requestId the client's id for the request
+ * @param repeatKey the idempotency key by which endpoints recognise repeats of a job, or null
+ * @param body the job's content
  */
 public record Payload(String verb, String target, String requestId, String repeatKey, byte[] body) {}
--- a/src/main/java/laneflow/core/Request.java
+++ b/src/main/java/laneflow/core/Request.java
@@ -7,30 +7,30 @@
 /** A client's request, from its arrival to its one final answer. */
 public final class Request {
     public final Front front;
-    /** The front's own mark for it, handed back with the answer. */
+    /** The front's own identifier, passed back with the answer. */
     public final long tag;
 
     public final Payload payload;
     public final int jobClass;
-    /** The instant at which its client gives up. */
+    /** The instant at which the client stops waiting. */
     public final long deadline;
-    /** Expected running time on a standard core in seconds; NaN where it is not known. */
+    /** Expected running time on a standard core in seconds; NaN if unknown. */
     public double hint = Double.NaN;
 
     public double slots = 1;
     public double memory;
-    /** Whose it is, by the settings' tenants; -1: nobody's that is known. */
+    /** The index of its tenant in the settings; -1 if unknown. */
     public int tenant = -1;
-    /** What it concerns, as its wire told: kept with a durable job, and nothing is decided by it. */
+    /** What the request is about, as sent by the client: stored with a durable job, not used in decisions. */
     public long subject;
-    /** Which of several waiting at one endpoint goes first: the higher. */
+    /** Priority among requests that wait at the same endpoint: the higher goes first. */
     public int urgency;
-    /** The name by which a wire with functions knows the job, or null: any function of its class will do. */
+    /** The job's function on a protocol that has functions, or null: any endpoint of its class will do. */
     public String function;
-    /** The name by which such a wire tells the job from others of its function, or null. */
+    /** The key that identifies the job among those of its function on such a protocol, or null. */
     public String unique;
 
-    /** What held when it came: a version adopted since is for those that come later. */
+    /** The class settings when the request arrived: settings adopted later apply to later requests only. */
     JobClass type;
 
     int maxAttempts;
@@ -39,11 +39,11 @@
     long handle;
     long acceptedAt;
     boolean answered;
-    /** It waits, undecided, for a policy that is about to begin. */
+    /** It waits for the admission gate, which is about to open. */
     boolean held;
 
     int attemptCount;
-    /** A call of it was taken up by an endpoint's connection, whatever came of it. */
+    /** An attempt was taken up by an endpoint's connection, whatever its outcome. */
     boolean forwarded;
 
     Attempt openAttempt;
@@ -62,14 +62,14 @@
         return firstMayHaveRunAt < Long.MAX_VALUE;
     }
 
-    /** When the first call was sent that may have run. */
+    /** When the first attempt that may have run was sent. */
     long firstMayHaveRunAt() {
         return firstMayHaveRunAt;
     }
 
     /**
-     * Before it is submitted: another scheduler, or this one before a restart, sent it then, and it may
-     * have run.
+     * Records, before submission, that an earlier attempt may have run: it was sent at that instant by another
+     * scheduler, or by this one before a restart.
      */
     public void mayHaveRunSince(long instant) {
         markMayHaveRun(instant);
@@ -79,7 +79,7 @@
         firstMayHaveRunAt = Math.min(firstMayHaveRunAt, sentAt);
     }
 
-    /** Which state of the settings it came under; see {@link Scheduler#settingsChanged}. */
+    /** The settings epoch in which it arrived; see {@link Scheduler#settingsChanged}. */
     public int epoch() {
         return epoch;
     }
--- a/src/main/java/laneflow/core/Scheduler.java
+++ b/src/main/java/laneflow/core/Scheduler.java
@@ -20,26 +20,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The core: the life of every request, whichever wire it came on. It reports events to the module, carries
- * out the module's actions, and holds the rules itself whatever is asked of it: one final answer, one
- * attempt at a time, none to an endpoint later than the grace after the word of its drain, no
- * repeat of what may have run. Not thread-safe: one thread owns it.
+ * The core: handles every request from arrival to answer, whatever its protocol. It reports events to the
+ * decision module, carries out the module's actions, and enforces these rules itself, whatever the module asks
+ * for: one final answer, one attempt at a time, no attempt to an endpoint once the grace after the notice of its
+ * drain has passed, and no repeat of a request that may have run unless its class allows it. Not thread-safe:
+ * one thread owns it.
  */
 public final class Scheduler {
     private static final Logger LOG = LoggerFactory.getLogger(Scheduler.class);
-    /** What {@link #countsByClass} counts of each class. */
+    /** Indices of the counts of a class in {@link #countsByClass}. */
     public static final int ACCEPTED = 0;
 
     public static final int FAILED = 1;
     public static final int CONNECT_FAILED = 2;
     public static final int REFUSED = 3;
     public static final int COUNTS_PER_CLASS = 4;
-    /** So long, in microseconds, a request waits for a policy that is about to begin; no longer. */
+    /** How long a request waits, in microseconds, for the admission gate to open. */
     private static final long MAX_HOLD_MICROS = 10_000;
 
     /**
-     * The process may be held up for so long, in microseconds, between reading its clock and writing. Deadlines and
-     * windows have slack for that by the operators' page; the grace of a drain has to cover it.
+     * How long the process may stall, in microseconds, between reading its clock and writing. Deadlines and key
+     * windows have slack for such stalls; the grace of a drain has none, so this is subtracted from it.
      */
     private static final long MAX_STALL_MICROS = 150_000;
 
@@ -52,7 +53,7 @@
     private final EndpointSet endpoints = new EndpointSet();
     private final SlotTable<Request> requests = new SlotTable<>();
     private final SlotTable<Attempt> attempts = new SlotTable<>();
-    /** Events that came up while the module was at work: it must not be called from its own actions. */
+    /** Events raised while the module runs: it must not be called from its own actions. */
     private final ArrayDeque<Runnable> pendingEvents = new ArrayDeque<>();
 
     private final Dispatch.Request requestView = new Dispatch.Request();
@@ -60,13 +61,13 @@
     private final OwnerThread owner = new OwnerThread();
     private boolean dispatching;
     private int epoch;
-    /** Null where nobody else has a say. */
+    /** Null if there is no gate: the scheduler always decides. */
     private AdmissionGate admissionGate;
-    /** Endpoints that the policy in force bans, beside those that operators have set down here. */
+    /** Endpoints banned by the policy in force, apart from those that operators have set down here. */
     private volatile Set<String> banned = Set.of();
 
     private final long[][] countsByClass;
-    /** Null where nobody listens. */
+    /** Null if none is set. */
     private AttemptListener attemptListener;
 
     public Scheduler(Settings settings, long seed, Clock clock, Deadlines deadlines, Counters counters) {
@@ -79,45 +80,45 @@
         countsByClass = new long[settings.classes.length][COUNTS_PER_CLASS];
     }
 
-    /** Starts with the list of endpoints last held, or an empty one. */
+    /** Starts with the endpoints known from the last run, or with none. */
     public void start(Connector connector, List<EndpointSet.Entry> known) {
         dispatch(() -> module.start(now()));
         List<Dispatch.Worker> workers = endpoints.apply(connector, true, known, clock.micros());
         dispatch(() -> module.list(now(), ListKind.CACHED, workers));
     }
 
-    /** A source's word on its endpoints: changes, or all that it has. */
+    /** Applies a source's list of its endpoints: changes, or its full list. */
     public void list(Connector connector, boolean fullList, List<EndpointSet.Entry> entries) {
         list(connector, fullList, entries, clock.micros());
     }
 
     /**
-     * The same, learned late.
+     * Applies a list that is read later than it was received.
      *
-     * @param notifiedAt since when, in microseconds of the clock, it may count as told: the grace of a drain runs
-     *     from there
+     * @param notifiedAt the instant, in microseconds of the clock, at which the list counts as received; the
+     *     grace of a drain runs from there
      */
     public void list(Connector connector, boolean fullList, List<EndpointSet.Entry> entries, long notifiedAt) {
         List<Dispatch.Worker> changes = endpoints.apply(connector, fullList, entries, notifiedAt);
         if (!changes.isEmpty()) {
             dispatch(() -> module.list(now(), ListKind.CHANGES, changes));
-            // Replaced endpoints come under new names: kept, the old ones would pile up with every release.
+            // Replacements come under new names: if kept, the old endpoints would pile up with every release.
             dispatch(() -> endpoints.removeGone(changes));
         }
     }
 
-    /** Operators want nothing more sent there, whatever lists say; repeats change nothing. */
+    /** Stops sending to an endpoint on an operator's command, whatever lists say; idempotent. */
     public void setDown(String name) {
         endpoints.setDown(name, true);
         dispatch(() -> module.setDown(now(), Endpoint.stableId(name)));
     }
 
-    /** This process is that part of the scheduler; the rest is another process's that it takes over from. */
+    /** Sets the share of the scheduler's work that this process does; the rest is still with its predecessor. */
     public void setShare(double share) {
         dispatch(() -> module.share(now(), share));
     }
 
-    /** The endpoint is to be used again. */
+    /** Allows sending to an endpoint that was set down; a ban by the policy stays. */
     public void setUp(String name) {
         endpoints.setDown(name, false);
         if (!banned.contains(name)) {
@@ -125,7 +126,7 @@
         }
     }
 
-    /** Exactly these are banned from now on, besides those that are set down; calls that are out go on. */
+    /** Sets the banned endpoints, apart from those that are set down; open attempts go on. */
     public void ban(Set<String> names) {
         Set<String> before = banned;
         banned = Set.copyOf(names);
@@ -137,7 +138,7 @@
         for (String name : before) {
             Endpoint returning = names.contains(name) ? null : endpoints.get(name);
             if (returning != null) {
-                // What was known of it before says nothing of what comes back.
+                // Failures from before the ban say nothing about the endpoint that returns.
                 returning.connectFailures = 0;
             }
             if (!names.contains(name) && !endpoints.downNames().contains(name)) {
@@ -146,12 +147,12 @@
         }
     }
 
-    /** Those that are banned so; on any thread. */
+    /** The banned endpoints; may be called on any thread. */
     public Set<String> banned() {
         return banned;
     }
 
-    /** Those of them to which a call is out still. */
+    /** The banned endpoints that still have an open attempt. */
     public Set<String> bannedWithOpenAttempts() {
         Set<String> names = new HashSet<>();
         if (!banned.isEmpty()) {
@@ -164,7 +165,7 @@
         return names;
     }
 
-    /** Endpoints to which the last so many calls came to no connection, or more. */
+    /** Endpoints at which at least so many attempts in a row failed to connect, without the banned ones. */
     public Set<String> unreachable(int minFailures) {
         Set<String> names = new HashSet<>();
         endpoints.forEach(endpoint -> {
@@ -176,15 +177,15 @@
     }
 
     /**
-     * Adds the slots of all requests that are open to what is there, by tenant and class; the last row is
-     * that of those whose tenant is not known.
+     * Adds the slots of all open requests to the totals, by tenant and class; the last row is for requests of
+     * an unknown tenant.
      */
     public void addDemand(double[][] totals) {
         requests.forEach(request ->
                 totals[request.tenant < 0 ? totals.length - 1 : request.tenant][request.jobClass] += request.slots);
     }
 
-    /** Hears of every call that goes out, and of its end behind the module. */
+    /** Is notified of every attempt sent and, after the module, of its end. */
     public interface AttemptListener {
         void sent(Endpoint endpoint);
 
@@ -195,7 +196,7 @@
         attemptListener = listener;
     }
 
-    /** Another scheduler's report of an endpoint, so many seconds old and newer than any own one. */
+    /** Passes on another scheduler's load report of an endpoint, which is newer than any of this one's. */
     public void reportFromPeer(long endpoint, double ageSeconds, LoadReport report) {
         LoadReport copy = new LoadReport();
         copy.freeSlots = report.freeSlots;
@@ -203,13 +204,13 @@
         dispatch(() -> module.probed(now(), endpoint, ageSeconds, Outcome.MOOT, copy));
     }
 
-    /** From now on requests are decided on only while it lets them be. */
+    /** Sets the gate that says whether requests may be decided on. */
     public void setAdmissionGate(AdmissionGate gate) {
         admissionGate = gate;
     }
 
     /**
-     * A whole set of a source, to be prepared in steps and then adopted at once.
+     * Creates an update that replaces all endpoints of a source: prepared in steps, then adopted at once.
      *
      * @param names the names of all entries
      */
@@ -218,15 +219,15 @@
     }
 
     /**
-     * What may change of the settings has changed; requests that are open keep what they came under. Returns
-     * the number that those to come carry ({@link Request#epoch}).
+     * Must be called after a change of the settings; open requests keep the settings they arrived under. Returns
+     * the epoch of the requests that arrive from now on ({@link Request#epoch}).
      */
     public int settingsChanged() {
         dispatch(module::retuned);
         return ++epoch;
     }
 
-    /** Counts by class since the start; the array is the core's own and changes. */
+    /** Counts by class since the start; the array is live, not a copy. */
     public long[][] countsByClass() {
         return countsByClass;
     }
@@ -243,19 +244,19 @@
         return counters;
     }
 
-    /** Requests taken that have no answer yet. */
+    /** The number of accepted requests without an answer. */
     public int openRequests() {
         return requests.size();
     }
 
     // ---- from fronts ----
 
-    /** Takes a request in; the answer may come before this returns. */
+    /** Accepts a request; the answer may come before this returns. */
     public void submit(Request request) {
         if (admissionGate != null && !admissionGate.mayDecide()) {
             long wait = admissionGate.microsUntilOpen();
             if (wait <= MAX_HOLD_MICROS && !request.held) {
-                // It is about to decide: turned away, a client would be away for longer than that takes.
+                // The gate is about to open: a refused client would come back later than that.
                 request.held = true;
                 counters.add(request.front.name() + ".held");
                 deadlines.at(clock.micros() + wait, () -> {
@@ -266,7 +267,7 @@
                 return;
             }
             request.answered = true;
-            // It came under no state of the settings: nothing decided on it.
+            // No settings applied to it: no decision was made.
             request.epoch = -1;
             counters.add(request.front.name() + ".fenced");
             request.front.refused(request.tag, admissionGate.retryAfter());
@@ -279,12 +280,12 @@
         request.maxAttempts = settings.maxAttempts;
         request.epoch = epoch;
         if (!request.front.usesLeases()) {
-            // Durable jobs come as there is room for them: they show nothing of who is away.
+            // Durable jobs are submitted as there is room for them: they say nothing about other schedulers.
             arrivalRate.add(request.acceptedAt);
         }
         counters.add(request.front.name() + ".taken");
         countsByClass[request.jobClass][ACCEPTED]++;
-        // The module answers in time by itself; this catches what would otherwise stay without an answer.
+        // Backstop: the module is expected to answer before the deadline.
         request.backstop = deadlines.at(request.deadline, () -> deadlinePassed(request));
         dispatch(() -> {
             request.copyTo(requestView);
@@ -292,7 +293,7 @@
         });
     }
 
-    /** The client has left: its request is withdrawn. */
+    /** Withdraws a request whose client has disconnected. */
     public void withdraw(Request request) {
         if (request.answered) {
             return;
@@ -308,8 +309,8 @@
     }
 
     /**
-     * Nobody waits for the request any more: its call is closed unless its endpoint has the whole of it. That
-     * is no cancelling of work, and so not a matter of whether the settings allow it.
+     * Closes the attempt of a request that nobody waits for any more, unless its endpoint has received all of
+     * it. This cancels no work, so it does not depend on whether the settings allow cancelling.
      */
     private void closeUnsent(Request request) {
         Attempt attempt = request.openAttempt;
@@ -318,7 +319,7 @@
         }
     }
 
-    /** No call outlives its request's deadline: with cancelling off, a silent endpoint would hold it on. */
+    /** Closes the attempt at the deadline: with cancelling off, a silent endpoint would keep it open. */
     private void deadlinePassed(Request request) {
         if (!request.answered) {
             counters.add("core.overdue");
@@ -337,12 +338,12 @@
         }
     }
 
-    /** True if requests have grown much of late, as where a sibling is away and its clients came here. */
+    /** True if the arrival rate has jumped, as when another scheduler is down and its clients have moved here. */
     public boolean hasArrivalSurge() {
         return arrivalRate.isSurge(clock.micros());
     }
 
-    /** Gives up what was taken since then and is still open: clients hear so, and may go elsewhere. */
+    /** Ends the open requests accepted since that instant: their clients get an answer and may retry elsewhere. */
     public void abandonSince(long instant) {
         requests.forEach(request -> {
             if (request.acceptedAt >= instant) {
@@ -364,8 +365,8 @@
     // ---- from connectors ----
 
     /**
-     * Whether a call's first byte, or its last one where that was held back, may go out at this instant: the
-     * connection may have come up late, or the call may have waited to be grabbed.
+     * Whether an attempt's first byte, or its last byte if that was held back, may be sent now: the connection
+     * may have opened late, or the attempt may have waited for a worker to grab it.
      */
     public boolean maySend(Attempt attempt) {
         String reason = blockReasonNow(attempt);
@@ -375,13 +376,13 @@
         return reason == null;
     }
 
-    /** What has come to speak against a call since it was decided on; null if nothing has. */
+    /** Why an attempt may not be sent any more, as a counter's suffix; null if it may. */
     private String blockReasonNow(Attempt attempt) {
         if (attempts.get(attempt.handle) != attempt || attempt.request.answered) {
-            // Its client has left or has its answer.
+            // The client has left or has been answered.
             return "answered";
         }
-        // In the turn of the decision that was looked at before it.
+        // In the turn of the decision this was checked before the decision.
         if (attempt.sentAt != clock.micros() && attempt.request.front.hasLeft(attempt.request.tag)) {
             return "left";
         }
@@ -394,7 +395,7 @@
         return mayRepeat(attempt.request) ? null : "effect";
     }
 
-    /** Sends a call whose lease is on record; false if it has ended meanwhile. */
+    /** Sends an attempt whose lease is recorded; false if it has ended in the meantime. */
     public boolean sendLeased(Attempt attempt) {
         boolean open = attempts.get(attempt.handle) == attempt;
         if (open) {
@@ -404,8 +405,8 @@
     }
 
     /**
-     * A call's lease has run out. What must not run twice is listened to on: its endpoint's late word is all
-     * that can still settle it.
+     * Ends an attempt whose lease has expired. For a class that must not run twice the connection stays open:
+     * only a late result from the endpoint can still settle the job.
      */
     public void leaseExpired(Attempt attempt) {
         if (attempts.get(attempt.handle) == attempt) {
@@ -417,7 +418,7 @@
         }
     }
 
-    /** The endpoint is at it still. */
+    /** The endpoint is still working on the attempt. */
     public void stillRunning(Attempt attempt) {
         if (attempts.get(attempt.handle) == attempt && attempt.request.front.usesLeases()) {
             attempt.request.front.stillRunning(attempt);
@@ -431,7 +432,7 @@
                         || clock.currentMicros() < endpoint.drainNotifiedAt + grace);
     }
 
-    /** True if operators want nothing sent there: what was about to go there goes elsewhere. */
+    /** True if the endpoint is set down or banned: attempts must go elsewhere. */
     public boolean isDown(Endpoint endpoint) {
         return endpoints.isDown(endpoint) || banned.contains(endpoint.name);
     }
@@ -444,7 +445,7 @@
                         && clock.currentMicros() < request.firstMayHaveRunAt() + (long) (type.window * 1e6);
     }
 
-    /** The endpoint has started on it. */
+    /** The endpoint has started the job. */
     public void started(Attempt attempt) {
         counters.add("call.started");
         reportNote(attempt, Note.STARTED, 0);
@@ -454,7 +455,7 @@
         }
     }
 
-    /** The endpoint has done a part of it. */
+    /** The endpoint has done a part of the job. */
     public void progress(Attempt attempt, long done, long total) {
         reportNote(attempt, Note.PROGRESS, total > 0 ? Math.min(1, Math.max(0, (double) done / total)) : 0);
         stillRunning(attempt);
@@ -463,7 +464,7 @@
         }
     }
 
-    /** The first bytes of its final line have come and the rest has not: the endpoint has done the job. */
+    /** The first bytes of the final line have arrived, but not all of it: the endpoint has completed the job. */
     public void answering(Attempt attempt) {
         counters.add("call.answering");
         reportNote(attempt, Note.ANSWERING, 0);
@@ -476,7 +477,10 @@
         }
     }
 
-    /** How a call ended; the result only where it was served. One that has ended already is passed over. */
+    /**
+     * Reports the end of an attempt, with a result only if it was served. If the attempt has ended already, only
+     * a front that uses leases is told.
+     */
     public void ended(Attempt attempt, Outcome outcome, byte[] result, LoadReport report) {
         Request request = attempt.request;
         if (attempts.get(attempt.handle) != attempt) {
@@ -513,25 +517,29 @@
         }
     }
 
-    /** True unless a call that ended so has not run for certain: these settings may have begun work shed. */
+    /** False if an attempt with this outcome cannot have run: with some settings even a shed one may have. */
     public boolean mayHaveRun(Outcome outcome) {
         return !outcome.neverRan || outcome == Outcome.FULL && settings.fullMayHaveRun;
     }
 
-    /** How a probe ended. */
+    /** Reports the end of a probe. */
     public void probed(Endpoint endpoint, double seconds, Outcome outcome, LoadReport report) {
         counters.add("probe." + outcome.name().toLowerCase(Locale.ROOT));
         dispatch(() -> module.probed(now(), endpoint.id, seconds, outcome, report));
     }
 
-    /** Gives a call up, which ended so unless its endpoint never had the whole of it; true if that is so. */
+    /**
+     * Closes an attempt and ends it with the outcome, or as moot if its endpoint did not receive all of it.
+     *
+     * @return true in the latter case
+     */
     private boolean close(Attempt attempt, Outcome outcome) {
         boolean unsent = attempt.endpoint.connector.close(attempt);
         endIfOpen(attempt, unsent ? Outcome.MOOT : outcome);
         return unsent;
     }
 
-    /** A connector that is told to close a call may find its answer there, and tell of that first. */
+    /** Ends the attempt unless its connector, while closing it, found the answer and reported that. */
     private void endIfOpen(Attempt attempt, Outcome outcome) {
         if (attempts.get(attempt.handle) == attempt) {
             ended(attempt, outcome, null, null);
@@ -574,14 +582,14 @@
         request.front.failed(request.tag);
     }
 
-    // ---- the module's turn ----
+    // ---- calls into the module ----
 
     private double now() {
         return Clock.seconds(clock.micros());
     }
 
     private void dispatch(Runnable event) {
-        assert owner.isCurrent() : "the core is its loop's own";
+        assert owner.isCurrent() : "scheduler used outside its loop's thread";
         pendingEvents.add(event);
         if (dispatching) {
             return;
@@ -608,7 +616,7 @@
             }
             Attempt attempt = new Attempt(request, endpoint, number, clock.micros());
             if (request.attemptCount > 0 && request.front.hasLeft(request.tag)) {
-                // Its end may lie unread behind what brought this turn, which a stall can have made late.
+                // The client's disconnect may still be unread in this turn, which a stall may have delayed.
                 counters.add("core.kept.left");
                 withdraw(request);
                 reportOutcome(attempt, Outcome.MOOT, true, null);
@@ -618,7 +626,7 @@
             String reason = blockReason(request, endpoint);
             if (reason != null) {
                 counters.add("core.kept." + reason);
-                LOG.warn("{} to {} not sent: {}", request.payload.requestId(), endpoint, reason);
+                LOG.warn("request {} not sent to {}: {}", request.payload.requestId(), endpoint, reason);
                 reportOutcome(attempt, Outcome.MOOT, false, null);
                 return;
             }
@@ -635,7 +643,7 @@
             }
         }
 
-        /** What speaks against this call, whatever the module wants; null if nothing does. */
+        /** Why this attempt may not be sent, whatever the module asks for; null if it may. */
         private String blockReason(Request request, Endpoint endpoint) {
             if (request.openAttempt != null) {
                 return "second_call";
@@ -655,7 +663,7 @@
             if (request == null) {
                 return;
             }
-            // A refusal asks the client back: what may have run must not be asked for again.
+            // A refusal invites a retry: a request that may have run must not be retried elsewhere.
             JobClass type = request.type;
             boolean elsewhere = type.effect == Effect.KEYED && type.group != Group.ALL && request.mayHaveRun();
             if (elsewhere || !mayRepeat(request)) {
@@ -675,7 +683,7 @@
             counters.add("turned_away." + refusal.reason().name().toLowerCase(Locale.ROOT));
             Request request = requests.get(id);
             if (LOG.isDebugEnabled() && request != null) {
-                LOG.debug("{} turned away: {}", request.payload.requestId(), refusal);
+                LOG.debug("request {} refused: {}", request.payload.requestId(), refusal);
             }
         }
 
@@ -690,7 +698,7 @@
         @Override
         public boolean cancel(long id, int number) {
             boolean[] unsent = new boolean[1];
-            // An answered request is off the table, but the call of one that was withdrawn is still out.
+            // An answered request is not in the table, but the attempt of a withdrawn one may still be open.
             attempts.forEach(attempt -> {
                 if (attempt.request.handle == id && attempt.number == number) {
                     unsent[0] = close(attempt, Outcome.CANCELLED);
@@ -724,7 +732,7 @@
 
         @Override
         public void watchList() {
-            // The sources of the endpoint set watch by themselves.
+            // The sources of the endpoint set watch on their own.
         }
     }
 }
--- a/src/main/java/laneflow/core/SlotTable.java
+++ b/src/main/java/laneflow/core/SlotTable.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 
 /**
- * A table of numbered slots. A handle holds the slot's number and its generation: the handle of what has
- * left finds nothing, also once the slot is taken again.
+ * A table of numbered slots. A handle holds the slot's number and its generation, so the handle of a removed
+ * item finds nothing, even after its slot was reused.
  */
 public final class SlotTable<T> {
     private Object[] items = new Object[16];
@@ -29,7 +29,7 @@
         return (long) generations[slot] << 32 | slot;
     }
 
-    /** The handle's item, or null if it has left. */
+    /** The handle's item, or null if it was removed. */
     @SuppressWarnings("unchecked")
     public T get(long handle) {
         int slot = (int) handle;
@@ -37,7 +37,7 @@
         return current ? (T) items[slot] : null;
     }
 
-    /** Takes the item out; null if it has left before. */
+    /** Removes and returns the item; null if it was removed before. */
     public T remove(long handle) {
         T item = get(handle);
         if (item != null) {
@@ -53,7 +53,7 @@
         return size;
     }
 
-    /** Calls for each item; the call may take that item out. */
+    /** Runs the action on each item; the action may remove that item. */
     @SuppressWarnings("unchecked")
     public void forEach(Consumer<? super T> action) {
         for (int i = 0; i < used; i++) {
--- a/src/main/java/laneflow/core/StagedUpdate.java
+++ b/src/main/java/laneflow/core/StagedUpdate.java
@@ -7,13 +7,13 @@
 import laneflow.decision.Dispatch.State;
 
 /**
- * A whole set in the place of what a source told before, prepared in steps of a turn each, so that the turn
- * in which it comes to hold costs what has changed of live endpoints and not what the set holds. Until then
- * no request sees any of it: what is new is known as draining, and what changes or leaves is only noted.
- * Between its first step and {@link #adopt} nobody else may speak for the source.
+ * Replaces all endpoints of a source by a new list, prepared in steps of one loop turn each, so that the cost
+ * of the turn that adopts it depends on the changes to live endpoints and not on the size of the list. Until
+ * then no request is affected: new endpoints are added as draining, and changes and removals are only
+ * collected. No other update of the same source is allowed between the first step and {@link #adopt}.
  */
 public final class StagedUpdate {
-    /** Endpoints looked at in one step. */
+    /** Endpoints processed in one step. */
     static final int STEP_SIZE = 64;
 
     private final Scheduler scheduler;
@@ -23,7 +23,7 @@
     private final Set<String> names;
     private final List<Entry> changed = new ArrayList<>();
     private final List<Entry> leavingReady = new ArrayList<>();
-    /** Leave too, but get no request as it is: there is time for them. */
+    /** Endpoints to remove that get no requests already, so they are removed after the adoption. */
     private final List<Entry> leavingDraining = new ArrayList<>();
 
     private List<Endpoint> known;
@@ -39,7 +39,7 @@
         this.names = names;
     }
 
-    /** Does a step; false once all are done. */
+    /** Does one step; returns false once all are done. */
     public boolean step() {
         if (nextEntry < entries.size()) {
             stageEntries();
@@ -57,7 +57,7 @@
             if (existing == null) {
                 staged.add(entry.withState(State.DRAINING));
             }
-            // One of another source keeps what that says of it.
+            // An endpoint of another source is left as that source lists it.
             if (existing == null
                     ? entry.state != State.DRAINING
                     : existing.connector == connector && !existing.matches(entry)) {
@@ -82,7 +82,7 @@
         }
     }
 
-    /** From here on the set holds; what was not prepared is done now. */
+    /** Puts the new list into effect, after doing the steps that are left. */
     public void adopt() {
         while (step()) {
             continue;
@@ -91,11 +91,11 @@
         scheduler.list(connector, false, changed);
     }
 
-    /** Behind it, in as many calls as it takes: forgets those that drained already; false once all are. */
+    /** After the adoption: removes a batch of endpoints that were draining already; false once none is left. */
     public boolean removeDrained() {
         int from = Math.max(0, leavingDraining.size() - STEP_SIZE);
         List<Entry> batch = leavingDraining.subList(from, leavingDraining.size());
-        // One that was named anew meanwhile is somebody's again.
+        // An endpoint that was listed again in the meantime stays.
         batch.removeIf(gone -> endpoints.get(gone.name) == null || endpoints.get(gone.name).state == State.READY);
         scheduler.list(connector, false, new ArrayList<>(batch));
         batch.clear();
--- a/src/test/java/laneflow/transcripts/Transcript.java
+++ b/src/test/java/laneflow/transcripts/Transcript.java
@@ -43,14 +43,14 @@
 
     /** Tells the story and holds what was said against the approved text beside the test that calls this. */
     static void of(String title, Scenario story) throws Exception {
-        String first = record(title, story);
+        String first = transcribe(title, story);
         for (int i = 1; i < RUNS; i++) {
-            assertEquals(first, record(title, story), "run " + (i + 1));
+            assertEquals(first, transcribe(title, story), "run " + (i + 1));
         }
         Approvals.verify(first, new Options().withReporter(QuietReporter.INSTANCE));
     }
 
-    private static String record(String title, Scenario story) throws Exception {
+    private static String transcribe(String title, Scenario story) throws Exception {
         Transcript transcript = new Transcript(title);
         story.play(transcript);
         return transcript.text.toString();
