--- a/src/main/java/laneflow/core/ArrivalRate.java
+++ b/src/main/java/laneflow/core/Arrivals.java
@@ -4,7 +4,7 @@
  * Counts arriving requests in buckets of half a second. A surge suggests that another scheduler is down and its
  * clients have moved here.
  */
-final class ArrivalRate {
+final class Arrivals {
     private static final long BUCKET_MICROS = 500_000;
     private static final int RECENT_BUCKETS = 4;
     private static final int EARLIER_BUCKETS = 12;
--- a/src/main/java/laneflow/core/Scheduler.java
+++ b/src/main/java/laneflow/core/Scheduler.java
@@ -57,7 +57,7 @@
     private final ArrayDeque<Runnable> pendingEvents = new ArrayDeque<>();
 
     private final Dispatch.Request requestView = new Dispatch.Request();
-    private final ArrivalRate arrivalRate = new ArrivalRate();
+    private final Arrivals arrivalRate = new Arrivals();
     private final OwnerThread owner = new OwnerThread();
     private boolean dispatching;
     private int epoch;
--- a/src/main/java/laneflow/core/StagedUpdate.java
+++ b/src/main/java/laneflow/core/StagedUpdate.java
@@ -20,9 +20,9 @@
     private final EndpointSet endpoints;
     private final Connector connector;
     private final List<Entry> entries;
-    private final Set<String> names;
+    private final Set<String> named;
     private final List<Entry> changed = new ArrayList<>();
-    private final List<Entry> leavingReady = new ArrayList<>();
+    private final List<Entry> leaving = new ArrayList<>();
     /** Endpoints to remove that get no requests already, so they are removed after the adoption. */
     private final List<Entry> leavingDraining = new ArrayList<>();
 
@@ -31,12 +31,12 @@
     private int nextKnown;
 
     StagedUpdate(
-            Scheduler scheduler, EndpointSet endpoints, Connector connector, List<Entry> entries, Set<String> names) {
+            Scheduler scheduler, EndpointSet endpoints, Connector connector, List<Entry> entries, Set<String> named) {
         this.scheduler = scheduler;
         this.endpoints = endpoints;
         this.connector = connector;
         this.entries = entries;
-        this.names = names;
+        this.named = named;
     }
 
     /** Does one step; returns false once all are done. */
@@ -73,11 +73,11 @@
         }
         for (int end = Math.min(known.size(), nextKnown + STEP_SIZE); nextKnown < end; nextKnown++) {
             Endpoint endpoint = known.get(nextKnown);
-            if (!names.contains(endpoint.name) && endpoint.state != State.GONE) {
+            if (!named.contains(endpoint.name) && endpoint.state != State.GONE) {
                 Entry gone = new Entry();
                 gone.name = endpoint.name;
                 gone.state = State.GONE;
-                (endpoint.state == State.READY ? leavingReady : leavingDraining).add(gone);
+                (endpoint.state == State.READY ? leaving : leavingDraining).add(gone);
             }
         }
     }
@@ -87,7 +87,7 @@
         while (step()) {
             continue;
         }
-        changed.addAll(leavingReady);
+        changed.addAll(leaving);
         scheduler.list(connector, false, changed);
     }
 
--- a/src/test/java/laneflow/core/SchedulerTest.java
+++ b/src/test/java/laneflow/core/SchedulerTest.java
@@ -288,7 +288,7 @@
 
     @Test
     void aSurgeIsSeenAndEvenOrFewRequestsAreNone() {
-        ArrivalRate arrivals = new ArrivalRate();
+        Arrivals arrivals = new Arrivals();
         long at = now;
         for (; at < now + 9_000_000; at += 50_000) {
             arrivals.add(at);
