--- a/src/test/java/laneflow/core/AdmissionGateTest.java
+++ b/src/test/java/laneflow/core/AdmissionGateTest.java
@@ -13,17 +13,17 @@
     private final Counters counters = new Counters();
     private final Scheduler scheduler = new Scheduler(SchedulerTest.settings(), 7, () -> now, deadlines, counters);
     private final List<String> answers = new ArrayList<>();
-    private boolean may;
-    private long within = Long.MAX_VALUE;
+    private boolean open;
+    private long untilOpen = Long.MAX_VALUE;
 
     @Override
     public boolean mayDecide() {
-        return may;
+        return open;
     }
 
     @Override
     public long microsUntilOpen() {
-        return within;
+        return untilOpen;
     }
 
     @Override
@@ -41,22 +41,22 @@
         answers.add("refused " + retryAfter);
     }
 
-    private Request ask() {
+    private Request submit() {
         Request request = new Request(
                 this, answers.size(), new Payload("", "", "r", null, new byte[0]), SchedulerTest.SAFE, now + 5_000_000);
         scheduler.submit(request);
         return request;
     }
 
-    private void pass(long micros) {
+    private void advance(long micros) {
         now += micros;
         deadlines.runDue(now);
     }
 
     @Test
-    void whatItMayNotDecideOnIsAnsweredAtOnceAndReachesNoModule() {
+    void aClosedGateRefusesAtOnceWithoutADecision() {
         scheduler.setAdmissionGate(this);
-        Request request = ask();
+        Request request = submit();
         assertEquals(List.of("refused 0.3"), answers);
         assertEquals(-1, request.epoch());
         assertEquals(0, scheduler.openRequests() + counters.get("http.taken"));
@@ -64,43 +64,43 @@
         // It has left and has its answer: nothing more is owed.
         scheduler.withdraw(request);
         assertEquals(0, counters.get("http.withdrawn"));
-        may = true;
-        ask();
+        open = true;
+        submit();
         assertEquals(1, counters.get("http.taken"));
     }
 
     @Test
-    void whatComesRightBeforeABeginningWaitsForItAndNoLonger() {
+    void aRequestWaitsBrieflyForAGateAboutToOpen() {
         scheduler.setAdmissionGate(this);
-        within = 10_001;
-        ask();
+        untilOpen = 10_001;
+        submit();
         assertEquals(List.of("refused 0.3"), answers);
-        within = 10_000;
-        ask();
-        pass(9_999);
+        untilOpen = 10_000;
+        submit();
+        advance(9_999);
         assertEquals(1, answers.size());
-        may = true;
-        pass(1);
+        open = true;
+        advance(1);
         // Decided now: nobody is listed, so it is refused by the module, with its own time to come back.
         assertEquals(2, answers.size());
         assertEquals(1, counters.get("http.taken"));
         // Begun later than was said, it is not held again.
-        may = false;
-        ask();
-        pass(10_000);
+        open = false;
+        submit();
+        advance(10_000);
         assertEquals("refused 0.3", answers.get(2));
         // One whose client leaves meanwhile is owed nothing and is taken by nobody.
-        Request left = ask();
+        Request left = submit();
         scheduler.withdraw(left);
-        may = true;
-        pass(20_000);
+        open = true;
+        advance(20_000);
         assertEquals(3, answers.size());
         assertEquals(1, counters.get("http.taken"));
         assertEquals(1, counters.get("http.withdrawn"));
     }
 
     @Test
-    void whatAPolicyBansStaysBannedWhateverOperatorsSetUp() {
+    void aBanOutlastsSetUpByOperators() {
         scheduler.ban(java.util.Set.of("e1"));
         scheduler.setDown("e1");
         scheduler.setUp("e1");
--- a/src/test/java/laneflow/core/DeadlinesTest.java
+++ b/src/test/java/laneflow/core/DeadlinesTest.java
@@ -13,47 +13,47 @@
     private final Deadlines deadlines = new Deadlines();
     private final List<String> ran = new ArrayList<>();
 
-    private Deadline one(String name) {
+    private Deadline deadline(String name) {
         return deadlines.create(() -> ran.add(name));
     }
 
     @Test
-    void oneThatMayComeEarlyRunsOnceWithWhateverWakesTheLoop() {
-        Deadline rider = one("rider");
-        deadlines.set(rider, 80, 100);
+    void anEarlyRunnableDeadlineRunsOnceWhenTheLoopWakes() {
+        Deadline early = deadline("rider");
+        deadlines.set(early, 80, 100);
         deadlines.at(90, () -> ran.add("plain"));
         deadlines.runEarly(79);
         assertEquals(List.of(), ran);
         deadlines.runEarly(80);
         assertEquals(List.of("rider"), ran);
-        assertFalse(rider.isSet());
+        assertFalse(early.isSet());
         deadlines.runEarly(85);
         deadlines.runDue(200);
         assertEquals(List.of("rider", "plain"), ran);
     }
 
     @Test
-    void nobodyAwakeItRunsInTimeAndMovedOrCalledOffItDoesNotRide() {
-        Deadline rider = one("rider");
-        deadlines.set(rider, 80, 100);
+    void withoutAWakeUpItRunsInTimeAndOnceMovedOrCancelledNotEarly() {
+        Deadline early = deadline("rider");
+        deadlines.set(early, 80, 100);
         assertEquals(100, deadlines.next());
         deadlines.runDue(100);
         deadlines.runEarly(101);
         assertEquals(List.of("rider"), ran);
         // Set to one instant it rides no more.
-        deadlines.set(rider, 110, 130);
-        deadlines.set(rider, 130);
+        deadlines.set(early, 110, 130);
+        deadlines.set(early, 130);
         deadlines.runEarly(120);
-        deadlines.set(rider, 110, 130);
-        deadlines.cancel(rider);
+        deadlines.set(early, 110, 130);
+        deadlines.cancel(early);
         deadlines.runEarly(120);
         deadlines.runDue(200);
         assertEquals(List.of("rider"), ran);
     }
 
     @Test
-    void oneThatIsSetAnewByItsOwnActionOrCallsAnotherOffRunsOnceAPass() {
-        Deadline other = one("other");
+    void anActionMaySetItsOwnDeadlineAndCancelOthers() {
+        Deadline other = deadline("other");
         Deadline[] own = new Deadline[1];
         own[0] = deadlines.create(() -> {
             ran.add("own");
--- a/src/test/java/laneflow/core/EventOrderTest.java
+++ b/src/test/java/laneflow/core/EventOrderTest.java
@@ -23,24 +23,24 @@
     private boolean mayCancel = true;
 
     /** The shortest order of these events that breaks a rule, and which; null if there is none that long. */
-    private String search(Fault broken, int longest, List<String> first, String... kinds) {
-        Set<String> all = new LinkedHashSet<>(List.of(kinds));
+    private String search(Fault fault, int longest, List<String> first, String... kinds) {
+        Set<String> allKinds = new LinkedHashSet<>(List.of(kinds));
         String found = null;
         for (int length = first.size() + 1; length <= longest && found == null; length++) {
             orders = 0;
-            found = extend(broken, length, all, new ArrayList<>(first));
+            found = extend(fault, length, allKinds, new ArrayList<>(first));
         }
         return found;
     }
 
-    private String extend(Fault broken, int length, Set<String> kinds, List<String> order) {
-        SchedulerPairModel world = new SchedulerPairModel(broken, mayCancel);
+    private String extend(Fault fault, int length, Set<String> kinds, List<String> order) {
+        SchedulerPairModel model = new SchedulerPairModel(fault, mayCancel);
         try {
-            order.forEach(world::play);
+            order.forEach(model::play);
             if (order.size() == length) {
                 orders++;
-                world.play(END);
-                world.play(END);
+                model.play(END);
+                model.play(END);
                 return null;
             }
         } catch (Violation e) {
@@ -48,9 +48,9 @@
         } catch (RuntimeException e) {
             throw new AssertionError(order + " ends in a fault", e);
         }
-        for (String event : world.possible(kinds)) {
+        for (String event : model.possibleEvents(kinds)) {
             order.add(event);
-            String found = extend(broken, length, kinds, order);
+            String found = extend(fault, length, kinds, order);
             order.remove(order.size() - 1);
             if (found != null) {
                 return found;
@@ -59,34 +59,45 @@
         return null;
     }
 
-    private void holds(int longest, long count, List<String> first, String... kinds) {
-        assertNull(search(Fault.NOTHING, longest, first, kinds));
+    private void assertHolds(int longest, long count, List<String> first, String... kinds) {
+        assertNull(search(Fault.NONE, longest, first, kinds));
         assertEquals(count, orders, "orders of length " + longest);
     }
 
-    private void speaks(String rule, Fault broken, int longest, String... kinds) {
-        speaks(rule, broken, longest, List.of(), kinds);
+    private void assertDetected(String rule, Fault fault, int longest, String... kinds) {
+        assertDetected(rule, fault, longest, List.of(), kinds);
     }
 
-    private void speaks(String rule, Fault broken, int longest, List<String> first, String... kinds) {
-        String found = search(broken, longest, first, kinds);
-        assertNotNull(found, broken + " is not seen");
+    private void assertDetected(String rule, Fault fault, int longest, List<String> first, String... kinds) {
+        String found = search(fault, longest, first, kinds);
+        assertNotNull(found, fault + " is not seen");
         assertEquals(rule, found.substring(found.indexOf(" breaks ") + 8, found.lastIndexOf(": ")), found);
     }
 
     @Test
-    void callsMayEndInEveryWayAndOrder() {
-        holds(7, 73_884, List.of("capture 0"), "safe", "up", "refused", "ok", "full", "reset", "silent");
+    void attemptsMayEndInAnyWayAndOrder() {
+        assertHolds(7, 73_884, List.of("capture 0"), "safe", "up", "refused", "ok", "full", "reset", "silent");
     }
 
     @Test
-    void wordsMayComeLateAndClientsLeaveAtAnyTime() {
-        holds(8, 179_165, List.of("capture 0", "up 0"), "safe", "up", "started", "reset", "late", "leave", "tick", END);
+    void resultsMayComeLateAndClientsLeaveAtAnyTime() {
+        assertHolds(
+                8,
+                179_165,
+                List.of("capture 0", "up 0"),
+                "safe",
+                "up",
+                "started",
+                "reset",
+                "late",
+                "leave",
+                "tick",
+                END);
     }
 
     @Test
-    void drainsAndBansMayComeAtAnyTime() {
-        holds(
+    void drainsAndSetDownsMayComeAtAnyTime() {
+        assertHolds(
                 7,
                 217_372,
                 List.of("capture 0"),
@@ -102,12 +113,12 @@
     }
 
     /** Orders around one request of each class, the settings allowing calls to be cancelled and not. */
-    private void holdsAround(int longest, String counts, String... kinds) {
+    private void assertHoldsForEachClass(int longest, String counts, String... kinds) {
         StringBuilder found = new StringBuilder();
         for (boolean may : new boolean[] {true, false}) {
             mayCancel = may;
             for (String type : new String[] {"safe", "keyed", "capture"}) {
-                assertNull(search(Fault.NOTHING, longest, List.of(type + " 0"), kinds), "cancel " + may);
+                assertNull(search(Fault.NONE, longest, List.of(type + " 0"), kinds), "cancel " + may);
                 found.append(type).append(' ').append(orders).append(may ? ", " : "; ");
             }
         }
@@ -116,8 +127,8 @@
 
     /** Around every step of a call, a late connection and a held last byte among them. */
     @Test
-    void clientsMayLeaveAroundEveryStep() {
-        holdsAround(
+    void clientsMayLeaveAtEveryStep() {
+        assertHoldsForEachClass(
                 9,
                 "safe 17110, keyed 17110, capture 3522, safe 19024; keyed 19024; capture 4104; ",
                 "part",
@@ -133,8 +144,8 @@
 
     /** What is answered at its last call must not go out behind it, nor a key behind its window. */
     @Test
-    void timeMayBeOverAroundEveryStep() {
-        holdsAround(
+    void deadlinesMayPassAtEveryStep() {
+        assertHoldsForEachClass(
                 9,
                 "safe 34656, keyed 29750, capture 26993, safe 38560; keyed 33326; capture 30213; ",
                 "part",
@@ -148,8 +159,8 @@
     }
 
     @Test
-    void drainsMayBeToldAroundEveryStep() {
-        holdsAround(
+    void drainsMayBeListedAtEveryStep() {
+        assertHoldsForEachClass(
                 6,
                 "safe 19567, keyed 19420, capture 18715, safe 19817; keyed 19670; capture 18964; ",
                 "part",
@@ -164,8 +175,8 @@
     }
 
     @Test
-    void schedulersMayStartEmptyAtAnyTime() {
-        holds(
+    void schedulersMayRestartAtAnyTime() {
+        assertHolds(
                 8,
                 132_266,
                 List.of("safe 0", "up 0", "report 0", "burst 0"),
@@ -177,24 +188,25 @@
     }
 
     @Test
-    void everyRulesCheckSpeaksWhereItIsBroken() {
+    void everyInvariantDetectsItsFault() {
         String[] ends = {"safe", "capture", "up", "refused", "ok", "full", "reset"};
-        speaks("one answer", Fault.ANSWERS_TWICE, 4, ends);
-        speaks("in time", Fault.ANSWER_LOST, 5, ends);
-        speaks("at once", Fault.ANSWER_WAITS, 5, ends);
+        assertDetected("one answer", Fault.DUPLICATE_ANSWER, 4, ends);
+        assertDetected("in time", Fault.ANSWER_LOST, 5, ends);
+        assertDetected("at once", Fault.ANSWER_DELAYED, 5, ends);
         // The shortest order ends before a second call begins: the job that ran is refused as one that did not.
-        speaks("true answers", Fault.RUN_TOLD_AS_NEVER, 5, "capture", "up", "reset");
-        speaks("no repeat", Fault.RUN_TOLD_AS_NEVER, 5, List.of("capture 0", "up 0", "reset 0", "up 1"), "up");
-        speaks("true answers", Fault.REFUSAL_OF_A_RUN, 5, ends);
-        speaks("armed", Fault.TIMERS_LOST, 4, ends);
-        speaks("nothing left", Fault.CLOSE_NOT_HEARD, 4, "capture", "up", "leave", END);
-        speaks("drains", Fault.GRACE_NOT_ASKED, 5, "capture", "up", "drain", "grace");
-        speaks("bans", Fault.GRACE_NOT_ASKED, 5, "capture", "up", "down");
+        assertDetected("true answers", Fault.RUN_REPORTED_AS_UNSENT, 5, "capture", "up", "reset");
+        assertDetected(
+                "no repeat", Fault.RUN_REPORTED_AS_UNSENT, 5, List.of("capture 0", "up 0", "reset 0", "up 1"), "up");
+        assertDetected("true answers", Fault.FAILURE_REPORTED_AS_REFUSAL, 5, ends);
+        assertDetected("armed", Fault.TIMERS_LOST, 4, ends);
+        assertDetected("nothing left", Fault.CLOSE_IGNORED, 4, "capture", "up", "leave", END);
+        assertDetected("drains", Fault.SEND_CHECK_SKIPPED, 5, "capture", "up", "drain", "grace");
+        assertDetected("bans", Fault.SEND_CHECK_SKIPPED, 5, "capture", "up", "down");
         mayCancel = false;
-        speaks("gone", Fault.SENDS_REGARDLESS, 4, "safe", "leave", "up");
+        assertDetected("gone", Fault.ALWAYS_SENDS, 4, "safe", "leave", "up");
         mayCancel = true;
-        speaks("drains", Fault.GRACE_NOT_ASKED, 5, "capture", "part", "drain", "grace");
-        speaks("no repeat", Fault.GRACE_NOT_ASKED, 5, List.of("keyed 0", "up 0", "reset 0"), "grace", "up");
-        speaks("cold budget", Fault.COLD_TENFOLD, 6, List.of("safe 0", "up 0", "report 0", "burst 0"), "up");
+        assertDetected("drains", Fault.SEND_CHECK_SKIPPED, 5, "capture", "part", "drain", "grace");
+        assertDetected("no repeat", Fault.SEND_CHECK_SKIPPED, 5, List.of("keyed 0", "up 0", "reset 0"), "grace", "up");
+        assertDetected("cold budget", Fault.COLD_TENFOLD, 6, List.of("safe 0", "up 0", "report 0", "burst 0"), "up");
     }
 }
--- a/src/test/java/laneflow/core/FleetSimulation.java
+++ b/src/test/java/laneflow/core/FleetSimulation.java
@@ -19,11 +19,11 @@
 final class FleetSimulation {
     /** What a test breaks on purpose, to see that the rule's check speaks. */
     enum Fault {
-        NOTHING,
-        ANSWERS_TWICE,
+        NONE,
+        DUPLICATE_ANSWER,
         ANSWER_LOST,
-        GRACE_NOT_ASKED,
-        RUN_TOLD_AS_NEVER,
+        SEND_CHECK_SKIPPED,
+        RUN_REPORTED_AS_UNSENT,
         COLD_TENFOLD,
         CLASS_REFUSED,
         TENANT_REFUSED,
@@ -31,27 +31,27 @@
     }
 
     /** Microseconds of idleness after which reports of before say nothing any more. */
-    static final long AT_REST = 2_000_000;
+    static final long REST_AFTER_MICROS = 2_000_000;
 
     private static final long START = 1_000_000_000L;
     /** Microseconds by which some connections come up late on rough days. */
-    private static final int MOST_LATE = 1_500_000;
+    private static final int MAX_CONNECT_DELAY_MICROS = 1_500_000;
     /** Part of an endpoint's speed that a scheduler may take it for. */
-    private static final double SURE = 0.6;
+    private static final double MIN_ASSUMED_SPEED = 0.6;
     /** Part of what a zone can do that calm days ask of it at most. */
-    private static final double CALM = 0.6;
+    private static final double CALM_LOAD = 0.6;
 
-    final RandomSettings drawn;
-    private final Fault broken;
+    final RandomSettings settings;
+    private final Fault fault;
     final boolean rough;
     final Random random;
     private final Deadlines deadlines = new Deadlines();
-    private final List<SimulatedEndpoint> machines = new ArrayList<>();
+    private final List<SimulatedEndpoint> workers = new ArrayList<>();
     final Node[] nodes;
-    private final List<Ask> asks = new ArrayList<>();
-    private final int[] asked;
+    private final List<Client> clients = new ArrayList<>();
+    private final int[] requested;
     private final int[] served;
-    final int[] tenantAsked;
+    final int[] tenantRequested;
     final int[] tenantServed;
     final FleetInvariants rules;
     long now = START;
@@ -60,30 +60,30 @@
     /** Requests that came while every endpoint was warm and at rest. */
     int answeredAtRest;
 
-    static final class Ask {
+    static final class Client {
         Node node;
         Request request;
         RandomClass type;
         int tenant;
         double work;
-        final List<Out> outs = new ArrayList<>();
+        final List<SentAttempt> sentAttempts = new ArrayList<>();
         boolean left;
         boolean answered;
         boolean atRest;
     }
 
-    static final class Out {
-        Ask ask;
-        Attempt call;
-        SimulatedEndpoint machine;
-        boolean begun;
-        boolean over;
+    static final class SentAttempt {
+        Client client;
+        Attempt attempt;
+        SimulatedEndpoint worker;
+        boolean sent;
+        boolean ended;
         boolean mayHaveRun;
-        long begunAt;
+        long sentAt;
         /** Its scheduler had heard of its endpoint's last start. */
-        boolean knows;
+        boolean knowsStart;
         /** The machine has it still, whether or not somebody waits for it. */
-        boolean there;
+        boolean heldByWorker;
 
         boolean running;
     }
@@ -92,21 +92,21 @@
     final class Node implements Front, Connector {
         final int number;
         final Scheduler scheduler;
-        final Map<String, Long> toldToStop = new HashMap<>();
-        private final Map<String, Entry> heard = new TreeMap<>();
-        private boolean dead;
+        final Map<String, Long> drainNotifiedAt = new HashMap<>();
+        private final Map<String, Entry> listed = new TreeMap<>();
+        private boolean killed;
 
-        private Node(int number, long seed, Node before) {
+        private Node(int number, long seed, Node previous) {
             this.number = number;
-            scheduler = new Scheduler(drawn.of(number), seed, () -> now, deadlines, new Counters());
-            if (before == null) {
-                machines.forEach(machine -> heard.put(machine.entry.name, machine.entry.withState(State.READY)));
+            scheduler = new Scheduler(settings.settingsOf(number), seed, () -> now, deadlines, new Counters());
+            if (previous == null) {
+                workers.forEach(worker -> listed.put(worker.entry.name, worker.entry.withState(State.READY)));
             } else {
-                heard.putAll(before.heard);
-                toldToStop.putAll(before.toldToStop);
+                listed.putAll(previous.listed);
+                drainNotifiedAt.putAll(previous.drainNotifiedAt);
             }
             List<Entry> known = new ArrayList<>();
-            heard.values().forEach(entry -> {
+            listed.values().forEach(entry -> {
                 if (entry.state != State.GONE) {
                     known.add(entry);
                 }
@@ -114,19 +114,19 @@
             scheduler.start(this, known);
         }
 
-        private boolean knowsStartOf(SimulatedEndpoint machine) {
-            return heard.get(machine.entry.name).startedAt == machine.entry.startedAt;
+        private boolean knowsStartOf(SimulatedEndpoint worker) {
+            return listed.get(worker.entry.name).startedAt == worker.entry.startedAt;
         }
 
-        void hear(Entry word) {
-            Node here = nodes[number];
-            here.heard.put(word.name, word);
-            if (word.state == State.READY) {
-                here.toldToStop.remove(word.name);
+        void receive(Entry entry) {
+            Node current = nodes[number];
+            current.listed.put(entry.name, entry);
+            if (entry.state == State.READY) {
+                current.drainNotifiedAt.remove(entry.name);
             } else {
-                here.toldToStop.putIfAbsent(word.name, now);
+                current.drainNotifiedAt.putIfAbsent(entry.name, now);
             }
-            here.scheduler.list(here, false, List.of(word));
+            current.scheduler.list(current, false, List.of(entry));
         }
 
         @Override
@@ -150,100 +150,100 @@
         }
 
         private void answer(long tag, String what) {
-            if (!dead && !(broken == Fault.ANSWER_LOST && what.equals("refused"))) {
-                answered(asks.get((int) tag), what);
+            if (!killed && !(fault == Fault.ANSWER_LOST && what.equals("refused"))) {
+                answered(clients.get((int) tag), what);
             }
         }
 
         @Override
-        public void open(Attempt call) {
-            Out out = new Out();
-            out.ask = asks.get((int) call.request.tag);
-            out.call = call;
-            call.attachment = out;
-            for (SimulatedEndpoint machine : machines) {
-                if (machine.entry.name.equals(call.endpoint.name)) {
-                    out.machine = machine;
+        public void open(Attempt attempt) {
+            SentAttempt sent = new SentAttempt();
+            sent.client = clients.get((int) attempt.request.tag);
+            sent.attempt = attempt;
+            attempt.attachment = sent;
+            for (SimulatedEndpoint worker : workers) {
+                if (worker.entry.name.equals(attempt.endpoint.name)) {
+                    sent.worker = worker;
                 }
             }
-            out.knows = knowsStartOf(out.machine);
-            out.ask.outs.add(out);
+            sent.knowsStart = knowsStartOf(sent.worker);
+            sent.client.sentAttempts.add(sent);
             boolean late = rough && random.nextInt(20) == 0;
-            after(500 + random.nextInt(late ? MOST_LATE : 1500), () -> begin(out));
+            schedule(500 + random.nextInt(late ? MAX_CONNECT_DELAY_MICROS : 1500), () -> connect(sent));
         }
 
         @Override
-        public boolean close(Attempt call) {
-            Out out = (Out) call.attachment;
-            out.over = true;
-            if (out.there && !out.running && drawn.cancel) {
-                out.machine.queue.remove(out);
-                out.machine.gone(out);
+        public boolean close(Attempt attempt) {
+            SentAttempt sent = (SentAttempt) attempt.attachment;
+            sent.ended = true;
+            if (sent.heldByWorker && !sent.running && settings.mayCancel) {
+                sent.worker.queue.remove(sent);
+                sent.worker.release(sent);
             }
-            return !out.begun;
+            return !sent.sent;
         }
 
         @Override
         public void probe(Endpoint endpoint) {
-            if (!drawn.probes) {
-                FleetInvariants.broke("probes", "these settings have none");
+            if (!settings.probes) {
+                FleetInvariants.fail("probes", "these settings have none");
             }
-            for (SimulatedEndpoint machine : machines) {
-                if (machine.entry.name.equals(endpoint.name)) {
-                    after(2000, () -> probed(endpoint, machine));
+            for (SimulatedEndpoint worker : workers) {
+                if (worker.entry.name.equals(endpoint.name)) {
+                    schedule(2000, () -> probed(endpoint, worker));
                 }
             }
         }
 
-        private void probed(Endpoint endpoint, SimulatedEndpoint machine) {
-            if (dead) {
+        private void probed(Endpoint endpoint, SimulatedEndpoint worker) {
+            if (killed) {
                 return;
             }
-            boolean well = machine.up && !machine.hangs;
+            boolean healthy = worker.up && !worker.silent;
             scheduler.probed(
                     endpoint,
                     0.002,
-                    well ? Outcome.OK : Outcome.CONNECT_FAILED,
-                    well && !drawn.source().equals("none") ? machine.report() : null);
+                    healthy ? Outcome.OK : Outcome.CONNECT_FAILED,
+                    healthy && !settings.source().equals("none") ? worker.report() : null);
         }
 
         @Override
         public void closeIdle(Endpoint endpoint) {}
     }
 
-    FleetSimulation(RandomSettings drawn, Fault broken, boolean rough) {
-        this.drawn = drawn;
-        this.broken = broken;
+    FleetSimulation(RandomSettings settings, Fault fault, boolean rough) {
+        this.settings = settings;
+        this.fault = fault;
         this.rough = rough;
-        random = new Random(drawn.seed);
-        asked = new int[drawn.classes.size()];
-        served = new int[asked.length];
-        tenantAsked = new int[Math.max(1, drawn.tenants)];
-        tenantServed = new int[tenantAsked.length];
-        for (int i = 0; i < drawn.workersEach * drawn.zones; i++) {
-            for (int kind = 0; kind < drawn.kinds; kind++) {
+        random = new Random(settings.seed);
+        requested = new int[settings.classes.size()];
+        served = new int[requested.length];
+        tenantRequested = new int[Math.max(1, settings.tenants)];
+        tenantServed = new int[tenantRequested.length];
+        for (int i = 0; i < settings.workersPerKind * settings.zones; i++) {
+            for (int kind = 0; kind < settings.kinds; kind++) {
                 // Every zone has as many of each kind: where a class is tied, its home can always serve it.
-                SimulatedEndpoint machine = new SimulatedEndpoint(this, machines.size(), kind);
-                machine.entry.zone = i % drawn.zones;
-                machines.add(machine);
+                SimulatedEndpoint worker = new SimulatedEndpoint(this, workers.size(), kind);
+                worker.entry.zone = i % settings.zones;
+                workers.add(worker);
             }
         }
         double meanWork = 0;
-        for (RandomClass type : drawn.classes) {
-            meanWork += type.workMs / 1e3 * drawn.slotsOf(type) / drawn.classes.size();
+        for (RandomClass type : settings.classes) {
+            meanWork += type.workMs / 1e3 * settings.slotsOf(type) / settings.classes.size();
         }
-        rules = new FleetInvariants(drawn, broken, meanWork);
-        nodes = new Node[drawn.siblings];
+        rules = new FleetInvariants(settings, fault, meanWork);
+        nodes = new Node[settings.siblings];
         for (int i = 0; i < nodes.length; i++) {
-            nodes[i] = new Node(i, drawn.seed + i, null);
+            nodes[i] = new Node(i, settings.seed + i, null);
         }
     }
 
-    void after(long micros, Runnable what) {
-        deadlines.at(now + micros, what);
+    void schedule(long micros, Runnable action) {
+        deadlines.at(now + micros, action);
     }
 
-    void busy(int change) {
+    void changeBusy(int change) {
         if (busy == 0 || busy + change == 0) {
             busySince = now;
         }
@@ -251,7 +251,9 @@
     }
 
     private boolean atRest() {
-        return busy == 0 && now - busySince >= AT_REST && machines.stream().allMatch(SimulatedEndpoint::isWarm);
+        return busy == 0
+                && now - busySince >= REST_AFTER_MICROS
+                && workers.stream().allMatch(SimulatedEndpoint::isWarm);
     }
 
     /** Plays so many seconds of requests, and lets all end. */
@@ -259,18 +261,18 @@
         long end = now + (long) (seconds * 1e6);
         arrivals(end, 1e6 / rate());
         if (rough) {
-            troubles(end);
+            injectFaults(end);
         }
-        run(end + 30_000_000);
-        for (Ask ask : asks) {
-            if (!ask.answered && !ask.left) {
-                FleetInvariants.broke("in time", ask.type + " has no answer");
+        runUntil(end + 30_000_000);
+        for (Client client : clients) {
+            if (!client.answered && !client.left) {
+                FleetInvariants.fail("in time", client.type + " has no answer");
             }
         }
         return this;
     }
 
-    private void run(long until) {
+    private void runUntil(long until) {
         for (long next = deadlines.next(); next <= until; next = deadlines.next()) {
             now = Math.max(now, next);
             deadlines.runDue(now);
@@ -280,112 +282,117 @@
 
     /** Requests a second, as many of each class, so that what each zone has of each kind is used to the load drawn. */
     private double rate() {
-        double most = Double.POSITIVE_INFINITY;
-        for (int kind = -1; kind < drawn.kinds; kind++) {
-            double need = 0;
-            for (RandomClass type : drawn.classes) {
-                if (kind < 0 || drawn.kindOf(type) == kind) {
-                    need += type.workMs / 1e3 * drawn.slotsOf(type) / drawn.classes.size();
+        double maxRate = Double.POSITIVE_INFINITY;
+        for (int kind = -1; kind < settings.kinds; kind++) {
+            double needed = 0;
+            for (RandomClass type : settings.classes) {
+                if (kind < 0 || settings.kindOf(type) == kind) {
+                    needed += type.workMs / 1e3 * settings.slotsOf(type) / settings.classes.size();
                 }
             }
-            double have = 0;
-            for (SimulatedEndpoint machine : machines) {
-                have += kind < 0 || machine.entry.kind == kind ? machine.slots * machine.speed : 0;
+            double available = 0;
+            for (SimulatedEndpoint worker : workers) {
+                available += kind < 0 || worker.entry.kind == kind ? worker.slots * worker.speed : 0;
             }
-            most = Math.min(most, have / need);
+            maxRate = Math.min(maxRate, available / needed);
         }
         // A zone has its part of the endpoints, and its part of the schedulers or one more.
-        int crowded = drawn.lopsided ? drawn.siblings : (drawn.siblings + drawn.zones - 1) / drawn.zones;
-        return most * drawn.load() * (rough ? 1 : CALM) * drawn.siblings / (crowded * drawn.zones);
+        int crowded =
+                settings.allInFirstZone ? settings.siblings : (settings.siblings + settings.zones - 1) / settings.zones;
+        return maxRate * settings.load() * (rough ? 1 : CALM_LOAD) * settings.siblings / (crowded * settings.zones);
     }
 
     private void arrivals(long end, double gap) {
         if (now < end) {
             request();
-            after((long) (-gap * Math.log(1 - random.nextDouble())), () -> arrivals(end, gap));
+            schedule((long) (-gap * Math.log(1 - random.nextDouble())), () -> arrivals(end, gap));
         }
     }
 
     private void request() {
-        Ask ask = new Ask();
-        int jobClass = random.nextInt(drawn.classes.size());
-        ask.node = nodes[random.nextInt(nodes.length)];
-        ask.type = drawn.classes.get(jobClass);
-        ask.tenant = Math.max(0, random.nextInt(tenantAsked.length + drawn.greed - 1) - drawn.greed + 1);
-        ask.work = ask.type.workMs / 1e3 * about(drawn.workSpread / 10.0);
-        ask.request = new Request(
-                ask.node,
-                asks.size(),
+        Client client = new Client();
+        int jobClass = random.nextInt(settings.classes.size());
+        client.node = nodes[random.nextInt(nodes.length)];
+        client.type = settings.classes.get(jobClass);
+        client.tenant = Math.max(
+                0,
+                random.nextInt(tenantRequested.length + settings.firstTenantFactor - 1)
+                        - settings.firstTenantFactor
+                        + 1);
+        client.work = client.type.workMs / 1e3 * lognormal(settings.workSpread / 10.0);
+        client.request = new Request(
+                client.node,
+                clients.size(),
                 new Payload("", "", "r", null, new byte[0]),
                 jobClass,
-                now + (long) (1000 * ask.type.deadlineMs() * (0.7 + 0.3 * random.nextDouble())));
-        ask.request.tenant = drawn.tenants > 0 ? ask.tenant : -1;
-        ask.request.slots = drawn.slotsOf(ask.type);
-        ask.request.memory = drawn.memory * random.nextDouble() * drawn.slotsOf(ask.type);
-        if (drawn.hints > 0) {
-            ask.request.hint = ask.work * about((drawn.hints - 1) * 0.5);
-        }
-        ask.atRest = !rough && atRest() && canBeInTime(ask);
-        asks.add(ask);
-        asked[jobClass]++;
-        tenantAsked[ask.tenant]++;
-        boolean refused = broken == Fault.CLASS_REFUSED && jobClass == 0
-                || broken == Fault.TENANT_REFUSED && ask.tenant == 0
-                || broken == Fault.IDLE_REFUSED && ask.atRest;
+                now + (long) (1000 * client.type.deadlineMs() * (0.7 + 0.3 * random.nextDouble())));
+        client.request.tenant = settings.tenants > 0 ? client.tenant : -1;
+        client.request.slots = settings.slotsOf(client.type);
+        client.request.memory = settings.memory * random.nextDouble() * settings.slotsOf(client.type);
+        if (settings.hintQuality > 0) {
+            client.request.hint = client.work * lognormal((settings.hintQuality - 1) * 0.5);
+        }
+        client.atRest = !rough && atRest() && canBeInTime(client);
+        clients.add(client);
+        requested[jobClass]++;
+        tenantRequested[client.tenant]++;
+        boolean refused = fault == Fault.CLASS_REFUSED && jobClass == 0
+                || fault == Fault.TENANT_REFUSED && client.tenant == 0
+                || fault == Fault.IDLE_REFUSED && client.atRest;
         if (refused) {
-            answered(ask, "refused");
+            answered(client, "refused");
         } else {
-            ask.node.scheduler.submit(ask.request);
+            client.node.scheduler.submit(client.request);
             if (rough && random.nextInt(50) == 0) {
-                after(random.nextInt(1_000_000), () -> leave(ask));
+                schedule(random.nextInt(1_000_000), () -> withdraw(client));
             }
         }
     }
 
     /** Whether the slowest endpoint for it would end it within its aim and its client's wait, by what is told. */
-    private boolean canBeInTime(Ask ask) {
-        JobClass type = ask.node.scheduler.settings().classes[ask.request.jobClass];
+    private boolean canBeInTime(Client client) {
+        JobClass type = client.node.scheduler.settings().classes[client.request.jobClass];
         double slowest = Double.POSITIVE_INFINITY;
-        for (int kind = 0; kind < drawn.kinds; kind++) {
-            if (drawn.kindOf(ask.type) < 0 || drawn.kindOf(ask.type) == kind) {
-                slowest = Math.min(slowest, drawn.speedOf(kind));
+        for (int kind = 0; kind < settings.kinds; kind++) {
+            if (settings.kindOf(client.type) < 0 || settings.kindOf(client.type) == kind) {
+                slowest = Math.min(slowest, settings.speedOf(kind));
             }
         }
-        double told = drawn.hints > 0 ? ask.request.hint : ask.type.workMs / 1e3;
-        double runs = told / (SURE * slowest);
-        return runs < type.aim + type.stretch * told && runs < (ask.request.deadline - now) / 1e6;
+        double expected = settings.hintQuality > 0 ? client.request.hint : client.type.workMs / 1e3;
+        double runTime = expected / (MIN_ASSUMED_SPEED * slowest);
+        return runTime < type.aim + type.stretch * expected && runTime < (client.request.deadline - now) / 1e6;
     }
 
     /** Lognormal, of mean 1. */
-    private double about(double spread) {
+    private double lognormal(double spread) {
         return Math.exp(spread * random.nextGaussian() - spread * spread / 2);
     }
 
-    private void leave(Ask ask) {
-        if (!ask.answered && !ask.left) {
-            ask.left = true;
-            ask.node.scheduler.withdraw(ask.request);
+    private void withdraw(Client client) {
+        if (!client.answered && !client.left) {
+            client.left = true;
+            client.node.scheduler.withdraw(client.request);
         }
     }
 
-    private void troubles(long end) {
+    private void injectFaults(long end) {
         if (now >= end) {
             return;
         }
-        SimulatedEndpoint machine = machines.get(random.nextInt(machines.size()));
+        SimulatedEndpoint worker = workers.get(random.nextInt(workers.size()));
         switch (random.nextInt(8)) {
             case 0, 1 -> {
-                if (machine.up) {
-                    machine.tell(State.DRAINING);
-                    after(1_500_000, () -> machine.crash(true, 500_000));
+                if (worker.up) {
+                    worker.announce(State.DRAINING);
+                    schedule(1_500_000, () -> worker.crash(true, 500_000));
                 }
             }
-            case 2 -> machine.crash(false, 1_000_000);
+            case 2 -> worker.crash(false, 1_000_000);
             case 3 -> {
-                machine.hangs = true;
-                after(2_000_000, () -> {
-                    machine.hangs = false;
-                    machine.startNext();
+                worker.silent = true;
+                schedule(2_000_000, () -> {
+                    worker.silent = false;
+                    worker.startNext();
                 });
             }
             case 4 -> restart(random.nextInt(nodes.length));
@@ -396,105 +403,105 @@
             }
             case 6 -> {
                 // A zone is lost, and is back cold all at once.
-                machines.forEach(one -> {
-                    if (one.entry.zone == machine.entry.zone) {
+                workers.forEach(one -> {
+                    if (one.entry.zone == worker.entry.zone) {
                         one.crash(true, 1_500_000);
                     }
                 });
             }
             default -> {
-                Out[] out = machine.at().filter(one -> !one.over).toArray(Out[]::new);
-                if (out.length > 0) {
-                    ends(out[random.nextInt(out.length)], Outcome.RESET);
+                SentAttempt[] sent = worker.held().filter(one -> !one.ended).toArray(SentAttempt[]::new);
+                if (sent.length > 0) {
+                    end(sent[random.nextInt(sent.length)], Outcome.RESET);
                 }
             }
         }
-        after(100_000 + random.nextInt(1_200_000), () -> troubles(end));
+        schedule(100_000 + random.nextInt(1_200_000), () -> injectFaults(end));
     }
 
     /** Killed, and started with what its list held: its clients and calls are gone, what endpoints have is not. */
     private void restart(int number) {
-        Node before = nodes[number];
-        before.dead = true;
-        for (Ask ask : asks) {
-            if (ask.node == before) {
-                ask.left |= !ask.answered;
-                ask.outs.forEach(out -> out.over = true);
+        Node previous = nodes[number];
+        previous.killed = true;
+        for (Client client : clients) {
+            if (client.node == previous) {
+                client.left |= !client.answered;
+                client.sentAttempts.forEach(sent -> sent.ended = true);
             }
         }
-        nodes[number] = new Node(number, random.nextLong(), before);
+        nodes[number] = new Node(number, random.nextLong(), previous);
     }
 
-    private void begin(Out out) {
-        if (out.over || out.ask.node.dead) {
+    private void connect(SentAttempt sent) {
+        if (sent.ended || sent.client.node.killed) {
             return;
         }
-        if (!out.machine.up) {
-            ends(out, Outcome.CONNECT_FAILED);
+        if (!sent.worker.up) {
+            end(sent, Outcome.CONNECT_FAILED);
             return;
         }
-        if (broken != Fault.GRACE_NOT_ASKED && !out.ask.node.scheduler.maySend(out.call)) {
-            ends(out, Outcome.CONNECT_FAILED);
+        if (fault != Fault.SEND_CHECK_SKIPPED && !sent.client.node.scheduler.maySend(sent.attempt)) {
+            end(sent, Outcome.CONNECT_FAILED);
             return;
         }
-        rules.begins(out, now);
-        out.begun = true;
-        out.begunAt = now;
-        out.mayHaveRun = true;
-        out.machine.take(out);
+        rules.checkSend(sent, now);
+        sent.sent = true;
+        sent.sentAt = now;
+        sent.mayHaveRun = true;
+        sent.worker.receive(sent);
     }
 
-    void ends(Out out, Outcome outcome) {
-        if (out.over) {
+    void end(SentAttempt sent, Outcome outcome) {
+        if (sent.ended) {
             return;
         }
-        out.over = true;
-        out.mayHaveRun &= !outcome.neverRan;
-        Outcome told = outcome == Outcome.RESET && broken == Fault.RUN_TOLD_AS_NEVER ? Outcome.FULL : outcome;
-        boolean reports = drawn.source().equals("answers") && (outcome == Outcome.OK || outcome == Outcome.FULL);
-        out.ask.node.scheduler.ended(out.call, told, new byte[0], reports ? out.machine.report() : null);
+        sent.ended = true;
+        sent.mayHaveRun &= !outcome.neverRan;
+        Outcome reported = outcome == Outcome.RESET && fault == Fault.RUN_REPORTED_AS_UNSENT ? Outcome.FULL : outcome;
+        boolean reports = settings.source().equals("answers") && (outcome == Outcome.OK || outcome == Outcome.FULL);
+        sent.client.node.scheduler.ended(sent.attempt, reported, new byte[0], reports ? sent.worker.report() : null);
     }
 
-    private void answered(Ask ask, String what) {
-        rules.answered(ask, what, now);
-        ask.answered = true;
+    private void answered(Client client, String what) {
+        rules.checkAnswer(client, what, now);
+        client.answered = true;
         if (what.equals("served")) {
-            served[ask.request.jobClass]++;
-            tenantServed[ask.tenant]++;
+            served[client.request.jobClass]++;
+            tenantServed[client.tenant]++;
         }
-        answeredAtRest += ask.atRest ? 1 : 0;
-        if (broken == Fault.ANSWERS_TWICE) {
-            answered(ask, what);
+        answeredAtRest += client.atRest ? 1 : 0;
+        if (fault == Fault.DUPLICATE_ANSWER) {
+            answered(client, what);
         }
     }
 
     /** Requests a second that all endpoints can do together. */
     double capacity() {
-        return machines.stream()
-                        .mapToDouble(machine -> machine.slots * machine.speed)
+        return workers.stream()
+                        .mapToDouble(worker -> worker.slots * worker.speed)
                         .sum()
                 / rules.meanWork;
     }
 
     int requests() {
-        return asks.size();
+        return clients.size();
     }
 
     /** The least part of a class's requests that was served, of classes with enough of them to tell. */
-    double leastServed() {
-        return least(served, asked);
+    double minServedShare() {
+        return minShare(served, requested);
     }
 
     /** The same of tenants. */
-    double leastServedTenant() {
-        return least(tenantServed, tenantAsked);
+    double minServedTenantShare() {
+        return minShare(tenantServed, tenantRequested);
     }
 
-    private static double least(int[] of, int[] all) {
-        double least = 1;
-        for (int i = 0; i < all.length; i++) {
-            least = all[i] < 10 ? least : Math.min(least, (double) of[i] / all[i]);
+    private static double minShare(int[] part, int[] total) {
+        double min = 1;
+        for (int i = 0; i < total.length; i++) {
+            min = total[i] < 10 ? min : Math.min(min, (double) part[i] / total[i]);
         }
-        return least;
+        return min;
     }
 }
--- a/src/test/java/laneflow/core/RandomSettings.java
+++ b/src/test/java/laneflow/core/RandomSettings.java
@@ -33,11 +33,11 @@
 
         /** An aim that its work could not keep anywhere would show nothing. */
         int aimMs() {
-            return stretchTenths > 0 ? aimMs : Math.max(aimMs, ENOUGH * workMs);
+            return stretchTenths > 0 ? aimMs : Math.max(aimMs, MIN_TIME_FACTOR * workMs);
         }
 
         int deadlineMs() {
-            return Math.max(deadlineMs, ENOUGH * workMs);
+            return Math.max(deadlineMs, MIN_TIME_FACTOR * workMs);
         }
 
         @Override
@@ -49,7 +49,7 @@
     }
 
     /** Times its mean work that a class may take at least. */
-    private static final int ENOUGH = 5;
+    private static final int MIN_TIME_FACTOR = 5;
 
     private static final String[] SEMANTICS = {"pure", "token", "side_effect"};
     private static final String[] GROUPS = {"all", "zone", "cell"};
@@ -61,7 +61,7 @@
     int zones;
     int siblings;
     int kinds;
-    int workersEach;
+    int workersPerKind;
     int cells;
     int slots;
     int speedTenths;
@@ -69,8 +69,8 @@
     int fields;
     int order;
     int weights;
-    boolean asked;
-    boolean cancel;
+    boolean asksDiscovery;
+    boolean mayCancel;
     boolean probes;
     boolean tellsStart;
     int progressMs;
@@ -86,54 +86,54 @@
     int tenants;
     int overShareTenths;
     /** Times that the first tenant asks for what each other asks. */
-    int greed = 1;
+    int firstTenantFactor = 1;
     /** Requests a second of each tenant's share; 0: some few, the more the later it stands. */
     double quota;
 
     int memory;
     /** How a job's work is told, from not at all to badly. */
-    int hints;
+    int hintQuality;
     /** Sixths of a halving of the load, from what the fleet can do just so. */
-    int loadDown;
+    int loadReduction;
 
     int reportEveryMs;
     /** Spread of a class's works, of their logarithm's normal, in tenths. */
     int workSpread;
 
-    boolean lopsided;
+    boolean allInFirstZone;
     int seed;
 
-    private static Arbitrary<Integer> of(int least, int most) {
-        return Arbitraries.integers().between(least, most).shrinkTowards(least);
+    private static Arbitrary<Integer> between(int min, int max) {
+        return Arbitraries.integers().between(min, max).shrinkTowards(min);
     }
 
-    private static Arbitrary<Boolean> coin() {
+    private static Arbitrary<Boolean> anyBoolean() {
         return Arbitraries.of(false, true);
     }
 
     private static Arbitrary<RandomClass> anyClass() {
         return Builders.withBuilder(RandomClass::new)
-                .use(of(0, 2))
+                .use(between(0, 2))
                 .inSetter((c, v) -> c.semantics = v)
-                .use(of(0, 2))
+                .use(between(0, 2))
                 .inSetter((c, v) -> c.group = v)
-                .use(of(50, 1000))
+                .use(between(50, 1000))
                 .inSetter((c, v) -> c.aimMs = v)
-                .use(Arbitraries.oneOf(of(20, 40), Arbitraries.just(0)))
+                .use(Arbitraries.oneOf(between(20, 40), Arbitraries.just(0)))
                 .inSetter((c, v) -> c.stretchTenths = v)
-                .use(of(500, 12_000))
+                .use(between(500, 12_000))
                 .inSetter((c, v) -> c.deadlineMs = v)
-                .use(of(1000, 20_000))
+                .use(between(1000, 20_000))
                 .inSetter((c, v) -> c.windowMs = v)
-                .use(of(1, 10))
+                .use(between(1, 10))
                 .inSetter((c, v) -> c.worth = v)
-                .use(of(0, 5))
+                .use(between(0, 5))
                 .inSetter((c, v) -> c.lateTenths = v)
-                .use(of(-4, 2))
+                .use(between(-4, 2))
                 .inSetter((c, v) -> c.kind = v)
-                .use(of(50, 800))
+                .use(between(50, 800))
                 .inSetter((c, v) -> c.workMs = v)
-                .use(of(1, 2))
+                .use(between(1, 2))
                 .inSetter((c, v) -> c.slots = v)
                 .build();
     }
@@ -143,71 +143,71 @@
         return Builders.withBuilder(RandomSettings::new)
                 .use(anyClass().list().ofMinSize(1).ofMaxSize(5))
                 .inSetter((s, v) -> s.classes = v)
-                .use(of(1, 5))
+                .use(between(1, 5))
                 .inSetter((s, v) -> s.zones = v)
-                .use(Arbitraries.oneOf(of(1, 6), of(1, 40)))
+                .use(Arbitraries.oneOf(between(1, 6), between(1, 40)))
                 .inSetter((s, v) -> s.siblings = v)
-                .use(of(1, 3))
+                .use(between(1, 3))
                 .inSetter((s, v) -> s.kinds = v)
-                .use(of(1, 5))
-                .inSetter((s, v) -> s.workersEach = v)
-                .use(of(1, 4))
+                .use(between(1, 5))
+                .inSetter((s, v) -> s.workersPerKind = v)
+                .use(between(1, 4))
                 .inSetter((s, v) -> s.cells = v)
-                .use(of(1, 6))
+                .use(between(1, 6))
                 .inSetter((s, v) -> s.slots = v)
-                .use(of(7, 23))
+                .use(between(7, 23))
                 .inSetter((s, v) -> s.speedTenths = v)
-                .use(of(0, 2))
+                .use(between(0, 2))
                 .inSetter((s, v) -> s.source = v)
-                .use(of(0, 15))
+                .use(between(0, 15))
                 .inSetter((s, v) -> s.fields = v)
-                .use(of(0, 2))
+                .use(between(0, 2))
                 .inSetter((s, v) -> s.order = v)
-                .use(of(0, 3))
+                .use(between(0, 3))
                 .inSetter((s, v) -> s.weights = v)
-                .use(coin())
-                .inSetter((s, v) -> s.asked = v)
-                .use(coin())
-                .inSetter((s, v) -> s.cancel = v)
-                .use(coin())
+                .use(anyBoolean())
+                .inSetter((s, v) -> s.asksDiscovery = v)
+                .use(anyBoolean())
+                .inSetter((s, v) -> s.mayCancel = v)
+                .use(anyBoolean())
                 .inSetter((s, v) -> s.probes = v)
-                .use(coin())
+                .use(anyBoolean())
                 .inSetter((s, v) -> s.tellsStart = v)
                 .use(Arbitraries.of(0, 100, 500))
                 .inSetter((s, v) -> s.progressMs = v)
-                .use(of(1, 6))
+                .use(between(1, 6))
                 .inSetter((s, v) -> s.maxAttempts = v)
-                .use(coin())
+                .use(anyBoolean())
                 .inSetter((s, v) -> s.retryAfter = v)
-                .use(of(100, 5000))
+                .use(between(100, 5000))
                 .inSetter((s, v) -> s.maxRetryAfterMs = v)
-                .use(of(100, 1000))
+                .use(between(100, 1000))
                 .inSetter((s, v) -> s.graceMs = v)
-                .use(of(5, 60))
+                .use(between(5, 60))
                 .inSetter((s, v) -> s.coldFromPercent = v)
-                .use(of(3000, 25_000))
+                .use(between(3000, 25_000))
                 .inSetter((s, v) -> s.coldMs = v)
-                .use(of(20, 50))
+                .use(between(20, 50))
                 .inSetter((s, v) -> s.multipleTenths = v)
-                .use(of(500, 2500))
+                .use(between(500, 2500))
                 .inSetter((s, v) -> s.fallMs = v)
-                .use(of(1, 20))
+                .use(between(1, 20))
                 .inSetter((s, v) -> s.tickMs = v)
-                .use(of(0, 4))
+                .use(between(0, 4))
                 .inSetter((s, v) -> s.tenants = v)
-                .use(of(0, 10))
+                .use(between(0, 10))
                 .inSetter((s, v) -> s.overShareTenths = v)
-                .use(of(0, 1))
+                .use(between(0, 1))
                 .inSetter((s, v) -> s.memory = v)
-                .use(of(0, 3))
-                .inSetter((s, v) -> s.hints = v)
-                .use(of(0, 60))
-                .inSetter((s, v) -> s.loadDown = v)
-                .use(of(0, 1500))
+                .use(between(0, 3))
+                .inSetter((s, v) -> s.hintQuality = v)
+                .use(between(0, 60))
+                .inSetter((s, v) -> s.loadReduction = v)
+                .use(between(0, 1500))
                 .inSetter((s, v) -> s.reportEveryMs = v)
-                .use(coin())
-                .inSetter((s, v) -> s.lopsided = v)
-                .use(of(0, 12))
+                .use(anyBoolean())
+                .inSetter((s, v) -> s.allInFirstZone = v)
+                .use(between(0, 12))
                 .inSetter((s, v) -> s.workSpread = v)
                 .use(Arbitraries.integers())
                 .inSetter((s, v) -> s.seed = v)
@@ -223,30 +223,30 @@
     }
 
     /** The kind a class is tied to, -1 where any will do. */
-    int kindOf(RandomClass of) {
-        return of.kind < 0 ? -1 : of.kind % kinds;
+    int kindOf(RandomClass jobClass) {
+        return jobClass.kind < 0 ? -1 : jobClass.kind % kinds;
     }
 
     /** No job is wider than the worker it may come to. */
-    int slotsOf(RandomClass of) {
+    int slotsOf(RandomClass jobClass) {
         int least = Integer.MAX_VALUE;
         for (int kind = 0; kind < kinds; kind++) {
             least = Math.min(least, slotsOf(kind));
         }
-        return Math.min(of.slots, least);
+        return Math.min(jobClass.slots, least);
     }
 
     /** Schedulers are spread over the zones, or all in the first one. */
     int zoneOf(int number) {
-        return lopsided ? 0 : number % zones;
+        return allInFirstZone ? 0 : number % zones;
     }
 
     /** Part of what the fleet can do that is asked of it. */
     double load() {
-        return Math.pow(2, -loadDown / 6.0);
+        return Math.pow(2, -loadReduction / 6.0);
     }
 
-    boolean tells(int field) {
+    boolean reports(int field) {
         return (fields & 1 << field) != 0;
     }
 
@@ -255,7 +255,7 @@
     }
 
     /** What one scheduler is told. */
-    Settings of(int number) {
+    Settings settingsOf(int number) {
         try {
             return SettingsReader.read(text(number)).settings;
         } catch (WireException e) {
@@ -270,7 +270,7 @@
         root.addProperty("az", zoneOf(number));
         root.addProperty("siblings", siblings);
         root.addProperty("slotNo", number);
-        root.addProperty("discovery", asked ? "ask" : "push");
+        root.addProperty("discovery", asksDiscovery ? "ask" : "push");
         root.addProperty("weightSource", WEIGHTS[weights]);
         root.addProperty("tick", tickMs / 1e3);
         root.addProperty("overShareWorth", overShareTenths / 10.0);
@@ -330,7 +330,7 @@
 
     private JsonObject limits() {
         JsonObject limits = new JsonObject();
-        limits.addProperty("cancel", cancel);
+        limits.addProperty("cancel", mayCancel);
         limits.addProperty("probes", probes);
         limits.addProperty("maxAttempts", maxAttempts);
         limits.addProperty("retryAfter", retryAfter);
@@ -362,7 +362,7 @@
 
     @Override
     public String toString() {
-        return classes + " hints " + hints + ", load " + load() + ", workers " + kinds + " x " + workersEach
+        return classes + " hints " + hintQuality + ", load " + load() + ", workers " + kinds + " x " + workersPerKind
                 + " of " + slots + " slots, speed " + speedTenths + "/10, cells " + cells + ", reports "
                 + fields + " every " + reportEveryMs + " ms, spread " + workSpread + "/10, memory " + memory
                 + ", seed " + seed + " " + text(0);
--- a/src/test/java/laneflow/core/RandomSettingsTest.java
+++ b/src/test/java/laneflow/core/RandomSettingsTest.java
@@ -18,7 +18,7 @@
 class RandomSettingsTest {
     private static final double SECONDS = 12;
     /** Part of its requests that a class or tenant has served at least, where there is room for all of them. */
-    private static final double LEAST = 0.2;
+    private static final double MIN_SERVED = 0.2;
 
     @Provide
     Arbitrary<RandomSettings> settings() {
@@ -27,16 +27,17 @@
 
     /** Crashes, drains, silence, errors, restarts of schedulers, clients that leave: no rule falls. */
     @Property(tries = 100, seed = "7", edgeCases = EdgeCasesMode.NONE)
-    void roughDaysBreakNoRule(@ForAll("settings") RandomSettings drawn) {
-        new FleetSimulation(drawn, Fault.NOTHING, true).play(SECONDS);
+    void invariantsHoldUnderFaults(@ForAll("settings") RandomSettings settings) {
+        new FleetSimulation(settings, Fault.NONE, true).play(SECONDS);
     }
 
     /** As many of each class and tenant, within what the fleet can do: each is served, and nothing refused at rest. */
     @Property(tries = 100, seed = "7", edgeCases = EdgeCasesMode.NONE)
-    void calmDaysServeEveryClassAndTenant(@ForAll("settings") RandomSettings drawn) {
-        FleetSimulation day = new FleetSimulation(drawn, Fault.NOTHING, false).play(SECONDS);
-        assertTrue(day.leastServed() >= LEAST, "a class has " + day.leastServed());
-        assertTrue(day.leastServedTenant() >= LEAST, "a tenant has " + day.leastServedTenant());
+    void everyClassAndTenantIsServedWithoutFaults(@ForAll("settings") RandomSettings settings) {
+        FleetSimulation simulation = new FleetSimulation(settings, Fault.NONE, false).play(SECONDS);
+        assertTrue(simulation.minServedShare() >= MIN_SERVED, "a class has " + simulation.minServedShare());
+        assertTrue(
+                simulation.minServedTenantShare() >= MIN_SERVED, "a tenant has " + simulation.minServedTenantShare());
     }
 
     private static RandomSettings draw(long seed) {
@@ -45,13 +46,13 @@
     }
 
     /** What speaks first, in some day, where that is broken on purpose. */
-    private static String speaks(Fault broken, boolean rough) {
+    private static String firstViolation(Fault fault, boolean rough) {
         for (long seed = 1; seed < 60; seed++) {
             try {
-                FleetSimulation day = new FleetSimulation(draw(seed), broken, rough).play(SECONDS);
-                if (!rough && day.leastServed() < LEAST) {
+                FleetSimulation simulation = new FleetSimulation(draw(seed), fault, rough).play(SECONDS);
+                if (!rough && simulation.minServedShare() < MIN_SERVED) {
                     return "class starved";
-                } else if (!rough && day.leastServedTenant() < LEAST) {
+                } else if (!rough && simulation.minServedTenantShare() < MIN_SERVED) {
                     return "tenant starved";
                 }
             } catch (Violation e) {
@@ -62,31 +63,31 @@
     }
 
     @Example
-    void everyRulesCheckSpeaksWhereItIsBroken() {
-        assertEquals("one answer", speaks(Fault.ANSWERS_TWICE, true));
-        assertEquals("in time", speaks(Fault.ANSWER_LOST, true));
-        assertEquals("drains", speaks(Fault.GRACE_NOT_ASKED, true));
-        assertEquals("no repeat", speaks(Fault.RUN_TOLD_AS_NEVER, true));
-        assertEquals("cold budget", speaks(Fault.COLD_TENFOLD, true));
-        assertEquals("class starved", speaks(Fault.CLASS_REFUSED, false));
-        assertEquals("tenant starved", speaks(Fault.TENANT_REFUSED, false));
-        assertEquals("at rest", speaks(Fault.IDLE_REFUSED, false));
+    void everyInvariantDetectsItsFault() {
+        assertEquals("one answer", firstViolation(Fault.DUPLICATE_ANSWER, true));
+        assertEquals("in time", firstViolation(Fault.ANSWER_LOST, true));
+        assertEquals("drains", firstViolation(Fault.SEND_CHECK_SKIPPED, true));
+        assertEquals("no repeat", firstViolation(Fault.RUN_REPORTED_AS_UNSENT, true));
+        assertEquals("cold budget", firstViolation(Fault.COLD_TENFOLD, true));
+        assertEquals("class starved", firstViolation(Fault.CLASS_REFUSED, false));
+        assertEquals("tenant starved", firstViolation(Fault.TENANT_REFUSED, false));
+        assertEquals("at rest", firstViolation(Fault.IDLE_REFUSED, false));
     }
 
     /** Days that had nothing to break would prove nothing. */
     @Example
-    void theDaysHaveRequestsColdEndpointsAndRest() {
+    void simulationsExerciseColdEndpointsAndRest() {
         int requests = 0;
         int cold = 0;
         int atRest = 0;
         double budget = 0;
         for (long seed = 1; seed <= 60; seed++) {
-            FleetSimulation rough = new FleetSimulation(draw(seed), Fault.NOTHING, true).play(SECONDS);
-            FleetSimulation calm = new FleetSimulation(draw(seed), Fault.NOTHING, false).play(SECONDS);
+            FleetSimulation rough = new FleetSimulation(draw(seed), Fault.NONE, true).play(SECONDS);
+            FleetSimulation calm = new FleetSimulation(draw(seed), Fault.NONE, false).play(SECONDS);
             requests += rough.requests() + calm.requests();
-            cold += rough.rules.coldSends;
+            cold += rough.rules.coldSendCount;
             atRest += calm.answeredAtRest;
-            budget = Math.max(budget, rough.rules.mostOfBudget);
+            budget = Math.max(budget, rough.rules.maxBudgetUse);
         }
         String seen =
                 requests + " requests, " + cold + " cold calls, " + budget + " of the budget, " + atRest + " at rest";
--- a/src/test/java/laneflow/core/SchedulerPairModel.java
+++ b/src/test/java/laneflow/core/SchedulerPairModel.java
@@ -21,17 +21,17 @@
 final class SchedulerPairModel {
     /** What a test breaks on purpose, to see that the rule's check speaks. */
     enum Fault {
-        NOTHING,
-        ANSWERS_TWICE,
+        NONE,
+        DUPLICATE_ANSWER,
         ANSWER_LOST,
-        ANSWER_WAITS,
-        GRACE_NOT_ASKED,
-        SENDS_REGARDLESS,
-        RUN_TOLD_AS_NEVER,
-        CLOSE_NOT_HEARD,
+        ANSWER_DELAYED,
+        SEND_CHECK_SKIPPED,
+        ALWAYS_SENDS,
+        RUN_REPORTED_AS_UNSENT,
+        CLOSE_IGNORED,
         TIMERS_LOST,
         COLD_TENFOLD,
-        REFUSAL_OF_A_RUN
+        FAILURE_REPORTED_AS_REFUSAL
     }
 
     /** A rule that does not hold. */
@@ -44,65 +44,65 @@
         }
     }
 
-    private static final long DEADLINE = 5_000_000;
+    private static final long DEADLINE_MICROS = 5_000_000;
     private static final double HINT = 0.3;
     private static final double CORES = 4;
     /** How long endpoints remember a key, microseconds: the event "grace" outlasts it. */
-    private static final long WINDOW = 500_000;
+    private static final long WINDOW_MICROS = 500_000;
 
     private static final long START = 1_000_000_000L;
-    private static final String[] WHAT = {"safe ", "keyed ", "capture "};
+    private static final String[] CLASS_LABELS = {"safe ", "keyed ", "capture "};
 
-    private final Fault broken;
+    private final Fault fault;
     /** Whether the settings allow calls that are at work to be cancelled. */
     private final boolean mayCancel;
 
     private final Node[] nodes = new Node[2];
-    private final List<Ask> asks = new ArrayList<>();
-    private final List<Out> outs = new ArrayList<>();
+    private final List<Client> clients = new ArrayList<>();
+    private final List<SentAttempt> sentAttempts = new ArrayList<>();
     private final Map<String, Entry> entries = new HashMap<>();
     private long now = START;
-    int events;
+    int eventCount;
 
     /** A client's request, as its client sees it. */
-    private static final class Ask {
+    private static final class Client {
         private Node node;
         private int jobClass;
         private Request request;
         private final List<String> answers = new ArrayList<>();
         private boolean left;
-        private boolean ranOk;
+        private boolean completed;
         private long answeredAt;
     }
 
     /** A call, as the endpoint's side of its connection sees it. */
-    private static final class Out {
-        private Ask ask;
-        private Attempt call;
+    private static final class SentAttempt {
+        private Client client;
+        private Attempt attempt;
         /** Its first bytes have gone out, and the last one is held back. */
-        private boolean parted;
+        private boolean partlySent;
 
-        private boolean begun;
-        private boolean over;
+        private boolean fullySent;
+        private boolean ended;
         /** The last byte was sent, and no proof has come that it never ran. */
         private boolean mayHaveRun;
 
-        private long begunAt;
+        private long sentAt;
     }
 
     /** A scheduler with its front and connector. */
     private final class Node implements Front, Connector {
         private final Deadlines deadlines = new Deadlines();
         private final Scheduler scheduler;
-        private final Map<String, Long> toldToStop = new HashMap<>();
-        private final Map<String, Long> toldDown = new HashMap<>();
+        private final Map<String, Long> drainNotifiedAt = new HashMap<>();
+        private final Map<String, Long> setDownAt = new HashMap<>();
 
         private Node(int number, long seed) {
             scheduler = new Scheduler(
                     settings(number),
                     seed,
                     () -> now,
-                    broken == Fault.TIMERS_LOST ? new Deadlines() : deadlines,
+                    fault == Fault.TIMERS_LOST ? new Deadlines() : deadlines,
                     new Counters());
             scheduler.start(this, new ArrayList<>(entries.values()));
         }
@@ -127,51 +127,51 @@
 
         @Override
         public void failed(long tag) {
-            answer(tag, broken == Fault.REFUSAL_OF_A_RUN ? "refused" : "failed");
+            answer(tag, fault == Fault.FAILURE_REPORTED_AS_REFUSAL ? "refused" : "failed");
         }
 
         private void answer(long tag, String what) {
-            if (broken == Fault.ANSWER_LOST && !what.equals("served")) {
+            if (fault == Fault.ANSWER_LOST && !what.equals("served")) {
                 return;
             }
-            if (broken == Fault.ANSWER_WAITS && !what.equals("served")) {
+            if (fault == Fault.ANSWER_DELAYED && !what.equals("served")) {
                 // As a front would that keeps its client quiet until just before its deadline.
-                Ask ask = asks.get((int) tag);
-                deadlines.at(ask.request.deadline - 1, () -> ask.answers.add(what));
+                Client client = clients.get((int) tag);
+                deadlines.at(client.request.deadline - 1, () -> client.answers.add(what));
                 return;
             }
-            asks.get((int) tag).answers.add(what);
-            asks.get((int) tag).answeredAt = now;
-            if (broken == Fault.ANSWERS_TWICE) {
-                asks.get((int) tag).answers.add(what);
+            clients.get((int) tag).answers.add(what);
+            clients.get((int) tag).answeredAt = now;
+            if (fault == Fault.DUPLICATE_ANSWER) {
+                clients.get((int) tag).answers.add(what);
             }
         }
 
         @Override
-        public void open(Attempt call) {
-            Out out = new Out();
-            out.ask = asks.get((int) call.request.tag);
-            out.call = call;
-            outs.add(out);
+        public void open(Attempt attempt) {
+            SentAttempt sent = new SentAttempt();
+            sent.client = clients.get((int) attempt.request.tag);
+            sent.attempt = attempt;
+            sentAttempts.add(sent);
         }
 
         @Override
-        public boolean close(Attempt call) {
+        public boolean close(Attempt attempt) {
             boolean unsent = false;
-            for (Out out : outs) {
-                if (out.call == call && broken != Fault.CLOSE_NOT_HEARD) {
-                    out.over = true;
-                    unsent = !out.mayHaveRun;
+            for (SentAttempt sent : sentAttempts) {
+                if (sent.attempt == attempt && fault != Fault.CLOSE_IGNORED) {
+                    sent.ended = true;
+                    unsent = !sent.mayHaveRun;
                 }
             }
             return unsent;
         }
 
         @Override
-        public boolean closeUnsent(Attempt call) {
-            for (Out out : outs) {
-                if (out.call == call && !out.begun && broken != Fault.SENDS_REGARDLESS) {
-                    return close(call);
+        public boolean closeUnsent(Attempt attempt) {
+            for (SentAttempt sent : sentAttempts) {
+                if (sent.attempt == attempt && !sent.fullySent && fault != Fault.ALWAYS_SENDS) {
+                    return close(attempt);
                 }
             }
             return false;
@@ -186,12 +186,12 @@
         public void closeIdle(Endpoint endpoint) {}
     }
 
-    SchedulerPairModel(Fault broken) {
-        this(broken, true);
+    SchedulerPairModel(Fault fault) {
+        this(fault, true);
     }
 
-    SchedulerPairModel(Fault broken, boolean mayCancel) {
-        this.broken = broken;
+    SchedulerPairModel(Fault fault, boolean mayCancel) {
+        this.fault = fault;
         this.mayCancel = mayCancel;
         for (String name : new String[] {"e1", "e2", "e3"}) {
             Entry entry = new Entry();
@@ -207,10 +207,10 @@
     private Settings settings(int number) {
         Settings settings = SchedulerTest.settings();
         settings.mayCancel = mayCancel;
-        settings.classes[SchedulerTest.KEYED].window = WINDOW / 1e6;
+        settings.classes[SchedulerTest.KEYED].window = WINDOW_MICROS / 1e6;
         for (JobClass type : settings.classes) {
             type.aim = 2;
-            type.deadline = DEADLINE / 1e6;
+            type.deadline = DEADLINE_MICROS / 1e6;
         }
         settings.zones = 2;
         settings.zone = number;
@@ -229,186 +229,197 @@
     // ---- events ----
 
     /** Those of these kinds that can happen now; an event is a kind, and whom it happens to. */
-    List<String> possible(Set<String> kinds) {
-        List<String> all = new ArrayList<>();
+    List<String> possibleEvents(Set<String> kinds) {
+        List<String> events = new ArrayList<>();
         for (String kind : kinds) {
             switch (kind) {
                 case "safe", "burst", "restart" -> {
-                    all.add(kind + " 0");
-                    all.add(kind + " 1");
+                    events.add(kind + " 0");
+                    events.add(kind + " 1");
                 }
-                case "capture" -> all.add("capture 0");
-                case "keyed" -> all.add("keyed 0");
-                case "up", "refused" -> each(all, kind, false);
-                case "part" -> parting(all);
-                case "started", "ok", "report", "full", "reset", "silent" -> each(all, kind, true);
-                case "late" -> late(all);
-                case "leave" -> leaving(all);
-                default -> all.add(kind);
+                case "capture" -> events.add("capture 0");
+                case "keyed" -> events.add("keyed 0");
+                case "up", "refused" -> addAttempts(events, kind, false);
+                case "part" -> addUnsentAttempts(events);
+                case "started", "ok", "report", "full", "reset", "silent" -> addAttempts(events, kind, true);
+                case "late" -> addEndedAttempts(events);
+                case "leave" -> addWaitingClients(events);
+                default -> events.add(kind);
             }
         }
-        return all;
+        return events;
     }
 
-    private void each(List<String> all, String kind, boolean begun) {
-        for (int i = 0; i < outs.size(); i++) {
-            if (!outs.get(i).over && outs.get(i).begun == begun) {
-                all.add(kind + " " + i);
+    private void addAttempts(List<String> events, String kind, boolean fullySent) {
+        for (int i = 0; i < sentAttempts.size(); i++) {
+            if (!sentAttempts.get(i).ended && sentAttempts.get(i).fullySent == fullySent) {
+                events.add(kind + " " + i);
             }
         }
     }
 
-    private void parting(List<String> all) {
-        for (int i = 0; i < outs.size(); i++) {
-            if (!outs.get(i).over && !outs.get(i).begun && !outs.get(i).parted) {
-                all.add("part " + i);
+    private void addUnsentAttempts(List<String> events) {
+        for (int i = 0; i < sentAttempts.size(); i++) {
+            if (!sentAttempts.get(i).ended && !sentAttempts.get(i).fullySent && !sentAttempts.get(i).partlySent) {
+                events.add("part " + i);
             }
         }
     }
 
-    private void late(List<String> all) {
-        for (int i = 0; i < outs.size(); i++) {
-            if (outs.get(i).over && outs.get(i).begun) {
-                all.add("late " + i);
+    private void addEndedAttempts(List<String> events) {
+        for (int i = 0; i < sentAttempts.size(); i++) {
+            if (sentAttempts.get(i).ended && sentAttempts.get(i).fullySent) {
+                events.add("late " + i);
             }
         }
     }
 
-    private void leaving(List<String> all) {
-        for (int i = 0; i < asks.size(); i++) {
-            if (!asks.get(i).left && asks.get(i).answers.isEmpty()) {
-                all.add("leave " + i);
+    private void addWaitingClients(List<String> events) {
+        for (int i = 0; i < clients.size(); i++) {
+            if (!clients.get(i).left && clients.get(i).answers.isEmpty()) {
+                events.add("leave " + i);
             }
         }
     }
 
     /** Plays an event and reads the rules. */
     void play(String event) {
-        events++;
+        eventCount++;
         String[] words = event.split(" ");
-        int who = words.length > 1 ? Integer.parseInt(words[1]) : 0;
+        int index = words.length > 1 ? Integer.parseInt(words[1]) : 0;
         switch (words[0]) {
-            case "safe" -> submit(nodes[who], SchedulerTest.SAFE);
-            case "capture" -> submit(nodes[who], SchedulerTest.UNSAFE);
-            case "keyed" -> submit(nodes[who], SchedulerTest.KEYED);
-            case "part" -> part(outs.get(who));
+            case "safe" -> submit(nodes[index], SchedulerTest.SAFE);
+            case "capture" -> submit(nodes[index], SchedulerTest.UNSAFE);
+            case "keyed" -> submit(nodes[index], SchedulerTest.KEYED);
+            case "part" -> sendPartly(sentAttempts.get(index));
             case "burst" -> {
                 for (int i = 0; i < 12; i++) {
-                    submit(nodes[who], SchedulerTest.SAFE);
+                    submit(nodes[index], SchedulerTest.SAFE);
                 }
             }
-            case "up" -> up(outs.get(who));
-            case "refused" -> ends(outs.get(who), Outcome.CONNECT_FAILED, null);
-            case "started" -> outs.get(who).ask.node.scheduler.started(outs.get(who).call);
-            case "ok" -> ends(outs.get(who), Outcome.OK, null);
+            case "up" -> sendFully(sentAttempts.get(index));
+            case "refused" -> end(sentAttempts.get(index), Outcome.CONNECT_FAILED, null);
+            case "started" -> sentAttempts.get(index).client.node.scheduler.started(sentAttempts.get(index).attempt);
+            case "ok" -> end(sentAttempts.get(index), Outcome.OK, null);
             case "report" -> {
                 LoadReport report = new LoadReport();
                 report.freeSlots = CORES;
-                ends(outs.get(who), Outcome.OK, report);
+                end(sentAttempts.get(index), Outcome.OK, report);
             }
-            case "full" -> ends(outs.get(who), Outcome.FULL, null);
+            case "full" -> end(sentAttempts.get(index), Outcome.FULL, null);
             case "reset" ->
-                ends(outs.get(who), broken == Fault.RUN_TOLD_AS_NEVER ? Outcome.CONNECT_FAILED : Outcome.RESET, null);
-            case "silent" -> ends(outs.get(who), Outcome.TIMEOUT, null);
-            case "late" -> outs.get(who).ask.node.scheduler.ended(outs.get(who).call, Outcome.OK, new byte[0], null);
+                end(
+                        sentAttempts.get(index),
+                        fault == Fault.RUN_REPORTED_AS_UNSENT ? Outcome.CONNECT_FAILED : Outcome.RESET,
+                        null);
+            case "silent" -> end(sentAttempts.get(index), Outcome.TIMEOUT, null);
+            case "late" ->
+                sentAttempts
+                        .get(index)
+                        .client
+                        .node
+                        .scheduler
+                        .ended(sentAttempts.get(index).attempt, Outcome.OK, new byte[0], null);
             case "leave" -> {
-                asks.get(who).left = true;
-                asks.get(who).node.scheduler.withdraw(asks.get(who).request);
+                clients.get(index).left = true;
+                clients.get(index).node.scheduler.withdraw(clients.get(index).request);
             }
-            case "drain" -> told(State.DRAINING);
-            case "gone" -> told(State.GONE);
-            case "back" -> told(State.READY);
+            case "drain" -> list(State.DRAINING);
+            case "gone" -> list(State.GONE);
+            case "back" -> list(State.READY);
             case "down" -> {
-                nodes[0].toldDown.putIfAbsent("e1", now);
+                nodes[0].setDownAt.putIfAbsent("e1", now);
                 nodes[0].scheduler.setDown("e1");
             }
             case "again" -> {
-                nodes[0].toldDown.remove("e1");
+                nodes[0].setDownAt.remove("e1");
                 nodes[0].scheduler.setUp("e1");
             }
-            case "restart" -> restart(who);
-            case "tick" -> pass(10_000);
-            case "last" -> pass(DEADLINE - 8_000);
-            case "grace" -> pass(600_000);
-            default -> pass(DEADLINE + 1_000_000);
+            case "restart" -> restart(index);
+            case "tick" -> advance(10_000);
+            case "last" -> advance(DEADLINE_MICROS - 8_000);
+            case "grace" -> advance(600_000);
+            default -> advance(DEADLINE_MICROS + 1_000_000);
         }
-        read();
+        checkInvariants();
     }
 
     private void submit(Node node, int jobClass) {
-        Ask ask = new Ask();
-        ask.node = node;
-        ask.jobClass = jobClass;
-        ask.request =
-                new Request(node, asks.size(), new Payload("", "", "r", null, new byte[0]), jobClass, now + DEADLINE);
-        ask.request.hint = HINT;
-        asks.add(ask);
-        node.scheduler.submit(ask.request);
+        Client client = new Client();
+        client.node = node;
+        client.jobClass = jobClass;
+        client.request = new Request(
+                node, clients.size(), new Payload("", "", "r", null, new byte[0]), jobClass, now + DEADLINE_MICROS);
+        client.request.hint = HINT;
+        clients.add(client);
+        node.scheduler.submit(client.request);
     }
 
     /** Its connection is up: all but the last byte goes out, unless the core says no. */
-    private void part(Out out) {
-        if (mayBegin(out)) {
-            onlyBeforeTheGrace(out);
-            out.parted = true;
+    private void sendPartly(SentAttempt sent) {
+        if (mayBegin(sent)) {
+            checkGrace(sent);
+            sent.partlySent = true;
         }
     }
 
     /** Asks as a connector does before bytes go out, and ends the call if the core says no. */
-    private boolean mayBegin(Out out) {
-        boolean may = broken == Fault.GRACE_NOT_ASKED
-                || broken == Fault.SENDS_REGARDLESS
-                || out.ask.node.scheduler.maySend(out.call);
+    private boolean mayBegin(SentAttempt sent) {
+        boolean may = fault == Fault.SEND_CHECK_SKIPPED
+                || fault == Fault.ALWAYS_SENDS
+                || sent.client.node.scheduler.maySend(sent.attempt);
         if (!may) {
-            ends(out, Outcome.MOOT, null);
+            end(sent, Outcome.MOOT, null);
         }
         return may;
     }
 
-    private void onlyBeforeTheGrace(Out out) {
-        String at = out.call.endpoint.name;
-        Long stop = out.ask.node.toldToStop.get(at);
+    private void checkGrace(SentAttempt sent) {
+        String at = sent.attempt.endpoint.name;
+        Long stop = sent.client.node.drainNotifiedAt.get(at);
         if (stop != null && now > stop + 550_000) {
             throw new Violation("drains", "begun at " + at + " " + (now - stop) + " us behind the word");
         }
     }
 
     /** Its connection is up and its last byte goes out, and those before it, unless the core says no. */
-    private void up(Out out) {
-        if (!mayBegin(out)) {
+    private void sendFully(SentAttempt sent) {
+        if (!mayBegin(sent)) {
             return;
         }
-        if (out.ask.left || !out.ask.answers.isEmpty()) {
+        if (sent.client.left || !sent.client.answers.isEmpty()) {
             throw new Violation("gone", "sent on for a client that has left or has its answer");
         }
-        onlyBeforeTheGrace(out);
-        String at = out.call.endpoint.name;
-        if (out.ask.node.toldDown.containsKey(at)) {
+        checkGrace(sent);
+        String at = sent.attempt.endpoint.name;
+        if (sent.client.node.setDownAt.containsKey(at)) {
             throw new Violation("bans", "begun at " + at + ", which is set down");
         }
-        for (Out other : outs) {
-            if (other != out && other.ask == out.ask && other.begun) {
-                if (!other.over) {
+        for (SentAttempt other : sentAttempts) {
+            if (other != sent && other.client == sent.client && other.fullySent) {
+                if (!other.ended) {
                     throw new Violation("one call out", "a second one at " + at);
                 }
                 if (other.mayHaveRun
-                        && (out.ask.jobClass == SchedulerTest.UNSAFE
-                                || out.ask.jobClass == SchedulerTest.KEYED && now >= other.begunAt + WINDOW)) {
-                    throw new Violation("no repeat", "what may have run at " + other.call.endpoint + " goes to " + at);
+                        && (sent.client.jobClass == SchedulerTest.UNSAFE
+                                || sent.client.jobClass == SchedulerTest.KEYED
+                                        && now >= other.sentAt + WINDOW_MICROS)) {
+                    throw new Violation(
+                            "no repeat", "what may have run at " + other.attempt.endpoint + " goes to " + at);
                 }
             }
         }
-        out.begun = true;
-        out.begunAt = now;
-        out.mayHaveRun = true;
-        cold();
+        sent.fullySent = true;
+        sent.sentAt = now;
+        sent.mayHaveRun = true;
+        checkColdBudget();
     }
 
-    private void cold() {
+    private void checkColdBudget() {
         double sum = 0;
-        for (Out out : outs) {
-            if (out.begun && out.call.endpoint.name.equals("e2") && out.begunAt > now - 1_500_000) {
-                sum += broken == Fault.COLD_TENFOLD ? 10 * HINT : HINT;
+        for (SentAttempt sent : sentAttempts) {
+            if (sent.fullySent && sent.attempt.endpoint.name.equals("e2") && sent.sentAt > now - 1_500_000) {
+                sum += fault == Fault.COLD_TENFOLD ? 10 * HINT : HINT;
             }
         }
         double share = 0.13 + 0.87 * (now - START + 2_000_000) / 24e6;
@@ -417,36 +428,36 @@
         }
     }
 
-    private void ends(Out out, Outcome outcome, LoadReport report) {
-        out.over = true;
-        out.mayHaveRun &= outcome != Outcome.FULL;
-        out.ask.ranOk |= outcome == Outcome.OK;
-        out.ask.node.scheduler.ended(out.call, outcome, new byte[0], report);
+    private void end(SentAttempt sent, Outcome outcome, LoadReport report) {
+        sent.ended = true;
+        sent.mayHaveRun &= outcome != Outcome.FULL;
+        sent.client.completed |= outcome == Outcome.OK;
+        sent.client.node.scheduler.ended(sent.attempt, outcome, new byte[0], report);
     }
 
     /** The first scheduler's list has this word of e1. */
-    private void told(State state) {
+    private void list(State state) {
         Entry entry = entries.get("e1").withState(state);
         nodes[0].scheduler.list(nodes[0], false, List.of(entry));
         if (state == State.READY) {
-            nodes[0].toldToStop.remove("e1");
+            nodes[0].drainNotifiedAt.remove("e1");
         } else {
-            nodes[0].toldToStop.putIfAbsent("e1", now);
+            nodes[0].drainNotifiedAt.putIfAbsent("e1", now);
         }
     }
 
     /** Killed, and started with nothing but the list that was known at first: its clients and calls are gone. */
-    private void restart(int who) {
-        for (Ask ask : asks) {
-            ask.left |= ask.node == nodes[who] && ask.answers.isEmpty();
+    private void restart(int index) {
+        for (Client client : clients) {
+            client.left |= client.node == nodes[index] && client.answers.isEmpty();
         }
-        for (Out out : outs) {
-            out.over |= out.ask.node == nodes[who];
+        for (SentAttempt sent : sentAttempts) {
+            sent.ended |= sent.client.node == nodes[index];
         }
-        nodes[who] = new Node(who, 70 + events);
+        nodes[index] = new Node(index, 70 + eventCount);
     }
 
-    private void pass(long micros) {
+    private void advance(long micros) {
         long until = now + micros;
         for (Node node : nodes) {
             // Each deadline in its own turn, as the loop runs them.
@@ -461,47 +472,47 @@
 
     // ---- the rules ----
 
-    private void read() {
-        for (Ask ask : asks) {
-            String what = WHAT[ask.jobClass] + asks.indexOf(ask);
-            boolean out = false;
+    private void checkInvariants() {
+        for (Client client : clients) {
+            String label = CLASS_LABELS[client.jobClass] + clients.indexOf(client);
+            boolean hasOpenAttempt = false;
             boolean mayHaveRun = false;
-            boolean isForgotten = false;
-            int calls = 0;
-            for (Out each : outs) {
-                if (each.ask == ask) {
-                    calls++;
-                    out |= !each.over;
+            boolean keyExpired = false;
+            int attemptCount = 0;
+            for (SentAttempt each : sentAttempts) {
+                if (each.client == client) {
+                    attemptCount++;
+                    hasOpenAttempt |= !each.ended;
                     mayHaveRun |= each.mayHaveRun;
-                    isForgotten |= each.mayHaveRun && ask.answeredAt >= each.begunAt + WINDOW;
+                    keyExpired |= each.mayHaveRun && client.answeredAt >= each.sentAt + WINDOW_MICROS;
                 }
             }
-            if (ask.answers.size() > 1 || ask.left && !ask.answers.isEmpty()) {
-                throw new Violation("one answer", what + " got " + ask.answers);
+            if (client.answers.size() > 1 || client.left && !client.answers.isEmpty()) {
+                throw new Violation("one answer", label + " got " + client.answers);
             }
-            if (calls > 5) {
-                throw new Violation("five calls", what + " made " + calls);
+            if (attemptCount > 5) {
+                throw new Violation("five calls", label + " made " + attemptCount);
             }
-            if (ask.answers.contains("served") && !ask.ranOk) {
-                throw new Violation("true answers", what + " was served by nobody");
+            if (client.answers.contains("served") && !client.completed) {
+                throw new Violation("true answers", label + " was served by nobody");
             }
-            boolean runsAgain = ask.jobClass == SchedulerTest.UNSAFE && mayHaveRun
-                    || ask.jobClass == SchedulerTest.KEYED && isForgotten;
-            if (ask.answers.contains("refused") && runsAgain) {
-                throw new Violation("true answers", what + " was refused and may have run");
+            boolean runsAgain = client.jobClass == SchedulerTest.UNSAFE && mayHaveRun
+                    || client.jobClass == SchedulerTest.KEYED && keyExpired;
+            if (client.answers.contains("refused") && runsAgain) {
+                throw new Violation("true answers", label + " was refused and may have run");
             }
-            boolean open = ask.answers.isEmpty() && !ask.left;
-            if (open && now >= ask.request.deadline) {
-                throw new Violation("in time", what + " has no answer");
+            boolean unanswered = client.answers.isEmpty() && !client.left;
+            if (unanswered && now >= client.request.deadline) {
+                throw new Violation("in time", label + " has no answer");
             }
-            if (open && !out) {
-                throw new Violation("at once", what + " is out nowhere and waits");
+            if (unanswered && !hasOpenAttempt) {
+                throw new Violation("at once", label + " is out nowhere and waits");
             }
-            if (open && ask.node.deadlines.next() > ask.request.deadline) {
-                throw new Violation("armed", what + " has no deadline armed");
+            if (unanswered && client.node.deadlines.next() > client.request.deadline) {
+                throw new Violation("armed", label + " has no deadline armed");
             }
-            if (!open && out && now > ask.request.deadline) {
-                throw new Violation("nothing left", "a call of " + what + " is still out");
+            if (!unanswered && hasOpenAttempt && now > client.request.deadline) {
+                throw new Violation("nothing left", "a call of " + label + " is still out");
             }
         }
     }
--- a/src/test/java/laneflow/core/SchedulerTest.java
+++ b/src/test/java/laneflow/core/SchedulerTest.java
@@ -28,13 +28,13 @@
     private long now = 1_000_000_000L;
     private final Deadlines deadlines = new Deadlines();
     private final Counters counters = new Counters();
-    private final List<Attempt> calls = new ArrayList<>();
+    private final List<Attempt> attempts = new ArrayList<>();
     private final List<Attempt> closed = new ArrayList<>();
     private final List<String> answers = new ArrayList<>();
     private Runnable onOpen = () -> {};
     private Runnable onClose = () -> {};
     /** Microseconds that the present turn has lasted. */
-    private long lasted;
+    private long turnMicros;
 
     private final Clock clock = new Clock() {
         @Override
@@ -44,7 +44,7 @@
 
         @Override
         public long currentMicros() {
-            return now + lasted;
+            return now + turnMicros;
         }
     };
     private final Scheduler scheduler = new Scheduler(settings(), 7, clock, deadlines, counters);
@@ -90,38 +90,38 @@
         return request;
     }
 
-    private void pass(long micros) {
+    private void advance(long micros) {
         now += micros;
         deadlines.runDue(now);
     }
 
     @Test
-    void aCallThatComesUpAfterTheGraceMustNotBegin() {
+    void noAttemptIsSentAfterTheDrainGrace() {
         endpoints("a");
         submit(UNSAFE);
-        assertTrue(scheduler.maySend(calls.get(0)));
+        assertTrue(scheduler.maySend(attempts.get(0)));
         scheduler.list(this, false, List.of(entry("a", State.DRAINING)));
         // The process may be held up for 0.15 s between this and the write: the grace of 0.5 s has to cover that.
-        pass(349_000);
-        assertTrue(scheduler.maySend(calls.get(0)));
+        advance(349_000);
+        assertTrue(scheduler.maySend(attempts.get(0)));
         // A second word of the same drain does not start the grace again.
         scheduler.list(this, false, List.of(entry("a", State.GONE)));
-        pass(1_000);
-        assertFalse(scheduler.maySend(calls.get(0)));
+        advance(1_000);
+        assertFalse(scheduler.maySend(attempts.get(0)));
         assertEquals(1, counters.get("core.kept.drain"));
     }
 
     @Test
-    void theGraceRunsFromWhenADrainCountsAsToldHoweverLateItIsRead() {
+    void theDrainGraceRunsFromReceiptHoweverLateTheListIsRead() {
         endpoints("a", "b");
         submit(UNSAFE);
         submit(UNSAFE);
-        scheduler.list(this, false, List.of(entry(calls.get(0).endpoint.name, State.DRAINING)), now - 300_000);
-        scheduler.list(this, false, List.of(entry(calls.get(1).endpoint.name, State.GONE)), now - 350_000);
-        assertTrue(scheduler.maySend(calls.get(0)));
-        assertFalse(scheduler.maySend(calls.get(1)));
-        pass(50_000);
-        assertFalse(scheduler.maySend(calls.get(0)));
+        scheduler.list(this, false, List.of(entry(attempts.get(0).endpoint.name, State.DRAINING)), now - 300_000);
+        scheduler.list(this, false, List.of(entry(attempts.get(1).endpoint.name, State.GONE)), now - 350_000);
+        assertTrue(scheduler.maySend(attempts.get(0)));
+        assertFalse(scheduler.maySend(attempts.get(1)));
+        advance(50_000);
+        assertFalse(scheduler.maySend(attempts.get(0)));
     }
 
     /** What its front says of its client. */
@@ -134,12 +134,12 @@
 
     /** Its end lies unread behind the failure of the first attempt: the client is looked at before the next one. */
     @Test
-    void noFurtherAttemptBeginsForAClientThatHasGoneByThen() {
+    void noFurtherAttemptForAClientThatHasLeft() {
         endpoints("a", "b");
         submit(SAFE);
         clientHasLeft = true;
-        scheduler.ended(calls.get(0), Outcome.RESET, null, null);
-        assertEquals(1, calls.size());
+        scheduler.ended(attempts.get(0), Outcome.RESET, null, null);
+        assertEquals(1, attempts.size());
         assertEquals(List.of(), answers);
         assertEquals(0, scheduler.openRequests());
         assertEquals(1, counters.get("core.kept.left"));
@@ -148,51 +148,51 @@
 
     /** The connection comes up in a later turn than the decision's: the client may have gone meanwhile. */
     @Test
-    void aCallThatComesUpLaterDoesNotBeginForAClientThatHasGone() {
+    void aLateConnectionSendsNothingForAClientThatHasLeft() {
         endpoints("a");
         submit(UNSAFE);
         clientHasLeft = true;
-        assertTrue(scheduler.maySend(calls.get(0)), "it was looked at in this very turn");
-        pass(1_000);
-        assertFalse(scheduler.maySend(calls.get(0)));
+        assertTrue(scheduler.maySend(attempts.get(0)), "it was looked at in this very turn");
+        advance(1_000);
+        assertFalse(scheduler.maySend(attempts.get(0)));
         assertEquals(1, counters.get("core.kept.left"));
     }
 
     /** The operators price it as a refusal. */
     @Test
-    void whatWasNeverSentOnAndFailsIsCountedApart() {
+    void aFailureWithoutAnyAttemptIsCounted() {
         endpoints("a");
         Request request = new Request(this, 0, new Payload("", "", "r", null, new byte[0]), UNSAFE, now + 5_000_000);
         request.mayHaveRunSince(now - 1);
         scheduler.submit(request);
-        pass(5_000_000);
+        advance(5_000_000);
         assertEquals(List.of("failed"), answers);
         assertEquals(1, counters.get("clients.failed_unsent"));
     }
 
     @Test
-    void whatMayHaveRunIsRepeatedOnlyAsItsClassAllows() {
+    void aRequestThatMayHaveRunIsRepeatedOnlyAsItsClassAllows() {
         endpoints("a", "b", "c", "d", "e");
         submit(UNSAFE);
-        scheduler.ended(calls.get(0), Outcome.CONNECT_FAILED, null, null);
-        assertEquals(2, calls.size());
-        scheduler.ended(calls.get(1), Outcome.RESET, null, null);
+        scheduler.ended(attempts.get(0), Outcome.CONNECT_FAILED, null, null);
+        assertEquals(2, attempts.size());
+        scheduler.ended(attempts.get(1), Outcome.RESET, null, null);
         assertEquals(List.of("failed"), answers);
         assertEquals(0, counters.get("clients.failed_unsent"));
         submit(SAFE);
-        scheduler.ended(calls.get(2), Outcome.RESET, null, null);
-        assertEquals(4, calls.size());
+        scheduler.ended(attempts.get(2), Outcome.RESET, null, null);
+        assertEquals(4, attempts.size());
         // The first call's end told again changes nothing.
-        scheduler.ended(calls.get(2), Outcome.OK, new byte[0], null);
-        scheduler.ended(calls.get(3), Outcome.OK, new byte[0], null);
-        scheduler.ended(calls.get(3), Outcome.OK, new byte[0], null);
+        scheduler.ended(attempts.get(2), Outcome.OK, new byte[0], null);
+        scheduler.ended(attempts.get(3), Outcome.OK, new byte[0], null);
+        scheduler.ended(attempts.get(3), Outcome.OK, new byte[0], null);
         assertEquals(List.of("failed", "served"), answers);
         assertEquals(0, scheduler.openRequests());
     }
 
     /** What a version changes holds for requests that come behind it; one that is open keeps what it came under. */
     @Test
-    void aRequestKeepsTheLimitsThatItCameUnder() {
+    void aRequestKeepsTheSettingsItArrivedUnder() {
         endpoints("a", "b", "c", "d", "e");
         Settings settings = scheduler.settings();
         submit(SAFE);
@@ -205,18 +205,18 @@
         settings.classes[SAFE] = other;
         assertEquals(epoch + 1, scheduler.settingsChanged());
         // It has five attempts, as when it came.
-        scheduler.ended(calls.get(0), Outcome.RESET, null, null);
-        assertEquals(2, calls.size());
-        scheduler.ended(calls.get(1), Outcome.RESET, null, null);
-        assertEquals(3, calls.size());
-        assertTrue(calls.get(2).request.type != other);
+        scheduler.ended(attempts.get(0), Outcome.RESET, null, null);
+        assertEquals(2, attempts.size());
+        scheduler.ended(attempts.get(1), Outcome.RESET, null, null);
+        assertEquals(3, attempts.size());
+        assertTrue(attempts.get(2).request.type != other);
         // The one behind it has one.
         Request next = submit(SAFE);
         assertEquals(epoch + 1, next.epoch());
         assertTrue(next.type == other);
-        assertEquals(4, calls.size());
-        scheduler.ended(calls.get(3), Outcome.RESET, null, null);
-        assertEquals(4, calls.size());
+        assertEquals(4, attempts.size());
+        scheduler.ended(attempts.get(3), Outcome.RESET, null, null);
+        assertEquals(4, attempts.size());
         assertEquals(List.of("refused"), answers);
     }
 
@@ -225,69 +225,69 @@
         endpoints("a");
         submit(UNSAFE);
         submit(KEYED);
-        pass(4_999_000);
+        advance(4_999_000);
         assertEquals(List.of("failed", "refused"), answers);
-        assertEquals(calls.size(), closed.size());
-        pass(10_000_000);
+        assertEquals(attempts.size(), closed.size());
+        advance(10_000_000);
         assertEquals(2, answers.size());
         assertEquals(0, counters.get("core.overdue"));
     }
 
     @Test
-    void whatIsGivenUpIsAnsweredAtOnceAndWhatCameBeforeGoesOn() {
+    void abandonedRequestsAreAnsweredAtOnceAndEarlierOnesGoOn() {
         endpoints("a", "b", "c", "d");
         submit(UNSAFE);
-        pass(10_000);
+        advance(10_000);
         long since = now;
         submit(UNSAFE);
         submit(SAFE);
         scheduler.abandonSince(since);
         assertEquals(List.of("failed", "refused"), answers);
-        assertEquals(calls.subList(1, 3), closed);
-        scheduler.ended(calls.get(0), Outcome.OK, new byte[0], null);
+        assertEquals(attempts.subList(1, 3), closed);
+        scheduler.ended(attempts.get(0), Outcome.OK, new byte[0], null);
         assertEquals(List.of("failed", "refused", "served"), answers);
         assertEquals(0, scheduler.openRequests());
     }
 
     /** A silent endpoint must not hold a connection, and its place in the module's books, for ever. */
     @Test
-    void noCallOutlivesItsRequestsDeadlineThoughCancellingIsOff() {
+    void noAttemptOutlivesItsDeadlineThoughCancellingIsOff() {
         scheduler.settings().mayCancel = false;
         endpoints("a", "b");
         submit(UNSAFE);
         scheduler.withdraw(submit(SAFE));
         assertEquals(List.of(), closed);
-        pass(5_000_000);
+        advance(5_000_000);
         assertEquals(List.of("failed"), answers);
-        assertEquals(List.copyOf(calls), List.copyOf(closed));
+        assertEquals(List.copyOf(attempts), List.copyOf(closed));
         assertEquals(Long.MAX_VALUE, deadlines.next());
         assertEquals(0, counters.get("core.overdue"));
     }
 
     /** What the module sends on for a request that left while it was at work must not stay in its books. */
     @Test
-    void aCallForARequestThatHasJustLeftIsSettledUnderItsOwnNumber() {
+    void anAttemptForAWithdrawnRequestIsSettledUnderItsOwnNumber() {
         endpoints("a", "b");
         Request leaving = submit(SAFE);
         onOpen = () -> {
-            scheduler.ended(calls.get(0), Outcome.CONNECT_FAILED, null, null);
+            scheduler.ended(attempts.get(0), Outcome.CONNECT_FAILED, null, null);
             scheduler.withdraw(leaving);
         };
         submit(SAFE);
         assertEquals(1, counters.get("core.kept.unknown"));
-        scheduler.ended(calls.get(1), Outcome.OK, new byte[0], null);
-        pass(9_000_000);
+        scheduler.ended(attempts.get(1), Outcome.OK, new byte[0], null);
+        advance(9_000_000);
         Set<String> used = new HashSet<>();
         for (int i = 2; i < 42; i++) {
             submit(SAFE);
-            used.add(calls.get(i).endpoint.name);
-            scheduler.ended(calls.get(i), Outcome.OK, new byte[0], null);
+            used.add(attempts.get(i).endpoint.name);
+            scheduler.ended(attempts.get(i), Outcome.OK, new byte[0], null);
         }
         assertEquals(Set.of("a", "b"), used);
     }
 
     @Test
-    void aSurgeIsSeenAndEvenOrFewRequestsAreNone() {
+    void aSurgeIsDetectedAndSteadyOrFewRequestsAreNot() {
         Arrivals arrivals = new Arrivals();
         long at = now;
         for (; at < now + 9_000_000; at += 50_000) {
@@ -306,32 +306,32 @@
     }
 
     @Test
-    void aCaptureThatNeverBeganIsRefusedWhenItsTimeIsOver() {
+    void anUnsafeRequestThatWasNeverSentIsRefusedAtItsDeadline() {
         endpoints("a");
         neverSent = true;
         submit(UNSAFE);
-        pass(5_000_000);
+        advance(5_000_000);
         assertEquals(List.of("refused"), answers);
         neverSent = false;
         submit(UNSAFE);
-        pass(5_000_000);
+        advance(5_000_000);
         assertEquals(List.of("refused", "failed"), answers);
     }
 
     @Test
-    void aWithdrawnRequestIsOwedNothing() {
+    void aWithdrawnRequestGetsNoAnswer() {
         endpoints("a");
         Request request = submit(UNSAFE);
         scheduler.withdraw(request);
-        assertEquals(calls, closed);
-        scheduler.ended(calls.get(0), Outcome.OK, new byte[0], null);
-        pass(10_000_000);
+        assertEquals(attempts, closed);
+        scheduler.ended(attempts.get(0), Outcome.OK, new byte[0], null);
+        advance(10_000_000);
         assertEquals(List.of(), answers);
         assertEquals(1, counters.get("http.withdrawn"));
     }
 
     @Test
-    void aWholeListSpeaksForItsOwnSourceOnly() {
+    void aFullListReplacesItsOwnSourceOnly() {
         endpoints("a");
         Connector other = new SchedulerTest();
         scheduler.list(other, false, List.of(entry("w", State.READY)));
@@ -345,7 +345,7 @@
 
     /** Nothing of the core is locked: a call from another thread than its owner's must not pass unseen in tests. */
     @Test
-    void aCallFromAnotherThreadIsSeen() throws Exception {
+    void useFromAnotherThreadIsDetected() throws Exception {
         endpoints("a");
         submit(SAFE);
         List<Runnable> calls = List.of(
@@ -353,9 +353,9 @@
                 () -> deadlines.at(now, () -> {}),
                 () -> counters.add("x"),
                 () -> scheduler.probed(null, 0, Outcome.OK, null));
-        for (Runnable call : calls) {
+        for (Runnable attempt : calls) {
             Throwable[] seen = new Throwable[1];
-            Thread other = new Thread(call);
+            Thread other = new Thread(attempt);
             other.setUncaughtExceptionHandler((thread, thrown) -> seen[0] = thrown);
             other.start();
             other.join();
@@ -364,7 +364,7 @@
     }
 
     @Test
-    void handlesOfWhatHasLeftFindNothing() {
+    void handlesOfRemovedItemsFindNothing() {
         SlotTable<String> table = new SlotTable<>();
         long first = table.add("x");
         assertSame("x", table.remove(first));
@@ -377,24 +377,24 @@
     }
 
     @Test
-    void deadlinesRunInOrderHoweverTheyAreMoved() {
+    void deadlinesRunInOrderAfterCancellations() {
         List<Integer> ran = new ArrayList<>();
         List<Deadlines.Deadline> all = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             int number = i;
             all.add(deadlines.at(i * 37 % 200, () -> ran.add(number * 37 % 200)));
         }
-        List<Integer> wanted = new ArrayList<>();
+        List<Integer> expected = new ArrayList<>();
         for (int at = 0; at < 200; at++) {
-            wanted.add(at);
+            expected.add(at);
         }
         for (int i = 0; i < 200; i += 3) {
             deadlines.cancel(all.get(i));
-            wanted.remove(Integer.valueOf(i * 37 % 200));
+            expected.remove(Integer.valueOf(i * 37 % 200));
         }
-        assertEquals((long) wanted.get(0), deadlines.next());
+        assertEquals((long) expected.get(0), deadlines.next());
         deadlines.runDue(200);
-        assertEquals(wanted, ran);
+        assertEquals(expected, ran);
         assertEquals(Long.MAX_VALUE, deadlines.next());
     }
 
@@ -412,24 +412,24 @@
     private boolean neverSent;
 
     @Override
-    public void open(Attempt call) {
-        calls.add(call);
+    public void open(Attempt attempt) {
+        attempts.add(attempt);
         Runnable then = onOpen;
         onOpen = () -> {};
         then.run();
     }
 
     @Override
-    public boolean close(Attempt call) {
-        closed.add(call);
+    public boolean close(Attempt attempt) {
+        closed.add(attempt);
         onClose.run();
         return neverSent;
     }
 
     @Override
-    public boolean closeUnsent(Attempt call) {
+    public boolean closeUnsent(Attempt attempt) {
         if (neverSent) {
-            closed.add(call);
+            closed.add(attempt);
         }
         return neverSent;
     }
@@ -446,51 +446,51 @@
 
     /** This connector leaves the call where it is: its connection comes up when nobody waits any more. */
     @Test
-    void noCallBeginsOnceItsClientHasLeftThoughCancellingIsOff() {
+    void noAttemptIsSentOnceItsClientHasLeftThoughCancellingIsOff() {
         scheduler.settings().mayCancel = false;
         endpoints("a");
         Request request = submit(SAFE);
-        assertTrue(scheduler.maySend(calls.get(0)));
+        assertTrue(scheduler.maySend(attempts.get(0)));
         scheduler.withdraw(request);
-        assertFalse(scheduler.maySend(calls.get(0)));
+        assertFalse(scheduler.maySend(attempts.get(0)));
         assertEquals(1, counters.get("core.kept.answered"));
     }
 
     @Test
-    void aCallThatWasNotSentIsClosedWithItsClientsLeavingThoughCancellingIsOff() {
+    void anUnsentAttemptIsClosedWhenItsClientLeavesThoughCancellingIsOff() {
         scheduler.settings().mayCancel = false;
         endpoints("a", "b");
         neverSent = true;
         for (int jobClass : new int[] {SAFE, KEYED, UNSAFE}) {
             scheduler.withdraw(submit(jobClass));
         }
-        assertEquals(calls, closed);
+        assertEquals(attempts, closed);
         assertEquals(3, counters.get("call.moot"));
         assertEquals(0, scheduler.openRequests());
         neverSent = false;
         // One that may be at work goes on, to its client's time.
         scheduler.withdraw(submit(SAFE));
         assertEquals(3, closed.size());
-        pass(5_000_000);
+        advance(5_000_000);
         assertEquals(4, closed.size());
         assertEquals(Long.MAX_VALUE, deadlines.next());
     }
 
     /** Its last call is answered two ticks before its time; what was not sent then must not be after it. */
     @Test
-    void aCallThatWasNotSentIsClosedWithItsAnswerThoughCancellingIsOff() {
+    void anUnsentAttemptIsClosedWithTheAnswerThoughCancellingIsOff() {
         scheduler.settings().mayCancel = false;
         endpoints("a");
         neverSent = true;
         submit(SAFE);
-        pass(4_999_000);
+        advance(4_999_000);
         assertEquals(List.of("refused"), answers);
-        assertEquals(calls, closed);
-        assertFalse(scheduler.maySend(calls.get(0)));
+        assertEquals(attempts, closed);
+        assertFalse(scheduler.maySend(attempts.get(0)));
     }
 
     @Test
-    void aRequestHeldForAPolicyIsNotDecidedOnOnceItsClientHasLeft() {
+    void aHeldRequestIsNotDecidedOnOnceItsClientHasLeft() {
         endpoints("a");
         boolean[] may = new boolean[1];
         scheduler.setAdmissionGate(new AdmissionGate() {
@@ -511,45 +511,45 @@
         });
         Request leaving = submit(SAFE);
         submit(SAFE);
-        pass(1_000);
+        advance(1_000);
         scheduler.withdraw(leaving);
         may[0] = true;
-        pass(9_000);
-        assertEquals(1, calls.size());
-        assertTrue(calls.get(0).request != leaving);
+        advance(9_000);
+        assertEquals(1, attempts.size());
+        assertTrue(attempts.get(0).request != leaving);
         assertEquals(List.of(), answers);
     }
 
     /** A turn may last, as where the process was stopped amid it: what holds then is what counts. */
     @Test
-    void whatMayBeginIsToldByTheClockAsItIsAndNotAsTheTurnBegan() {
+    void sendChecksReadTheClockAndNotTheStartOfTheTurn() {
         endpoints("a", "b", "c");
         submit(UNSAFE);
-        scheduler.list(this, false, List.of(entry(calls.get(0).endpoint.name, State.DRAINING)));
-        lasted = 349_000;
-        assertTrue(scheduler.maySend(calls.get(0)));
-        lasted = 350_000;
-        assertFalse(scheduler.maySend(calls.get(0)));
-        lasted = 0;
+        scheduler.list(this, false, List.of(entry(attempts.get(0).endpoint.name, State.DRAINING)));
+        turnMicros = 349_000;
+        assertTrue(scheduler.maySend(attempts.get(0)));
+        turnMicros = 350_000;
+        assertFalse(scheduler.maySend(attempts.get(0)));
+        turnMicros = 0;
         submit(SAFE);
-        lasted = 4_999_999;
-        assertTrue(scheduler.maySend(calls.get(1)));
-        lasted = 5_000_000;
-        assertFalse(scheduler.maySend(calls.get(1)));
+        turnMicros = 4_999_999;
+        assertTrue(scheduler.maySend(attempts.get(1)));
+        turnMicros = 5_000_000;
+        assertFalse(scheduler.maySend(attempts.get(1)));
         assertEquals(1, counters.get("core.kept.spent"));
     }
 
     @Test
-    void anAnswerThatIsThereWhenItsTimeIsOverIsServed() {
+    void anAnswerFoundAtTheDeadlineIsServed() {
         endpoints("a", "b");
         for (int jobClass : new int[] {SAFE, KEYED, UNSAFE}) {
             submit(jobClass);
-            Attempt call = calls.get(jobClass);
-            onClose = () -> scheduler.ended(call, Outcome.OK, new byte[0], null);
-            pass(5_000_000);
+            Attempt attempt = attempts.get(jobClass);
+            onClose = () -> scheduler.ended(attempt, Outcome.OK, new byte[0], null);
+            advance(5_000_000);
             assertEquals("served", answers.get(jobClass));
         }
-        pass(5_000_000);
+        advance(5_000_000);
         assertEquals(3, answers.size());
         assertEquals(3, counters.get("call.ok"));
         assertEquals(0, counters.get("call.cancelled") + counters.get("call.timeout"));
@@ -558,7 +558,7 @@
 
     /** Where endpoints may have begun what they shed, a key's window runs from that call on. */
     @Test
-    void whatWasShedMayHaveRunWhereTheSettingsSaySo() {
+    void aShedAttemptMayHaveRunIfTheSettingsSaySo() {
         for (boolean may : new boolean[] {false, true}) {
             SchedulerTest other = new SchedulerTest();
             other.scheduler.settings().fullMayHaveRun = may;
@@ -567,22 +567,22 @@
             second.kind = 1;
             other.scheduler.start(other, List.of(entry("a", State.READY), second));
             other.submit(KEYED);
-            other.scheduler.ended(other.calls.get(0), Outcome.FULL, null, null);
+            other.scheduler.ended(other.attempts.get(0), Outcome.FULL, null, null);
             other.scheduler.settings().classes[KEYED].window = 1;
-            other.pass(999_000);
-            assertTrue(other.scheduler.maySend(other.calls.get(1)));
-            other.pass(1_000);
-            assertEquals(!may, other.scheduler.maySend(other.calls.get(1)));
+            other.advance(999_000);
+            assertTrue(other.scheduler.maySend(other.attempts.get(1)));
+            other.advance(1_000);
+            assertEquals(!may, other.scheduler.maySend(other.attempts.get(1)));
         }
     }
 
     @Test
-    void aKeysWindowIsLookedAtAgainBeforeTheFirstByte() {
+    void theKeyWindowIsCheckedAgainBeforeTheFirstByte() {
         endpoints("e1", "e2");
         Request request = new Request(this, 0, new Payload("", "", "r", "k", new byte[0]), KEYED, now + 60_000_000);
         scheduler.submit(request);
-        scheduler.ended(calls.get(0), Outcome.RESET, null, null);
-        Attempt again = calls.get(1);
+        scheduler.ended(attempts.get(0), Outcome.RESET, null, null);
+        Attempt again = attempts.get(1);
         now += 9_900_000;
         assertTrue(scheduler.maySend(again));
         // Its connection comes up, or its worker grabs it, when endpoints no longer drop a repeat.
--- a/src/test/java/laneflow/core/SimulatedEndpoint.java
+++ b/src/test/java/laneflow/core/SimulatedEndpoint.java
@@ -5,183 +5,185 @@
 import java.util.List;
 import java.util.stream.Stream;
 import laneflow.core.EndpointSet.Entry;
-import laneflow.core.FleetSimulation.Out;
+import laneflow.core.FleetSimulation.SentAttempt;
 import laneflow.decision.Dispatch.LoadReport;
 import laneflow.decision.Dispatch.Outcome;
 import laneflow.decision.Dispatch.State;
 
 /** An endpoint of a {@link FleetSimulation}: it queues, runs, falls silent, dies with all that it has, and comes back cold. */
 final class SimulatedEndpoint {
-    private static final int QUEUE_EACH_SLOT = 6;
+    private static final int QUEUE_PER_SLOT = 6;
 
-    private final FleetSimulation day;
-    private final RandomSettings drawn;
+    private final FleetSimulation simulation;
+    private final RandomSettings settings;
     final Entry entry = new Entry();
     final int slots;
     final double speed;
-    final ArrayDeque<Out> queue = new ArrayDeque<>();
-    private final List<Out> running = new ArrayList<>();
-    final ArrayDeque<double[]> cold = new ArrayDeque<>();
-    private double used;
-    private double memory;
+    final ArrayDeque<SentAttempt> queue = new ArrayDeque<>();
+    private final List<SentAttempt> running = new ArrayList<>();
+    final ArrayDeque<double[]> coldSends = new ArrayDeque<>();
+    private double usedSlots;
+    private double usedMemory;
     boolean up = true;
-    boolean hangs;
-    private int life;
+    boolean silent;
+    private int incarnation;
     private LoadReport report;
     private long reportedAt;
     private int served; // Since then.
 
-    SimulatedEndpoint(FleetSimulation day, int number, int kind) {
-        this.day = day;
-        drawn = day.drawn;
+    SimulatedEndpoint(FleetSimulation simulation, int number, int kind) {
+        this.simulation = simulation;
+        settings = simulation.settings;
         entry.name = "e" + number;
         entry.kind = kind;
-        entry.zone = number % drawn.zones;
-        entry.cell = number % drawn.cells;
-        slots = drawn.slotsOf(kind);
-        speed = drawn.speedOf(kind);
+        entry.zone = number % settings.zones;
+        entry.cell = number % settings.cells;
+        slots = settings.slotsOf(kind);
+        speed = settings.speedOf(kind);
         entry.weight = slots * speed;
     }
 
-    double share() {
-        double age = (day.now - entry.startedAt) / 1e3 / drawn.coldMs;
-        double from = drawn.coldFromPercent / 100.0;
+    double warmShare() {
+        double age = (simulation.now - entry.startedAt) / 1e3 / settings.coldMs;
+        double from = settings.coldFromPercent / 100.0;
         return entry.startedAt == 0 ? 1 : Math.min(1, from + (1 - from) * age);
     }
 
     boolean isWarm() {
-        return up && !hangs && share() == 1;
+        return up && !silent && warmShare() == 1;
     }
 
-    void take(Out out) {
-        if (share() < 1) {
-            day.rules.cold(this, out, day.now);
+    void receive(SentAttempt sent) {
+        if (warmShare() < 1) {
+            simulation.rules.checkColdBudget(this, sent, simulation.now);
         }
         if (!up) {
             return;
         }
-        if (queue.size() >= QUEUE_EACH_SLOT * slots) {
-            day.after(500, () -> day.ends(out, Outcome.FULL));
+        if (queue.size() >= QUEUE_PER_SLOT * slots) {
+            simulation.schedule(500, () -> simulation.end(sent, Outcome.FULL));
             return;
         }
-        day.busy(1);
-        out.there = true;
-        queue.add(out);
+        simulation.changeBusy(1);
+        sent.heldByWorker = true;
+        queue.add(sent);
         startNext();
     }
 
     /** What it has, running or not. */
-    Stream<Out> at() {
+    Stream<SentAttempt> held() {
         return Stream.concat(running.stream(), queue.stream());
     }
 
     void startNext() {
-        while (!queue.isEmpty() && !hangs && used + drawn.slotsOf(queue.peek().ask.type) <= slots) {
-            Out out = queue.poll();
-            used += drawn.slotsOf(out.ask.type);
-            memory += out.ask.request.memory;
-            running.add(out);
-            out.running = true;
-            int since = life;
-            long took = (long) (1e6 * out.ask.work / (speed * share()));
-            if (drawn.tellsStart && !out.over) {
-                day.after(200, () -> told(out, since, 0, 1));
+        while (!queue.isEmpty() && !silent && usedSlots + settings.slotsOf(queue.peek().client.type) <= slots) {
+            SentAttempt sent = queue.poll();
+            usedSlots += settings.slotsOf(sent.client.type);
+            usedMemory += sent.client.request.memory;
+            running.add(sent);
+            sent.running = true;
+            int startedIn = incarnation;
+            long runMicros = (long) (1e6 * sent.client.work / (speed * warmShare()));
+            if (settings.tellsStart && !sent.ended) {
+                simulation.schedule(200, () -> reportProgress(sent, startedIn, 0, 1));
             }
-            for (long at = drawn.progressMs * 1000L; at > 0 && at < took; at += drawn.progressMs * 1000L) {
+            for (long at = settings.progressMs * 1000L; at > 0 && at < runMicros; at += settings.progressMs * 1000L) {
                 long done = at;
-                day.after(at, () -> told(out, since, done, took));
+                simulation.schedule(at, () -> reportProgress(sent, startedIn, done, runMicros));
             }
-            day.after(took, () -> ran(out, since));
+            simulation.schedule(runMicros, () -> complete(sent, startedIn));
         }
     }
 
-    private void told(Out out, int since, long done, long of) {
-        if (out.over || life != since || hangs) {
+    private void reportProgress(SentAttempt sent, int startedIn, long done, long total) {
+        if (sent.ended || incarnation != startedIn || silent) {
             return;
         }
         if (done == 0) {
-            out.ask.node.scheduler.started(out.call);
+            sent.client.node.scheduler.started(sent.attempt);
         } else {
-            out.ask.node.scheduler.progress(out.call, done, of);
+            sent.client.node.scheduler.progress(sent.attempt, done, total);
         }
     }
 
-    private void ran(Out out, int since) {
-        if (life != since) {
+    private void complete(SentAttempt sent, int startedIn) {
+        if (incarnation != startedIn) {
             return;
         }
-        if (hangs) {
-            day.after(500_000, () -> ran(out, since));
+        if (silent) {
+            simulation.schedule(500_000, () -> complete(sent, startedIn));
             return;
         }
-        running.remove(out);
-        gone(out);
-        boolean fails = day.rough && day.random.nextInt(40) == 0;
+        running.remove(sent);
+        release(sent);
+        boolean fails = simulation.rough && simulation.random.nextInt(40) == 0;
         served++;
-        day.ends(out, fails ? Outcome.ERROR : Outcome.OK);
+        simulation.end(sent, fails ? Outcome.ERROR : Outcome.OK);
         startNext();
     }
 
-    void gone(Out out) {
-        day.busy(-1);
-        out.there = false;
-        if (out.running) {
-            used -= drawn.slotsOf(out.ask.type);
-            memory -= out.ask.request.memory;
+    void release(SentAttempt sent) {
+        simulation.changeBusy(-1);
+        sent.heldByWorker = false;
+        if (sent.running) {
+            usedSlots -= settings.slotsOf(sent.client.type);
+            usedMemory -= sent.client.request.memory;
         }
     }
 
     /** Dies with all that it has; comes back cold. */
-    void crash(boolean lists, long back) {
+    void crash(boolean isListed, long downMicros) {
         if (!up) {
             return;
         }
         up = false;
-        life++;
-        List<Out> lost = new ArrayList<>(running);
+        incarnation++;
+        List<SentAttempt> lost = new ArrayList<>(running);
         lost.addAll(queue);
         running.clear();
         queue.clear();
-        lost.forEach(out -> {
-            gone(out);
-            day.after(300, () -> day.ends(out, Outcome.RESET));
+        lost.forEach(sent -> {
+            release(sent);
+            simulation.schedule(300, () -> simulation.end(sent, Outcome.RESET));
         });
-        if (lists) {
-            tell(State.GONE);
+        if (isListed) {
+            announce(State.GONE);
         }
-        day.after(back, () -> {
+        simulation.schedule(downMicros, () -> {
             up = true;
-            hangs = false;
-            entry.startedAt = day.now;
-            cold.clear();
-            tell(State.READY);
+            silent = false;
+            entry.startedAt = simulation.now;
+            coldSends.clear();
+            announce(State.READY);
         });
     }
 
     /** Each scheduler hears of it in its own time. */
-    void tell(State state) {
+    void announce(State state) {
         entry.state = state;
-        Entry word = entry.withState(state);
-        for (FleetSimulation.Node node : day.nodes) {
-            day.after(day.random.nextInt(800_000), () -> node.hear(word));
+        Entry announced = entry.withState(state);
+        for (FleetSimulation.Node node : simulation.nodes) {
+            simulation.schedule(simulation.random.nextInt(800_000), () -> node.receive(announced));
         }
     }
 
     LoadReport report() {
-        if (report == null || day.now >= reportedAt + drawn.reportEveryMs * 1000L) {
-            report = taken();
-            reportedAt = day.now;
+        if (report == null || simulation.now >= reportedAt + settings.reportEveryMs * 1000L) {
+            report = measure();
+            reportedAt = simulation.now;
             served = 0;
         }
         return report;
     }
 
-    private LoadReport taken() {
+    private LoadReport measure() {
         LoadReport report = new LoadReport();
-        report.freeSlots = drawn.tells(0) ? Math.max(0, slots - used) : Double.NaN;
-        report.queue = drawn.tells(1) ? queue.size() : Double.NaN;
-        report.rate = drawn.tells(3) && day.now > reportedAt ? served * 1e6 / (day.now - reportedAt) : Double.NaN;
-        report.freeMemory = drawn.tells(2) && drawn.memory > 0 ? slots - memory : Double.NaN;
+        report.freeSlots = settings.reports(0) ? Math.max(0, slots - usedSlots) : Double.NaN;
+        report.queue = settings.reports(1) ? queue.size() : Double.NaN;
+        report.rate = settings.reports(3) && simulation.now > reportedAt
+                ? served * 1e6 / (simulation.now - reportedAt)
+                : Double.NaN;
+        report.freeMemory = settings.reports(2) && settings.memory > 0 ? slots - usedMemory : Double.NaN;
         return report;
     }
 }
--- a/src/test/java/laneflow/core/StagedUpdateTest.java
+++ b/src/test/java/laneflow/core/StagedUpdateTest.java
@@ -20,7 +20,7 @@
 class StagedUpdateTest {
     private static final int NAMES = 300;
 
-    private static final class Nobody implements Connector {
+    private static final class NoOpConnector implements Connector {
         @Override
         public void open(Attempt call) {}
 
@@ -36,11 +36,11 @@
         public void closeIdle(Endpoint endpoint) {}
     }
 
-    private static List<Entry> draw(SplittableRandom random) {
+    private static List<Entry> randomEntries(SplittableRandom random) {
         List<Entry> entries = new ArrayList<>();
-        int share = random.nextInt(100);
+        int percent = random.nextInt(100);
         for (int i = 0; i < NAMES; i++) {
-            if (random.nextInt(100) < share) {
+            if (random.nextInt(100) < percent) {
                 Entry entry = new Entry();
                 entry.name = "e" + i;
                 entry.dial = "127.0.0.1:" + (1 + random.nextInt(2));
@@ -61,26 +61,26 @@
     }
 
     @Property(tries = 150, seed = "7")
-    void anySequenceOfSetsHoldsWholeOrNotAtAll(@ForAll long seed) {
+    void anySequenceOfUpdatesIsAdoptedAsAWhole(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Settings settings = new Settings();
         settings.classes = new JobClass[] {new JobClass()};
         Scheduler scheduler = new Scheduler(settings, 1, () -> 5, new Deadlines(), new Counters());
-        Connector connector = new Nobody();
-        Connector other = new Nobody();
+        Connector connector = new NoOpConnector();
+        Connector other = new NoOpConnector();
         // Of another source, and listed by this one too: it stays the other's.
         Entry foreign = new Entry();
         foreign.name = "e7";
         foreign.dial = "127.0.0.1:77";
         scheduler.list(other, false, List.of(foreign));
-        Map<String, String> holds = new TreeMap<>();
+        Map<String, String> current = new TreeMap<>();
         for (int version = 0; version < 5; version++) {
-            List<Entry> entries = draw(random);
-            Set<String> named = new HashSet<>();
+            List<Entry> entries = randomEntries(random);
+            Set<String> names = new HashSet<>();
             Map<String, State> all = new TreeMap<>();
             Map<String, String> next = new TreeMap<>();
             for (Entry entry : entries) {
-                named.add(entry.name);
+                names.add(entry.name);
                 if (!entry.name.equals("e7")) {
                     all.put(entry.name, entry.state);
                     if (entry.state == State.READY) {
@@ -88,22 +88,22 @@
                     }
                 }
             }
-            StagedUpdate replacement = scheduler.stageUpdate(connector, entries, named);
+            StagedUpdate update = scheduler.stageUpdate(connector, entries, names);
             // All steps, or only some of them: what is left is done with adopting.
-            int most = random.nextInt(3) == 0 ? random.nextInt(5) : Integer.MAX_VALUE;
-            for (int step = 0; step < most && replacement.step(); step++) {
-                assertEquals(holds, live(scheduler, connector));
+            int maxSteps = random.nextInt(3) == 0 ? random.nextInt(5) : Integer.MAX_VALUE;
+            for (int step = 0; step < maxSteps && update.step(); step++) {
+                assertEquals(current, live(scheduler, connector));
             }
-            replacement.adopt();
+            update.adopt();
             assertEquals(next, live(scheduler, connector));
-            while (replacement.removeDrained()) {
+            while (update.removeDrained()) {
                 assertEquals(next, live(scheduler, connector));
             }
             Map<String, State> known = new TreeMap<>();
             scheduler.endpoints().ofSource(connector).forEach(one -> known.put(one.name, one.state()));
             assertEquals(all, known);
             assertEquals("127.0.0.1:77", scheduler.endpoints().get("e7").dial);
-            holds = next;
+            current = next;
         }
     }
 }
