--- a/src/test/java/laneflow/core/AdmissionGateTest.java
+++ b/src/test/java/laneflow/core/AdmissionGateTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Requests where something outside the scheduler says whether it may decide. */
+/** Requests behind an admission gate, and endpoints banned by a policy. */
 class AdmissionGateTest implements RecordingFront, AdmissionGate {
     private long now = 1_000_000_000L;
     private final Deadlines deadlines = new Deadlines();
@@ -61,7 +61,7 @@
         assertEquals(-1, request.epoch());
         assertEquals(0, scheduler.openRequests() + counters.get("http.taken"));
         assertEquals(1, counters.get("http.fenced"));
-        // It has left and has its answer: nothing more is owed.
+        // The request has its answer, so withdrawing it counts nothing.
         scheduler.withdraw(request);
         assertEquals(0, counters.get("http.withdrawn"));
         open = true;
@@ -81,15 +81,15 @@
         assertEquals(1, answers.size());
         open = true;
         advance(1);
-        // Decided now: nobody is listed, so it is refused by the module, with its own time to come back.
+        // Now it is decided on: no endpoint is listed, so the module refuses it with a retry time of its own.
         assertEquals(2, answers.size());
         assertEquals(1, counters.get("http.taken"));
-        // Begun later than was said, it is not held again.
+        // The gate opens later than announced: the request is not held a second time.
         open = false;
         submit();
         advance(10_000);
         assertEquals("refused 0.3", answers.get(2));
-        // One whose client leaves meanwhile is owed nothing and is taken by nobody.
+        // A held request whose client leaves gets no answer and is not decided on.
         Request left = submit();
         scheduler.withdraw(left);
         open = true;
--- a/src/test/java/laneflow/core/DeadlinesTest.java
+++ b/src/test/java/laneflow/core/DeadlinesTest.java
@@ -8,7 +8,7 @@
 import laneflow.core.Deadlines.Deadline;
 import org.junit.jupiter.api.Test;
 
-/** Deadlines that ride with whatever wakes their loop: once each, never too early, never after their time. */
+/** Deadlines that may run early when the loop is awake: once each, not before their earliest instant, never late. */
 class DeadlinesTest {
     private final Deadlines deadlines = new Deadlines();
     private final List<String> ran = new ArrayList<>();
@@ -40,7 +40,7 @@
         deadlines.runDue(100);
         deadlines.runEarly(101);
         assertEquals(List.of("rider"), ran);
-        // Set to one instant it rides no more.
+        // Set without an earliest instant it no longer runs early.
         deadlines.set(early, 110, 130);
         deadlines.set(early, 130);
         deadlines.runEarly(120);
--- a/src/test/java/laneflow/core/EventOrderTest.java
+++ b/src/test/java/laneflow/core/EventOrderTest.java
@@ -13,16 +13,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every order of a few events, up to a length, on the real core and module: no sampling. Each order is played from
- * the beginning, and at its end all time left is let pass. How many there were is asserted, so that a search which
- * finds nothing to play does not pass; and each rule's check is seen to speak where it is broken on purpose.
+ * Exhaustive search: every order of a few events, up to a length, is played on the real core and module. Each order
+ * is played from the beginning and run until all deadlines have passed. The number of orders is asserted, so that a
+ * search with nothing to play fails, and each invariant's check is shown to detect an injected fault.
  */
 class EventOrderTest {
     private static final String END = "end";
     private long orders;
     private boolean mayCancel = true;
 
-    /** The shortest order of these events that breaks a rule, and which; null if there is none that long. */
+    /** The shortest order that breaks an invariant, with that invariant; null if none up to the length does. */
     private String search(Fault fault, int longest, List<String> first, String... kinds) {
         Set<String> allKinds = new LinkedHashSet<>(List.of(kinds));
         String found = null;
@@ -46,7 +46,7 @@
         } catch (Violation e) {
             return order + " breaks " + e.getMessage();
         } catch (RuntimeException e) {
-            throw new AssertionError(order + " ends in a fault", e);
+            throw new AssertionError(order + " ends in an exception", e);
         }
         for (String event : model.possibleEvents(kinds)) {
             order.add(event);
@@ -70,7 +70,7 @@
 
     private void assertDetected(String rule, Fault fault, int longest, List<String> first, String... kinds) {
         String found = search(fault, longest, first, kinds);
-        assertNotNull(found, fault + " is not seen");
+        assertNotNull(found, fault + " is not detected");
         assertEquals(rule, found.substring(found.indexOf(" breaks ") + 8, found.lastIndexOf(": ")), found);
     }
 
@@ -112,7 +112,7 @@
                 "grace");
     }
 
-    /** Orders around one request of each class, the settings allowing calls to be cancelled and not. */
+    /** Searches with one request of each class, with and without cancelling of running attempts. */
     private void assertHoldsForEachClass(int longest, String counts, String... kinds) {
         StringBuilder found = new StringBuilder();
         for (boolean may : new boolean[] {true, false}) {
@@ -125,7 +125,7 @@
         assertEquals(counts, found.toString(), "orders of length " + longest);
     }
 
-    /** Around every step of a call, a late connection and a held last byte among them. */
+    /** The steps include a late connection and a last byte that is held back. */
     @Test
     void clientsMayLeaveAtEveryStep() {
         assertHoldsForEachClass(
@@ -142,7 +142,7 @@
                 "late");
     }
 
-    /** What is answered at its last call must not go out behind it, nor a key behind its window. */
+    /** Nothing may be sent after the answer, nor a keyed repeat after the key's window. */
     @Test
     void deadlinesMayPassAtEveryStep() {
         assertHoldsForEachClass(
@@ -191,19 +191,19 @@
     void everyInvariantDetectsItsFault() {
         String[] ends = {"safe", "capture", "up", "refused", "ok", "full", "reset"};
         assertDetected("one answer", Fault.DUPLICATE_ANSWER, 4, ends);
-        assertDetected("in time", Fault.ANSWER_LOST, 5, ends);
-        assertDetected("at once", Fault.ANSWER_DELAYED, 5, ends);
-        // The shortest order ends before a second call begins: the job that ran is refused as one that did not.
-        assertDetected("true answers", Fault.RUN_REPORTED_AS_UNSENT, 5, "capture", "up", "reset");
+        assertDetected("answered in time", Fault.ANSWER_LOST, 5, ends);
+        assertDetected("answered at once", Fault.ANSWER_DELAYED, 5, ends);
+        // The shortest order ends before a second attempt is sent: a job that ran is refused as one that did not.
+        assertDetected("truthful answer", Fault.RUN_REPORTED_AS_UNSENT, 5, "capture", "up", "reset");
         assertDetected(
                 "no repeat", Fault.RUN_REPORTED_AS_UNSENT, 5, List.of("capture 0", "up 0", "reset 0", "up 1"), "up");
-        assertDetected("true answers", Fault.FAILURE_REPORTED_AS_REFUSAL, 5, ends);
-        assertDetected("armed", Fault.TIMERS_LOST, 4, ends);
-        assertDetected("nothing left", Fault.CLOSE_IGNORED, 4, "capture", "up", "leave", END);
+        assertDetected("truthful answer", Fault.FAILURE_REPORTED_AS_REFUSAL, 5, ends);
+        assertDetected("deadline set", Fault.TIMERS_LOST, 4, ends);
+        assertDetected("no open attempt left", Fault.CLOSE_IGNORED, 4, "capture", "up", "leave", END);
         assertDetected("drains", Fault.SEND_CHECK_SKIPPED, 5, "capture", "up", "drain", "grace");
         assertDetected("bans", Fault.SEND_CHECK_SKIPPED, 5, "capture", "up", "down");
         mayCancel = false;
-        assertDetected("gone", Fault.ALWAYS_SENDS, 4, "safe", "leave", "up");
+        assertDetected("client left", Fault.ALWAYS_SENDS, 4, "safe", "leave", "up");
         mayCancel = true;
         assertDetected("drains", Fault.SEND_CHECK_SKIPPED, 5, "capture", "part", "drain", "grace");
         assertDetected("no repeat", Fault.SEND_CHECK_SKIPPED, 5, List.of("keyed 0", "up 0", "reset 0"), "grace", "up");
--- a/src/test/java/laneflow/core/SimulatedEndpoint.java
+++ b/src/test/java/laneflow/core/FleetEndpoint.java
@@ -10,8 +10,8 @@
 import laneflow.decision.Dispatch.Outcome;
 import laneflow.decision.Dispatch.State;
 
-/** An endpoint of a {@link FleetSimulation}: it queues, runs, falls silent, dies with all that it has, and comes back cold. */
-final class SimulatedEndpoint {
+/** An endpoint of a {@link FleetSimulation}: it queues and runs jobs, hangs, crashes and restarts cold. */
+final class FleetEndpoint {
     private static final int QUEUE_PER_SLOT = 6;
 
     private final FleetSimulation simulation;
@@ -29,11 +29,11 @@
     private int incarnation;
     private LoadReport report;
     private long reportedAt;
-    private int served; // Since then.
+    private int served; // Since the last report.
 
-    SimulatedEndpoint(FleetSimulation simulation, int number, int kind) {
+    FleetEndpoint(FleetSimulation simulation, int number, int kind) {
         this.simulation = simulation;
-        settings = simulation.settings;
+        settings = simulation.drawn;
         entry.name = "e" + number;
         entry.kind = kind;
         entry.zone = number % settings.zones;
@@ -70,7 +70,7 @@
         startNext();
     }
 
-    /** What it has, running or not. */
+    /** The attempts it holds, running or queued. */
     Stream<SentAttempt> held() {
         return Stream.concat(running.stream(), queue.stream());
     }
@@ -131,7 +131,7 @@
         }
     }
 
-    /** Dies with all that it has; comes back cold. */
+    /** Loses all attempts and restarts cold after the given time; discovery lists it as gone if told to. */
     void crash(boolean isListed, long downMicros) {
         if (!up) {
             return;
@@ -158,7 +158,7 @@
         });
     }
 
-    /** Each scheduler hears of it in its own time. */
+    /** Every scheduler receives the new state after a random delay. */
     void announce(State state) {
         entry.state = state;
         Entry announced = entry.withState(state);
--- a/src/test/java/laneflow/core/FleetInvariants.java
+++ b/src/test/java/laneflow/core/FleetRules.java
@@ -6,30 +6,34 @@
 import laneflow.decision.Dispatch.Group;
 import laneflow.decision.Dispatch.JobClass;
 
-/** The rules of a {@link FleetSimulation}, read off what clients and endpoints see, not off what the program says. */
-final class FleetInvariants {
-    /** What the protocol page adds to every limit, microseconds. */
+/** The invariants of a {@link FleetSimulation}, checked against what clients and endpoints observe. */
+final class FleetRules {
+    /** The tolerance that the protocol allows on every limit, in microseconds. */
     private static final long SLACK_MICROS = 50_000;
 
     private final RandomSettings settings;
     private final Fault fault;
     final double meanWork;
-    /** Calls that came to cold endpoints, and the most of what fells one that any of these had got. */
+    /** Attempts that reached cold endpoints. */
     int coldSendCount;
 
+    /** The largest part that a cold endpoint got of the work that would overload it. */
     double maxBudgetUse;
 
-    FleetInvariants(RandomSettings settings, Fault fault, double meanWork) {
+    FleetRules(RandomSettings settings, Fault fault, double meanWork) {
         this.settings = settings;
         this.fault = fault;
         this.meanWork = meanWork;
     }
 
-    /** More than N + 2 x root of N + 2 mean jobs in the time named fell it, N being what is allowed then. */
-    void checkColdBudget(SimulatedEndpoint endpoint, SentAttempt sent, long now) {
+    /**
+     * A cold endpoint is overloaded by more than N + 2 sqrt(N) + 2 mean jobs within {@code fallMs}, where N is
+     * the number of jobs allowed at its current speed.
+     */
+    void checkColdBudget(FleetEndpoint endpoint, SentAttempt sent, long now) {
         coldSendCount++;
-        // By what can be known: of a job without a hint, the mean of its class; no job is worth a longer run
-        // than its client's wait.
+        // Work as known to the scheduler: without a hint, the mean of the class; never more than the client's
+        // deadline.
         double longest = sent.client.type.deadlineMs() / 1e3;
         double expected =
                 settings.hintQuality > 0 ? Math.min(longest, sent.client.request.hint) : sent.client.type.workMs / 1e3;
@@ -53,16 +57,16 @@
         }
     }
 
-    /** The rules on what is sent, as an endpoint can read them. */
+    /** Checks the invariants of an attempt as it arrives at its endpoint. */
     void checkSend(SentAttempt sent, long now) {
         String at = sent.worker.entry.name;
         Long drainNotifiedAt = sent.client.node.drainNotifiedAt.get(at);
         if (drainNotifiedAt != null && now > drainNotifiedAt + settings.graceMs * 1000L + SLACK_MICROS) {
-            fail("drains", "begun at " + at + " " + (now - drainNotifiedAt) + " us behind the word");
+            fail("drains", "sent to " + at + " " + (now - drainNotifiedAt) + " us after the notice of its drain");
         }
         int kind = settings.kindOf(sent.client.type);
         if (kind >= 0 && kind != sent.worker.entry.kind) {
-            fail("kinds", "begun at " + at + ", which can't run it");
+            fail("kinds", "sent to " + at + ", which cannot run it");
         }
         JobClass type = sent.client.node.scheduler.settings().classes[sent.client.request.jobClass];
         int sentBefore = 0;
@@ -72,10 +76,10 @@
             }
             sentBefore++;
             if (!other.ended) {
-                fail("one call out", "a second one at " + at);
+                fail("one open attempt", "a second one to " + at);
             }
             if (other.mayHaveRun && !mayRepeat(type, other, sent, now)) {
-                fail("no repeat", "what may have run at " + other.worker.entry.name + " goes to " + at);
+                fail("no repeat", "may have run at " + other.worker.entry.name + ", sent again to " + at);
             }
         }
         if (sentBefore >= settings.maxAttempts) {
@@ -97,13 +101,13 @@
         throw new SchedulerPairModel.Violation(rule, what);
     }
 
-    /** How a request was answered. */
+    /** Checks the invariants of an answer. */
     void checkAnswer(FleetSimulation.Client client, String what, long now) {
         if (client.answered || client.left) {
             fail("one answer", "a second one, " + what);
         }
         if (now > client.request.deadline + SLACK_MICROS) {
-            fail("in time", what + " " + (now - client.request.deadline) + " us late");
+            fail("answered in time", what + " " + (now - client.request.deadline) + " us late");
         }
         JobClass type = client.node.scheduler.settings().classes[client.request.jobClass];
         boolean ran = client.sentAttempts.stream().anyMatch(sent -> sent.mayHaveRun);
@@ -111,10 +115,10 @@
                 && ran
                 && type.effect != Effect.SAFE
                 && !(type.effect == Effect.KEYED && type.group == Group.ALL)) {
-            fail("true answers", client.type + " was refused and may have run");
+            fail("truthful answer", client.type + " was refused and may have run");
         }
         if (client.atRest && what.equals("refused")) {
-            fail("at rest", client.type + " was refused before endpoints that are warm and have nothing to do");
+            fail("at rest", client.type + " was refused while all endpoints were warm and idle");
         }
     }
 }
--- a/src/test/java/laneflow/core/FleetSimulation.java
+++ b/src/test/java/laneflow/core/FleetSimulation.java
@@ -13,11 +13,11 @@
 import laneflow.decision.Dispatch.State;
 
 /**
- * A short day of several schedulers before one fleet, on one clock in memory: the real core and module, endpoints
- * that queue, run, fall silent, die and come back cold, lists that come late, schedulers that restart.
+ * Simulates several schedulers that share a fleet, on one simulated clock: the real core and decision module,
+ * with endpoints that queue and run jobs, hang, crash and restart cold, late lists and restarting schedulers.
  */
 final class FleetSimulation {
-    /** What a test breaks on purpose, to see that the rule's check speaks. */
+    /** A fault injected to verify that the check of an invariant detects it. */
     enum Fault {
         NONE,
         DUPLICATE_ANSWER,
@@ -30,34 +30,34 @@
         IDLE_REFUSED
     }
 
-    /** Microseconds of idleness after which reports of before say nothing any more. */
+    /** Idle time in microseconds after which earlier load reports no longer matter. */
     static final long REST_AFTER_MICROS = 2_000_000;
 
     private static final long START = 1_000_000_000L;
-    /** Microseconds by which some connections come up late on rough days. */
+    /** Largest delay, in microseconds, of the connections that open late on rough days. */
     private static final int MAX_CONNECT_DELAY_MICROS = 1_500_000;
-    /** Part of an endpoint's speed that a scheduler may take it for. */
+    /** The lowest speed that a scheduler may assume, as a part of the endpoint's real speed. */
     private static final double MIN_ASSUMED_SPEED = 0.6;
-    /** Part of what a zone can do that calm days ask of it at most. */
+    /** Largest load of a zone on calm days, as a part of its capacity. */
     private static final double CALM_LOAD = 0.6;
 
-    final RandomSettings settings;
+    final RandomSettings drawn;
     private final Fault fault;
     final boolean rough;
     final Random random;
     private final Deadlines deadlines = new Deadlines();
-    private final List<SimulatedEndpoint> workers = new ArrayList<>();
+    private final List<FleetEndpoint> workers = new ArrayList<>();
     final Node[] nodes;
     private final List<Client> clients = new ArrayList<>();
     private final int[] requested;
     private final int[] served;
     final int[] tenantRequested;
     final int[] tenantServed;
-    final FleetInvariants rules;
+    final FleetRules rules;
     long now = START;
     private long busySince = Long.MIN_VALUE;
     private int busy;
-    /** Requests that came while every endpoint was warm and at rest. */
+    /** Answered requests that arrived while every endpoint was warm and idle. */
     int answeredAtRest;
 
     static final class Client {
@@ -75,14 +75,14 @@
     static final class SentAttempt {
         Client client;
         Attempt attempt;
-        SimulatedEndpoint worker;
+        FleetEndpoint worker;
         boolean sent;
         boolean ended;
         boolean mayHaveRun;
         long sentAt;
-        /** Its scheduler had heard of its endpoint's last start. */
+        /** Its scheduler knew of the endpoint's last start. */
         boolean knowsStart;
-        /** The machine has it still, whether or not somebody waits for it. */
+        /** The endpoint still holds it, whether or not somebody waits for it. */
         boolean heldByWorker;
 
         boolean running;
@@ -98,7 +98,7 @@
 
         private Node(int number, long seed, Node previous) {
             this.number = number;
-            scheduler = new Scheduler(settings.settingsOf(number), seed, () -> now, deadlines, new Counters());
+            scheduler = new Scheduler(drawn.settingsOf(number), seed, () -> now, deadlines, new Counters());
             if (previous == null) {
                 workers.forEach(worker -> listed.put(worker.entry.name, worker.entry.withState(State.READY)));
             } else {
@@ -114,7 +114,7 @@
             scheduler.start(this, known);
         }
 
-        private boolean knowsStartOf(SimulatedEndpoint worker) {
+        private boolean knowsStartOf(FleetEndpoint worker) {
             return listed.get(worker.entry.name).startedAt == worker.entry.startedAt;
         }
 
@@ -161,7 +161,7 @@
             sent.client = clients.get((int) attempt.request.tag);
             sent.attempt = attempt;
             attempt.attachment = sent;
-            for (SimulatedEndpoint worker : workers) {
+            for (FleetEndpoint worker : workers) {
                 if (worker.entry.name.equals(attempt.endpoint.name)) {
                     sent.worker = worker;
                 }
@@ -176,7 +176,7 @@
         public boolean close(Attempt attempt) {
             SentAttempt sent = (SentAttempt) attempt.attachment;
             sent.ended = true;
-            if (sent.heldByWorker && !sent.running && settings.mayCancel) {
+            if (sent.heldByWorker && !sent.running && drawn.mayCancel) {
                 sent.worker.queue.remove(sent);
                 sent.worker.release(sent);
             }
@@ -185,17 +185,17 @@
 
         @Override
         public void probe(Endpoint endpoint) {
-            if (!settings.probes) {
-                FleetInvariants.fail("probes", "these settings have none");
+            if (!drawn.probes) {
+                FleetRules.fail("probes", "these settings have none");
             }
-            for (SimulatedEndpoint worker : workers) {
+            for (FleetEndpoint worker : workers) {
                 if (worker.entry.name.equals(endpoint.name)) {
                     schedule(2000, () -> probed(endpoint, worker));
                 }
             }
         }
 
-        private void probed(Endpoint endpoint, SimulatedEndpoint worker) {
+        private void probed(Endpoint endpoint, FleetEndpoint worker) {
             if (killed) {
                 return;
             }
@@ -204,38 +204,38 @@
                     endpoint,
                     0.002,
                     healthy ? Outcome.OK : Outcome.CONNECT_FAILED,
-                    healthy && !settings.source().equals("none") ? worker.report() : null);
+                    healthy && !drawn.source().equals("none") ? worker.report() : null);
         }
 
         @Override
         public void closeIdle(Endpoint endpoint) {}
     }
 
-    FleetSimulation(RandomSettings settings, Fault fault, boolean rough) {
-        this.settings = settings;
+    FleetSimulation(RandomSettings drawn, Fault fault, boolean rough) {
+        this.drawn = drawn;
         this.fault = fault;
         this.rough = rough;
-        random = new Random(settings.seed);
-        requested = new int[settings.classes.size()];
+        random = new Random(drawn.seed);
+        requested = new int[drawn.classes.size()];
         served = new int[requested.length];
-        tenantRequested = new int[Math.max(1, settings.tenants)];
+        tenantRequested = new int[Math.max(1, drawn.tenants)];
         tenantServed = new int[tenantRequested.length];
-        for (int i = 0; i < settings.workersPerKind * settings.zones; i++) {
-            for (int kind = 0; kind < settings.kinds; kind++) {
-                // Every zone has as many of each kind: where a class is tied, its home can always serve it.
-                SimulatedEndpoint worker = new SimulatedEndpoint(this, workers.size(), kind);
-                worker.entry.zone = i % settings.zones;
+        for (int i = 0; i < drawn.workersPerKind * drawn.zones; i++) {
+            for (int kind = 0; kind < drawn.kinds; kind++) {
+                // Every zone has the same number of each kind, so it can always serve a class tied to a kind.
+                FleetEndpoint worker = new FleetEndpoint(this, workers.size(), kind);
+                worker.entry.zone = i % drawn.zones;
                 workers.add(worker);
             }
         }
         double meanWork = 0;
-        for (RandomClass type : settings.classes) {
-            meanWork += type.workMs / 1e3 * settings.slotsOf(type) / settings.classes.size();
+        for (RandomClass type : drawn.classes) {
+            meanWork += type.workMs / 1e3 * drawn.slotsOf(type) / drawn.classes.size();
         }
-        rules = new FleetInvariants(settings, fault, meanWork);
-        nodes = new Node[settings.siblings];
+        rules = new FleetRules(drawn, fault, meanWork);
+        nodes = new Node[drawn.siblings];
         for (int i = 0; i < nodes.length; i++) {
-            nodes[i] = new Node(i, settings.seed + i, null);
+            nodes[i] = new Node(i, drawn.seed + i, null);
         }
     }
 
@@ -253,10 +253,10 @@
     private boolean atRest() {
         return busy == 0
                 && now - busySince >= REST_AFTER_MICROS
-                && workers.stream().allMatch(SimulatedEndpoint::isWarm);
+                && workers.stream().allMatch(FleetEndpoint::isWarm);
     }
 
-    /** Plays so many seconds of requests, and lets all end. */
+    /** Submits requests for so many seconds and runs until all have ended. */
     FleetSimulation play(double seconds) {
         long end = now + (long) (seconds * 1e6);
         arrivals(end, 1e6 / rate());
@@ -266,7 +266,7 @@
         runUntil(end + 30_000_000);
         for (Client client : clients) {
             if (!client.answered && !client.left) {
-                FleetInvariants.fail("in time", client.type + " has no answer");
+                FleetRules.fail("answered in time", client.type + " has no answer");
             }
         }
         return this;
@@ -280,26 +280,25 @@
         now = until;
     }
 
-    /** Requests a second, as many of each class, so that what each zone has of each kind is used to the load drawn. */
+    /** Requests per second, equal for all classes, that load each kind of endpoint in each zone as the settings say. */
     private double rate() {
         double maxRate = Double.POSITIVE_INFINITY;
-        for (int kind = -1; kind < settings.kinds; kind++) {
+        for (int kind = -1; kind < drawn.kinds; kind++) {
             double needed = 0;
-            for (RandomClass type : settings.classes) {
-                if (kind < 0 || settings.kindOf(type) == kind) {
-                    needed += type.workMs / 1e3 * settings.slotsOf(type) / settings.classes.size();
+            for (RandomClass type : drawn.classes) {
+                if (kind < 0 || drawn.kindOf(type) == kind) {
+                    needed += type.workMs / 1e3 * drawn.slotsOf(type) / drawn.classes.size();
                 }
             }
             double available = 0;
-            for (SimulatedEndpoint worker : workers) {
+            for (FleetEndpoint worker : workers) {
                 available += kind < 0 || worker.entry.kind == kind ? worker.slots * worker.speed : 0;
             }
             maxRate = Math.min(maxRate, available / needed);
         }
-        // A zone has its part of the endpoints, and its part of the schedulers or one more.
-        int crowded =
-                settings.allInFirstZone ? settings.siblings : (settings.siblings + settings.zones - 1) / settings.zones;
-        return maxRate * settings.load() * (rough ? 1 : CALM_LOAD) * settings.siblings / (crowded * settings.zones);
+        // A zone has an equal part of the endpoints, but may have one scheduler more than the others.
+        int crowded = drawn.allInFirstZone ? drawn.siblings : (drawn.siblings + drawn.zones - 1) / drawn.zones;
+        return maxRate * drawn.load() * (rough ? 1 : CALM_LOAD) * drawn.siblings / (crowded * drawn.zones);
     }
 
     private void arrivals(long end, double gap) {
@@ -311,26 +310,23 @@
 
     private void request() {
         Client client = new Client();
-        int jobClass = random.nextInt(settings.classes.size());
+        int jobClass = random.nextInt(drawn.classes.size());
         client.node = nodes[random.nextInt(nodes.length)];
-        client.type = settings.classes.get(jobClass);
+        client.type = drawn.classes.get(jobClass);
         client.tenant = Math.max(
-                0,
-                random.nextInt(tenantRequested.length + settings.firstTenantFactor - 1)
-                        - settings.firstTenantFactor
-                        + 1);
-        client.work = client.type.workMs / 1e3 * lognormal(settings.workSpread / 10.0);
+                0, random.nextInt(tenantRequested.length + drawn.firstTenantFactor - 1) - drawn.firstTenantFactor + 1);
+        client.work = client.type.workMs / 1e3 * lognormal(drawn.workSpread / 10.0);
         client.request = new Request(
                 client.node,
                 clients.size(),
                 new Payload("", "", "r", null, new byte[0]),
                 jobClass,
                 now + (long) (1000 * client.type.deadlineMs() * (0.7 + 0.3 * random.nextDouble())));
-        client.request.tenant = settings.tenants > 0 ? client.tenant : -1;
-        client.request.slots = settings.slotsOf(client.type);
-        client.request.memory = settings.memory * random.nextDouble() * settings.slotsOf(client.type);
-        if (settings.hintQuality > 0) {
-            client.request.hint = client.work * lognormal((settings.hintQuality - 1) * 0.5);
+        client.request.tenant = drawn.tenants > 0 ? client.tenant : -1;
+        client.request.slots = drawn.slotsOf(client.type);
+        client.request.memory = drawn.memory * random.nextDouble() * drawn.slotsOf(client.type);
+        if (drawn.hintQuality > 0) {
+            client.request.hint = client.work * lognormal((drawn.hintQuality - 1) * 0.5);
         }
         client.atRest = !rough && atRest() && canBeInTime(client);
         clients.add(client);
@@ -349,21 +345,21 @@
         }
     }
 
-    /** Whether the slowest endpoint for it would end it within its aim and its client's wait, by what is told. */
+    /** Whether, by its expected work, the slowest suitable endpoint would meet the aim and the client's deadline. */
     private boolean canBeInTime(Client client) {
         JobClass type = client.node.scheduler.settings().classes[client.request.jobClass];
         double slowest = Double.POSITIVE_INFINITY;
-        for (int kind = 0; kind < settings.kinds; kind++) {
-            if (settings.kindOf(client.type) < 0 || settings.kindOf(client.type) == kind) {
-                slowest = Math.min(slowest, settings.speedOf(kind));
+        for (int kind = 0; kind < drawn.kinds; kind++) {
+            if (drawn.kindOf(client.type) < 0 || drawn.kindOf(client.type) == kind) {
+                slowest = Math.min(slowest, drawn.speedOf(kind));
             }
         }
-        double expected = settings.hintQuality > 0 ? client.request.hint : client.type.workMs / 1e3;
+        double expected = drawn.hintQuality > 0 ? client.request.hint : client.type.workMs / 1e3;
         double runTime = expected / (MIN_ASSUMED_SPEED * slowest);
         return runTime < type.aim + type.stretch * expected && runTime < (client.request.deadline - now) / 1e6;
     }
 
-    /** Lognormal, of mean 1. */
+    /** A lognormal sample of mean 1. */
     private double lognormal(double spread) {
         return Math.exp(spread * random.nextGaussian() - spread * spread / 2);
     }
@@ -379,7 +375,7 @@
         if (now >= end) {
             return;
         }
-        SimulatedEndpoint worker = workers.get(random.nextInt(workers.size()));
+        FleetEndpoint worker = workers.get(random.nextInt(workers.size()));
         switch (random.nextInt(8)) {
             case 0, 1 -> {
                 if (worker.up) {
@@ -402,7 +398,7 @@
                 }
             }
             case 6 -> {
-                // A zone is lost, and is back cold all at once.
+                // A whole zone crashes and restarts cold.
                 workers.forEach(one -> {
                     if (one.entry.zone == worker.entry.zone) {
                         one.crash(true, 1_500_000);
@@ -419,7 +415,7 @@
         schedule(100_000 + random.nextInt(1_200_000), () -> injectFaults(end));
     }
 
-    /** Killed, and started with what its list held: its clients and calls are gone, what endpoints have is not. */
+    /** Kills a scheduler with its clients and attempts and starts it with its last list; endpoints go on. */
     private void restart(int number) {
         Node previous = nodes[number];
         previous.killed = true;
@@ -458,7 +454,7 @@
         sent.ended = true;
         sent.mayHaveRun &= !outcome.neverRan;
         Outcome reported = outcome == Outcome.RESET && fault == Fault.RUN_REPORTED_AS_UNSENT ? Outcome.FULL : outcome;
-        boolean reports = settings.source().equals("answers") && (outcome == Outcome.OK || outcome == Outcome.FULL);
+        boolean reports = drawn.source().equals("answers") && (outcome == Outcome.OK || outcome == Outcome.FULL);
         sent.client.node.scheduler.ended(sent.attempt, reported, new byte[0], reports ? sent.worker.report() : null);
     }
 
@@ -475,7 +471,7 @@
         }
     }
 
-    /** Requests a second that all endpoints can do together. */
+    /** Requests per second that all endpoints can serve together. */
     double capacity() {
         return workers.stream()
                         .mapToDouble(worker -> worker.slots * worker.speed)
@@ -487,12 +483,12 @@
         return clients.size();
     }
 
-    /** The least part of a class's requests that was served, of classes with enough of them to tell. */
+    /** The lowest served share of a class, among classes with at least 10 requests. */
     double minServedShare() {
         return minShare(served, requested);
     }
 
-    /** The same of tenants. */
+    /** The lowest served share of a tenant, among tenants with at least 10 requests. */
     double minServedTenantShare() {
         return minShare(tenantServed, tenantRequested);
     }
--- a/src/test/java/laneflow/core/RandomSettings.java
+++ b/src/test/java/laneflow/core/RandomSettings.java
@@ -12,12 +12,12 @@
 import net.jqwik.api.Builders;
 
 /**
- * Whole settings as a scheduler may be told them, in the wire page's words and over all that it allows, with the
- * fleet they speak of. No two deployments are alike: what holds must hold for any draw. Each figure is drawn by
- * itself, so that a fault shrinks to the ones it needs.
+ * Random settings of a scheduler, in the format and over the whole range of the wire protocol, with a fleet that
+ * matches them. Deployments differ, so the invariants must hold for any draw. Each value is drawn separately, so
+ * that a failure shrinks to the values it needs.
  */
 final class RandomSettings {
-    /** One class; its mean work is no part of the settings, but of the traffic. */
+    /** A job class. Its mean work describes the traffic and is not part of the settings. */
     static final class RandomClass {
         int semantics;
         int group;
@@ -31,7 +31,7 @@
         int workMs;
         int slots;
 
-        /** An aim that its work could not keep anywhere would show nothing. */
+        /** At least a multiple of the mean work: an aim that no endpoint could meet would test nothing. */
         int aimMs() {
             return stretchTenths > 0 ? aimMs : Math.max(aimMs, MIN_TIME_FACTOR * workMs);
         }
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Times its mean work that a class may take at least. */
+    /** Lower bound of a class's aim and deadline, as a multiple of its mean work. */
     private static final int MIN_TIME_FACTOR = 5;
 
     private static final String[] SEMANTICS = {"pure", "token", "side_effect"};
@@ -85,19 +85,19 @@
     int tickMs;
     int tenants;
     int overShareTenths;
-    /** Times that the first tenant asks for what each other asks. */
+    /** How many times as much the first tenant requests as each other tenant. */
     int firstTenantFactor = 1;
-    /** Requests a second of each tenant's share; 0: some few, the more the later it stands. */
+    /** Each tenant's quota in requests per second; 0 for small quotas that grow with the tenant's index. */
     double quota;
 
     int memory;
-    /** How a job's work is told, from not at all to badly. */
+    /** 0 for no hints, 1 for exact hints, larger for more error. */
     int hintQuality;
-    /** Sixths of a halving of the load, from what the fleet can do just so. */
+    /** How far the load is below the fleet's capacity, in sixths of a halving. */
     int loadReduction;
 
     int reportEveryMs;
-    /** Spread of a class's works, of their logarithm's normal, in tenths. */
+    /** Standard deviation of the logarithm of the work of a class's jobs, in tenths. */
     int workSpread;
 
     boolean allInFirstZone;
@@ -138,7 +138,7 @@
                 .build();
     }
 
-    /** Any whole settings, and a fleet for them. */
+    /** Any settings with a matching fleet. */
     static Arbitrary<RandomSettings> any() {
         return Builders.withBuilder(RandomSettings::new)
                 .use(anyClass().list().ofMinSize(1).ofMaxSize(5))
@@ -222,12 +222,12 @@
         return (7 + (speedTenths - 7 + 5 * kind) % 17) / 10.0;
     }
 
-    /** The kind a class is tied to, -1 where any will do. */
+    /** The kind of endpoint a class is tied to, or -1 for any. */
     int kindOf(RandomClass jobClass) {
         return jobClass.kind < 0 ? -1 : jobClass.kind % kinds;
     }
 
-    /** No job is wider than the worker it may come to. */
+    /** The slots of a job, limited to those of the smallest endpoint. */
     int slotsOf(RandomClass jobClass) {
         int least = Integer.MAX_VALUE;
         for (int kind = 0; kind < kinds; kind++) {
@@ -236,12 +236,12 @@
         return Math.min(jobClass.slots, least);
     }
 
-    /** Schedulers are spread over the zones, or all in the first one. */
+    /** The zone of a scheduler: they are spread over the zones, or all in the first one. */
     int zoneOf(int number) {
         return allInFirstZone ? 0 : number % zones;
     }
 
-    /** Part of what the fleet can do that is asked of it. */
+    /** The requested load as a part of the fleet's capacity. */
     double load() {
         return Math.pow(2, -loadReduction / 6.0);
     }
@@ -254,7 +254,7 @@
         return SOURCES[source];
     }
 
-    /** What one scheduler is told. */
+    /** The settings of one scheduler. */
     Settings settingsOf(int number) {
         try {
             return SettingsReader.read(text(number)).settings;
@@ -263,7 +263,7 @@
         }
     }
 
-    /** The settings' text, as the wire page has it. */
+    /** The settings of one scheduler as JSON, in the format of the wire protocol. */
     String text(int number) {
         JsonObject root = new JsonObject();
         root.add("areas", names("zone", zones));
--- a/src/test/java/laneflow/core/RandomSettingsTest.java
+++ b/src/test/java/laneflow/core/RandomSettingsTest.java
@@ -14,10 +14,10 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.RandomGenerator;
 
-/** Short days under whole settings drawn at random: what one deployment's settings hide, another's show. */
+/** Short simulations under random settings: a fault may show only under some deployments' settings. */
 class RandomSettingsTest {
     private static final double SECONDS = 12;
-    /** Part of its requests that a class or tenant has served at least, where there is room for all of them. */
+    /** Lowest served share of a class or tenant when there is capacity for all requests. */
     private static final double MIN_SERVED = 0.2;
 
     @Provide
@@ -25,13 +25,13 @@
         return RandomSettings.any();
     }
 
-    /** Crashes, drains, silence, errors, restarts of schedulers, clients that leave: no rule falls. */
+    /** With crashes, drains, hangs, errors, scheduler restarts and leaving clients. */
     @Property(tries = 100, seed = "7", edgeCases = EdgeCasesMode.NONE)
     void invariantsHoldUnderFaults(@ForAll("settings") RandomSettings settings) {
         new FleetSimulation(settings, Fault.NONE, true).play(SECONDS);
     }
 
-    /** As many of each class and tenant, within what the fleet can do: each is served, and nothing refused at rest. */
+    /** Within capacity, each class and tenant is served, and nothing is refused while the fleet is idle. */
     @Property(tries = 100, seed = "7", edgeCases = EdgeCasesMode.NONE)
     void everyClassAndTenantIsServedWithoutFaults(@ForAll("settings") RandomSettings settings) {
         FleetSimulation simulation = new FleetSimulation(settings, Fault.NONE, false).play(SECONDS);
@@ -45,7 +45,7 @@
         return any.next(new Random(seed)).value();
     }
 
-    /** What speaks first, in some day, where that is broken on purpose. */
+    /** The first violation found in a number of simulations with the fault. */
     private static String firstViolation(Fault fault, boolean rough) {
         for (long seed = 1; seed < 60; seed++) {
             try {
@@ -65,7 +65,7 @@
     @Example
     void everyInvariantDetectsItsFault() {
         assertEquals("one answer", firstViolation(Fault.DUPLICATE_ANSWER, true));
-        assertEquals("in time", firstViolation(Fault.ANSWER_LOST, true));
+        assertEquals("answered in time", firstViolation(Fault.ANSWER_LOST, true));
         assertEquals("drains", firstViolation(Fault.SEND_CHECK_SKIPPED, true));
         assertEquals("no repeat", firstViolation(Fault.RUN_REPORTED_AS_UNSENT, true));
         assertEquals("cold budget", firstViolation(Fault.COLD_TENFOLD, true));
@@ -74,7 +74,7 @@
         assertEquals("at rest", firstViolation(Fault.IDLE_REFUSED, false));
     }
 
-    /** Days that had nothing to break would prove nothing. */
+    /** Guards against simulations in which the invariants have nothing to check. */
     @Example
     void simulationsExerciseColdEndpointsAndRest() {
         int requests = 0;
@@ -90,9 +90,9 @@
             budget = Math.max(budget, rough.rules.maxBudgetUse);
         }
         String seen =
-                requests + " requests, " + cold + " cold calls, " + budget + " of the budget, " + atRest + " at rest";
+                requests + " requests, " + cold + " cold sends, " + budget + " of the budget, " + atRest + " at rest";
         assertTrue(requests > 20_000 && cold > 500 && atRest > 10, seen);
-        // What all together may use, and no wider a reserve behind it than hints and guesses need.
+        // The schedulers together use most of the budget: the reserve covers only errors of hints and estimates.
         assertTrue(budget > 0.25 && budget < 0.6, seen);
     }
 }
--- a/src/test/java/laneflow/core/RecordingFront.java
+++ b/src/test/java/laneflow/core/RecordingFront.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A front that notes its answers, but for refusals, of which each test wants something else. */
+/** A front that records its answers; each test records refusals in its own way. */
 interface RecordingFront extends Front {
     List<String> answers();
 
--- a/src/test/java/laneflow/core/SchedulerPairModel.java
+++ b/src/test/java/laneflow/core/SchedulerPairModel.java
@@ -14,12 +14,12 @@
 import laneflow.decision.Dispatch.State;
 
 /**
- * Two schedulers of two zones and three endpoints, of which e2 is cold, on a clock and a connector in memory. One
- * event at a time is played on it, and behind each one the rules are read over what has happened, from what the
- * connector and the fronts saw alone. {@link EventOrderTest} plays every order.
+ * Two schedulers in two zones and three endpoints, of which e2 is cold, on a simulated clock and an in-memory
+ * connector. Events are played one at a time; after each, the invariants are checked against what the connector
+ * and the fronts observed. {@link EventOrderTest} plays every order of events.
  */
 final class SchedulerPairModel {
-    /** What a test breaks on purpose, to see that the rule's check speaks. */
+    /** A fault injected to verify that the check of an invariant detects it. */
     enum Fault {
         NONE,
         DUPLICATE_ANSWER,
@@ -34,7 +34,7 @@
         FAILURE_REPORTED_AS_REFUSAL
     }
 
-    /** A rule that does not hold. */
+    /** Thrown when an invariant does not hold. */
     static final class Violation extends RuntimeException {
         final String rule;
 
@@ -47,14 +47,14 @@
     private static final long DEADLINE_MICROS = 5_000_000;
     private static final double HINT = 0.3;
     private static final double CORES = 4;
-    /** How long endpoints remember a key, microseconds: the event "grace" outlasts it. */
+    /** How long endpoints remember a key, in microseconds; the event "grace" takes longer. */
     private static final long WINDOW_MICROS = 500_000;
 
     private static final long START = 1_000_000_000L;
     private static final String[] CLASS_LABELS = {"safe ", "keyed ", "capture "};
 
     private final Fault fault;
-    /** Whether the settings allow calls that are at work to be cancelled. */
+    /** Whether the settings allow running attempts to be cancelled. */
     private final boolean mayCancel;
 
     private final Node[] nodes = new Node[2];
@@ -64,7 +64,7 @@
     private long now = START;
     int eventCount;
 
-    /** A client's request, as its client sees it. */
+    /** A client with one request, and the answers it got. */
     private static final class Client {
         private Node node;
         private int jobClass;
@@ -75,16 +75,16 @@
         private long answeredAt;
     }
 
-    /** A call, as the endpoint's side of its connection sees it. */
+    /** An attempt as seen from the endpoint's side of the connection. */
     private static final class SentAttempt {
         private Client client;
         private Attempt attempt;
-        /** Its first bytes have gone out, and the last one is held back. */
+        /** All bytes but the last were sent. */
         private boolean partlySent;
 
         private boolean fullySent;
         private boolean ended;
-        /** The last byte was sent, and no proof has come that it never ran. */
+        /** The last byte was sent, and nothing proves that it never ran. */
         private boolean mayHaveRun;
 
         private long sentAt;
@@ -120,7 +120,7 @@
         @Override
         public void refused(long tag, double retryAfter) {
             if (retryAfter <= 0) {
-                throw new Violation("come back", "a fail-fast says no time");
+                throw new Violation("retry time", "a refusal without a time to retry");
             }
             answer(tag, "refused");
         }
@@ -135,7 +135,7 @@
                 return;
             }
             if (fault == Fault.ANSWER_DELAYED && !what.equals("served")) {
-                // As a front would that keeps its client quiet until just before its deadline.
+                // Like a front that answers only just before the deadline.
                 Client client = clients.get((int) tag);
                 deadlines.at(client.request.deadline - 1, () -> client.answers.add(what));
                 return;
@@ -228,7 +228,10 @@
 
     // ---- events ----
 
-    /** Those of these kinds that can happen now; an event is a kind, and whom it happens to. */
+    /**
+     * The events of these kinds that are possible now. An event is a kind and, for most kinds, the index of the
+     * scheduler, the attempt or the client it applies to.
+     */
     List<String> possibleEvents(Set<String> kinds) {
         List<String> events = new ArrayList<>();
         for (String kind : kinds) {
@@ -282,7 +285,7 @@
         }
     }
 
-    /** Plays an event and reads the rules. */
+    /** Plays an event and checks the invariants. */
     void play(String event) {
         eventCount++;
         String[] words = event.split(" ");
@@ -355,16 +358,16 @@
         node.scheduler.submit(client.request);
     }
 
-    /** Its connection is up: all but the last byte goes out, unless the core says no. */
+    /** The connection is open: sends all but the last byte, if the scheduler allows it. */
     private void sendPartly(SentAttempt sent) {
-        if (mayBegin(sent)) {
+        if (maySend(sent)) {
             checkGrace(sent);
             sent.partlySent = true;
         }
     }
 
-    /** Asks as a connector does before bytes go out, and ends the call if the core says no. */
-    private boolean mayBegin(SentAttempt sent) {
+    /** Asks the scheduler, as a connector does before it sends, and ends the attempt if that is not allowed. */
+    private boolean maySend(SentAttempt sent) {
         boolean may = fault == Fault.SEND_CHECK_SKIPPED
                 || fault == Fault.ALWAYS_SENDS
                 || sent.client.node.scheduler.maySend(sent.attempt);
@@ -378,34 +381,34 @@
         String at = sent.attempt.endpoint.name;
         Long stop = sent.client.node.drainNotifiedAt.get(at);
         if (stop != null && now > stop + 550_000) {
-            throw new Violation("drains", "begun at " + at + " " + (now - stop) + " us behind the word");
+            throw new Violation("drains", "sent to " + at + " " + (now - stop) + " us after the notice of its drain");
         }
     }
 
-    /** Its connection is up and its last byte goes out, and those before it, unless the core says no. */
+    /** The connection is open: sends everything up to the last byte, if the scheduler allows it. */
     private void sendFully(SentAttempt sent) {
-        if (!mayBegin(sent)) {
+        if (!maySend(sent)) {
             return;
         }
         if (sent.client.left || !sent.client.answers.isEmpty()) {
-            throw new Violation("gone", "sent on for a client that has left or has its answer");
+            throw new Violation("client left", "sent for a client that has left or been answered");
         }
         checkGrace(sent);
         String at = sent.attempt.endpoint.name;
         if (sent.client.node.setDownAt.containsKey(at)) {
-            throw new Violation("bans", "begun at " + at + ", which is set down");
+            throw new Violation("bans", "sent to " + at + ", which is set down");
         }
         for (SentAttempt other : sentAttempts) {
             if (other != sent && other.client == sent.client && other.fullySent) {
                 if (!other.ended) {
-                    throw new Violation("one call out", "a second one at " + at);
+                    throw new Violation("one open attempt", "a second one to " + at);
                 }
                 if (other.mayHaveRun
                         && (sent.client.jobClass == SchedulerTest.UNSAFE
                                 || sent.client.jobClass == SchedulerTest.KEYED
                                         && now >= other.sentAt + WINDOW_MICROS)) {
                     throw new Violation(
-                            "no repeat", "what may have run at " + other.attempt.endpoint + " goes to " + at);
+                            "no repeat", "may have run at " + other.attempt.endpoint + ", sent again to " + at);
                 }
             }
         }
@@ -435,7 +438,7 @@
         sent.client.node.scheduler.ended(sent.attempt, outcome, new byte[0], report);
     }
 
-    /** The first scheduler's list has this word of e1. */
+    /** The first scheduler receives a list with e1 in this state. */
     private void list(State state) {
         Entry entry = entries.get("e1").withState(state);
         nodes[0].scheduler.list(nodes[0], false, List.of(entry));
@@ -446,7 +449,7 @@
         }
     }
 
-    /** Killed, and started with nothing but the list that was known at first: its clients and calls are gone. */
+    /** Kills a scheduler with its clients and attempts, and starts it with the initial list of endpoints. */
     private void restart(int index) {
         for (Client client : clients) {
             client.left |= client.node == nodes[index] && client.answers.isEmpty();
@@ -460,7 +463,7 @@
     private void advance(long micros) {
         long until = now + micros;
         for (Node node : nodes) {
-            // Each deadline in its own turn, as the loop runs them.
+            // Deadlines at different instants run in turns of their own, as in the loop.
             for (long next = node.deadlines.next(); next <= until; next = node.deadlines.next()) {
                 now = Math.max(now, next);
                 node.deadlines.runDue(now);
@@ -470,7 +473,7 @@
         now = until;
     }
 
-    // ---- the rules ----
+    // ---- invariants ----
 
     private void checkInvariants() {
         for (Client client : clients) {
@@ -491,28 +494,28 @@
                 throw new Violation("one answer", label + " got " + client.answers);
             }
             if (attemptCount > 5) {
-                throw new Violation("five calls", label + " made " + attemptCount);
+                throw new Violation("five attempts", label + " made " + attemptCount);
             }
             if (client.answers.contains("served") && !client.completed) {
-                throw new Violation("true answers", label + " was served by nobody");
+                throw new Violation("truthful answer", label + " was served, but no attempt was");
             }
             boolean runsAgain = client.jobClass == SchedulerTest.UNSAFE && mayHaveRun
                     || client.jobClass == SchedulerTest.KEYED && keyExpired;
             if (client.answers.contains("refused") && runsAgain) {
-                throw new Violation("true answers", label + " was refused and may have run");
+                throw new Violation("truthful answer", label + " was refused and may have run");
             }
             boolean unanswered = client.answers.isEmpty() && !client.left;
             if (unanswered && now >= client.request.deadline) {
-                throw new Violation("in time", label + " has no answer");
+                throw new Violation("answered in time", label + " has no answer");
             }
             if (unanswered && !hasOpenAttempt) {
-                throw new Violation("at once", label + " is out nowhere and waits");
+                throw new Violation("answered at once", label + " waits without an open attempt");
             }
             if (unanswered && client.node.deadlines.next() > client.request.deadline) {
-                throw new Violation("armed", label + " has no deadline armed");
+                throw new Violation("deadline set", label + " has no deadline set");
             }
             if (!unanswered && hasOpenAttempt && now > client.request.deadline) {
-                throw new Violation("nothing left", "a call of " + label + " is still out");
+                throw new Violation("no open attempt left", "an attempt of " + label + " is still open");
             }
         }
     }
--- a/src/test/java/laneflow/core/SchedulerTest.java
+++ b/src/test/java/laneflow/core/SchedulerTest.java
@@ -19,7 +19,7 @@
 import laneflow.decision.Dispatch.State;
 import org.junit.jupiter.api.Test;
 
-/** The core's rules, with a clock that the test sets, and a front and a connector that write down. */
+/** The scheduler's own rules, with a clock set by the test and a front and a connector that record their calls. */
 class SchedulerTest implements RecordingFront, Connector {
     static final int SAFE = 0;
     static final int KEYED = 1;
@@ -33,7 +33,7 @@
     private final List<String> answers = new ArrayList<>();
     private Runnable onOpen = () -> {};
     private Runnable onClose = () -> {};
-    /** Microseconds that the present turn has lasted. */
+    /** How long the current turn has taken, in microseconds. */
     private long turnMicros;
 
     private final Clock clock = new Clock() {
@@ -101,10 +101,10 @@
         submit(UNSAFE);
         assertTrue(scheduler.maySend(attempts.get(0)));
         scheduler.list(this, false, List.of(entry("a", State.DRAINING)));
-        // The process may be held up for 0.15 s between this and the write: the grace of 0.5 s has to cover that.
+        // The process may stall for 0.15 s between this check and the write, so 0.35 s of the grace of 0.5 s are left.
         advance(349_000);
         assertTrue(scheduler.maySend(attempts.get(0)));
-        // A second word of the same drain does not start the grace again.
+        // A second notice of the same drain does not restart the grace.
         scheduler.list(this, false, List.of(entry("a", State.GONE)));
         advance(1_000);
         assertFalse(scheduler.maySend(attempts.get(0)));
@@ -124,7 +124,7 @@
         assertFalse(scheduler.maySend(attempts.get(0)));
     }
 
-    /** What its front says of its client. */
+    /** What this front answers when asked whether the client has left. */
     private boolean clientHasLeft;
 
     @Override
@@ -132,7 +132,10 @@
         return clientHasLeft;
     }
 
-    /** Its end lies unread behind the failure of the first attempt: the client is looked at before the next one. */
+    /**
+     * The client's disconnect is still unread when the first attempt fails: the client is checked before the next
+     * attempt.
+     */
     @Test
     void noFurtherAttemptForAClientThatHasLeft() {
         endpoints("a", "b");
@@ -146,19 +149,19 @@
         assertEquals(1, counters.get("http.withdrawn"));
     }
 
-    /** The connection comes up in a later turn than the decision's: the client may have gone meanwhile. */
+    /** The connection opens in a later turn than the decision's, so the client may have left in the meantime. */
     @Test
     void aLateConnectionSendsNothingForAClientThatHasLeft() {
         endpoints("a");
         submit(UNSAFE);
         clientHasLeft = true;
-        assertTrue(scheduler.maySend(attempts.get(0)), "it was looked at in this very turn");
+        assertTrue(scheduler.maySend(attempts.get(0)), "it was checked in this very turn");
         advance(1_000);
         assertFalse(scheduler.maySend(attempts.get(0)));
         assertEquals(1, counters.get("core.kept.left"));
     }
 
-    /** The operators price it as a refusal. */
+    /** Operators rate such a failure like a refusal, so it has a counter of its own. */
     @Test
     void aFailureWithoutAnyAttemptIsCounted() {
         endpoints("a");
@@ -182,7 +185,7 @@
         submit(SAFE);
         scheduler.ended(attempts.get(2), Outcome.RESET, null, null);
         assertEquals(4, attempts.size());
-        // The first call's end told again changes nothing.
+        // A second report of the first attempt's end changes nothing.
         scheduler.ended(attempts.get(2), Outcome.OK, new byte[0], null);
         scheduler.ended(attempts.get(3), Outcome.OK, new byte[0], null);
         scheduler.ended(attempts.get(3), Outcome.OK, new byte[0], null);
@@ -190,7 +193,7 @@
         assertEquals(0, scheduler.openRequests());
     }
 
-    /** What a version changes holds for requests that come behind it; one that is open keeps what it came under. */
+    /** A change of the settings applies to later requests; an open one keeps the settings it arrived under. */
     @Test
     void aRequestKeepsTheSettingsItArrivedUnder() {
         endpoints("a", "b", "c", "d", "e");
@@ -204,13 +207,13 @@
         other.stretch = 2;
         settings.classes[SAFE] = other;
         assertEquals(epoch + 1, scheduler.settingsChanged());
-        // It has five attempts, as when it came.
+        // It still has five attempts, as on its arrival.
         scheduler.ended(attempts.get(0), Outcome.RESET, null, null);
         assertEquals(2, attempts.size());
         scheduler.ended(attempts.get(1), Outcome.RESET, null, null);
         assertEquals(3, attempts.size());
         assertTrue(attempts.get(2).request.type != other);
-        // The one behind it has one.
+        // The next request has one.
         Request next = submit(SAFE);
         assertEquals(epoch + 1, next.epoch());
         assertTrue(next.type == other);
@@ -249,7 +252,7 @@
         assertEquals(0, scheduler.openRequests());
     }
 
-    /** A silent endpoint must not hold a connection, and its place in the module's books, for ever. */
+    /** A silent endpoint must not hold a connection, and its entry in the decision module, for ever. */
     @Test
     void noAttemptOutlivesItsDeadlineThoughCancellingIsOff() {
         scheduler.settings().mayCancel = false;
@@ -264,7 +267,10 @@
         assertEquals(0, counters.get("core.overdue"));
     }
 
-    /** What the module sends on for a request that left while it was at work must not stay in its books. */
+    /**
+     * The module sends an attempt for a request that was withdrawn while the module ran: the attempt must not stay
+     * in the module's accounts, which would keep its endpoint from getting requests.
+     */
     @Test
     void anAttemptForAWithdrawnRequestIsSettledUnderItsOwnNumber() {
         endpoints("a", "b");
@@ -292,14 +298,14 @@
         long at = now;
         for (; at < now + 9_000_000; at += 50_000) {
             arrivals.add(at);
-            // Not at its start either, where there was nothing before.
+            // Nor at the start, when there is nothing to compare with.
             assertFalse(arrivals.isSurge(at));
         }
         for (; at < now + 11_500_000; at += 25_000) {
             arrivals.add(at);
         }
         assertTrue(arrivals.isSurge(at));
-        // Long gone, and then a handful.
+        // A long pause, then a single request.
         at += 30_000_000;
         arrivals.add(at);
         assertFalse(arrivals.isSurge(at));
@@ -338,12 +344,12 @@
         scheduler.list(this, true, List.of(entry("b", State.READY)));
         assertNull(scheduler.endpoints().get("a"));
         assertEquals(State.READY, scheduler.endpoints().get("w").state());
-        // Nobody takes over another source's name.
+        // A source cannot change an endpoint of another source.
         scheduler.list(other, false, List.of(entry("b", State.GONE)));
         assertEquals(State.READY, scheduler.endpoints().get("b").state());
     }
 
-    /** Nothing of the core is locked: a call from another thread than its owner's must not pass unseen in tests. */
+    /** The core is not synchronized: its use from a thread other than the owner's must be detected in tests. */
     @Test
     void useFromAnotherThreadIsDetected() throws Exception {
         endpoints("a");
@@ -408,7 +414,7 @@
         answers.add("refused");
     }
 
-    /** What this connector says of calls that are given up: that their last byte never went out. */
+    /** Whether this connector reports closed attempts as not sent to their last byte. */
     private boolean neverSent;
 
     @Override
@@ -444,7 +450,7 @@
         throw new AssertionError("no such rule in these settings");
     }
 
-    /** This connector leaves the call where it is: its connection comes up when nobody waits any more. */
+    /** This connector does not close the attempt, so its connection opens when nobody waits any more. */
     @Test
     void noAttemptIsSentOnceItsClientHasLeftThoughCancellingIsOff() {
         scheduler.settings().mayCancel = false;
@@ -468,7 +474,7 @@
         assertEquals(3, counters.get("call.moot"));
         assertEquals(0, scheduler.openRequests());
         neverSent = false;
-        // One that may be at work goes on, to its client's time.
+        // An attempt that may be running goes on until the client's deadline.
         scheduler.withdraw(submit(SAFE));
         assertEquals(3, closed.size());
         advance(5_000_000);
@@ -476,7 +482,7 @@
         assertEquals(Long.MAX_VALUE, deadlines.next());
     }
 
-    /** Its last call is answered two ticks before its time; what was not sent then must not be after it. */
+    /** The request is answered two ticks before its deadline; an attempt not sent by then must not be sent later. */
     @Test
     void anUnsentAttemptIsClosedWithTheAnswerThoughCancellingIsOff() {
         scheduler.settings().mayCancel = false;
@@ -520,7 +526,7 @@
         assertEquals(List.of(), answers);
     }
 
-    /** A turn may last, as where the process was stopped amid it: what holds then is what counts. */
+    /** A turn may take long, as when the process is stopped during it: the checks must use the current time. */
     @Test
     void sendChecksReadTheClockAndNotTheStartOfTheTurn() {
         endpoints("a", "b", "c");
@@ -556,13 +562,13 @@
         assertEquals(0, scheduler.openRequests());
     }
 
-    /** Where endpoints may have begun what they shed, a key's window runs from that call on. */
+    /** If endpoints may have started a shed attempt, the key's window runs from that attempt on. */
     @Test
     void aShedAttemptMayHaveRunIfTheSettingsSaySo() {
         for (boolean may : new boolean[] {false, true}) {
             SchedulerTest other = new SchedulerTest();
             other.scheduler.settings().fullMayHaveRun = may;
-            // Of two kinds: what is shed by one says nothing of the other.
+            // Endpoints of two kinds: load shed by one says nothing about the other.
             Entry second = entry("b", State.READY);
             second.kind = 1;
             other.scheduler.start(other, List.of(entry("a", State.READY), second));
@@ -585,7 +591,7 @@
         Attempt again = attempts.get(1);
         now += 9_900_000;
         assertTrue(scheduler.maySend(again));
-        // Its connection comes up, or its worker grabs it, when endpoints no longer drop a repeat.
+        // The connection opens, or the worker grabs the job, when endpoints no longer detect a repeat.
         now += 100_000;
         assertFalse(scheduler.maySend(again));
         assertEquals(1, counters.get("core.kept.effect"));
--- a/src/test/java/laneflow/core/StagedUpdateTest.java
+++ b/src/test/java/laneflow/core/StagedUpdateTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Whole sets adopted in steps: nothing is to be seen before, all of it after. */
+/** Updates prepared in steps: nothing is visible before the adoption, everything after it. */
 class StagedUpdateTest {
     private static final int NAMES = 300;
 
@@ -51,7 +51,7 @@
         return entries;
     }
 
-    /** The live ones, and where they are called. */
+    /** The addresses of the ready endpoints of a source, by name. */
     private static Map<String, String> live(Scheduler scheduler, Connector connector) {
         Map<String, String> live = new TreeMap<>();
         scheduler.endpoints().ofSource(connector).stream()
@@ -68,7 +68,7 @@
         Scheduler scheduler = new Scheduler(settings, 1, () -> 5, new Deadlines(), new Counters());
         Connector connector = new NoOpConnector();
         Connector other = new NoOpConnector();
-        // Of another source, and listed by this one too: it stays the other's.
+        // An endpoint of another source that this source lists too stays with the other source.
         Entry foreign = new Entry();
         foreign.name = "e7";
         foreign.dial = "127.0.0.1:77";
@@ -89,7 +89,7 @@
                 }
             }
             StagedUpdate update = scheduler.stageUpdate(connector, entries, names);
-            // All steps, or only some of them: what is left is done with adopting.
+            // All steps or only some of them: the rest is done by the adoption.
             int maxSteps = random.nextInt(3) == 0 ? random.nextInt(5) : Integer.MAX_VALUE;
             for (int step = 0; step < maxSteps && update.step(); step++) {
                 assertEquals(current, live(scheduler, connector));
--- a/src/test/java/laneflow/transcripts/RecordedPeer.java
+++ b/src/test/java/laneflow/transcripts/RecordedPeer.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import laneflow.net.Stand.Peer;
 
-/** One end of a connection whose every message goes into a transcript, as a reader wants it: no CR, chunks as lines. */
+/** One end of a connection that records every message in a transcript, in readable form: no CR, chunks as lines. */
 final class RecordedPeer implements AutoCloseable {
     private static final String HEAD_END = "\r\n\r\n";
 
@@ -23,7 +23,7 @@
         this(transcript, name, "scheduler", peer);
     }
 
-    /** Hands in a job. */
+    /** Submits a job. */
     RecordedPeer post(String jobClass, String id, String more, String body) throws IOException {
         peer.post(jobClass, id, more, body);
         return this;
@@ -34,23 +34,23 @@
         return this;
     }
 
-    /** Answers a call, as an endpoint does. */
+    /** Answers an attempt, as an endpoint does. */
     RecordedPeer reply(String... lines) throws IOException {
         peer.says(lines);
         return this;
     }
 
-    /** The next message with its body, by its length. */
+    /** Reads the next message with its body, by its content length. */
     String message() throws IOException {
-        return heard(peer.message());
+        return recorded(peer.message());
     }
 
-    /** The head of a message. */
+    /** Reads the head of a message. */
     String head() throws IOException {
-        return heard(peer.readTo(HEAD_END));
+        return recorded(peer.readTo(HEAD_END));
     }
 
-    /** One line of a message in chunks. */
+    /** Reads one line of a chunked message. */
     String chunk() throws IOException {
         int size = Integer.parseInt(peer.readTo("\r\n").strip(), 16);
         String line = new String(peer.read(size + 2), java.nio.charset.StandardCharsets.ISO_8859_1);
@@ -58,20 +58,20 @@
         return line;
     }
 
-    /** A line of text. */
+    /** Reads a line of text. */
     String line() throws IOException {
         return readUntil("\n");
     }
 
-    /** Text up to that, which belongs to it. */
+    /** Reads text up to and including the given end. */
     String readUntil(String end) throws IOException {
-        return heard(peer.readTo(end));
+        return recorded(peer.readTo(end));
     }
 
-    /** The other side ends the connection, and says nothing more. */
+    /** Expects the other side to end the connection without sending anything more. */
     void expectEnd() throws IOException {
         if (!peer.ended()) {
-            throw new AssertionError(other + " says more to " + name);
+            throw new AssertionError(other + " sends more to " + name);
         }
         transcript.note(other + " ends the connection with " + name);
     }
@@ -87,7 +87,7 @@
         peer.close();
     }
 
-    private String heard(String message) {
+    private String recorded(String message) {
         transcript.message(other, name, readable(message));
         return message;
     }
@@ -95,24 +95,24 @@
     private static String readable(String said) {
         int head = said.startsWith("HTTP/") || said.contains(" HTTP/1.1\r\n") ? said.indexOf(HEAD_END) : -1;
         String body = head < 0 ? said : said.substring(head + HEAD_END.length());
-        String front = head < 0 ? "" : said.substring(0, head) + "\n\n";
-        return visible((front + chunks(body)).replace("\r\n", "\n"));
+        String headText = head < 0 ? "" : said.substring(0, head) + "\n\n";
+        return visible((headText + chunks(body)).replace("\r\n", "\n"));
     }
 
-    /** The lines of whole chunks, or the text as it is where it is none. */
+    /** The lines of complete chunks, or the text unchanged if it is not chunked. */
     private static String chunks(String body) {
         StringBuilder lines = new StringBuilder();
-        String left = body;
-        while (!left.isEmpty()) {
-            int at = left.indexOf("\r\n");
-            String size = at < 0 ? "" : left.substring(0, at);
-            if (!size.matches("[0-9a-f]{1,6}") || left.length() < at + 4 + Integer.parseInt(size, 16)) {
+        String rest = body;
+        while (!rest.isEmpty()) {
+            int at = rest.indexOf("\r\n");
+            String size = at < 0 ? "" : rest.substring(0, at);
+            if (!size.matches("[0-9a-f]{1,6}") || rest.length() < at + 4 + Integer.parseInt(size, 16)) {
                 return body;
             }
             int length = Integer.parseInt(size, 16);
-            String data = left.substring(at + 2, at + 2 + length);
+            String data = rest.substring(at + 2, at + 2 + length);
             lines.append(length == 0 ? "(last chunk)" : data.strip()).append('\n');
-            left = left.substring(at + 4 + length);
+            rest = rest.substring(at + 4 + length);
         }
         return lines.toString();
     }
--- a/src/test/java/laneflow/transcripts/SchedulerTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/SchedulerTranscriptsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What befalls a scheduler as a whole: discovery's words and silence, a move, a planned end, its second address. */
+/** Events that affect the whole scheduler: discovery lists and silence, reload, shutdown and operator commands. */
 @Timeout(300)
 class SchedulerTranscriptsTest {
     @TempDir
@@ -28,34 +28,37 @@
 
     @Test
     void drainOfAnEndpoint() throws Exception {
-        Transcript.of("Discovery says that an endpoint ends: its call goes on, new ones go to another.", transcript -> {
-            Endpoint discovery = new Endpoint("discovery");
-            Endpoint one = new Endpoint("e1");
-            Endpoint two = new Endpoint("e2");
-            try (Stand stand = new Stand(discovery, one);
-                    RecordedPeer client = client(transcript, stand);
-                    RecordedPeer other = new RecordedPeer(transcript, "another client", stand.http())) {
-                RecordedPeer watch = watch(transcript, "discovery", discovery);
-                client.post("card-capture", "1", "", "pay");
-                RecordedPeer call = new RecordedPeer(transcript, "e1", one.accept());
-                call.message();
-                watch.write(Stand.watching(Stand.list(2, false, one.host("Terminating"), two.host("Ready"))));
-                stand.await("discovery.lists", 1);
-                other.post("card-capture", "2", "", "pay");
-                RecordedPeer next = new RecordedPeer(transcript, "e2", two.accept());
-                next.message();
-                call.reply("{'id':'1','state':'done','result':'paid'}");
-                client.message();
-                next.reply("{'id':'2','state':'done','result':'paid'}");
-                other.message();
-            }
-        });
+        Transcript.of(
+                "Discovery lists an endpoint as terminating: its attempt goes on, new ones go elsewhere.",
+                transcript -> {
+                    Endpoint discovery = new Endpoint("discovery");
+                    Endpoint one = new Endpoint("e1");
+                    Endpoint two = new Endpoint("e2");
+                    try (Stand stand = new Stand(discovery, one);
+                            RecordedPeer client = client(transcript, stand);
+                            RecordedPeer other = new RecordedPeer(transcript, "another client", stand.http())) {
+                        RecordedPeer watch = watch(transcript, "discovery", discovery);
+                        client.post("card-capture", "1", "", "pay");
+                        RecordedPeer command = new RecordedPeer(transcript, "e1", one.accept());
+                        command.message();
+                        watch.write(Stand.watching(Stand.list(2, false, one.host("Terminating"), two.host("Ready"))));
+                        stand.await("discovery.lists", 1);
+                        other.post("card-capture", "2", "", "pay");
+                        RecordedPeer next = new RecordedPeer(transcript, "e2", two.accept());
+                        next.message();
+                        command.reply("{'id':'1','state':'done','result':'paid'}");
+                        client.message();
+                        next.reply("{'id':'2','state':'done','result':'paid'}");
+                        other.message();
+                    }
+                });
     }
 
     @Test
-    void watchThatEndsOrSpeaksNonsense() throws Exception {
+    void watchThatEndsOrIsMalformed() throws Exception {
         Transcript.of(
-                "A watch ends, and is begun behind what was heard; nonsense is asked for anew, whole.", transcript -> {
+                "A watch that ends resumes at the last version; after a malformed one the full list is asked for.",
+                transcript -> {
                     Endpoint discovery = new Endpoint("discovery");
                     Endpoint one = new Endpoint("e1");
                     try (Stand stand = new Stand(discovery, one)) {
@@ -73,7 +76,7 @@
     @Test
     void silentWatch() throws Exception {
         Transcript.of(
-                "No beat for 2.5 s: the watch is opened anew behind what was heard, and the list stands.",
+                "No heartbeat for 2.5 s: the watch resumes at the last version, and the list stays in use.",
                 transcript -> {
                     Endpoint discovery = new Endpoint("discovery");
                     Endpoint one = new Endpoint("e1");
@@ -84,34 +87,36 @@
                         watch(transcript, "discovery, 2nd watch", discovery);
                         RecordedPeer client = client(transcript, stand);
                         client.post("card-capture", "1", "", "pay");
-                        RecordedPeer call = new RecordedPeer(transcript, "e1", one.accept());
-                        call.message();
-                        call.reply("{'id':'1','state':'done','result':'paid'}");
+                        RecordedPeer command = new RecordedPeer(transcript, "e1", one.accept());
+                        command.message();
+                        command.reply("{'id':'1','state':'done','result':'paid'}");
                         client.message();
                     }
                 });
     }
 
     @Test
-    void readyOnceDiscoveryHasSpoken() throws Exception {
-        Transcript.of("With nothing known it is live and not ready until discovery has spoken.", transcript -> {
-            Endpoint discovery = new Endpoint("discovery");
-            try (Stand stand = new Stand(discovery);
-                    RecordedPeer client = client(transcript, stand)) {
-                RecordedPeer watch = watch(transcript, "discovery", discovery);
-                client.write("GET /health/live HTTP/1.1\r\n\r\n").message();
-                client.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
-                watch.write(Stand.watching(Stand.list(2, true)));
-                stand.await("discovery.lists", 1);
-                client.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
-            }
-        });
+    void readyAfterTheFirstList() throws Exception {
+        Transcript.of(
+                "Without known endpoints the scheduler is live, but not ready until discovery sends a list.",
+                transcript -> {
+                    Endpoint discovery = new Endpoint("discovery");
+                    try (Stand stand = new Stand(discovery);
+                            RecordedPeer client = client(transcript, stand)) {
+                        RecordedPeer watch = watch(transcript, "discovery", discovery);
+                        client.write("GET /health/live HTTP/1.1\r\n\r\n").message();
+                        client.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
+                        watch.write(Stand.watching(Stand.list(2, true)));
+                        stand.await("discovery.lists", 1);
+                        client.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
+                    }
+                });
     }
 
     @Test
     void movedDiscovery() throws Exception {
         Transcript.of(
-                "SIGHUP, discovery moved: the old address is heard until the new one has spoken; bad files pass.",
+                "SIGHUP moves discovery: the old address counts until the new one sends a list; bad files are ignored.",
                 transcript -> {
                     Endpoint first = new Endpoint("d1");
                     Endpoint second = new Endpoint("d2");
@@ -119,11 +124,11 @@
                     try (Stand stand = new Stand(first, one)) {
                         RecordedPeer old = watch(transcript, "discovery", first);
                         for (String bad : new String[] {"{\"disco", Stand.config("discovery.svc")}) {
-                            transcript.note("SIGHUP with a file that is none, or names no address");
-                            hangup(stand, bad);
+                            transcript.note("SIGHUP with an invalid file: malformed, or without a usable address");
+                            reload(stand, bad);
                         }
                         transcript.note("SIGHUP with another address");
-                        hangup(stand, Stand.config(second.dial()));
+                        reload(stand, Stand.config(second.dial()));
                         RecordedPeer next = watch(transcript, "discovery, moved", second);
                         old.write(Stand.watching(Stand.list(8, false, one.host("Terminating"))));
                         stand.await("discovery.lists", 1);
@@ -136,63 +141,65 @@
     }
 
     @Test
-    void plannedEnd() throws Exception {
-        Transcript.of("SIGTERM: who is connected is served, then sent away; what is out is answered.", transcript -> {
+    void plannedShutdown() throws Exception {
+        Transcript.of("SIGTERM: open requests are answered, then the connections are closed.", transcript -> {
             Endpoint endpoint = new Endpoint("e1");
             try (Stand stand = new Stand(null, endpoint);
                     RecordedPeer client = client(transcript, stand);
                     RecordedPeer idle = new RecordedPeer(transcript, "idle client", stand.http())) {
                 idle.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
                 client.post("card-capture", "1", "", "pay");
-                RecordedPeer call = new RecordedPeer(transcript, "e1", endpoint.accept());
-                call.message();
+                RecordedPeer command = new RecordedPeer(transcript, "e1", endpoint.accept());
+                command.message();
                 transcript.note("SIGTERM");
                 Thread stop = new Thread(stand.serve::stop);
                 stop.start();
                 idle.expectEnd();
-                call.reply("{'id':'1','state':'done','result':'paid'}");
+                command.reply("{'id':'1','state':'done','result':'paid'}");
                 client.message();
                 client.expectEnd();
                 stop.join(30_000);
-                transcript.note(stop.isAlive() ? "it goes on" : "it has ended");
+                transcript.note(stop.isAlive() ? "still running" : "stopped");
             }
         });
     }
 
     @Test
-    void secondAddress() throws Exception {
-        Transcript.of("The second address: a worker set down and up again, and each call that is none.", transcript -> {
-            Endpoint endpoint = new Endpoint("e1");
-            Path own = Files.createTempDirectory(folder, "stand");
-            try (Stand stand = Stand.operated(own, endpoint)) {
-                for (String call : new String[] {
-                    "check", "", "checks", "check now", "set-down", "set-down e9", "drain-on 3", "set-down e1"
-                }) {
-                    operator(transcript, stand, call);
-                }
-                try (RecordedPeer client = client(transcript, stand)) {
-                    client.post("card-capture", "1", "", "pay");
-                    client.message();
-                    operator(transcript, stand, "set-up e1");
-                    client.post("card-capture", "2", "", "pay");
-                    RecordedPeer call = new RecordedPeer(transcript, "e1", endpoint.accept());
-                    call.message();
-                    call.reply("{'id':'2','state':'done','result':'paid'}");
-                    client.message();
-                }
-            }
-        });
+    void operatorCommands() throws Exception {
+        Transcript.of(
+                "Operator commands: a worker is set down and up again, and invalid commands are rejected.",
+                transcript -> {
+                    Endpoint endpoint = new Endpoint("e1");
+                    Path own = Files.createTempDirectory(folder, "stand");
+                    try (Stand stand = Stand.operated(own, endpoint)) {
+                        for (String command : new String[] {
+                            "check", "", "checks", "check now", "set-down", "set-down e9", "drain-on 3", "set-down e1"
+                        }) {
+                            operator(transcript, stand, command);
+                        }
+                        try (RecordedPeer client = client(transcript, stand)) {
+                            client.post("card-capture", "1", "", "pay");
+                            client.message();
+                            operator(transcript, stand, "set-up e1");
+                            client.post("card-capture", "2", "", "pay");
+                            RecordedPeer command = new RecordedPeer(transcript, "e1", endpoint.accept());
+                            command.message();
+                            command.reply("{'id':'2','state':'done','result':'paid'}");
+                            client.message();
+                        }
+                    }
+                });
     }
 
-    /** Each has a file of its own: they are read later, one after the other. */
-    private void hangup(Stand stand, String text) throws IOException {
+    /** Reloads with a file of its own for each call: the files are read later, one after the other. */
+    private void reload(Stand stand, String text) throws IOException {
         Path file = Files.writeString(Files.createTempFile(folder, "config", ".json"), text);
         stand.serve.reload(() -> Setup.platform(file, null, null));
     }
 
-    private static void operator(Transcript transcript, Stand stand, String call) throws IOException {
+    private static void operator(Transcript transcript, Stand stand, String command) throws IOException {
         try (RecordedPeer operator = new RecordedPeer(transcript, "operator", stand.operator())) {
-            operator.write(call + "\n");
+            operator.write(command + "\n");
             operator.line();
             operator.expectEnd();
         }
