--- a/src/main/java/laneflow/core/Scheduler.java
+++ b/src/main/java/laneflow/core/Scheduler.java
@@ -35,7 +35,7 @@
     public static final int CONNECT_FAILED = 2;
     public static final int REFUSED = 3;
     public static final int COUNTS_PER_CLASS = 4;
-    /** How long a request waits, in microseconds, for the admission gate to open. */
+    /** The longest a request waits, in microseconds, for the admission gate to open. */
     private static final long MAX_HOLD_MICROS = 10_000;
 
     /**
@@ -57,7 +57,7 @@
     private final ArrayDeque<Runnable> pendingEvents = new ArrayDeque<>();
 
     private final Dispatch.Request requestView = new Dispatch.Request();
-    private final Arrivals arrivalRate = new Arrivals();
+    private final Arrivals arrivals = new Arrivals();
     private final OwnerThread owner = new OwnerThread();
     private boolean dispatching;
     private int epoch;
@@ -281,7 +281,7 @@
         request.epoch = epoch;
         if (!request.front.usesLeases()) {
             // Durable jobs are submitted as there is room for them: they say nothing about other schedulers.
-            arrivalRate.add(request.acceptedAt);
+            arrivals.add(request.acceptedAt);
         }
         counters.add(request.front.name() + ".taken");
         countsByClass[request.jobClass][ACCEPTED]++;
@@ -340,7 +340,7 @@
 
     /** True if the arrival rate has jumped, as when another scheduler is down and its clients have moved here. */
     public boolean hasArrivalSurge() {
-        return arrivalRate.isSurge(clock.micros());
+        return arrivals.isSurge(clock.micros());
     }
 
     /** Ends the open requests accepted since that instant: their clients get an answer and may retry elsewhere. */
@@ -382,7 +382,7 @@
             // The client has left or has been answered.
             return "answered";
         }
-        // In the turn of the decision this was checked before the decision.
+        // In the decision's own turn the client was checked before the decision.
         if (attempt.sentAt != clock.micros() && attempt.request.front.hasLeft(attempt.request.tag)) {
             return "left";
         }
@@ -479,7 +479,7 @@
 
     /**
      * Reports the end of an attempt, with a result only if it was served. If the attempt has ended already, only
-     * a front that uses leases is told.
+     * a front that uses leases is notified.
      */
     public void ended(Attempt attempt, Outcome outcome, byte[] result, LoadReport report) {
         Request request = attempt.request;
--- a/src/test/java/laneflow/core/FleetEndpoint.java
+++ b/src/test/java/laneflow/core/FleetEndpoint.java
@@ -131,7 +131,7 @@
         }
     }
 
-    /** Loses all attempts and restarts cold after the given time; discovery lists it as gone if told to. */
+    /** Loses all attempts and restarts cold after the given time; until then it is listed as gone if so asked. */
     void crash(boolean isListed, long downMicros) {
         if (!up) {
             return;
--- a/src/test/java/laneflow/core/SchedulerTest.java
+++ b/src/test/java/laneflow/core/SchedulerTest.java
@@ -354,14 +354,14 @@
     void useFromAnotherThreadIsDetected() throws Exception {
         endpoints("a");
         submit(SAFE);
-        List<Runnable> calls = List.of(
+        List<Runnable> uses = List.of(
                 () -> scheduler.setDown("a"),
                 () -> deadlines.at(now, () -> {}),
                 () -> counters.add("x"),
                 () -> scheduler.probed(null, 0, Outcome.OK, null));
-        for (Runnable attempt : calls) {
+        for (Runnable use : uses) {
             Throwable[] seen = new Throwable[1];
-            Thread other = new Thread(attempt);
+            Thread other = new Thread(use);
             other.setUncaughtExceptionHandler((thread, thrown) -> seen[0] = thrown);
             other.start();
             other.join();
--- a/src/test/java/laneflow/core/StagedUpdateTest.java
+++ b/src/test/java/laneflow/core/StagedUpdateTest.java
@@ -22,10 +22,10 @@
 
     private static final class NoOpConnector implements Connector {
         @Override
-        public void open(Attempt call) {}
+        public void open(Attempt attempt) {}
 
         @Override
-        public boolean close(Attempt call) {
+        public boolean close(Attempt attempt) {
             return false;
         }
 
