--- a/src/test/java/laneflow/core/DeadlinesTest.java
+++ b/src/test/java/laneflow/core/DeadlinesTest.java
@@ -19,27 +19,27 @@
 
     @Test
     void anEarlyRunnableDeadlineRunsOnceWhenTheLoopWakes() {
-        Deadline early = deadline("rider");
+        Deadline early = deadline("early");
         deadlines.set(early, 80, 100);
         deadlines.at(90, () -> ran.add("plain"));
         deadlines.runEarly(79);
         assertEquals(List.of(), ran);
         deadlines.runEarly(80);
-        assertEquals(List.of("rider"), ran);
+        assertEquals(List.of("early"), ran);
         assertFalse(early.isSet());
         deadlines.runEarly(85);
         deadlines.runDue(200);
-        assertEquals(List.of("rider", "plain"), ran);
+        assertEquals(List.of("early", "plain"), ran);
     }
 
     @Test
     void withoutAWakeUpItRunsInTimeAndOnceMovedOrCancelledNotEarly() {
-        Deadline early = deadline("rider");
+        Deadline early = deadline("early");
         deadlines.set(early, 80, 100);
         assertEquals(100, deadlines.next());
         deadlines.runDue(100);
         deadlines.runEarly(101);
-        assertEquals(List.of("rider"), ran);
+        assertEquals(List.of("early"), ran);
         // Set without an earliest instant it no longer runs early.
         deadlines.set(early, 110, 130);
         deadlines.set(early, 130);
@@ -48,7 +48,7 @@
         deadlines.cancel(early);
         deadlines.runEarly(120);
         deadlines.runDue(200);
-        assertEquals(List.of("rider"), ran);
+        assertEquals(List.of("early"), ran);
     }
 
     @Test
--- a/src/test/java/laneflow/transcripts/Transcript.java
+++ b/src/test/java/laneflow/transcripts/Transcript.java
@@ -59,13 +59,13 @@
 
     /** Records something other than a message, for example that a client leaves. */
     void note(String event) {
-        text.append("\n-- ").append(withNames(event)).append('\n');
+        text.append("\n-- ").append(withAliases(event)).append('\n');
     }
 
     /** Records a message in its readable form. */
     void message(String from, String to, String message) {
-        text.append('\n').append(withNames(from)).append(" -> ").append(to).append('\n');
-        withNames(message)
+        text.append('\n').append(withAliases(from)).append(" -> ").append(to).append('\n');
+        withAliases(message)
                 .lines()
                 .forEach(
                         line -> text.append("    ".concat(line).stripTrailing()).append('\n'));
@@ -76,7 +76,7 @@
         aliases.put(value, name);
     }
 
-    private String withNames(String message) {
+    private String withAliases(String message) {
         String result = PORT.matcher(message)
                 .replaceAll(found -> Matcher.quoteReplacement(name("127.0.0.1:" + found.group(1), "address")));
         result = HANDLE.matcher(result).replaceAll(found -> Matcher.quoteReplacement(name(found.group(), "handle")));
