--- a/src/main/java/laneflow/assembly/FleetSubsystem.java
+++ b/src/main/java/laneflow/assembly/FleetSubsystem.java
@@ -32,7 +32,7 @@
 import laneflow.task.Hooks;
 import laneflow.task.Recovery;
 import laneflow.task.Tasks;
-import laneflow.task.decision.Table;
+import laneflow.task.decision.TaskTable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -133,12 +133,12 @@
                         random.nextLong(),
                         clockRate,
                         core.upgrade(),
-                        Map.of(Table.NAME, new Table(), WindowLedger.NAME, new WindowLedger()),
+                        Map.of(TaskTable.NAME, new TaskTable(), WindowLedger.NAME, new WindowLedger()),
                         List.of(tasks, windows)));
         maintenance = windows == null ? null : maintenance(setup, windows);
         hooks = setup.tasks() == null
                 ? null
-                : new Hooks(loop, tasks, counters, fleet.self().who(), setup.tasks().hooks);
+                : new Hooks(loop, tasks, counters, fleet.self().id(), setup.tasks().hooks);
         recovery = setup.tasks() == null || setup.tasks().stores == null
                 ? null
                 : new Recovery(loop, tasks, scheduler.counters(), durability.jobs(), setup.tasks(), config.name);
--- a/src/main/java/laneflow/fleet/Fleet.java
+++ b/src/main/java/laneflow/fleet/Fleet.java
@@ -45,24 +45,24 @@
     private static final int MOST_EARLY = 32;
 
     /** What is done with a message. */
-    public interface Handler {
+    public interface MessageHandler {
         void take(Peer from, JsonObject message);
     }
 
     /** Answers an ordinary request, once. */
-    public interface Asked {
+    public interface RequestHandler {
         void asked(String verb, String path, byte[] body, StreamPort.Answer answer);
     }
 
     /**
      * Who this process is.
      *
-     * @param life unlike that of any other process of this name
+     * @param instance unlike that of any other process of this name
      * @param build for reports
      */
-    public record Self(String name, String life, String build) {
-        public String who() {
-            return name + "#" + life;
+    public record Self(String name, String instance, String build) {
+        public String id() {
+            return name + "#" + instance;
         }
     }
 
@@ -73,8 +73,8 @@
     private final String token;
     private final SplittableRandom random;
     private final StreamPort port;
-    private final Map<String, Handler> handlers = new HashMap<>();
-    private final Map<String, Asked> paths = new LinkedHashMap<>();
+    private final Map<String, MessageHandler> handlers = new HashMap<>();
+    private final Map<String, RequestHandler> paths = new LinkedHashMap<>();
     private final Map<String, Dialled> dialled = new LinkedHashMap<>();
     private final List<Link> accepted = new ArrayList<>();
     private final List<Consumer<Peer>> up = new ArrayList<>();
@@ -111,17 +111,17 @@
     }
 
     /** Messages whose field {@code t} is that go to the handler. */
-    public void handle(String type, Handler handler) {
+    public void handle(String type, MessageHandler handler) {
         handlers.put(type, handler);
     }
 
     /** Ordinary requests whose path begins so go there. */
-    public void serve(String prefix, Asked asked) {
+    public void serve(String prefix, RequestHandler asked) {
         paths.put(prefix, asked);
     }
 
     /** Told of every link that has come up or gone down. */
-    public void watch(Consumer<Peer> whenUp, Consumer<Peer> whenDown) {
+    public void onLinkChange(Consumer<Peer> whenUp, Consumer<Peer> whenDown) {
         up.add(whenUp);
         down.add(whenDown);
     }
@@ -142,7 +142,7 @@
     }
 
     /** A link to the scheduler of that name, whoever began it, or null. */
-    public Peer any(String name) {
+    public Peer anyPeer(String name) {
         Peer to = peer(name);
         for (int i = 0; to == null && i < accepted.size(); i++) {
             to = accepted.get(i).isUp() && accepted.get(i).name().equals(name) ? accepted.get(i) : null;
@@ -151,19 +151,19 @@
     }
 
     /** Tells what else is known of a scheduler, in a word, or empty. */
-    public void describe(UnaryOperator<String> by) {
+    public void setDescriber(UnaryOperator<String> by) {
         describer = by;
     }
 
     /** What else is known of that scheduler here, in a word, or empty. */
-    public String described(String name) {
+    public String description(String name) {
         return describer.apply(name);
     }
 
     /** The process of that name and life that has dialled this one, or null. */
-    public Peer accepted(String who) {
+    public Peer acceptedPeer(String who) {
         for (Link link : accepted) {
-            if (link.isUp() && link.who().equals(who)) {
+            if (link.isUp() && link.id().equals(who)) {
                 return link;
             }
         }
@@ -171,7 +171,7 @@
     }
 
     /** The names of those that a link is kept to. */
-    public List<String> dialled() {
+    public List<String> dialledNames() {
         return List.copyOf(dialled.keySet());
     }
 
@@ -220,7 +220,7 @@
         JsonObject hello = new JsonObject();
         hello.addProperty("t", "hello");
         hello.addProperty("name", self.name());
-        hello.addProperty("life", self.life());
+        hello.addProperty("life", self.instance());
         hello.addProperty("build", self.build());
         hello.addProperty("from", OLDEST_VERSION);
         hello.addProperty("to", NEWEST_VERSION);
@@ -230,7 +230,7 @@
     /** One end of a link, whoever began it. */
     private abstract class Link implements Peer, LineStream.Reader {
         private String name = "";
-        private String life = "";
+        private String instance = "";
         private int version;
         private boolean said;
         private int early;
@@ -266,8 +266,8 @@
         }
 
         @Override
-        public String life() {
-            return life;
+        public String instance() {
+            return instance;
         }
 
         @Override
@@ -334,7 +334,7 @@
                 metAgain();
                 return;
             }
-            Handler handler = handlers.get(kind);
+            MessageHandler handler = handlers.get(kind);
             if (handler == null) {
                 counters.add("fleet.unknown");
             } else {
@@ -351,7 +351,7 @@
                 return;
             }
             name = hello.get("name").getAsString();
-            life = hello.get("life").getAsString();
+            instance = hello.get("life").getAsString();
             greet();
             version = highest;
             up.forEach(one -> one.accept(this));
@@ -495,7 +495,7 @@
 
         @Override
         public void asked(String verb, String path, byte[] body, StreamPort.Answer answer) {
-            for (Map.Entry<String, Asked> one : paths.entrySet()) {
+            for (Map.Entry<String, RequestHandler> one : paths.entrySet()) {
                 if (path.startsWith(one.getKey())) {
                     one.getValue().asked(verb, path, body, answer);
                     return;
--- a/src/main/java/laneflow/fleet/Peer.java
+++ b/src/main/java/laneflow/fleet/Peer.java
@@ -11,11 +11,11 @@
     String name();
 
     /** The life of the process: unlike that of any other process of this name. */
-    String life();
+    String instance();
 
     /** Name and life. */
-    default String who() {
-        return name() + "#" + life();
+    default String id() {
+        return name() + "#" + instance();
     }
 
     /** The version of the messages that both ends know. */
--- a/src/main/java/laneflow/maintenance/Coordination.java
+++ b/src/main/java/laneflow/maintenance/Coordination.java
@@ -9,8 +9,8 @@
 import laneflow.core.Deadlines.Deadline;
 import laneflow.net.Loop;
 import laneflow.task.Tasks;
-import laneflow.task.decision.Hold.Act;
-import laneflow.task.decision.Hold.Need;
+import laneflow.task.decision.TaskHolder.Action;
+import laneflow.task.decision.TaskHolder.LateSafety;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -71,7 +71,7 @@
     /** From now on this process takes part. */
     void begin(Rider by) {
         rides = by;
-        tasks.want(TASK, true);
+        tasks.addCandidacy(TASK, true);
         look();
     }
 
@@ -139,11 +139,11 @@
 
     /** The token by which this process holds the task; negative: it does not, or not for long enough. */
     private long token() {
-        Act act = tasks.begin(TASK, tasks.lease() / ACT_PART, Need.TOKEN_CHECKED);
+        Action act = tasks.begin(TASK, tasks.lease() / ACT_PART, LateSafety.TOKEN_CHECKED);
         if (act == null) {
             return tasks.holds(TASK) ? token : -1;
         }
-        tasks.ended(act);
+        tasks.end(act);
         return act.token();
     }
 
--- a/src/main/java/laneflow/membership/Members.java
+++ b/src/main/java/laneflow/membership/Members.java
@@ -216,7 +216,7 @@
                     answer.say(verb.equals("GET") ? 404 : 405, "text/plain", "", "known is GET /fleet\n");
                 }
             });
-            given.fleet().describe(this::standing);
+            given.fleet().setDescriber(this::standing);
             LOG.info("members: {} at {}", life, opened.address());
             loop.deadlines().set(facts, loop.micros() + FACTS_EVERY);
             loop.deadlines().set(keys, loop.micros() + KEYS_EVERY);
@@ -294,7 +294,7 @@
 
     @Override
     public boolean sendAll(String name, List<Full> records) {
-        Peer peer = given.fleet().any(name);
+        Peer peer = given.fleet().anyPeer(name);
         if (peer == null) {
             return false;
         }
--- a/src/main/java/laneflow/policy/Leadership.java
+++ b/src/main/java/laneflow/policy/Leadership.java
@@ -95,7 +95,7 @@
                 left(message.get("who").getAsString());
             }
         });
-        fleet.watch(peer -> group.linked(), peer -> {
+        fleet.onLinkChange(peer -> group.linked(), peer -> {
             group.linked();
             routes.values().removeIf(route -> route == peer);
         });
@@ -155,7 +155,7 @@
     /** What rides on this process's own renewal, asked at that instant. */
     void ride(long asked) {
         if (lead != null) {
-            riders.ride(fleet.self().who(), asked, policy::now);
+            riders.ride(fleet.self().id(), asked, policy::now);
         }
     }
 
@@ -245,7 +245,7 @@
 
     /** This process's own renewal; null where there is no answer to it. */
     Grant renewed(Renewal own, JsonArray tallies) {
-        String who = fleet.self().who();
+        String who = fleet.self().id();
         trial.heard(who, tallies);
         lead.heard(policy.now(), who, own);
         step();
@@ -268,7 +268,7 @@
     /** A word of the leader's to a scheduler that came by this voter. */
     void passBack(JsonObject message) {
         String who = message.get("for").getAsString();
-        Peer to = fleet.accepted(who);
+        Peer to = fleet.acceptedPeer(who);
         if (to != null) {
             to.send(message);
         }
@@ -304,7 +304,7 @@
         message.addProperty("for", who);
         message.addProperty("number", number);
         message.addProperty("policy", text);
-        if (who.equals(fleet.self().who())) {
+        if (who.equals(fleet.self().id())) {
             policy.content(message);
         } else if (routes.containsKey(who)) {
             counters.add("policy.contents_sent");
@@ -315,7 +315,7 @@
     void tell(String who, long at) {
         Grant grant = lead == null ? null : lead.grant(policy.now(), who);
         Peer route = routes.get(who);
-        if (who.equals(fleet.self().who())) {
+        if (who.equals(fleet.self().id())) {
             policy.renewNow();
         } else if (grant != null && route != null) {
             JsonObject message = Words.grant(grant, who, fleet.self().name(), at, voterNames);
@@ -495,7 +495,7 @@
             JsonArray waits = new JsonArray();
             // What the view has on them explains; the lease alone decides.
             lead.waitsFor(policy.now()).forEach(who -> {
-                String known = fleet.described(who.substring(0, Math.max(0, who.lastIndexOf('#'))));
+                String known = fleet.description(who.substring(0, Math.max(0, who.lastIndexOf('#'))));
                 waits.add(known.isEmpty() ? who : who + " (" + known + ")");
             });
             leads.add("waits_for", waits);
--- a/src/main/java/laneflow/policy/Policy.java
+++ b/src/main/java/laneflow/policy/Policy.java
@@ -137,7 +137,7 @@
         leadership = own;
         fleet.handle("grant", this::granted);
         fleet.handle("content", (from, message) -> content(message));
-        fleet.watch(
+        fleet.onLinkChange(
                 peer -> {
                     if (deciding() < 0) {
                         renewNow();
@@ -292,7 +292,7 @@
         if (to != null) {
             unanswered++;
             JsonObject message = Words.renewal(renewalOf());
-            message.addProperty("who", fleet.self().who());
+            message.addProperty("who", fleet.self().id());
             message.addProperty("at", now());
             message.add("tallies", tallies);
             riders.say(message);
@@ -353,7 +353,7 @@
 
     /** A leader's word that came over a link. */
     private void granted(Peer from, JsonObject message) {
-        if (!message.get("for").getAsString().equals(fleet.self().who())) {
+        if (!message.get("for").getAsString().equals(fleet.self().id())) {
             if (leadership != null) {
                 leadership.passBack(message);
             }
@@ -417,7 +417,7 @@
         asked.add(number);
         JsonObject message = new JsonObject();
         message.addProperty("t", "want");
-        message.addProperty("who", fleet.self().who());
+        message.addProperty("who", fleet.self().id());
         message.addProperty("number", number);
         Peer to = whom();
         if (leadership != null && leadership.leads()) {
@@ -436,7 +436,7 @@
     /** A policy's content: it is read off the loop, and whether it is fit goes with the next renewal. */
     void content(JsonObject message) {
         if (message.has("for")
-                && !message.get("for").getAsString().equals(fleet.self().who())) {
+                && !message.get("for").getAsString().equals(fleet.self().id())) {
             if (leadership != null) {
                 leadership.passBack(message);
             }
@@ -490,12 +490,12 @@
         left = true;
         loop.deadlines().cancel(renewal);
         if (leadership != null && leadership.leads()) {
-            leadership.left(fleet.self().who());
+            leadership.left(fleet.self().id());
             return;
         }
         JsonObject message = new JsonObject();
         message.addProperty("t", "left");
-        message.addProperty("who", fleet.self().who());
+        message.addProperty("who", fleet.self().id());
         Peer to = fleet.peer(leader);
         if (to != null) {
             to.send(message);
@@ -514,7 +514,7 @@
         long deciding = deciding();
         JsonObject all = new JsonObject();
         all.addProperty("scheduler", fleet.self().name());
-        all.addProperty("life", fleet.self().life());
+        all.addProperty("life", fleet.self().instance());
         all.addProperty(
                 "state",
                 deciding >= 0
--- a/src/main/java/laneflow/policy/VoterGroup.java
+++ b/src/main/java/laneflow/policy/VoterGroup.java
@@ -95,7 +95,7 @@
     /** On the loop: a link has come up or gone down. */
     void linked() {
         Set<String> names = new TreeSet<>();
-        for (String voter : fleet.dialled()) {
+        for (String voter : fleet.dialledNames()) {
             if (fleet.peer(voter) != null) {
                 names.add(voter);
             }
@@ -128,7 +128,7 @@
     }
 
     private void tell() {
-        for (String voter : fleet.dialled()) {
+        for (String voter : fleet.dialledNames()) {
             Peer peer = fleet.peer(voter);
             if (peer != null) {
                 peer.send(word());
--- a/src/main/java/laneflow/task/Hooks.java
+++ b/src/main/java/laneflow/task/Hooks.java
@@ -14,7 +14,7 @@
 import laneflow.net.Loop;
 import laneflow.net.Threads;
 import laneflow.task.TaskConfig.Hook;
-import laneflow.task.decision.Hold.Act;
+import laneflow.task.decision.TaskHolder.Action;
 
 /**
  * Addresses that the fleet calls once a period, whoever does it: a task each, placed over the live
@@ -46,12 +46,12 @@
         this.self = self;
         threads = Threads.atMost(Math.max(1, THREADS_A_HOOK * hooks.size()), "hook");
         hooks.forEach(hook -> all.add(new One(hook)));
-        tasks.watch(() -> all.forEach(One::look));
+        tasks.onGrant(() -> all.forEach(One::look));
     }
 
     /** On the loop: from now on this process takes part. */
     public void begin() {
-        all.forEach(one -> tasks.want(TASK + one.hook.name(), true));
+        all.forEach(one -> tasks.addCandidacy(TASK + one.hook.name(), true));
     }
 
     private final class One {
@@ -76,7 +76,7 @@
             if (busy) {
                 return;
             }
-            Act act = held ? tasks.begin(TASK + hook.name(), hook.most(), hook.need()) : null;
+            Action act = held ? tasks.begin(TASK + hook.name(), hook.most(), hook.need()) : null;
             if (act == null) {
                 // Its lease is about to be renewed, or lost: then the next word says so.
                 if (tasks.holds(TASK + hook.name())) {
@@ -103,15 +103,15 @@
             }
         }
 
-        private void over(Act act, String failed, long again) {
+        private void over(Action act, String failed, long again) {
             busy = false;
-            tasks.ended(act);
+            tasks.end(act);
             counters.add(failed == null ? "task.calls" : "task.calls_failed");
             loop.deadlines().set(due, Math.max(loop.micros(), again));
         }
 
         /** Null where it was answered with success, else why not. Closed by the act's end, whatever comes. */
-        private String call(Act act) {
+        private String call(Action act) {
             try (Socket socket = new Socket()) {
                 socket.setTcpNoDelay(true);
                 InetSocketAddress to = Loop.address(hook.at());
@@ -138,7 +138,7 @@
             }
         }
 
-        private String answer(Socket socket, Act act) throws IOException {
+        private String answer(Socket socket, Action act) throws IOException {
             InputStream in = socket.getInputStream();
             byte[] status = new byte[16];
             int had = 0;
@@ -158,7 +158,7 @@
             return line.startsWith("HTTP/1.1 2") ? null : "answered '" + line.strip() + "'";
         }
 
-        private long left(Act act) {
+        private long left(Action act) {
             return (act.endsBy() - tasks.now()) / 1000;
         }
     }
--- a/src/main/java/laneflow/task/Recovery.java
+++ b/src/main/java/laneflow/task/Recovery.java
@@ -29,9 +29,9 @@
 import laneflow.durable.StoreMaintenance;
 import laneflow.net.Loop;
 import laneflow.net.Threads;
-import laneflow.task.decision.Hold.Act;
-import laneflow.task.decision.Hold.Need;
-import laneflow.task.decision.Table;
+import laneflow.task.decision.TaskHolder.Action;
+import laneflow.task.decision.TaskHolder.LateSafety;
+import laneflow.task.decision.TaskTable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -79,7 +79,7 @@
         stores = config.stores;
         afterNs = config.after * 1000;
         thread = Threads.daemon(this::run, "recovery");
-        tasks.watch(this::look);
+        tasks.onGrant(this::look);
     }
 
     /** Takes part from now on, behind this process's own recovery. */
@@ -137,7 +137,7 @@
         try (Stream<Path> all = Files.list(stores)) {
             all.filter(Files::isDirectory)
                     .map(path -> path.getFileName().toString())
-                    .filter(name -> !name.equals(self) && Table.isName(name))
+                    .filter(name -> !name.equals(self) && TaskTable.isName(name))
                     .forEach(names::add);
         }
         return names;
@@ -147,12 +147,12 @@
         for (String gone : new ArrayList<>(wanted)) {
             if (!names.contains(gone)) {
                 wanted.remove(gone);
-                tasks.unwant(TASK + gone);
+                tasks.removeCandidacy(TASK + gone);
             }
         }
         for (String name : names) {
             if (wanted.add(name)) {
-                tasks.want(TASK + name, true);
+                tasks.addCandidacy(TASK + name, true);
             }
         }
         look();
@@ -173,8 +173,8 @@
             if (now - freeSince.computeIfAbsent(name, first -> now) < afterNs) {
                 return;
             }
-            Act act =
-                    ask(then -> then.complete(tasks.begin(TASK + name, tasks.lease() / ACT_PARTS, Need.TOKEN_CHECKED)));
+            Action act = ask(then ->
+                    then.complete(tasks.begin(TASK + name, tasks.lease() / ACT_PARTS, LateSafety.TOKEN_CHECKED)));
             if (act == null) {
                 return;
             }
@@ -193,7 +193,7 @@
                             act.token());
                 }
             } finally {
-                loop.later(() -> tasks.ended(act));
+                loop.later(() -> tasks.end(act));
             }
         }
         freeSince.remove(name);
--- a/src/main/java/laneflow/task/TaskConfig.java
+++ b/src/main/java/laneflow/task/TaskConfig.java
@@ -6,7 +6,7 @@
 import laneflow.config.Table;
 import laneflow.net.Loop;
 import laneflow.policy.PolicyConfig;
-import laneflow.task.decision.Hold.Need;
+import laneflow.task.decision.TaskHolder.LateSafety;
 
 /** What the operators set for tasks that the fleet does once: the table {@code [tasks]}. */
 public final class TaskConfig {
@@ -19,7 +19,7 @@
      * @param most microseconds after which a call is cut off
      * @param need what makes a call harmless that comes behind its lease
      */
-    public record Hook(String name, String at, String path, long every, long most, Need need) {}
+    public record Hook(String name, String at, String path, long every, long most, LateSafety need) {}
 
     public final List<Hook> hooks = new ArrayList<>();
     /** Where the stores of all schedulers' durable jobs lie, by their names; null: adopted by hand. */
@@ -67,7 +67,12 @@
             }
             one.close();
             hooks.add(new Hook(
-                    name, at, path, every, most, late.equals("checked") ? Need.TOKEN_CHECKED : Need.HARMLESS_TWICE));
+                    name,
+                    at,
+                    path,
+                    every,
+                    most,
+                    late.equals("checked") ? LateSafety.TOKEN_CHECKED : LateSafety.IDEMPOTENT));
         });
         from.close();
     }
--- a/src/main/java/laneflow/task/TaskWords.java
+++ b/src/main/java/laneflow/task/TaskWords.java
@@ -8,15 +8,15 @@
 import java.util.Set;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import laneflow.task.decision.Said;
-import laneflow.task.decision.Wants;
-import laneflow.task.decision.Word;
+import laneflow.task.decision.Candidacy;
+import laneflow.task.decision.TaskGrant;
+import laneflow.task.decision.TaskRenewal;
 
 /** What holders and their leader say to each other, as it rides on renewals and grants. */
 final class TaskWords {
     private TaskWords() {}
 
-    static JsonObject said(Said said) {
+    static JsonObject said(TaskRenewal said) {
         JsonObject all = new JsonObject();
         all.addProperty("term", said.heardTerm());
         all.addProperty("seq", said.heardSeq());
@@ -36,9 +36,9 @@
         return all;
     }
 
-    static Said said(JsonObject from) {
-        Wants all = from.has("line") ? new Wants(texts(from.get("line")), texts(from.get("spread"))) : null;
-        return new Said(
+    static TaskRenewal said(JsonObject from) {
+        Candidacy all = from.has("line") ? new Candidacy(texts(from.get("line")), texts(from.get("spread"))) : null;
+        return new TaskRenewal(
                 from.get("term").getAsInt(),
                 from.get("seq").getAsLong(),
                 from.get("known").getAsInt(),
@@ -49,7 +49,7 @@
                 from.has("gives") ? tokens(from.getAsJsonObject("gives")) : Map.of());
     }
 
-    static JsonObject word(Word word) {
+    static JsonObject word(TaskGrant word) {
         JsonObject all = new JsonObject();
         all.addProperty("term", word.term());
         all.addProperty("seq", word.seq());
@@ -65,8 +65,8 @@
         return all;
     }
 
-    static Word word(JsonObject from) {
-        return new Word(
+    static TaskGrant word(JsonObject from) {
+        return new TaskGrant(
                 from.get("term").getAsInt(),
                 from.get("seq").getAsLong(),
                 from.get("now").getAsLong(),
--- a/src/main/java/laneflow/task/Tasks.java
+++ b/src/main/java/laneflow/task/Tasks.java
@@ -13,21 +13,21 @@
 import laneflow.fleet.Fleet;
 import laneflow.net.Loop;
 import laneflow.policy.RenewalExtension;
-import laneflow.task.decision.Hold;
-import laneflow.task.decision.Hold.Act;
-import laneflow.task.decision.Hold.Need;
-import laneflow.task.decision.Table;
-import laneflow.task.decision.TaskLead;
-import laneflow.task.decision.Wants;
+import laneflow.task.decision.Candidacy;
+import laneflow.task.decision.TaskHolder;
+import laneflow.task.decision.TaskHolder.Action;
+import laneflow.task.decision.TaskHolder.LateSafety;
+import laneflow.task.decision.TaskLeader;
+import laneflow.task.decision.TaskTable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Tasks that the fleet does once, at one scheduler: what this process holds, by {@link Hold}, and while it
- * leads the voters, who holds what, by {@link TaskLead}. Both ride on policy's renewals and grants. On the
+ * Tasks that the fleet does once, at one scheduler: what this process holds, by {@link TaskHolder}, and while it
+ * leads the voters, who holds what, by {@link TaskLeader}. Both ride on policy's renewals and grants. On the
  * loop's thread.
  *
- * <p>Whoever does a task asks for an {@link Act} for each thing that it does outside, tells how long that
+ * <p>Whoever does a task asks for an {@link Action} for each thing that it does outside, tells how long that
  * takes at most, and cuts it off by then; and says what makes an act harmless that comes behind its lease.
  * There is no way to ask whether a task is held and then to act on the answer.
  */
@@ -39,18 +39,18 @@
     private final Loop loop;
     private final Fleet fleet;
     private final Counters counters;
-    private final Hold hold = new Hold();
+    private final TaskHolder hold = new TaskHolder();
     private final Set<String> line = new TreeSet<>();
     private final Set<String> spread = new TreeSet<>();
     private final List<Runnable> watchers = new ArrayList<>();
     private final Deadline look;
     private Carriage by;
-    private Wants wants = Wants.NONE;
-    private String digest = Wants.NONE.digest();
+    private Candidacy wants = Candidacy.NONE;
+    private String digest = Candidacy.NONE.digest();
     private boolean everWanted;
     private boolean draining;
     /** Null where this process does not lead. */
-    private TaskLead lead;
+    private TaskLeader lead;
 
     public Tasks(Loop loop, Fleet fleet, Counters counters) {
         this.loop = loop;
@@ -73,28 +73,28 @@
     // ---- for those who do tasks ----
 
     /** This process wants to do that task: in its turn, or where it is placed. */
-    public void want(String task, boolean placed) {
+    public void addCandidacy(String task, boolean placed) {
         if ((placed ? spread : line).add(task)) {
             wanted();
         }
     }
 
     /** It wants to do that task no more. */
-    public void unwant(String task) {
+    public void removeCandidacy(String task) {
         if (line.remove(task) | spread.remove(task)) {
             wanted();
         }
     }
 
     private void wanted() {
-        wants = new Wants(new LinkedHashSet<>(line), new LinkedHashSet<>(spread));
+        wants = new Candidacy(new LinkedHashSet<>(line), new LinkedHashSet<>(spread));
         digest = wants.digest();
         everWanted = true;
         by.renewNow();
     }
 
     /** Told whenever the leader has said anything on what is held here. */
-    public void watch(Runnable whenTold) {
+    public void onGrant(Runnable whenTold) {
         watchers.add(whenTold);
     }
 
@@ -102,19 +102,19 @@
         return hold.token(task, now()) >= 0;
     }
 
-    /** Begins an act, or null: not now. What begins is ended by {@link #ended}, whatever comes of it. */
-    public Act begin(String task, long most, Need need) {
-        Act act = hold.begin(task, now(), most, need);
+    /** Begins an act, or null: not now. What begins is ended by {@link #end}, whatever comes of it. */
+    public Action begin(String task, long most, LateSafety need) {
+        Action act = hold.begin(task, now(), most, need);
         counters.add(act == null ? "task.not_now" : "task.acts");
         return act;
     }
 
     /** Nothing of it goes on. */
-    public void ended(Act act) {
+    public void end(Action act) {
         if (now() > act.endsBy()) {
             counters.add("task.acts_late");
         }
-        hold.ended(act);
+        hold.end(act);
     }
 
     /** Another is to have it. */
@@ -134,7 +134,7 @@
 
     @Override
     public String part() {
-        return Table.NAME;
+        return TaskTable.NAME;
     }
 
     @Override
@@ -165,7 +165,7 @@
 
     @Override
     public void leads(int term) {
-        lead = new TaskLead(term, now(), new TaskLead.Times(lease(), lease() / QUIET_PARTS, TURN_LEASES * lease()));
+        lead = new TaskLeader(term, now(), new TaskLeader.Times(lease(), lease() / QUIET_PARTS, TURN_LEASES * lease()));
     }
 
     @Override
@@ -177,7 +177,7 @@
     @Override
     public void confirmed(long submittedAt, Object part) {
         if (lead != null) {
-            lead.confirmed(submittedAt, (Table.View) part);
+            lead.confirmed(submittedAt, (TaskTable.View) part);
             step();
         }
     }
@@ -192,7 +192,7 @@
 
     @Override
     public JsonElement word(String who, boolean unasked) {
-        laneflow.task.decision.Word word = lead == null ? null : lead.word(now(), who, unasked);
+        laneflow.task.decision.TaskGrant word = lead == null ? null : lead.word(now(), who, unasked);
         return word == null ? null : TaskWords.word(word);
     }
 
@@ -208,8 +208,8 @@
         if (lead == null) {
             return;
         }
-        TaskLead of = lead;
-        TaskLead.Step step = of.step(now());
+        TaskLeader of = lead;
+        TaskLeader.Step step = of.step(now());
         for (JsonObject op : step.ops()) {
             counters.add("task.logged");
             long asked = now();
--- a/src/main/java/laneflow/task/decision/Wants.java
+++ b/src/main/java/laneflow/task/decision/Candidacy.java
@@ -11,8 +11,8 @@
  * @param line tasks that go round among those that want them, in order of want
  * @param spread tasks that are placed so that all live processes carry about the same
  */
-public record Wants(Set<String> line, Set<String> spread) {
-    public static final Wants NONE = new Wants(Set.of(), Set.of());
+public record Candidacy(Set<String> line, Set<String> spread) {
+    public static final Candidacy NONE = new Candidacy(Set.of(), Set.of());
     private static final int DIGEST = 16;
 
     public boolean isNothing() {
--- a/src/main/java/laneflow/task/decision/Fence.java
+++ b/src/main/java/laneflow/task/decision/FencingTokenCheck.java
@@ -8,7 +8,7 @@
  * a lower one down. So a holder that was stopped between its check and its act, and woken behind its lease,
  * changes nothing once the next one has been here. Not thread-safe.
  */
-public final class Fence {
+public final class FencingTokenCheck {
     private final Map<String, Long> highest = new HashMap<>();
 
     /** True if the act may have its effect. */
--- a/src/main/java/laneflow/task/decision/Word.java
+++ b/src/main/java/laneflow/task/decision/TaskGrant.java
@@ -14,7 +14,7 @@
  * @param holds the tasks that it holds, with their tokens; null: as that version was told before
  * @param wantsMissing the leader has not heard what it wants
  */
-public record Word(
+public record TaskGrant(
         int term,
         long seq,
         long leaderNow,
--- a/src/main/java/laneflow/task/decision/Hold.java
+++ b/src/main/java/laneflow/task/decision/TaskHolder.java
@@ -16,18 +16,18 @@
  * task runs any more: what the leader hears is that nothing goes on which it has not allowed.
  *
  * <p>A lease is read in one instant and an act has its effect in a later one. A process that is stopped
- * between the two acts behind its lease, and no clock of its own can prevent that: {@link Need} says what an
+ * between the two acts behind its lease, and no clock of its own can prevent that: {@link LateSafety} says what an
  * act must bring so that it does no harm. No I/O; instants are microseconds; not thread-safe.
  */
-public final class Hold {
+public final class TaskHolder {
     private static final long NEVER = Long.MIN_VALUE;
 
     /** What keeps an act that comes behind its lease from doing harm; there is no other kind. */
-    public enum Need {
-        /** Whoever it has its effect at checks the token, as {@link Fence} does. */
+    public enum LateSafety {
+        /** Whoever it has its effect at checks the token, as {@link FencingTokenCheck} does. */
         TOKEN_CHECKED,
         /** Twice at once is as good as once, as of a probe: the operator has said so. */
-        HARMLESS_TWICE
+        IDEMPOTENT
     }
 
     /**
@@ -35,10 +35,10 @@
      *
      * @param endsBy it is cut off by then, by this process's clock
      */
-    public record Act(String task, long token, long endsBy, Need need) {}
+    public record Action(String task, long token, long endsBy, LateSafety need) {}
 
     private final LeaderClock clock = new LeaderClock();
-    private final List<Act> running = new ArrayList<>();
+    private final List<Action> running = new ArrayList<>();
     /** The latest token of each task that it has given up, for as long as it is told to hold it. */
     private final Map<String, Long> given = new HashMap<>();
 
@@ -58,7 +58,7 @@
      *
      * @param sentAt when the word that it answers went out, or a negative number: it answers none
      */
-    public boolean take(Word word, long sentAt, long heardAt) {
+    public boolean take(TaskGrant word, long sentAt, long heardAt) {
         if (word.term() < term
                 || word.term() == term && word.seq() <= seq
                 || sentAt < 0 && (word.term() > term || !clock.isKnown())
@@ -103,23 +103,23 @@
      *
      * @param most microseconds after which it is cut off
      */
-    public Act begin(String task, long now, long most, Need need) {
+    public Action begin(String task, long now, long most, LateSafety need) {
         long token = token(task, now);
         if (token < 0 || now + most > stop) {
             return null;
         }
-        Act act = new Act(task, token, now + most, need);
+        Action act = new Action(task, token, now + most, need);
         running.add(act);
         return act;
     }
 
     /** May its next step be taken at this instant: it holds the task still, and its time is not over. */
-    public boolean mayGoOn(Act act, long now) {
+    public boolean mayGoOn(Action act, long now) {
         return now < act.endsBy() && token(act.task(), now) == act.token();
     }
 
     /** It is over, or was cut off: nothing of it goes on. */
-    public void ended(Act act) {
+    public void end(Action act) {
         running.remove(act);
         obey();
     }
@@ -143,10 +143,10 @@
     }
 
     /** What goes to the leader next. */
-    public Said says(Wants wants, String digest, boolean draining) {
+    public TaskRenewal says(Candidacy wants, String digest, boolean draining) {
         Map<String, Long> gives = new TreeMap<>(given);
         running.forEach(act -> gives.remove(act.task(), act.token()));
-        return new Said(
+        return new TaskRenewal(
                 obeyedTerm, obeyedSeq, knownTerm, version, digest, wantsMissing ? wants : null, draining, gives);
     }
 }
--- a/src/main/java/laneflow/task/decision/TaskLead.java
+++ b/src/main/java/laneflow/task/decision/TaskLeader.java
@@ -14,9 +14,9 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import laneflow.policy.decision.LeaderClock;
-import laneflow.task.decision.Table.Move;
-import laneflow.task.decision.Table.Task;
-import laneflow.task.decision.Table.View;
+import laneflow.task.decision.TaskTable.Assignment;
+import laneflow.task.decision.TaskTable.Task;
+import laneflow.task.decision.TaskTable.View;
 
 /**
  * What the leader of one term knows of those who hold tasks, and what follows: until when each may act on
@@ -26,7 +26,7 @@
  * leader by the token that it has; only what changes hands waits. Times and bounds are those of
  * {@link laneflow.policy.decision.Lead}. No I/O, no clock of its own.
  */
-public final class TaskLead {
+public final class TaskLeader {
     private static final long SLACK = 5_000;
     private static final int FORGET_AFTER = 10;
     private static final int PASSED_BY = 5;
@@ -56,7 +56,7 @@
     private static final class Holder {
         private final List<Given> given = new ArrayList<>();
         private SortedMap<String, Long> holds = Collections.emptySortedMap();
-        private Said said;
+        private TaskRenewal said;
         private long heardAt;
         /**
          * When it last said that it obeys a later word than before: one that hears nothing says so no more.
@@ -97,7 +97,7 @@
     private long answeredAt = Long.MAX_VALUE;
 
     /** @param electedAt an instant behind the election */
-    public TaskLead(int term, long electedAt, Times times) {
+    public TaskLeader(int term, long electedAt, Times times) {
         this.term = term;
         this.electedAt = electedAt;
         this.times = times;
@@ -150,7 +150,7 @@
     }
 
     /** A process's word; its answer is {@link #word}. */
-    public void heard(long now, String who, Said said) {
+    public void heard(long now, String who, TaskRenewal said) {
         if (departed.contains(who)) {
             return;
         }
@@ -184,7 +184,7 @@
     }
 
     /** What a process is told now, or null: nothing is known yet. The whole of what it holds where asked. */
-    public Word word(long now, String who, boolean whole) {
+    public TaskGrant word(long now, String who, boolean whole) {
         Holder holder = holders.get(who);
         if (view == null || holder == null) {
             return null;
@@ -205,7 +205,7 @@
         Given last = holder.given.get(holder.given.size() - 1);
         holder.given.removeIf(one -> one != last && one.until() <= now);
         boolean known = !whole && holder.said.knownTerm() == term && holder.said.knownVersion() == holder.version;
-        return new Word(
+        return new TaskGrant(
                 term,
                 holder.seq,
                 now,
@@ -214,7 +214,7 @@
                 known ? null : holder.holds,
                 !holder.said.wants().equals(view.wants().get(who))
                         && holder.said.all() == null
-                        && !holder.said.wants().equals(Wants.NONE.digest()));
+                        && !holder.said.wants().equals(Candidacy.NONE.digest()));
     }
 
     // ---- what follows ----
@@ -282,9 +282,9 @@
             return new Step(List.of(), tell);
         }
         List<JsonObject> ops = new ArrayList<>(wants(now));
-        List<Move> moves = moves(now, live);
+        List<Assignment> moves = moves(now, live);
         if (!moves.isEmpty()) {
-            ops.add(Table.assign(moves));
+            ops.add(TaskTable.assign(moves));
         }
         asked = !ops.isEmpty();
         return new Step(ops, tell);
@@ -293,16 +293,16 @@
     private List<JsonObject> wants(long now) {
         List<JsonObject> ops = new ArrayList<>();
         holders.forEach((who, holder) -> {
-            Wants all = holder.said.all();
+            Candidacy all = holder.said.all();
             if (all != null && !all.digest().equals(view.wants().get(who)) && isLive(now, holder)) {
-                ops.add(Table.want(who, all));
+                ops.add(TaskTable.want(who, all));
             }
         });
         for (String who : view.wants().keySet()) {
             Holder holder = holders.get(who);
             long heardAt = holder == null ? electedAt : holder.heardAt;
             if (departed.contains(who) || now - heardAt > FORGET_AFTER * times.lease()) {
-                ops.add(Table.gone(who));
+                ops.add(TaskTable.gone(who));
             }
         }
         holders.values()
@@ -314,7 +314,7 @@
     /** Stops granting what is to change hands. */
     private void withdraw(long now, Set<String> live) {
         boolean changed = false;
-        Spread spread = spread(live);
+        TaskPlacement spread = spread(live);
         boolean settled = now - liveSince >= times.lease() && now >= formerUntil;
         for (Task task : view.tasks().values()) {
             if (!isGranted(task)) {
@@ -361,12 +361,12 @@
         return !task.spread() && waited && now - from >= times.turn() ? "its turn was over" : null;
     }
 
-    private Spread spread(Set<String> live) {
+    private TaskPlacement spread(Set<String> live) {
         int all = 0;
         for (Task task : view.tasks().values()) {
             all += task.spread() && !task.line().isEmpty() ? 1 : 0;
         }
-        Spread spread = new Spread(live, all);
+        TaskPlacement spread = new TaskPlacement(live, all);
         for (Task task : view.tasks().values()) {
             if (task.spread() && isGranted(task)) {
                 spread.holds(task.holder());
@@ -384,10 +384,10 @@
         return fresh.isEmpty() ? all : fresh;
     }
 
-    private List<Move> moves(long now, Set<String> live) {
-        Spread spread = spread(live);
+    private List<Assignment> moves(long now, Set<String> live) {
+        TaskPlacement spread = spread(live);
         passedBy.values().removeIf(until -> until <= now);
-        List<Move> moves = new ArrayList<>();
+        List<Assignment> moves = new ArrayList<>();
         for (Task task : view.tasks().values()) {
             if (moves.size() >= MOST_MOVES || isGranted(task) || !isOver(now, task)) {
                 continue;
@@ -395,7 +395,7 @@
             List<String> among = candidates(now, task, live);
             String to = task.spread() ? spread.place(task.name(), among) : among.isEmpty() ? null : among.get(0);
             if (to != null) {
-                moves.add(new Move(task.name(), task.token(), to));
+                moves.add(new Assignment(task.name(), task.token(), to));
             }
         }
         return moves;
--- a/src/main/java/laneflow/task/decision/Spread.java
+++ b/src/main/java/laneflow/task/decision/TaskPlacement.java
@@ -14,7 +14,7 @@
  * hashing with bounded loads does it (Mirrokni, Thorup, Zadimoghaddam, 2018). A task stays where it is for as
  * long as its holder keeps within the bound: who comes or goes moves no more than it must.
  */
-public final class Spread {
+public final class TaskPlacement {
     /** The most that one carries, in shares of even. */
     public static final double BOUND = 1.3;
 
@@ -28,7 +28,7 @@
 
     /** @param live those that can take tasks
      * @param tasks all that are to be placed on them */
-    public Spread(Collection<String> live, int tasks) {
+    public TaskPlacement(Collection<String> live, int tasks) {
         live.forEach(who -> loads.put(who, 0));
         double even = live.isEmpty() ? 0 : (double) tasks / live.size();
         most = Math.max((int) Math.ceil(even), (int) Math.floor(BOUND * even));
--- a/src/main/java/laneflow/task/decision/Said.java
+++ b/src/main/java/laneflow/task/decision/TaskRenewal.java
@@ -15,12 +15,12 @@
  * @param draining it ends, and takes nothing new
  * @param gives tokens that it acts by no more, by task
  */
-public record Said(
+public record TaskRenewal(
         int heardTerm,
         long heardSeq,
         int knownTerm,
         long knownVersion,
         String wants,
-        Wants all,
+        Candidacy all,
         boolean draining,
         Map<String, Long> gives) {}
--- a/src/main/java/laneflow/task/decision/Table.java
+++ b/src/main/java/laneflow/task/decision/TaskTable.java
@@ -20,7 +20,7 @@
  * no renewal is written. An assignment names the token that it follows, so that one asked for twice, or by a
  * leader that is none any more, changes nothing. Not thread-safe; no I/O, no clock.
  */
-public final class Table implements Ledger.Part {
+public final class TaskTable implements Ledger.Part {
     /** By this name it stands in the ledger. */
     public static final String NAME = "tasks";
 
@@ -61,16 +61,16 @@
     public record View(long version, SortedMap<String, Task> tasks, SortedMap<String, String> wants) {}
 
     /** One that is to get a task whose token is that one still. */
-    public record Move(String task, long after, String to) {}
+    public record Assignment(String task, long after, String to) {}
 
-    public Table() {
+    public TaskTable() {
         look();
     }
 
     // ---- operations ----
 
     /** What a process wants, all of it: it replaces what it wanted before. */
-    public static JsonObject want(String who, Wants all) {
+    public static JsonObject want(String who, Candidacy all) {
         JsonObject op = op("want");
         op.addProperty("who", who);
         op.add("line", array(all.line()));
@@ -79,10 +79,10 @@
     }
 
     /** Tasks are given to these. Only a leader that knows that the former holders act no more asks for it. */
-    public static JsonObject assign(List<Move> moves) {
+    public static JsonObject assign(List<Assignment> moves) {
         JsonObject op = op("assign");
         JsonArray all = new JsonArray();
-        for (Move move : moves) {
+        for (Assignment move : moves) {
             JsonArray one = new JsonArray();
             one.add(move.task());
             one.add(move.after());
@@ -140,7 +140,7 @@
             case "want" -> want(op);
             case "assign" -> assign(op, answer);
             case "gone" -> {
-                replace(op.get("who").getAsString(), Wants.NONE);
+                replace(op.get("who").getAsString(), Candidacy.NONE);
                 yield null;
             }
             case "note" -> note(op);
@@ -155,7 +155,7 @@
     }
 
     private String want(JsonObject op) {
-        Wants all = new Wants(texts(op.get("line")), texts(op.get("spread")));
+        Candidacy all = new Candidacy(texts(op.get("line")), texts(op.get("spread")));
         Set<String> named = new LinkedHashSet<>(all.line());
         named.addAll(all.spread());
         long unknown = named.stream().filter(name -> !tasks.containsKey(name)).count();
@@ -170,7 +170,7 @@
         return null;
     }
 
-    private void replace(String who, Wants all) {
+    private void replace(String who, Candidacy all) {
         for (Task task : new ArrayList<>(tasks.values())) {
             boolean wants = all.line().contains(task.name()) || all.spread().contains(task.name());
             if (!wants && task.line().contains(who)) {
--- a/src/test/java/laneflow/fleet/FleetTest.java
+++ b/src/test/java/laneflow/fleet/FleetTest.java
@@ -47,7 +47,7 @@
             Fleet[] made = new Fleet[1];
             loop.call(() -> {
                 made[0] = new Fleet(loop, config, new Fleet.Self(name, "life-" + name, "b"), token, counters, 5);
-                made[0].watch(peer -> told.add("up " + peer.who()), peer -> told.add("down " + peer.who()));
+                made[0].onLinkChange(peer -> told.add("up " + peer.id()), peer -> told.add("down " + peer.id()));
                 made[0].handle("word", (from, message) -> {
                     told.add(from.name() + " " + message.get("n").getAsInt());
                     if (message.get("n").getAsInt() == 1) {
--- a/src/test/java/laneflow/task/decision/TaskOrdersTest.java
+++ b/src/test/java/laneflow/task/decision/TaskOrdersTest.java
@@ -212,7 +212,7 @@
         }
         world.calm(10);
         java.util.Map<String, Integer> loads = new java.util.HashMap<>();
-        for (Table.Task task : world.table.view().tasks().values()) {
+        for (TaskTable.Task task : world.table.view().tasks().values()) {
             int holder =
                     Integer.parseInt(task.holder().substring(1, task.holder().indexOf('#')));
             assertTrue(holder >= 66, task.name() + " is held by a dead one");
@@ -239,7 +239,7 @@
                 List.of(),
                 world.table.view().tasks().values().stream()
                         .filter(task -> task.holder().equals("s1#0"))
-                        .map(Table.Task::name)
+                        .map(TaskTable.Task::name)
                         .toList());
     }
 
--- a/src/test/java/laneflow/task/decision/TaskWorld.java
+++ b/src/test/java/laneflow/task/decision/TaskWorld.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import laneflow.task.decision.Hold.Act;
-import laneflow.task.decision.Hold.Need;
-import laneflow.task.decision.Table.Task;
+import laneflow.task.decision.TaskHolder.Action;
+import laneflow.task.decision.TaskHolder.LateSafety;
+import laneflow.task.decision.TaskTable.Task;
 
 /**
  * Schedulers that hold tasks and act on them, leaders that follow one another and don't know it, a log whose
@@ -22,7 +22,7 @@
     static final long MOST = LEASE / 3;
     static final String LINE = "line";
     private static final long TURN = 3 * LEASE;
-    private static final TaskLead.Times TIMES = new TaskLead.Times(LEASE, LEASE / 2, TURN);
+    private static final TaskLeader.Times TIMES = new TaskLeader.Times(LEASE, LEASE / 2, TURN);
 
     /** What is done wrong on purpose, to see that it is found. */
     enum Broken {
@@ -52,7 +52,7 @@
     final class Node {
         final int number;
         final double rate;
-        Hold hold = new Hold();
+        TaskHolder hold = new TaskHolder();
         boolean up = true;
         boolean left;
         boolean stopped;
@@ -61,13 +61,13 @@
 
         boolean draining;
         int life;
-        Wants wants;
+        Candidacy wants;
         /** It has read its lease, stopped, and has its effect when it wakes. */
-        Act stoppedAmid;
+        Action stoppedAmid;
 
         final List<Running> running = new ArrayList<>();
 
-        private Node(int number, double rate, Wants wants) {
+        private Node(int number, double rate, Candidacy wants) {
             this.number = number;
             this.rate = rate;
             this.wants = wants;
@@ -83,20 +83,20 @@
     }
 
     /** An act under way outside: it ends by itself, whatever becomes of the process that began it. */
-    private record Running(Node by, int life, Act act, long overAt) {}
+    private record Running(Node by, int life, Action act, long overAt) {}
 
     private final class Leader {
         private final int term;
         private final double rate;
-        private final TaskLead lead;
+        private final TaskLeader lead;
 
         private Leader(int term, double rate) {
             this.term = term;
             this.rate = rate;
-            lead = new TaskLead(
+            lead = new TaskLeader(
                     term,
                     broken == Broken.ELECTED_BEFORE_ITS_TIME ? clock() - 3 * LEASE : clock(),
-                    broken == Broken.NO_TURNS ? new TaskLead.Times(LEASE, LEASE / 2, Long.MAX_VALUE) : TIMES);
+                    broken == Broken.NO_TURNS ? new TaskLeader.Times(LEASE, LEASE / 2, Long.MAX_VALUE) : TIMES);
         }
 
         private long clock() {
@@ -104,16 +104,16 @@
         }
     }
 
-    private record Message(Said said, Node node, int life, Leader leader, long sentAt, Word word) {}
+    private record Message(TaskRenewal said, Node node, int life, Leader leader, long sentAt, TaskGrant word) {}
 
     final Broken broken;
     final List<Node> nodes = new ArrayList<>();
     private final List<Leader> leaders = new ArrayList<>();
     private final List<Message> under = new ArrayList<>();
     private final List<JsonObject> uncommitted = new ArrayList<>();
-    final Table table = new Table();
+    final TaskTable table = new TaskTable();
     private final List<Running> acts = new ArrayList<>();
-    private final Fence fence = new Fence();
+    private final FencingTokenCheck fence = new FencingTokenCheck();
     private final Map<String, Long> accepted = new HashMap<>();
     private final Map<String, Long> tokens = new HashMap<>();
     private final Map<String, Set<Integer>> heldBy = new HashMap<>();
@@ -130,7 +130,7 @@
             all.add("t" + i);
         }
         for (int i = 0; i < schedulers; i++) {
-            nodes.add(new Node(i, 1 + (i % 2 == 0 ? -apart : apart), new Wants(Set.of(LINE), all)));
+            nodes.add(new Node(i, 1 + (i % 2 == 0 ? -apart : apart), new Candidacy(Set.of(LINE), all)));
         }
         elect(false);
     }
@@ -175,9 +175,9 @@
         if (!from.up || from.stopped || back >= leaders.size()) {
             return;
         }
-        Said said = from.hold.says(from.wants, from.wants.digest(), from.draining);
+        TaskRenewal said = from.hold.says(from.wants, from.wants.digest(), from.draining);
         if (broken == Broken.ACKNOWLEDGED_AMID_AN_ACT) {
-            said = new Said(
+            said = new TaskRenewal(
                     leaders.size(),
                     said.heardSeq() + 50,
                     said.knownTerm(),
@@ -190,7 +190,7 @@
         if (broken == Broken.GIVEN_UP_AMID_AN_ACT) {
             Map<String, Long> gives = new HashMap<>(said.gives());
             from.running.forEach(one -> gives.put(one.act.task(), one.act.token()));
-            said = new Said(
+            said = new TaskRenewal(
                     said.heardTerm(),
                     said.heardSeq(),
                     said.knownTerm(),
@@ -236,7 +236,7 @@
         if (message.said != null) {
             leader.lead.heard(leader.clock(), who, message.said);
             follow(leader);
-            Word word = leader.lead.word(leader.clock(), who, false);
+            TaskGrant word = leader.lead.word(leader.clock(), who, false);
             if (word != null) {
                 under.add(new Message(null, node, message.life, leader, message.sentAt, word));
             }
@@ -251,7 +251,8 @@
         if (!node.up && broken != Broken.LEFT_BUT_ACTS || node.stopped || node.stoppedAmid != null) {
             return;
         }
-        Act act = node.hold.begin(task, node.clock(), MOST, thenStops ? Need.TOKEN_CHECKED : Need.HARMLESS_TWICE);
+        Action act =
+                node.hold.begin(task, node.clock(), MOST, thenStops ? LateSafety.TOKEN_CHECKED : LateSafety.IDEMPOTENT);
         if (act == null) {
             return;
         }
@@ -297,7 +298,7 @@
         node.draining = false;
         if (node.stoppedAmid != null) {
             // Behind its check: it knows nothing of the time that has passed.
-            Act act = node.stoppedAmid;
+            Action act = node.stoppedAmid;
             node.stoppedAmid = null;
             if (broken == Broken.NO_FENCE || fence.admits(act.task(), act.token())) {
                 if (act.token() < accepted.getOrDefault(act.task(), 0L)) {
@@ -307,7 +308,7 @@
             } else {
                 turnedDown++;
             }
-            node.hold.ended(act);
+            node.hold.end(act);
         }
         settle();
     }
@@ -343,7 +344,7 @@
         node.left = false;
         node.draining = false;
         node.life++;
-        node.hold = new Hold();
+        node.hold = new TaskHolder();
         node.running.clear();
     }
 
@@ -361,7 +362,7 @@
     // ---- what follows by itself, and what must hold ----
 
     private void follow(Leader leader) {
-        TaskLead.Step step = leader.lead.step(leader.clock());
+        TaskLeader.Step step = leader.lead.step(leader.clock());
         boolean leads = leader == leaders.get(leaders.size() - 1);
         if (leads) {
             if (broken != Broken.NEVER_TAKEN || table.view().tasks().isEmpty()) {
@@ -374,7 +375,7 @@
             leader.lead.answered(leader.clock());
         }
         for (String who : step.tell()) {
-            Word word = leader.lead.word(leader.clock(), who, true);
+            TaskGrant word = leader.lead.word(leader.clock(), who, true);
             Node node = nodes.get(Integer.parseInt(who.substring(1, who.indexOf('#'))));
             if (word != null) {
                 under.add(new Message(
@@ -388,7 +389,7 @@
             for (Running one : List.copyOf(node.running)) {
                 if (one.overAt <= now && !node.stopped && node.up) {
                     node.running.remove(one);
-                    node.hold.ended(one.act);
+                    node.hold.end(one.act);
                 }
             }
         }
@@ -455,7 +456,7 @@
         }
         double even = (double) spread / nodes.size();
         int most = loads.values().stream().mapToInt(one -> one).max().orElse(0);
-        if (most > Math.max(Math.ceil(even), Spread.BOUND * even)) {
+        if (most > Math.max(Math.ceil(even), TaskPlacement.BOUND * even)) {
             throw new Violation("unfair: " + loads);
         }
     }
@@ -498,7 +499,7 @@
     private void all(int number) {
         for (Task task : table.view().tasks().values()) {
             if (task.spread() && !task.holder().equals(nodes.get(number).who())) {
-                table.run(Table.assign(List.of(new Table.Move(
+                table.run(TaskTable.assign(List.of(new TaskTable.Assignment(
                         task.name(), task.token(), nodes.get(number).who()))));
             }
         }
