--- a/src/main/java/laneflow/assembly/FleetSubsystem.java
+++ b/src/main/java/laneflow/assembly/FleetSubsystem.java
@@ -27,7 +27,7 @@
 import laneflow.membership.decision.Facts;
 import laneflow.net.Loop;
 import laneflow.net.Threads;
-import laneflow.policy.PolicyPart;
+import laneflow.policy.PolicySubsystem;
 import laneflow.policy.PolicyTypes;
 import laneflow.task.Hooks;
 import laneflow.task.Recovery;
@@ -65,7 +65,7 @@
     /** Null where nobody tells of free capacity. */
     private final CapacityPart capacity;
     /** Null where no policy is decided together. */
-    private final PolicyPart policy;
+    private final PolicySubsystem policy;
     /** Null where no policy is decided together. */
     private final Tasks tasks;
     /** Null where dead schedulers' jobs are adopted by hand. */
@@ -82,7 +82,7 @@
      */
     FleetSubsystem(Setup setup, Subsystems.Core core, Durability durability) throws IOException, InterruptedException {
         this.core = core;
-        tellsPolicy = setup.policy() != null && setup.policy().tellPolicy;
+        tellsPolicy = setup.policy() != null && setup.policy().tellsPolicy;
         FleetConfig config = setup.fleet();
         control = Boolean.getBoolean(ONE_LOOP)
                 ? core.loop()
@@ -120,7 +120,7 @@
         ExecutorService reading = Threads.inOrder("policy-reader");
         policy = setup.policy() == null
                 ? null
-                : new PolicyPart(new PolicyPart.Given(
+                : new PolicySubsystem(new PolicySubsystem.Dependencies(
                         loop,
                         core.loop(),
                         fleet,
@@ -167,7 +167,7 @@
 
     /** On the traffic's thread; nothing is while this is still being made. */
     private long policyInForce() {
-        return policy == null ? -1 : policy.number();
+        return policy == null ? -1 : policy.policyNumber();
     }
 
     private Members members(Setup setup, ExecutorService reading, long seed) throws IOException, InterruptedException {
@@ -181,7 +181,7 @@
                 counters,
                 config.zones.isEmpty() ? "" : config.zones.get(config.settings.zone),
                 () -> new Members.Standing(
-                        policy == null ? -1 : policy.number(),
+                        policy == null ? -1 : policy.policyNumber(),
                         condition(),
                         scheduler.open() / (double) config.sockets,
                         served(scheduler)),
@@ -320,7 +320,7 @@
             members.leave();
         }
         if (policy != null) {
-            policy.leave();
+            policy.stopDeciding();
             policy.close();
         }
         String[] line = new String[1];
--- a/src/main/java/laneflow/assembly/Setup.java
+++ b/src/main/java/laneflow/assembly/Setup.java
@@ -161,7 +161,7 @@
         MaintenanceConfig maintenance = operators.maintenance() == null
                 ? null
                 : MaintenanceConfig.read(operators.maintenance(), policy, tasks, settings, hosts(all));
-        if (policy != null && policy.tellPolicy && control != null && control.tellVersions) {
+        if (policy != null && policy.tellsPolicy && control != null && control.tellVersions) {
             findings.add("policy", "tell_policy", "and [control] tell_versions name one header: only one of them");
         }
         findings.raise();
--- a/src/main/java/laneflow/maintenance/Maintenance.java
+++ b/src/main/java/laneflow/maintenance/Maintenance.java
@@ -42,7 +42,7 @@
 
     private final CallWatch watch;
     private final Deadline again;
-    private Carriage by;
+    private Context by;
     /** What this process saw of itself last; null before the first look. */
     private CallWatch.Seen seen;
 
@@ -106,19 +106,19 @@
         coordination = by;
     }
 
-    Carriage carriage() {
+    Context carriage() {
         return by;
     }
 
     // ---- as a rider: at a scheduler ----
 
     @Override
-    public String part() {
+    public String ledgerPart() {
         return WindowLedger.NAME;
     }
 
     @Override
-    public void ride(Carriage carriage) {
+    public void start(Context carriage) {
         by = carriage;
     }
 
@@ -160,7 +160,7 @@
     }
 
     @Override
-    public JsonElement says() {
+    public JsonElement renewalData() {
         if (config == null && scheduler.barred().isEmpty() && !toldOnce) {
             return null;
         }
@@ -182,7 +182,7 @@
     }
 
     @Override
-    public void told(JsonElement word, long sentAt, long heardAt) {
+    public void onGrant(JsonElement word, long sentAt, long heardAt) {
         if (coordination != null) {
             coordination.told(word.getAsJsonObject());
         }
@@ -191,11 +191,11 @@
     // ---- as a rider: at the leader ----
 
     @Override
-    public void leads(int now) {
+    public void onElected(int now) {
         term = now;
         view = null;
         followers.clear();
-        sending = new Sending(by.now(), by.lease(), callsLast());
+        sending = new Sending(by.now(), by.leaseMicros(), callsLast());
         watch.look();
     }
 
@@ -205,14 +205,14 @@
     }
 
     @Override
-    public void leadsNoMore() {
+    public void onLeadershipLost() {
         sending = null;
         view = null;
         followers.clear();
     }
 
     @Override
-    public void confirmed(long submittedAt, Object part) {
+    public void onConfirmed(long submittedAt, Object part) {
         if (sending == null) {
             return;
         }
@@ -221,13 +221,13 @@
             Follower follower = one.getValue();
             if (follower.open == 0 && follower.done < follower.taken && submittedAt >= follower.answeredAt) {
                 follower.done = follower.taken;
-                by.tell(one.getKey());
+                by.sendGrant(one.getKey());
             }
         }
     }
 
     @Override
-    public void heard(String who, JsonElement word) {
+    public void onRenewal(String who, JsonElement word) {
         if (sending == null || !word.isJsonObject()) {
             return;
         }
@@ -275,7 +275,7 @@
     }
 
     @Override
-    public JsonElement word(String who, boolean unasked) {
+    public JsonElement grantData(String who, boolean unasked) {
         if (sending == null) {
             return null;
         }
@@ -289,7 +289,7 @@
     }
 
     @Override
-    public void left(String who) {
+    public void onSchedulerLeft(String who) {
         if (sending != null) {
             sending.left(who);
             followers.remove(who);
@@ -315,7 +315,7 @@
                 }));
         double[][] demand = new double[0][];
         for (Follower one : followers.values()) {
-            if (now - one.heardAt <= by.lease()) {
+            if (now - one.heardAt <= by.leaseMicros()) {
                 demand = demand.length < one.demand.length ? larger(one.demand, demand) : demand;
                 if (demand != one.demand) {
                     CoordinatorSnapshot.add(demand, one.demand);
@@ -351,7 +351,7 @@
         String who = null;
         long token = -1;
         for (Map.Entry<String, Follower> one : followers.entrySet()) {
-            if (one.getValue().token > token && by.now() - one.getValue().heardAt <= by.lease()) {
+            if (one.getValue().token > token && by.now() - one.getValue().heardAt <= by.leaseMicros()) {
                 who = one.getKey();
                 token = one.getValue().token;
             }
--- a/src/main/java/laneflow/maintenance/MaintenanceConfig.java
+++ b/src/main/java/laneflow/maintenance/MaintenanceConfig.java
@@ -53,7 +53,7 @@
     private MaintenanceConfig(Table from, PolicyConfig policy, TaskConfig tasks, JsonObject settings, JsonArray hosts) {
         if (policy == null) {
             from.wrong("", "needs the table [policy], whose voters keep windows");
-        } else if (policy.servesCutOff) {
+        } else if (policy.servesWithoutLease) {
             from.wrong(
                     "",
                     "needs [policy] cut_off = \"stop\": one that serves on while it is cut off would"
--- a/src/main/java/laneflow/maintenance/MaintenancePart.java
+++ b/src/main/java/laneflow/maintenance/MaintenancePart.java
@@ -5,7 +5,7 @@
 import laneflow.fleet.Fleet;
 import laneflow.net.Loop;
 import laneflow.net.Threads;
-import laneflow.policy.RenewalExtension.Carriage;
+import laneflow.policy.RenewalExtension.Context;
 import laneflow.task.Tasks;
 
 /** Windows put together at one scheduler: its part in coordinating, and its port. On the control thread. */
@@ -32,7 +32,7 @@
             return;
         }
         rider.coordinate(coordination);
-        Carriage by = rider.carriage();
+        Context by = rider.carriage();
         coordination.begin(new Coordination.Rider() {
             @Override
             public void renewNow() {
@@ -41,7 +41,7 @@
 
             @Override
             public long lease() {
-                return by.lease();
+                return by.leaseMicros();
             }
         });
     }
--- a/src/main/java/laneflow/maintenance/MaintenancePort.java
+++ b/src/main/java/laneflow/maintenance/MaintenancePort.java
@@ -21,7 +21,7 @@
 import laneflow.maintenance.decision.Windows.Window;
 import laneflow.net.Loop;
 import laneflow.policy.LeaderRedirect;
-import laneflow.policy.RenewalExtension.Carriage;
+import laneflow.policy.RenewalExtension.Context;
 
 /**
  * What operators and crews ask and say of windows, at the address where schedulers reach each other. All of
@@ -80,8 +80,8 @@
     }
 
     private void atLeader(String path, Answer answer, Runnable then) {
-        Carriage by = rider.carriage();
-        if (by.leads()) {
+        Context by = rider.carriage();
+        if (by.isLeader()) {
             then.run();
             return;
         }
--- a/src/main/java/laneflow/maintenance/decision/Sending.java
+++ b/src/main/java/laneflow/maintenance/decision/Sending.java
@@ -46,7 +46,7 @@
      */
     public Sending(long electedAt, long lease, long longest) {
         this.electedAt = electedAt;
-        lasts = (long) (lease * (1 + 2 * Lease.DRIFT)) + SLACK;
+        lasts = (long) (lease * (1 + 2 * Lease.MAX_DRIFT)) + SLACK;
         outlives = lasts + longest;
         live = lease;
     }
--- a/src/main/java/laneflow/maintenance/decision/WindowLedger.java
+++ b/src/main/java/laneflow/maintenance/decision/WindowLedger.java
@@ -283,7 +283,7 @@
     // ---- beside changes of policy ----
 
     @Override
-    public void changed(Ledger.View now) {
+    public void onPolicyChanged(Ledger.View now) {
         inForce = now.inForce();
         bans = names(now.merged());
         undecided = now.open() != null;
@@ -314,7 +314,7 @@
     }
 
     @Override
-    public String against(JsonObject types, JsonObject merged) {
+    public String rejectionReason(JsonObject types, JsonObject merged) {
         if (!types.has(BANS)) {
             return null;
         }
--- a/src/main/java/laneflow/policy/Leadership.java
+++ b/src/main/java/laneflow/policy/Leadership.java
@@ -119,7 +119,9 @@
         } else if (lead == null || lead.term() != now) {
             counters.add("policy.elected");
             lead = new Lead(
-                    now, policy.now(), new Lead.Times(config.lease, config.lease / QUIET_PARTS, config.prepare));
+                    now,
+                    policy.now(),
+                    new Lead.Times(config.leaseMicros, config.leaseMicros / QUIET_PARTS, config.prepareMicros));
             view = null;
             trial.begin(policy.now());
             riders.leads(now);
@@ -173,7 +175,7 @@
         if (lead == null || stopped) {
             return;
         }
-        long every = config.lease / ROUNDS_A_LEASE;
+        long every = config.leaseMicros / ROUNDS_A_LEASE;
         loop.deadlines().set(round, loop.micros() + every * 9 / 10, loop.micros() + every);
         if (looking) {
             lookAgain = true;
--- a/src/main/java/laneflow/policy/LeaseGate.java
+++ b/src/main/java/laneflow/policy/LeaseGate.java
@@ -75,8 +75,8 @@
         this.retuned = retuned;
         this.clock = clock;
         this.news = news;
-        servesCutOff = config.servesCutOff;
-        comeBack = config.lease / 1e6 * COME_BACK_PART;
+        servesCutOff = config.servesWithoutLease;
+        comeBack = config.leaseMicros / 1e6 * COME_BACK_PART;
         begin = traffic.deadlines().create(this::look);
     }
 
--- a/src/main/java/laneflow/policy/Policy.java
+++ b/src/main/java/laneflow/policy/Policy.java
@@ -151,7 +151,7 @@
     /** From now on that rides on renewals; before {@link #begin}. */
     void carry(RenewalExtensions with) {
         riders = with;
-        with.ride(new RenewalExtension.Carriage() {
+        with.ride(new RenewalExtension.Context() {
             @Override
             public long now() {
                 return Policy.this.now();
@@ -163,13 +163,13 @@
             }
 
             @Override
-            public boolean leads() {
+            public boolean isLeader() {
                 return leadership != null && leadership.leads();
             }
 
             @Override
             public void read(String part, Consumer<Object> then) {
-                if (leads()) {
+                if (isLeader()) {
                     leadership.read(ledger -> ledger.part(part), then);
                 } else {
                     then.accept(null);
@@ -177,7 +177,7 @@
             }
 
             @Override
-            public void tell(String who) {
+            public void sendGrant(String who) {
                 leadership.tell(who, -1);
             }
 
@@ -192,8 +192,8 @@
             }
 
             @Override
-            public long lease() {
-                return config.lease;
+            public long leaseMicros() {
+                return config.leaseMicros;
             }
         });
     }
@@ -223,12 +223,12 @@
 
     /** Between two policies it decides by none for a moment; told is what lasts, once. */
     private void tellLoss() {
-        if (deciding() < 0 && everDecided && loop.micros() - stoppedAt > config.lease * TOLD_AFTER_PART) {
+        if (deciding() < 0 && everDecided && loop.micros() - stoppedAt > config.leaseMicros * TOLD_AFTER_PART) {
             stoppedAt = Long.MAX_VALUE - 1;
             counters.add("policy.lease_lost");
             LOG.warn(
                     "policy: no leave to decide any more, {}",
-                    config.servesCutOff
+                    config.servesWithoutLease
                             ? "served on by policy " + adopted + " as cut_off says"
                             : "clients are turned away");
         }
@@ -266,7 +266,7 @@
         if (left) {
             return;
         }
-        long every = config.lease / RENEWALS_A_LEASE;
+        long every = config.leaseMicros / RENEWALS_A_LEASE;
         loop.deadlines()
                 .set(
                         renewal,
@@ -310,7 +310,7 @@
     /** The voter that leads, as far as is known and it answers; else the next one that a link is up to. */
     private Peer whom() {
         if (unanswered >= MOST_UNANSWERED && !target.isEmpty()) {
-            passedBy.put(target, loop.micros() + config.lease);
+            passedBy.put(target, loop.micros() + config.leaseMicros);
             target = "";
             unanswered = 0;
         }
@@ -426,7 +426,7 @@
             to.send(message);
         }
         // Lost, it is asked for again.
-        loop.deadlines().at(loop.micros() + config.lease / RENEWALS_A_LEASE, () -> {
+        loop.deadlines().at(loop.micros() + config.leaseMicros / RENEWALS_A_LEASE, () -> {
             if (asked.remove(number) && !prepared.containsKey(number)) {
                 renewNow();
             }
@@ -519,9 +519,9 @@
                 "state",
                 deciding >= 0
                         ? "deciding"
-                        : config.servesCutOff && everDecided
+                        : config.servesWithoutLease && everDecided
                                 ? "cut off, serving"
-                                : config.servesCutOff ? "not decided yet, serving" : "not deciding");
+                                : config.servesWithoutLease ? "not decided yet, serving" : "not deciding");
         all.addProperty("policy", adopted);
         all.addProperty("lease_ms", deciding >= 0 ? (lease.stop() - now()) / 1000 : 0);
         all.addProperty("leader", leader);
--- a/src/main/java/laneflow/policy/PolicyConfig.java
+++ b/src/main/java/laneflow/policy/PolicyConfig.java
@@ -15,17 +15,17 @@
     /** The folder of this voter's log, or of one that may be taken in; null where it never votes. */
     public final Path dir;
     /** Microseconds for which a scheduler may decide behind a majority's word. */
-    public final long lease;
+    public final long leaseMicros;
     /** Microseconds that a scheduler which is heard may take to make a change ready. */
-    public final long prepare;
+    public final long prepareMicros;
     /** True where one that is cut off serves on, by what it decided by last. */
-    public final boolean servesCutOff;
+    public final boolean servesWithoutLease;
     /** Answers to clients name the policy that their requests came under. */
-    public final boolean tellPolicy;
+    public final boolean tellsPolicy;
     /** Microseconds that service is watched behind a change; 0: it is not taken back. */
-    public final long probation;
+    public final long trialMicros;
     /** The growth of a share of requests that ends badly which takes a change back. */
-    public final double bound;
+    public final double maxWorsening;
 
     private PolicyConfig(Table from, FleetConfig fleet) {
         voters = from.texts("voters");
@@ -50,12 +50,12 @@
             from.wrong("dir", "is missing: this scheduler votes, and must remember how");
         }
         dir = folder != null ? Path.of(folder) : null;
-        lease = from.whole("lease_ms", 1000, 100, 600_000) * 1000;
-        prepare = from.whole("prepare_ms", 2000, 10, 600_000) * 1000;
-        servesCutOff = from.word("cut_off", "stop", "stop", "serve").equals("serve");
-        tellPolicy = from.flag("tell_policy", false);
-        probation = from.whole("probation_ms", 0, 0, 3_600_000) * 1000;
-        bound = from.number("worse_by", 0.02, 0.001, 1);
+        leaseMicros = from.whole("lease_ms", 1000, 100, 600_000) * 1000;
+        prepareMicros = from.whole("prepare_ms", 2000, 10, 600_000) * 1000;
+        servesWithoutLease = from.word("cut_off", "stop", "stop", "serve").equals("serve");
+        tellsPolicy = from.flag("tell_policy", false);
+        trialMicros = from.whole("probation_ms", 0, 0, 3_600_000) * 1000;
+        maxWorsening = from.number("worse_by", 0.02, 0.001, 1);
         from.close();
     }
 
--- a/src/main/java/laneflow/policy/PolicyPort.java
+++ b/src/main/java/laneflow/policy/PolicyPort.java
@@ -150,7 +150,7 @@
             answer.say(400, TEXT, "", "a change is an object with 'name', a text, and 'types', an object\n");
             return;
         }
-        String unfit = Ledger.unfit(name.getAsString(), types.getAsJsonObject());
+        String unfit = Ledger.invalidReason(name.getAsString(), types.getAsJsonObject());
         if (unfit != null) {
             answer.say(400, TEXT, "", unfit + "\n");
             return;
--- a/src/main/java/laneflow/policy/PolicyPart.java
+++ b/src/main/java/laneflow/policy/PolicySubsystem.java
@@ -22,8 +22,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Changes of policy put together at one scheduler: its own part, its vote where it has one, and its port. */
-public final class PolicyPart {
-    private static final Logger LOG = LoggerFactory.getLogger(PolicyPart.class);
+public final class PolicySubsystem {
+    private static final Logger LOG = LoggerFactory.getLogger(PolicySubsystem.class);
     private static final long AGAIN_NS = 20_000_000;
 
     private final Loop loop;
@@ -50,7 +50,7 @@
      * @param parts more that the voters agree on, by name; the same at all
      * @param riders what rides on renewals; the first is the one that builds before this one know
      */
-    public record Given(
+    public record Dependencies(
             Loop loop,
             Loop traffic,
             Fleet fleet,
@@ -63,16 +63,16 @@
             long seed,
             double clockRate,
             boolean upgrade,
-            Map<String, Ledger.Part> parts,
-            List<RenewalExtension> riders) {}
+            Map<String, Ledger.Part> ledgerParts,
+            List<RenewalExtension> extensions) {}
 
     /**
      * Opens the store of votes where this process has one, and begins. From here on the scheduler decides
      * only under a lease. A store that can't be used costs the vote, not the service.
      */
-    public PolicyPart(Given given) throws InterruptedException {
+    public PolicySubsystem(Dependencies given) throws InterruptedException {
         loop = given.loop();
-        riders = new RenewalExtensions(given.riders());
+        riders = new RenewalExtensions(given.extensions());
         PolicyConfig config = given.config();
         Fleet fleet = given.fleet();
         Scheduler scheduler = given.scheduler();
@@ -109,7 +109,8 @@
         traffic.call(() -> scheduler.decideWhile(gate));
         loop.call(() -> {
             Leadership leadership = opened == null ? null : vote(given, opened);
-            port = new PolicyPort(fleet, policy, given.counters(), given.parts().keySet(), leadership);
+            port = new PolicyPort(
+                    fleet, policy, given.counters(), given.ledgerParts().keySet(), leadership);
             policy.carry(riders);
             policy.begin(leadership);
         });
@@ -119,7 +120,7 @@
         }
     }
 
-    private static void lost(Given given, IOException why) {
+    private static void lost(Dependencies given, IOException why) {
         LOG.error("policy: this process does not vote: {}", why.getMessage());
         given.counters().set("policy.vote_lost", 1);
     }
@@ -151,7 +152,7 @@
     }
 
     /** In an upgrade the store is the former process's until that ends. On a thread of its own. */
-    private void voteLater(Given given) {
+    private void voteLater(Dependencies given) {
         while (!closed) {
             Opened opened = null;
             try {
@@ -179,7 +180,7 @@
     /** A store of votes, with what an earlier life left in it, or null. */
     private record Opened(VoteStore store, RestoredRaftState restored) {}
 
-    private static Opened open(Given given) throws IOException {
+    private static Opened open(Dependencies given) throws IOException {
         VoteStore store =
                 VoteStore.open(given.config().dir, given.fleet().self().name());
         try {
@@ -190,13 +191,13 @@
         }
     }
 
-    private Leadership vote(Given given, Opened votes) {
+    private Leadership vote(Dependencies given, Opened votes) {
         VoterGroup[] group = new VoterGroup[1];
         Leadership[] leadership = new Leadership[1];
         voting = new Voting(
                 votes.store(),
-                new Ledger(given.parts()),
-                given.config().lease,
+                new Ledger(given.ledgerParts()),
+                given.config().leaseMicros,
                 loop::later,
                 (to, message) -> group[0].send(to, message),
                 new Voting.News() {
@@ -224,7 +225,7 @@
                 voting,
                 group[0],
                 policy,
-                new FleetTrial(given.classes(), given.config().probation, given.config().bound),
+                new FleetTrial(given.classes(), given.config().trialMicros, given.config().maxWorsening),
                 riders);
         leadership[0].begin();
         group[0].begin(votes.restored());
@@ -246,7 +247,7 @@
     }
 
     /** The policy that is in force here; on the traffic's thread. */
-    public long number() {
+    public long policyNumber() {
         return gate.number();
     }
 
@@ -259,7 +260,7 @@
      * All is answered: this process decides no more, and the others, told behind that, need not wait for its
      * lease. On any thread but these two.
      */
-    public void leave() throws InterruptedException {
+    public void stopDeciding() throws InterruptedException {
         traffic.call(gate::leave);
         loop.call(policy::leave);
     }
--- a/src/main/java/laneflow/policy/RenewalExtension.java
+++ b/src/main/java/laneflow/policy/RenewalExtension.java
@@ -10,7 +10,7 @@
  */
 public interface RenewalExtension {
     /** What policy does for it. */
-    interface Carriage {
+    interface Context {
         /** This process's clock for leases, read now; on any thread. */
         long now();
 
@@ -18,13 +18,13 @@
         void replicate(JsonObject operation, Consumer<JsonObject> then);
 
         /** True if this process leads the voters, as far as it knows. */
-        boolean leads();
+        boolean isLeader();
 
         /** At a leader: a part of the ledger as a majority holds it now; null: it is not known. */
         void read(String part, Consumer<Object> then);
 
         /** At a leader: that process is told how things stand, unasked. */
-        void tell(String who);
+        void sendGrant(String who);
 
         /** Something has changed: the next renewal goes out at once. */
         void renewNow();
@@ -33,37 +33,37 @@
         String leader();
 
         /** Microseconds for which a leader's word lasts. */
-        long lease();
+        long leaseMicros();
     }
 
     /** Its part of the ledger. */
-    String part();
+    String ledgerPart();
 
     /** It can begin. */
-    void ride(Carriage by);
+    void start(Context by);
 
     // ---- at a scheduler ----
 
     /** What goes with the next renewal; null: nothing. */
-    JsonElement says();
+    JsonElement renewalData();
 
     /** The leader's word; it answers what was sent at that instant, or nothing: negative. */
-    void told(JsonElement word, long sentAt, long heardAt);
+    void onGrant(JsonElement word, long sentAt, long heardAt);
 
     // ---- at the leader ----
 
-    /** This process leads in that term, until another term or {@link #leadsNoMore}. */
-    void leads(int term);
+    /** This process leads in that term, until another term or {@link #onLeadershipLost}. */
+    void onElected(int term);
 
-    void leadsNoMore();
+    void onLeadershipLost();
 
     /** A majority has confirmed it, with its part of the ledger as it stood then. */
-    void confirmed(long submittedAt, Object part);
+    void onConfirmed(long submittedAt, Object part);
 
-    void heard(String who, JsonElement said);
+    void onRenewal(String who, JsonElement said);
 
     /** What a process is told; null: nothing. */
-    JsonElement word(String who, boolean unasked);
+    JsonElement grantData(String who, boolean unasked);
 
-    void left(String who);
+    void onSchedulerLeft(String who);
 }
--- a/src/main/java/laneflow/policy/RenewalExtensions.java
+++ b/src/main/java/laneflow/policy/RenewalExtensions.java
@@ -20,25 +20,25 @@
     }
 
     private String field(RenewalExtension one) {
-        return one == all.get(0) ? FIRST : FIRST + "-" + one.part();
+        return one == all.get(0) ? FIRST : FIRST + "-" + one.ledgerPart();
     }
 
-    void ride(RenewalExtension.Carriage by) {
-        all.forEach(one -> one.ride(by));
+    void ride(RenewalExtension.Context by) {
+        all.forEach(one -> one.start(by));
     }
 
     // ---- at a scheduler ----
 
     void say(JsonObject renewal) {
         for (RenewalExtension one : all) {
-            add(renewal, one, one.says());
+            add(renewal, one, one.renewalData());
         }
     }
 
     void told(JsonObject grant, long sentAt, long heardAt) {
         for (RenewalExtension one : all) {
             if (grant.has(field(one))) {
-                one.told(grant.get(field(one)), sentAt, heardAt);
+                one.onGrant(grant.get(field(one)), sentAt, heardAt);
             }
         }
     }
@@ -46,35 +46,35 @@
     // ---- at the leader ----
 
     void leads(int term) {
-        all.forEach(one -> one.leads(term));
+        all.forEach(one -> one.onElected(term));
     }
 
     void leadsNoMore() {
-        all.forEach(RenewalExtension::leadsNoMore);
+        all.forEach(RenewalExtension::onLeadershipLost);
     }
 
     /** What stands in the ledger for each, by its part's name. */
     Map<String, Object> parts(Ledger ledger) {
         Map<String, Object> parts = new HashMap<>();
-        all.forEach(one -> parts.put(one.part(), ledger.part(one.part())));
+        all.forEach(one -> parts.put(one.ledgerPart(), ledger.part(one.ledgerPart())));
         return parts;
     }
 
     void confirmed(long submittedAt, Map<String, Object> parts) {
-        all.forEach(one -> one.confirmed(submittedAt, parts.get(one.part())));
+        all.forEach(one -> one.onConfirmed(submittedAt, parts.get(one.ledgerPart())));
     }
 
     void heard(String who, JsonObject renewal) {
         for (RenewalExtension one : all) {
             if (renewal.has(field(one))) {
-                one.heard(who, renewal.get(field(one)));
+                one.onRenewal(who, renewal.get(field(one)));
             }
         }
     }
 
     void word(JsonObject grant, String who, boolean unasked) {
         for (RenewalExtension one : all) {
-            add(grant, one, one.word(who, unasked));
+            add(grant, one, one.grantData(who, unasked));
         }
     }
 
@@ -85,19 +85,19 @@
     }
 
     void left(String who) {
-        all.forEach(one -> one.left(who));
+        all.forEach(one -> one.onSchedulerLeft(who));
     }
 
     /** This process's own renewal, asked at that instant, and the answer to it: no message is needed. */
     void ride(String who, long asked, LongSupplier clock) {
         for (RenewalExtension one : all) {
-            JsonElement said = one.says();
+            JsonElement said = one.renewalData();
             if (said != null) {
-                one.heard(who, said);
+                one.onRenewal(who, said);
             }
-            JsonElement word = one.word(who, false);
+            JsonElement word = one.grantData(who, false);
             if (word != null) {
-                one.told(word, asked, clock.getAsLong());
+                one.onGrant(word, asked, clock.getAsLong());
             }
         }
     }
--- a/src/main/java/laneflow/policy/decision/Lead.java
+++ b/src/main/java/laneflow/policy/decision/Lead.java
@@ -98,7 +98,7 @@
     public Lead(int term, long electedAt, Times times) {
         this.term = term;
         this.times = times;
-        formerUntil = electedAt + (long) (times.lease() * (1 + 2 * Lease.DRIFT)) + SLACK;
+        formerUntil = electedAt + (long) (times.lease() * (1 + 2 * Lease.MAX_DRIFT)) + SLACK;
     }
 
     /** A majority has confirmed this leader, at an instant not before the submission, with that state. */
--- a/src/main/java/laneflow/policy/decision/LeaderClock.java
+++ b/src/main/java/laneflow/policy/decision/LeaderClock.java
@@ -9,7 +9,7 @@
  */
 public final class LeaderClock {
     /** Clocks' rates differ by no more than this share. */
-    public static final double DRIFT = 0.001;
+    public static final double MAX_DRIFT = 0.001;
 
     private static final long NEVER = Long.MIN_VALUE;
 
@@ -34,26 +34,27 @@
     }
 
     /** A stamp of the leader's, heard now; it answers what was sent at that instant, or nothing: negative. */
-    public void stamp(long stamp, long sentAt, long heardAt) {
-        if (leastAt == NEVER || stamp - leastStamp > (heardAt - leastAt) * (1 - DRIFT)) {
+    public void addStamp(long stamp, long sentAt, long heardAt) {
+        if (leastAt == NEVER || stamp - leastStamp > (heardAt - leastAt) * (1 - MAX_DRIFT)) {
             leastStamp = stamp;
             leastAt = heardAt;
         }
         if (sentAt >= 0
                 && (mostAt == NEVER
-                        || stamp + (heardAt - sentAt) * (1 + DRIFT) < mostStamp + (heardAt - mostAt) * (1 + DRIFT))) {
+                        || stamp + (heardAt - sentAt) * (1 + MAX_DRIFT)
+                                < mostStamp + (heardAt - mostAt) * (1 + MAX_DRIFT))) {
             mostStamp = stamp;
             mostAt = sentAt;
         }
     }
 
     /** An instant here that is not behind the leader's: what ends then has ended in time. */
-    public long noLaterThan(long leaders) {
-        return mostAt + (long) Math.floor((leaders - mostStamp) / (1 + DRIFT));
+    public long localNotAfter(long leaders) {
+        return mostAt + (long) Math.floor((leaders - mostStamp) / (1 + MAX_DRIFT));
     }
 
     /** An instant here that is not before the leader's: what begins then does not begin too soon. */
-    public long noSoonerThan(long leaders) {
-        return leastAt + (long) Math.ceil((leaders - leastStamp) / (1 - DRIFT));
+    public long localNotBefore(long leaders) {
+        return leastAt + (long) Math.ceil((leaders - leastStamp) / (1 - MAX_DRIFT));
     }
 }
--- a/src/main/java/laneflow/policy/decision/Lease.java
+++ b/src/main/java/laneflow/policy/decision/Lease.java
@@ -12,7 +12,7 @@
  */
 public final class Lease {
     /** Clocks' rates differ by no more than this share. */
-    public static final double DRIFT = LeaderClock.DRIFT;
+    public static final double MAX_DRIFT = LeaderClock.MAX_DRIFT;
 
     private static final long NEVER = Long.MIN_VALUE;
 
@@ -47,15 +47,15 @@
             clock.forget();
         }
         seq = grant.seq();
-        clock.stamp(grant.leaderNow(), sentAt, heardAt);
+        clock.addStamp(grant.leaderNow(), sentAt, heardAt);
         settle(heardAt);
-        long ends = grant.until() == 0 ? NEVER : clock.noLaterThan(grant.until());
+        long ends = grant.until() == 0 ? NEVER : clock.localNotAfter(grant.until());
         if (grant.number() == number) {
             stop = ends;
         } else if (ends != NEVER) {
             next = grant.number();
             nextStop = ends;
-            nextStart = grant.from() == 0 ? heardAt : clock.noSoonerThan(grant.from());
+            nextStart = grant.from() == 0 ? heardAt : clock.localNotBefore(grant.from());
         } else {
             // No leave at all: what it was about to begin with goes too.
             stop = NEVER;
--- a/src/main/java/laneflow/policy/decision/Ledger.java
+++ b/src/main/java/laneflow/policy/decision/Ledger.java
@@ -21,11 +21,11 @@
  */
 public final class Ledger {
     /** Outcomes kept by name; an older name can be used again. */
-    public static final int MOST_KEPT = 10_000;
+    public static final int MAX_OUTCOMES = 10_000;
     /** Changes that may wait behind the open one. */
-    public static final int MOST_WAITING = 16;
+    public static final int MAX_WAITING = 16;
     /** The longest content of a change, in characters of its JSON. */
-    public static final int MOST_CONTENT = 256 * 1024;
+    public static final int MAX_CONTENT_CHARS = 256 * 1024;
     /** The field of an operation that names the part that it is for; without it, it is on changes. */
     public static final String PART = "part";
 
@@ -75,7 +75,7 @@
         void restore(JsonObject from);
 
         /** What holds of the changes from now on; told behind a snapshot's restoring, too. */
-        default void changed(View now) {}
+        default void onPolicyChanged(View now) {}
 
         /**
          * Why a change must not come into force, or null. Asked when it is proposed, and again when it is
@@ -84,7 +84,7 @@
          * @param types those that it names
          * @param merged what would be in force, all of it
          */
-        default String against(JsonObject types, JsonObject merged) {
+        default String rejectionReason(JsonObject types, JsonObject merged) {
             return null;
         }
     }
@@ -116,9 +116,9 @@
      * The same, taken only where that change is the last applied and none is undecided: what it replaces is
      * known to whoever proposes it.
      */
-    public static JsonObject propose(String name, JsonObject types, String by, long nowMs, long onlyOn) {
+    public static JsonObject propose(String name, JsonObject types, String by, long nowMs, long expectedInForce) {
         JsonObject op = propose(name, types, by, nowMs);
-        op.addProperty(ONLY_ON, onlyOn);
+        op.addProperty(ONLY_ON, expectedInForce);
         return op;
     }
 
@@ -148,7 +148,7 @@
     }
 
     /** Why these can't be proposed, whatever the state; null if they can. */
-    public static String unfit(String name, JsonObject types) {
+    public static String invalidReason(String name, JsonObject types) {
         if (name == null || !name.matches(NAME)) {
             return "name: a change is named by up to 64 letters, digits, '_', '.' and '-'";
         }
@@ -161,7 +161,9 @@
             }
         }
         int length = types.toString().length();
-        return length <= MOST_CONTENT ? null : "types: " + length + " characters, the most are " + MOST_CONTENT;
+        return length <= MAX_CONTENT_CHARS
+                ? null
+                : "types: " + length + " characters, the most are " + MAX_CONTENT_CHARS;
     }
 
     /**
@@ -210,7 +212,7 @@
 
     private JsonObject propose(String name, Change known, JsonObject op) {
         JsonObject types = op.getAsJsonObject("types");
-        String unfit = unfit(name, types);
+        String unfit = invalidReason(name, types);
         if (unfit != null) {
             return error(unfit);
         }
@@ -220,8 +222,8 @@
                     ? known.json(false)
                     : error("the name '" + name + "' is that of a change with another content");
         }
-        if (pending.size() > MOST_WAITING) {
-            return error(MOST_WAITING + " changes wait already");
+        if (pending.size() > MAX_WAITING) {
+            return error(MAX_WAITING + " changes wait already");
         }
         if (op.has(ONLY_ON) && (op.get(ONLY_ON).getAsLong() != inForce || !pending.isEmpty())) {
             return error("another change was applied, or is undecided, since '" + name + "' was made");
@@ -251,7 +253,7 @@
     private String against(JsonObject types) {
         JsonObject then = merge(types);
         for (Part part : parts.values()) {
-            String why = part.against(types, then);
+            String why = part.rejectionReason(types, then);
             if (why != null) {
                 return why;
             }
@@ -261,7 +263,7 @@
 
     private void forget() {
         var oldest = changes.values().iterator();
-        for (int over = changes.size() - MOST_KEPT; over > 0 && oldest.hasNext(); over--) {
+        for (int over = changes.size() - MAX_OUTCOMES; over > 0 && oldest.hasNext(); over--) {
             if (!oldest.next().isDecided()) {
                 return;
             }
@@ -303,7 +305,7 @@
         List<String> waiting = new ArrayList<>(pending.keySet());
         Change open = waiting.isEmpty() ? null : pending.get(waiting.remove(0));
         view = new View(inForce, merged, digest, open, open == null ? null : merge(open.types()), List.copyOf(waiting));
-        parts.values().forEach(part -> part.changed(view));
+        parts.values().forEach(part -> part.onPolicyChanged(view));
     }
 
     // ---- reading ----
--- a/src/main/java/laneflow/task/TaskConfig.java
+++ b/src/main/java/laneflow/task/TaskConfig.java
@@ -31,7 +31,7 @@
         if (policy == null) {
             from.wrong("", "needs the table [policy], whose voters give tasks out");
         }
-        long lease = policy == null ? Long.MAX_VALUE : policy.lease;
+        long lease = policy == null ? Long.MAX_VALUE : policy.leaseMicros;
         String folder = from.text("stores", null);
         stores = folder == null ? null : Path.of(folder);
         after = from.whole("adopt_after_ms", 60_000, 100, 86_400_000) * 1000;
--- a/src/main/java/laneflow/task/Tasks.java
+++ b/src/main/java/laneflow/task/Tasks.java
@@ -44,7 +44,7 @@
     private final Set<String> spread = new TreeSet<>();
     private final List<Runnable> watchers = new ArrayList<>();
     private final Deadline look;
-    private Carriage by;
+    private Context by;
     private Wants wants = Wants.NONE;
     private String digest = Wants.NONE.digest();
     private boolean everWanted;
@@ -67,7 +67,7 @@
 
     /** Microseconds of a lease. */
     public long lease() {
-        return by.lease();
+        return by.leaseMicros();
     }
 
     // ---- for those who do tasks ----
@@ -133,22 +133,22 @@
     // ---- as a rider: at a scheduler ----
 
     @Override
-    public String part() {
+    public String ledgerPart() {
         return Table.NAME;
     }
 
     @Override
-    public void ride(Carriage carriage) {
+    public void start(Context carriage) {
         by = carriage;
     }
 
     @Override
-    public JsonElement says() {
+    public JsonElement renewalData() {
         return everWanted ? TaskWords.said(hold.says(wants, digest, draining)) : null;
     }
 
     @Override
-    public void told(JsonElement word, long sentAt, long heardAt) {
+    public void onGrant(JsonElement word, long sentAt, long heardAt) {
         Set<String> before = hold.holds().keySet();
         if (!hold.take(TaskWords.word(word.getAsJsonObject()), sentAt, heardAt)) {
             counters.add("task.old_words");
@@ -164,18 +164,18 @@
     // ---- as a rider: at the leader ----
 
     @Override
-    public void leads(int term) {
+    public void onElected(int term) {
         lead = new TaskLead(term, now(), new TaskLead.Times(lease(), lease() / QUIET_PARTS, TURN_LEASES * lease()));
     }
 
     @Override
-    public void leadsNoMore() {
+    public void onLeadershipLost() {
         lead = null;
         loop.deadlines().cancel(look);
     }
 
     @Override
-    public void confirmed(long submittedAt, Object part) {
+    public void onConfirmed(long submittedAt, Object part) {
         if (lead != null) {
             lead.confirmed(submittedAt, (Table.View) part);
             step();
@@ -183,7 +183,7 @@
     }
 
     @Override
-    public void heard(String who, JsonElement said) {
+    public void onRenewal(String who, JsonElement said) {
         if (lead != null && said.isJsonObject()) {
             lead.heard(now(), who, TaskWords.said(said.getAsJsonObject()));
             step();
@@ -191,13 +191,13 @@
     }
 
     @Override
-    public JsonElement word(String who, boolean unasked) {
+    public JsonElement grantData(String who, boolean unasked) {
         laneflow.task.decision.Word word = lead == null ? null : lead.word(now(), who, unasked);
         return word == null ? null : TaskWords.word(word);
     }
 
     @Override
-    public void left(String who) {
+    public void onSchedulerLeft(String who) {
         if (lead != null) {
             lead.left(who);
             step();
@@ -226,7 +226,7 @@
             });
         }
         loop.deadlines().set(look, loop.micros() + Math.max(1, of.nextLook(now()) - now()));
-        step.tell().forEach(by::tell);
+        step.tell().forEach(by::sendGrant);
     }
 
     // ---- reports ----
--- a/src/main/java/laneflow/task/decision/Hold.java
+++ b/src/main/java/laneflow/task/decision/Hold.java
@@ -70,7 +70,7 @@
             clock.forget();
         }
         seq = word.seq();
-        clock.stamp(word.leaderNow(), sentAt, heardAt);
+        clock.addStamp(word.leaderNow(), sentAt, heardAt);
         if (word.holds() != null) {
             holds = Collections.unmodifiableSortedMap(new TreeMap<>(word.holds()));
             knownTerm = word.term();
@@ -78,7 +78,7 @@
             given.entrySet().removeIf(one -> !one.getValue().equals(holds.get(one.getKey())));
         }
         wantsMissing = word.wantsMissing();
-        stop = word.until() == 0 ? NEVER : clock.noLaterThan(word.until());
+        stop = word.until() == 0 ? NEVER : clock.localNotAfter(word.until());
         obey();
         return true;
     }
--- a/src/main/java/laneflow/task/decision/TaskLead.java
+++ b/src/main/java/laneflow/task/decision/TaskLead.java
@@ -101,7 +101,7 @@
         this.term = term;
         this.electedAt = electedAt;
         this.times = times;
-        formerUntil = electedAt + (long) (times.lease() * (1 + 2 * LeaderClock.DRIFT)) + SLACK;
+        formerUntil = electedAt + (long) (times.lease() * (1 + 2 * LeaderClock.MAX_DRIFT)) + SLACK;
     }
 
     /** A majority has confirmed this leader, at an instant not before the submission, with that table. */
--- a/src/test/java/laneflow/policy/PolicyConfigTest.java
+++ b/src/test/java/laneflow/policy/PolicyConfigTest.java
@@ -34,8 +34,8 @@
         PolicyConfig voter = read(fleet + "voters = [\"n1\", \"n2\", \"n3\"]\ndir = \"votes\"\n")
                 .policy();
         assertEquals(Path.of("votes"), voter.dir);
-        assertTrue(voter.servesCutOff);
-        assertEquals(1_000_000, voter.lease);
+        assertTrue(voter.servesWithoutLease);
+        assertEquals(1_000_000, voter.leaseMicros);
         // One that does not vote may be taken in: it has a place for its votes then.
         assertEquals(
                 Path.of("votes"),
--- a/src/test/java/laneflow/policy/decision/LedgerTest.java
+++ b/src/test/java/laneflow/policy/decision/LedgerTest.java
@@ -58,7 +58,7 @@
 
     @Test
     void changesWaitTheirTurnAndNoMoreThanSo() {
-        for (int i = 0; i <= Ledger.MOST_WAITING; i++) {
+        for (int i = 0; i <= Ledger.MAX_WAITING; i++) {
             assertEquals(
                     i == 0 ? "open" : "waiting",
                     propose("c" + i, "{bans:[]}").get("state").getAsString());
@@ -76,7 +76,7 @@
         assertTrue(propose("a b", "{bans:[]}").get("error").getAsString().startsWith("name:"));
         assertTrue(propose("a", "{}").get("error").getAsString().startsWith("types:"));
         assertTrue(propose("a", "{bans:{}}").get("error").getAsString().startsWith("types.bans:"));
-        assertTrue(propose("a", "{bans:['" + "x".repeat(Ledger.MOST_CONTENT) + "']}")
+        assertTrue(propose("a", "{bans:['" + "x".repeat(Ledger.MAX_CONTENT_CHARS) + "']}")
                 .get("error")
                 .getAsString()
                 .contains("the most are"));
@@ -110,11 +110,11 @@
     @Test
     void theOldestOutcomesAreForgottenAndNoUndecidedChangeIs() {
         propose("first", "{bans:[]}");
-        for (int i = 0; i < Ledger.MOST_KEPT + 5; i++) {
+        for (int i = 0; i < Ledger.MAX_OUTCOMES + 5; i++) {
             ledger.run(Ledger.abandon(ledger.view().open().name(), List.of(), i));
             propose("c" + i, "{bans:[]}");
         }
         assertNull(ledger.change("first"));
-        assertEquals(Ledger.MOST_KEPT, ledger.last(20_000).size());
+        assertEquals(Ledger.MAX_OUTCOMES, ledger.last(20_000).size());
     }
 }
