--- a/src/main/java/laneflow/policy/Leadership.java
+++ b/src/main/java/laneflow/policy/Leadership.java
@@ -14,8 +14,8 @@
 import laneflow.fleet.Peer;
 import laneflow.net.Loop;
 import laneflow.policy.decision.Grant;
-import laneflow.policy.decision.Lead;
-import laneflow.policy.decision.Lead.Step;
+import laneflow.policy.decision.LeaderState;
+import laneflow.policy.decision.LeaderState.Step;
 import laneflow.policy.decision.Ledger;
 import laneflow.policy.decision.Ledger.View;
 import laneflow.policy.decision.Renewal;
@@ -50,7 +50,7 @@
     private final Map<String, Peer> routes = new HashMap<>();
 
     private final Map<Long, String> contents = new LinkedHashMap<>();
-    private Lead lead;
+    private LeaderState lead;
     private View view;
     private int term;
     private String leader = "";
@@ -118,10 +118,10 @@
             riders.leadsNoMore();
         } else if (lead == null || lead.term() != now) {
             counters.add("policy.elected");
-            lead = new Lead(
+            lead = new LeaderState(
                     now,
                     policy.now(),
-                    new Lead.Times(config.leaseMicros, config.leaseMicros / QUIET_PARTS, config.prepareMicros));
+                    new LeaderState.Times(config.leaseMicros, config.leaseMicros / QUIET_PARTS, config.prepareMicros));
             view = null;
             trial.begin(policy.now());
             riders.leads(now);
@@ -182,7 +182,7 @@
             return;
         }
         looking = true;
-        Lead of = lead;
+        LeaderState of = lead;
         long submitted = policy.now();
         voting.look(of.term(), ledger -> new Seen(ledger.view(), riders.parts(ledger)), found -> {
             looking = false;
@@ -206,7 +206,7 @@
     private void confirmed(long submitted, View found) {
         View before = view;
         view = found;
-        lead.confirmed(submitted, found);
+        lead.onConfirmed(submitted, found);
         if (before != null && found.inForce() > before.inForce()) {
             trial.applied(policy.now(), before, found);
         }
@@ -239,7 +239,7 @@
         String who = message.get("who").getAsString();
         routes.put(who, from);
         trial.heard(who, message.getAsJsonArray("tallies"));
-        lead.heard(policy.now(), who, Words.renewal(message));
+        lead.onRenewal(policy.now(), who, Words.renewal(message));
         step();
         riders.heard(who, message);
         tell(who, message.get("at").getAsLong());
@@ -249,7 +249,7 @@
     Grant renewed(Renewal own, JsonArray tallies) {
         String who = fleet.self().who();
         trial.heard(who, tallies);
-        lead.heard(policy.now(), who, own);
+        lead.onRenewal(policy.now(), who, own);
         step();
         return lead == null ? null : lead.grant(policy.now(), who);
     }
@@ -278,7 +278,7 @@
 
     void left(String who) {
         if (lead != null) {
-            lead.left(who);
+            lead.removeScheduler(who);
             riders.left(who);
             routes.remove(who);
             step();
@@ -345,15 +345,15 @@
             return;
         }
         Step step = lead.step(policy.now());
-        switch (step.ask()) {
+        switch (step.operation()) {
             case APPLY -> ask(Ledger.apply(step.name(), System.currentTimeMillis()));
             case ABANDON -> ask(Ledger.abandon(step.name(), step.reasons(), System.currentTimeMillis()));
             default -> {}
         }
-        if (step.tell()) {
+        if (step.broadcast()) {
             tellAll(0);
         }
-        long next = lead.nextLook(policy.now());
+        long next = lead.nextCheckAt(policy.now());
         if (next == Long.MAX_VALUE) {
             loop.deadlines().cancel(look);
         } else {
@@ -371,11 +371,11 @@
     }
 
     private void ask(JsonObject operation) {
-        Lead of = lead;
+        LeaderState of = lead;
         voting.replicate(operation, answer -> {
             if (lead == of && answer == null) {
                 // Whether it is in the log is not known: the next look tells, and asking twice does no harm.
-                of.notTaken();
+                of.onDecisionFailed();
             }
             confirm();
         });
@@ -493,21 +493,21 @@
         leads.addProperty("in_force", view.inForce());
         leads.addProperty("digest", view.digest());
         if (view.open() != null) {
-            leads.add("open", view.open().json(false));
+            leads.add("open", view.open().toJson(false));
             JsonArray waits = new JsonArray();
             // What the view has on them explains; the lease alone decides.
-            lead.waitsFor(policy.now()).forEach(who -> {
+            lead.awaitedSchedulers(policy.now()).forEach(who -> {
                 String known = fleet.described(who.substring(0, Math.max(0, who.lastIndexOf('#'))));
                 waits.add(known.isEmpty() ? who : who + " (" + known + ")");
             });
             leads.add("waits_for", waits);
         }
         JsonArray schedulers = new JsonArray();
-        lead.known(policy.now()).forEach(one -> {
+        lead.schedulerStatuses(policy.now()).forEach(one -> {
             JsonObject known = new JsonObject();
-            known.addProperty("who", one.who());
-            known.addProperty("policy", one.begun());
-            known.addProperty("heard_ms", one.heardMs());
+            known.addProperty("who", one.processId());
+            known.addProperty("policy", one.activePolicy());
+            known.addProperty("heard_ms", one.lastRenewalMs());
             known.addProperty("lease_ms", one.leaseMs());
             schedulers.add(known);
         });
--- a/src/main/java/laneflow/policy/LeaseGate.java
+++ b/src/main/java/laneflow/policy/LeaseGate.java
@@ -83,7 +83,7 @@
     /** On the control thread: from its return on nothing is decided by what was published before. */
     void publish(Published now) {
         published = now;
-        if (now.leave().next() >= 0 || now.leave().number() != begun) {
+        if (now.leave().next() >= 0 || now.leave().current() != begun) {
             // Begun with also where nobody asks, and where an earlier grant had run out before it was read. A
             // renewal of what has begun wakes nobody.
             try {
@@ -149,7 +149,7 @@
         // which the control thread has said already that it is obeyed.
         VarHandle.fullFence();
         Published holds = published;
-        long number = left ? -1 : holds.leave().deciding(now);
+        long number = left ? -1 : holds.leave().policyAt(now);
         if (number >= 0 && number != begun && !adopt(number, holds, now)) {
             return -1;
         }
--- a/src/main/java/laneflow/policy/Policy.java
+++ b/src/main/java/laneflow/policy/Policy.java
@@ -170,7 +170,7 @@
             @Override
             public void read(String part, Consumer<Object> then) {
                 if (isLeader()) {
-                    leadership.read(ledger -> ledger.part(part), then);
+                    leadership.read(ledger -> ledger.partView(part), then);
                 } else {
                     then.accept(null);
                 }
@@ -211,7 +211,7 @@
 
     /** The policy by which requests are decided on now, or -1. */
     private long deciding() {
-        long number = left ? -1 : lease.deciding(now());
+        long number = left ? -1 : lease.policyAt(now());
         number = number == adopted && everDecided ? number : -1;
         if (number >= 0) {
             stoppedAt = Long.MAX_VALUE;
@@ -237,9 +237,9 @@
     /** What holds goes to where requests are taken, before this turn tells anybody that it is obeyed. */
     private void publish() {
         Map<Long, PolicyTypes.Prepared> ready = new HashMap<>();
-        LeaseSnapshot leave = lease.leave();
+        LeaseSnapshot leave = lease.snapshot();
         prepared.forEach((number, read) -> {
-            if (read.findings.isEmpty() && (number == leave.number() || number == leave.next())) {
+            if (read.findings.isEmpty() && (number == leave.current() || number == leave.next())) {
                 ready.put(number, read);
             }
         });
@@ -347,7 +347,7 @@
             }
         }
         // Begun with is what the traffic's thread has adopted, however long that has taken it.
-        long begun = everDecided ? Math.min(adopted, lease.begun()) : -1;
+        long begun = everDecided ? Math.min(adopted, lease.current()) : -1;
         return new Renewal(lease.term(), lease.seq(), begun, ready, refused, reasons, lastRoundTrip);
     }
 
@@ -397,7 +397,7 @@
     }
 
     private void take(Grant grant, long sentAt, long heardAt) {
-        if (!lease.take(grant, sentAt, heardAt)) {
+        if (!lease.accept(grant, sentAt, heardAt)) {
             counters.add("policy.old_grants");
             return;
         }
@@ -523,7 +523,7 @@
                                 ? "cut off, serving"
                                 : config.servesWithoutLease ? "not decided yet, serving" : "not deciding");
         all.addProperty("policy", adopted);
-        all.addProperty("lease_ms", deciding >= 0 ? (lease.stop() - now()) / 1000 : 0);
+        all.addProperty("lease_ms", deciding >= 0 ? (lease.end() - now()) / 1000 : 0);
         all.addProperty("leader", leader);
         all.addProperty("term", lease.term());
         all.addProperty("open", open);
--- a/src/main/java/laneflow/policy/PolicyPort.java
+++ b/src/main/java/laneflow/policy/PolicyPort.java
@@ -87,7 +87,7 @@
         leadership.read(
                 ledger -> {
                     JsonArray all = new JsonArray();
-                    ledger.last(MOST_HISTORY).forEach(change -> all.add(change.json(false)));
+                    ledger.recent(MOST_HISTORY).forEach(change -> all.add(change.toJson(false)));
                     return all;
                 },
                 found -> say(found, answer));
@@ -97,7 +97,7 @@
         leadership.read(
                 ledger -> {
                     Change change = ledger.change(name);
-                    return change == null ? new JsonObject() : change.json(true);
+                    return change == null ? new JsonObject() : change.toJson(true);
                 },
                 found -> {
                     if (found instanceof JsonObject one && one.size() == 0) {
--- a/src/main/java/laneflow/policy/RenewalExtensions.java
+++ b/src/main/java/laneflow/policy/RenewalExtensions.java
@@ -56,7 +56,7 @@
     /** What stands in the ledger for each, by its part's name. */
     Map<String, Object> parts(Ledger ledger) {
         Map<String, Object> parts = new HashMap<>();
-        all.forEach(one -> parts.put(one.ledgerPart(), ledger.part(one.ledgerPart())));
+        all.forEach(one -> parts.put(one.ledgerPart(), ledger.partView(one.ledgerPart())));
         return parts;
     }
 
--- a/src/main/java/laneflow/policy/Words.java
+++ b/src/main/java/laneflow/policy/Words.java
@@ -16,9 +16,9 @@
     static JsonObject renewal(Renewal said) {
         JsonObject all = new JsonObject();
         all.addProperty("t", "renew");
-        all.addProperty("term", said.heardTerm());
-        all.addProperty("seq", said.heardSeq());
-        all.addProperty("begun", said.begun());
+        all.addProperty("term", said.grantTerm());
+        all.addProperty("seq", said.grantSeq());
+        all.addProperty("begun", said.activePolicy());
         JsonArray ready = new JsonArray();
         said.ready().forEach(ready::add);
         all.add("ready", ready);
--- a/src/main/java/laneflow/policy/decision/Change.java
+++ b/src/main/java/laneflow/policy/decision/Change.java
@@ -42,54 +42,54 @@
         return state == State.APPLIED || state == State.ABANDONED;
     }
 
-    Change opened(long as) {
-        return new Change(name, as, digest, types, by, State.OPEN, reasons, proposedMs, 0);
+    Change opened(long openedNumber) {
+        return new Change(name, openedNumber, digest, types, by, State.OPEN, reasons, proposedMs, 0);
     }
 
     /** Its content goes: what is in force is kept merged, and nothing asks for what was abandoned. */
-    Change ended(State how, List<String> why, long atMs) {
-        return new Change(name, number, digest, null, by, how, List.copyOf(why), proposedMs, atMs);
+    Change ended(State outcome, List<String> outcomeReasons, long atMs) {
+        return new Change(name, number, digest, null, by, outcome, List.copyOf(outcomeReasons), proposedMs, atMs);
     }
 
     /** For reports and snapshots; the content only where it is wanted and still there. */
-    public JsonObject json(boolean content) {
-        JsonObject all = new JsonObject();
-        all.addProperty("name", name);
-        all.addProperty("number", number);
-        all.addProperty("state", state.name().toLowerCase(java.util.Locale.ROOT));
-        all.addProperty("digest", digest);
-        all.addProperty("by", by);
-        all.addProperty("proposed_ms", proposedMs);
+    public JsonObject toJson(boolean includeContent) {
+        JsonObject json = new JsonObject();
+        json.addProperty("name", name);
+        json.addProperty("number", number);
+        json.addProperty("state", state.name().toLowerCase(java.util.Locale.ROOT));
+        json.addProperty("digest", digest);
+        json.addProperty("by", by);
+        json.addProperty("proposed_ms", proposedMs);
         if (isDecided()) {
-            all.addProperty("ended_ms", endedMs);
+            json.addProperty("ended_ms", endedMs);
         }
         if (!reasons.isEmpty()) {
             JsonArray texts = new JsonArray();
             reasons.forEach(texts::add);
-            all.add("reasons", texts);
+            json.add("reasons", texts);
         }
-        if (content && types != null) {
-            all.add("types", types);
+        if (includeContent && types != null) {
+            json.add("types", types);
         }
-        return all;
+        return json;
     }
 
-    static Change of(JsonObject from) {
+    static Change fromJson(JsonObject json) {
         List<String> reasons = new ArrayList<>();
-        if (from.has("reasons")) {
-            for (JsonElement one : from.getAsJsonArray("reasons")) {
-                reasons.add(one.getAsString());
+        if (json.has("reasons")) {
+            for (JsonElement reason : json.getAsJsonArray("reasons")) {
+                reasons.add(reason.getAsString());
             }
         }
         return new Change(
-                from.get("name").getAsString(),
-                from.get("number").getAsLong(),
-                from.get("digest").getAsString(),
-                from.has("types") ? from.getAsJsonObject("types") : null,
-                from.get("by").getAsString(),
-                State.valueOf(from.get("state").getAsString().toUpperCase(java.util.Locale.ROOT)),
+                json.get("name").getAsString(),
+                json.get("number").getAsLong(),
+                json.get("digest").getAsString(),
+                json.has("types") ? json.getAsJsonObject("types") : null,
+                json.get("by").getAsString(),
+                State.valueOf(json.get("state").getAsString().toUpperCase(java.util.Locale.ROOT)),
                 reasons,
-                from.get("proposed_ms").getAsLong(),
-                from.has("ended_ms") ? from.get("ended_ms").getAsLong() : 0);
+                json.get("proposed_ms").getAsLong(),
+                json.has("ended_ms") ? json.get("ended_ms").getAsLong() : 0);
     }
 }
--- a/src/main/java/laneflow/policy/decision/LeaderClock.java
+++ b/src/main/java/laneflow/policy/decision/LeaderClock.java
@@ -11,50 +11,50 @@
     /** Clocks' rates differ by no more than this share. */
     public static final double MAX_DRIFT = 0.001;
 
-    private static final long NEVER = Long.MIN_VALUE;
+    private static final long UNSET = Long.MIN_VALUE;
 
     /** The leader's clock is at most the stamp plus what has passed here since, at the faster rate. */
-    private long mostStamp;
+    private long upperStamp;
 
-    private long mostAt = NEVER;
+    private long upperAt = UNSET;
     /** And at least this stamp plus what has passed here since, at the slower rate. */
-    private long leastStamp;
+    private long lowerStamp;
 
-    private long leastAt = NEVER;
+    private long lowerAt = UNSET;
 
     /** True once an exchange has bounded it from both sides. */
-    public boolean isKnown() {
-        return mostAt != NEVER;
+    public boolean isBounded() {
+        return upperAt != UNSET;
     }
 
     /** Another leader, another clock. */
-    public void forget() {
-        mostAt = NEVER;
-        leastAt = NEVER;
+    public void reset() {
+        upperAt = UNSET;
+        lowerAt = UNSET;
     }
 
     /** A stamp of the leader's, heard now; it answers what was sent at that instant, or nothing: negative. */
-    public void addStamp(long stamp, long sentAt, long heardAt) {
-        if (leastAt == NEVER || stamp - leastStamp > (heardAt - leastAt) * (1 - MAX_DRIFT)) {
-            leastStamp = stamp;
-            leastAt = heardAt;
+    public void addStamp(long stamp, long sentAt, long receivedAt) {
+        if (lowerAt == UNSET || stamp - lowerStamp > (receivedAt - lowerAt) * (1 - MAX_DRIFT)) {
+            lowerStamp = stamp;
+            lowerAt = receivedAt;
         }
         if (sentAt >= 0
-                && (mostAt == NEVER
-                        || stamp + (heardAt - sentAt) * (1 + MAX_DRIFT)
-                                < mostStamp + (heardAt - mostAt) * (1 + MAX_DRIFT))) {
-            mostStamp = stamp;
-            mostAt = sentAt;
+                && (upperAt == UNSET
+                        || stamp + (receivedAt - sentAt) * (1 + MAX_DRIFT)
+                                < upperStamp + (receivedAt - upperAt) * (1 + MAX_DRIFT))) {
+            upperStamp = stamp;
+            upperAt = sentAt;
         }
     }
 
     /** An instant here that is not behind the leader's: what ends then has ended in time. */
-    public long localNotAfter(long leaders) {
-        return mostAt + (long) Math.floor((leaders - mostStamp) / (1 + MAX_DRIFT));
+    public long localNotAfter(long leaderInstant) {
+        return upperAt + (long) Math.floor((leaderInstant - upperStamp) / (1 + MAX_DRIFT));
     }
 
     /** An instant here that is not before the leader's: what begins then does not begin too soon. */
-    public long localNotBefore(long leaders) {
-        return leastAt + (long) Math.ceil((leaders - leastStamp) / (1 - MAX_DRIFT));
+    public long localNotBefore(long leaderInstant) {
+        return lowerAt + (long) Math.ceil((leaderInstant - lowerStamp) / (1 - MAX_DRIFT));
     }
 }
--- a/src/main/java/laneflow/policy/decision/Lease.java
+++ b/src/main/java/laneflow/policy/decision/Lease.java
@@ -19,11 +19,11 @@
     private int term = -1;
     private long seq;
     private final LeaderClock clock = new LeaderClock();
-    private long number = -1;
-    private long stop = NEVER;
+    private long current = -1;
+    private long end = NEVER;
     private long next = -1;
     private long nextStart;
-    private long nextStop;
+    private long nextEnd;
     private long fence;
 
     /**
@@ -32,56 +32,56 @@
      * @param sentAt when the renewal that it answers went out, or a negative number: it answers none
      * @param heardAt now
      */
-    public boolean take(Grant grant, long sentAt, long heardAt) {
+    public boolean accept(Grant grant, long sentAt, long receivedAt) {
         if (grant.term() < term
                 || grant.term() == term && grant.seq() <= seq
-                || grant.number() < Math.max(number, next)) {
+                || grant.number() < Math.max(current, next)) {
             return false;
         }
-        if (sentAt < 0 && (grant.term() > term || !clock.isKnown())) {
+        if (sentAt < 0 && (grant.term() > term || !clock.isBounded())) {
             // It tells nothing of when: obeyed, it would end what a former leader granted for no reason.
             return false;
         }
         if (grant.term() > term) {
             term = grant.term();
-            clock.forget();
+            clock.reset();
         }
         seq = grant.seq();
-        clock.addStamp(grant.leaderNow(), sentAt, heardAt);
-        settle(heardAt);
-        long ends = grant.until() == 0 ? NEVER : clock.localNotAfter(grant.until());
-        if (grant.number() == number) {
-            stop = ends;
-        } else if (ends != NEVER) {
+        clock.addStamp(grant.leaderNow(), sentAt, receivedAt);
+        startNextIfDue(receivedAt);
+        long grantEnd = grant.until() == 0 ? NEVER : clock.localNotAfter(grant.until());
+        if (grant.number() == current) {
+            end = grantEnd;
+        } else if (grantEnd != NEVER) {
             next = grant.number();
-            nextStop = ends;
-            nextStart = grant.from() == 0 ? heardAt : clock.localNotBefore(grant.from());
+            nextEnd = grantEnd;
+            nextStart = grant.from() == 0 ? receivedAt : clock.localNotBefore(grant.from());
         } else {
             // No leave at all: what it was about to begin with goes too.
-            stop = NEVER;
+            end = NEVER;
             next = -1;
         }
         return true;
     }
 
-    private void settle(long now) {
+    private void startNextIfDue(long now) {
         if (next >= 0 && now >= nextStart) {
-            fence = stop == NEVER ? 0 : Math.max(0, nextStart - stop);
-            number = next;
-            stop = nextStop;
+            fence = end == NEVER ? 0 : Math.max(0, nextStart - end);
+            current = next;
+            end = nextEnd;
             next = -1;
         }
     }
 
     /** The policy by which it may decide at this instant, or -1: it may not decide. */
-    public long deciding(long now) {
-        settle(now);
-        return now < stop ? number : -1;
+    public long policyAt(long now) {
+        startNextIfDue(now);
+        return now < end ? current : -1;
     }
 
     /** The policy last begun with, whether or not its time is over; -1 before the first. */
-    public long begun() {
-        return number;
+    public long current() {
+        return current;
     }
 
     /** The policy that it begins with next, or -1; when is told by {@link #nextStart}. */
@@ -99,8 +99,8 @@
     }
 
     /** When its leave ends unless it is renewed; in the past where it has none. */
-    public long stop() {
-        return stop;
+    public long end() {
+        return end;
     }
 
     /** The term of the latest word obeyed, and that word's number. */
@@ -113,7 +113,7 @@
     }
 
     /** As it stands now, for whoever reads it on another thread. */
-    public LeaseSnapshot leave() {
-        return new LeaseSnapshot(number, stop, next, nextStart, nextStop, fence);
+    public LeaseSnapshot snapshot() {
+        return new LeaseSnapshot(current, end, next, nextStart, nextEnd, fence);
     }
 }
--- a/src/main/java/laneflow/policy/decision/LeaseSnapshot.java
+++ b/src/main/java/laneflow/policy/decision/LeaseSnapshot.java
@@ -11,27 +11,27 @@
  * @param nextStop when the leave for that ends
  * @param fence microseconds between the end of the policy before and the beginning of this one
  */
-public record LeaseSnapshot(long number, long stop, long next, long nextStart, long nextStop, long fence) {
+public record LeaseSnapshot(long current, long end, long next, long nextStart, long nextEnd, long fence) {
     /** None at all. */
     public static final LeaseSnapshot NONE = new LeaseSnapshot(-1, Long.MIN_VALUE, -1, 0, 0, 0);
 
     /** The policy by which it may decide at this instant, or -1: it may not decide. */
-    public long deciding(long now) {
-        if (isNext(now)) {
-            return now < nextStop ? next : -1;
+    public long policyAt(long now) {
+        if (hasNextStarted(now)) {
+            return now < nextEnd ? next : -1;
         }
-        return now < stop ? number : -1;
+        return now < end ? current : -1;
     }
 
     /** How long it decided by neither policy when it began with the one of this instant. */
     public long fence(long now) {
-        if (!isNext(now)) {
+        if (!hasNextStarted(now)) {
             return fence;
         }
-        return stop == Long.MIN_VALUE ? 0 : Math.max(0, nextStart - stop);
+        return end == Long.MIN_VALUE ? 0 : Math.max(0, nextStart - end);
     }
 
-    private boolean isNext(long now) {
+    private boolean hasNextStarted(long now) {
         return next >= 0 && now >= nextStart;
     }
 }
--- a/src/main/java/laneflow/policy/decision/Ledger.java
+++ b/src/main/java/laneflow/policy/decision/Ledger.java
@@ -29,17 +29,17 @@
     /** The field of an operation that names the part that it is for; without it, it is on changes. */
     public static final String PART = "part";
 
-    private static final String ONLY_ON = "only_on";
-    private static final String NAME = "[A-Za-z0-9_.-]{1,64}";
-    private static final int MOST_REASONS = 32;
-    private static final int MOST_REASON = 500;
+    private static final String EXPECTED_IN_FORCE = "only_on";
+    private static final String NAME_PATTERN = "[A-Za-z0-9_.-]{1,64}";
+    private static final int MAX_REASONS = 32;
+    private static final int MAX_REASON_CHARS = 500;
 
     /** All changes that are known, by name, in the order in which they were proposed. */
     private final Map<String, Change> changes = new LinkedHashMap<>();
     /** Those of them that are undecided, in their order: the first one is open. */
     private final Map<String, Change> pending = new LinkedHashMap<>();
 
-    private long opened;
+    private long lastNumber;
     private long inForce;
     private JsonObject merged = new JsonObject();
     private String digest = Canonical.digest(merged);
@@ -72,7 +72,7 @@
         JsonObject snapshot();
 
         /** Takes a snapshot's state in place of its own; null: one of a build that did not know this part. */
-        void restore(JsonObject from);
+        void restore(JsonObject snapshot);
 
         /** What holds of the changes from now on; told behind a snapshot's restoring, too. */
         default void onPolicyChanged(View now) {}
@@ -99,7 +99,7 @@
     public Ledger(Map<String, Part> parts) {
         // In one order everywhere: what the first of them has against a change is told.
         this.parts = new TreeMap<>(parts);
-        look();
+        updateView();
     }
 
     // ---- operations, as they stand in the log ----
@@ -118,7 +118,7 @@
      */
     public static JsonObject propose(String name, JsonObject types, String by, long nowMs, long expectedInForce) {
         JsonObject op = propose(name, types, by, nowMs);
-        op.addProperty(ONLY_ON, expectedInForce);
+        op.addProperty(EXPECTED_IN_FORCE, expectedInForce);
         return op;
     }
 
@@ -132,8 +132,8 @@
         JsonObject op = op("abandon", name, nowMs);
         JsonArray texts = new JsonArray();
         reasons.stream()
-                .limit(MOST_REASONS)
-                .map(text -> text.length() > MOST_REASON ? text.substring(0, MOST_REASON) : text)
+                .limit(MAX_REASONS)
+                .map(text -> text.length() > MAX_REASON_CHARS ? text.substring(0, MAX_REASON_CHARS) : text)
                 .forEach(texts::add);
         op.add("reasons", texts);
         return op;
@@ -149,7 +149,7 @@
 
     /** Why these can't be proposed, whatever the state; null if they can. */
     public static String invalidReason(String name, JsonObject types) {
-        if (name == null || !name.matches(NAME)) {
+        if (name == null || !name.matches(NAME_PATTERN)) {
             return "name: a change is named by up to 64 letters, digits, '_', '.' and '-'";
         }
         if (types == null || types.size() == 0) {
@@ -176,66 +176,66 @@
             return part == null ? error("this build knows no part " + op.get(PART)) : part.run(op);
         }
         String name = op.get("name").getAsString();
-        Change known = changes.get(name);
+        Change change = changes.get(name);
         String kind = op.get("op").getAsString();
         if (kind.equals("propose")) {
-            return propose(name, known, op);
+            return propose(name, change, op);
         }
         boolean applies = kind.equals("apply");
-        if (known == null || known.state() != State.OPEN) {
+        if (change == null || change.state() != State.OPEN) {
             // Asked twice, or by a leader that did not know yet: the first decision stands.
-            return known == null ? error("there is no change '" + name + "'") : known.json(false);
+            return change == null ? error("there is no change '" + name + "'") : change.toJson(false);
         }
         List<String> reasons = new ArrayList<>();
         if (op.has("reasons")) {
-            op.getAsJsonArray("reasons").forEach(one -> reasons.add(one.getAsString()));
+            op.getAsJsonArray("reasons").forEach(reason -> reasons.add(reason.getAsString()));
         }
-        String against = applies ? against(known.types()) : null;
-        if (against != null) {
+        String rejection = applies ? rejectionReason(change.types()) : null;
+        if (rejection != null) {
             // What a part needs may have come up behind the proposal.
             applies = false;
-            reasons.add(against);
+            reasons.add(rejection);
         }
         if (applies) {
-            inForce = known.number();
-            merged = merge(known.types());
+            inForce = change.number();
+            merged = merge(change.types());
             digest = Canonical.digest(merged);
         }
-        Change ended = known.ended(
+        Change ended = change.ended(
                 applies ? State.APPLIED : State.ABANDONED, reasons, op.get("ms").getAsLong());
         changes.put(name, ended);
         pending.remove(name);
         openNext();
-        look();
-        return ended.json(false);
+        updateView();
+        return ended.toJson(false);
     }
 
-    private JsonObject propose(String name, Change known, JsonObject op) {
+    private JsonObject propose(String name, Change existing, JsonObject op) {
         JsonObject types = op.getAsJsonObject("types");
-        String unfit = invalidReason(name, types);
-        if (unfit != null) {
-            return error(unfit);
+        String invalid = invalidReason(name, types);
+        if (invalid != null) {
+            return error(invalid);
         }
-        String of = Canonical.digest(types);
-        if (known != null) {
-            return known.digest().equals(of)
-                    ? known.json(false)
+        String proposedDigest = Canonical.digest(types);
+        if (existing != null) {
+            return existing.digest().equals(proposedDigest)
+                    ? existing.toJson(false)
                     : error("the name '" + name + "' is that of a change with another content");
         }
         if (pending.size() > MAX_WAITING) {
             return error(MAX_WAITING + " changes wait already");
         }
-        if (op.has(ONLY_ON) && (op.get(ONLY_ON).getAsLong() != inForce || !pending.isEmpty())) {
+        if (op.has(EXPECTED_IN_FORCE) && (op.get(EXPECTED_IN_FORCE).getAsLong() != inForce || !pending.isEmpty())) {
             return error("another change was applied, or is undecided, since '" + name + "' was made");
         }
-        String against = against(types);
-        if (against != null) {
-            return error(against);
+        String rejection = rejectionReason(types);
+        if (rejection != null) {
+            return error(rejection);
         }
         Change added = new Change(
                 name,
                 0,
-                of,
+                proposedDigest,
                 types,
                 op.get("by").getAsString(),
                 State.WAITING,
@@ -244,26 +244,26 @@
                 0);
         changes.put(name, added);
         pending.put(name, added);
-        forget();
+        dropOldOutcomes();
         openNext();
-        look();
-        return changes.get(name).json(false);
+        updateView();
+        return changes.get(name).toJson(false);
     }
 
-    private String against(JsonObject types) {
-        JsonObject then = merge(types);
+    private String rejectionReason(JsonObject types) {
+        JsonObject mergedAfter = merge(types);
         for (Part part : parts.values()) {
-            String why = part.rejectionReason(types, then);
-            if (why != null) {
-                return why;
+            String reason = part.rejectionReason(types, mergedAfter);
+            if (reason != null) {
+                return reason;
             }
         }
         return null;
     }
 
-    private void forget() {
+    private void dropOldOutcomes() {
         var oldest = changes.values().iterator();
-        for (int over = changes.size() - MAX_OUTCOMES; over > 0 && oldest.hasNext(); over--) {
+        for (int excess = changes.size() - MAX_OUTCOMES; excess > 0 && oldest.hasNext(); excess--) {
             if (!oldest.next().isDecided()) {
                 return;
             }
@@ -275,7 +275,7 @@
         if (!pending.isEmpty()) {
             Change next = pending.values().iterator().next();
             if (next.state() == State.WAITING) {
-                Change open = next.opened(++opened);
+                Change open = next.opened(++lastNumber);
                 pending.put(open.name(), open);
                 changes.put(open.name(), open);
             }
@@ -283,16 +283,16 @@
     }
 
     private JsonObject merge(JsonObject types) {
-        JsonObject all = new JsonObject();
-        merged.entrySet().forEach(type -> all.add(type.getKey(), type.getValue()));
+        JsonObject result = new JsonObject();
+        merged.entrySet().forEach(type -> result.add(type.getKey(), type.getValue()));
         types.entrySet().forEach(type -> {
             if (type.getValue().getAsJsonArray().isEmpty()) {
-                all.remove(type.getKey());
+                result.remove(type.getKey());
             } else {
-                all.add(type.getKey(), type.getValue());
+                result.add(type.getKey(), type.getValue());
             }
         });
-        return all;
+        return result;
     }
 
     private static JsonObject error(String text) {
@@ -301,7 +301,7 @@
         return answer;
     }
 
-    private void look() {
+    private void updateView() {
         List<String> waiting = new ArrayList<>(pending.keySet());
         Change open = waiting.isEmpty() ? null : pending.get(waiting.remove(0));
         view = new View(inForce, merged, digest, open, open == null ? null : merge(open.types()), List.copyOf(waiting));
@@ -315,7 +315,7 @@
     }
 
     /** The state of the part of that name; there must be one. */
-    public Object part(String name) {
+    public Object partView(String name) {
         return parts.get(name).view();
     }
 
@@ -325,44 +325,44 @@
     }
 
     /** The last changes, the newest first. */
-    public List<Change> last(int most) {
-        List<Change> all = new ArrayList<>(changes.values());
-        Collections.reverse(all);
-        return all.subList(0, Math.min(most, all.size()));
+    public List<Change> recent(int limit) {
+        List<Change> recent = new ArrayList<>(changes.values());
+        Collections.reverse(recent);
+        return recent.subList(0, Math.min(limit, recent.size()));
     }
 
     /** All of it, for a snapshot of the log. */
     public JsonObject snapshot() {
-        JsonObject all = new JsonObject();
+        JsonObject snapshot = new JsonObject();
         JsonArray list = new JsonArray();
-        changes.values().forEach(change -> list.add(change.json(true)));
-        all.add("changes", list);
-        all.addProperty("opened", opened);
-        all.addProperty("in_force", inForce);
-        all.add("merged", merged);
-        JsonObject others = new JsonObject();
-        parts.forEach((name, part) -> others.add(name, part.snapshot()));
-        all.add("parts", others);
-        return all;
+        changes.values().forEach(change -> list.add(change.toJson(true)));
+        snapshot.add("changes", list);
+        snapshot.addProperty("opened", lastNumber);
+        snapshot.addProperty("in_force", inForce);
+        snapshot.add("merged", merged);
+        JsonObject partSnapshots = new JsonObject();
+        parts.forEach((name, part) -> partSnapshots.add(name, part.snapshot()));
+        snapshot.add("parts", partSnapshots);
+        return snapshot;
     }
 
     /** Takes a snapshot's state in place of its own. */
-    public void restore(JsonObject from) {
+    public void restore(JsonObject snapshot) {
         changes.clear();
         pending.clear();
-        for (JsonElement one : from.getAsJsonArray("changes")) {
-            Change change = Change.of(one.getAsJsonObject());
+        for (JsonElement element : snapshot.getAsJsonArray("changes")) {
+            Change change = Change.fromJson(element.getAsJsonObject());
             changes.put(change.name(), change);
             if (!change.isDecided()) {
                 pending.put(change.name(), change);
             }
         }
-        opened = from.get("opened").getAsLong();
-        inForce = from.get("in_force").getAsLong();
-        merged = from.getAsJsonObject("merged");
+        lastNumber = snapshot.get("opened").getAsLong();
+        inForce = snapshot.get("in_force").getAsLong();
+        merged = snapshot.getAsJsonObject("merged");
         digest = Canonical.digest(merged);
-        JsonObject others = from.has("parts") ? from.getAsJsonObject("parts") : new JsonObject();
-        parts.forEach((name, part) -> part.restore(others.getAsJsonObject(name)));
-        look();
+        JsonObject partSnapshots = snapshot.has("parts") ? snapshot.getAsJsonObject("parts") : new JsonObject();
+        parts.forEach((name, part) -> part.restore(partSnapshots.getAsJsonObject(name)));
+        updateView();
     }
 }
--- a/src/main/java/laneflow/policy/decision/Renewal.java
+++ b/src/main/java/laneflow/policy/decision/Renewal.java
@@ -16,9 +16,9 @@
  * @param roundTrip microseconds that its last exchange with the leader took
  */
 public record Renewal(
-        int heardTerm,
-        long heardSeq,
-        long begun,
+        int grantTerm,
+        long grantSeq,
+        long activePolicy,
         Set<Long> ready,
         long refused,
         List<String> reasons,
--- a/src/main/java/laneflow/task/decision/Hold.java
+++ b/src/main/java/laneflow/task/decision/Hold.java
@@ -61,13 +61,13 @@
     public boolean take(Word word, long sentAt, long heardAt) {
         if (word.term() < term
                 || word.term() == term && word.seq() <= seq
-                || sentAt < 0 && (word.term() > term || !clock.isKnown())
+                || sentAt < 0 && (word.term() > term || !clock.isBounded())
                 || word.holds() == null && (word.term() != knownTerm || word.version() != version)) {
             return false;
         }
         if (word.term() > term) {
             term = word.term();
-            clock.forget();
+            clock.reset();
         }
         seq = word.seq();
         clock.addStamp(word.leaderNow(), sentAt, heardAt);
--- a/src/test/java/laneflow/maintenance/decision/WindowLedgerTest.java
+++ b/src/test/java/laneflow/maintenance/decision/WindowLedgerTest.java
@@ -35,7 +35,7 @@
     }
 
     private View view() {
-        return (View) ledger.part(WindowLedger.NAME);
+        return (View) ledger.partView(WindowLedger.NAME);
     }
 
     private Windows.Window window(String name) {
@@ -174,7 +174,7 @@
         other.restore(JsonParser.parseString(ledger.snapshot().toString()).getAsJsonObject());
         assertEquals(
                 view().windows().all(),
-                ((View) other.part(WindowLedger.NAME)).windows().all());
+                ((View) other.partView(WindowLedger.NAME)).windows().all());
         assertEquals(
                 ledger.snapshot().toString().replaceAll("\"version\":[0-9]+", ""),
                 other.snapshot().toString().replaceAll("\"version\":[0-9]+", ""));
@@ -182,7 +182,7 @@
         JsonObject earlier = ledger.snapshot();
         earlier.remove("parts");
         other.restore(earlier);
-        View none = (View) other.part(WindowLedger.NAME);
+        View none = (View) other.partView(WindowLedger.NAME);
         assertEquals(List.of(), none.windows().all());
         assertEquals(Set.of("x"), none.bans());
     }
--- a/src/test/java/laneflow/policy/decision/FenceOrdersTest.java
+++ b/src/test/java/laneflow/policy/decision/FenceOrdersTest.java
@@ -175,7 +175,7 @@
         assertEquals(Change.State.ABANDONED, change.state());
         assertEquals(List.of("s2#0: it may not"), change.reasons());
         world.heal();
-        assertEquals(0, world.nodes.get(0).lease.deciding(world.nodes.get(0).clock()));
+        assertEquals(0, world.nodes.get(0).lease.policyAt(world.nodes.get(0).clock()));
     }
 
     /** Messages for each scheduler from a proposal until all decide by it. */
@@ -184,7 +184,7 @@
         world.calmFromTheStart();
         world.propose();
         int before = world.arrived;
-        while (world.nodes.stream().anyMatch(node -> node.lease.deciding(node.clock()) != 1)) {
+        while (world.nodes.stream().anyMatch(node -> node.lease.policyAt(node.clock()) != 1)) {
             world.confirm(0);
             for (int i = 0; i < schedulers; i++) {
                 world.renew(i, 0);
@@ -212,7 +212,7 @@
         long from = world.now;
         FenceWorld.Node away = world.nodes.get(2);
         // It hears nothing and is not heard: its lease is all that it has.
-        while (world.nodes.get(0).lease.deciding(world.nodes.get(0).clock()) == 0) {
+        while (world.nodes.get(0).lease.policyAt(world.nodes.get(0).clock()) == 0) {
             world.confirm(0);
             world.renew(0, 0);
             world.renew(1, 0);
@@ -221,10 +221,10 @@
             }
             world.pass(FenceWorld.LEASE / 32);
             assertTrue(world.now - from < 2 * FenceWorld.LEASE, "it blocks");
-            if (away.lease.deciding(away.clock()) >= 0) {
-                assertEquals(0, world.nodes.get(0).lease.begun());
+            if (away.lease.policyAt(away.clock()) >= 0) {
+                assertEquals(0, world.nodes.get(0).lease.current());
             }
         }
-        assertEquals(-1, away.lease.deciding(away.clock()));
+        assertEquals(-1, away.lease.policyAt(away.clock()));
     }
 }
--- a/src/test/java/laneflow/policy/decision/FenceWorld.java
+++ b/src/test/java/laneflow/policy/decision/FenceWorld.java
@@ -6,7 +6,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import laneflow.policy.decision.Lead.Step;
+import laneflow.policy.decision.LeaderState.Step;
 
 /**
  * Schedulers with leases, leaders that follow one another and don't know it, clocks that run apart, and
@@ -15,7 +15,7 @@
  */
 final class FenceWorld {
     static final long LEASE = 900_000;
-    private static final Lead.Times TIMES = new Lead.Times(LEASE, LEASE / 2, 2 * LEASE);
+    private static final LeaderState.Times TIMES = new LeaderState.Times(LEASE, LEASE / 2, 2 * LEASE);
 
     /** What is done wrong on purpose, to see that it is found. */
     enum Broken {
@@ -69,12 +69,13 @@
     private final class Leader {
         private final int term;
         private final double rate;
-        private final Lead lead;
+        private final LeaderState lead;
 
         private Leader(int term, double rate) {
             this.term = term;
             this.rate = rate;
-            lead = new Lead(term, broken == Broken.ELECTED_BEFORE_ITS_TIME ? clock() - 3 * LEASE : clock(), TIMES);
+            lead = new LeaderState(
+                    term, broken == Broken.ELECTED_BEFORE_ITS_TIME ? clock() - 3 * LEASE : clock(), TIMES);
         }
 
         private long clock() {
@@ -120,7 +121,7 @@
         if (back < leaders.size()) {
             Leader leader = leaders.get(leaders.size() - 1 - back);
             if (back == 0 || broken == Broken.A_DEPOSED_LEADER_IS_CONFIRMED) {
-                leader.lead.confirmed(leader.clock(), ledger.view());
+                leader.lead.onConfirmed(leader.clock(), ledger.view());
             }
         }
         settle();
@@ -141,13 +142,13 @@
         if (!from.up || back >= leaders.size()) {
             return;
         }
-        from.lease.deciding(from.clock());
+        from.lease.policyAt(from.clock());
         Leader to = leaders.get(leaders.size() - 1 - back);
         long heard = from.lease.seq() + (broken == Broken.ACKNOWLEDGED_UNHEARD ? 5 : 0);
         Renewal said = new Renewal(
                 from.lease.term(),
                 heard,
-                from.lease.begun(),
+                from.lease.current(),
                 Set.copyOf(from.ready),
                 from.refuses,
                 from.refuses > 0 ? List.of("it may not") : List.of(),
@@ -182,7 +183,7 @@
         Node node = message.node;
         Leader leader = message.leader;
         if (message.renewal) {
-            leader.lead.heard(leader.clock(), "s" + node.number + "#" + message.life, message.said);
+            leader.lead.onRenewal(leader.clock(), "s" + node.number + "#" + message.life, message.said);
             follow(leader);
             Grant grant = leader.lead.grant(leader.clock(), "s" + node.number + "#" + message.life);
             if (grant != null) {
@@ -193,7 +194,7 @@
         if (!node.up || node.life != message.life) {
             return;
         }
-        node.lease.take(message.grant, message.sentAt, node.clock());
+        node.lease.accept(message.grant, message.sentAt, node.clock());
         long open = message.grant.open();
         if (open > 0 && node.refuses != open) {
             node.ready.add(open);
@@ -229,7 +230,7 @@
         if (leaving.up) {
             leaving.up = broken == Broken.LEFT_BUT_DECIDES;
             leaving.left = !leaving.up;
-            leaders.get(leaders.size() - 1).lead.left(leaving.who());
+            leaders.get(leaders.size() - 1).lead.removeScheduler(leaving.who());
             settle();
         }
     }
@@ -239,20 +240,20 @@
     private void follow(Leader leader) {
         Step step = leader.lead.step(leader.clock());
         boolean leads = leader == leaders.get(leaders.size() - 1) || broken == Broken.A_DEPOSED_LEADER_IS_CONFIRMED;
-        if (step.ask() == Lead.Ask.APPLY || step.ask() == Lead.Ask.ABANDON) {
+        if (step.operation() == LeaderState.Operation.APPLY || step.operation() == LeaderState.Operation.ABANDON) {
             if (leads) {
                 ledger.run(
-                        step.ask() == Lead.Ask.APPLY
+                        step.operation() == LeaderState.Operation.APPLY
                                 ? Ledger.apply(step.name(), 0)
                                 : Ledger.abandon(step.name(), step.reasons(), 0));
-                leader.lead.confirmed(leader.clock(), ledger.view());
+                leader.lead.onConfirmed(leader.clock(), ledger.view());
                 follow(leader);
             } else {
-                leader.lead.notTaken();
+                leader.lead.onDecisionFailed();
             }
             return;
         }
-        if (step.tell()) {
+        if (step.broadcast()) {
             for (Node node : nodes) {
                 Grant grant = leader.lead.grant(leader.clock(), node.who());
                 if (grant != null) {
@@ -266,7 +267,7 @@
         leaders.forEach(this::follow);
         long by = -1;
         for (Node node : nodes) {
-            long deciding = node.up ? node.lease.deciding(node.clock()) : -1;
+            long deciding = node.up ? node.lease.policyAt(node.clock()) : -1;
             if (deciding < 0) {
                 continue;
             }
@@ -278,7 +279,7 @@
                 throw new Violation("decides by " + deciding + ", which is undecided");
             }
             if (deciding > 0
-                    && ledger.last(100).stream()
+                    && ledger.recent(100).stream()
                             .noneMatch(
                                     change -> change.number() == deciding && change.state() == Change.State.APPLIED)) {
                 throw new Violation("decides by " + deciding + ", which was abandoned");
@@ -312,8 +313,8 @@
             pass(LEASE / 4);
         }
         for (Node node : nodes) {
-            if (node.lease.deciding(node.clock()) != ledger.view().inForce()) {
-                throw new Violation("stuck: s" + node.number + " decides by " + node.lease.deciding(node.clock())
+            if (node.lease.policyAt(node.clock()) != ledger.view().inForce()) {
+                throw new Violation("stuck: s" + node.number + " decides by " + node.lease.policyAt(node.clock())
                         + ", in force is " + ledger.view().inForce());
             }
         }
--- a/src/test/java/laneflow/policy/decision/LeaseSnapshotTest.java
+++ b/src/test/java/laneflow/policy/decision/LeaseSnapshotTest.java
@@ -21,15 +21,15 @@
                 number += random.nextInt(4) == 0 ? 1 : 0;
                 long until = random.nextInt(6) == 0 ? 0 : now + random.nextLong(3000);
                 long from = random.nextBoolean() ? 0 : now + random.nextLong(600);
-                lease.take(new Grant(1, seq, now, number, from, until, 0), now - random.nextLong(200), now);
-                LeaseSnapshot leave = lease.leave();
-                long begun = lease.begun();
+                lease.accept(new Grant(1, seq, now, number, from, until, 0), now - random.nextLong(200), now);
+                LeaseSnapshot leave = lease.snapshot();
+                long begun = lease.current();
                 for (long at = now; at < now + 1000; at += 1 + random.nextLong(90)) {
-                    assertEquals(lease.deciding(at), leave.deciding(at), "day " + day + " seq " + seq);
+                    assertEquals(lease.policyAt(at), leave.policyAt(at), "day " + day + " seq " + seq);
                     assertEquals(lease.fence(), leave.fence(at));
-                    deciding += leave.deciding(at) >= 0 ? 1 : 0;
+                    deciding += leave.policyAt(at) >= 0 ? 1 : 0;
                 }
-                changes += lease.begun() > begun ? 1 : 0;
+                changes += lease.current() > begun ? 1 : 0;
                 now += 1000;
             }
         }
--- a/src/test/java/laneflow/policy/decision/LedgerTest.java
+++ b/src/test/java/laneflow/policy/decision/LedgerTest.java
@@ -115,6 +115,6 @@
             propose("c" + i, "{bans:[]}");
         }
         assertNull(ledger.change("first"));
-        assertEquals(Ledger.MAX_OUTCOMES, ledger.last(20_000).size());
+        assertEquals(Ledger.MAX_OUTCOMES, ledger.recent(20_000).size());
     }
 }
