--- a/src/main/java/laneflow/assembly/FleetSubsystem.java
+++ b/src/main/java/laneflow/assembly/FleetSubsystem.java
@@ -274,7 +274,7 @@
     @Override
     public void begin() throws InterruptedException {
         if (tellsPolicy) {
-            core.loop().call(() -> core.front().tellVersions(policy::stamp));
+            core.loop().call(() -> core.front().tellVersions(policy::versionOfEpoch));
         }
         if (hooks != null) {
             control.call(hooks::begin);
--- a/src/main/java/laneflow/policy/BansType.java
+++ b/src/main/java/laneflow/policy/BansType.java
@@ -12,11 +12,11 @@
 
 /** Endpoints that get nothing at any scheduler, a resource each: {@code {"name": "till-3"}}. */
 final class BansType implements ResourceType {
-    private final Consumer<Set<String>> bar;
+    private final Consumer<Set<String>> banEndpoints;
 
     /** @param bar bans exactly these, on the loop's thread */
-    BansType(Consumer<Set<String>> bar) {
-        this.bar = bar;
+    BansType(Consumer<Set<String>> banEndpoints) {
+        this.banEndpoints = banEndpoints;
     }
 
     @Override
@@ -28,7 +28,7 @@
         return new Reading(findings, names.size()) {
             @Override
             public List<String> adopt() {
-                bar.accept(names);
+                banEndpoints.accept(names);
                 return List.of();
             }
         };
--- a/src/main/java/laneflow/policy/FleetTrial.java
+++ b/src/main/java/laneflow/policy/FleetTrial.java
@@ -17,95 +17,98 @@
  * time before, so what was on trial then is kept.
  */
 final class FleetTrial {
-    private static final String SUFFIX = ".taken-back";
-    private static final int MOST_NAME = 64 - SUFFIX.length();
+    private static final String ROLLBACK_SUFFIX = ".taken-back";
+    private static final int MAX_NAME_PREFIX = 64 - ROLLBACK_SUFFIX.length();
 
     private final List<String> classes;
-    private final long length;
-    private final double bound;
+    private final long trialMicros;
+    private final double maxWorsening;
     private final Map<String, long[][]> counts = new HashMap<>();
     private Trial trial;
-    private long nextLook;
-    private String name = "";
-    private JsonObject undo;
+    private long nextCheckAt;
+    private String changeName = "";
+    private JsonObject rollback;
 
     /** @param length microseconds; 0: there are no trials */
-    FleetTrial(List<String> classes, long length, double bound) {
+    FleetTrial(List<String> classes, long trialMicros, double maxWorsening) {
         this.classes = classes;
-        this.length = length;
-        this.bound = bound;
+        this.trialMicros = trialMicros;
+        this.maxWorsening = maxWorsening;
     }
 
     /** True where changes are on trial at all. */
-    boolean isOn() {
-        return length > 0;
+    boolean isEnabled() {
+        return trialMicros > 0;
     }
 
     /** A leader begins: figures are counted from here. */
-    void begin(long now) {
+    void start(long now) {
         counts.clear();
-        undo = null;
-        trial = length == 0 ? null : new Trial(classes.toArray(new String[0]), length, bound, now, sum());
+        rollback = null;
+        trial = trialMicros == 0
+                ? null
+                : new Trial(classes.toArray(new String[0]), trialMicros, maxWorsening, now, totals());
     }
 
     /** A scheduler's counts since its start. */
-    void heard(String who, JsonArray rows) {
+    void onTallies(String processId, JsonArray rows) {
         if (trial == null || rows.size() != classes.size()) {
             return;
         }
-        long[][] said = new long[rows.size()][4];
-        for (int i = 0; i < said.length; i++) {
-            for (int k = 0; k < said[i].length; k++) {
-                said[i][k] = rows.get(i).getAsJsonArray().get(k).getAsLong();
+        long[][] tallies = new long[rows.size()][4];
+        for (int i = 0; i < tallies.length; i++) {
+            for (int k = 0; k < tallies[i].length; k++) {
+                tallies[i][k] = rows.get(i).getAsJsonArray().get(k).getAsLong();
             }
         }
-        counts.put(who, said);
+        counts.put(processId, tallies);
     }
 
-    private long[][] sum() {
-        long[][] all = new long[classes.size()][4];
+    private long[][] totals() {
+        long[][] totals = new long[classes.size()][4];
         counts.values().forEach(one -> {
-            for (int i = 0; i < all.length; i++) {
-                for (int k = 0; k < all[i].length; k++) {
-                    all[i][k] += one[i][k];
+            for (int i = 0; i < totals.length; i++) {
+                for (int k = 0; k < totals[i].length; k++) {
+                    totals[i][k] += one[i][k];
                 }
             }
         });
-        return all;
+        return totals;
     }
 
     /** A change has been applied, after these; one that takes back is not on trial itself. */
-    void applied(long now, View before, View after) {
-        String applied = before.open() == null ? "" : before.open().name();
-        if (trial == null || applied.isEmpty() || applied.endsWith(SUFFIX)) {
-            undo = null;
+    void onApplied(long now, View before, View after) {
+        String appliedName = before.open() == null ? "" : before.open().name();
+        if (trial == null || appliedName.isEmpty() || appliedName.endsWith(ROLLBACK_SUFFIX)) {
+            rollback = null;
             return;
         }
-        name = applied;
-        undo = new JsonObject();
+        changeName = appliedName;
+        rollback = new JsonObject();
         for (String type : before.open().types().keySet()) {
-            undo.add(type, before.merged().has(type) ? before.merged().get(type) : new JsonArray());
+            rollback.add(type, before.merged().has(type) ? before.merged().get(type) : new JsonArray());
         }
-        trial.adopted(now, sum(), null);
+        trial.adopted(now, totals(), null);
     }
 
     /** What is to be proposed because service is worse: {@code name}, {@code types}, {@code why}; or null. */
-    JsonObject look(long now) {
-        if (trial == null || now < nextLook) {
+    JsonObject check(long now) {
+        if (trial == null || now < nextCheckAt) {
             return null;
         }
-        nextLook = trial.nextLook(now);
+        nextCheckAt = trial.nextLook(now);
         boolean running = trial.isRunning();
-        Finding finding = trial.look(now, sum(), null);
-        if (!running || finding.verdict() != Verdict.TAKE_BACK || undo == null) {
+        Finding finding = trial.look(now, totals(), null);
+        if (!running || finding.verdict() != Verdict.TAKE_BACK || rollback == null) {
             return null;
         }
-        JsonObject all = new JsonObject();
-        all.addProperty("of", name);
-        all.addProperty("name", name.substring(0, Math.min(name.length(), MOST_NAME)) + SUFFIX);
-        all.add("types", undo);
-        all.addProperty("why", finding.figures());
-        undo = null;
-        return all;
+        JsonObject proposal = new JsonObject();
+        proposal.addProperty("of", changeName);
+        proposal.addProperty(
+                "name", changeName.substring(0, Math.min(changeName.length(), MAX_NAME_PREFIX)) + ROLLBACK_SUFFIX);
+        proposal.add("types", rollback);
+        proposal.addProperty("why", finding.figures());
+        rollback = null;
+        return proposal;
     }
 }
--- a/src/main/java/laneflow/policy/Leadership.java
+++ b/src/main/java/laneflow/policy/Leadership.java
@@ -30,10 +30,10 @@
 final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
     /** So end reasons that pass by themselves. */
-    static final String ASK_AGAIN = "; ask again";
+    static final String RETRY_SUFFIX = "; ask again";
 
-    private static final int ROUNDS_A_LEASE = 4;
-    private static final int QUIET_PARTS = 2;
+    private static final int CONFIRMATIONS_PER_LEASE = 4;
+    private static final int SILENCE_LEASE_DIVISOR = 2;
 
     private final Loop loop;
     private final Fleet fleet;
@@ -43,14 +43,14 @@
     private final VoterGroup group;
     private final Policy policy;
     private final FleetTrial trial;
-    private final RenewalExtensions riders;
-    private final Deadline round;
-    private final Deadline look;
+    private final RenewalExtensions extensions;
+    private final Deadline confirmTimer;
+    private final Deadline stepTimer;
     /** How each scheduler is reached: by the link of its last renewal. */
     private final Map<String, Peer> routes = new HashMap<>();
 
     private final Map<Long, String> contents = new LinkedHashMap<>();
-    private LeaderState lead;
+    private LeaderState state;
     private View view;
     private int term;
     private String leader = "";
@@ -58,11 +58,11 @@
     /** By which names they go; each grant tells. */
     private JsonArray voterNames = new JsonArray();
 
-    private boolean looking;
-    private boolean lookAgain;
+    private boolean confirming;
+    private boolean confirmAgain;
     private boolean stopped;
     /** The store that this leader has last asked to begin. */
-    private String invited = "";
+    private String invitedStore = "";
 
     Leadership(
             Loop loop,
@@ -73,7 +73,7 @@
             VoterGroup group,
             Policy policy,
             FleetTrial trial,
-            RenewalExtensions riders) {
+            RenewalExtensions extensions) {
         this.loop = loop;
         this.fleet = fleet;
         this.config = config;
@@ -82,17 +82,17 @@
         this.group = group;
         this.policy = policy;
         this.trial = trial;
-        this.riders = riders;
-        round = loop.deadlines().create(this::confirm);
-        look = loop.deadlines().create(this::step);
+        this.extensions = extensions;
+        confirmTimer = loop.deadlines().create(this::confirm);
+        stepTimer = loop.deadlines().create(this::step);
     }
 
     void begin() {
-        fleet.handle("renew", this::renewed);
-        fleet.handle("want", (from, message) -> wanted(from, message));
+        fleet.handle("renew", this::onRenewal);
+        fleet.handle("want", (from, message) -> onContentRequest(from, message));
         fleet.handle("left", (from, message) -> {
-            if (!passOn(message)) {
-                left(message.get("who").getAsString());
+            if (!forwardToLeader(message)) {
+                onSchedulerLeft(message.get("who").getAsString());
             }
         });
         fleet.watch(peer -> group.linked(), peer -> {
@@ -103,51 +103,52 @@
 
     // ---- who leads ----
 
-    void role(int now, boolean leads, String who, Set<String> members) {
-        term = now;
-        voters = members;
+    void onRole(int newTerm, boolean leads, String newLeader, Set<String> newVoters) {
+        term = newTerm;
+        voters = newVoters;
         voterNames = new JsonArray();
-        members.forEach(id -> voterNames.add(VoterId.parse(id).name()));
-        group.members(members);
-        if (!who.equals(leader)) {
-            leader = who;
-            LOG.info("policy: term {}, led by {}", now, who.isEmpty() ? "nobody yet" : who);
+        newVoters.forEach(id -> voterNames.add(VoterId.parse(id).name()));
+        group.members(newVoters);
+        if (!newLeader.equals(leader)) {
+            leader = newLeader;
+            LOG.info("policy: term {}, led by {}", newTerm, newLeader.isEmpty() ? "nobody yet" : newLeader);
         }
         if (!leads) {
-            lead = null;
-            riders.leadsNoMore();
-        } else if (lead == null || lead.term() != now) {
+            state = null;
+            extensions.onLeadershipLost();
+        } else if (state == null || state.term() != newTerm) {
             counters.add("policy.elected");
-            lead = new LeaderState(
-                    now,
+            state = new LeaderState(
+                    newTerm,
                     policy.now(),
-                    new LeaderState.Times(config.leaseMicros, config.leaseMicros / QUIET_PARTS, config.prepareMicros));
+                    new LeaderState.Times(
+                            config.leaseMicros, config.leaseMicros / SILENCE_LEASE_DIVISOR, config.prepareMicros));
             view = null;
-            trial.begin(policy.now());
-            riders.leads(now);
+            trial.start(policy.now());
+            extensions.onElected(newTerm);
             confirm();
         }
     }
 
-    void stopped(String why) {
-        if (end()) {
+    void onStopped(String why) {
+        if (stopVoting()) {
             counters.set("policy.vote_lost", 1);
             LOG.error("policy: this process votes no more: {}", why);
         }
     }
 
-    void takenOut() {
-        if (end()) {
+    void onRemoved() {
+        if (stopVoting()) {
             LOG.info("policy: taken out, this process votes no more");
         }
     }
 
     /** True the first time. */
-    private boolean end() {
+    private boolean stopVoting() {
         boolean first = !stopped;
         stopped = true;
-        lead = null;
-        riders.leadsNoMore();
+        state = null;
+        extensions.onLeadershipLost();
         // It hears of no election any more: who leads is known from leases, as by those that do not vote.
         leader = "";
         voters = Set.of();
@@ -155,73 +156,76 @@
     }
 
     /** What rides on this process's own renewal, asked at that instant. */
-    void ride(long asked) {
-        if (lead != null) {
-            riders.ride(fleet.self().who(), asked, policy::now);
+    void renewExtensions(long renewalSentAt) {
+        if (state != null) {
+            extensions.renewLocally(fleet.self().who(), renewalSentAt, policy::now);
         }
     }
 
-    boolean leads() {
-        return lead != null;
+    boolean isLeader() {
+        return state != null;
     }
 
     /** True where schedulers' counts are wanted with their renewals. */
-    boolean tries() {
-        return trial.isOn();
+    boolean needsTallies() {
+        return trial.isEnabled();
     }
 
     /** Has a majority say that this is still the leader, and what holds. */
     private void confirm() {
-        if (lead == null || stopped) {
+        if (state == null || stopped) {
             return;
         }
-        long every = config.leaseMicros / ROUNDS_A_LEASE;
-        loop.deadlines().set(round, loop.micros() + every * 9 / 10, loop.micros() + every);
-        if (looking) {
-            lookAgain = true;
+        long every = config.leaseMicros / CONFIRMATIONS_PER_LEASE;
+        loop.deadlines().set(confirmTimer, loop.micros() + every * 9 / 10, loop.micros() + every);
+        if (confirming) {
+            confirmAgain = true;
             return;
         }
-        looking = true;
-        LeaderState of = lead;
-        long submitted = policy.now();
-        voting.look(of.term(), ledger -> new Seen(ledger.view(), riders.parts(ledger)), found -> {
-            looking = false;
-            boolean again = lookAgain;
-            lookAgain = false;
-            if (lead == of && found instanceof Seen seen) {
-                confirmed(submitted, seen.changes());
-                if (lead == of) {
-                    riders.confirmed(submitted, seen.parts());
-                }
-            }
-            if (again) {
-                confirm();
-            }
-        });
+        confirming = true;
+        LeaderState confirmed = state;
+        long submittedAt = policy.now();
+        voting.look(
+                confirmed.term(), ledger -> new ConfirmedState(ledger.view(), extensions.partViews(ledger)), result -> {
+                    confirming = false;
+                    boolean again = confirmAgain;
+                    confirmAgain = false;
+                    if (state == confirmed && result instanceof ConfirmedState seen) {
+                        onConfirmed(submittedAt, seen.view());
+                        if (state == confirmed) {
+                            extensions.onConfirmed(submittedAt, seen.parts());
+                        }
+                    }
+                    if (again) {
+                        confirm();
+                    }
+                });
     }
 
     /** Both of one moment. */
-    private record Seen(View changes, Map<String, Object> parts) {}
+    private record ConfirmedState(View view, Map<String, Object> parts) {}
 
-    private void confirmed(long submitted, View found) {
+    private void onConfirmed(long submittedAt, View confirmedView) {
         View before = view;
-        view = found;
-        lead.onConfirmed(submitted, found);
-        if (before != null && found.inForce() > before.inForce()) {
-            trial.applied(policy.now(), before, found);
+        view = confirmedView;
+        state.onConfirmed(submittedAt, confirmedView);
+        if (before != null && confirmedView.inForce() > before.inForce()) {
+            trial.onApplied(policy.now(), before, confirmedView);
         }
-        boolean news = before == null
-                || found.inForce() != before.inForce()
-                || (found.open() == null ? 0 : found.open().number())
+        boolean isChanged = before == null
+                || confirmedView.inForce() != before.inForce()
+                || (confirmedView.open() == null ? 0 : confirmedView.open().number())
                         != (before.open() == null ? 0 : before.open().number());
-        if (news) {
+        if (isChanged) {
             contents.clear();
-            contents.put(found.inForce(), found.merged().toString());
-            if (found.open() != null) {
-                contents.put(found.open().number(), found.openMerged().toString());
+            contents.put(confirmedView.inForce(), confirmedView.merged().toString());
+            if (confirmedView.open() != null) {
+                contents.put(
+                        confirmedView.open().number(),
+                        confirmedView.openMerged().toString());
             }
             step();
-            tellAll(found.open() == null ? 0 : found.open().number());
+            broadcast(confirmedView.open() == null ? 0 : confirmedView.open().number());
         } else {
             step();
         }
@@ -229,34 +233,34 @@
 
     // ---- schedulers ----
 
-    private void renewed(Peer from, JsonObject message) {
-        if (passOn(message)) {
+    private void onRenewal(Peer from, JsonObject message) {
+        if (forwardToLeader(message)) {
             return;
         }
-        if (lead == null) {
+        if (state == null) {
             return;
         }
-        String who = message.get("who").getAsString();
-        routes.put(who, from);
-        trial.heard(who, message.getAsJsonArray("tallies"));
-        lead.onRenewal(policy.now(), who, Words.renewal(message));
+        String processId = message.get("who").getAsString();
+        routes.put(processId, from);
+        trial.onTallies(processId, message.getAsJsonArray("tallies"));
+        state.onRenewal(policy.now(), processId, PolicyMessages.renewal(message));
         step();
-        riders.heard(who, message);
-        tell(who, message.get("at").getAsLong());
+        extensions.onRenewal(processId, message);
+        sendGrant(processId, message.get("at").getAsLong());
     }
 
     /** This process's own renewal; null where there is no answer to it. */
-    Grant renewed(Renewal own, JsonArray tallies) {
-        String who = fleet.self().who();
-        trial.heard(who, tallies);
-        lead.onRenewal(policy.now(), who, own);
+    Grant onRenewal(Renewal own, JsonArray tallies) {
+        String processId = fleet.self().who();
+        trial.onTallies(processId, tallies);
+        state.onRenewal(policy.now(), processId, own);
         step();
-        return lead == null ? null : lead.grant(policy.now(), who);
+        return state == null ? null : state.grant(policy.now(), processId);
     }
 
     /** Passes a scheduler's word on to the voter that leads; true unless it is for this one. */
-    private boolean passOn(JsonObject message) {
-        if (lead != null) {
+    private boolean forwardToLeader(JsonObject message) {
+        if (state != null) {
             return false;
         }
         Peer to = fleet.peer(leader());
@@ -268,72 +272,73 @@
     }
 
     /** A word of the leader's to a scheduler that came by this voter. */
-    void passBack(JsonObject message) {
-        String who = message.get("for").getAsString();
-        Peer to = fleet.accepted(who);
+    void forwardToScheduler(JsonObject message) {
+        String processId = message.get("for").getAsString();
+        Peer to = fleet.accepted(processId);
         if (to != null) {
             to.send(message);
         }
     }
 
-    void left(String who) {
-        if (lead != null) {
-            lead.removeScheduler(who);
-            riders.left(who);
-            routes.remove(who);
+    void onSchedulerLeft(String processId) {
+        if (state != null) {
+            state.removeScheduler(processId);
+            extensions.onSchedulerLeft(processId);
+            routes.remove(processId);
             step();
         }
     }
 
-    void wanted(Peer from, JsonObject message) {
-        if (passOn(message)) {
+    void onContentRequest(Peer from, JsonObject message) {
+        if (forwardToLeader(message)) {
             return;
         }
-        String who = message.get("who").getAsString();
+        String processId = message.get("who").getAsString();
         if (from != null) {
-            routes.put(who, from);
+            routes.put(processId, from);
         }
-        content(who, message.get("number").getAsLong());
+        sendContent(processId, message.get("number").getAsLong());
     }
 
-    private void content(String who, long number) {
+    private void sendContent(String processId, long number) {
         String text = contents.get(number);
         if (text == null) {
             return;
         }
         JsonObject message = new JsonObject();
         message.addProperty("t", "content");
-        message.addProperty("for", who);
+        message.addProperty("for", processId);
         message.addProperty("number", number);
         message.addProperty("policy", text);
-        if (who.equals(fleet.self().who())) {
+        if (processId.equals(fleet.self().who())) {
             policy.content(message);
-        } else if (routes.containsKey(who)) {
+        } else if (routes.containsKey(processId)) {
             counters.add("policy.contents_sent");
-            routes.get(who).send(message);
+            routes.get(processId).send(message);
         }
     }
 
-    void tell(String who, long at) {
-        Grant grant = lead == null ? null : lead.grant(policy.now(), who);
-        Peer route = routes.get(who);
-        if (who.equals(fleet.self().who())) {
+    void sendGrant(String processId, long renewalSentAt) {
+        Grant grant = state == null ? null : state.grant(policy.now(), processId);
+        Peer route = routes.get(processId);
+        if (processId.equals(fleet.self().who())) {
             policy.renewNow();
         } else if (grant != null && route != null) {
-            JsonObject message = Words.grant(grant, who, fleet.self().name(), at, voterNames);
-            message.addProperty("trial", trial.isOn());
-            riders.word(message, who, at < 0);
+            JsonObject message =
+                    PolicyMessages.grant(grant, processId, fleet.self().name(), renewalSentAt, voterNames);
+            message.addProperty("trial", trial.isEnabled());
+            extensions.addGrantData(message, processId, renewalSentAt < 0);
             route.send(message);
         }
     }
 
     /** All schedulers hear how things stand, and the content of what is to be decided. */
-    private void tellAll(long opened) {
-        for (String who : List.copyOf(routes.keySet())) {
-            if (opened > 0) {
-                content(who, opened);
+    private void broadcast(long openNumber) {
+        for (String processId : List.copyOf(routes.keySet())) {
+            if (openNumber > 0) {
+                sendContent(processId, openNumber);
             }
-            tell(who, -1);
+            sendGrant(processId, -1);
         }
         policy.renewNow();
     }
@@ -341,25 +346,25 @@
     // ---- what follows ----
 
     private void step() {
-        if (lead == null) {
+        if (state == null) {
             return;
         }
-        Step step = lead.step(policy.now());
+        Step step = state.step(policy.now());
         switch (step.operation()) {
-            case APPLY -> ask(Ledger.apply(step.name(), System.currentTimeMillis()));
-            case ABANDON -> ask(Ledger.abandon(step.name(), step.reasons(), System.currentTimeMillis()));
+            case APPLY -> replicateDecision(Ledger.apply(step.name(), System.currentTimeMillis()));
+            case ABANDON -> replicateDecision(Ledger.abandon(step.name(), step.reasons(), System.currentTimeMillis()));
             default -> {}
         }
         if (step.broadcast()) {
-            tellAll(0);
+            broadcast(0);
         }
-        long next = lead.nextCheckAt(policy.now());
+        long next = state.nextCheckAt(policy.now());
         if (next == Long.MAX_VALUE) {
-            loop.deadlines().cancel(look);
+            loop.deadlines().cancel(stepTimer);
         } else {
-            loop.deadlines().set(look, loop.micros() + Math.max(1, next - policy.now()));
+            loop.deadlines().set(stepTimer, loop.micros() + Math.max(1, next - policy.now()));
         }
-        takeBack();
+        rollBackIfWorse();
     }
 
     /** Puts an operation of another part into the log, and has the state confirmed again. */
@@ -370,29 +375,29 @@
         });
     }
 
-    private void ask(JsonObject operation) {
-        LeaderState of = lead;
+    private void replicateDecision(JsonObject operation) {
+        LeaderState requester = state;
         voting.replicate(operation, answer -> {
-            if (lead == of && answer == null) {
+            if (state == requester && answer == null) {
                 // Whether it is in the log is not known: the next look tells, and asking twice does no harm.
-                of.onDecisionFailed();
+                requester.onDecisionFailed();
             }
             confirm();
         });
     }
 
-    private void takeBack() {
-        JsonObject worse = view == null || lead == null ? null : trial.look(policy.now());
-        if (worse != null) {
+    private void rollBackIfWorse() {
+        JsonObject rollback = view == null || state == null ? null : trial.check(policy.now());
+        if (rollback != null) {
             counters.add("policy.taken_back");
             LOG.warn(
                     "policy: {} is taken back: {}",
-                    worse.get("of").getAsString(),
-                    worse.get("why").getAsString());
+                    rollback.get("of").getAsString(),
+                    rollback.get("why").getAsString());
             propose(
-                    worse.get("name").getAsString(),
-                    worse.getAsJsonObject("types"),
-                    "the trial: " + worse.get("why").getAsString(),
+                    rollback.get("name").getAsString(),
+                    rollback.getAsJsonObject("types"),
+                    "the trial: " + rollback.get("why").getAsString(),
                     answer -> {});
         }
     }
@@ -412,48 +417,48 @@
      *
      * @param anew true if it is one that was a voter
      */
-    void takeIn(String name, boolean anew, Consumer<String> then) {
-        String mark = group.mark(name);
-        boolean known = named(name) != null;
-        if (anew && !known && !config.voters.contains(name)) {
+    void addVoter(String name, boolean replacing, Consumer<String> then) {
+        String storeId = group.mark(name);
+        boolean known = voterNamed(name) != null;
+        if (replacing && !known && !config.voters.contains(name)) {
             then.accept("'" + name + "' is no voter; those are " + voters);
-        } else if (!anew && known && !voters.contains(mark)) {
+        } else if (!replacing && known && !voters.contains(storeId)) {
             then.accept("'" + name + "' is a voter already, and has another store: --replace takes that in");
-        } else if (!anew && !known && voters.size() >= PolicyConfig.MOST_VOTERS) {
+        } else if (!replacing && !known && voters.size() >= PolicyConfig.MAX_VOTERS) {
             then.accept(voters.size() + " vote already; take one out first");
-        } else if (mark != null && voters.contains(mark)) {
+        } else if (storeId != null && voters.contains(storeId)) {
             then.accept(name + " votes with this store already");
         } else if (!group.dial(name)) {
             then.accept("[fleet.peers] does not say here where '" + name + "' is");
-        } else if (mark == null || fleet.peer(name) == null) {
-            then.accept(name + " can't be reached from here yet, or has no 'dir' for votes" + ASK_AGAIN);
-        } else if (!group.isEmpty(name) && !mark.equals(invited)) {
+        } else if (storeId == null || fleet.peer(name) == null) {
+            then.accept(name + " can't be reached from here yet, or has no 'dir' for votes" + RETRY_SUFFIX);
+        } else if (!group.isEmpty(name) && !storeId.equals(invitedStore)) {
             then.accept(name + "'s store has voted before: empty its 'dir' and start it anew");
         } else if (!group.invite(name)) {
             then.accept(name + " can't be reached from here");
         } else {
-            invited = mark;
-            voting.takeIn(VoterId.parse(mark), then);
+            invitedStore = storeId;
+            voting.takeIn(VoterId.parse(storeId), then);
         }
     }
 
     /** Takes a voter out; tells null, or why it was not done. */
-    void takeOut(String name, Consumer<String> then) {
-        String id = named(name);
+    void removeVoter(String name, Consumer<String> then) {
+        String id = voterNamed(name);
         if (id == null) {
             then.accept("'" + name + "' is no voter; those are " + voters);
         } else if (voters.size() == 1) {
             then.accept("'" + name + "' is the only voter: take another in first");
         } else if (id.equals(voting.self().text())) {
             voting.stepDown();
-            then.accept(name + " leads, and hands over now" + ASK_AGAIN);
+            then.accept(name + " leads, and hands over now" + RETRY_SUFFIX);
         } else {
             voting.takeOut(VoterId.parse(id), then);
         }
     }
 
     /** The voter of that name, with its store, or null. */
-    private String named(String name) {
+    private String voterNamed(String name) {
         return voters.stream()
                 .filter(id -> VoterId.parse(id).name().equals(name))
                 .findFirst()
@@ -461,11 +466,11 @@
     }
 
     /** Reads the state as a majority holds it; null where it is not known. */
-    void read(Voting.Look what, Consumer<Object> then) {
-        if (lead == null) {
+    void read(Voting.Look query, Consumer<Object> then) {
+        if (state == null) {
             then.accept(null);
         } else {
-            voting.look(lead.term(), what, then);
+            voting.look(state.term(), query, then);
         }
     }
 
@@ -474,44 +479,44 @@
         return leader.isEmpty() ? policy.leader() : leader;
     }
 
-    void report(JsonObject all) {
-        JsonObject own = new JsonObject();
-        own.addProperty("store", voting.self().text());
-        own.addProperty("votes", voting.isBegun() && !stopped);
-        own.addProperty("lost", group.isLost());
-        own.addProperty("candidate", group.isCandidate());
-        own.addProperty("removed", group.isRemoved());
+    void addReport(JsonObject report) {
+        JsonObject voter = new JsonObject();
+        voter.addProperty("store", voting.self().text());
+        voter.addProperty("votes", voting.isBegun() && !stopped);
+        voter.addProperty("lost", group.isLost());
+        voter.addProperty("candidate", group.isCandidate());
+        voter.addProperty("removed", group.isRemoved());
         JsonArray names = new JsonArray();
         voters.forEach(names::add);
-        own.add("voters", names);
-        own.addProperty("term", term);
-        all.add("voter", own);
-        if (lead == null || view == null) {
+        voter.add("voters", names);
+        voter.addProperty("term", term);
+        report.add("voter", voter);
+        if (state == null || view == null) {
             return;
         }
-        JsonObject leads = new JsonObject();
-        leads.addProperty("in_force", view.inForce());
-        leads.addProperty("digest", view.digest());
+        JsonObject leadership = new JsonObject();
+        leadership.addProperty("in_force", view.inForce());
+        leadership.addProperty("digest", view.digest());
         if (view.open() != null) {
-            leads.add("open", view.open().toJson(false));
-            JsonArray waits = new JsonArray();
+            leadership.add("open", view.open().toJson(false));
+            JsonArray awaited = new JsonArray();
             // What the view has on them explains; the lease alone decides.
-            lead.awaitedSchedulers(policy.now()).forEach(who -> {
-                String known = fleet.described(who.substring(0, Math.max(0, who.lastIndexOf('#'))));
-                waits.add(known.isEmpty() ? who : who + " (" + known + ")");
+            state.awaitedSchedulers(policy.now()).forEach(processId -> {
+                String described = fleet.described(processId.substring(0, Math.max(0, processId.lastIndexOf('#'))));
+                awaited.add(described.isEmpty() ? processId : processId + " (" + described + ")");
             });
-            leads.add("waits_for", waits);
+            leadership.add("waits_for", awaited);
         }
         JsonArray schedulers = new JsonArray();
-        lead.schedulerStatuses(policy.now()).forEach(one -> {
-            JsonObject known = new JsonObject();
-            known.addProperty("who", one.processId());
-            known.addProperty("policy", one.activePolicy());
-            known.addProperty("heard_ms", one.lastRenewalMs());
-            known.addProperty("lease_ms", one.leaseMs());
-            schedulers.add(known);
+        state.schedulerStatuses(policy.now()).forEach(status -> {
+            JsonObject scheduler = new JsonObject();
+            scheduler.addProperty("who", status.processId());
+            scheduler.addProperty("policy", status.activePolicy());
+            scheduler.addProperty("heard_ms", status.lastRenewalMs());
+            scheduler.addProperty("lease_ms", status.leaseMs());
+            schedulers.add(scheduler);
         });
-        leads.add("schedulers", schedulers);
-        all.add("leads", leads);
+        leadership.add("schedulers", schedulers);
+        report.add("leads", leadership);
     }
 }
--- a/src/main/java/laneflow/policy/LeaseGate.java
+++ b/src/main/java/laneflow/policy/LeaseGate.java
@@ -26,35 +26,35 @@
  */
 final class LeaseGate implements AdmissionGate {
     private static final Logger LOG = LoggerFactory.getLogger(LeaseGate.class);
-    private static final int MOST_STAMPS = 64;
-    private static final double COME_BACK_PART = 0.1;
+    private static final int MAX_EPOCHS_KEPT = 64;
+    private static final double RETRY_AFTER_LEASE_SHARE = 0.1;
 
     /**
      * What the control thread publishes.
      *
      * @param ready what was read and found sound of the policies that the leave names
      */
-    record Published(LeaseSnapshot leave, Map<Long, PolicyTypes.Prepared> ready) {}
+    record Published(LeaseSnapshot lease, Map<Long, PolicyTypes.Prepared> prepared) {}
 
     /** Told, on the traffic's thread, of what was adopted and what of it waits for a restart. */
-    interface Adopted {
-        void adopted(long number, List<String> waitsForRestart);
+    interface AdoptionListener {
+        void onAdopted(long number, List<String> waitsForRestart);
     }
 
     private final Loop traffic;
-    private final IntSupplier retuned;
+    private final IntSupplier settingsChanged;
     private final Counters counters;
-    private final boolean servesCutOff;
-    private final double comeBack;
+    private final boolean servesWithoutLease;
+    private final double retryAfterSeconds;
     private final LongSupplier clock;
-    private final Adopted news;
-    private final Deadline begin;
-    private final TreeMap<Integer, Long> stamps = new TreeMap<>();
+    private final AdoptionListener listener;
+    private final Deadline switchTimer;
+    private final TreeMap<Integer, Long> policyByEpoch = new TreeMap<>();
     private volatile Published published = new Published(LeaseSnapshot.NONE, Map.of());
     /** The policy that was adopted last, -1 before the first; written on the traffic's thread only. */
-    private volatile long begun = -1;
+    private volatile long adoptedPolicy = -1;
 
-    private boolean left;
+    private boolean stopped;
     private long lastDecidedNs;
 
     /**
@@ -66,141 +66,141 @@
     LeaseGate(
             Loop traffic,
             Counters counters,
-            IntSupplier retuned,
+            IntSupplier settingsChanged,
             PolicyConfig config,
             LongSupplier clock,
-            Adopted news) {
+            AdoptionListener listener) {
         this.traffic = traffic;
         this.counters = counters;
-        this.retuned = retuned;
+        this.settingsChanged = settingsChanged;
         this.clock = clock;
-        this.news = news;
-        servesCutOff = config.servesWithoutLease;
-        comeBack = config.leaseMicros / 1e6 * COME_BACK_PART;
-        begin = traffic.deadlines().create(this::look);
+        this.listener = listener;
+        servesWithoutLease = config.servesWithoutLease;
+        retryAfterSeconds = config.leaseMicros / 1e6 * RETRY_AFTER_LEASE_SHARE;
+        switchTimer = traffic.deadlines().create(this::switchIfDue);
     }
 
     /** On the control thread: from its return on nothing is decided by what was published before. */
-    void publish(Published now) {
-        published = now;
-        if (now.leave().next() >= 0 || now.leave().current() != begun) {
+    void publish(Published next) {
+        published = next;
+        if (next.lease().next() >= 0 || next.lease().current() != adoptedPolicy) {
             // Begun with also where nobody asks, and where an earlier grant had run out before it was read. A
             // renewal of what has begun wakes nobody.
             try {
-                traffic.later(this::look);
+                traffic.later(this::switchIfDue);
             } catch (RejectedExecutionException e) {
                 LOG.debug("nobody takes requests any more");
             }
         }
     }
 
-    private void look() {
-        settle();
-        if (!left && isAboutToBegin()) {
-            traffic.deadlines().set(begin, traffic.micros() + untilNext());
+    private void switchIfDue() {
+        currentPolicy();
+        if (!stopped && isSwitchPending()) {
+            traffic.deadlines().set(switchTimer, traffic.micros() + microsToSwitch());
         }
     }
 
-    private boolean isAboutToBegin() {
-        LeaseSnapshot leave = published.leave();
-        return leave.next() >= 0 && leave.next() != begun;
+    private boolean isSwitchPending() {
+        LeaseSnapshot lease = published.lease();
+        return lease.next() >= 0 && lease.next() != adoptedPolicy;
     }
 
     @Override
     public boolean mayDecide() {
-        boolean may = settle() >= 0;
-        if (!may && servesCutOff) {
+        boolean may = currentPolicy() >= 0;
+        if (!may && servesWithoutLease) {
             counters.add("policy.decided_without_lease");
         }
-        if (may || servesCutOff) {
+        if (may || servesWithoutLease) {
             lastDecidedNs = System.nanoTime();
         }
-        return may || servesCutOff;
+        return may || servesWithoutLease;
     }
 
     /** Whether clients may be asked for. */
     boolean isReady() {
-        return !left && (servesCutOff || settle() >= 0);
+        return !stopped && (servesWithoutLease || currentPolicy() >= 0);
     }
 
     @Override
     public long decidesWithin() {
-        return left || !isAboutToBegin() ? Long.MAX_VALUE : untilNext();
+        return stopped || !isSwitchPending() ? Long.MAX_VALUE : microsToSwitch();
     }
 
     /** From the turn's instant on, which deadlines are set by and which lags behind now. */
-    private long untilNext() {
+    private long microsToSwitch() {
         return traffic.fresh()
                 - traffic.micros()
-                + Math.max(0, published.leave().nextStart() - clock.getAsLong())
+                + Math.max(0, published.lease().nextStart() - clock.getAsLong())
                 + 1;
     }
 
     @Override
     public double comeBack() {
-        return comeBack;
+        return retryAfterSeconds;
     }
 
     /** Begins with what is due; returns the policy by which it may decide now, or -1. */
-    private long settle() {
+    private long currentPolicy() {
         // Read anew for each request: a process that was stopped amid a turn wakes with the turn's old time.
         long now = clock.getAsLong();
         // The other way round, what was published between the two would be passed over at an instant at
         // which the control thread has said already that it is obeyed.
         VarHandle.fullFence();
-        Published holds = published;
-        long number = left ? -1 : holds.leave().policyAt(now);
-        if (number >= 0 && number != begun && !adopt(number, holds, now)) {
+        Published snapshot = published;
+        long number = stopped ? -1 : snapshot.lease().policyAt(now);
+        if (number >= 0 && number != adoptedPolicy && !adopt(number, snapshot, now)) {
             return -1;
         }
         return number;
     }
 
     /** All of it in this turn: requests that come see the new one, those that are open keep theirs. */
-    private boolean adopt(long number, Published holds, long now) {
-        PolicyTypes.Prepared next = holds.ready().get(number);
+    private boolean adopt(long number, Published snapshot, long now) {
+        PolicyTypes.Prepared next = snapshot.prepared().get(number);
         if (next == null) {
             // No leader grants what was not said to be ready; deciding by another would be worse than not.
             counters.add("policy.granted_unready");
             return false;
         }
-        long from = System.nanoTime();
-        long before = begun;
-        List<String> waits = next.adopt();
-        begun = number;
-        stamps.put(retuned.getAsInt(), number);
-        if (stamps.size() > MOST_STAMPS) {
-            stamps.pollFirstEntry();
+        long startNs = System.nanoTime();
+        long before = adoptedPolicy;
+        List<String> waitsForRestart = next.adopt();
+        adoptedPolicy = number;
+        policyByEpoch.put(settingsChanged.getAsInt(), number);
+        if (policyByEpoch.size() > MAX_EPOCHS_KEPT) {
+            policyByEpoch.pollFirstEntry();
         }
         counters.add("policy.begun");
-        long fence = before >= 0 ? holds.leave().fence(now) : 0;
+        long fence = before >= 0 ? snapshot.lease().fence(now) : 0;
         counters.set("policy.fence_most_us", Math.max(fence, counters.get("policy.fence_most_us")));
         LOG.info(
                 "policy begins number={} before={} last_decided_ns={} began_ns={} fence_us={} took_us={}",
                 number,
                 Math.max(0, before),
                 lastDecidedNs,
-                from,
+                startNs,
                 fence,
-                (System.nanoTime() - from) / 1000);
-        news.adopted(number, waits);
+                (System.nanoTime() - startNs) / 1000);
+        listener.onAdopted(number, waitsForRestart);
         return true;
     }
 
     /** The policy that was adopted last; 0: the file's own. */
-    long number() {
-        return Math.max(0, begun);
+    long policyNumber() {
+        return Math.max(0, adoptedPolicy);
     }
 
     /** The policy that requests of that epoch came under, for answers; empty where none has begun. */
-    String stamp(int epoch) {
-        Map.Entry<Integer, Long> at = stamps.floorEntry(epoch);
+    String versionOfEpoch(int epoch) {
+        Map.Entry<Integer, Long> at = policyByEpoch.floorEntry(epoch);
         return at == null ? "" : "policy=" + at.getValue();
     }
 
     /** It decides no more. */
-    void leave() {
-        left = true;
-        traffic.deadlines().cancel(begin);
+    void stop() {
+        stopped = true;
+        traffic.deadlines().cancel(switchTimer);
     }
 }
--- a/src/main/java/laneflow/policy/Policy.java
+++ b/src/main/java/laneflow/policy/Policy.java
@@ -151,7 +151,7 @@
     /** From now on that rides on renewals; before {@link #begin}. */
     void carry(RenewalExtensions with) {
         riders = with;
-        with.ride(new RenewalExtension.Context() {
+        with.start(new RenewalExtension.Context() {
             @Override
             public long now() {
                 return Policy.this.now();
@@ -164,7 +164,7 @@
 
             @Override
             public boolean isLeader() {
-                return leadership != null && leadership.leads();
+                return leadership != null && leadership.isLeader();
             }
 
             @Override
@@ -178,7 +178,7 @@
 
             @Override
             public void sendGrant(String who) {
-                leadership.tell(who, -1);
+                leadership.sendGrant(who, -1);
             }
 
             @Override
@@ -273,29 +273,29 @@
                         loop.micros() + every * 17 / 20,
                         loop.micros() + every * 9 / 10 + random.nextLong(1 + every / 10));
         tellLoss();
-        if (leadership != null && leadership.leads()) {
+        if (leadership != null && leadership.isLeader()) {
             leader = fleet.self().name();
             unanswered = 0;
             // Its stamp lies between these two readings, however long the process stood still meanwhile.
             long asked = now();
-            if (leadership.tries()) {
+            if (leadership.needsTallies()) {
                 tally.run();
             }
-            Grant own = leadership.renewed(renewalOf(), tallies);
+            Grant own = leadership.onRenewal(renewalOf(), tallies);
             if (own != null) {
                 take(own, asked, now());
             }
-            leadership.ride(asked);
+            leadership.renewExtensions(asked);
             return;
         }
         Peer to = whom();
         if (to != null) {
             unanswered++;
-            JsonObject message = Words.renewal(renewalOf());
+            JsonObject message = PolicyMessages.renewal(renewalOf());
             message.addProperty("who", fleet.self().who());
             message.addProperty("at", now());
             message.add("tallies", tallies);
-            riders.say(message);
+            riders.addRenewalData(message);
             to.send(message);
         }
     }
@@ -355,7 +355,7 @@
     private void granted(Peer from, JsonObject message) {
         if (!message.get("for").getAsString().equals(fleet.self().who())) {
             if (leadership != null) {
-                leadership.passBack(message);
+                leadership.forwardToScheduler(message);
             }
             return;
         }
@@ -365,7 +365,7 @@
             unanswered = 0;
             lastRoundTrip = now - at;
         }
-        Grant grant = Words.grant(message);
+        Grant grant = PolicyMessages.grant(message);
         if (grant.term() >= lease.term()) {
             leader = message.get("leader").getAsString();
             voters(message.get("voters"));
@@ -375,7 +375,7 @@
         if (at >= 0 && (!message.has("trial") || message.get("trial").getAsBoolean())) {
             tally.run();
         }
-        riders.told(message, at, now);
+        riders.onGrant(message, at, now);
         if (at < 0) {
             // It waits to hear that this is obeyed.
             renewNow();
@@ -420,8 +420,8 @@
         message.addProperty("who", fleet.self().who());
         message.addProperty("number", number);
         Peer to = whom();
-        if (leadership != null && leadership.leads()) {
-            leadership.wanted(null, message);
+        if (leadership != null && leadership.isLeader()) {
+            leadership.onContentRequest(null, message);
         } else if (to != null) {
             to.send(message);
         }
@@ -438,7 +438,7 @@
         if (message.has("for")
                 && !message.get("for").getAsString().equals(fleet.self().who())) {
             if (leadership != null) {
-                leadership.passBack(message);
+                leadership.forwardToScheduler(message);
             }
             return;
         }
@@ -489,8 +489,8 @@
         }
         left = true;
         loop.deadlines().cancel(renewal);
-        if (leadership != null && leadership.leads()) {
-            leadership.left(fleet.self().who());
+        if (leadership != null && leadership.isLeader()) {
+            leadership.onSchedulerLeft(fleet.self().who());
             return;
         }
         JsonObject message = new JsonObject();
@@ -537,7 +537,7 @@
             all.add("turned_down", refused);
         }
         if (leadership != null) {
-            leadership.report(all);
+            leadership.addReport(all);
         }
         return all;
     }
--- a/src/main/java/laneflow/policy/PolicyConfig.java
+++ b/src/main/java/laneflow/policy/PolicyConfig.java
@@ -8,7 +8,7 @@
 
 /** What the operators set for changes of policy over the whole fleet: the table {@code [policy]}. */
 public final class PolicyConfig {
-    static final int MOST_VOTERS = 7;
+    static final int MAX_VOTERS = 7;
 
     /** Those that decide on changes from the beginning on, the same at all schedulers; others by order. */
     public final List<String> voters;
@@ -29,7 +29,7 @@
 
     private PolicyConfig(Table from, FleetConfig fleet) {
         voters = from.texts("voters");
-        if (voters.isEmpty() || voters.size() > MOST_VOTERS || voters.size() % 2 == 0) {
+        if (voters.isEmpty() || voters.size() > MAX_VOTERS || voters.size() % 2 == 0) {
             from.wrong("voters", "names " + voters.size() + " schedulers: 1, 3, 5 or 7 decide together");
         }
         if (new HashSet<>(voters).size() < voters.size()) {
--- /dev/null
+++ b/src/main/java/laneflow/policy/PolicyMessages.java
@@ -0,0 +1,80 @@
+package laneflow.policy;
+
+import com.google.gson.JsonArray;
+import com.google.gson.JsonObject;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import laneflow.policy.decision.Grant;
+import laneflow.policy.decision.Renewal;
+
+/** Renewals and grants as they go over the fleet's link. */
+final class PolicyMessages {
+    private PolicyMessages() {}
+
+    static JsonObject renewal(Renewal renewal) {
+        JsonObject message = new JsonObject();
+        message.addProperty("t", "renew");
+        message.addProperty("term", renewal.grantTerm());
+        message.addProperty("seq", renewal.grantSeq());
+        message.addProperty("begun", renewal.activePolicy());
+        JsonArray ready = new JsonArray();
+        renewal.ready().forEach(ready::add);
+        message.add("ready", ready);
+        message.addProperty("refused", renewal.refused());
+        JsonArray reasons = new JsonArray();
+        renewal.reasons().forEach(reasons::add);
+        message.add("reasons", reasons);
+        message.addProperty("round_trip", renewal.roundTrip());
+        return message;
+    }
+
+    static Renewal renewal(JsonObject message) {
+        Set<Long> ready = new HashSet<>();
+        message.getAsJsonArray("ready").forEach(element -> ready.add(element.getAsLong()));
+        List<String> reasons = new ArrayList<>();
+        message.getAsJsonArray("reasons").forEach(element -> reasons.add(element.getAsString()));
+        return new Renewal(
+                message.get("term").getAsInt(),
+                message.get("seq").getAsLong(),
+                message.get("begun").getAsLong(),
+                ready,
+                message.get("refused").getAsLong(),
+                reasons,
+                message.get("round_trip").getAsLong());
+    }
+
+    /**
+     * @param who the process that it is for
+     * @param at that process's instant of the renewal that this answers, or -1
+     * @param voters the names of those that vote now
+     */
+    static JsonObject grant(Grant grant, String processId, String leader, long renewalSentAt, JsonArray voters) {
+        JsonObject message = new JsonObject();
+        message.addProperty("t", "grant");
+        message.addProperty("for", processId);
+        message.addProperty("leader", leader);
+        message.addProperty("at", renewalSentAt);
+        message.addProperty("term", grant.term());
+        message.addProperty("seq", grant.seq());
+        message.addProperty("now", grant.leaderNow());
+        message.addProperty("number", grant.number());
+        message.addProperty("from", grant.from());
+        message.addProperty("until", grant.until());
+        message.addProperty("open", grant.open());
+        message.add("voters", voters);
+        return message;
+    }
+
+    static Grant grant(JsonObject message) {
+        return new Grant(
+                message.get("term").getAsInt(),
+                message.get("seq").getAsLong(),
+                message.get("now").getAsLong(),
+                message.get("number").getAsLong(),
+                message.get("from").getAsLong(),
+                message.get("until").getAsLong(),
+                message.get("open").getAsLong());
+    }
+}
--- a/src/main/java/laneflow/policy/PolicyPort.java
+++ b/src/main/java/laneflow/policy/PolicyPort.java
@@ -71,7 +71,7 @@
     }
 
     private void atLeader(String path, Answer answer, Runnable then) {
-        if (leadership != null && leadership.leads()) {
+        if (leadership != null && leadership.isLeader()) {
             then.run();
             return;
         }
@@ -130,14 +130,14 @@
             if (why == null) {
                 answer.say(200, JSON, "", asked + "\n");
             } else {
-                boolean again = why.endsWith(Leadership.ASK_AGAIN);
+                boolean again = why.endsWith(Leadership.RETRY_SUFFIX);
                 answer.say(again ? 503 : 409, TEXT, again ? "Retry-After: 1\r\n" : "", why + "\n");
             }
         };
         if (order.equals("remove")) {
-            leadership.takeOut(name.getAsString(), then);
+            leadership.removeVoter(name.getAsString(), then);
         } else {
-            leadership.takeIn(name.getAsString(), order.equals("replace"), then);
+            leadership.addVoter(name.getAsString(), order.equals("replace"), then);
         }
     }
 
--- a/src/main/java/laneflow/policy/PolicySubsystem.java
+++ b/src/main/java/laneflow/policy/PolicySubsystem.java
@@ -203,17 +203,17 @@
                 new Voting.News() {
                     @Override
                     public void role(int term, boolean leads, String leader, Set<String> voters) {
-                        leadership[0].role(term, leads, leader, voters);
+                        leadership[0].onRole(term, leads, leader, voters);
                     }
 
                     @Override
                     public void stopped(String why) {
-                        leadership[0].stopped(why);
+                        leadership[0].onStopped(why);
                     }
 
                     @Override
                     public void takenOut() {
-                        leadership[0].takenOut();
+                        leadership[0].onRemoved();
                     }
                 });
         group[0] = new VoterGroup(loop, given.fleet(), given.config(), given.counters(), voting);
@@ -248,12 +248,12 @@
 
     /** The policy that is in force here; on the traffic's thread. */
     public long policyNumber() {
-        return gate.number();
+        return gate.policyNumber();
     }
 
     /** The policy that requests of that epoch came under, for answers; on the traffic's thread. */
-    public String stamp(int epoch) {
-        return gate.stamp(epoch);
+    public String versionOfEpoch(int epoch) {
+        return gate.versionOfEpoch(epoch);
     }
 
     /**
@@ -261,7 +261,7 @@
      * lease. On any thread but these two.
      */
     public void stopDeciding() throws InterruptedException {
-        traffic.call(gate::leave);
+        traffic.call(gate::stop);
         loop.call(policy::leave);
     }
 
--- a/src/main/java/laneflow/policy/PolicyTypes.java
+++ b/src/main/java/laneflow/policy/PolicyTypes.java
@@ -12,12 +12,12 @@
 /** The types that a policy may hold at this scheduler, and its reading of a whole policy. */
 public final class PolicyTypes {
     private final Map<String, ResourceType> types = new LinkedHashMap<>();
-    private final Map<String, String> fixed;
+    private final Map<String, String> fixedTypes;
 
     /** @param fixed types that something else decides here, and what does */
-    public PolicyTypes(List<ResourceType> types, Map<String, String> fixed) {
+    public PolicyTypes(List<ResourceType> types, Map<String, String> fixedTypes) {
         types.forEach(type -> this.types.put(type.name(), type));
-        this.fixed = fixed;
+        this.fixedTypes = fixedTypes;
     }
 
     /**
@@ -37,9 +37,9 @@
 
         /** On the loop's thread, within a turn; returns what of it waits for a restart. */
         List<String> adopt() {
-            List<String> later = new ArrayList<>();
-            readings.forEach(reading -> later.addAll(reading.adopt()));
-            return later;
+            List<String> waitsForRestart = new ArrayList<>();
+            readings.forEach(reading -> waitsForRestart.addAll(reading.adopt()));
+            return waitsForRestart;
         }
     }
 
@@ -55,7 +55,7 @@
         for (String name : policy.keySet()) {
             if (!types.containsKey(name)) {
                 findings.add(name + ": "
-                        + fixed.getOrDefault(
+                        + fixedTypes.getOrDefault(
                                 name, "is no type that is taken here; taken are " + String.join(", ", types.keySet())));
             }
         }
@@ -72,7 +72,7 @@
     private static ResourceType.Reading read(ResourceType type, JsonElement resources, List<String> findings) {
         try {
             ResourceType.Reading reading = type.read((JsonArray) resources);
-            reading.findings.forEach(one -> findings.add(type.name() + ": " + one));
+            reading.findings.forEach(finding -> findings.add(type.name() + ": " + finding));
             return reading;
         } catch (RuntimeException | StackOverflowError e) {
             // A reader's fault must end in an answer: without one, the fleet would wait.
--- a/src/main/java/laneflow/policy/RenewalExtension.java
+++ b/src/main/java/laneflow/policy/RenewalExtension.java
@@ -24,7 +24,7 @@
         void read(String part, Consumer<Object> then);
 
         /** At a leader: that process is told how things stand, unasked. */
-        void sendGrant(String who);
+        void sendGrant(String processId);
 
         /** Something has changed: the next renewal goes out at once. */
         void renewNow();
@@ -40,7 +40,7 @@
     String ledgerPart();
 
     /** It can begin. */
-    void start(Context by);
+    void start(Context context);
 
     // ---- at a scheduler ----
 
@@ -48,7 +48,7 @@
     JsonElement renewalData();
 
     /** The leader's word; it answers what was sent at that instant, or nothing: negative. */
-    void onGrant(JsonElement word, long sentAt, long heardAt);
+    void onGrant(JsonElement grantData, long sentAt, long heardAt);
 
     // ---- at the leader ----
 
@@ -60,10 +60,10 @@
     /** A majority has confirmed it, with its part of the ledger as it stood then. */
     void onConfirmed(long submittedAt, Object part);
 
-    void onRenewal(String who, JsonElement said);
+    void onRenewal(String processId, JsonElement renewalData);
 
     /** What a process is told; null: nothing. */
-    JsonElement grantData(String who, boolean unasked);
+    JsonElement grantData(String processId, boolean unsolicited);
 
-    void onSchedulerLeft(String who);
+    void onSchedulerLeft(String processId);
 }
--- a/src/main/java/laneflow/policy/RenewalExtensions.java
+++ b/src/main/java/laneflow/policy/RenewalExtensions.java
@@ -11,93 +11,93 @@
 /** All that rides on renewals and grants, as one: each has a field of its own in the messages. */
 final class RenewalExtensions {
     /** Of the first that rode, by which builds before this one know it. */
-    private static final String FIRST = "rider";
+    private static final String FIRST_FIELD = "rider";
 
-    private final List<RenewalExtension> all;
+    private final List<RenewalExtension> extensions;
 
-    RenewalExtensions(List<RenewalExtension> all) {
-        this.all = List.copyOf(all);
+    RenewalExtensions(List<RenewalExtension> extensions) {
+        this.extensions = List.copyOf(extensions);
     }
 
-    private String field(RenewalExtension one) {
-        return one == all.get(0) ? FIRST : FIRST + "-" + one.ledgerPart();
+    private String field(RenewalExtension extension) {
+        return extension == extensions.get(0) ? FIRST_FIELD : FIRST_FIELD + "-" + extension.ledgerPart();
     }
 
-    void ride(RenewalExtension.Context by) {
-        all.forEach(one -> one.start(by));
+    void start(RenewalExtension.Context context) {
+        extensions.forEach(extension -> extension.start(context));
     }
 
     // ---- at a scheduler ----
 
-    void say(JsonObject renewal) {
-        for (RenewalExtension one : all) {
-            add(renewal, one, one.renewalData());
+    void addRenewalData(JsonObject renewal) {
+        for (RenewalExtension extension : extensions) {
+            add(renewal, extension, extension.renewalData());
         }
     }
 
-    void told(JsonObject grant, long sentAt, long heardAt) {
-        for (RenewalExtension one : all) {
-            if (grant.has(field(one))) {
-                one.onGrant(grant.get(field(one)), sentAt, heardAt);
+    void onGrant(JsonObject grant, long sentAt, long heardAt) {
+        for (RenewalExtension extension : extensions) {
+            if (grant.has(field(extension))) {
+                extension.onGrant(grant.get(field(extension)), sentAt, heardAt);
             }
         }
     }
 
     // ---- at the leader ----
 
-    void leads(int term) {
-        all.forEach(one -> one.onElected(term));
+    void onElected(int term) {
+        extensions.forEach(extension -> extension.onElected(term));
     }
 
-    void leadsNoMore() {
-        all.forEach(RenewalExtension::onLeadershipLost);
+    void onLeadershipLost() {
+        extensions.forEach(RenewalExtension::onLeadershipLost);
     }
 
     /** What stands in the ledger for each, by its part's name. */
-    Map<String, Object> parts(Ledger ledger) {
+    Map<String, Object> partViews(Ledger ledger) {
         Map<String, Object> parts = new HashMap<>();
-        all.forEach(one -> parts.put(one.ledgerPart(), ledger.partView(one.ledgerPart())));
+        extensions.forEach(extension -> parts.put(extension.ledgerPart(), ledger.partView(extension.ledgerPart())));
         return parts;
     }
 
-    void confirmed(long submittedAt, Map<String, Object> parts) {
-        all.forEach(one -> one.onConfirmed(submittedAt, parts.get(one.ledgerPart())));
+    void onConfirmed(long submittedAt, Map<String, Object> parts) {
+        extensions.forEach(extension -> extension.onConfirmed(submittedAt, parts.get(extension.ledgerPart())));
     }
 
-    void heard(String who, JsonObject renewal) {
-        for (RenewalExtension one : all) {
-            if (renewal.has(field(one))) {
-                one.onRenewal(who, renewal.get(field(one)));
+    void onRenewal(String processId, JsonObject renewal) {
+        for (RenewalExtension extension : extensions) {
+            if (renewal.has(field(extension))) {
+                extension.onRenewal(processId, renewal.get(field(extension)));
             }
         }
     }
 
-    void word(JsonObject grant, String who, boolean unasked) {
-        for (RenewalExtension one : all) {
-            add(grant, one, one.grantData(who, unasked));
+    void addGrantData(JsonObject grant, String processId, boolean unsolicited) {
+        for (RenewalExtension extension : extensions) {
+            add(grant, extension, extension.grantData(processId, unsolicited));
         }
     }
 
-    private void add(JsonObject to, RenewalExtension one, JsonElement what) {
-        if (what != null) {
-            to.add(field(one), what);
+    private void add(JsonObject message, RenewalExtension extension, JsonElement data) {
+        if (data != null) {
+            message.add(field(extension), data);
         }
     }
 
-    void left(String who) {
-        all.forEach(one -> one.onSchedulerLeft(who));
+    void onSchedulerLeft(String processId) {
+        extensions.forEach(extension -> extension.onSchedulerLeft(processId));
     }
 
     /** This process's own renewal, asked at that instant, and the answer to it: no message is needed. */
-    void ride(String who, long asked, LongSupplier clock) {
-        for (RenewalExtension one : all) {
-            JsonElement said = one.renewalData();
-            if (said != null) {
-                one.onRenewal(who, said);
+    void renewLocally(String processId, long renewalSentAt, LongSupplier clock) {
+        for (RenewalExtension extension : extensions) {
+            JsonElement renewalData = extension.renewalData();
+            if (renewalData != null) {
+                extension.onRenewal(processId, renewalData);
             }
-            JsonElement word = one.grantData(who, false);
-            if (word != null) {
-                one.onGrant(word, asked, clock.getAsLong());
+            JsonElement grantData = extension.grantData(processId, false);
+            if (grantData != null) {
+                extension.onGrant(grantData, renewalSentAt, clock.getAsLong());
             }
         }
     }
--- a/src/test/java/laneflow/policy/LeaseGateTest.java
+++ b/src/test/java/laneflow/policy/LeaseGateTest.java
@@ -106,7 +106,7 @@
             now = 160;
             assertTrue(gate.mayDecide());
             assertEquals(List.of("adopt []", "told 0", "adopt [till-3]", "told 1"), events);
-            assertEquals(1, gate.number());
+            assertEquals(1, gate.policyNumber());
             assertEquals(10, counters.get("policy.fence_most_us"));
         });
     }
@@ -209,7 +209,7 @@
             assertEquals(1, counters.get("policy.granted_unready"));
             gate.publish(holds(1, 400, -1, 0, 0));
             assertTrue(gate.mayDecide());
-            gate.leave();
+            gate.stop();
             assertFalse(gate.mayDecide());
         });
     }
