--- a/src/main/java/laneflow/policy/Leadership.java
+++ b/src/main/java/laneflow/policy/Leadership.java
@@ -39,9 +39,9 @@
     private final Fleet fleet;
     private final PolicyConfig config;
     private final Counters counters;
-    private final Voting voting;
+    private final RaftVoter voter;
     private final VoterGroup group;
-    private final Policy policy;
+    private final PolicyAgent policy;
     private final FleetTrial trial;
     private final RenewalExtensions extensions;
     private final Deadline confirmTimer;
@@ -69,16 +69,16 @@
             Fleet fleet,
             PolicyConfig config,
             Counters counters,
-            Voting voting,
+            RaftVoter voter,
             VoterGroup group,
-            Policy policy,
+            PolicyAgent policy,
             FleetTrial trial,
             RenewalExtensions extensions) {
         this.loop = loop;
         this.fleet = fleet;
         this.config = config;
         this.counters = counters;
-        this.voting = voting;
+        this.voter = voter;
         this.group = group;
         this.policy = policy;
         this.trial = trial;
@@ -95,8 +95,8 @@
                 onSchedulerLeft(message.get("who").getAsString());
             }
         });
-        fleet.watch(peer -> group.linked(), peer -> {
-            group.linked();
+        fleet.watch(peer -> group.onLinksChanged(), peer -> {
+            group.onLinksChanged();
             routes.values().removeIf(route -> route == peer);
         });
     }
@@ -108,7 +108,7 @@
         voters = newVoters;
         voterNames = new JsonArray();
         newVoters.forEach(id -> voterNames.add(VoterId.parse(id).name()));
-        group.members(newVoters);
+        group.onVoters(newVoters);
         if (!newLeader.equals(leader)) {
             leader = newLeader;
             LOG.info("policy: term {}, led by {}", newTerm, newLeader.isEmpty() ? "nobody yet" : newLeader);
@@ -185,7 +185,7 @@
         confirming = true;
         LeaderState confirmed = state;
         long submittedAt = policy.now();
-        voting.look(
+        voter.query(
                 confirmed.term(), ledger -> new ConfirmedState(ledger.view(), extensions.partViews(ledger)), result -> {
                     confirming = false;
                     boolean again = confirmAgain;
@@ -311,7 +311,7 @@
         message.addProperty("number", number);
         message.addProperty("policy", text);
         if (processId.equals(fleet.self().who())) {
-            policy.content(message);
+            policy.onContent(message);
         } else if (routes.containsKey(processId)) {
             counters.add("policy.contents_sent");
             routes.get(processId).send(message);
@@ -369,7 +369,7 @@
 
     /** Puts an operation of another part into the log, and has the state confirmed again. */
     void replicate(JsonObject operation, Consumer<JsonObject> then) {
-        voting.replicate(operation, answer -> {
+        voter.replicate(operation, answer -> {
             then.accept(answer);
             confirm();
         });
@@ -377,7 +377,7 @@
 
     private void replicateDecision(JsonObject operation) {
         LeaderState requester = state;
-        voting.replicate(operation, answer -> {
+        voter.replicate(operation, answer -> {
             if (state == requester && answer == null) {
                 // Whether it is in the log is not known: the next look tells, and asking twice does no harm.
                 requester.onDecisionFailed();
@@ -406,7 +406,7 @@
 
     /** Proposes a change; the answer is the change as it stands, an error, or null: not known. */
     void propose(String name, JsonObject types, String by, Consumer<JsonObject> then) {
-        voting.replicate(Ledger.propose(name, types, by, System.currentTimeMillis()), answer -> {
+        voter.replicate(Ledger.propose(name, types, by, System.currentTimeMillis()), answer -> {
             confirm();
             then.accept(answer);
         });
@@ -418,7 +418,7 @@
      * @param anew true if it is one that was a voter
      */
     void addVoter(String name, boolean replacing, Consumer<String> then) {
-        String storeId = group.mark(name);
+        String storeId = group.storeId(name);
         boolean known = voterNamed(name) != null;
         if (replacing && !known && !config.voters.contains(name)) {
             then.accept("'" + name + "' is no voter; those are " + voters);
@@ -438,7 +438,7 @@
             then.accept(name + " can't be reached from here");
         } else {
             invitedStore = storeId;
-            voting.takeIn(VoterId.parse(storeId), then);
+            voter.addVoter(VoterId.parse(storeId), then);
         }
     }
 
@@ -449,11 +449,11 @@
             then.accept("'" + name + "' is no voter; those are " + voters);
         } else if (voters.size() == 1) {
             then.accept("'" + name + "' is the only voter: take another in first");
-        } else if (id.equals(voting.self().text())) {
-            voting.stepDown();
+        } else if (id.equals(voter.self().text())) {
+            voter.stepDown();
             then.accept(name + " leads, and hands over now" + RETRY_SUFFIX);
         } else {
-            voting.takeOut(VoterId.parse(id), then);
+            voter.removeVoter(VoterId.parse(id), then);
         }
     }
 
@@ -466,11 +466,11 @@
     }
 
     /** Reads the state as a majority holds it; null where it is not known. */
-    void read(Voting.Look query, Consumer<Object> then) {
+    void read(RaftVoter.LedgerQuery query, Consumer<Object> then) {
         if (state == null) {
             then.accept(null);
         } else {
-            voting.look(state.term(), query, then);
+            voter.query(state.term(), query, then);
         }
     }
 
@@ -480,17 +480,17 @@
     }
 
     void addReport(JsonObject report) {
-        JsonObject voter = new JsonObject();
-        voter.addProperty("store", voting.self().text());
-        voter.addProperty("votes", voting.isBegun() && !stopped);
-        voter.addProperty("lost", group.isLost());
-        voter.addProperty("candidate", group.isCandidate());
-        voter.addProperty("removed", group.isRemoved());
+        JsonObject voterReport = new JsonObject();
+        voterReport.addProperty("store", voter.self().text());
+        voterReport.addProperty("votes", voter.isStarted() && !stopped);
+        voterReport.addProperty("lost", group.isStoreLost());
+        voterReport.addProperty("candidate", group.isCandidate());
+        voterReport.addProperty("removed", group.isRemoved());
         JsonArray names = new JsonArray();
         voters.forEach(names::add);
-        voter.add("voters", names);
-        voter.addProperty("term", term);
-        report.add("voter", voter);
+        voterReport.add("voters", names);
+        voterReport.addProperty("term", term);
+        report.add("voter", voterReport);
         if (state == null || view == null) {
             return;
         }
--- a/src/main/java/laneflow/policy/Policy.java
+++ b/src/main/java/laneflow/policy/PolicyAgent.java
@@ -39,23 +39,23 @@
  *
  * <p>Who leads is found out by asking: a voter that does not lead passes a renewal on to the one that does.
  */
-final class Policy {
-    private static final Logger LOG = LoggerFactory.getLogger(Policy.class);
-    private static final int RENEWALS_A_LEASE = 4;
+final class PolicyAgent {
+    private static final Logger LOG = LoggerFactory.getLogger(PolicyAgent.class);
+    private static final int RENEWALS_PER_LEASE = 4;
     /** A voter that has not answered so many renewals is passed by for a lease. */
-    private static final int MOST_UNANSWERED = 2;
+    private static final int MAX_UNANSWERED = 2;
 
-    private static final int MOST_PREPARED = 4;
-    private static final double TOLD_AFTER_PART = 0.1;
+    private static final int MAX_PREPARED = 4;
+    private static final double LOSS_REPORT_LEASE_SHARE = 0.1;
 
     private final Loop loop;
     private final Fleet fleet;
     private final LeaseGate gate;
-    private final Runnable tally;
+    private final Runnable requestTallies;
     private final Counters counters;
     private final PolicyConfig config;
     private final PolicyTypes types;
-    private final Executor reading;
+    private final Executor reader;
     private final SplittableRandom random;
     private final LongSupplier clock;
     private final Lease lease = new Lease();
@@ -63,29 +63,29 @@
     /** What was read, by number; the own file is ready from the start. */
     private final TreeMap<Long, PolicyTypes.Prepared> prepared = new TreeMap<>();
 
-    private final Set<Long> asked = new HashSet<>();
-    private final Map<String, Long> passedBy = new LinkedHashMap<>();
-    private RenewalExtensions riders = new RenewalExtensions(List.of());
+    private final Set<Long> contentRequested = new HashSet<>();
+    private final Map<String, Long> skippedUntil = new LinkedHashMap<>();
+    private RenewalExtensions extensions = new RenewalExtensions(List.of());
     /** Null where this process does not vote. */
     private Leadership leadership;
 
     private String leader = "";
     private String target = "";
     private int unanswered;
-    private long open;
-    private long adopted;
+    private long openNumber;
+    private long adoptedPolicy;
     private List<String> waitsForRestart = List.of();
     private long lastRoundTrip;
     /** Classes' counts as they were when they were last asked for; empty where the leader needs none. */
     private JsonArray tallies = new JsonArray();
     /** Since when it has no leave; the largest number while it has, the next to it once that was told. */
-    private long stoppedAt = Long.MAX_VALUE - 1;
+    private long leaseLostAt = Long.MAX_VALUE - 1;
     /** Whom to ask: those who vote, and those of the file. */
-    private final List<String> voters;
+    private final List<String> voterNames;
 
-    private JsonElement toldVoters;
+    private JsonElement lastAnnouncedVoters;
     private boolean everDecided;
-    private boolean left;
+    private boolean stopped;
 
     /**
      * What it is made of.
@@ -95,29 +95,29 @@
      * @param clock the lease's
      * @param tally has the classes' counts read, and told by {@link #tallied}
      */
-    record Parts(
+    record Dependencies(
             Loop loop,
             Fleet fleet,
             Counters counters,
             PolicyConfig config,
             PolicyTypes types,
-            Executor reading,
+            Executor reader,
             long seed,
             LongSupplier clock,
-            Runnable tally) {}
+            Runnable requestTallies) {}
 
     /** One that may not decide yet. */
-    Policy(Parts parts, LeaseGate gate) {
+    PolicyAgent(Dependencies parts, LeaseGate gate) {
         loop = parts.loop();
         fleet = parts.fleet();
         counters = parts.counters();
         config = parts.config();
         types = parts.types();
-        reading = parts.reading();
+        reader = parts.reader();
         clock = parts.clock();
-        tally = parts.tally();
+        requestTallies = parts.requestTallies();
         this.gate = gate;
-        voters = new ArrayList<>(config.voters);
+        voterNames = new ArrayList<>(config.voters);
         random = new SplittableRandom(parts.seed());
         renewal = loop.deadlines().create(this::renew);
         prepared.put(0L, types.read(new JsonObject()));
@@ -133,13 +133,13 @@
     }
 
     /** Begins to ask for leave to decide. */
-    void begin(Leadership own) {
-        leadership = own;
-        fleet.handle("grant", this::granted);
-        fleet.handle("content", (from, message) -> content(message));
+    void start(Leadership ownLeadership) {
+        leadership = ownLeadership;
+        fleet.handle("grant", this::onGrant);
+        fleet.handle("content", (from, message) -> onContent(message));
         fleet.watch(
                 peer -> {
-                    if (deciding() < 0) {
+                    if (decidingPolicy() < 0) {
                         renewNow();
                     }
                 },
@@ -149,12 +149,12 @@
     }
 
     /** From now on that rides on renewals; before {@link #begin}. */
-    void carry(RenewalExtensions with) {
-        riders = with;
-        with.start(new RenewalExtension.Context() {
+    void attach(RenewalExtensions attached) {
+        extensions = attached;
+        attached.start(new RenewalExtension.Context() {
             @Override
             public long now() {
-                return Policy.this.now();
+                return PolicyAgent.this.now();
             }
 
             @Override
@@ -183,7 +183,7 @@
 
             @Override
             public void renewNow() {
-                Policy.this.renewNow();
+                PolicyAgent.this.renewNow();
             }
 
             @Override
@@ -199,8 +199,8 @@
     }
 
     /** This process votes from now on, too. */
-    void votes(Leadership own) {
-        leadership = own;
+    void becomeVoter(Leadership ownLeadership) {
+        leadership = ownLeadership;
         renewNow();
     }
 
@@ -210,231 +210,233 @@
     }
 
     /** The policy by which requests are decided on now, or -1. */
-    private long deciding() {
-        long number = left ? -1 : lease.policyAt(now());
-        number = number == adopted && everDecided ? number : -1;
+    private long decidingPolicy() {
+        long number = stopped ? -1 : lease.policyAt(now());
+        number = number == adoptedPolicy && everDecided ? number : -1;
         if (number >= 0) {
-            stoppedAt = Long.MAX_VALUE;
-        } else if (stoppedAt == Long.MAX_VALUE) {
-            stoppedAt = loop.micros();
+            leaseLostAt = Long.MAX_VALUE;
+        } else if (leaseLostAt == Long.MAX_VALUE) {
+            leaseLostAt = loop.micros();
         }
         return number;
     }
 
     /** Between two policies it decides by none for a moment; told is what lasts, once. */
-    private void tellLoss() {
-        if (deciding() < 0 && everDecided && loop.micros() - stoppedAt > config.leaseMicros * TOLD_AFTER_PART) {
-            stoppedAt = Long.MAX_VALUE - 1;
+    private void reportLeaseLoss() {
+        if (decidingPolicy() < 0
+                && everDecided
+                && loop.micros() - leaseLostAt > config.leaseMicros * LOSS_REPORT_LEASE_SHARE) {
+            leaseLostAt = Long.MAX_VALUE - 1;
             counters.add("policy.lease_lost");
             LOG.warn(
                     "policy: no leave to decide any more, {}",
                     config.servesWithoutLease
-                            ? "served on by policy " + adopted + " as cut_off says"
+                            ? "served on by policy " + adoptedPolicy + " as cut_off says"
                             : "clients are turned away");
         }
     }
 
     /** What holds goes to where requests are taken, before this turn tells anybody that it is obeyed. */
     private void publish() {
-        Map<Long, PolicyTypes.Prepared> ready = new HashMap<>();
-        LeaseSnapshot leave = lease.snapshot();
-        prepared.forEach((number, read) -> {
-            if (read.findings.isEmpty() && (number == leave.current() || number == leave.next())) {
-                ready.put(number, read);
+        Map<Long, PolicyTypes.Prepared> usable = new HashMap<>();
+        LeaseSnapshot snapshot = lease.snapshot();
+        prepared.forEach((number, policy) -> {
+            if (policy.findings.isEmpty() && (number == snapshot.current() || number == snapshot.next())) {
+                usable.put(number, policy);
             }
         });
-        gate.publish(new LeaseGate.Published(leave, Map.copyOf(ready)));
+        gate.publish(new LeaseGate.Published(snapshot, Map.copyOf(usable)));
     }
 
     /** Requests are decided on by that policy now, of which this waits for a restart. */
-    void adopted(long number, List<String> waits) {
-        adopted = number;
+    void onAdopted(long number, List<String> waiting) {
+        adoptedPolicy = number;
         everDecided = true;
-        waitsForRestart = waits;
+        waitsForRestart = waiting;
         prepared.headMap(number).clear();
-        deciding();
+        decidingPolicy();
     }
 
     /** The classes' counts. */
-    void tallied(JsonArray counts) {
+    void onTallies(JsonArray counts) {
         tallies = counts;
     }
 
     // ---- renewing ----
 
     private void renew() {
-        if (left) {
+        if (stopped) {
             return;
         }
-        long every = config.leaseMicros / RENEWALS_A_LEASE;
+        long period = config.leaseMicros / RENEWALS_PER_LEASE;
         loop.deadlines()
                 .set(
                         renewal,
-                        loop.micros() + every * 17 / 20,
-                        loop.micros() + every * 9 / 10 + random.nextLong(1 + every / 10));
-        tellLoss();
+                        loop.micros() + period * 17 / 20,
+                        loop.micros() + period * 9 / 10 + random.nextLong(1 + period / 10));
+        reportLeaseLoss();
         if (leadership != null && leadership.isLeader()) {
             leader = fleet.self().name();
             unanswered = 0;
             // Its stamp lies between these two readings, however long the process stood still meanwhile.
-            long asked = now();
+            long sentAt = now();
             if (leadership.needsTallies()) {
-                tally.run();
+                requestTallies.run();
             }
-            Grant own = leadership.onRenewal(renewalOf(), tallies);
+            Grant own = leadership.onRenewal(buildRenewal(), tallies);
             if (own != null) {
-                take(own, asked, now());
+                accept(own, sentAt, now());
             }
-            leadership.renewExtensions(asked);
+            leadership.renewExtensions(sentAt);
             return;
         }
-        Peer to = whom();
-        if (to != null) {
+        Peer peer = renewalTarget();
+        if (peer != null) {
             unanswered++;
-            JsonObject message = PolicyMessages.renewal(renewalOf());
+            JsonObject message = PolicyMessages.renewal(buildRenewal());
             message.addProperty("who", fleet.self().who());
             message.addProperty("at", now());
             message.add("tallies", tallies);
-            riders.addRenewalData(message);
-            to.send(message);
+            extensions.addRenewalData(message);
+            peer.send(message);
         }
     }
 
     /** In this turn or the next, and not again until the next is due: something has changed. */
     void renewNow() {
-        if (!left) {
+        if (!stopped) {
             loop.deadlines().set(renewal, loop.micros());
         }
     }
 
     /** The voter that leads, as far as is known and it answers; else the next one that a link is up to. */
-    private Peer whom() {
-        if (unanswered >= MOST_UNANSWERED && !target.isEmpty()) {
-            passedBy.put(target, loop.micros() + config.leaseMicros);
+    private Peer renewalTarget() {
+        if (unanswered >= MAX_UNANSWERED && !target.isEmpty()) {
+            skippedUntil.put(target, loop.micros() + config.leaseMicros);
             target = "";
             unanswered = 0;
         }
-        passedBy.values().removeIf(until -> until <= loop.micros());
-        Peer lead = fleet.peer(leader);
-        if (lead != null && !passedBy.containsKey(leader)) {
+        skippedUntil.values().removeIf(until -> until <= loop.micros());
+        Peer leaderPeer = fleet.peer(leader);
+        if (leaderPeer != null && !skippedUntil.containsKey(leader)) {
             target = leader;
-            return lead;
+            return leaderPeer;
         }
-        Peer now = fleet.peer(target);
-        if (now != null && !passedBy.containsKey(target)) {
-            return now;
+        Peer currentPeer = fleet.peer(target);
+        if (currentPeer != null && !skippedUntil.containsKey(target)) {
+            return currentPeer;
         }
-        List<String> all = new ArrayList<>(voters);
-        all.removeIf(name -> fleet.peer(name) == null || passedBy.containsKey(name));
-        if (all.isEmpty()) {
-            passedBy.clear();
+        List<String> candidates = new ArrayList<>(voterNames);
+        candidates.removeIf(name -> fleet.peer(name) == null || skippedUntil.containsKey(name));
+        if (candidates.isEmpty()) {
+            skippedUntil.clear();
             return null;
         }
-        target = all.get(random.nextInt(all.size()));
+        target = candidates.get(random.nextInt(candidates.size()));
         return fleet.peer(target);
     }
 
-    private Renewal renewalOf() {
+    private Renewal buildRenewal() {
         Set<Long> ready = new HashSet<>();
         long refused = 0;
         List<String> reasons = List.of();
         for (Map.Entry<Long, PolicyTypes.Prepared> one : prepared.entrySet()) {
             if (one.getValue().findings.isEmpty()) {
                 ready.add(one.getKey());
-            } else if (one.getKey() == open) {
-                refused = open;
+            } else if (one.getKey() == openNumber) {
+                refused = openNumber;
                 reasons = one.getValue().findings;
             }
         }
         // Begun with is what the traffic's thread has adopted, however long that has taken it.
-        long begun = everDecided ? Math.min(adopted, lease.current()) : -1;
+        long begun = everDecided ? Math.min(adoptedPolicy, lease.current()) : -1;
         return new Renewal(lease.term(), lease.seq(), begun, ready, refused, reasons, lastRoundTrip);
     }
 
     /** A leader's word that came over a link. */
-    private void granted(Peer from, JsonObject message) {
+    private void onGrant(Peer from, JsonObject message) {
         if (!message.get("for").getAsString().equals(fleet.self().who())) {
             if (leadership != null) {
                 leadership.forwardToScheduler(message);
             }
             return;
         }
-        long at = message.get("at").getAsLong();
+        long renewalSentAt = message.get("at").getAsLong();
         long now = now();
-        if (at >= 0) {
+        if (renewalSentAt >= 0) {
             unanswered = 0;
-            lastRoundTrip = now - at;
+            lastRoundTrip = now - renewalSentAt;
         }
         Grant grant = PolicyMessages.grant(message);
         if (grant.term() >= lease.term()) {
             leader = message.get("leader").getAsString();
-            voters(message.get("voters"));
+            updateVoters(message.get("voters"));
         }
-        take(grant, at, now);
+        accept(grant, renewalSentAt, now);
         // Builds that do not say always want them.
-        if (at >= 0 && (!message.has("trial") || message.get("trial").getAsBoolean())) {
-            tally.run();
+        if (renewalSentAt >= 0 && (!message.has("trial") || message.get("trial").getAsBoolean())) {
+            requestTallies.run();
         }
-        riders.onGrant(message, at, now);
-        if (at < 0) {
+        extensions.onGrant(message, renewalSentAt, now);
+        if (renewalSentAt < 0) {
             // It waits to hear that this is obeyed.
             renewNow();
         }
     }
 
     /** Who votes now, where the leader's build says so: they may be others than in the file. */
-    private void voters(JsonElement told) {
-        if (told == null || told.equals(toldVoters)) {
+    private void updateVoters(JsonElement announced) {
+        if (announced == null || announced.equals(lastAnnouncedVoters)) {
             return;
         }
-        toldVoters = told;
-        voters.clear();
-        told.getAsJsonArray().forEach(one -> voters.add(one.getAsString()));
-        voters.removeIf(name -> fleet.address(name) == null);
-        voters.forEach(fleet::dial);
+        lastAnnouncedVoters = announced;
+        voterNames.clear();
+        announced.getAsJsonArray().forEach(one -> voterNames.add(one.getAsString()));
+        voterNames.removeIf(name -> fleet.address(name) == null);
+        voterNames.forEach(fleet::dial);
         // Those of the file as well: what was told may be old one day.
-        config.voters.stream().filter(name -> !voters.contains(name)).forEach(voters::add);
+        config.voters.stream().filter(name -> !voterNames.contains(name)).forEach(voterNames::add);
     }
 
-    private void take(Grant grant, long sentAt, long heardAt) {
-        if (!lease.accept(grant, sentAt, heardAt)) {
+    private void accept(Grant grant, long sentAt, long receivedAt) {
+        if (!lease.accept(grant, sentAt, receivedAt)) {
             counters.add("policy.old_grants");
             return;
         }
-        open = grant.open();
+        openNumber = grant.open();
         publish();
-        want(grant.number());
-        want(open);
-        deciding();
+        requestContent(grant.number());
+        requestContent(openNumber);
+        decidingPolicy();
     }
 
     // ---- making ready ----
 
-    private void want(long number) {
-        if (number <= 0 || prepared.containsKey(number) || asked.contains(number)) {
+    private void requestContent(long number) {
+        if (number <= 0 || prepared.containsKey(number) || contentRequested.contains(number)) {
             return;
         }
-        asked.add(number);
+        contentRequested.add(number);
         JsonObject message = new JsonObject();
         message.addProperty("t", "want");
         message.addProperty("who", fleet.self().who());
         message.addProperty("number", number);
-        Peer to = whom();
+        Peer to = renewalTarget();
         if (leadership != null && leadership.isLeader()) {
             leadership.onContentRequest(null, message);
         } else if (to != null) {
             to.send(message);
         }
         // Lost, it is asked for again.
-        loop.deadlines().at(loop.micros() + config.leaseMicros / RENEWALS_A_LEASE, () -> {
-            if (asked.remove(number) && !prepared.containsKey(number)) {
+        loop.deadlines().at(loop.micros() + config.leaseMicros / RENEWALS_PER_LEASE, () -> {
+            if (contentRequested.remove(number) && !prepared.containsKey(number)) {
                 renewNow();
             }
         });
     }
 
     /** A policy's content: it is read off the loop, and whether it is fit goes with the next renewal. */
-    void content(JsonObject message) {
+    void onContent(JsonObject message) {
         if (message.has("for")
                 && !message.get("for").getAsString().equals(fleet.self().who())) {
             if (leadership != null) {
@@ -444,21 +446,21 @@
         }
         long number = message.get("number").getAsLong();
         String text = message.get("policy").getAsString();
-        if (prepared.containsKey(number) || number < adopted) {
+        if (prepared.containsKey(number) || number < adoptedPolicy) {
             return;
         }
         try {
-            reading.execute(() -> {
+            reader.execute(() -> {
                 PolicyTypes.Prepared read =
                         types.read(JsonParser.parseString(text).getAsJsonObject());
-                back(() -> made(number, read));
+                runOnLoop(() -> onPrepared(number, read));
             });
         } catch (RejectedExecutionException e) {
             LOG.warn("policy: too much waits to be read");
         }
     }
 
-    private void back(Runnable call) {
+    private void runOnLoop(Runnable call) {
         try {
             loop.later(call);
         } catch (RejectedExecutionException e) {
@@ -466,10 +468,10 @@
         }
     }
 
-    private void made(long number, PolicyTypes.Prepared read) {
-        asked.remove(number);
+    private void onPrepared(long number, PolicyTypes.Prepared read) {
+        contentRequested.remove(number);
         prepared.put(number, read);
-        while (prepared.size() > MOST_PREPARED && prepared.firstKey() < adopted) {
+        while (prepared.size() > MAX_PREPARED && prepared.firstKey() < adoptedPolicy) {
             prepared.pollFirstEntry();
         }
         if (!read.findings.isEmpty()) {
@@ -483,11 +485,11 @@
     // ---- the end ----
 
     /** This process decides no more, and says so: the others need not wait for its lease. */
-    void leave() {
-        if (left) {
+    void stop() {
+        if (stopped) {
             return;
         }
-        left = true;
+        stopped = true;
         loop.deadlines().cancel(renewal);
         if (leadership != null && leadership.isLeader()) {
             leadership.onSchedulerLeft(fleet.self().who());
@@ -511,51 +513,51 @@
 
     /** How things stand here, for whoever asks. */
     JsonObject report() {
-        long deciding = deciding();
-        JsonObject all = new JsonObject();
-        all.addProperty("scheduler", fleet.self().name());
-        all.addProperty("life", fleet.self().life());
-        all.addProperty(
+        long deciding = decidingPolicy();
+        JsonObject report = new JsonObject();
+        report.addProperty("scheduler", fleet.self().name());
+        report.addProperty("life", fleet.self().life());
+        report.addProperty(
                 "state",
                 deciding >= 0
                         ? "deciding"
                         : config.servesWithoutLease && everDecided
                                 ? "cut off, serving"
                                 : config.servesWithoutLease ? "not decided yet, serving" : "not deciding");
-        all.addProperty("policy", adopted);
-        all.addProperty("lease_ms", deciding >= 0 ? (lease.end() - now()) / 1000 : 0);
-        all.addProperty("leader", leader);
-        all.addProperty("term", lease.term());
-        all.addProperty("open", open);
+        report.addProperty("policy", adoptedPolicy);
+        report.addProperty("lease_ms", deciding >= 0 ? (lease.end() - now()) / 1000 : 0);
+        report.addProperty("leader", leader);
+        report.addProperty("term", lease.term());
+        report.addProperty("open", openNumber);
         if (!waitsForRestart.isEmpty()) {
-            JsonArray waits = new JsonArray();
-            waitsForRestart.forEach(waits::add);
-            all.add("restart_needed", waits);
+            JsonArray waiting = new JsonArray();
+            waitsForRestart.forEach(waiting::add);
+            report.add("restart_needed", waiting);
         }
-        JsonElement refused = refused();
+        JsonElement refused = rejectedPolicies();
         if (refused != null) {
-            all.add("turned_down", refused);
+            report.add("turned_down", refused);
         }
         if (leadership != null) {
-            leadership.addReport(all);
+            leadership.addReport(report);
         }
-        return all;
+        return report;
     }
 
-    private JsonElement refused() {
-        JsonObject all = new JsonObject();
+    private JsonElement rejectedPolicies() {
+        JsonObject rejected = new JsonObject();
         prepared.forEach((number, read) -> {
             if (!read.findings.isEmpty()) {
                 JsonArray reasons = new JsonArray();
                 read.findings.forEach(reasons::add);
-                all.add(String.valueOf(number), reasons);
+                rejected.add(String.valueOf(number), reasons);
             }
         });
-        return all.size() == 0 ? null : all;
+        return rejected.size() == 0 ? null : rejected;
     }
 
     /** Reads a body; null if it is no JSON object. */
-    static JsonObject object(byte[] body) {
+    static JsonObject parseObject(byte[] body) {
         try {
             return JsonParser.parseString(new String(body, StandardCharsets.UTF_8))
                     .getAsJsonObject();
--- a/src/main/java/laneflow/policy/PolicyPort.java
+++ b/src/main/java/laneflow/policy/PolicyApi.java
@@ -17,37 +17,38 @@
  * things stand with itself; what is decided is told by the leader, to whom others point
  * ({@code 307}, {@code Location}).
  */
-final class PolicyPort {
+final class PolicyApi {
     private static final String JSON = "application/json";
     private static final String TEXT = "text/plain";
-    private static final List<String> VOTERS = List.of("add", "remove", "replace");
-    private static final int MOST_HISTORY = 200;
+    private static final List<String> VOTER_OPERATIONS = List.of("add", "remove", "replace");
+    private static final int MAX_HISTORY = 200;
     private static final String CHANGES = "/policy/changes";
-    private static final String ASK_AGAIN = "asking again with the same name does no harm";
+    private static final String RETRY_ADVICE = "asking again with the same name does no harm";
 
     private final Fleet fleet;
-    private final Policy policy;
+    private final PolicyAgent policy;
     private final Counters counters;
     /** Who else proposes, by the names of their parts of the ledger: no operator is one of them. */
-    private final Set<String> parts;
+    private final Set<String> reservedProposers;
     /** Null where this process does not vote. */
     private Leadership leadership;
 
-    PolicyPort(Fleet fleet, Policy policy, Counters counters, Set<String> parts, Leadership leadership) {
+    PolicyApi(
+            Fleet fleet, PolicyAgent policy, Counters counters, Set<String> reservedProposers, Leadership leadership) {
         this.fleet = fleet;
         this.policy = policy;
         this.counters = counters;
-        this.parts = parts;
+        this.reservedProposers = reservedProposers;
         this.leadership = leadership;
-        fleet.serve("/policy", this::asked);
+        fleet.serve("/policy", this::handle);
     }
 
     /** This process votes from now on. */
-    void votes(Leadership own) {
-        leadership = own;
+    void becomeVoter(Leadership ownLeadership) {
+        leadership = ownLeadership;
     }
 
-    private void asked(String verb, String path, byte[] body, Answer answer) {
+    private void handle(String verb, String path, byte[] body, Answer answer) {
         boolean get = verb.equals("GET");
         if (path.equals("/policy") && get) {
             answer.say(200, JSON, "", policy.report() + "\n");
@@ -55,11 +56,11 @@
             atLeader(path, answer, () -> history(answer));
         } else if (path.startsWith(CHANGES + "/") && get) {
             String name = path.substring(CHANGES.length() + 1);
-            atLeader(path, answer, () -> status(name, answer));
+            atLeader(path, answer, () -> change(name, answer));
         } else if (path.equals(CHANGES) && verb.equals("POST")) {
             atLeader(path, answer, () -> propose(body, answer));
         } else if (path.equals("/policy/voters") && verb.equals("POST")) {
-            atLeader(path, answer, () -> voters(body, answer));
+            atLeader(path, answer, () -> changeVoters(body, answer));
         } else {
             answer.say(
                     get || verb.equals("POST") ? 404 : 405,
@@ -76,24 +77,24 @@
             return;
         }
         String leader = leadership != null ? leadership.leader() : policy.leader();
-        LeaderRedirect.answer(fleet, leader, path, answer, ASK_AGAIN);
+        LeaderRedirect.answer(fleet, leader, path, answer, RETRY_ADVICE);
     }
 
-    private void nobody(Answer answer) {
-        LeaderRedirect.unavailable(answer, ASK_AGAIN);
+    private void unavailable(Answer answer) {
+        LeaderRedirect.unavailable(answer, RETRY_ADVICE);
     }
 
     private void history(Answer answer) {
         leadership.read(
                 ledger -> {
                     JsonArray all = new JsonArray();
-                    ledger.recent(MOST_HISTORY).forEach(change -> all.add(change.toJson(false)));
+                    ledger.recent(MAX_HISTORY).forEach(change -> all.add(change.toJson(false)));
                     return all;
                 },
-                found -> say(found, answer));
+                found -> respond(found, answer));
     }
 
-    private void status(String name, Answer answer) {
+    private void change(String name, Answer answer) {
         leadership.read(
                 ledger -> {
                     Change change = ledger.change(name);
@@ -103,61 +104,61 @@
                     if (found instanceof JsonObject one && one.size() == 0) {
                         answer.say(404, TEXT, "", "no change of the name '" + name + "' is known\n");
                     } else {
-                        say(found, answer);
+                        respond(found, answer);
                     }
                 });
     }
 
-    private void say(Object found, Answer answer) {
+    private void respond(Object found, Answer answer) {
         if (found == null) {
-            nobody(answer);
+            unavailable(answer);
         } else {
             answer.say(200, JSON, "", found + "\n");
         }
     }
 
-    private void voters(byte[] body, Answer answer) {
-        JsonObject asked = Policy.object(body);
-        String order = asked == null || asked.size() != 1
+    private void changeVoters(byte[] body, Answer answer) {
+        JsonObject request = PolicyAgent.parseObject(body);
+        String operation = request == null || request.size() != 1
                 ? ""
-                : asked.keySet().iterator().next();
-        JsonElement name = asked == null ? null : asked.get(order);
-        if (name == null || !name.isJsonPrimitive() || !VOTERS.contains(order)) {
-            answer.say(400, TEXT, "", "an object with one of " + VOTERS + ", the name of a voter\n");
+                : request.keySet().iterator().next();
+        JsonElement name = request == null ? null : request.get(operation);
+        if (name == null || !name.isJsonPrimitive() || !VOTER_OPERATIONS.contains(operation)) {
+            answer.say(400, TEXT, "", "an object with one of " + VOTER_OPERATIONS + ", the name of a voter\n");
             return;
         }
-        Consumer<String> then = why -> {
-            if (why == null) {
-                answer.say(200, JSON, "", asked + "\n");
+        Consumer<String> then = reason -> {
+            if (reason == null) {
+                answer.say(200, JSON, "", request + "\n");
             } else {
-                boolean again = why.endsWith(Leadership.RETRY_SUFFIX);
-                answer.say(again ? 503 : 409, TEXT, again ? "Retry-After: 1\r\n" : "", why + "\n");
+                boolean retryable = reason.endsWith(Leadership.RETRY_SUFFIX);
+                answer.say(retryable ? 503 : 409, TEXT, retryable ? "Retry-After: 1\r\n" : "", reason + "\n");
             }
         };
-        if (order.equals("remove")) {
+        if (operation.equals("remove")) {
             leadership.removeVoter(name.getAsString(), then);
         } else {
-            leadership.addVoter(name.getAsString(), order.equals("replace"), then);
+            leadership.addVoter(name.getAsString(), operation.equals("replace"), then);
         }
     }
 
     private void propose(byte[] body, Answer answer) {
-        JsonObject asked = Policy.object(body);
-        JsonElement name = asked == null ? null : asked.get("name");
-        JsonElement types = asked == null ? null : asked.get("types");
-        JsonElement by = asked == null ? null : asked.get("by");
+        JsonObject request = PolicyAgent.parseObject(body);
+        JsonElement name = request == null ? null : request.get("name");
+        JsonElement types = request == null ? null : request.get("types");
+        JsonElement by = request == null ? null : request.get("by");
         if (name == null || !name.isJsonPrimitive() || types == null || !types.isJsonObject()) {
             answer.say(400, TEXT, "", "a change is an object with 'name', a text, and 'types', an object\n");
             return;
         }
-        String unfit = Ledger.invalidReason(name.getAsString(), types.getAsJsonObject());
-        if (unfit != null) {
-            answer.say(400, TEXT, "", unfit + "\n");
+        String invalid = Ledger.invalidReason(name.getAsString(), types.getAsJsonObject());
+        if (invalid != null) {
+            answer.say(400, TEXT, "", invalid + "\n");
             return;
         }
-        String who = by != null && by.isJsonPrimitive() ? by.getAsString() : "an operator";
-        if (parts.contains(who)) {
-            answer.say(400, TEXT, "", "by: '" + who + "' stands for changes that the program makes itself\n");
+        String proposer = by != null && by.isJsonPrimitive() ? by.getAsString() : "an operator";
+        if (reservedProposers.contains(proposer)) {
+            answer.say(400, TEXT, "", "by: '" + proposer + "' stands for changes that the program makes itself\n");
             return;
         }
         counters.add("policy.proposed");
@@ -165,9 +166,9 @@
             if (found != null && found.has("error")) {
                 answer.say(409, TEXT, "", found.get("error").getAsString() + "\n");
             } else {
-                say(found, answer);
+                respond(found, answer);
             }
         };
-        leadership.propose(name.getAsString(), types.getAsJsonObject(), who, then);
+        leadership.propose(name.getAsString(), types.getAsJsonObject(), proposer, then);
     }
 }
--- a/src/main/java/laneflow/policy/PolicySubsystem.java
+++ b/src/main/java/laneflow/policy/PolicySubsystem.java
@@ -24,16 +24,16 @@
 /** Changes of policy put together at one scheduler: its own part, its vote where it has one, and its port. */
 public final class PolicySubsystem {
     private static final Logger LOG = LoggerFactory.getLogger(PolicySubsystem.class);
-    private static final long AGAIN_NS = 20_000_000;
+    private static final long STORE_RETRY_NS = 20_000_000;
 
     private final Loop loop;
     private final Loop traffic;
-    private final Policy policy;
+    private final PolicyAgent policy;
     private final LeaseGate gate;
-    private final RenewalExtensions riders;
-    private PolicyPort port;
+    private final RenewalExtensions extensions;
+    private PolicyApi api;
     /** Null where this process does not vote. */
-    private volatile Voting voting;
+    private volatile RaftVoter voter;
 
     private volatile boolean closed;
 
@@ -70,68 +70,68 @@
      * Opens the store of votes where this process has one, and begins. From here on the scheduler decides
      * only under a lease. A store that can't be used costs the vote, not the service.
      */
-    public PolicySubsystem(Dependencies given) throws InterruptedException {
-        loop = given.loop();
-        riders = new RenewalExtensions(given.extensions());
-        PolicyConfig config = given.config();
-        Fleet fleet = given.fleet();
-        Scheduler scheduler = given.scheduler();
-        traffic = given.traffic();
-        LongSupplier clock = Policy.clock(loop, given.clockRate());
-        gate = new LeaseGate(traffic, scheduler.counters(), scheduler::retuned, config, clock, this::adopted);
-        policy = new Policy(
-                new Policy.Parts(
+    public PolicySubsystem(Dependencies deps) throws InterruptedException {
+        loop = deps.loop();
+        extensions = new RenewalExtensions(deps.extensions());
+        PolicyConfig config = deps.config();
+        Fleet fleet = deps.fleet();
+        Scheduler scheduler = deps.scheduler();
+        traffic = deps.traffic();
+        LongSupplier clock = PolicyAgent.clock(loop, deps.clockRate());
+        gate = new LeaseGate(traffic, scheduler.counters(), scheduler::retuned, config, clock, this::onAdopted);
+        policy = new PolicyAgent(
+                new PolicyAgent.Dependencies(
                         loop,
                         fleet,
-                        given.counters(),
+                        deps.counters(),
                         config,
-                        given.types().apply(new BansType(scheduler::bar)),
-                        given.reading(),
-                        given.seed(),
+                        deps.types().apply(new BansType(scheduler::bar)),
+                        deps.reading(),
+                        deps.seed(),
                         clock,
-                        () -> pass(traffic, () -> tally(scheduler))),
+                        () -> runOn(traffic, () -> readTallies(scheduler))),
                 gate);
-        Opened votes = null;
-        boolean later = false;
+        OpenedStore openedStore = null;
+        boolean storeLocked = false;
         if (config.dir != null) {
             try {
-                votes = open(given);
-            } catch (VoteStore.Taken e) {
-                later = given.upgrade();
-                if (!later) {
-                    lost(given, e);
+                openedStore = openStore(deps);
+            } catch (VoteStore.StoreLockedException e) {
+                storeLocked = deps.upgrade();
+                if (!storeLocked) {
+                    reportVoteLost(deps, e);
                 }
             } catch (IOException e) {
-                lost(given, e);
+                reportVoteLost(deps, e);
             }
         }
-        Opened opened = votes;
+        OpenedStore opened = openedStore;
         traffic.call(() -> scheduler.decideWhile(gate));
         loop.call(() -> {
-            Leadership leadership = opened == null ? null : vote(given, opened);
-            port = new PolicyPort(
-                    fleet, policy, given.counters(), given.ledgerParts().keySet(), leadership);
-            policy.carry(riders);
-            policy.begin(leadership);
+            Leadership leadership = opened == null ? null : startVoter(deps, opened);
+            api = new PolicyApi(
+                    fleet, policy, deps.counters(), deps.ledgerParts().keySet(), leadership);
+            policy.attach(extensions);
+            policy.start(leadership);
         });
-        if (later) {
+        if (storeLocked) {
             LOG.info("policy: votes as soon as the process before this one has ended");
-            Threads.daemon(() -> voteLater(given), "policy-store").start();
+            Threads.daemon(() -> waitForStore(deps), "policy-store").start();
         }
     }
 
-    private static void lost(Dependencies given, IOException why) {
-        LOG.error("policy: this process does not vote: {}", why.getMessage());
-        given.counters().set("policy.vote_lost", 1);
+    private static void reportVoteLost(Dependencies deps, IOException cause) {
+        LOG.error("policy: this process does not vote: {}", cause.getMessage());
+        deps.counters().set("policy.vote_lost", 1);
     }
 
     /** On the traffic's thread. */
-    private void adopted(long number, List<String> waits) {
-        pass(loop, () -> policy.adopted(number, waits));
+    private void onAdopted(long number, List<String> waitsForRestart) {
+        runOn(loop, () -> policy.onAdopted(number, waitsForRestart));
     }
 
     /** On the traffic's thread, whose counts they are. */
-    private void tally(Scheduler scheduler) {
+    private void readTallies(Scheduler scheduler) {
         JsonArray all = new JsonArray();
         for (long[] row : scheduler.tallies()) {
             JsonArray counts = new JsonArray();
@@ -140,96 +140,95 @@
             }
             all.add(counts);
         }
-        pass(loop, () -> policy.tallied(all));
+        runOn(loop, () -> policy.onTallies(all));
     }
 
-    private static void pass(Loop on, Runnable call) {
+    private static void runOn(Loop target, Runnable task) {
         try {
-            on.later(call);
+            target.later(task);
         } catch (RejectedExecutionException e) {
             LOG.debug("that thread has ended");
         }
     }
 
     /** In an upgrade the store is the former process's until that ends. On a thread of its own. */
-    private void voteLater(Dependencies given) {
+    private void waitForStore(Dependencies deps) {
         while (!closed) {
-            Opened opened = null;
+            OpenedStore opened = null;
             try {
-                opened = open(given);
-                Opened votes = opened;
+                opened = openStore(deps);
+                OpenedStore openedStore = opened;
                 loop.call(() -> {
-                    Leadership leadership = vote(given, votes);
-                    policy.votes(leadership);
-                    port.votes(leadership);
+                    Leadership leadership = startVoter(deps, openedStore);
+                    policy.becomeVoter(leadership);
+                    api.becomeVoter(leadership);
                 });
                 return;
-            } catch (VoteStore.Taken e) {
+            } catch (VoteStore.StoreLockedException e) {
                 LOG.debug("not yet", e);
             } catch (IOException e) {
-                loop.later(() -> lost(given, e));
+                loop.later(() -> reportVoteLost(deps, e));
                 return;
             } catch (InterruptedException | RejectedExecutionException e) {
                 close(opened.store());
                 return;
             }
-            LockSupport.parkNanos(AGAIN_NS);
+            LockSupport.parkNanos(STORE_RETRY_NS);
         }
     }
 
     /** A store of votes, with what an earlier life left in it, or null. */
-    private record Opened(VoteStore store, RestoredRaftState restored) {}
+    private record OpenedStore(VoteStore store, RestoredRaftState restored) {}
 
-    private static Opened open(Dependencies given) throws IOException {
-        VoteStore store =
-                VoteStore.open(given.config().dir, given.fleet().self().name());
+    private static OpenedStore openStore(Dependencies deps) throws IOException {
+        VoteStore store = VoteStore.open(deps.config().dir, deps.fleet().self().name());
         try {
-            return new Opened(store, store.restored());
+            return new OpenedStore(store, store.restored());
         } catch (IOException e) {
             close(store);
             throw e;
         }
     }
 
-    private Leadership vote(Dependencies given, Opened votes) {
+    private Leadership startVoter(Dependencies deps, OpenedStore opened) {
         VoterGroup[] group = new VoterGroup[1];
         Leadership[] leadership = new Leadership[1];
-        voting = new Voting(
-                votes.store(),
-                new Ledger(given.ledgerParts()),
-                given.config().leaseMicros,
+        voter = new RaftVoter(
+                opened.store(),
+                new Ledger(deps.ledgerParts()),
+                deps.config().leaseMicros,
                 loop::later,
                 (to, message) -> group[0].send(to, message),
-                new Voting.News() {
+                new RaftVoter.Listener() {
                     @Override
-                    public void role(int term, boolean leads, String leader, Set<String> voters) {
+                    public void onRole(int term, boolean leads, String leader, Set<String> voters) {
                         leadership[0].onRole(term, leads, leader, voters);
                     }
 
                     @Override
-                    public void stopped(String why) {
+                    public void onStopped(String why) {
                         leadership[0].onStopped(why);
                     }
 
                     @Override
-                    public void takenOut() {
+                    public void onRemoved() {
                         leadership[0].onRemoved();
                     }
                 });
-        group[0] = new VoterGroup(loop, given.fleet(), given.config(), given.counters(), voting);
+        group[0] = new VoterGroup(loop, deps.fleet(), deps.config(), deps.counters(), voter);
         leadership[0] = new Leadership(
                 loop,
-                given.fleet(),
-                given.config(),
-                given.counters(),
-                voting,
+                deps.fleet(),
+                deps.config(),
+                deps.counters(),
+                voter,
                 group[0],
                 policy,
-                new FleetTrial(given.classes(), given.config().trialMicros, given.config().maxWorsening),
-                riders);
+                new FleetTrial(deps.classes(), deps.config().trialMicros, deps.config().maxWorsening),
+                extensions);
         leadership[0].begin();
-        group[0].begin(votes.restored());
-        group[0].linked();
+        group[0].start(opened.restored());
+        group[0].onLinksChanged();
         return leadership[0];
     }
 
@@ -262,17 +261,17 @@
      */
     public void stopDeciding() throws InterruptedException {
         traffic.call(gate::stop);
-        loop.call(policy::leave);
+        loop.call(policy::stop);
     }
 
     /** Ends the vote, which its store keeps; on any thread but the loop's. */
     public void close() throws InterruptedException {
         closed = true;
-        if (voting == null) {
+        if (voter == null) {
             return;
         }
         try {
-            voting.close();
+            voter.close();
         } catch (IOException e) {
             LOG.warn("policy: the store of votes did not close: {}", e.getMessage());
         }
--- a/src/main/java/laneflow/policy/RaftCodec.java
+++ b/src/main/java/laneflow/policy/RaftCodec.java
@@ -39,10 +39,10 @@
     private static final Map<String, Class<?>> MESSAGES = new LinkedHashMap<>();
     private static final Map<Class<?>, Class<?>> BUILDERS = new LinkedHashMap<>();
     /** Asked on the voter's thread, and at the start on that which opens its store. */
-    private static final Map<Class<?>, Shape> SHAPES = new ConcurrentHashMap<>();
+    private static final Map<Class<?>, ModelAccess> ACCESS = new ConcurrentHashMap<>();
 
     private static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
-    private static final String GROUP = "policy";
+    private static final String GROUP_ID = "policy";
 
     static {
         for (Method create : RaftModelFactory.class.getMethods()) {
@@ -62,16 +62,16 @@
     }
 
     /** All voters are of one group. */
-    static String group() {
-        return GROUP;
+    static String groupId() {
+        return GROUP_ID;
     }
 
     static JsonObject write(RaftMessage message) {
         for (Map.Entry<String, Class<?>> one : MESSAGES.entrySet()) {
             if (one.getValue().isInstance(message)) {
-                JsonObject all = fields(message, one.getValue());
-                all.addProperty("kind", one.getKey());
-                return all;
+                JsonObject json = fields(message, one.getValue());
+                json.addProperty("kind", one.getKey());
+                return json;
             }
         }
         throw new IllegalArgumentException("no message: " + message);
@@ -92,12 +92,12 @@
             return JsonNull.INSTANCE;
         }
         if (operation instanceof UpdateRaftGroupMembersOp members) {
-            JsonObject all = new JsonObject();
-            all.add("members", voters(members.getMembers()));
-            all.add("voting", voters(members.getVotingMembers()));
-            all.addProperty("endpoint", members.getEndpoint().getId().toString());
-            all.addProperty("mode", members.getMode().name());
-            return all;
+            JsonObject json = new JsonObject();
+            json.add("members", voters(members.getMembers()));
+            json.add("voting", voters(members.getVotingMembers()));
+            json.addProperty("endpoint", members.getEndpoint().getId().toString());
+            json.addProperty("mode", members.getMode().name());
+            return json;
         }
         return new JsonPrimitive((String) operation);
     }
@@ -109,25 +109,25 @@
         if (from.isJsonPrimitive()) {
             return from.getAsString();
         }
-        JsonObject all = from.getAsJsonObject();
+        JsonObject json = from.getAsJsonObject();
         UpdateRaftGroupMembersOpBuilder builder = MODELS.createUpdateRaftGroupMembersOpBuilder();
-        return builder.setMembers(readVoters(all.getAsJsonArray("members")))
-                .setVotingMembers(readVoters(all.getAsJsonArray("voting")))
-                .setEndpoint(VoterId.parse(all.get("endpoint").getAsString()))
-                .setMode(MembershipChangeMode.valueOf(all.get("mode").getAsString()))
+        return builder.setMembers(readVoters(json.getAsJsonArray("members")))
+                .setVotingMembers(readVoters(json.getAsJsonArray("voting")))
+                .setEndpoint(VoterId.parse(json.get("endpoint").getAsString()))
+                .setMode(MembershipChangeMode.valueOf(json.get("mode").getAsString()))
                 .build();
     }
 
-    static JsonArray voters(Collection<RaftEndpoint> all) {
+    static JsonArray voters(Collection<RaftEndpoint> endpoints) {
         JsonArray names = new JsonArray();
-        all.forEach(one -> names.add(one.getId().toString()));
+        endpoints.forEach(one -> names.add(one.getId().toString()));
         return names;
     }
 
     static Collection<RaftEndpoint> readVoters(JsonArray from) {
-        Collection<RaftEndpoint> all = new LinkedHashSet<>();
-        from.forEach(one -> all.add(VoterId.parse(one.getAsString())));
-        return all;
+        Collection<RaftEndpoint> endpoints = new LinkedHashSet<>();
+        from.forEach(one -> endpoints.add(VoterId.parse(one.getAsString())));
+        return endpoints;
     }
 
     static JsonObject writeMembers(RaftGroupMembersView view) {
@@ -146,25 +146,25 @@
     // ---- by the library's interfaces ----
 
     /** What a builder of the library's can be told, and the getter of that name. */
-    private record Field(String name, Method set, Method get, Type as) {}
+    private record Field(String name, Method set, Method get, Type type) {}
 
     /** How a model is made and read; found out once, since messages go to and fro all the time. */
-    private static final class Shape {
+    private static final class ModelAccess {
         private final List<Field> fields = new ArrayList<>();
         private final Method create;
-        private final Method group;
+        private final Method setGroupId;
         private final Method build;
 
-        private Shape(Class<?> type) {
+        private ModelAccess(Class<?> type) {
             Class<?> builder = BUILDERS.get(type);
-            create = only(RaftModelFactory.class, one -> one.getReturnType() == builder);
-            group = first(builder, one -> one.getName().equals("setGroupId"));
-            build = only(builder, one -> one.getName().equals("build"));
+            create = require(RaftModelFactory.class, one -> one.getReturnType() == builder);
+            setGroupId = find(builder, one -> one.getName().equals("setGroupId"));
+            build = require(builder, one -> one.getName().equals("build"));
             for (Method set : builder.getMethods()) {
                 String name = set.getName();
                 if (name.startsWith("set") && !name.equals("setGroupId")) {
                     String bare = name.substring(3);
-                    Method get = only(
+                    Method get = require(
                             type,
                             one -> one.getParameterCount() == 0
                                     && (one.getName().equals("get" + bare)
@@ -174,32 +174,32 @@
             }
         }
 
-        private static Method first(Class<?> of, Predicate<Method> wanted) {
-            return Arrays.stream(of.getMethods()).filter(wanted).findFirst().orElse(null);
+        private static Method find(Class<?> type, Predicate<Method> wanted) {
+            return Arrays.stream(type.getMethods()).filter(wanted).findFirst().orElse(null);
         }
 
-        private static Method only(Class<?> of, Predicate<Method> wanted) {
-            Method found = first(of, wanted);
+        private static Method require(Class<?> type, Predicate<Method> wanted) {
+            Method found = find(type, wanted);
             if (found == null) {
-                throw new IllegalStateException("the library's " + of + " is another than was built for");
+                throw new IllegalStateException("the library's " + type + " is another than was built for");
             }
             return found;
         }
     }
 
     private static JsonObject fields(Object model, Class<?> type) {
-        JsonObject all = new JsonObject();
-        for (Field field : shape(type).fields) {
-            all.add(field.name(), value(call(field.get(), model)));
+        JsonObject json = new JsonObject();
+        for (Field field : accessOf(type).fields) {
+            json.add(field.name(), toJson(invoke(field.get(), model)));
         }
-        return all;
+        return json;
     }
 
-    private static Shape shape(Class<?> type) {
-        return SHAPES.computeIfAbsent(type, Shape::new);
+    private static ModelAccess accessOf(Class<?> type) {
+        return ACCESS.computeIfAbsent(type, ModelAccess::new);
     }
 
-    private static JsonElement value(Object value) {
+    private static JsonElement toJson(Object value) {
         if (value instanceof Number number) {
             return new JsonPrimitive(number);
         }
@@ -218,55 +218,55 @@
         if (value instanceof RaftGroupMembersView view) {
             return fields(view, RaftGroupMembersView.class);
         }
-        if (value instanceof Collection<?> many) {
-            JsonArray all = new JsonArray();
-            many.forEach(one -> all.add(value(one)));
-            return all;
+        if (value instanceof Collection<?> collection) {
+            JsonArray array = new JsonArray();
+            collection.forEach(one -> array.add(toJson(one)));
+            return array;
         }
         return writeOperation(value);
     }
 
     private static Object build(JsonObject from, Class<?> type) {
-        Shape shape = shape(type);
-        Object builder = call(shape.create, MODELS);
-        if (shape.group != null) {
-            call(shape.group, builder, GROUP);
+        ModelAccess shape = accessOf(type);
+        Object builder = invoke(shape.create, MODELS);
+        if (shape.setGroupId != null) {
+            invoke(shape.setGroupId, builder, GROUP_ID);
         }
         for (Field field : shape.fields) {
             JsonElement value = from.get(field.name());
             if (value != null && !value.isJsonNull()) {
-                call(field.set(), builder, read(value, field.as()));
+                invoke(field.set(), builder, read(value, field.type()));
             }
         }
-        return call(shape.build, builder);
+        return invoke(shape.build, builder);
     }
 
-    private static Object read(JsonElement from, Type as) {
-        if (as == long.class) {
+    private static Object read(JsonElement from, Type type) {
+        if (type == long.class) {
             return from.getAsLong();
         }
-        if (as == int.class) {
+        if (type == int.class) {
             return from.getAsInt();
         }
-        if (as == boolean.class) {
+        if (type == boolean.class) {
             return from.getAsBoolean();
         }
-        if (as == RaftEndpoint.class) {
+        if (type == RaftEndpoint.class) {
             return VoterId.parse(from.getAsString());
         }
-        if (as == Object.class) {
+        if (type == Object.class) {
             return readOperation(from);
         }
-        if (as instanceof ParameterizedType many) {
-            Type of = many.getActualTypeArguments()[0];
-            List<Object> all = new ArrayList<>();
-            from.getAsJsonArray().forEach(one -> all.add(read(one, of)));
-            return all;
+        if (type instanceof ParameterizedType parameterized) {
+            Type elementType = parameterized.getActualTypeArguments()[0];
+            List<Object> list = new ArrayList<>();
+            from.getAsJsonArray().forEach(one -> list.add(read(one, elementType)));
+            return list;
         }
-        return build(from.getAsJsonObject(), (Class<?>) as);
+        return build(from.getAsJsonObject(), (Class<?>) type);
     }
 
-    private static Object call(Method method, Object on, Object... with) {
+    private static Object invoke(Method method, Object on, Object... with) {
         try {
             return method.invoke(on, with);
         } catch (IllegalAccessException e) {
--- a/src/main/java/laneflow/policy/Voting.java
+++ b/src/main/java/laneflow/policy/RaftVoter.java
@@ -54,11 +54,11 @@
  * The library counts in whole seconds, leases last about one: its time runs faster than the wall's by a
  * factor, in its timers and its clock alike. The clock is monotonic: no jump of the wall's moves an election.
  */
-final class Voting implements Transport, StateMachine, RaftNodeExecutor, AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Voting.class);
+final class RaftVoter implements Transport, StateMachine, RaftNodeExecutor, AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(RaftVoter.class);
     private static final String NEW_TERM = "";
     /** Seconds of the library's in a lease. */
-    private static final int SECONDS_A_LEASE = 20;
+    private static final int RAFT_SECONDS_PER_LEASE = 20;
     /** Behind what this class does itself: see {@link #watch}. */
     private static final int HEARTBEAT_TIMEOUT_S = 21;
 
@@ -69,59 +69,59 @@
 
     private static final int ELECTION_NOISE_MS = 100;
     /** The first voter misses a leader that is gone after this share of a lease, the last after this more. */
-    private static final double MISSED_AFTER = 0.75;
+    private static final double FIRST_TIMEOUT_LEASES = 0.75;
 
-    private static final double SPREAD = 0.25;
-    private static final int WATCHES_A_LEASE = 10;
-    private static final int STOOD_STILL = 3;
-    private static final long HAND_OVER_MS = 300;
-    private static final int COMMITS_A_SNAPSHOT = 1000;
-    private static final int MOST_PENDING = 256;
+    private static final double TIMEOUT_SPREAD_LEASES = 0.25;
+    private static final int WATCHES_PER_LEASE = 10;
+    private static final int STALL_WATCH_PERIODS = 3;
+    private static final long TRANSFER_TIMEOUT_MS = 300;
+    private static final int COMMITS_PER_SNAPSHOT = 1000;
+    private static final int MAX_PENDING_ENTRIES = 256;
 
     /** Reads the state, at the leader; never written to the log. */
-    interface Look extends Function<Ledger, Object> {}
+    interface LedgerQuery extends Function<Ledger, Object> {}
 
     /** What it has to tell, on the loop's thread. */
-    interface News {
+    interface Listener {
         /** @param leader the voter that leads in that term, as far as is known, or empty */
-        void role(int term, boolean leads, String leader, Set<String> voters);
+        void onRole(int term, boolean leads, String leader, Set<String> voters);
 
         /** It votes no more, for a fault. */
-        void stopped(String why);
+        void onStopped(String why);
 
         /** It votes no more, by order. */
-        void takenOut();
+        void onRemoved();
     }
 
-    private final Consumer<Runnable> later;
+    private final Consumer<Runnable> loopExecutor;
     private final BiConsumer<String, JsonObject> sender;
-    private final News news;
+    private final Listener listener;
     private final VoteStore store;
     private final VoterId self;
-    private final double speed;
+    private final double timeScale;
     private final long leaseNs;
     private final Random random = new Random();
     /** When the leader was last heard of, and how long it may be silent from then; on the voter's thread. */
-    private long leaderHeardNs;
+    private long leaderLastHeardNs;
 
-    private long leaderMaySilentNs;
+    private long leaderTimeoutNs;
     /** When it is to be looked for again. */
-    private long watchAtNs;
+    private long nextWatchNs;
 
     private volatile boolean leads;
     private final long origin = System.nanoTime();
     private final Ledger ledger;
     private final ScheduledThreadPoolExecutor thread;
     private RaftNode node;
-    private Collection<RaftEndpoint> first = List.of();
+    private Collection<RaftEndpoint> initialVoters = List.of();
     /** Names of voters that a link is up to; written by the loop. */
     private volatile Set<String> reachable = Set.of();
 
     private volatile boolean closed;
     /** Its store could not be written; set on the voter's thread. */
-    private volatile boolean muted;
+    private volatile boolean storeFailed;
 
-    private String said = "";
+    private String lastRole = "";
 
     /**
      * One that does not vote yet.
@@ -131,23 +131,23 @@
      * @param later runs a call on the loop
      * @param sender on the loop: sends a message to the scheduler of that name
      */
-    Voting(
+    RaftVoter(
             VoteStore store,
             Ledger ledger,
             long lease,
-            Consumer<Runnable> later,
+            Consumer<Runnable> loopExecutor,
             BiConsumer<String, JsonObject> sender,
-            News news) {
+            Listener listener) {
         this.store = store;
         this.ledger = ledger;
         this.self = store.self();
-        this.later = later;
+        this.loopExecutor = loopExecutor;
         this.sender = sender;
-        this.news = news;
+        this.listener = listener;
         leaseNs = lease * 1000;
-        speed = SECONDS_A_LEASE * 1e6 / lease;
+        timeScale = RAFT_SECONDS_PER_LEASE * 1e6 / lease;
         thread = new ScheduledThreadPoolExecutor(1, task -> Threads.daemon(task, "voter"));
-        store.whenItFails(this::mute);
+        store.onFailure(this::onStoreFailure);
         thread.setRemoveOnCancelPolicy(true);
         thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     }
@@ -161,22 +161,22 @@
      * lead, and carry nothing through; what it says of entries would be of more than a disk holds. So nothing
      * that it says gets out from this very call on, nothing of it runs again, and the others miss it.
      */
-    private void mute(String why) {
-        muted = true;
+    private void onStoreFailure(String reason) {
+        storeFailed = true;
         leads = false;
-        stopped("its store can't be written: " + why);
+        stopped("its store can't be written: " + reason);
     }
 
     /** Votes from now on, with what its store holds, or else as one of these first voters. */
-    void begin(RestoredRaftState restored, Collection<RaftEndpoint> firstVoters) {
+    void start(RestoredRaftState restored, Collection<RaftEndpoint> voters) {
         RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder()
-                .setGroupId(RaftCodec.group())
+                .setGroupId(RaftCodec.groupId())
                 .setConfig(RaftConfig.newBuilder()
                         .setLeaderElectionTimeoutMillis(ELECTION_TIMEOUT_MS)
                         .setLeaderHeartbeatTimeoutSecs(HEARTBEAT_TIMEOUT_S)
                         .setLeaderHeartbeatPeriodSecs(HEARTBEAT_PERIOD_S)
-                        .setCommitCountToTakeSnapshot(COMMITS_A_SNAPSHOT)
-                        .setMaxPendingLogEntryCount(MOST_PENDING)
+                        .setCommitCountToTakeSnapshot(COMMITS_PER_SNAPSHOT)
+                        .setMaxPendingLogEntryCount(MAX_PENDING_ENTRIES)
                         .setRaftNodeReportPublishPeriodSecs(REPORT_PERIOD_S)
                         .build())
                 .setExecutor(this)
@@ -184,15 +184,15 @@
                 .setStateMachine(this)
                 .setStore(store)
                 .setModelFactory(RaftCodec.models())
-                .setRaftNodeReportListener(this::report)
+                .setRaftNodeReportListener(this::onReport)
                 .setRandom(new Random(self.hashCode() ^ origin))
-                .setClock(new Fast());
+                .setClock(new ScaledClock());
         if (restored != null) {
             builder.setRestoredState(restored);
-            first = restored.getInitialGroupMembers().getVotingMembers();
+            initialVoters = restored.getInitialGroupMembers().getVotingMembers();
         } else {
-            builder.setLocalEndpoint(self).setInitialGroupMembers(firstVoters);
-            first = firstVoters;
+            builder.setLocalEndpoint(self).setInitialGroupMembers(voters);
+            initialVoters = voters;
         }
         node = builder.build();
         node.start().whenComplete((started, failed) -> {
@@ -200,7 +200,7 @@
                 stopped("it could not begin to vote: " + failed.getMessage());
             }
         });
-        watchIn(leaseNs);
+        scheduleWatch(leaseNs);
     }
 
     /**
@@ -210,40 +210,40 @@
      * So a leader that is silent is missed here, one voter behind the other and before the library does, by
      * the word with which a leader hands over. An election without a pre-vote is as safe.
      */
-    private void watch() {
+    private void watchLeader() {
         RaftEndpoint leader = node.getTerm().getLeaderEndpoint();
         long now = System.nanoTime();
-        if (muted || thread.isShutdown()) {
+        if (storeFailed || thread.isShutdown()) {
             return;
         }
         // One that stood still itself blames nobody: what the leader has said waits to be read.
-        boolean stoodStill = now - watchAtNs > STOOD_STILL * leaseNs / WATCHES_A_LEASE;
-        look(leader, now, stoodStill);
+        boolean stalled = now - nextWatchNs > STALL_WATCH_PERIODS * leaseNs / WATCHES_PER_LEASE;
+        checkLeader(leader, now, stalled);
         // While it is heard of nothing is looked at: that would be ten times a lease for nothing.
-        watchIn(Math.max(leaseNs / WATCHES_A_LEASE, leaderHeardNs + leaderMaySilentNs - now));
+        scheduleWatch(Math.max(leaseNs / WATCHES_PER_LEASE, leaderLastHeardNs + leaderTimeoutNs - now));
     }
 
-    private void watchIn(long ns) {
-        watchAtNs = System.nanoTime() + ns;
+    private void scheduleWatch(long ns) {
+        nextWatchNs = System.nanoTime() + ns;
         try {
-            thread.schedule(this::watch, ns, TimeUnit.NANOSECONDS);
+            thread.schedule(this::watchLeader, ns, TimeUnit.NANOSECONDS);
         } catch (RejectedExecutionException e) {
             LOG.debug("closed");
         }
     }
 
-    private void look(RaftEndpoint leader, long now, boolean stoodStill) {
-        if (stoodStill || leads || leader == null || node.getStatus() != RaftNodeStatus.ACTIVE) {
-            heardOfLeader(now);
-        } else if (now - leaderHeardNs > leaderMaySilentNs) {
-            heardOfLeader(now);
-            node.getReport().whenComplete((found, failed) -> {
+    private void checkLeader(RaftEndpoint leader, long now, boolean stalled) {
+        if (stalled || leads || leader == null || node.getStatus() != RaftNodeStatus.ACTIVE) {
+            onLeaderHeard(now);
+        } else if (now - leaderLastHeardNs > leaderTimeoutNs) {
+            onLeaderHeard(now);
+            node.getReport().whenComplete((response, failed) -> {
                 if (failed == null) {
-                    RaftNodeReport report = found.getResult();
+                    RaftNodeReport report = response.getResult();
                     LOG.info("policy: {} has not been heard of, another is to be elected", leader.getId());
                     node.handle(RaftCodec.models()
                             .createTriggerLeaderElectionRequestBuilder()
-                            .setGroupId(RaftCodec.group())
+                            .setGroupId(RaftCodec.groupId())
                             .setSender(leader)
                             .setTerm(report.getTerm().getTerm())
                             .setLastLogTerm(report.getLog().getLastLogOrSnapshotTerm())
@@ -254,16 +254,16 @@
         }
     }
 
-    private void heardOfLeader(long now) {
-        leaderHeardNs = now;
-        leaderMaySilentNs = (long) (leaseNs * (MISSED_AFTER + SPREAD * place()));
+    private void onLeaderHeard(long now) {
+        leaderLastHeardNs = now;
+        leaderTimeoutNs = (long) (leaseNs * (FIRST_TIMEOUT_LEASES + TIMEOUT_SPREAD_LEASES * timeoutRank()));
     }
 
     /**
      * This voter's place among those that may miss their leader, in [0, 1]. All of them have heard of it last
      * at the same time: with drawn times two of three called for each other's votes at once, once in five.
      */
-    private double place() {
+    private double timeoutRank() {
         TreeSet<String> others = new TreeSet<>();
         node.getEffectiveMembers()
                 .getVotingMembers()
@@ -276,14 +276,14 @@
         return others.size() < 2 ? 0 : Math.min(1, before / (others.size() - 1.0));
     }
 
-    boolean isBegun() {
+    boolean isStarted() {
         return node != null;
     }
 
     /** The voters that were there at the beginning; the same at all that belong together. */
-    List<String> firstVoters() {
+    List<String> initialVoterIds() {
         List<String> names = new ArrayList<>();
-        first.forEach(one -> names.add(one.getId().toString()));
+        initialVoters.forEach(one -> names.add(one.getId().toString()));
         names.sort(null);
         return names;
     }
@@ -294,29 +294,29 @@
     }
 
     /** On the loop: another voter's message. */
-    void take(String from, JsonObject message) {
+    void onMessage(String from, JsonObject message) {
         if (node == null || !message.get("to").getAsString().equals(self.text())) {
             return;
         }
-        JsonObject inner = message.getAsJsonObject("m");
+        JsonObject raftMessage = message.getAsJsonObject("m");
         try {
             thread.execute(() -> {
-                RaftMessage read;
+                RaftMessage decoded;
                 try {
-                    read = RaftCodec.read(inner);
+                    decoded = RaftCodec.read(raftMessage);
                 } catch (RuntimeException e) {
                     LOG.warn("a voter's message can't be read: {}", e.toString());
                     return;
                 }
-                if (read instanceof AppendEntriesRequest || read instanceof InstallSnapshotRequest) {
-                    heardOfLeader(System.nanoTime());
-                } else if (disturbs(read)) {
+                if (decoded instanceof AppendEntriesRequest || decoded instanceof InstallSnapshotRequest) {
+                    onLeaderHeard(System.nanoTime());
+                } else if (isVoteOfRemoved(decoded)) {
                     if (leads) {
-                        back(() -> sender.accept(from, removed(read.getSender())));
+                        runOnLoop(() -> sender.accept(from, removedMessage(decoded.getSender())));
                     }
                     return;
                 }
-                node.handle(read);
+                node.handle(decoded);
             });
         } catch (RejectedExecutionException e) {
             LOG.debug("closed");
@@ -327,25 +327,25 @@
      * A voter that was taken out, and has not heard of it, misses its leader: while there is one its votes
      * would only unseat it. Only the leader knows for sure, and tells it.
      */
-    private boolean disturbs(RaftMessage read) {
-        return (read instanceof VoteRequest || read instanceof PreVoteRequest)
-                && System.nanoTime() - leaderHeardNs < leaseNs / 2
-                && !node.getEffectiveMembers().getMembers().contains(read.getSender())
-                && !node.getCommittedMembers().getMembers().contains(read.getSender());
+    private boolean isVoteOfRemoved(RaftMessage message) {
+        return (message instanceof VoteRequest || message instanceof PreVoteRequest)
+                && System.nanoTime() - leaderLastHeardNs < leaseNs / 2
+                && !node.getEffectiveMembers().getMembers().contains(message.getSender())
+                && !node.getCommittedMembers().getMembers().contains(message.getSender());
     }
 
-    private static JsonObject removed(RaftEndpoint who) {
-        JsonObject all = new JsonObject();
-        all.addProperty("t", "removed");
-        all.addProperty("id", who.getId().toString());
-        return all;
+    private static JsonObject removedMessage(RaftEndpoint voter) {
+        JsonObject message = new JsonObject();
+        message.addProperty("t", "removed");
+        message.addProperty("id", voter.getId().toString());
+        return message;
     }
 
     /** On the loop: this one was taken out, and votes no more. */
-    void leave() {
+    void stopAfterRemoval() {
         closed = true;
-        onThread(() -> node.terminate(), () -> {});
-        back(news::takenOut);
+        runOnVoterThread(() -> node.terminate(), () -> {});
+        runOnLoop(listener::onRemoved);
     }
 
     /**
@@ -354,24 +354,24 @@
      *
      * @param term the answer is null if it is another by then
      */
-    void look(int term, Look what, Consumer<Object> then) {
-        onThread(
-                () -> node.<Object>query(what, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
+    void query(int term, LedgerQuery query, Consumer<Object> then) {
+        runOnVoterThread(
+                () -> node.<Object>query(query, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
                         .whenComplete((done, failed) -> {
                             boolean still = failed == null && node.getTerm().getTerm() == term;
-                            back(() -> then.accept(still ? done.getResult() : null));
+                            runOnLoop(() -> then.accept(still ? done.getResult() : null));
                         }),
                 () -> then.accept(null));
     }
 
     /** Puts an operation into the log; the answer comes on the loop, null where it is not known to be in. */
     void replicate(JsonObject operation, Consumer<JsonObject> then) {
-        onThread(
+        runOnVoterThread(
                 () -> node.<Object>replicate(operation.toString()).whenComplete((done, failed) -> {
                     JsonObject answer = failed == null
                             ? JsonParser.parseString((String) done.getResult()).getAsJsonObject()
                             : null;
-                    back(() -> then.accept(answer));
+                    runOnLoop(() -> then.accept(answer));
                 }),
                 () -> then.accept(null));
     }
@@ -380,38 +380,39 @@
      * Takes a voter in. A store of its name that it has lost goes first, so that no two of one name vote, and
      * the new one listens before it votes. Tells null, or why it was not done; asked again it goes on.
      */
-    void takeIn(VoterId by, Consumer<String> then) {
-        onThread(
+    void addVoter(VoterId voter, Consumer<String> then) {
+        runOnVoterThread(
                 () -> {
                     RaftGroupMembers now = node.getCommittedMembers();
                     Optional<RaftEndpoint> former = now.getMembers().stream()
-                            .filter(one -> ((VoterId) one).name().equals(by.name()) && !one.equals(by))
+                            .filter(one -> ((VoterId) one).name().equals(voter.name()) && !one.equals(voter))
                             .findFirst();
-                    CompletableFuture<Long> gone = former.isEmpty()
+                    CompletableFuture<Long> removed = former.isEmpty()
                             ? CompletableFuture.completedFuture(now.getLogIndex())
-                            : change(former.get(), MembershipChangeMode.REMOVE_MEMBER, now.getLogIndex());
-                    if (!now.getMembers().contains(by)) {
-                        gone = gone.thenCompose(index -> change(by, MembershipChangeMode.ADD_LEARNER, index));
+                            : changeMembership(former.get(), MembershipChangeMode.REMOVE_MEMBER, now.getLogIndex());
+                    if (!now.getMembers().contains(voter)) {
+                        removed = removed.thenCompose(
+                                index -> changeMembership(voter, MembershipChangeMode.ADD_LEARNER, index));
                     }
-                    ended(
-                            gone.thenCompose(
-                                    index -> change(by, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, index)),
+                    reportOutcome(
+                            removed.thenCompose(index ->
+                                    changeMembership(voter, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, index)),
                             then);
                 },
                 () -> then.accept("this process ends"));
     }
 
     /** Takes a voter out. Tells null, or why it was not done. */
-    void takeOut(VoterId who, Consumer<String> then) {
-        onThread(
-                () -> ended(
-                        change(
-                                who,
+    void removeVoter(VoterId voter, Consumer<String> then) {
+        runOnVoterThread(
+                () -> reportOutcome(
+                        changeMembership(
+                                voter,
                                 MembershipChangeMode.REMOVE_MEMBER,
                                 node.getCommittedMembers().getLogIndex()),
                         why -> {
                             if (why == null) {
-                                sender.accept(who.name(), removed(who));
+                                sender.accept(voter.name(), removedMessage(voter));
                             }
                             then.accept(why);
                         }),
@@ -420,17 +421,17 @@
 
     /** Has another voter lead, so that this one can be taken out. */
     void stepDown() {
-        onThread(() -> other().ifPresent(node::transferLeadership), () -> {});
+        runOnVoterThread(() -> transferTarget().ifPresent(node::transferLeadership), () -> {});
     }
 
-    private Optional<RaftEndpoint> other() {
+    private Optional<RaftEndpoint> transferTarget() {
         return node.getEffectiveMembers().getVotingMembers().stream()
                 .filter(one -> !one.equals(self) && isReachable(one))
                 .findFirst();
     }
 
-    private void ended(CompletableFuture<Long> change, Consumer<String> then) {
-        change.whenComplete((done, failed) -> back(() -> then.accept(
+    private void reportOutcome(CompletableFuture<Long> change, Consumer<String> then) {
+        change.whenComplete((done, failed) -> runOnLoop(() -> then.accept(
                 failed == null
                         ? null
                         : String.valueOf(
@@ -439,37 +440,37 @@
                                         : failed.getCause().getMessage()))));
     }
 
-    private CompletableFuture<Long> change(RaftEndpoint who, MembershipChangeMode how, long index) {
-        return node.changeMembership(who, how, index).thenApply(Ordered::getCommitIndex);
+    private CompletableFuture<Long> changeMembership(RaftEndpoint voter, MembershipChangeMode mode, long index) {
+        return node.changeMembership(voter, mode, index).thenApply(Ordered::getCommitIndex);
     }
 
-    private void onThread(Runnable work, Runnable unless) {
+    private void runOnVoterThread(Runnable work, Runnable otherwise) {
         try {
             thread.execute(() -> {
-                if (muted) {
-                    back(unless);
+                if (storeFailed) {
+                    runOnLoop(otherwise);
                 } else {
                     work.run();
                 }
             });
         } catch (RejectedExecutionException e) {
-            unless.run();
+            otherwise.run();
         }
     }
 
-    private void back(Runnable call) {
+    private void runOnLoop(Runnable call) {
         try {
-            later.accept(call);
+            loopExecutor.accept(call);
         } catch (RejectedExecutionException e) {
             LOG.debug("the loop has ended");
         }
     }
 
     private void stopped(String why) {
-        back(() -> news.stopped(why));
+        runOnLoop(() -> listener.onStopped(why));
     }
 
-    private void report(RaftNodeReport report) {
+    private void onReport(RaftNodeReport report) {
         if (report.getStatus() == RaftNodeStatus.TERMINATED && !closed) {
             stopped("the library ended it; a disk that is full or fails is the usual cause");
             return;
@@ -484,10 +485,10 @@
         report.getEffectiveMembers()
                 .getVotingMembers()
                 .forEach(one -> voters.add(one.getId().toString()));
-        String now = term + " " + leadsNow + " " + name + " " + voters;
-        if (!now.equals(said)) {
-            said = now;
-            back(() -> news.role(term, leadsNow, name, voters));
+        String role = term + " " + leadsNow + " " + name + " " + voters;
+        if (!role.equals(lastRole)) {
+            lastRole = role;
+            runOnLoop(() -> listener.onRole(term, leadsNow, name, voters));
         }
     }
 
@@ -495,7 +496,7 @@
 
     @Override
     public void send(RaftEndpoint target, RaftMessage message) {
-        if (muted) {
+        if (storeFailed) {
             return;
         }
         VoterId to = (VoterId) target;
@@ -503,7 +504,7 @@
         all.addProperty("t", "raft");
         all.addProperty("to", to.text());
         all.add("m", RaftCodec.write(message));
-        back(() -> sender.accept(to.name(), all));
+        runOnLoop(() -> sender.accept(to.name(), all));
     }
 
     @Override
@@ -515,7 +516,7 @@
 
     @Override
     public Object runOperation(long commitIndex, Object operation) {
-        if (operation instanceof Look look) {
+        if (operation instanceof LedgerQuery look) {
             return look.apply(ledger);
         }
         if (operation == null || operation.equals(NEW_TERM)) {
@@ -550,15 +551,15 @@
     @Override
     public void submit(Runnable task) {
         try {
-            thread.execute(unlessMuted(task));
+            thread.execute(unlessStoreFailed(task));
         } catch (RejectedExecutionException e) {
             LOG.debug("closed");
         }
     }
 
-    private Runnable unlessMuted(Runnable task) {
+    private Runnable unlessStoreFailed(Runnable task) {
         return () -> {
-            if (!muted) {
+            if (!storeFailed) {
                 task.run();
             }
         };
@@ -573,16 +574,17 @@
     public void schedule(Runnable task, long delay, TimeUnit unit) {
         long ms = unit.toMillis(delay);
         boolean election = ms >= ELECTION_TIMEOUT_MS && ms < ELECTION_TIMEOUT_MS + ELECTION_NOISE_MS;
-        double times = election ? 1 + random.nextDouble() : 1;
+        double factor = election ? 1 + random.nextDouble() : 1;
         try {
-            thread.schedule(unlessMuted(task), (long) (unit.toNanos(delay) * times / speed), TimeUnit.NANOSECONDS);
+            thread.schedule(
+                    unlessStoreFailed(task), (long) (unit.toNanos(delay) * factor / timeScale), TimeUnit.NANOSECONDS);
         } catch (RejectedExecutionException e) {
             LOG.debug("closed");
         }
     }
 
     /** Monotonic, and as much faster as the timers. */
-    private final class Fast extends Clock {
+    private final class ScaledClock extends Clock {
         @Override
         public ZoneId getZone() {
             return ZoneOffset.UTC;
@@ -595,7 +597,7 @@
 
         @Override
         public long millis() {
-            return (long) ((System.nanoTime() - origin) / 1e6 * speed);
+            return (long) ((System.nanoTime() - origin) / 1e6 * timeScale);
         }
 
         @Override
@@ -605,11 +607,11 @@
     }
 
     /** One that leads and ends in order names another, so that nobody has to miss it first. */
-    private void handOver() throws InterruptedException {
-        Optional<RaftEndpoint> to = other();
+    private void transferLeadership() throws InterruptedException {
+        Optional<RaftEndpoint> to = transferTarget();
         if (leads && to.isPresent()) {
             try {
-                node.transferLeadership(to.get()).get(HAND_OVER_MS, TimeUnit.MILLISECONDS);
+                node.transferLeadership(to.get()).get(TRANSFER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             } catch (ExecutionException | TimeoutException e) {
                 LOG.debug("the others elect another by themselves", e);
             }
@@ -620,9 +622,9 @@
     @Override
     public void close() throws IOException, InterruptedException {
         closed = true;
-        if (node != null && !muted) {
+        if (node != null && !storeFailed) {
             try {
-                handOver();
+                transferLeadership();
                 node.terminate().get(2, TimeUnit.SECONDS);
             } catch (ExecutionException | TimeoutException e) {
                 LOG.debug("terminate", e);
--- a/src/main/java/laneflow/policy/VoteStore.java
+++ b/src/main/java/laneflow/policy/VoteStore.java
@@ -47,19 +47,19 @@
     private final FileChannel lock;
     private Connection db;
     private VoterId self;
-    private boolean begun;
+    private boolean inTransaction;
     private boolean failed;
-    private Consumer<String> whenItFails = why -> {};
+    private Consumer<String> failureListener = why -> {};
     /** Counted in the database and, behind each commit, in a file beside it. */
     private long commits;
 
     private FileChannel witness;
 
     /** Another process has it open: it can be opened when that has ended. */
-    static final class Taken extends IOException {
+    static final class StoreLockedException extends IOException {
         private static final long serialVersionUID = 1;
 
-        private Taken(String message) {
+        private StoreLockedException(String message) {
             super(message);
         }
     }
@@ -69,7 +69,7 @@
         lock = FileChannel.open(dir.resolve("votes.lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         if (!FolderLock.take(lock)) {
             lock.close();
-            throw new Taken(dir + ": another process votes with this store");
+            throw new StoreLockedException(dir + ": another process votes with this store");
         }
     }
 
@@ -91,10 +91,10 @@
 
     private void open(String name) throws SQLException, IOException {
         db = DriverManager.getConnection("jdbc:sqlite:" + dir.resolve(FILE).toAbsolutePath());
-        run("PRAGMA locking_mode=EXCLUSIVE");
-        run("PRAGMA journal_mode=WAL");
-        run("PRAGMA synchronous=FULL");
-        int format = Integer.parseInt(text("PRAGMA user_version"));
+        execute("PRAGMA locking_mode=EXCLUSIVE");
+        execute("PRAGMA journal_mode=WAL");
+        execute("PRAGMA synchronous=FULL");
+        int format = Integer.parseInt(queryText("PRAGMA user_version"));
         if (format > FORMAT) {
             throw new IOException(
                     dir + ": the store of votes has format " + format + ", this build reads up to " + FORMAT);
@@ -104,38 +104,39 @@
                 StandardOpenOption.CREATE,
                 StandardOpenOption.READ,
                 StandardOpenOption.WRITE);
-        long seen = witnessed();
-        if (format == 0 && seen > 0) {
-            throw new IOException(dir + ": the store of votes is empty, and held " + seen + " commits before");
+        long witnessed = readWitness();
+        if (format == 0 && witnessed > 0) {
+            throw new IOException(dir + ": the store of votes is empty, and held " + witnessed + " commits before");
         }
         if (format == 0) {
-            byte[] mark = new byte[8];
-            new SecureRandom().nextBytes(mark);
-            run("BEGIN IMMEDIATE");
-            run("CREATE TABLE meta(key TEXT PRIMARY KEY, value TEXT NOT NULL, crc INTEGER NOT NULL)");
-            run("CREATE TABLE entry(idx INTEGER PRIMARY KEY, term INTEGER NOT NULL, op TEXT NOT NULL,"
+            byte[] storeId = new byte[8];
+            new SecureRandom().nextBytes(storeId);
+            execute("BEGIN IMMEDIATE");
+            execute("CREATE TABLE meta(key TEXT PRIMARY KEY, value TEXT NOT NULL, crc INTEGER NOT NULL)");
+            execute("CREATE TABLE entry(idx INTEGER PRIMARY KEY, term INTEGER NOT NULL, op TEXT NOT NULL,"
                     + " crc INTEGER NOT NULL)");
-            run("CREATE TABLE chunk(idx INTEGER NOT NULL, part INTEGER NOT NULL, parts INTEGER NOT NULL,"
+            execute("CREATE TABLE chunk(idx INTEGER NOT NULL, part INTEGER NOT NULL, parts INTEGER NOT NULL,"
                     + " term INTEGER NOT NULL, op TEXT NOT NULL, members TEXT NOT NULL, crc INTEGER NOT NULL,"
                     + " PRIMARY KEY(idx, part))");
-            put("mark", HexFormat.of().formatHex(mark));
-            run("PRAGMA user_version=" + FORMAT);
-            run("COMMIT");
-        } else if (!"ok".equals(text("PRAGMA quick_check(1)"))) {
+            put("mark", HexFormat.of().formatHex(storeId));
+            execute("PRAGMA user_version=" + FORMAT);
+            execute("COMMIT");
+        } else if (!"ok".equals(queryText("PRAGMA quick_check(1)"))) {
             throw new IOException(dir + ": the store of votes is damaged");
         }
         self = new VoterId(name, meta("mark"));
-        String counted = meta("commits");
-        commits = counted == null ? 0 : Long.parseLong(counted);
-        if (seen > commits) {
+        String storedCommits = meta("commits");
+        commits = storedCommits == null ? 0 : Long.parseLong(storedCommits);
+        if (witnessed > commits) {
             // Where its log is damaged SQLite goes on without what that held, and says nothing.
-            throw new IOException(dir + ": " + (seen - commits) + " commits of the store of votes are" + " missing");
+            throw new IOException(
+                    dir + ": " + (witnessed - commits) + " commits of the store of votes are" + " missing");
         }
     }
 
-    private long witnessed() throws IOException {
-        ByteBuffer eight = ByteBuffer.allocate(Long.BYTES);
-        return witness.read(eight, 0) < Long.BYTES ? 0 : eight.flip().getLong();
+    private long readWitness() throws IOException {
+        ByteBuffer buffer = ByteBuffer.allocate(Long.BYTES);
+        return witness.read(buffer, 0) < Long.BYTES ? 0 : buffer.flip().getLong();
     }
 
     /** This voter: its name and its store's mark. */
@@ -152,25 +153,31 @@
                 return null;
             }
             String term = meta("term");
-            JsonObject said = term == null ? new JsonObject() : json(term);
+            JsonObject termFields = term == null ? new JsonObject() : parseObject(term);
             RaftTermPersistentState termState = term == null
                     ? null
                     : RaftCodec.models()
                             .createRaftTermPersistentStateBuilder()
-                            .setTerm(said.get("term").getAsInt())
+                            .setTerm(termFields.get("term").getAsInt())
                             .setVotedFor(
-                                    said.has("voted")
-                                            ? VoterId.parse(said.get("voted").getAsString())
+                                    termFields.has("voted")
+                                            ? VoterId.parse(
+                                                    termFields.get("voted").getAsString())
                                             : null)
                             .build();
-            RaftEndpointPersistentState own = RaftCodec.models()
+            RaftEndpointPersistentState endpointState = RaftCodec.models()
                     .createRaftEndpointPersistentStateBuilder()
                     .setLocalEndpoint(self)
                     .setVoting(endpoint.equals("voting"))
                     .build();
             SnapshotEntry snapshot = snapshot();
-            long from = snapshot == null ? 0 : snapshot.getIndex();
-            return new RestoredRaftState(own, RaftCodec.readMembers(json(members)), termState, snapshot, entries(from));
+            long snapshotIndex = snapshot == null ? 0 : snapshot.getIndex();
+            return new RestoredRaftState(
+                    endpointState,
+                    RaftCodec.readMembers(parseObject(members)),
+                    termState,
+                    snapshot,
+                    entries(snapshotIndex));
         } catch (SQLException | RuntimeException e) {
             throw new IOException(dir + ": the store of votes can't be read: " + e.getMessage(), e);
         }
@@ -193,13 +200,13 @@
             query.setLong(1, newest);
             ResultSet rows = query.executeQuery();
             while (rows.next()) {
-                check(rows.getLong(6), newest + " " + rows.getInt(3) + rows.getString(4) + rows.getString(5));
-                members = RaftCodec.readMembers(json(rows.getString(5)));
+                verify(rows.getLong(6), newest + " " + rows.getInt(3) + rows.getString(4) + rows.getString(5));
+                members = RaftCodec.readMembers(parseObject(rows.getString(5)));
                 chunks.add(RaftCodec.models()
                         .createSnapshotChunkBuilder()
                         .setIndex(newest)
                         .setTerm(rows.getInt(3))
-                        .setOperation(operation(rows.getString(4)))
+                        .setOperation(parseOperation(rows.getString(4)))
                         .setSnapshotChunkIndex(rows.getInt(1))
                         .setSnapshotChunkCount(rows.getInt(2))
                         .setGroupMembersView(members)
@@ -215,40 +222,40 @@
                 .build();
     }
 
-    private List<LogEntry> entries(long behind) throws SQLException, IOException {
-        List<LogEntry> all = new ArrayList<>();
-        long next = behind + 1;
+    private List<LogEntry> entries(long afterIndex) throws SQLException, IOException {
+        List<LogEntry> entries = new ArrayList<>();
+        long next = afterIndex + 1;
         try (PreparedStatement query =
                 db.prepareStatement("SELECT idx, term, op, crc FROM entry WHERE idx>? ORDER BY idx")) {
-            query.setLong(1, behind);
+            query.setLong(1, afterIndex);
             ResultSet rows = query.executeQuery();
             while (rows.next()) {
                 long index = rows.getLong(1);
-                check(rows.getLong(4), index + " " + rows.getInt(2) + rows.getString(3));
+                verify(rows.getLong(4), index + " " + rows.getInt(2) + rows.getString(3));
                 if (index != next++) {
                     throw new IOException(dir + ": entry " + (next - 1) + " of the log of votes is missing");
                 }
-                all.add(RaftCodec.entry(index, rows.getInt(2), operation(rows.getString(3))));
+                entries.add(RaftCodec.entry(index, rows.getInt(2), parseOperation(rows.getString(3))));
             }
         }
-        return all;
+        return entries;
     }
 
-    private static Object operation(String text) {
+    private static Object parseOperation(String text) {
         return RaftCodec.readOperation(JsonParser.parseString(text));
     }
 
-    private static JsonObject json(String text) {
+    private static JsonObject parseObject(String text) {
         return JsonParser.parseString(text).getAsJsonObject();
     }
 
-    private void check(long crc, String of) throws IOException {
-        if (crc != sum(of)) {
+    private void verify(long crc, String text) throws IOException {
+        if (crc != checksum(text)) {
             throw new IOException(dir + ": a row of the store of votes is not what was written");
         }
     }
 
-    private static long sum(String text) {
+    private static long checksum(String text) {
         CRC32C crc = new CRC32C();
         crc.update(text.getBytes(StandardCharsets.UTF_8));
         return crc.getValue();
@@ -256,54 +263,54 @@
 
     // ---- what the library has written ----
 
-    private interface Work {
+    private interface StoreOperation {
         void run() throws SQLException, IOException;
     }
 
     /** Told once, on the voter's thread, when something could not be written. */
-    void whenItFails(Consumer<String> told) {
-        whenItFails = told;
+    void onFailure(Consumer<String> listener) {
+        failureListener = listener;
     }
 
     /** The library may have more in memory than is on the disk from here on: it must say nothing. */
-    private IOException failed(Exception why) {
-        String text = dir.resolve(FILE) + ": " + why.getMessage();
+    private IOException fail(Exception cause) {
+        String text = dir.resolve(FILE) + ": " + cause.getMessage();
         if (!failed) {
             failed = true;
-            whenItFails.accept(text);
+            failureListener.accept(text);
         }
-        return new IOException(text, why);
+        return new IOException(text, cause);
     }
 
-    private void write(boolean flush, Work work) throws IOException {
-        guarded(() -> {
-            if (!begun) {
-                run("BEGIN IMMEDIATE");
-                begun = true;
+    private void write(boolean flush, StoreOperation operation) throws IOException {
+        runUnlessFailed(() -> {
+            if (!inTransaction) {
+                execute("BEGIN IMMEDIATE");
+                inTransaction = true;
             }
-            work.run();
+            operation.run();
             if (flush) {
                 commit();
             }
         });
     }
 
-    private void guarded(Work work) throws IOException {
+    private void runUnlessFailed(StoreOperation operation) throws IOException {
         if (failed) {
             throw new IOException(dir.resolve(FILE) + ": could not be written before");
         }
         try {
-            work.run();
+            operation.run();
         } catch (SQLException | IOException e) {
-            throw failed(e);
+            throw fail(e);
         }
     }
 
     private void commit() throws SQLException, IOException {
-        if (begun) {
+        if (inTransaction) {
             put("commits", String.valueOf(commits + 1));
-            run("COMMIT");
-            begun = false;
+            execute("COMMIT");
+            inTransaction = false;
             commits++;
             // Not synced: it may be behind the database, and tells if that is behind it.
             witness.write(ByteBuffer.allocate(Long.BYTES).putLong(commits).flip(), 0);
@@ -322,13 +329,13 @@
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState state) throws IOException {
-        JsonObject all = new JsonObject();
-        all.addProperty("term", state.getTerm());
-        RaftEndpoint voted = state.getVotedFor();
-        if (voted != null) {
-            all.addProperty("voted", voted.getId().toString());
+        JsonObject fields = new JsonObject();
+        fields.addProperty("term", state.getTerm());
+        RaftEndpoint votedFor = state.getVotedFor();
+        if (votedFor != null) {
+            fields.addProperty("voted", votedFor.getId().toString());
         }
-        write(true, () -> put("term", all.toString()));
+        write(true, () -> put("term", fields.toString()));
     }
 
     @Override
@@ -340,7 +347,7 @@
                     insert.setLong(1, entry.getIndex());
                     insert.setInt(2, entry.getTerm());
                     insert.setString(3, op);
-                    insert.setLong(4, sum(entry.getIndex() + " " + entry.getTerm() + op));
+                    insert.setLong(4, checksum(entry.getIndex() + " " + entry.getTerm() + op));
                     insert.executeUpdate();
                 }
             }
@@ -359,7 +366,7 @@
                 insert.setInt(4, chunk.getTerm());
                 insert.setString(5, op);
                 insert.setString(6, members);
-                insert.setLong(7, sum(chunk.getIndex() + " " + chunk.getTerm() + op + members));
+                insert.setLong(7, checksum(chunk.getIndex() + " " + chunk.getTerm() + op + members));
                 insert.executeUpdate();
             }
         });
@@ -367,22 +374,22 @@
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
-        write(false, () -> run("DELETE FROM entry WHERE idx>=" + index));
+        write(false, () -> execute("DELETE FROM entry WHERE idx>=" + index));
     }
 
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        write(false, () -> run("DELETE FROM entry WHERE idx<=" + index));
+        write(false, () -> execute("DELETE FROM entry WHERE idx<=" + index));
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
-        write(false, () -> run("DELETE FROM chunk WHERE idx=" + index));
+        write(false, () -> execute("DELETE FROM chunk WHERE idx=" + index));
     }
 
     @Override
     public void flush() throws IOException {
-        guarded(this::commit);
+        runUnlessFailed(this::commit);
     }
 
     // ---- rows ----
@@ -391,7 +398,7 @@
         try (PreparedStatement insert = db.prepareStatement("INSERT OR REPLACE INTO meta VALUES(?,?,?)")) {
             insert.setString(1, key);
             insert.setString(2, value);
-            insert.setLong(3, sum(key + value));
+            insert.setLong(3, checksum(key + value));
             insert.executeUpdate();
         }
     }
@@ -403,18 +410,18 @@
             if (!rows.next()) {
                 return null;
             }
-            check(rows.getLong(2), key + rows.getString(1));
+            verify(rows.getLong(2), key + rows.getString(1));
             return rows.getString(1);
         }
     }
 
-    private void run(String sql) throws SQLException {
+    private void execute(String sql) throws SQLException {
         try (Statement statement = db.createStatement()) {
             statement.execute(sql);
         }
     }
 
-    private String text(String query) throws SQLException {
+    private String queryText(String query) throws SQLException {
         try (Statement statement = db.createStatement();
                 ResultSet rows = statement.executeQuery(query)) {
             return rows.next() ? rows.getString(1) : "0";
--- a/src/main/java/laneflow/policy/VoterGroup.java
+++ b/src/main/java/laneflow/policy/VoterGroup.java
@@ -31,81 +31,81 @@
  */
 final class VoterGroup {
     private static final Logger LOG = LoggerFactory.getLogger(VoterGroup.class);
-    private static final long TELL_EVERY = 100_000;
+    private static final long ANNOUNCE_PERIOD_MICROS = 100_000;
 
     private final Loop loop;
     private final Fleet fleet;
     private final PolicyConfig config;
     private final Counters counters;
-    private final Voting voting;
-    private final Deadline tell;
+    private final RaftVoter voter;
+    private final Deadline announceTimer;
     /** The stores of voters that are empty, as they have said, by name. */
-    private final Map<String, String> empty = new HashMap<>();
+    private final Map<String, String> emptyStores = new HashMap<>();
 
-    private final Map<String, String> marks = new HashMap<>();
+    private final Map<String, String> storeIds = new HashMap<>();
     /** True where the file does not name this one as a voter. */
     private final boolean candidate;
 
-    private String group = "";
-    private boolean lost;
+    private String groupId = "";
+    private boolean storeLost;
     private boolean removed;
 
-    VoterGroup(Loop loop, Fleet fleet, PolicyConfig config, Counters counters, Voting voting) {
+    VoterGroup(Loop loop, Fleet fleet, PolicyConfig config, Counters counters, RaftVoter voter) {
         this.loop = loop;
         this.fleet = fleet;
         this.config = config;
         this.counters = counters;
-        this.voting = voting;
-        candidate = !config.voters.contains(voting.self().name());
-        tell = loop.deadlines().create(this::tell);
+        this.voter = voter;
+        candidate = !config.voters.contains(voter.self().name());
+        announceTimer = loop.deadlines().create(this::announce);
     }
 
     /** @param restored what the store holds, or null where it is empty */
-    void begin(RestoredRaftState restored) {
-        fleet.handle("voter", this::heard);
+    void start(RestoredRaftState restored) {
+        fleet.handle("voter", this::onAnnouncement);
         fleet.handle("raft", (from, message) -> {
-            if (voting.isBegun() && message.get("group").getAsString().equals(group)) {
-                voting.take(from.name(), message);
+            if (voter.isStarted() && message.get("group").getAsString().equals(groupId)) {
+                voter.onMessage(from.name(), message);
             } else {
                 counters.add("policy.other_group");
             }
         });
         fleet.handle("join", (from, message) -> {
-            if (!voting.isBegun()
-                    && message.get("id").getAsString().equals(voting.self().text())) {
-                lost = false;
+            if (!voter.isStarted()
+                    && message.get("id").getAsString().equals(voter.self().text())) {
+                storeLost = false;
                 counters.set("policy.vote_lost", 0);
-                start(null, RaftCodec.readVoters(message.getAsJsonArray("first")));
+                startVoting(null, RaftCodec.readVoters(message.getAsJsonArray("first")));
             }
         });
         fleet.handle("removed", (from, message) -> {
-            if (!removed && message.get("id").getAsString().equals(voting.self().text())) {
+            if (!removed && message.get("id").getAsString().equals(voter.self().text())) {
                 removed = true;
-                voting.leave();
+                voter.stopAfterRemoval();
             }
         });
         if (restored != null) {
-            start(restored, List.of());
+            startVoting(restored, List.of());
         } else {
-            alone();
+            startIfAllEmpty();
         }
-        tell();
+        announce();
     }
 
     /** On the loop: a link has come up or gone down. */
-    void linked() {
+    void onLinksChanged() {
         Set<String> names = new TreeSet<>();
-        for (String voter : fleet.dialled()) {
-            if (fleet.peer(voter) != null) {
-                names.add(voter);
+        for (String name : fleet.dialled()) {
+            if (fleet.peer(name) != null) {
+                names.add(name);
             }
         }
-        voting.reachable(names);
-        tell();
+        voter.reachable(names);
+        announce();
     }
 
     /** On the loop: these vote now, by their stores. */
-    void members(Set<String> ids) {
+    void onVoters(Set<String> ids) {
         ids.forEach(id -> dial(VoterId.parse(id).name()));
     }
 
@@ -122,124 +122,124 @@
     void send(String to, JsonObject message) {
         Peer peer = fleet.peer(to);
         if (peer != null) {
-            message.addProperty("group", group);
+            message.addProperty("group", groupId);
             peer.send(message);
         }
     }
 
-    private void tell() {
-        for (String voter : fleet.dialled()) {
-            Peer peer = fleet.peer(voter);
+    private void announce() {
+        for (String name : fleet.dialled()) {
+            Peer peer = fleet.peer(name);
             if (peer != null) {
-                peer.send(word());
+                peer.send(announcement());
             }
         }
-        if (!voting.isBegun() && !candidate) {
-            loop.deadlines().set(tell, loop.micros() + TELL_EVERY);
+        if (!voter.isStarted() && !candidate) {
+            loop.deadlines().set(announceTimer, loop.micros() + ANNOUNCE_PERIOD_MICROS);
         }
     }
 
     /** The stores of those that this one began with. */
-    private JsonArray first() {
-        JsonArray all = new JsonArray();
-        voting.firstVoters().forEach(all::add);
-        return all;
+    private JsonArray initialVoters() {
+        JsonArray ids = new JsonArray();
+        voter.initialVoterIds().forEach(ids::add);
+        return ids;
     }
 
-    private JsonObject word() {
-        JsonObject all = new JsonObject();
-        all.addProperty("t", "voter");
-        all.addProperty("id", voting.self().text());
-        if (voting.isBegun()) {
-            all.add("first", first());
+    private JsonObject announcement() {
+        JsonObject message = new JsonObject();
+        message.addProperty("t", "voter");
+        message.addProperty("id", voter.self().text());
+        if (voter.isStarted()) {
+            message.add("first", initialVoters());
         }
-        return all;
+        return message;
     }
 
-    private void heard(Peer from, JsonObject message) {
+    private void onAnnouncement(Peer from, JsonObject message) {
         VoterId id = VoterId.parse(message.get("id").getAsString());
         if (!id.name().equals(from.name())) {
             counters.add("fleet.garbled");
             return;
         }
-        marks.put(id.name(), id.text());
+        storeIds.put(id.name(), id.text());
         JsonElement first = message.get("first");
         if (first == null) {
-            empty.put(id.name(), id.text());
+            emptyStores.put(id.name(), id.text());
         } else {
-            empty.remove(id.name());
+            emptyStores.remove(id.name());
         }
-        if (voting.isBegun()) {
+        if (voter.isStarted()) {
             if (first == null) {
                 // It waits to hear whom this one began with.
-                from.send(word());
+                from.send(announcement());
             }
             return;
         }
         if (first != null) {
-            Collection<RaftEndpoint> all = RaftCodec.readVoters(first.getAsJsonArray());
-            if (all.contains(voting.self())) {
-                start(null, all);
-            } else if (!lost && !candidate) {
-                lost = true;
+            Collection<RaftEndpoint> initial = RaftCodec.readVoters(first.getAsJsonArray());
+            if (initial.contains(voter.self())) {
+                startVoting(null, initial);
+            } else if (!storeLost && !candidate) {
+                storeLost = true;
                 counters.set("policy.vote_lost", 1);
                 LOG.error(
                         "policy: this store of votes is new, and the voters {} had another one of {}: it"
                                 + " does not vote until it is taken in anew",
                         first,
-                        voting.self().name());
+                        voter.self().name());
             }
             return;
         }
-        alone();
+        startIfAllEmpty();
     }
 
     /** All voters of the file have said that their stores are empty: they begin together. */
-    private void alone() {
+    private void startIfAllEmpty() {
         if (candidate) {
             return;
         }
-        Collection<RaftEndpoint> all = new LinkedHashSet<>();
-        for (String voter : new TreeSet<>(config.voters)) {
-            String id = voter.equals(voting.self().name()) ? voting.self().text() : empty.get(voter);
+        Collection<RaftEndpoint> initial = new LinkedHashSet<>();
+        for (String name : new TreeSet<>(config.voters)) {
+            String id = name.equals(voter.self().name()) ? voter.self().text() : emptyStores.get(name);
             if (id == null) {
                 return;
             }
-            all.add(VoterId.parse(id));
+            initial.add(VoterId.parse(id));
         }
-        if (!lost) {
-            start(null, all);
+        if (!storeLost) {
+            startVoting(null, initial);
         }
     }
 
-    private void start(RestoredRaftState restored, Collection<RaftEndpoint> first) {
-        voting.begin(restored, first);
-        group = Canonical.digest(first()).substring(0, 16);
-        LOG.info("policy: votes as {}, begun with {}", voting.self(), voting.firstVoters());
-        tell();
+    private void startVoting(RestoredRaftState restored, Collection<RaftEndpoint> first) {
+        voter.start(restored, first);
+        groupId = Canonical.digest(initialVoters()).substring(0, 16);
+        LOG.info("policy: votes as {}, begun with {}", voter.self(), voter.initialVoterIds());
+        announce();
     }
 
     /** At the leader: the voter of that name is to begin with its new store; false if it can't be told. */
     boolean invite(String name) {
         Peer peer = fleet.peer(name);
-        if (peer == null || !marks.containsKey(name)) {
+        if (peer == null || !storeIds.containsKey(name)) {
             return false;
         }
-        JsonObject all = new JsonObject();
-        all.addProperty("t", "join");
-        all.addProperty("id", marks.get(name));
-        all.add("first", first());
-        return peer.send(all);
+        JsonObject message = new JsonObject();
+        message.addProperty("t", "join");
+        message.addProperty("id", storeIds.get(name));
+        message.add("first", initialVoters());
+        return peer.send(message);
     }
 
     /** True if the store of that name has never voted, as its process has said. */
     boolean isEmpty(String name) {
-        return empty.containsKey(name);
+        return emptyStores.containsKey(name);
     }
 
     /** True where this process may be taken in as a voter. */
     boolean isCandidate() {
-        return candidate && !voting.isBegun();
+        return candidate && !voter.isStarted();
     }
 
     /** True where it was a voter, and was taken out. */
@@ -248,12 +248,12 @@
     }
 
     /** True where this process has a store but must not vote with it. */
-    boolean isLost() {
-        return lost;
+    boolean isStoreLost() {
+        return storeLost;
     }
 
     /** The store that a voter of that name has now, as it has said, or null. */
-    String mark(String name) {
-        return name.equals(voting.self().name()) ? voting.self().text() : marks.get(name);
+    String storeId(String name) {
+        return name.equals(voter.self().name()) ? voter.self().text() : storeIds.get(name);
     }
 }
--- a/src/main/java/laneflow/policy/VoterId.java
+++ b/src/main/java/laneflow/policy/VoterId.java
@@ -6,14 +6,14 @@
  * A voter: the name of its scheduler and the mark of its disk. One that lost its disk is another voter, and
  * its old vote is nobody's.
  */
-record VoterId(String name, String disk) implements RaftEndpoint {
+record VoterId(String name, String storeId) implements RaftEndpoint {
     @Override
     public Object getId() {
         return text();
     }
 
     String text() {
-        return name + "@" + disk;
+        return name + "@" + storeId;
     }
 
     static VoterId parse(String text) {
--- a/src/test/java/laneflow/policy/LeaseGateTest.java
+++ b/src/test/java/laneflow/policy/LeaseGateTest.java
@@ -144,7 +144,7 @@
         CountDownLatch still = new CountDownLatch(1);
         AtomicBoolean ranOn = new AtomicBoolean();
         try {
-            LongSupplier clock = Policy.clock(control, 1);
+            LongSupplier clock = PolicyAgent.clock(control, 1);
             long[] read = new long[1];
             LeaseGate[] own = new LeaseGate[1];
             PolicyConfig config = config();
