--- a/src/main/java/laneflow/policy/BansType.java
+++ b/src/main/java/laneflow/policy/BansType.java
@@ -10,11 +10,14 @@
 import laneflow.config.Table;
 import laneflow.control.ResourceType;
 
-/** Endpoints that get nothing at any scheduler, a resource each: {@code {"name": "till-3"}}. */
+/**
+ * The resource type {@code bans}: endpoints to which no scheduler sends anything, one resource each: {@code
+ * {"name": "till-3"}}.
+ */
 final class BansType implements ResourceType {
     private final Consumer<Set<String>> banEndpoints;
 
-    /** @param bar bans exactly these, on the loop's thread */
+    /** @param banEndpoints replaces the set of banned endpoints, on the loop's thread */
     BansType(Consumer<Set<String>> banEndpoints) {
         this.banEndpoints = banEndpoints;
     }
@@ -46,14 +49,14 @@
         for (int i = 0; i < resources.size(); i++) {
             String path = "resources[" + i + "]";
             if (!resources.get(i).isJsonObject()) {
-                findings.add(path, "", "is no object with a name");
+                findings.add(path, "", "must be an object with a name");
                 continue;
             }
             JsonObject one = resources.get(i).getAsJsonObject();
             Table table = Table.of(one, path, findings);
             String name = table.text("name");
             if (!name.isEmpty() && !names.add(name)) {
-                findings.add(path, "name", "'" + name + "' is there twice");
+                findings.add(path, "name", "'" + name + "' occurs twice");
             }
             table.close();
         }
--- a/src/main/java/laneflow/policy/FleetTrial.java
+++ b/src/main/java/laneflow/policy/FleetTrial.java
@@ -11,10 +11,11 @@
 import laneflow.policy.decision.Ledger.View;
 
 /**
- * Watches the whole fleet's service behind a change, by the trial that single schedulers' versions stand too:
- * the counts are the sums of all schedulers', of those that have gone as well. What made service worse is
- * taken back by a change of its own, which goes the way of every other. A new leader has no figures of the
- * time before, so what was on trial then is kept.
+ * Puts each applied change on trial: watches the service quality of the whole fleet after it, with the same
+ * trial that single schedulers use for new versions. The counts are summed over all schedulers, including
+ * those that have left. A change that makes service worse is rolled back by another change, which is proposed
+ * and decided like any other. A new leader has no figures from before its election, so a change on trial at
+ * that time is kept.
  */
 final class FleetTrial {
     private static final String ROLLBACK_SUFFIX = ".taken-back";
@@ -29,19 +30,19 @@
     private String changeName = "";
     private JsonObject rollback;
 
-    /** @param length microseconds; 0: there are no trials */
+    /** @param trialMicros length of a trial; 0 disables trials */
     FleetTrial(List<String> classes, long trialMicros, double maxWorsening) {
         this.classes = classes;
         this.trialMicros = trialMicros;
         this.maxWorsening = maxWorsening;
     }
 
-    /** True where changes are on trial at all. */
+    /** True if trials are enabled. */
     boolean isEnabled() {
         return trialMicros > 0;
     }
 
-    /** A leader begins: figures are counted from here. */
+    /** Called when this process becomes leader: figures are counted from here. */
     void start(long now) {
         counts.clear();
         rollback = null;
@@ -50,7 +51,7 @@
                 : new Trial(classes.toArray(new String[0]), trialMicros, maxWorsening, now, totals());
     }
 
-    /** A scheduler's counts since its start. */
+    /** Records a scheduler's counts since its start. */
     void onTallies(String processId, JsonArray rows) {
         if (trial == null || rows.size() != classes.size()) {
             return;
@@ -76,7 +77,10 @@
         return totals;
     }
 
-    /** A change has been applied, after these; one that takes back is not on trial itself. */
+    /**
+     * Starts a trial of the change that was applied between these states. Rollbacks are not on trial
+     * themselves.
+     */
     void onApplied(long now, View before, View after) {
         String appliedName = before.open() == null ? "" : before.open().name();
         if (trial == null || appliedName.isEmpty() || appliedName.endsWith(ROLLBACK_SUFFIX)) {
@@ -91,7 +95,10 @@
         trial.adopted(now, totals(), null);
     }
 
-    /** What is to be proposed because service is worse: {@code name}, {@code types}, {@code why}; or null. */
+    /**
+     * The rollback to propose because service has become worse, or null. Its fields: {@code of}, {@code
+     * name}, {@code types}, {@code why}.
+     */
     JsonObject check(long now) {
         if (trial == null || now < nextCheckAt) {
             return null;
--- a/src/main/java/laneflow/policy/LeaderRedirect.java
+++ b/src/main/java/laneflow/policy/LeaderRedirect.java
@@ -3,7 +3,7 @@
 import laneflow.fleet.Fleet;
 import laneflow.http.StreamPort.Answer;
 
-/** Answers of a scheduler that does not lead to requests that only the leader can serve. */
+/** HTTP answers of a scheduler to requests that only the leader can serve. */
 public final class LeaderRedirect {
     private static final int TEMPORARY_REDIRECT = 307;
     private static final int UNAVAILABLE = 503;
@@ -12,11 +12,11 @@
     private LeaderRedirect() {}
 
     /**
-     * Points to the leader, or says that none is known.
+     * Redirects to the leader, or answers that none is known.
      *
-     * @param leader its name as far as is known, or empty
-     * @param path what was asked for, the same at the leader
-     * @param again what asking again would do, for people
+     * @param leader the leader's name, or empty if unknown
+     * @param path the path requested, the same at the leader
+     * @param retryAdvice what a retry would do, for people
      */
     public static void answer(Fleet fleet, String leader, String path, Answer answer, String retryAdvice) {
         boolean isOtherNode = !leader.isEmpty() && !leader.equals(fleet.self().name());
@@ -24,20 +24,24 @@
         if (address == null) {
             unavailable(answer, retryAdvice);
         } else {
-            answer.say(TEMPORARY_REDIRECT, TEXT, "Location: http://" + address + path + "\r\n", leader + " leads\n");
+            answer.say(
+                    TEMPORARY_REDIRECT,
+                    TEXT,
+                    "Location: http://" + address + path + "\r\n",
+                    leader + " is the leader\n");
         }
     }
 
     /**
-     * Says that nothing can be decided, or read as decided, now.
+     * Answers that nothing can be decided, or read as decided, now.
      *
-     * @param again what asking again would do, for people
+     * @param retryAdvice what a retry would do, for people
      */
     public static void unavailable(Answer answer, String retryAdvice) {
         answer.say(
                 UNAVAILABLE,
                 TEXT,
                 "Retry-After: 1\r\n",
-                "no voter leads now, or no majority answers it: nothing is known to be decided; " + retryAdvice + "\n");
+                "there is no leader now, or no majority answers it: the outcome is unknown; " + retryAdvice + "\n");
     }
 }
--- a/src/main/java/laneflow/policy/Leadership.java
+++ b/src/main/java/laneflow/policy/Leadership.java
@@ -23,13 +23,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A voter's part besides voting: while it leads it has a majority confirm that, hears the schedulers'
- * renewals, grants leases, and carries changes through; while it does not lead it passes renewals on to the
- * voter that does. On the loop's thread.
+ * A voter's duties beyond Raft. As leader it has a majority confirm its leadership, handles the schedulers'
+ * renewals, grants leases and carries changes through; otherwise it forwards renewals to the leader. On the
+ * loop's thread.
  */
 final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
-    /** So end reasons that pass by themselves. */
+    /** Ends the reasons of failures that are temporary; {@link PolicyApi} answers those with 503. */
     static final String RETRY_SUFFIX = "; ask again";
 
     private static final int CONFIRMATIONS_PER_LEASE = 4;
@@ -46,7 +46,7 @@
     private final RenewalExtensions extensions;
     private final Deadline confirmTimer;
     private final Deadline stepTimer;
-    /** How each scheduler is reached: by the link of its last renewal. */
+    /** The link on which each scheduler's last renewal came; grants go back on it. */
     private final Map<String, Peer> routes = new HashMap<>();
 
     private final Map<Long, String> contents = new LinkedHashMap<>();
@@ -55,13 +55,13 @@
     private int term;
     private String leader = "";
     private Set<String> voters = Set.of();
-    /** By which names they go; each grant tells. */
+    /** The voters' names, sent with each grant. */
     private JsonArray voterNames = new JsonArray();
 
     private boolean confirming;
     private boolean confirmAgain;
     private boolean stopped;
-    /** The store that this leader has last asked to begin. */
+    /** Id of the store that this leader last invited to start voting. */
     private String invitedStore = "";
 
     Leadership(
@@ -101,7 +101,7 @@
         });
     }
 
-    // ---- who leads ----
+    // ---- leadership ----
 
     void onRole(int newTerm, boolean leads, String newLeader, Set<String> newVoters) {
         term = newTerm;
@@ -111,7 +111,7 @@
         group.onVoters(newVoters);
         if (!newLeader.equals(leader)) {
             leader = newLeader;
-            LOG.info("policy: term {}, led by {}", newTerm, newLeader.isEmpty() ? "nobody yet" : newLeader);
+            LOG.info("policy: term {}, leader {}", newTerm, newLeader.isEmpty() ? "none yet" : newLeader);
         }
         if (!leads) {
             state = null;
@@ -133,29 +133,30 @@
     void onStopped(String why) {
         if (stopVoting()) {
             counters.set("policy.vote_lost", 1);
-            LOG.error("policy: this process votes no more: {}", why);
+            LOG.error("policy: this process has stopped voting: {}", why);
         }
     }
 
     void onRemoved() {
         if (stopVoting()) {
-            LOG.info("policy: taken out, this process votes no more");
+            LOG.info("policy: removed from the voters, this process has stopped voting");
         }
     }
 
-    /** True the first time. */
+    /** Returns true on the first call. */
     private boolean stopVoting() {
         boolean first = !stopped;
         stopped = true;
         state = null;
         extensions.onLeadershipLost();
-        // It hears of no election any more: who leads is known from leases, as by those that do not vote.
+        // It learns of no more elections: like a scheduler that does not vote, it knows the leader from its
+        // grants.
         leader = "";
         voters = Set.of();
         return first;
     }
 
-    /** What rides on this process's own renewal, asked at that instant. */
+    /** Handles the extensions' data of this process's own renewal, sent at that instant. */
     void renewExtensions(long renewalSentAt) {
         if (state != null) {
             extensions.renewLocally(fleet.self().who(), renewalSentAt, policy::now);
@@ -166,12 +167,12 @@
         return state != null;
     }
 
-    /** True where schedulers' counts are wanted with their renewals. */
+    /** True if schedulers must send their counts with renewals. */
     boolean needsTallies() {
         return trial.isEnabled();
     }
 
-    /** Has a majority say that this is still the leader, and what holds. */
+    /** Has a majority confirm that this is still the leader, and reads the state as of then. */
     private void confirm() {
         if (state == null || stopped) {
             return;
@@ -202,7 +203,7 @@
                 });
     }
 
-    /** Both of one moment. */
+    /** The state of the changes and of the extensions' parts at one moment. */
     private record ConfirmedState(View view, Map<String, Object> parts) {}
 
     private void onConfirmed(long submittedAt, View confirmedView) {
@@ -249,7 +250,7 @@
         sendGrant(processId, message.get("at").getAsLong());
     }
 
-    /** This process's own renewal; null where there is no answer to it. */
+    /** Handles this process's own renewal; null if there is no grant for it. */
     Grant onRenewal(Renewal own, JsonArray tallies) {
         String processId = fleet.self().who();
         trial.onTallies(processId, tallies);
@@ -258,7 +259,7 @@
         return state == null ? null : state.grant(policy.now(), processId);
     }
 
-    /** Passes a scheduler's word on to the voter that leads; true unless it is for this one. */
+    /** Forwards a scheduler's message to the leader; false if this process is the leader. */
     private boolean forwardToLeader(JsonObject message) {
         if (state != null) {
             return false;
@@ -271,7 +272,7 @@
         return true;
     }
 
-    /** A word of the leader's to a scheduler that came by this voter. */
+    /** Forwards the leader's message to a scheduler that is linked to this voter. */
     void forwardToScheduler(JsonObject message) {
         String processId = message.get("for").getAsString();
         Peer to = fleet.accepted(processId);
@@ -332,7 +333,7 @@
         }
     }
 
-    /** All schedulers hear how things stand, and the content of what is to be decided. */
+    /** Sends all schedulers a grant, preceded by the content of the open change, if any. */
     private void broadcast(long openNumber) {
         for (String processId : List.copyOf(routes.keySet())) {
             if (openNumber > 0) {
@@ -343,7 +344,7 @@
         policy.renewNow();
     }
 
-    // ---- what follows ----
+    // ---- decisions ----
 
     private void step() {
         if (state == null) {
@@ -367,7 +368,7 @@
         rollBackIfWorse();
     }
 
-    /** Puts an operation of another part into the log, and has the state confirmed again. */
+    /** Replicates an operation of another ledger part, then has the state confirmed again. */
     void replicate(JsonObject operation, Consumer<JsonObject> then) {
         voter.replicate(operation, answer -> {
             then.accept(answer);
@@ -379,7 +380,8 @@
         LeaderState requester = state;
         voter.replicate(operation, answer -> {
             if (state == requester && answer == null) {
-                // Whether it is in the log is not known: the next look tells, and asking twice does no harm.
+                // Its fate is unknown: the next confirmation shows it, and repeating the request does no
+                // harm.
                 requester.onDecisionFailed();
             }
             confirm();
@@ -391,7 +393,7 @@
         if (rollback != null) {
             counters.add("policy.taken_back");
             LOG.warn(
-                    "policy: {} is taken back: {}",
+                    "policy: {} is rolled back: {}",
                     rollback.get("of").getAsString(),
                     rollback.get("why").getAsString());
             propose(
@@ -402,9 +404,11 @@
         }
     }
 
-    // ---- for those who ask ----
+    // ---- requests of operators ----
 
-    /** Proposes a change; the answer is the change as it stands, an error, or null: not known. */
+    /**
+     * Proposes a change; the answer is the change as it then is, an error, or null if the outcome is unknown.
+     */
     void propose(String name, JsonObject types, String by, Consumer<JsonObject> then) {
         voter.replicate(Ledger.propose(name, types, by, System.currentTimeMillis()), answer -> {
             confirm();
@@ -413,27 +417,27 @@
     }
 
     /**
-     * Takes a voter in: one that has lost its store, or another; tells null, or why it was not done.
+     * Adds a voter, or replaces one that has lost its store. Answers null on success, else why it failed.
      *
-     * @param anew true if it is one that was a voter
+     * @param replacing true if it was a voter before
      */
     void addVoter(String name, boolean replacing, Consumer<String> then) {
         String storeId = group.storeId(name);
         boolean known = voterNamed(name) != null;
         if (replacing && !known && !config.voters.contains(name)) {
-            then.accept("'" + name + "' is no voter; those are " + voters);
+            then.accept("'" + name + "' is not a voter; the voters are " + voters);
         } else if (!replacing && known && !voters.contains(storeId)) {
-            then.accept("'" + name + "' is a voter already, and has another store: --replace takes that in");
+            then.accept("'" + name + "' is already a voter, with another store: use --replace");
         } else if (!replacing && !known && voters.size() >= PolicyConfig.MAX_VOTERS) {
-            then.accept(voters.size() + " vote already; take one out first");
+            then.accept(voters.size() + " voters already; remove one first");
         } else if (storeId != null && voters.contains(storeId)) {
-            then.accept(name + " votes with this store already");
+            then.accept(name + " already votes with this store");
         } else if (!group.dial(name)) {
-            then.accept("[fleet.peers] does not say here where '" + name + "' is");
+            then.accept("[fleet.peers] has no address of '" + name + "' here");
         } else if (storeId == null || fleet.peer(name) == null) {
-            then.accept(name + " can't be reached from here yet, or has no 'dir' for votes" + RETRY_SUFFIX);
+            then.accept(name + " can't be reached from here yet, or has no [policy] dir" + RETRY_SUFFIX);
         } else if (!group.isEmpty(name) && !storeId.equals(invitedStore)) {
-            then.accept(name + "'s store has voted before: empty its 'dir' and start it anew");
+            then.accept(name + "'s store has voted before: empty its [policy] dir and restart it");
         } else if (!group.invite(name)) {
             then.accept(name + " can't be reached from here");
         } else {
@@ -442,22 +446,22 @@
         }
     }
 
-    /** Takes a voter out; tells null, or why it was not done. */
+    /** Removes a voter. Answers null on success, else why it failed. */
     void removeVoter(String name, Consumer<String> then) {
         String id = voterNamed(name);
         if (id == null) {
-            then.accept("'" + name + "' is no voter; those are " + voters);
+            then.accept("'" + name + "' is not a voter; the voters are " + voters);
         } else if (voters.size() == 1) {
-            then.accept("'" + name + "' is the only voter: take another in first");
+            then.accept("'" + name + "' is the only voter: add another one first");
         } else if (id.equals(voter.self().text())) {
             voter.stepDown();
-            then.accept(name + " leads, and hands over now" + RETRY_SUFFIX);
+            then.accept(name + " is the leader and hands over now" + RETRY_SUFFIX);
         } else {
             voter.removeVoter(VoterId.parse(id), then);
         }
     }
 
-    /** The voter of that name, with its store, or null. */
+    /** The id of the voter of that name, or null. */
     private String voterNamed(String name) {
         return voters.stream()
                 .filter(id -> VoterId.parse(id).name().equals(name))
@@ -465,7 +469,7 @@
                 .orElse(null);
     }
 
-    /** Reads the state as a majority holds it; null where it is not known. */
+    /** Reads the state as a majority holds it; the answer is null if that is unknown. */
     void read(RaftVoter.LedgerQuery query, Consumer<Object> then) {
         if (state == null) {
             then.accept(null);
@@ -474,7 +478,7 @@
         }
     }
 
-    /** The voter that leads, or empty. */
+    /** Name of the leader, or empty if unknown. */
     String leader() {
         return leader.isEmpty() ? policy.leader() : leader;
     }
@@ -500,7 +504,7 @@
         if (view.open() != null) {
             leadership.add("open", view.open().toJson(false));
             JsonArray awaited = new JsonArray();
-            // What the view has on them explains; the lease alone decides.
+            // The membership view only adds an explanation; what is waited for depends on leases alone.
             state.awaitedSchedulers(policy.now()).forEach(processId -> {
                 String described = fleet.described(processId.substring(0, Math.max(0, processId.lastIndexOf('#'))));
                 awaited.add(described.isEmpty() ? processId : processId + " (" + described + ")");
--- a/src/main/java/laneflow/policy/LeaseGate.java
+++ b/src/main/java/laneflow/policy/LeaseGate.java
@@ -16,13 +16,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The lease where requests are taken: on the traffic's thread, while all that keeps the lease is on the
- * control thread. That thread publishes what holds, whole and unchanging; a request reads the clock first
- * and what holds behind it. So whatever was published before the control thread said that it obeys it, is
- * seen by every decision of a later instant, and a lease that has run out gates by the clock alone, whatever
- * the control thread is doing.
+ * Admits requests only under a valid lease. It runs on the traffic thread, while the lease is kept on the
+ * control thread, which publishes immutable snapshots. A request reads the clock first and the snapshot after
+ * that: whatever was published before the control thread acknowledged a grant is seen by every later
+ * decision. An expired lease closes the gate by the clock alone, whatever the control thread is doing.
  *
- * <p>A policy is adopted here, as a whole and in one turn, and only then does the control thread hear of it.
+ * <p>A policy is adopted here, as a whole and in one turn; the control thread is notified afterwards.
  */
 final class LeaseGate implements AdmissionGate {
     private static final Logger LOG = LoggerFactory.getLogger(LeaseGate.class);
@@ -30,13 +29,15 @@
     private static final double RETRY_AFTER_LEASE_SHARE = 0.1;
 
     /**
-     * What the control thread publishes.
+     * A snapshot published by the control thread.
      *
-     * @param ready what was read and found sound of the policies that the leave names
+     * @param prepared the valid policies among those that the lease names
      */
     record Published(LeaseSnapshot lease, Map<Long, PolicyTypes.Prepared> prepared) {}
 
-    /** Told, on the traffic's thread, of what was adopted and what of it waits for a restart. */
+    /**
+     * Notified on the traffic thread of an adopted policy and of those of its settings that need a restart.
+     */
     interface AdoptionListener {
         void onAdopted(long number, List<String> waitsForRestart);
     }
@@ -51,17 +52,18 @@
     private final Deadline switchTimer;
     private final TreeMap<Integer, Long> policyByEpoch = new TreeMap<>();
     private volatile Published published = new Published(LeaseSnapshot.NONE, Map.of());
-    /** The policy that was adopted last, -1 before the first; written on the traffic's thread only. */
+    /** The policy adopted last, -1 before the first; written on the traffic thread only. */
     private volatile long adoptedPolicy = -1;
 
     private boolean stopped;
     private long lastDecidedNs;
 
     /**
-     * One that may not decide yet.
+     * Creates a closed gate.
      *
-     * @param retuned tells the scheduler that settings have changed; the number of what comes under them
-     * @param clock the lease's, which any thread may read
+     * @param settingsChanged tells the scheduler that settings have changed; returns the epoch of requests
+     * that come under them
+     * @param clock the clock for leases, which any thread may read
      */
     LeaseGate(
             Loop traffic,
@@ -80,16 +82,18 @@
         switchTimer = traffic.deadlines().create(this::switchIfDue);
     }
 
-    /** On the control thread: from its return on nothing is decided by what was published before. */
+    /**
+     * Publishes a snapshot, on the control thread. Once it returns, no decision is made by an earlier one.
+     */
     void publish(Published next) {
         published = next;
         if (next.lease().next() >= 0 || next.lease().current() != adoptedPolicy) {
-            // Begun with also where nobody asks, and where an earlier grant had run out before it was read. A
-            // renewal of what has begun wakes nobody.
+            // Switches even if no request comes or an earlier grant expired unread. Renewals of the adopted
+            // policy need no wake-up.
             try {
                 traffic.later(this::switchIfDue);
             } catch (RejectedExecutionException e) {
-                LOG.debug("nobody takes requests any more");
+                LOG.debug("the traffic loop has ended");
             }
         }
     }
@@ -118,7 +122,7 @@
         return may || servesWithoutLease;
     }
 
-    /** Whether clients may be asked for. */
+    /** Readiness: whether this scheduler should get clients. */
     boolean isReady() {
         return !stopped && (servesWithoutLease || currentPolicy() >= 0);
     }
@@ -128,7 +132,9 @@
         return stopped || !isSwitchPending() ? Long.MAX_VALUE : microsToSwitch();
     }
 
-    /** From the turn's instant on, which deadlines are set by and which lags behind now. */
+    /**
+     * Relative to the instant of the current turn, from which deadlines count and which is older than now.
+     */
     private long microsToSwitch() {
         return traffic.fresh()
                 - traffic.micros()
@@ -141,12 +147,15 @@
         return retryAfterSeconds;
     }
 
-    /** Begins with what is due; returns the policy by which it may decide now, or -1. */
+    /**
+     * Switches to the next policy if it is due; returns the policy by which requests may be decided now, or
+     * -1.
+     */
     private long currentPolicy() {
-        // Read anew for each request: a process that was stopped amid a turn wakes with the turn's old time.
+        // Read for each request: a process suspended within a turn resumes with the time of that turn.
         long now = clock.getAsLong();
-        // The other way round, what was published between the two would be passed over at an instant at
-        // which the control thread has said already that it is obeyed.
+        // In the opposite order, a snapshot published between the two reads would be missed at an instant at
+        // which the control thread has already acknowledged it.
         VarHandle.fullFence();
         Published snapshot = published;
         long number = stopped ? -1 : snapshot.lease().policyAt(now);
@@ -156,11 +165,12 @@
         return number;
     }
 
-    /** All of it in this turn: requests that come see the new one, those that are open keep theirs. */
+    /** Adopts a policy in one turn: new requests see the new policy, open ones keep theirs. */
     private boolean adopt(long number, Published snapshot, long now) {
         PolicyTypes.Prepared next = snapshot.prepared().get(number);
         if (next == null) {
-            // No leader grants what was not said to be ready; deciding by another would be worse than not.
+            // A leader grants only what was reported ready; to decide by another policy would be worse than
+            // not to decide.
             counters.add("policy.granted_unready");
             return false;
         }
@@ -187,18 +197,18 @@
         return true;
     }
 
-    /** The policy that was adopted last; 0: the file's own. */
+    /** The policy adopted last; 0 is the configuration file's. */
     long policyNumber() {
         return Math.max(0, adoptedPolicy);
     }
 
-    /** The policy that requests of that epoch came under, for answers; empty where none has begun. */
+    /** The policy of that epoch's requests, as told to clients; empty before the first policy. */
     String versionOfEpoch(int epoch) {
         Map.Entry<Integer, Long> at = policyByEpoch.floorEntry(epoch);
         return at == null ? "" : "policy=" + at.getValue();
     }
 
-    /** It decides no more. */
+    /** Closes the gate for good. */
     void stop() {
         stopped = true;
         traffic.deadlines().cancel(switchTimer);
--- a/src/main/java/laneflow/policy/PolicyAgent.java
+++ b/src/main/java/laneflow/policy/PolicyAgent.java
@@ -32,17 +32,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A scheduler's part in changes of policy: it renews its lease, reads and checks what is to be decided, says
- * whether it is ready for it, begins with what was decided at the instant that the leader named, and stops
- * deciding where its lease has run out. On the control thread, but for reading; requests ask the
- * {@link LeaseGate}, which gets what holds from here and tells what it has adopted.
+ * A scheduler's part in policy changes. It renews the lease, reads and validates open changes, reports
+ * whether it is ready for them, switches to an applied change at the instant named by the leader, and stops
+ * deciding when the lease expires. On the control thread, except for the reading of policies. Requests ask
+ * the {@link LeaseGate}, which gets its snapshots from here and reports the policies that it adopts.
  *
- * <p>Who leads is found out by asking: a voter that does not lead passes a renewal on to the one that does.
+ * <p>The leader is found by asking any voter: one that is not the leader forwards the renewal.
  */
 final class PolicyAgent {
     private static final Logger LOG = LoggerFactory.getLogger(PolicyAgent.class);
     private static final int RENEWALS_PER_LEASE = 4;
-    /** A voter that has not answered so many renewals is passed by for a lease. */
+    /** A voter that leaves so many renewals unanswered is skipped for the duration of a lease. */
     private static final int MAX_UNANSWERED = 2;
 
     private static final int MAX_PREPARED = 4;
@@ -60,7 +60,7 @@
     private final LongSupplier clock;
     private final Lease lease = new Lease();
     private final Deadline renewal;
-    /** What was read, by number; the own file is ready from the start. */
+    /** Policies read, by number; the configuration file's own is ready from the start. */
     private final TreeMap<Long, PolicyTypes.Prepared> prepared = new TreeMap<>();
 
     private final Set<Long> contentRequested = new HashSet<>();
@@ -76,11 +76,11 @@
     private long adoptedPolicy;
     private List<String> waitsForRestart = List.of();
     private long lastRoundTrip;
-    /** Classes' counts as they were when they were last asked for; empty where the leader needs none. */
+    /** The classes' counts as last read; empty if the leader needs none. */
     private JsonArray tallies = new JsonArray();
-    /** Since when it has no leave; the largest number while it has, the next to it once that was told. */
+    /** Since when the lease is lost: MAX_VALUE while it is held, MAX_VALUE - 1 once the loss was reported. */
     private long leaseLostAt = Long.MAX_VALUE - 1;
-    /** Whom to ask: those who vote, and those of the file. */
+    /** Names of the current voters and of those in the configuration file. */
     private final List<String> voterNames;
 
     private JsonElement lastAnnouncedVoters;
@@ -88,12 +88,12 @@
     private boolean stopped;
 
     /**
-     * What it is made of.
+     * What the agent depends on.
      *
-     * @param loop of the control thread
-     * @param reading a thread that reads policies, one after the other
-     * @param clock the lease's
-     * @param tally has the classes' counts read, and told by {@link #tallied}
+     * @param loop the control thread's
+     * @param reader runs the reading of policies in order, on another thread
+     * @param clock the clock for leases
+     * @param requestTallies has the classes' counts read and passed to {@link #onTallies}
      */
     record Dependencies(
             Loop loop,
@@ -106,7 +106,7 @@
             LongSupplier clock,
             Runnable requestTallies) {}
 
-    /** One that may not decide yet. */
+    /** Creates an agent without a lease. */
     PolicyAgent(Dependencies parts, LeaseGate gate) {
         loop = parts.loop();
         fleet = parts.fleet();
@@ -123,7 +123,7 @@
         prepared.put(0L, types.read(new JsonObject()));
     }
 
-    /** A process's clock for leases: monotonic, read now, by any thread. */
+    /** A process's clock for leases: monotonic, not cached, callable on any thread. */
     static LongSupplier clock(Loop loop, double rate) {
         long origin = loop.fresh();
         return () -> {
@@ -132,7 +132,7 @@
         };
     }
 
-    /** Begins to ask for leave to decide. */
+    /** Starts to renew the lease. */
     void start(Leadership ownLeadership) {
         leadership = ownLeadership;
         fleet.handle("grant", this::onGrant);
@@ -148,7 +148,7 @@
         renew();
     }
 
-    /** From now on that rides on renewals; before {@link #begin}. */
+    /** Attaches the extensions; to be called before {@link #start}. */
     void attach(RenewalExtensions attached) {
         extensions = attached;
         attached.start(new RenewalExtension.Context() {
@@ -198,18 +198,18 @@
         });
     }
 
-    /** This process votes from now on, too. */
+    /** Called when this process becomes a voter. */
     void becomeVoter(Leadership ownLeadership) {
         leadership = ownLeadership;
         renewNow();
     }
 
-    /** This process's clock for leases. */
+    /** Now, by this process's clock for leases. */
     long now() {
         return clock.getAsLong();
     }
 
-    /** The policy by which requests are decided on now, or -1. */
+    /** The policy by which requests are decided now, or -1. */
     private long decidingPolicy() {
         long number = stopped ? -1 : lease.policyAt(now());
         number = number == adoptedPolicy && everDecided ? number : -1;
@@ -221,7 +221,10 @@
         return number;
     }
 
-    /** Between two policies it decides by none for a moment; told is what lasts, once. */
+    /**
+     * Reports the loss of the lease, once and only if it lasts: between two policies there is always a short
+     * gap.
+     */
     private void reportLeaseLoss() {
         if (decidingPolicy() < 0
                 && everDecided
@@ -229,14 +232,14 @@
             leaseLostAt = Long.MAX_VALUE - 1;
             counters.add("policy.lease_lost");
             LOG.warn(
-                    "policy: no leave to decide any more, {}",
+                    "policy: the lease has expired, {}",
                     config.servesWithoutLease
-                            ? "served on by policy " + adoptedPolicy + " as cut_off says"
-                            : "clients are turned away");
+                            ? "serving on by policy " + adoptedPolicy + " as set by cut_off"
+                            : "clients are refused");
         }
     }
 
-    /** What holds goes to where requests are taken, before this turn tells anybody that it is obeyed. */
+    /** Publishes the lease to the gate before any message of this turn acknowledges it. */
     private void publish() {
         Map<Long, PolicyTypes.Prepared> usable = new HashMap<>();
         LeaseSnapshot snapshot = lease.snapshot();
@@ -248,7 +251,9 @@
         gate.publish(new LeaseGate.Published(snapshot, Map.copyOf(usable)));
     }
 
-    /** Requests are decided on by that policy now, of which this waits for a restart. */
+    /**
+     * Called when requests are decided by that policy; {@code waiting} lists what of it waits for a restart.
+     */
     void onAdopted(long number, List<String> waiting) {
         adoptedPolicy = number;
         everDecided = true;
@@ -257,7 +262,7 @@
         decidingPolicy();
     }
 
-    /** The classes' counts. */
+    /** Takes the classes' counts. */
     void onTallies(JsonArray counts) {
         tallies = counts;
     }
@@ -278,7 +283,8 @@
         if (leadership != null && leadership.isLeader()) {
             leader = fleet.self().name();
             unanswered = 0;
-            // Its stamp lies between these two readings, however long the process stood still meanwhile.
+            // The leader's stamp lies between these two readings, however long the process is suspended
+            // meanwhile.
             long sentAt = now();
             if (leadership.needsTallies()) {
                 requestTallies.run();
@@ -302,14 +308,17 @@
         }
     }
 
-    /** In this turn or the next, and not again until the next is due: something has changed. */
+    /**
+     * Sends a renewal in this turn or the next because something has changed; the following one is due a
+     * period later.
+     */
     void renewNow() {
         if (!stopped) {
             loop.deadlines().set(renewal, loop.micros());
         }
     }
 
-    /** The voter that leads, as far as is known and it answers; else the next one that a link is up to. */
+    /** The leader if it is known and answers, else any linked voter; null if there is none. */
     private Peer renewalTarget() {
         if (unanswered >= MAX_UNANSWERED && !target.isEmpty()) {
             skippedUntil.put(target, loop.micros() + config.leaseMicros);
@@ -348,12 +357,12 @@
                 reasons = one.getValue().findings;
             }
         }
-        // Begun with is what the traffic's thread has adopted, however long that has taken it.
+        // Active is what the traffic thread has adopted, however long that takes it.
         long begun = everDecided ? Math.min(adoptedPolicy, lease.current()) : -1;
         return new Renewal(lease.term(), lease.seq(), begun, ready, refused, reasons, lastRoundTrip);
     }
 
-    /** A leader's word that came over a link. */
+    /** Handles a grant that came over a link. */
     private void onGrant(Peer from, JsonObject message) {
         if (!message.get("for").getAsString().equals(fleet.self().who())) {
             if (leadership != null) {
@@ -373,18 +382,21 @@
             updateVoters(message.get("voters"));
         }
         accept(grant, renewalSentAt, now);
-        // Builds that do not say always want them.
+        // Leaders of builds that don't send this field always need the counts.
         if (renewalSentAt >= 0 && (!message.has("trial") || message.get("trial").getAsBoolean())) {
             requestTallies.run();
         }
         extensions.onGrant(message, renewalSentAt, now);
         if (renewalSentAt < 0) {
-            // It waits to hear that this is obeyed.
+            // The leader waits for the acknowledgement of an unsolicited grant.
             renewNow();
         }
     }
 
-    /** Who votes now, where the leader's build says so: they may be others than in the file. */
+    /**
+     * Takes the current voters from a grant, if the leader's build sends them: they may differ from the
+     * file's.
+     */
     private void updateVoters(JsonElement announced) {
         if (announced == null || announced.equals(lastAnnouncedVoters)) {
             return;
@@ -394,7 +406,7 @@
         announced.getAsJsonArray().forEach(one -> voterNames.add(one.getAsString()));
         voterNames.removeIf(name -> fleet.address(name) == null);
         voterNames.forEach(fleet::dial);
-        // Those of the file as well: what was told may be old one day.
+        // The file's voters stay as candidates: what was announced may become outdated.
         config.voters.stream().filter(name -> !voterNames.contains(name)).forEach(voterNames::add);
     }
 
@@ -410,7 +422,7 @@
         decidingPolicy();
     }
 
-    // ---- making ready ----
+    // ---- preparing policies ----
 
     private void requestContent(long number) {
         if (number <= 0 || prepared.containsKey(number) || contentRequested.contains(number)) {
@@ -427,7 +439,7 @@
         } else if (to != null) {
             to.send(message);
         }
-        // Lost, it is asked for again.
+        // The request may be lost: it is repeated.
         loop.deadlines().at(loop.micros() + config.leaseMicros / RENEWALS_PER_LEASE, () -> {
             if (contentRequested.remove(number) && !prepared.containsKey(number)) {
                 renewNow();
@@ -435,7 +447,7 @@
         });
     }
 
-    /** A policy's content: it is read off the loop, and whether it is fit goes with the next renewal. */
+    /** Handles a policy's content: it is read on another thread, and the next renewal reports the result. */
     void onContent(JsonObject message) {
         if (message.has("for")
                 && !message.get("for").getAsString().equals(fleet.self().who())) {
@@ -456,7 +468,7 @@
                 runOnLoop(() -> onPrepared(number, read));
             });
         } catch (RejectedExecutionException e) {
-            LOG.warn("policy: too much waits to be read");
+            LOG.warn("policy: too many policies wait to be read");
         }
     }
 
@@ -476,15 +488,15 @@
         }
         if (!read.findings.isEmpty()) {
             counters.add("policy.refused");
-            LOG.warn("policy {} is turned down here: {}", number, String.join("; ", read.findings));
+            LOG.warn("policy {} is rejected by this scheduler: {}", number, String.join("; ", read.findings));
         }
         publish();
         renewNow();
     }
 
-    // ---- the end ----
+    // ---- shutdown ----
 
-    /** This process decides no more, and says so: the others need not wait for its lease. */
+    /** Stops deciding and tells the leader, so that the others need not wait for this process's lease. */
     void stop() {
         if (stopped) {
             return;
@@ -506,12 +518,12 @@
 
     // ---- reports ----
 
-    /** The leader as far as is known, or empty. */
+    /** Name of the leader, or empty if unknown. */
     String leader() {
         return leader;
     }
 
-    /** How things stand here, for whoever asks. */
+    /** This scheduler's state, for reports. */
     JsonObject report() {
         long deciding = decidingPolicy();
         JsonObject report = new JsonObject();
@@ -556,7 +568,7 @@
         return rejected.size() == 0 ? null : rejected;
     }
 
-    /** Reads a body; null if it is no JSON object. */
+    /** Parses a body; null if it is not a JSON object. */
     static JsonObject parseObject(byte[] body) {
         try {
             return JsonParser.parseString(new String(body, StandardCharsets.UTF_8))
--- a/src/main/java/laneflow/policy/PolicyApi.java
+++ b/src/main/java/laneflow/policy/PolicyApi.java
@@ -13,9 +13,8 @@
 import laneflow.policy.decision.Ledger;
 
 /**
- * What operators ask and order, at the address where schedulers reach each other. Any scheduler says how
- * things stand with itself; what is decided is told by the leader, to whom others point
- * ({@code 307}, {@code Location}).
+ * The HTTP API for operators, at the address of the fleet link. Any scheduler reports its own state; what the
+ * voters decide is served by the leader, to which other schedulers redirect ({@code 307}, {@code Location}).
  */
 final class PolicyApi {
     private static final String JSON = "application/json";
@@ -28,7 +27,7 @@
     private final Fleet fleet;
     private final PolicyAgent policy;
     private final Counters counters;
-    /** Who else proposes, by the names of their parts of the ledger: no operator is one of them. */
+    /** Names of ledger parts, whose own proposals carry them: operators can't use them. */
     private final Set<String> reservedProposers;
     /** Null where this process does not vote. */
     private Leadership leadership;
@@ -43,7 +42,7 @@
         fleet.serve("/policy", this::handle);
     }
 
-    /** This process votes from now on. */
+    /** Called when this process becomes a voter. */
     void becomeVoter(Leadership ownLeadership) {
         leadership = ownLeadership;
     }
@@ -66,7 +65,7 @@
                     get || verb.equals("POST") ? 404 : 405,
                     TEXT,
                     "",
-                    "known are GET /policy,"
+                    "use GET /policy,"
                             + " /policy/history, /policy/changes/NAME and POST /policy/changes, /policy/voters\n");
         }
     }
@@ -102,7 +101,7 @@
                 },
                 found -> {
                     if (found instanceof JsonObject one && one.size() == 0) {
-                        answer.say(404, TEXT, "", "no change of the name '" + name + "' is known\n");
+                        answer.say(404, TEXT, "", "change '" + name + "' does not exist\n");
                     } else {
                         respond(found, answer);
                     }
@@ -124,7 +123,7 @@
                 : request.keySet().iterator().next();
         JsonElement name = request == null ? null : request.get(operation);
         if (name == null || !name.isJsonPrimitive() || !VOTER_OPERATIONS.contains(operation)) {
-            answer.say(400, TEXT, "", "an object with one of " + VOTER_OPERATIONS + ", the name of a voter\n");
+            answer.say(400, TEXT, "", "expected an object with one of " + VOTER_OPERATIONS + " and a voter's name\n");
             return;
         }
         Consumer<String> then = reason -> {
@@ -148,7 +147,7 @@
         JsonElement types = request == null ? null : request.get("types");
         JsonElement by = request == null ? null : request.get("by");
         if (name == null || !name.isJsonPrimitive() || types == null || !types.isJsonObject()) {
-            answer.say(400, TEXT, "", "a change is an object with 'name', a text, and 'types', an object\n");
+            answer.say(400, TEXT, "", "expected an object with 'name', a string, and 'types', an object\n");
             return;
         }
         String invalid = Ledger.invalidReason(name.getAsString(), types.getAsJsonObject());
@@ -158,7 +157,7 @@
         }
         String proposer = by != null && by.isJsonPrimitive() ? by.getAsString() : "an operator";
         if (reservedProposers.contains(proposer)) {
-            answer.say(400, TEXT, "", "by: '" + proposer + "' stands for changes that the program makes itself\n");
+            answer.say(400, TEXT, "", "by: '" + proposer + "' is reserved for changes that the program makes itself\n");
             return;
         }
         counters.add("policy.proposed");
--- a/src/main/java/laneflow/policy/PolicyConfig.java
+++ b/src/main/java/laneflow/policy/PolicyConfig.java
@@ -6,31 +6,33 @@
 import laneflow.config.Table;
 import laneflow.fleet.FleetConfig;
 
-/** What the operators set for changes of policy over the whole fleet: the table {@code [policy]}. */
+/** The configuration of fleet-wide policy changes: the table {@code [policy]}. */
 public final class PolicyConfig {
     static final int MAX_VOTERS = 7;
 
-    /** Those that decide on changes from the beginning on, the same at all schedulers; others by order. */
+    /** The initial voters, the same at all schedulers; operators can add and remove voters later. */
     public final List<String> voters;
-    /** The folder of this voter's log, or of one that may be taken in; null where it never votes. */
+    /**
+     * The folder of this voter's log, also at a scheduler that may become a voter; null if it never votes.
+     */
     public final Path dir;
-    /** Microseconds for which a scheduler may decide behind a majority's word. */
+    /** Microseconds for which a scheduler may decide after a majority's confirmation. */
     public final long leaseMicros;
-    /** Microseconds that a scheduler which is heard may take to make a change ready. */
+    /** Microseconds that a reachable scheduler may take to make a change ready. */
     public final long prepareMicros;
-    /** True where one that is cut off serves on, by what it decided by last. */
+    /** True if a scheduler without a lease continues to serve by the policy that it used last. */
     public final boolean servesWithoutLease;
-    /** Answers to clients name the policy that their requests came under. */
+    /** True if answers to clients name the policy under which their requests were decided. */
     public final boolean tellsPolicy;
-    /** Microseconds that service is watched behind a change; 0: it is not taken back. */
+    /** Microseconds for which service is watched after a change; 0 disables rollbacks. */
     public final long trialMicros;
-    /** The growth of a share of requests that ends badly which takes a change back. */
+    /** Increase of the share of failed requests that has a change rolled back. */
     public final double maxWorsening;
 
     private PolicyConfig(Table from, FleetConfig fleet) {
         voters = from.texts("voters");
         if (voters.isEmpty() || voters.size() > MAX_VOTERS || voters.size() % 2 == 0) {
-            from.wrong("voters", "names " + voters.size() + " schedulers: 1, 3, 5 or 7 decide together");
+            from.wrong("voters", "names " + voters.size() + " schedulers: must be 1, 3, 5 or 7");
         }
         if (new HashSet<>(voters).size() < voters.size()) {
             from.wrong("voters", "names a scheduler twice");
@@ -47,7 +49,7 @@
         String folder = from.text("dir", null);
         boolean votes = fleet != null && voters.contains(fleet.name);
         if (votes && folder == null) {
-            from.wrong("dir", "is missing: this scheduler votes, and must remember how");
+            from.wrong("dir", "is missing: this scheduler votes and must store its votes");
         }
         dir = folder != null ? Path.of(folder) : null;
         leaseMicros = from.whole("lease_ms", 1000, 100, 600_000) * 1000;
@@ -60,9 +62,9 @@
     }
 
     /**
-     * Reads the table; what is wrong becomes findings of the table's.
+     * Reads the table; errors become findings of the table.
      *
-     * @param fleet the link between schedulers, or null where there is none
+     * @param fleet the link between schedulers, or null if there is none
      */
     public static PolicyConfig read(Table from, FleetConfig fleet) {
         return new PolicyConfig(from, fleet);
--- a/src/main/java/laneflow/policy/PolicyMessages.java
+++ b/src/main/java/laneflow/policy/PolicyMessages.java
@@ -9,7 +9,7 @@
 import laneflow.policy.decision.Grant;
 import laneflow.policy.decision.Renewal;
 
-/** Renewals and grants as they go over the fleet's link. */
+/** Conversion of renewals and grants to and from the messages of the fleet link. */
 final class PolicyMessages {
     private PolicyMessages() {}
 
@@ -46,9 +46,10 @@
     }
 
     /**
-     * @param who the process that it is for
-     * @param at that process's instant of the renewal that this answers, or -1
-     * @param voters the names of those that vote now
+     * @param processId the process that it is for
+     * @param renewalSentAt when that process sent the renewal, by its own clock, or -1 if the grant is
+     * unsolicited
+     * @param voters the names of the current voters
      */
     static JsonObject grant(Grant grant, String processId, String leader, long renewalSentAt, JsonArray voters) {
         JsonObject message = new JsonObject();
--- a/src/main/java/laneflow/policy/PolicySubsystem.java
+++ b/src/main/java/laneflow/policy/PolicySubsystem.java
@@ -21,7 +21,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Changes of policy put together at one scheduler: its own part, its vote where it has one, and its port. */
+/** Policy changes at one scheduler: its agent, its voter if it has one, and its API. */
 public final class PolicySubsystem {
     private static final Logger LOG = LoggerFactory.getLogger(PolicySubsystem.class);
     private static final long STORE_RETRY_NS = 20_000_000;
@@ -38,17 +38,17 @@
     private volatile boolean closed;
 
     /**
-     * What the assembly gives it.
+     * What the subsystem depends on.
      *
-     * @param loop of the control thread
-     * @param traffic of the thread that takes requests; the scheduler is its own
+     * @param loop the control thread's
+     * @param traffic the loop of the thread that takes requests and owns the scheduler
      * @param counters the control thread's
-     * @param types makes the types that a policy may hold here, given the one of bans
-     * @param reading a thread that reads policies, one after the other
-     * @param clockRate 1, but in tests of clocks that drift
-     * @param upgrade true if the process before this one may still vote
-     * @param parts more that the voters agree on, by name; the same at all
-     * @param riders what rides on renewals; the first is the one that builds before this one know
+     * @param types makes the resource types accepted in a policy, given the type of bans
+     * @param reading runs the reading of policies in order, on another thread
+     * @param clockRate 1, except in tests of clock drift
+     * @param upgrade true if the previous process may still vote
+     * @param ledgerParts further state machines that the voters replicate, by name; the same at all voters
+     * @param extensions extensions of renewals; the first one is the one that earlier builds know
      */
     public record Dependencies(
             Loop loop,
@@ -67,8 +67,8 @@
             List<RenewalExtension> extensions) {}
 
     /**
-     * Opens the store of votes where this process has one, and begins. From here on the scheduler decides
-     * only under a lease. A store that can't be used costs the vote, not the service.
+     * Opens the store of votes, if this process has one, and starts. From here on the scheduler decides only
+     * under a lease. A store that can't be used costs the vote, not the service.
      */
     public PolicySubsystem(Dependencies deps) throws InterruptedException {
         loop = deps.loop();
@@ -115,7 +115,7 @@
             policy.start(leadership);
         });
         if (storeLocked) {
-            LOG.info("policy: votes as soon as the process before this one has ended");
+            LOG.info("policy: voting starts when the previous process has ended");
             Threads.daemon(() -> waitForStore(deps), "policy-store").start();
         }
     }
@@ -125,12 +125,12 @@
         deps.counters().set("policy.vote_lost", 1);
     }
 
-    /** On the traffic's thread. */
+    /** Called on the traffic thread. */
     private void onAdopted(long number, List<String> waitsForRestart) {
         runOn(loop, () -> policy.onAdopted(number, waitsForRestart));
     }
 
-    /** On the traffic's thread, whose counts they are. */
+    /** Reads the counts on the traffic thread, which owns them. */
     private void readTallies(Scheduler scheduler) {
         JsonArray all = new JsonArray();
         for (long[] row : scheduler.tallies()) {
@@ -147,11 +147,14 @@
         try {
             target.later(task);
         } catch (RejectedExecutionException e) {
-            LOG.debug("that thread has ended");
+            LOG.debug("the thread has ended");
         }
     }
 
-    /** In an upgrade the store is the former process's until that ends. On a thread of its own. */
+    /**
+     * Waits, during an upgrade, until the previous process ends and releases the store. Runs on a thread of
+     * its own.
+     */
     private void waitForStore(Dependencies deps) {
         while (!closed) {
             OpenedStore opened = null;
@@ -165,7 +168,7 @@
                 });
                 return;
             } catch (VoteStore.StoreLockedException e) {
-                LOG.debug("not yet", e);
+                LOG.debug("the store is still locked", e);
             } catch (IOException e) {
                 loop.later(() -> reportVoteLost(deps, e));
                 return;
@@ -177,7 +180,7 @@
         }
     }
 
-    /** A store of votes, with what an earlier life left in it, or null. */
+    /** A store of votes with the state that an earlier process left in it, or null. */
     private record OpenedStore(VoteStore store, RestoredRaftState restored) {}
 
     private static OpenedStore openStore(Dependencies deps) throws IOException {
@@ -240,31 +243,31 @@
         }
     }
 
-    /** Whether clients may be asked for; on the traffic's thread. */
+    /** Readiness: whether this scheduler should get clients; on the traffic thread. */
     public boolean isReady() {
         return gate.isReady();
     }
 
-    /** The policy that is in force here; on the traffic's thread. */
+    /** The policy in force here; on the traffic thread. */
     public long policyNumber() {
         return gate.policyNumber();
     }
 
-    /** The policy that requests of that epoch came under, for answers; on the traffic's thread. */
+    /** The policy of that epoch's requests, as told to clients; on the traffic thread. */
     public String versionOfEpoch(int epoch) {
         return gate.versionOfEpoch(epoch);
     }
 
     /**
-     * All is answered: this process decides no more, and the others, told behind that, need not wait for its
-     * lease. On any thread but these two.
+     * Stops deciding once all requests are answered, then tells the others, who need not wait for this
+     * process's lease. Not to be called on the two loops' threads.
      */
     public void stopDeciding() throws InterruptedException {
         traffic.call(gate::stop);
         loop.call(policy::stop);
     }
 
-    /** Ends the vote, which its store keeps; on any thread but the loop's. */
+    /** Stops voting; the store is kept. Not to be called on the loop's thread. */
     public void close() throws InterruptedException {
         closed = true;
         if (voter == null) {
@@ -273,7 +276,7 @@
         try {
             voter.close();
         } catch (IOException e) {
-            LOG.warn("policy: the store of votes did not close: {}", e.getMessage());
+            LOG.warn("policy: closing the store of votes failed: {}", e.getMessage());
         }
     }
 }
--- a/src/main/java/laneflow/policy/PolicyTypes.java
+++ b/src/main/java/laneflow/policy/PolicyTypes.java
@@ -9,23 +9,23 @@
 import java.util.Map;
 import laneflow.control.ResourceType;
 
-/** The types that a policy may hold at this scheduler, and its reading of a whole policy. */
+/** The resource types that this scheduler accepts in a policy, and the reading of a whole policy. */
 public final class PolicyTypes {
     private final Map<String, ResourceType> types = new LinkedHashMap<>();
     private final Map<String, String> fixedTypes;
 
-    /** @param fixed types that something else decides here, and what does */
+    /** @param fixedTypes types that are configured elsewhere here, each with a message that says where */
     public PolicyTypes(List<ResourceType> types, Map<String, String> fixedTypes) {
         types.forEach(type -> this.types.put(type.name(), type));
         this.fixedTypes = fixedTypes;
     }
 
     /**
-     * A policy as this scheduler reads it. Adopted it puts every type to work, those that it does not name as
-     * the operators' file says.
+     * A policy as read by this scheduler. Adopting it sets every type; types that it does not name are set
+     * from the operators' file.
      */
     public static final class Prepared {
-        /** All that is wrong with it here; adopted is only what has none. */
+        /** The problems found; only a policy without any can be adopted. */
         public final List<String> findings;
 
         private final List<ResourceType.Reading> readings;
@@ -35,7 +35,10 @@
             this.readings = readings;
         }
 
-        /** On the loop's thread, within a turn; returns what of it waits for a restart. */
+        /**
+         * Adopts the policy within one turn of the loop's thread; returns what takes effect only after a
+         * restart.
+         */
         List<String> adopt() {
             List<String> waitsForRestart = new ArrayList<>();
             readings.forEach(reading -> waitsForRestart.addAll(reading.adopt()));
@@ -43,12 +46,12 @@
         }
     }
 
-    /** The names of the types taken here. */
+    /** The names of the types accepted here. */
     public List<String> names() {
         return List.copyOf(types.keySet());
     }
 
-    /** Reads a whole policy, in form and in sense; touches nothing that runs. */
+    /** Reads and validates a whole policy, without any effect on the running configuration. */
     Prepared read(JsonObject policy) {
         List<String> findings = new ArrayList<>();
         List<ResourceType.Reading> readings = new ArrayList<>();
@@ -75,7 +78,8 @@
             reading.findings.forEach(finding -> findings.add(type.name() + ": " + finding));
             return reading;
         } catch (RuntimeException | StackOverflowError e) {
-            // A reader's fault must end in an answer: without one, the fleet would wait.
+            // A fault of a reader must become a finding: without an answer from this scheduler the fleet
+            // would wait.
             findings.add(type.name() + ": can't be read: " + e);
             return null;
         }
--- a/src/main/java/laneflow/policy/RaftCodec.java
+++ b/src/main/java/laneflow/policy/RaftCodec.java
@@ -31,14 +31,14 @@
 import java.util.function.Predicate;
 
 /**
- * Messages and log entries of the consensus library as JSON, by its public interfaces: what a builder can be
- * told is written by the getter of that name and read back by the builder. Fields that this build does not
- * know are passed over, so a later one may add some.
+ * Converts messages and log entries of the Raft library to and from JSON by means of the library's public
+ * interfaces: each property that a builder can set is written with the getter of the same name and read back
+ * with the builder. Unknown fields are ignored, so that later builds may add some.
  */
 final class RaftCodec {
     private static final Map<String, Class<?>> MESSAGES = new LinkedHashMap<>();
     private static final Map<Class<?>, Class<?>> BUILDERS = new LinkedHashMap<>();
-    /** Asked on the voter's thread, and at the start on that which opens its store. */
+    /** Used on the voter thread and, at the start, on the thread that opens the store. */
     private static final Map<Class<?>, ModelAccess> ACCESS = new ConcurrentHashMap<>();
 
     private static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
@@ -61,7 +61,7 @@
         return MODELS;
     }
 
-    /** All voters are of one group. */
+    /** The group id, the same for all voters. */
     static String groupId() {
         return GROUP_ID;
     }
@@ -74,19 +74,23 @@
                 return json;
             }
         }
-        throw new IllegalArgumentException("no message: " + message);
+        throw new IllegalArgumentException("not a Raft message: " + message);
     }
 
-    /** Reads a message; what is none is an IllegalArgumentException. */
+    /**
+     * Reads a message.
+     *
+     * @throws IllegalArgumentException if it is not one
+     */
     static RaftMessage read(JsonObject from) {
         Class<?> model = MESSAGES.get(from.get("kind").getAsString());
         if (model == null) {
-            throw new IllegalArgumentException("a message of an unknown kind, " + from.get("kind"));
+            throw new IllegalArgumentException("a message of unknown kind " + from.get("kind"));
         }
         return (RaftMessage) build(from, model);
     }
 
-    /** An operation of the log. */
+    /** Writes an operation of the log. */
     static JsonElement writeOperation(Object operation) {
         if (operation == null) {
             return JsonNull.INSTANCE;
@@ -143,12 +147,12 @@
         return builder.setIndex(index).setTerm(term).setOperation(operation).build();
     }
 
-    // ---- by the library's interfaces ----
+    // ---- reflection on the library's interfaces ----
 
-    /** What a builder of the library's can be told, and the getter of that name. */
+    /** A property that a builder of the library can set, and its getter. */
     private record Field(String name, Method set, Method get, Type type) {}
 
-    /** How a model is made and read; found out once, since messages go to and fro all the time. */
+    /** The methods that create and read a model; cached, since messages are converted all the time. */
     private static final class ModelAccess {
         private final List<Field> fields = new ArrayList<>();
         private final Method create;
@@ -181,7 +185,7 @@
         private static Method require(Class<?> type, Predicate<Method> wanted) {
             Method found = find(type, wanted);
             if (found == null) {
-                throw new IllegalStateException("the library's " + type + " is another than was built for");
+                throw new IllegalStateException("the Raft library's " + type + " lacks an expected method");
             }
             return found;
         }
--- a/src/main/java/laneflow/policy/RaftVoter.java
+++ b/src/main/java/laneflow/policy/RaftVoter.java
@@ -49,26 +49,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A voter: one node of the consensus library (MicroRaft) with this program's store, transport and clock. The
- * library runs on a thread of its own, since it waits for the disk; what it has to tell comes to the loop.
- * The library counts in whole seconds, leases last about one: its time runs faster than the wall's by a
- * factor, in its timers and its clock alike. The clock is monotonic: no jump of the wall's moves an election.
+ * A voter: a node of the Raft library (MicroRaft) with this program's store, transport and clock. The library
+ * runs on a thread of its own, since it waits for the disk; its notifications are passed to the loop. The
+ * library counts time in whole seconds, while a lease lasts about one second: its timers and its clock
+ * therefore run faster than real time by a constant factor. The clock is monotonic, so that jumps of the wall
+ * clock don't affect elections.
  */
 final class RaftVoter implements Transport, StateMachine, RaftNodeExecutor, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(RaftVoter.class);
     private static final String NEW_TERM = "";
-    /** Seconds of the library's in a lease. */
+    /** The library's seconds per lease. */
     private static final int RAFT_SECONDS_PER_LEASE = 20;
-    /** Behind what this class does itself: see {@link #watch}. */
+    /** Longer than the timeout of this class's own check, see {@link #watchLeader}. */
     private static final int HEARTBEAT_TIMEOUT_S = 21;
 
     private static final int HEARTBEAT_PERIOD_S = 4;
     private static final int REPORT_PERIOD_S = 30;
-    /** The library adds up to this noise; see {@link #schedule}. */
+    /** The library adds random noise up to ELECTION_NOISE_MS, see {@link #schedule}. */
     private static final int ELECTION_TIMEOUT_MS = 8000;
 
     private static final int ELECTION_NOISE_MS = 100;
-    /** The first voter misses a leader that is gone after this share of a lease, the last after this more. */
+    /**
+     * The first voter gives up a silent leader after this share of a lease, the last one after the spread in
+     * addition.
+     */
     private static final double FIRST_TIMEOUT_LEASES = 0.75;
 
     private static final double TIMEOUT_SPREAD_LEASES = 0.25;
@@ -78,18 +82,18 @@
     private static final int COMMITS_PER_SNAPSHOT = 1000;
     private static final int MAX_PENDING_ENTRIES = 256;
 
-    /** Reads the state, at the leader; never written to the log. */
+    /** Reads the leader's state; never written to the log. */
     interface LedgerQuery extends Function<Ledger, Object> {}
 
-    /** What it has to tell, on the loop's thread. */
+    /** Receives notifications on the loop's thread. */
     interface Listener {
-        /** @param leader the voter that leads in that term, as far as is known, or empty */
+        /** @param leader the leader of that term, or empty if unknown */
         void onRole(int term, boolean leads, String leader, Set<String> voters);
 
-        /** It votes no more, for a fault. */
+        /** The voter stopped because of a fault. */
         void onStopped(String why);
 
-        /** It votes no more, by order. */
+        /** The voter stopped because it was removed from the group. */
         void onRemoved();
     }
 
@@ -101,11 +105,11 @@
     private final double timeScale;
     private final long leaseNs;
     private final Random random = new Random();
-    /** When the leader was last heard of, and how long it may be silent from then; on the voter's thread. */
+    /** When the leader was last heard from, and its timeout from then on; on the voter thread. */
     private long leaderLastHeardNs;
 
     private long leaderTimeoutNs;
-    /** When it is to be looked for again. */
+    /** When the next check of the leader is due. */
     private long nextWatchNs;
 
     private volatile boolean leads;
@@ -114,22 +118,22 @@
     private final ScheduledThreadPoolExecutor thread;
     private RaftNode node;
     private Collection<RaftEndpoint> initialVoters = List.of();
-    /** Names of voters that a link is up to; written by the loop. */
+    /** Names of voters to which a link is up; written by the loop. */
     private volatile Set<String> reachable = Set.of();
 
     private volatile boolean closed;
-    /** Its store could not be written; set on the voter's thread. */
+    /** A write to the store failed; set on the voter thread. */
     private volatile boolean storeFailed;
 
     private String lastRole = "";
 
     /**
-     * One that does not vote yet.
+     * Creates a voter that has not started.
      *
      * @param ledger empty
      * @param lease microseconds
-     * @param later runs a call on the loop
-     * @param sender on the loop: sends a message to the scheduler of that name
+     * @param loopExecutor runs a call on the loop
+     * @param sender sends a message to the scheduler of that name; called on the loop
      */
     RaftVoter(
             VoteStore store,
@@ -157,17 +161,18 @@
     }
 
     /**
-     * The disk is full, or fails. The library would go on with what it has in memory: as a leader it would
-     * lead, and carry nothing through; what it says of entries would be of more than a disk holds. So nothing
-     * that it says gets out from this very call on, nothing of it runs again, and the others miss it.
+     * Called when the disk is full or fails. The library would continue with its state in memory: a leader
+     * would keep leading without committing anything, and its messages would cover entries that no disk
+     * holds. Therefore nothing is sent from this call on, none of the library's tasks runs any more, and the
+     * other voters time out.
      */
     private void onStoreFailure(String reason) {
         storeFailed = true;
         leads = false;
-        stopped("its store can't be written: " + reason);
+        stopped("writing its store failed: " + reason);
     }
 
-    /** Votes from now on, with what its store holds, or else as one of these first voters. */
+    /** Starts to vote, with the restored state or else as one of these initial voters. */
     void start(RestoredRaftState restored, Collection<RaftEndpoint> voters) {
         RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder()
                 .setGroupId(RaftCodec.groupId())
@@ -197,18 +202,19 @@
         node = builder.build();
         node.start().whenComplete((started, failed) -> {
             if (failed != null) {
-                stopped("it could not begin to vote: " + failed.getMessage());
+                stopped("the Raft node failed to start: " + failed.getMessage());
             }
         });
         scheduleWatch(leaseNs);
     }
 
     /**
-     * A follower of this library (0.7) that hears of a leader amid a pre-vote of its own keeps that pre-vote
-     * open, and while one is open it never misses its leader: voters that had been started anew did not elect
-     * another for as long as one waited. And all its voters miss their leader at once, and split their votes.
-     * So a leader that is silent is missed here, one voter behind the other and before the library does, by
-     * the word with which a leader hands over. An election without a pre-vote is as safe.
+     * A follower of this library (0.7) that receives a leader's message during its own pre-vote keeps that
+     * pre-vote open, and while it is open the follower's leader timeout never fires: restarted voters did not
+     * elect a new leader for as long as one waited. Moreover, all followers time out at once and split their
+     * votes. So a silent leader is detected here, by one voter after the other and before the library does
+     * it, and an election is started with the message by which a leader transfers its leadership. An election
+     * without a pre-vote is as safe.
      */
     private void watchLeader() {
         RaftEndpoint leader = node.getTerm().getLeaderEndpoint();
@@ -216,10 +222,10 @@
         if (storeFailed || thread.isShutdown()) {
             return;
         }
-        // One that stood still itself blames nobody: what the leader has said waits to be read.
+        // After a stall of this process the leader's messages may still be waiting to be read.
         boolean stalled = now - nextWatchNs > STALL_WATCH_PERIODS * leaseNs / WATCHES_PER_LEASE;
         checkLeader(leader, now, stalled);
-        // While it is heard of nothing is looked at: that would be ten times a lease for nothing.
+        // No checks while the leader is heard from: they would run ten times per lease for nothing.
         scheduleWatch(Math.max(leaseNs / WATCHES_PER_LEASE, leaderLastHeardNs + leaderTimeoutNs - now));
     }
 
@@ -240,7 +246,7 @@
             node.getReport().whenComplete((response, failed) -> {
                 if (failed == null) {
                     RaftNodeReport report = response.getResult();
-                    LOG.info("policy: {} has not been heard of, another is to be elected", leader.getId());
+                    LOG.info("policy: leader {} has timed out, starting an election", leader.getId());
                     node.handle(RaftCodec.models()
                             .createTriggerLeaderElectionRequestBuilder()
                             .setGroupId(RaftCodec.groupId())
@@ -260,8 +266,9 @@
     }
 
     /**
-     * This voter's place among those that may miss their leader, in [0, 1]. All of them have heard of it last
-     * at the same time: with drawn times two of three called for each other's votes at once, once in five.
+     * This voter's rank among those that may time out, in [0, 1]. All of them heard from the leader last at
+     * the same time: with random timeouts two of three voters called an election at once in one of five
+     * cases.
      */
     private double timeoutRank() {
         TreeSet<String> others = new TreeSet<>();
@@ -280,7 +287,7 @@
         return node != null;
     }
 
-    /** The voters that were there at the beginning; the same at all that belong together. */
+    /** Ids of the initial voters, the same at all voters of a group. */
     List<String> initialVoterIds() {
         List<String> names = new ArrayList<>();
         initialVoters.forEach(one -> names.add(one.getId().toString()));
@@ -288,12 +295,12 @@
         return names;
     }
 
-    /** On the loop: the names that links are up to now. */
+    /** Called on the loop with the names of voters to which a link is up. */
     void reachable(Set<String> names) {
         reachable = Set.copyOf(names);
     }
 
-    /** On the loop: another voter's message. */
+    /** Called on the loop with another voter's message. */
     void onMessage(String from, JsonObject message) {
         if (node == null || !message.get("to").getAsString().equals(self.text())) {
             return;
@@ -305,7 +312,7 @@
                 try {
                     decoded = RaftCodec.read(raftMessage);
                 } catch (RuntimeException e) {
-                    LOG.warn("a voter's message can't be read: {}", e.toString());
+                    LOG.warn("unreadable message from another voter: {}", e.toString());
                     return;
                 }
                 if (decoded instanceof AppendEntriesRequest || decoded instanceof InstallSnapshotRequest) {
@@ -324,8 +331,8 @@
     }
 
     /**
-     * A voter that was taken out, and has not heard of it, misses its leader: while there is one its votes
-     * would only unseat it. Only the leader knows for sure, and tells it.
+     * A removed voter that has not learnt of its removal times out: its vote requests would only unseat a
+     * working leader. Only the leader knows the members for sure, and tells the removed voter.
      */
     private boolean isVoteOfRemoved(RaftMessage message) {
         return (message instanceof VoteRequest || message instanceof PreVoteRequest)
@@ -341,7 +348,7 @@
         return message;
     }
 
-    /** On the loop: this one was taken out, and votes no more. */
+    /** Called on the loop when this voter was removed: stops voting. */
     void stopAfterRemoval() {
         closed = true;
         runOnVoterThread(() -> node.terminate(), () -> {});
@@ -349,10 +356,10 @@
     }
 
     /**
-     * Reads the state as a majority holds it to be now; the answer comes on the loop, with null where this
-     * voter does not lead, or no majority answers.
+     * Reads the state as a majority holds it now. The answer comes on the loop; it is null if this voter is
+     * not the leader or no majority answers.
      *
-     * @param term the answer is null if it is another by then
+     * @param term the answer is null if the term has changed by then
      */
     void query(int term, LedgerQuery query, Consumer<Object> then) {
         runOnVoterThread(
@@ -364,7 +371,9 @@
                 () -> then.accept(null));
     }
 
-    /** Puts an operation into the log; the answer comes on the loop, null where it is not known to be in. */
+    /**
+     * Replicates an operation; the answer comes on the loop and is null if the operation's fate is unknown.
+     */
     void replicate(JsonObject operation, Consumer<JsonObject> then) {
         runOnVoterThread(
                 () -> node.<Object>replicate(operation.toString()).whenComplete((done, failed) -> {
@@ -377,8 +386,9 @@
     }
 
     /**
-     * Takes a voter in. A store of its name that it has lost goes first, so that no two of one name vote, and
-     * the new one listens before it votes. Tells null, or why it was not done; asked again it goes on.
+     * Adds a voter. A lost store of the same name is removed first, so that no two voters have one name, and
+     * the new voter starts as a learner. Answers null on success, else why it failed; a retry continues where
+     * it stopped.
      */
     void addVoter(VoterId voter, Consumer<String> then) {
         runOnVoterThread(
@@ -399,10 +409,10 @@
                                     changeMembership(voter, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, index)),
                             then);
                 },
-                () -> then.accept("this process ends"));
+                () -> then.accept("this process is stopping"));
     }
 
-    /** Takes a voter out. Tells null, or why it was not done. */
+    /** Removes a voter. Answers null on success, else why it failed. */
     void removeVoter(VoterId voter, Consumer<String> then) {
         runOnVoterThread(
                 () -> reportOutcome(
@@ -416,10 +426,10 @@
                             }
                             then.accept(why);
                         }),
-                () -> then.accept("this process ends"));
+                () -> then.accept("this process is stopping"));
     }
 
-    /** Has another voter lead, so that this one can be taken out. */
+    /** Transfers leadership to another voter, so that this one can be removed. */
     void stepDown() {
         runOnVoterThread(() -> transferTarget().ifPresent(node::transferLeadership), () -> {});
     }
@@ -472,7 +482,7 @@
 
     private void onReport(RaftNodeReport report) {
         if (report.getStatus() == RaftNodeStatus.TERMINATED && !closed) {
-            stopped("the library ended it; a disk that is full or fails is the usual cause");
+            stopped("the Raft library terminated the node, usually because a disk is full or fails");
             return;
         }
         int term = report.getTerm().getTerm();
@@ -541,7 +551,7 @@
         return NEW_TERM;
     }
 
-    // ---- its thread and its time ----
+    // ---- thread and time ----
 
     @Override
     public void execute(Runnable task) {
@@ -566,9 +576,9 @@
     }
 
     /**
-     * What the library draws so that voters whose votes were split do not try again together is five
-     * milliseconds of real time: voters that tried at once did so again, term by term. An election is given
-     * up after once to twice its time.
+     * The library's random delay after a split vote amounts to five milliseconds of real time: voters that
+     * started elections at once did so again, term after term. An election therefore times out after one to
+     * two times its timeout.
      */
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
@@ -583,7 +593,7 @@
         }
     }
 
-    /** Monotonic, and as much faster as the timers. */
+    /** Monotonic, and faster than real time by the same factor as the timers. */
     private final class ScaledClock extends Clock {
         @Override
         public ZoneId getZone() {
@@ -606,19 +616,19 @@
         }
     }
 
-    /** One that leads and ends in order names another, so that nobody has to miss it first. */
+    /** A leader that stops gracefully names a successor, so that no voter has to time out first. */
     private void transferLeadership() throws InterruptedException {
         Optional<RaftEndpoint> to = transferTarget();
         if (leads && to.isPresent()) {
             try {
                 node.transferLeadership(to.get()).get(TRANSFER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             } catch (ExecutionException | TimeoutException e) {
-                LOG.debug("the others elect another by themselves", e);
+                LOG.debug("leadership transfer failed, the other voters elect a leader themselves", e);
             }
         }
     }
 
-    /** Votes no more; what is in its store stays. On any thread but the loop's. */
+    /** Stops voting; the store is kept. Not to be called on the loop's thread. */
     @Override
     public void close() throws IOException, InterruptedException {
         closed = true;
--- a/src/main/java/laneflow/policy/RenewalExtension.java
+++ b/src/main/java/laneflow/policy/RenewalExtension.java
@@ -5,64 +5,67 @@
 import java.util.function.Consumer;
 
 /**
- * What rides on renewals and grants, and on the voters' log, beside policy: no message and no question to a
- * majority is spent on it alone. All on the loop's thread.
+ * A feature that adds its data to renewals, grants and the voters' log, so that it needs no messages and no
+ * majority reads of its own. All methods are called on the loop's thread.
  */
 public interface RenewalExtension {
-    /** What policy does for it. */
+    /** The services that the policy subsystem provides to an extension. */
     interface Context {
-        /** This process's clock for leases, read now; on any thread. */
+        /** This process's clock for leases; callable on any thread. */
         long now();
 
-        /** At a leader: puts an operation into the log; the answer is null where it is not known to be in. */
+        /** At the leader: replicates an operation; the answer is null if its fate is unknown. */
         void replicate(JsonObject operation, Consumer<JsonObject> then);
 
-        /** True if this process leads the voters, as far as it knows. */
+        /** True if this process is the leader, as far as it knows. */
         boolean isLeader();
 
-        /** At a leader: a part of the ledger as a majority holds it now; null: it is not known. */
+        /** At the leader: reads a part of the ledger as a majority holds it now; null if that is unknown. */
         void read(String part, Consumer<Object> then);
 
-        /** At a leader: that process is told how things stand, unasked. */
+        /** At the leader: sends that process an unsolicited grant. */
         void sendGrant(String processId);
 
-        /** Something has changed: the next renewal goes out at once. */
+        /** Sends the next renewal at once because something has changed. */
         void renewNow();
 
-        /** The voter that leads as far as is known, or empty. */
+        /** Name of the leader, or empty if unknown. */
         String leader();
 
-        /** Microseconds for which a leader's word lasts. */
+        /** Duration of a lease in microseconds. */
         long leaseMicros();
     }
 
-    /** Its part of the ledger. */
+    /** The name of its part of the ledger. */
     String ledgerPart();
 
-    /** It can begin. */
+    /** Starts the extension. */
     void start(Context context);
 
     // ---- at a scheduler ----
 
-    /** What goes with the next renewal; null: nothing. */
+    /** Data to send with the next renewal, or null. */
     JsonElement renewalData();
 
-    /** The leader's word; it answers what was sent at that instant, or nothing: negative. */
+    /**
+     * Data received with a grant. {@code sentAt} is when the renewal that it answers was sent; negative if
+     * the grant was unsolicited.
+     */
     void onGrant(JsonElement grantData, long sentAt, long heardAt);
 
     // ---- at the leader ----
 
-    /** This process leads in that term, until another term or {@link #onLeadershipLost}. */
+    /** This process is the leader of that term, until another term or {@link #onLeadershipLost}. */
     void onElected(int term);
 
     void onLeadershipLost();
 
-    /** A majority has confirmed it, with its part of the ledger as it stood then. */
+    /** A majority confirmed the leader; {@code part} is the extension's part of the ledger at that time. */
     void onConfirmed(long submittedAt, Object part);
 
     void onRenewal(String processId, JsonElement renewalData);
 
-    /** What a process is told; null: nothing. */
+    /** Data to send to a process with a grant, or null. */
     JsonElement grantData(String processId, boolean unsolicited);
 
     void onSchedulerLeft(String processId);
--- a/src/main/java/laneflow/policy/RenewalExtensions.java
+++ b/src/main/java/laneflow/policy/RenewalExtensions.java
@@ -8,9 +8,9 @@
 import java.util.function.LongSupplier;
 import laneflow.policy.decision.Ledger;
 
-/** All that rides on renewals and grants, as one: each has a field of its own in the messages. */
+/** All renewal extensions together; each has a field of its own in the messages. */
 final class RenewalExtensions {
-    /** Of the first that rode, by which builds before this one know it. */
+    /** The first extension keeps the field name that earlier builds know it by. */
     private static final String FIRST_FIELD = "rider";
 
     private final List<RenewalExtension> extensions;
@@ -53,7 +53,7 @@
         extensions.forEach(RenewalExtension::onLeadershipLost);
     }
 
-    /** What stands in the ledger for each, by its part's name. */
+    /** Each extension's part of the ledger, by the part's name. */
     Map<String, Object> partViews(Ledger ledger) {
         Map<String, Object> parts = new HashMap<>();
         extensions.forEach(extension -> parts.put(extension.ledgerPart(), ledger.partView(extension.ledgerPart())));
@@ -88,7 +88,7 @@
         extensions.forEach(extension -> extension.onSchedulerLeft(processId));
     }
 
-    /** This process's own renewal, asked at that instant, and the answer to it: no message is needed. */
+    /** Handles this process's own renewal and its answer without sending a message. */
     void renewLocally(String processId, long renewalSentAt, LongSupplier clock) {
         for (RenewalExtension extension : extensions) {
             JsonElement renewalData = extension.renewalData();
--- a/src/main/java/laneflow/policy/VoteStore.java
+++ b/src/main/java/laneflow/policy/VoteStore.java
@@ -33,11 +33,12 @@
 import laneflow.durable.FolderLock;
 
 /**
- * A voter's memory: its term and vote, the log, the newest snapshot, in an SQLite database of its own. What
- * the library asks to be flushed is synced before the call returns, since a vote or an entry that is told and
- * then forgotten breaks the agreement. Every row carries a checksum; a store that does not hold together is
- * refused, and its process does not vote. The store's mark is drawn when it is made: a voter that comes back
- * with another one is another voter. Blocks on the disk: on the voter's thread only.
+ * The persistent state of a voter: its term and vote, the log and the newest snapshot, in an SQLite database
+ * of its own. Whatever the Raft library asks to be flushed is synced before the call returns, since a vote or
+ * entry that is announced and then forgotten breaks the agreement. Every row carries a checksum; a store that
+ * is inconsistent is rejected, and its process does not vote. The store id is random and drawn when the store
+ * is created: a voter that returns with another id is a different voter. Blocks on the disk, so it is used on
+ * the voter thread only.
  */
 final class VoteStore implements RaftStore, AutoCloseable {
     private static final int FORMAT = 1;
@@ -50,12 +51,12 @@
     private boolean inTransaction;
     private boolean failed;
     private Consumer<String> failureListener = why -> {};
-    /** Counted in the database and, behind each commit, in a file beside it. */
+    /** Number of commits, counted in the database and, after each commit, in the witness file beside it. */
     private long commits;
 
     private FileChannel witness;
 
-    /** Another process has it open: it can be opened when that has ended. */
+    /** Another process has the store open; it can be opened when that process has ended. */
     static final class StoreLockedException extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -69,11 +70,11 @@
         lock = FileChannel.open(dir.resolve("votes.lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         if (!FolderLock.take(lock)) {
             lock.close();
-            throw new StoreLockedException(dir + ": another process votes with this store");
+            throw new StoreLockedException(dir + ": the store is in use by another process");
         }
     }
 
-    /** Opens the store of a voter of that name, or makes one. */
+    /** Opens the store of the voter of that name, or creates it. */
     static VoteStore open(Path dir, String name) throws IOException {
         Files.createDirectories(dir);
         VoteStore store = new VoteStore(dir);
@@ -96,8 +97,8 @@
         execute("PRAGMA synchronous=FULL");
         int format = Integer.parseInt(queryText("PRAGMA user_version"));
         if (format > FORMAT) {
-            throw new IOException(
-                    dir + ": the store of votes has format " + format + ", this build reads up to " + FORMAT);
+            throw new IOException(dir + ": the store of votes has format " + format
+                    + ", this build supports formats up to " + FORMAT);
         }
         witness = FileChannel.open(
                 dir.resolve("votes.witness"),
@@ -106,7 +107,7 @@
                 StandardOpenOption.WRITE);
         long witnessed = readWitness();
         if (format == 0 && witnessed > 0) {
-            throw new IOException(dir + ": the store of votes is empty, and held " + witnessed + " commits before");
+            throw new IOException(dir + ": the store of votes is empty but had " + witnessed + " commits before");
         }
         if (format == 0) {
             byte[] storeId = new byte[8];
@@ -128,7 +129,7 @@
         String storedCommits = meta("commits");
         commits = storedCommits == null ? 0 : Long.parseLong(storedCommits);
         if (witnessed > commits) {
-            // Where its log is damaged SQLite goes on without what that held, and says nothing.
+            // SQLite silently drops the damaged part of its write-ahead log.
             throw new IOException(
                     dir + ": " + (witnessed - commits) + " commits of the store of votes are" + " missing");
         }
@@ -139,12 +140,12 @@
         return witness.read(buffer, 0) < Long.BYTES ? 0 : buffer.flip().getLong();
     }
 
-    /** This voter: its name and its store's mark. */
+    /** This voter: its name and the id of its store. */
     VoterId self() {
         return self;
     }
 
-    /** What an earlier life left, or null: this store has never voted. */
+    /** The state that an earlier process left, or null if this store has never voted. */
     RestoredRaftState restored() throws IOException {
         try {
             String members = meta("members");
@@ -251,7 +252,7 @@
 
     private void verify(long crc, String text) throws IOException {
         if (crc != checksum(text)) {
-            throw new IOException(dir + ": a row of the store of votes is not what was written");
+            throw new IOException(dir + ": a row of the store of votes has a wrong checksum");
         }
     }
 
@@ -261,18 +262,18 @@
         return crc.getValue();
     }
 
-    // ---- what the library has written ----
+    // ---- called by the Raft library ----
 
     private interface StoreOperation {
         void run() throws SQLException, IOException;
     }
 
-    /** Told once, on the voter's thread, when something could not be written. */
+    /** Sets a listener that is called once, on the voter thread, when a write fails. */
     void onFailure(Consumer<String> listener) {
         failureListener = listener;
     }
 
-    /** The library may have more in memory than is on the disk from here on: it must say nothing. */
+    /** From here on the library may hold more in memory than is on the disk: it must not send anything. */
     private IOException fail(Exception cause) {
         String text = dir.resolve(FILE) + ": " + cause.getMessage();
         if (!failed) {
@@ -297,7 +298,7 @@
 
     private void runUnlessFailed(StoreOperation operation) throws IOException {
         if (failed) {
-            throw new IOException(dir.resolve(FILE) + ": could not be written before");
+            throw new IOException(dir.resolve(FILE) + ": an earlier write failed");
         }
         try {
             operation.run();
@@ -312,7 +313,7 @@
             execute("COMMIT");
             inTransaction = false;
             commits++;
-            // Not synced: it may be behind the database, and tells if that is behind it.
+            // Not synced: the witness may lag behind the database, but shows if the database lags behind it.
             witness.write(ByteBuffer.allocate(Long.BYTES).putLong(commits).flip(), 0);
         }
     }
--- a/src/main/java/laneflow/policy/VoterGroup.java
+++ b/src/main/java/laneflow/policy/VoterGroup.java
@@ -22,12 +22,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How voters find together. A voter whose store holds a vote goes on with it. One with an empty store is
- * either of a fleet that begins, or has lost its disk; it can't tell by itself, and a voter that has
- * forgotten its vote must not vote again. So voters tell each other their stores' marks and whom they began
- * with. With an empty store one begins if a voter that has begun counts this very store among the first, or
- * if all voters of the file say that theirs are empty too. Else it does not vote until it is taken in, as
- * does one that the file does not name as a voter.
+ * Decides when a voter starts to vote, and with which group. A voter whose store holds a vote continues with
+ * it. An empty store belongs either to a new fleet or to a voter that has lost its disk; the voter can't tell
+ * which, and one that has forgotten its vote must not vote again. Voters therefore announce their store ids
+ * and the initial voters of their group. A voter with an empty store starts if a running voter names this
+ * very store among the initial voters, or if all voters of the configuration file announce empty stores.
+ * Otherwise it does not vote until an operator adds it, as is the case for schedulers that the file does not
+ * name as voters.
  */
 final class VoterGroup {
     private static final Logger LOG = LoggerFactory.getLogger(VoterGroup.class);
@@ -39,11 +40,11 @@
     private final Counters counters;
     private final RaftVoter voter;
     private final Deadline announceTimer;
-    /** The stores of voters that are empty, as they have said, by name. */
+    /** Ids of stores announced as empty, by the voter's name. */
     private final Map<String, String> emptyStores = new HashMap<>();
 
     private final Map<String, String> storeIds = new HashMap<>();
-    /** True where the file does not name this one as a voter. */
+    /** True if the configuration file does not name this scheduler as a voter. */
     private final boolean candidate;
 
     private String groupId = "";
@@ -60,7 +61,7 @@
         announceTimer = loop.deadlines().create(this::announce);
     }
 
-    /** @param restored what the store holds, or null where it is empty */
+    /** @param restored the state in the store, or null if it is empty */
     void start(RestoredRaftState restored) {
         fleet.handle("voter", this::onAnnouncement);
         fleet.handle("raft", (from, message) -> {
@@ -92,7 +93,7 @@
         announce();
     }
 
-    /** On the loop: a link has come up or gone down. */
+    /** Called on the loop when a link has come up or gone down. */
     void onLinksChanged() {
         Set<String> names = new TreeSet<>();
         for (String name : fleet.dialled()) {
@@ -104,12 +105,12 @@
         announce();
     }
 
-    /** On the loop: these vote now, by their stores. */
+    /** Called on the loop with the ids of the current voters. */
     void onVoters(Set<String> ids) {
         ids.forEach(id -> dial(VoterId.parse(id).name()));
     }
 
-    /** Keeps a link to that scheduler; false where the file does not say where it is. */
+    /** Keeps a link to that scheduler; false if its address is not configured. */
     boolean dial(String name) {
         if (fleet.address(name) == null) {
             return false;
@@ -118,7 +119,7 @@
         return true;
     }
 
-    /** On the loop: a message of the library's to the voter of that name. */
+    /** Called on the loop: sends a Raft message to the voter of that name. */
     void send(String to, JsonObject message) {
         Peer peer = fleet.peer(to);
         if (peer != null) {
@@ -139,7 +140,7 @@
         }
     }
 
-    /** The stores of those that this one began with. */
+    /** Ids of the group's initial voters. */
     private JsonArray initialVoters() {
         JsonArray ids = new JsonArray();
         voter.initialVoterIds().forEach(ids::add);
@@ -171,7 +172,7 @@
         }
         if (voter.isStarted()) {
             if (first == null) {
-                // It waits to hear whom this one began with.
+                // The other voter waits for the ids of this group's initial voters.
                 from.send(announcement());
             }
             return;
@@ -184,8 +185,8 @@
                 storeLost = true;
                 counters.set("policy.vote_lost", 1);
                 LOG.error(
-                        "policy: this store of votes is new, and the voters {} had another one of {}: it"
-                                + " does not vote until it is taken in anew",
+                        "policy: this store of votes is new, but the initial voters {} had another one of {}:"
+                                + " it does not vote until an operator replaces that voter",
                         first,
                         voter.self().name());
             }
@@ -194,7 +195,7 @@
         startIfAllEmpty();
     }
 
-    /** All voters of the file have said that their stores are empty: they begin together. */
+    /** Starts a new group once all voters of the file have announced empty stores. */
     private void startIfAllEmpty() {
         if (candidate) {
             return;
@@ -215,11 +216,13 @@
     private void startVoting(RestoredRaftState restored, Collection<RaftEndpoint> first) {
         voter.start(restored, first);
         groupId = Canonical.digest(initialVoters()).substring(0, 16);
-        LOG.info("policy: votes as {}, begun with {}", voter.self(), voter.initialVoterIds());
+        LOG.info("policy: voting as {}, initial voters {}", voter.self(), voter.initialVoterIds());
         announce();
     }
 
-    /** At the leader: the voter of that name is to begin with its new store; false if it can't be told. */
+    /**
+     * At the leader: tells the voter of that name to start with its new store; false if it can't be reached.
+     */
     boolean invite(String name) {
         Peer peer = fleet.peer(name);
         if (peer == null || !storeIds.containsKey(name)) {
@@ -232,27 +235,27 @@
         return peer.send(message);
     }
 
-    /** True if the store of that name has never voted, as its process has said. */
+    /** True if the store of that name is announced as empty. */
     boolean isEmpty(String name) {
         return emptyStores.containsKey(name);
     }
 
-    /** True where this process may be taken in as a voter. */
+    /** True if this process doesn't vote but can be added as a voter. */
     boolean isCandidate() {
         return candidate && !voter.isStarted();
     }
 
-    /** True where it was a voter, and was taken out. */
+    /** True if this process was a voter and was removed. */
     boolean isRemoved() {
         return removed;
     }
 
-    /** True where this process has a store but must not vote with it. */
+    /** True if this process has lost its old store and must not vote with the new one. */
     boolean isStoreLost() {
         return storeLost;
     }
 
-    /** The store that a voter of that name has now, as it has said, or null. */
+    /** Id of the store that the voter of that name has announced, or null. */
     String storeId(String name) {
         return name.equals(voter.self().name()) ? voter.self().text() : storeIds.get(name);
     }
--- a/src/main/java/laneflow/policy/VoterId.java
+++ b/src/main/java/laneflow/policy/VoterId.java
@@ -3,8 +3,8 @@
 import io.microraft.RaftEndpoint;
 
 /**
- * A voter: the name of its scheduler and the mark of its disk. One that lost its disk is another voter, and
- * its old vote is nobody's.
+ * A voter: the name of its scheduler and the id of its store. A scheduler that lost its store is a different
+ * voter, so that its old votes no longer count.
  */
 record VoterId(String name, String storeId) implements RaftEndpoint {
     @Override
@@ -19,7 +19,7 @@
     static VoterId parse(String text) {
         int at = text.lastIndexOf('@');
         if (at < 1 || at == text.length() - 1) {
-            throw new IllegalArgumentException("'" + text + "' names no voter");
+            throw new IllegalArgumentException("'" + text + "' is not a voter id: expected NAME@STORE");
         }
         return new VoterId(text.substring(0, at), text.substring(at + 1));
     }
--- a/src/main/java/laneflow/policy/decision/Change.java
+++ b/src/main/java/laneflow/policy/decision/Change.java
@@ -7,18 +7,19 @@
 import java.util.List;
 
 /**
- * A change of policy as the voters know it: any number of types as one, with one outcome for ever.
+ * A policy change as replicated by the voters: any number of resource types, applied or abandoned together,
+ * once and for all.
  *
- * @param name given by whoever proposes it; the same name is the same change
- * @param number its place in the order of changes, from 1; 0 while it waits for its turn
- * @param digest of its content
- * @param types the resources of each type that it names, or null where its content is no longer kept
+ * @param name chosen by the proposer; proposals with the same name are the same change
+ * @param number its position in the order of changes, from 1; 0 while it waits
+ * @param digest digest of its content
+ * @param types the resources of each type that it names, or null once the content is dropped
  * @param by who proposed it
- * @param state where it stands
+ * @param state its state
  * @param reasons why it was abandoned
- * @param proposedMs wall clock of the leader that took it, Unix milliseconds; for people, nothing rests on
- * it
- * @param endedMs the same of the decision, 0 before it
+ * @param proposedMs when the leader received it: Unix milliseconds of the leader's wall clock, for display
+ * only
+ * @param endedMs the same for the decision, 0 before it
  */
 public record Change(
         String name,
@@ -30,7 +31,7 @@
         List<String> reasons,
         long proposedMs,
         long endedMs) {
-    /** WAITING and OPEN are undecided; the others are final. */
+    /** WAITING and OPEN are undecided, the other states are final. */
     public enum State {
         WAITING,
         OPEN,
@@ -46,12 +47,15 @@
         return new Change(name, openedNumber, digest, types, by, State.OPEN, reasons, proposedMs, 0);
     }
 
-    /** Its content goes: what is in force is kept merged, and nothing asks for what was abandoned. */
+    /**
+     * Ends the change and drops its content: the ledger keeps the merged policy in force, and nothing reads
+     * the content of an abandoned change.
+     */
     Change ended(State outcome, List<String> outcomeReasons, long atMs) {
         return new Change(name, number, digest, null, by, outcome, List.copyOf(outcomeReasons), proposedMs, atMs);
     }
 
-    /** For reports and snapshots; the content only where it is wanted and still there. */
+    /** The form used in reports and snapshots; includes the content if asked for and still there. */
     public JsonObject toJson(boolean includeContent) {
         JsonObject json = new JsonObject();
         json.addProperty("name", name);
--- a/src/main/java/laneflow/policy/decision/LeaderClock.java
+++ b/src/main/java/laneflow/policy/decision/LeaderClock.java
@@ -1,39 +1,44 @@
 package laneflow.policy.decision;
 
 /**
- * Where a leader's clock can be, by this process's own: from exchanges with that leader, and the most by
- * which
- * two clocks' rates differ. A stamp that the leader wrote between a word's going out and its answer's coming
- * in bounds its clock from both sides at any later time; one that answers nothing bounds it from below only.
- * No I/O; instants are microseconds.
+ * Bounds of the leader's clock in terms of this process's clock, derived from message exchanges with that
+ * leader and the largest possible difference between the rates of two clocks. A stamp that the leader wrote
+ * between the sending of a renewal and the arrival of its answer bounds the leader's clock from both sides at
+ * any later time; the stamp of an unsolicited message bounds it only from below. No I/O; instants are
+ * microseconds.
  */
 public final class LeaderClock {
-    /** Clocks' rates differ by no more than this share. */
+    /** Largest relative difference between the rates of two clocks. */
     public static final double MAX_DRIFT = 0.001;
 
     private static final long UNSET = Long.MIN_VALUE;
 
-    /** The leader's clock is at most the stamp plus what has passed here since, at the faster rate. */
+    /** Upper bound: this stamp plus the time since {@link #upperAt}, at the faster rate. */
     private long upperStamp;
 
     private long upperAt = UNSET;
-    /** And at least this stamp plus what has passed here since, at the slower rate. */
+    /** Lower bound: this stamp plus the time since {@link #lowerAt}, at the slower rate. */
     private long lowerStamp;
 
     private long lowerAt = UNSET;
 
-    /** True once an exchange has bounded it from both sides. */
+    /** True once an exchange has bounded the clock from both sides. */
     public boolean isBounded() {
         return upperAt != UNSET;
     }
 
-    /** Another leader, another clock. */
+    /** Drops all bounds; called when another leader, with another clock, takes over. */
     public void reset() {
         upperAt = UNSET;
         lowerAt = UNSET;
     }
 
-    /** A stamp of the leader's, heard now; it answers what was sent at that instant, or nothing: negative. */
+    /**
+     * Adds a stamp of the leader's.
+     *
+     * @param sentAt when the renewal that it answers was sent; negative if the message was unsolicited
+     * @param receivedAt now
+     */
     public void addStamp(long stamp, long sentAt, long receivedAt) {
         if (lowerAt == UNSET || stamp - lowerStamp > (receivedAt - lowerAt) * (1 - MAX_DRIFT)) {
             lowerStamp = stamp;
@@ -48,12 +53,12 @@
         }
     }
 
-    /** An instant here that is not behind the leader's: what ends then has ended in time. */
+    /** A local instant not after the leader's: what ends here at that instant ends in time. */
     public long localNotAfter(long leaderInstant) {
         return upperAt + (long) Math.floor((leaderInstant - upperStamp) / (1 + MAX_DRIFT));
     }
 
-    /** An instant here that is not before the leader's: what begins then does not begin too soon. */
+    /** A local instant not before the leader's: what starts here at that instant doesn't start early. */
     public long localNotBefore(long leaderInstant) {
         return lowerAt + (long) Math.ceil((leaderInstant - lowerStamp) / (1 - MAX_DRIFT));
     }
--- a/src/main/java/laneflow/policy/decision/LeaderState.java
+++ b/src/main/java/laneflow/policy/decision/LeaderState.java
@@ -9,15 +9,16 @@
 import laneflow.policy.decision.Ledger.View;
 
 /**
- * What the leader of one term knows of the schedulers, and what follows: whom it grants which policy until
- * when, when an open change is applied or abandoned, and when the schedulers may begin with one that was
- * applied. It speaks only for as long as a majority has confirmed it, and grants no longer than a lease
- * behind that confirmation: then no other leader can have been there before it.
+ * The schedulers as the leader of one term knows them, and what it decides from that: which policy each
+ * scheduler is granted and until when, when an open change is applied or abandoned, and when schedulers start
+ * to use an applied one. The leader acts only while a majority's last confirmation is less than a lease old,
+ * and no grant lasts longer than one lease after that confirmation, so that no other leader can have been
+ * elected within it.
  *
- * <p>It never grants a policy while any scheduler may still hold leave to decide by the one before: for
- * each scheduler it keeps every grant that may still arrive, and for those that former leaders may have
- * granted to, the time that such a grant can last. No I/O, no clock of its own; instants are this process's
- * microseconds.
+ * <p>A policy is never granted while any scheduler may still hold a grant for the previous one. For each
+ * scheduler this class keeps all grants that may still arrive; for grants of former leaders it assumes the
+ * longest time that they can last. No I/O and no clock of its own; instants are microseconds of this
+ * process's clock.
  */
 public final class LeaderState {
     private static final long FORMER_GRANT_MARGIN_MICROS = 5_000;
@@ -26,15 +27,15 @@
     private static final int FORGET_AFTER_LEASES = 10;
 
     /**
-     * The times it works by, in microseconds.
+     * Durations in microseconds.
      *
-     * @param lease how long a grant lasts behind a majority's confirmation
-     * @param quiet a scheduler not heard of for so long is held to be away
-     * @param prepare how long a scheduler that is heard may take to make a change ready
+     * @param lease how long a grant lasts after a majority's confirmation
+     * @param silence a scheduler whose last renewal is older than this counts as unreachable
+     * @param prepare how long a reachable scheduler may take to make a change ready
      */
     public record Times(long lease, long silence, long prepare) {}
 
-    /** What is to be asked of the voters. */
+    /** The operation to replicate to the voters. */
     public enum Operation {
         NONE,
         APPLY,
@@ -42,16 +43,16 @@
     }
 
     /**
-     * What is to be done now.
+     * What the leader has to do now.
      *
-     * @param ask what is to be put to the voters
-     * @param name of the change
-     * @param reasons why it is abandoned
-     * @param tell true if all schedulers are to be told how things stand
+     * @param operation the operation to replicate
+     * @param name the change that it concerns
+     * @param reasons why that change is abandoned
+     * @param broadcast true if all schedulers are to be sent a grant now
      */
     public record Step(Operation operation, String name, List<String> reasons, boolean broadcast) {}
 
-    /** A grant that may still arrive, or that was obeyed last. */
+    /** A grant that may still arrive, or the last one that the scheduler acknowledged. */
     private record IssuedGrant(long seq, long number, long until) {}
 
     private static final class SchedulerState {
@@ -64,7 +65,7 @@
         private List<String> reasons = List.of();
         private long roundTrip;
 
-        /** Until when it may decide by a policy before that one. */
+        /** Latest end of a grant for a policy with a lower number. */
         private long latestGrantEnd(long belowPolicy) {
             long latest = 0;
             for (IssuedGrant grant : grants) {
@@ -76,17 +77,17 @@
 
     private final int term;
     private final Times times;
-    /** Until then a scheduler may decide by a grant of a former leader. */
+    /** Grants of former leaders may be in effect until then. */
     private final long formerGrantsEnd;
 
     private final Map<String, SchedulerState> schedulers = new TreeMap<>();
     private View view;
     private long confirmedAt;
-    /** The policy in force has begun: nobody decides by one before it any more. */
+    /** True once the policy in force has started: no scheduler decides by an earlier one any more. */
     private boolean inForceStarted;
 
     private long startAt;
-    /** What schedulers still decide by while the policy in force has not begun; -1: not known. */
+    /** The policy that schedulers use until the one in force starts; -1 if unknown. */
     private long previousPolicy = -1;
 
     private long switchAt;
@@ -94,14 +95,16 @@
     private long openNumber;
     private boolean decisionRequested;
 
-    /** @param electedAt an instant behind the election */
+    /** @param electedAt an instant after the election */
     public LeaderState(int term, long electedAt, Times times) {
         this.term = term;
         this.times = times;
         formerGrantsEnd = electedAt + (long) (times.lease() * (1 + 2 * Lease.MAX_DRIFT)) + FORMER_GRANT_MARGIN_MICROS;
     }
 
-    /** A majority has confirmed this leader, at an instant not before the submission, with that state. */
+    /**
+     * Records that a majority confirmed this leader, at or after {@code submittedAt}, with the given state.
+     */
     public void onConfirmed(long submittedAt, View confirmedView) {
         if (view == null) {
             inForceStarted = confirmedView.inForce() == 0;
@@ -120,12 +123,12 @@
         }
     }
 
-    /** What was asked of the voters was not taken: it is asked again. */
+    /** Records that the requested operation was not replicated: it is requested again. */
     public void onDecisionFailed() {
         decisionRequested = false;
     }
 
-    /** A scheduler's word. Its answer is {@link #grant}. */
+    /** Records a scheduler's renewal; {@link #grant} makes the answer to it. */
     public void onRenewal(long now, String processId, Renewal renewal) {
         SchedulerState scheduler = schedulers.computeIfAbsent(processId, name -> new SchedulerState());
         scheduler.lastRenewalAt = now;
@@ -139,26 +142,28 @@
         }
     }
 
-    /** A scheduler ends in order: it has said that it decides no more. */
+    /** Forgets a scheduler that stopped gracefully: it has announced that it makes no more decisions. */
     public void removeScheduler(String processId) {
         schedulers.remove(processId);
     }
 
     /**
-     * What a scheduler is told now; null while no majority has confirmed this leader, or while it can't
-     * tell yet which policy has begun.
+     * Issues a grant to a scheduler. Null while no majority has confirmed this leader, or while it is unknown
+     * which policy has started.
      */
     public Grant grant(long now, String processId) {
         SchedulerState scheduler = schedulers.get(processId);
         if (view == null || scheduler == null || !inForceStarted && previousPolicy < 0) {
-            // What a former leader granted still holds: to end it would cost service and gain nothing.
+            // A grant of a former leader may still be in effect: revoking it would interrupt service for
+            // nothing.
             return null;
         }
         long number = view.inForce();
         long until = confirmedAt + times.lease();
         long from = inForceStarted ? startAt : 0;
         if (!inForceStarted) {
-            // It goes on by what it decides by, up to the instant at which that ends for all.
+            // Whoever uses the previous policy keeps it until the instant at which it ends for all
+            // schedulers.
             boolean continuesPrevious = previousPolicy >= 0 && scheduler.activePolicy == previousPolicy;
             number = continuesPrevious ? previousPolicy : number;
             until = continuesPrevious && switchAt > 0 ? Math.min(until, switchAt) : 0;
@@ -167,19 +172,22 @@
         }
         until = until > now ? until : 0;
         scheduler.seq++;
-        // It may be lost: what was granted before stays noted until this one is known to be obeyed.
+        // The message may be lost: earlier grants stay recorded until the scheduler acknowledges this one.
         scheduler.grants.add(new IssuedGrant(scheduler.seq, number, until));
         dropExpiredGrants(scheduler, now);
         return new Grant(term, scheduler.seq, now, number, from, until, openNumber);
     }
 
-    /** Grants that have run out can't be obeyed any more. */
+    /** Drops expired grants, which can have no effect any more. */
     private static void dropExpiredGrants(SchedulerState scheduler, long now) {
         IssuedGrant last = scheduler.grants.get(scheduler.grants.size() - 1);
         scheduler.grants.removeIf(grant -> grant != last && grant.until() <= now);
     }
 
-    /** Heard of, and not ready for an open change in time: it is not waited for at the others' cost. */
+    /**
+     * True if a scheduler is not ready for the open change in time. It gets no lease then, so that the others
+     * need not wait for it.
+     */
     private boolean isOverdue(long now, SchedulerState scheduler) {
         return openNumber > 0 && !scheduler.ready.contains(openNumber) && now > openedAt + times.prepare();
     }
@@ -188,7 +196,7 @@
         return now - scheduler.lastRenewalAt < times.silence();
     }
 
-    /** What is to be done now; to be asked after every event, and at {@link #nextLook}. */
+    /** Decides what to do now. Call it after every event and at {@link #nextCheckAt}. */
     public Step step(long now) {
         if (view == null || now >= confirmedAt + times.lease()) {
             return new Step(Operation.NONE, null, List.of(), false);
@@ -214,7 +222,7 @@
             } else if (!scheduler.ready.contains(openNumber) && scheduler.latestGrantEnd(Long.MAX_VALUE) > now) {
                 mustWait = true;
                 if (isReachable(now, scheduler) && now > openedAt + times.prepare()) {
-                    objections.add(entry.getKey() + ": was not ready for it within " + times.prepare() / 1000 + " ms");
+                    objections.add(entry.getKey() + ": not ready within " + times.prepare() / 1000 + " ms");
                 }
             }
         }
@@ -229,11 +237,12 @@
         return new Step(Operation.APPLY, name, List.of(), false);
     }
 
-    /** The policy in force was decided; nobody begins with it before all others have ended with the last. */
+    /** Starts the policy in force once no scheduler can still decide by the previous one. */
     private Step startInForce(long now) {
         long number = view.inForce();
         if (previousPolicy < 0) {
-            // A former leader saw it applied. Whoever decides by it already shows that it has begun.
+            // It was applied under a former leader. A scheduler that already uses it shows that it has
+            // started.
             boolean alreadyActive =
                     schedulers.values().stream().anyMatch(scheduler -> scheduler.activePolicy >= number);
             if (!alreadyActive && now < formerGrantsEnd) {
@@ -249,7 +258,8 @@
             return started(Math.max(switchAt, now));
         }
         if (switchAt == 0 || now >= switchAt - announceMicros(now) / 2) {
-            // Whoever is away can't be told to end sooner than it would by itself: the others go on as long.
+            // An unreachable scheduler can't be told to stop early: the others may use the previous policy as
+            // long as it can.
             long unreachableEnd = schedulers.values().stream()
                     .filter(scheduler -> !isReachable(now, scheduler))
                     .mapToLong(scheduler -> scheduler.latestGrantEnd(number))
@@ -267,7 +277,7 @@
         return new Step(Operation.NONE, null, List.of(), true);
     }
 
-    /** Long enough for a word and its answer to everybody who is heard. */
+    /** Time that suffices for a message to each reachable scheduler and its answer. */
     private long announceMicros(long now) {
         return Math.max(
                 MIN_ANNOUNCE_MICROS,
@@ -279,7 +289,7 @@
                                 .orElse(0));
     }
 
-    /** When to look again though nothing happens. */
+    /** When to call {@link #step} next if no event comes before. */
     public long nextCheckAt(long now) {
         if (view == null) {
             return Long.MAX_VALUE;
@@ -307,7 +317,10 @@
         return term;
     }
 
-    /** Schedulers that it has heard of and that an open change waits for, or all that it knows of. */
+    /**
+     * Schedulers that hold up the current change: those not ready for it, or that may still use the previous
+     * policy.
+     */
     public List<String> awaitedSchedulers(long now) {
         List<String> names = new ArrayList<>();
         schedulers.forEach((name, scheduler) -> {
@@ -323,7 +336,10 @@
         return names;
     }
 
-    /** All that it has heard of, with the policy each has begun and how long ago it was heard, in ms. */
+    /**
+     * All known schedulers with the policy that each uses, the age of its last renewal and its remaining
+     * lease.
+     */
     public List<SchedulerStatus> schedulerStatuses(long now) {
         List<SchedulerStatus> statuses = new ArrayList<>();
         schedulers.forEach((name, scheduler) -> statuses.add(new SchedulerStatus(
@@ -336,10 +352,10 @@
     }
 
     /**
-     * A scheduler as its leader knows it.
+     * A scheduler as the leader knows it.
      *
-     * @param heardMs milliseconds since its last word
-     * @param leaseMs milliseconds for which it may still decide, by the leader's reckoning
+     * @param lastRenewalMs milliseconds since its last renewal
+     * @param leaseMs milliseconds for which it may still decide, by the leader's clock
      */
     public record SchedulerStatus(String processId, long activePolicy, long lastRenewalMs, long leaseMs) {}
 }
--- a/src/main/java/laneflow/policy/decision/Lease.java
+++ b/src/main/java/laneflow/policy/decision/Lease.java
@@ -1,17 +1,16 @@
 package laneflow.policy.decision;
 
 /**
- * A scheduler's leave to decide, by its own clock. The leader says in its clock until when a policy holds;
- * here that becomes an instant of this process's clock, early for an end and late for a beginning, so that
- * whatever the two clocks do within their bound, nobody begins by a policy before all others have ended with
- * the one before it.
+ * A scheduler's lease: the policy by which it may decide and until when, by its own clock. The leader states
+ * the limits by its own clock; they are converted to this process's clock, rounded early for an end and late
+ * for a start. While the two clocks keep within their bounds, no scheduler starts to use a policy before all
+ * others have stopped using the previous one.
  *
- * <p>The bound comes of exchanges: a stamp that the leader wrote between a renewal's going out and its
- * answer's coming in says how far the leader's clock can be at any later time. A word that answers nothing
- * only bounds it from below. No I/O; instants are microseconds.
+ * <p>The bounds come from message exchanges, see {@link LeaderClock}: an answer bounds the leader's clock
+ * from both sides, an unsolicited message only from below. No I/O; instants are microseconds.
  */
 public final class Lease {
-    /** Clocks' rates differ by no more than this share. */
+    /** Largest relative difference between the rates of two clocks. */
     public static final double MAX_DRIFT = LeaderClock.MAX_DRIFT;
 
     private static final long NEVER = Long.MIN_VALUE;
@@ -27,10 +26,10 @@
     private long fence;
 
     /**
-     * Takes a leader's word; false if it is older than one obeyed already, and changes nothing.
+     * Applies a grant; false, with no effect, if it is older than one applied before.
      *
-     * @param sentAt when the renewal that it answers went out, or a negative number: it answers none
-     * @param heardAt now
+     * @param sentAt when the renewal that it answers was sent; negative if the grant was unsolicited
+     * @param receivedAt now
      */
     public boolean accept(Grant grant, long sentAt, long receivedAt) {
         if (grant.term() < term
@@ -39,7 +38,8 @@
             return false;
         }
         if (sentAt < 0 && (grant.term() > term || !clock.isBounded())) {
-            // It tells nothing of when: obeyed, it would end what a former leader granted for no reason.
+            // Without bounds of this leader's clock the grant can't be converted; applying it would
+            // needlessly end a former leader's grant.
             return false;
         }
         if (grant.term() > term) {
@@ -57,7 +57,7 @@
             nextEnd = grantEnd;
             nextStart = grant.from() == 0 ? receivedAt : clock.localNotBefore(grant.from());
         } else {
-            // No leave at all: what it was about to begin with goes too.
+            // The leader grants nothing: the pending switch is cancelled, too.
             end = NEVER;
             next = -1;
         }
@@ -73,18 +73,18 @@
         }
     }
 
-    /** The policy by which it may decide at this instant, or -1: it may not decide. */
+    /** The policy by which it may decide at that instant, or -1 if it may not decide. */
     public long policyAt(long now) {
         startNextIfDue(now);
         return now < end ? current : -1;
     }
 
-    /** The policy last begun with, whether or not its time is over; -1 before the first. */
+    /** The policy started last, even if its lease has run out; -1 before the first. */
     public long current() {
         return current;
     }
 
-    /** The policy that it begins with next, or -1; when is told by {@link #nextStart}. */
+    /** The policy to switch to at {@link #nextStart}, or -1. */
     public long next() {
         return next;
     }
@@ -93,17 +93,17 @@
         return nextStart;
     }
 
-    /** How long it decided by neither policy when it last began with one, in microseconds. */
+    /** Microseconds without any policy at the last switch. */
     public long fence() {
         return fence;
     }
 
-    /** When its leave ends unless it is renewed; in the past where it has none. */
+    /** When the lease ends unless renewed; in the past if there is none. */
     public long end() {
         return end;
     }
 
-    /** The term of the latest word obeyed, and that word's number. */
+    /** Term of the latest grant applied; {@link #seq} is that grant's number. */
     public int term() {
         return term;
     }
@@ -112,7 +112,7 @@
         return seq;
     }
 
-    /** As it stands now, for whoever reads it on another thread. */
+    /** An immutable copy for other threads. */
     public LeaseSnapshot snapshot() {
         return new LeaseSnapshot(current, end, next, nextStart, nextEnd, fence);
     }
--- a/src/main/java/laneflow/policy/decision/LeaseSnapshot.java
+++ b/src/main/java/laneflow/policy/decision/LeaseSnapshot.java
@@ -1,21 +1,21 @@
 package laneflow.policy.decision;
 
 /**
- * A scheduler's leave to decide as it stands: a {@link Lease} at one moment, which never changes and so may
- * be read on any thread. What it says of an instant holds for as long as no later one has been published.
+ * An immutable copy of a {@link Lease}, which any thread may read. It is valid for all instants until a later
+ * one is published.
  *
- * @param number the policy that it has begun to decide by, -1 before the first
- * @param stop when the leave for that ends; in the past where there is none
- * @param next the policy that it begins with next, or -1
- * @param nextStart when it begins with that
- * @param nextStop when the leave for that ends
- * @param fence microseconds between the end of the policy before and the beginning of this one
+ * @param current the policy started last, -1 before the first
+ * @param end when the lease for it ends; in the past if there is none
+ * @param next the policy to switch to, or -1
+ * @param nextStart when that policy starts
+ * @param nextEnd when the lease for it ends
+ * @param fence microseconds between the end of the previous policy and the start of the current one
  */
 public record LeaseSnapshot(long current, long end, long next, long nextStart, long nextEnd, long fence) {
-    /** None at all. */
+    /** No lease. */
     public static final LeaseSnapshot NONE = new LeaseSnapshot(-1, Long.MIN_VALUE, -1, 0, 0, 0);
 
-    /** The policy by which it may decide at this instant, or -1: it may not decide. */
+    /** The policy by which it may decide at that instant, or -1 if it may not decide. */
     public long policyAt(long now) {
         if (hasNextStarted(now)) {
             return now < nextEnd ? next : -1;
@@ -23,7 +23,7 @@
         return now < end ? current : -1;
     }
 
-    /** How long it decided by neither policy when it began with the one of this instant. */
+    /** Microseconds without any policy before the one in use at that instant started. */
     public long fence(long now) {
         if (!hasNextStarted(now)) {
             return fence;
--- a/src/main/java/laneflow/policy/decision/Ledger.java
+++ b/src/main/java/laneflow/policy/decision/Ledger.java
@@ -13,20 +13,20 @@
 import laneflow.policy.decision.Change.State;
 
 /**
- * What the voters agree on, as a state machine: the same operations in the same order lead to the same
- * state at each of them. Changes are taken in the order in which they were proposed, one open at a time;
- * each ends applied or abandoned, once. What is in force is kept merged: the newest resources of each type
- * that any applied change named; an empty list gives a type back to each scheduler's own file. Not
- * thread-safe; no I/O, no clock: wall times come with the operations.
+ * The state machine that the voters replicate: the same operations in the same order lead to the same state
+ * at each voter. Changes are handled in the order in which they were proposed, one open at a time, and each
+ * ends applied or abandoned exactly once. The policy in force is kept merged: the newest resources of each
+ * type that any applied change named; an empty list returns a type to each scheduler's own file. Not
+ * thread-safe; no I/O and no clock: wall-clock times come with the operations.
  */
 public final class Ledger {
-    /** Outcomes kept by name; an older name can be used again. */
+    /** Number of changes whose outcome is kept; the name of an older one can be used again. */
     public static final int MAX_OUTCOMES = 10_000;
-    /** Changes that may wait behind the open one. */
+    /** Number of changes that may wait behind the open one. */
     public static final int MAX_WAITING = 16;
-    /** The longest content of a change, in characters of its JSON. */
+    /** Longest content of a change, in characters of its JSON. */
     public static final int MAX_CONTENT_CHARS = 256 * 1024;
-    /** The field of an operation that names the part that it is for; without it, it is on changes. */
+    /** The field of an operation that names the part it is for; operations without it are on changes. */
     public static final String PART = "part";
 
     private static final String EXPECTED_IN_FORCE = "only_on";
@@ -34,9 +34,9 @@
     private static final int MAX_REASONS = 32;
     private static final int MAX_REASON_CHARS = 500;
 
-    /** All changes that are known, by name, in the order in which they were proposed. */
+    /** All known changes by name, in the order in which they were proposed. */
     private final Map<String, Change> changes = new LinkedHashMap<>();
-    /** Those of them that are undecided, in their order: the first one is open. */
+    /** The undecided ones in the same order; the first is open. */
     private final Map<String, Change> pending = new LinkedHashMap<>();
 
     private long lastNumber;
@@ -46,43 +46,43 @@
     private View view;
 
     /**
-     * The state at one moment; never changed.
+     * An immutable copy of the state.
      *
-     * @param inForce the number of the last change applied; 0: each scheduler's own file
+     * @param inForce the number of the last change applied; 0 means each scheduler's own file
      * @param merged the resources of each type that applied changes named
-     * @param digest of these
-     * @param open the change that is to be decided, or null
-     * @param openMerged what will be in force if that is applied, or null
-     * @param waiting the names behind it
+     * @param digest digest of {@code merged}
+     * @param open the change to be decided, or null
+     * @param openMerged the merged policy if the open change is applied, or null
+     * @param waiting the names of the changes that wait behind the open one
      */
     public record View(
             long inForce, JsonObject merged, String digest, Change open, JsonObject openMerged, List<String> waiting) {}
 
     /**
-     * More that the voters agree on, beside changes: a state machine of its own. It has to be the same at all
-     * voters, whatever their files say.
+     * A further state machine replicated together with the changes. It must be the same at all voters,
+     * whatever their configuration files say.
      */
     public interface Part {
-        /** Carries out an operation; the answer says what came of it, or {@code error}. */
+        /** Applies an operation; returns its result, or an object with {@code error}. */
         JsonObject run(JsonObject operation);
 
-        /** The state at this moment, as something that never changes. */
+        /** An immutable copy of the state. */
         Object view();
 
         JsonObject snapshot();
 
-        /** Takes a snapshot's state in place of its own; null: one of a build that did not know this part. */
+        /** Replaces the state by that of a snapshot; null if a build without this part wrote it. */
         void restore(JsonObject snapshot);
 
-        /** What holds of the changes from now on; told behind a snapshot's restoring, too. */
-        default void onPolicyChanged(View now) {}
+        /** Called with the new state of the changes, also after a snapshot is restored. */
+        default void onPolicyChanged(View view) {}
 
         /**
-         * Why a change must not come into force, or null. Asked when it is proposed, and again when it is
-         * to be applied.
+         * Why a change must not come into force, or null. Called when the change is proposed and again when
+         * it is to be applied.
          *
-         * @param types those that it names
-         * @param merged what would be in force, all of it
+         * @param types the types that it names
+         * @param merged the whole policy that would be in force
          */
         default String rejectionReason(JsonObject types, JsonObject merged) {
             return null;
@@ -95,16 +95,16 @@
         this(Map.of());
     }
 
-    /** @param parts by name */
+    /** @param parts further state machines by name */
     public Ledger(Map<String, Part> parts) {
-        // In one order everywhere: what the first of them has against a change is told.
+        // Sorted, so that every voter reports the same part's objection to a change.
         this.parts = new TreeMap<>(parts);
         updateView();
     }
 
-    // ---- operations, as they stand in the log ----
+    // ---- operations as written to the log ----
 
-    /** A proposal. */
+    /** Proposes a change. */
     public static JsonObject propose(String name, JsonObject types, String by, long nowMs) {
         JsonObject op = op("propose", name, nowMs);
         op.add("types", types);
@@ -113,8 +113,8 @@
     }
 
     /**
-     * The same, taken only where that change is the last applied and none is undecided: what it replaces is
-     * known to whoever proposes it.
+     * The same, accepted only if {@code expectedInForce} is the last change applied and none is undecided, so
+     * that the proposer knows what the change replaces.
      */
     public static JsonObject propose(String name, JsonObject types, String by, long nowMs, long expectedInForce) {
         JsonObject op = propose(name, types, by, nowMs);
@@ -122,12 +122,12 @@
         return op;
     }
 
-    /** The open change is applied. */
+    /** Applies the open change. */
     public static JsonObject apply(String name, long nowMs) {
         return op("apply", name, nowMs);
     }
 
-    /** The open change is abandoned, for these reasons. */
+    /** Abandons the open change for these reasons. */
     public static JsonObject abandon(String name, List<String> reasons, long nowMs) {
         JsonObject op = op("abandon", name, nowMs);
         JsonArray texts = new JsonArray();
@@ -147,33 +147,33 @@
         return op;
     }
 
-    /** Why these can't be proposed, whatever the state; null if they can. */
+    /** Why such a change can't be proposed, whatever the state; null if it can. */
     public static String invalidReason(String name, JsonObject types) {
         if (name == null || !name.matches(NAME_PATTERN)) {
-            return "name: a change is named by up to 64 letters, digits, '_', '.' and '-'";
+            return "name: must consist of 1 to 64 letters, digits, '_', '.' and '-'";
         }
         if (types == null || types.size() == 0) {
-            return "types: a change holds at least one type";
+            return "types: must name at least one type";
         }
         for (Map.Entry<String, JsonElement> type : types.entrySet()) {
             if (!type.getValue().isJsonArray()) {
-                return "types." + type.getKey() + ": is no list of resources";
+                return "types." + type.getKey() + ": must be a list of resources";
             }
         }
         int length = types.toString().length();
         return length <= MAX_CONTENT_CHARS
                 ? null
-                : "types: " + length + " characters, the most are " + MAX_CONTENT_CHARS;
+                : "types: " + length + " characters, the limit is " + MAX_CONTENT_CHARS;
     }
 
     /**
-     * Carries out an operation of the log. The answer is the change as it then stands, or {@code error}
-     * with the reason why nothing was changed.
+     * Applies an operation of the log. Returns the change as it then is, or an object with {@code error} if
+     * nothing was changed.
      */
     public JsonObject run(JsonObject op) {
         if (op.has(PART)) {
             Part part = parts.get(op.get(PART).getAsString());
-            return part == null ? error("this build knows no part " + op.get(PART)) : part.run(op);
+            return part == null ? error("this build has no ledger part " + op.get(PART)) : part.run(op);
         }
         String name = op.get("name").getAsString();
         Change change = changes.get(name);
@@ -183,8 +183,8 @@
         }
         boolean applies = kind.equals("apply");
         if (change == null || change.state() != State.OPEN) {
-            // Asked twice, or by a leader that did not know yet: the first decision stands.
-            return change == null ? error("there is no change '" + name + "'") : change.toJson(false);
+            // A repeated request, or one of a leader with an old state: the first decision stands.
+            return change == null ? error("change '" + name + "' does not exist") : change.toJson(false);
         }
         List<String> reasons = new ArrayList<>();
         if (op.has("reasons")) {
@@ -192,7 +192,7 @@
         }
         String rejection = applies ? rejectionReason(change.types()) : null;
         if (rejection != null) {
-            // What a part needs may have come up behind the proposal.
+            // A part's objection may have arisen since the proposal.
             applies = false;
             reasons.add(rejection);
         }
@@ -220,13 +220,13 @@
         if (existing != null) {
             return existing.digest().equals(proposedDigest)
                     ? existing.toJson(false)
-                    : error("the name '" + name + "' is that of a change with another content");
+                    : error("change '" + name + "' already exists with different content");
         }
         if (pending.size() > MAX_WAITING) {
-            return error(MAX_WAITING + " changes wait already");
+            return error(MAX_WAITING + " changes are already waiting");
         }
         if (op.has(EXPECTED_IN_FORCE) && (op.get(EXPECTED_IN_FORCE).getAsLong() != inForce || !pending.isEmpty())) {
-            return error("another change was applied, or is undecided, since '" + name + "' was made");
+            return error("another change was applied or is undecided since '" + name + "' was prepared");
         }
         String rejection = rejectionReason(types);
         if (rejection != null) {
@@ -314,7 +314,7 @@
         return view;
     }
 
-    /** The state of the part of that name; there must be one. */
+    /** The state of the part of that name, which must exist. */
     public Object partView(String name) {
         return parts.get(name).view();
     }
@@ -324,14 +324,14 @@
         return changes.get(name);
     }
 
-    /** The last changes, the newest first. */
+    /** The most recent changes, newest first. */
     public List<Change> recent(int limit) {
         List<Change> recent = new ArrayList<>(changes.values());
         Collections.reverse(recent);
         return recent.subList(0, Math.min(limit, recent.size()));
     }
 
-    /** All of it, for a snapshot of the log. */
+    /** The whole state, for a snapshot of the log. */
     public JsonObject snapshot() {
         JsonObject snapshot = new JsonObject();
         JsonArray list = new JsonArray();
@@ -346,7 +346,7 @@
         return snapshot;
     }
 
-    /** Takes a snapshot's state in place of its own. */
+    /** Replaces the state by that of a snapshot. */
     public void restore(JsonObject snapshot) {
         changes.clear();
         pending.clear();
--- a/src/main/java/laneflow/policy/decision/Renewal.java
+++ b/src/main/java/laneflow/policy/decision/Renewal.java
@@ -4,16 +4,16 @@
 import java.util.Set;
 
 /**
- * A scheduler's word to the leader. It says what is, not what has changed, so that one that is lost, comes
- * twice or late does no harm.
+ * A scheduler's renewal request to the leader. It states the scheduler's whole state rather than what has
+ * changed, so that lost, duplicate and late messages do no harm.
  *
- * @param heardTerm the term of the latest grant that it obeys, -1 before the first
- * @param heardSeq that grant's number: whatever was granted before no longer holds here
- * @param begun the policy that it has begun to decide by, -1 where it has none
- * @param ready the policies that it has read, found sound, and can decide by
- * @param refused the change that it turns down, or 0
- * @param reasons why it does
- * @param roundTrip microseconds that its last exchange with the leader took
+ * @param grantTerm the term of the latest grant applied, -1 before the first
+ * @param grantSeq the number of that grant; no earlier grant is in effect any more
+ * @param activePolicy the policy started last, -1 before the first
+ * @param ready the policies that were read and validated and can be used
+ * @param refused the change that this scheduler rejects, or 0
+ * @param reasons why it rejects it
+ * @param roundTrip duration of the last exchange with the leader, in microseconds
  */
 public record Renewal(
         int grantTerm,
--- a/src/test/java/laneflow/policy/PolicyAmidStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyAmidStoryTest.java
@@ -107,7 +107,7 @@
             decided(0, "big-" + next, "applied");
             assertTrue(next < 500, "its disk did not become full");
         }
-        assertTrue(rig.log(1).contains("this process votes no more"), rig.log(1));
+        assertTrue(rig.log(1).contains("this process has stopped voting"), rig.log(1));
         // It serves on, the others decide on, and it learns what they decide.
         long last = changes + 1;
         rig.proposeUntilTaken(0, "behind", bans("z"));
--- a/src/test/java/laneflow/policy/PolicyStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyStoryTest.java
@@ -32,7 +32,7 @@
                 "applied", rig.propose(1, "ban-9", bans("till-9")).get("state").getAsString());
         assertTrue(rig.ask(1, "/policy/changes", "{\"name\":\"ban-9\",\"types\":" + bans("till") + "}")
                 .body()
-                .contains("another content"));
+                .contains("different content"));
         // One that turns it down abandons it for all, and says why.
         rig.proposeUntilTaken(
                 0,
@@ -111,10 +111,10 @@
         }
         // One that ends in order hands over: nobody stops deciding meanwhile.
         int leader = rig.leader();
-        int lost = rig.log(3).split("no leave to decide").length;
+        int lost = rig.log(3).split("the lease has expired").length;
         assertEquals(143, rig.end(leader));
         anotherLeads(leader);
-        assertEquals(lost, rig.log(3).split("no leave to decide").length);
+        assertEquals(lost, rig.log(3).split("the lease has expired").length);
         check();
     }
 
@@ -161,7 +161,7 @@
         String answer = request(3, "r");
         assertTrue(answer.contains("200 OK") && answer.contains("policy=0"), answer);
         assertTrue(rig.ask(3, "/counters", null).body().contains("policy.decided_without_lease 1"));
-        rig.await("it is logged", () -> rig.log(3).contains("served on by policy 0 as cut_off says"));
+        rig.await("it is logged", () -> rig.log(3).contains("serving on by policy 0 as set by cut_off"));
         rig.heal();
         rig.awaitDeciding(1, rig.all());
         checked = true;
--- a/src/test/java/laneflow/policy/decision/LedgerTest.java
+++ b/src/test/java/laneflow/policy/decision/LedgerTest.java
@@ -52,7 +52,7 @@
         assertEquals(0, ledger.view().inForce());
         // Asked again, it is the same change, and the same answer.
         assertEquals("abandoned", propose("a", "{bans:[]}").get("state").getAsString());
-        assertTrue(propose("a", "{limits:[]}").get("error").getAsString().contains("another content"));
+        assertTrue(propose("a", "{limits:[]}").get("error").getAsString().contains("different content"));
         assertTrue(ledger.run(Ledger.apply("z", 7)).has("error"));
     }
 
@@ -63,7 +63,7 @@
                     i == 0 ? "open" : "waiting",
                     propose("c" + i, "{bans:[]}").get("state").getAsString());
         }
-        assertTrue(propose("late", "{bans:[]}").get("error").getAsString().contains("wait already"));
+        assertTrue(propose("late", "{bans:[]}").get("error").getAsString().contains("already waiting"));
         assertEquals("waiting", ledger.run(Ledger.apply("c5", 1)).get("state").getAsString());
         ledger.run(Ledger.abandon("c0", List.of("no"), 1));
         assertEquals("c1", ledger.view().open().name());
@@ -79,7 +79,7 @@
         assertTrue(propose("a", "{bans:['" + "x".repeat(Ledger.MAX_CONTENT_CHARS) + "']}")
                 .get("error")
                 .getAsString()
-                .contains("the most are"));
+                .contains("the limit is"));
         assertNull(ledger.view().open());
     }
 
