--- a/src/main/java/laneflow/maintenance/decision/WindowLedger.java
+++ b/src/main/java/laneflow/maintenance/decision/WindowLedger.java
@@ -288,7 +288,7 @@
         bans = names(now.merged());
         undecided = now.open() != null;
         undecidedBans = undecided ? names(now.openMerged()) : Set.of();
-        if (undecided && now.open().by().equals(NAME)) {
+        if (undecided && now.open().proposer().equals(NAME)) {
             // What operators ban already stays theirs, and stays banned behind the window.
             undecidedBans.stream().filter(name -> !bans.contains(name)).forEach(own::add);
         }
--- a/src/main/java/laneflow/policy/BansType.java
+++ b/src/main/java/laneflow/policy/BansType.java
@@ -52,8 +52,8 @@
                 findings.add(path, "", "must be an object with a name");
                 continue;
             }
-            JsonObject one = resources.get(i).getAsJsonObject();
-            Table table = Table.of(one, path, findings);
+            JsonObject resource = resources.get(i).getAsJsonObject();
+            Table table = Table.of(resource, path, findings);
             String name = table.text("name");
             if (!name.isEmpty() && !names.add(name)) {
                 findings.add(path, "name", "'" + name + "' occurs twice");
--- a/src/main/java/laneflow/policy/Leadership.java
+++ b/src/main/java/laneflow/policy/Leadership.java
@@ -87,7 +87,7 @@
         stepTimer = loop.deadlines().create(this::step);
     }
 
-    void begin() {
+    void start() {
         fleet.handle("renew", this::onRenewal);
         fleet.handle("want", (from, message) -> onContentRequest(from, message));
         fleet.handle("left", (from, message) -> {
@@ -130,10 +130,10 @@
         }
     }
 
-    void onStopped(String why) {
+    void onStopped(String reason) {
         if (stopVoting()) {
             counters.set("policy.vote_lost", 1);
-            LOG.error("policy: this process has stopped voting: {}", why);
+            LOG.error("policy: this process has stopped voting: {}", reason);
         }
     }
 
@@ -264,10 +264,10 @@
         if (state != null) {
             return false;
         }
-        Peer to = fleet.peer(leader());
-        if (to != null && !message.has("passed")) {
+        Peer leaderPeer = fleet.peer(leader());
+        if (leaderPeer != null && !message.has("passed")) {
             message.addProperty("passed", fleet.self().name());
-            to.send(message);
+            leaderPeer.send(message);
         }
         return true;
     }
@@ -275,9 +275,9 @@
     /** Forwards the leader's message to a scheduler that is linked to this voter. */
     void forwardToScheduler(JsonObject message) {
         String processId = message.get("for").getAsString();
-        Peer to = fleet.accepted(processId);
-        if (to != null) {
-            to.send(message);
+        Peer peer = fleet.accepted(processId);
+        if (peer != null) {
+            peer.send(message);
         }
     }
 
@@ -369,9 +369,9 @@
     }
 
     /** Replicates an operation of another ledger part, then has the state confirmed again. */
-    void replicate(JsonObject operation, Consumer<JsonObject> then) {
+    void replicate(JsonObject operation, Consumer<JsonObject> callback) {
         voter.replicate(operation, answer -> {
-            then.accept(answer);
+            callback.accept(answer);
             confirm();
         });
     }
@@ -409,10 +409,10 @@
     /**
      * Proposes a change; the answer is the change as it then is, an error, or null if the outcome is unknown.
      */
-    void propose(String name, JsonObject types, String by, Consumer<JsonObject> then) {
-        voter.replicate(Ledger.propose(name, types, by, System.currentTimeMillis()), answer -> {
+    void propose(String name, JsonObject types, String proposer, Consumer<JsonObject> callback) {
+        voter.replicate(Ledger.propose(name, types, proposer, System.currentTimeMillis()), answer -> {
             confirm();
-            then.accept(answer);
+            callback.accept(answer);
         });
     }
 
@@ -421,43 +421,43 @@
      *
      * @param replacing true if it was a voter before
      */
-    void addVoter(String name, boolean replacing, Consumer<String> then) {
+    void addVoter(String name, boolean replacing, Consumer<String> callback) {
         String storeId = group.storeId(name);
         boolean known = voterNamed(name) != null;
         if (replacing && !known && !config.voters.contains(name)) {
-            then.accept("'" + name + "' is not a voter; the voters are " + voters);
+            callback.accept("'" + name + "' is not a voter; the voters are " + voters);
         } else if (!replacing && known && !voters.contains(storeId)) {
-            then.accept("'" + name + "' is already a voter, with another store: use --replace");
+            callback.accept("'" + name + "' is already a voter, with another store: use --replace");
         } else if (!replacing && !known && voters.size() >= PolicyConfig.MAX_VOTERS) {
-            then.accept(voters.size() + " voters already; remove one first");
+            callback.accept(voters.size() + " voters already; remove one first");
         } else if (storeId != null && voters.contains(storeId)) {
-            then.accept(name + " already votes with this store");
+            callback.accept(name + " already votes with this store");
         } else if (!group.dial(name)) {
-            then.accept("[fleet.peers] has no address of '" + name + "' here");
+            callback.accept("[fleet.peers] has no address of '" + name + "' here");
         } else if (storeId == null || fleet.peer(name) == null) {
-            then.accept(name + " can't be reached from here yet, or has no [policy] dir" + RETRY_SUFFIX);
+            callback.accept(name + " can't be reached from here yet, or has no [policy] dir" + RETRY_SUFFIX);
         } else if (!group.isEmpty(name) && !storeId.equals(invitedStore)) {
-            then.accept(name + "'s store has voted before: empty its [policy] dir and restart it");
+            callback.accept(name + "'s store has voted before: empty its [policy] dir and restart it");
         } else if (!group.invite(name)) {
-            then.accept(name + " can't be reached from here");
+            callback.accept(name + " can't be reached from here");
         } else {
             invitedStore = storeId;
-            voter.addVoter(VoterId.parse(storeId), then);
+            voter.addVoter(VoterId.parse(storeId), callback);
         }
     }
 
     /** Removes a voter. Answers null on success, else why it failed. */
-    void removeVoter(String name, Consumer<String> then) {
+    void removeVoter(String name, Consumer<String> callback) {
         String id = voterNamed(name);
         if (id == null) {
-            then.accept("'" + name + "' is not a voter; the voters are " + voters);
+            callback.accept("'" + name + "' is not a voter; the voters are " + voters);
         } else if (voters.size() == 1) {
-            then.accept("'" + name + "' is the only voter: add another one first");
+            callback.accept("'" + name + "' is the only voter: add another one first");
         } else if (id.equals(voter.self().text())) {
             voter.stepDown();
-            then.accept(name + " is the leader and hands over now" + RETRY_SUFFIX);
+            callback.accept(name + " is the leader and hands over now" + RETRY_SUFFIX);
         } else {
-            voter.removeVoter(VoterId.parse(id), then);
+            voter.removeVoter(VoterId.parse(id), callback);
         }
     }
 
@@ -470,11 +470,11 @@
     }
 
     /** Reads the state as a majority holds it; the answer is null if that is unknown. */
-    void read(RaftVoter.LedgerQuery query, Consumer<Object> then) {
+    void read(RaftVoter.LedgerQuery query, Consumer<Object> callback) {
         if (state == null) {
-            then.accept(null);
+            callback.accept(null);
         } else {
-            voter.query(state.term(), query, then);
+            voter.query(state.term(), query, callback);
         }
     }
 
--- a/src/main/java/laneflow/policy/LeaseGate.java
+++ b/src/main/java/laneflow/policy/LeaseGate.java
@@ -133,7 +133,8 @@
     }
 
     /**
-     * Relative to the instant of the current turn, from which deadlines count and which is older than now.
+     * Time until the switch, counted like all deadlines from the instant of the current turn, which is older
+     * than now.
      */
     private long microsToSwitch() {
         return traffic.fresh()
@@ -208,7 +209,7 @@
         return at == null ? "" : "policy=" + at.getValue();
     }
 
-    /** Closes the gate for good. */
+    /** Stops using any lease, for good. */
     void stop() {
         stopped = true;
         traffic.deadlines().cancel(switchTimer);
--- a/src/main/java/laneflow/policy/PolicyAgent.java
+++ b/src/main/java/laneflow/policy/PolicyAgent.java
@@ -358,8 +358,8 @@
             }
         }
         // Active is what the traffic thread has adopted, however long that takes it.
-        long begun = everDecided ? Math.min(adoptedPolicy, lease.current()) : -1;
-        return new Renewal(lease.term(), lease.seq(), begun, ready, refused, reasons, lastRoundTrip);
+        long activePolicy = everDecided ? Math.min(adoptedPolicy, lease.current()) : -1;
+        return new Renewal(lease.term(), lease.seq(), activePolicy, ready, refused, reasons, lastRoundTrip);
     }
 
     /** Handles a grant that came over a link. */
@@ -433,11 +433,11 @@
         message.addProperty("t", "want");
         message.addProperty("who", fleet.self().who());
         message.addProperty("number", number);
-        Peer to = renewalTarget();
+        Peer peer = renewalTarget();
         if (leadership != null && leadership.isLeader()) {
             leadership.onContentRequest(null, message);
-        } else if (to != null) {
-            to.send(message);
+        } else if (peer != null) {
+            peer.send(message);
         }
         // The request may be lost: it is repeated.
         loop.deadlines().at(loop.micros() + config.leaseMicros / RENEWALS_PER_LEASE, () -> {
@@ -510,9 +510,9 @@
         JsonObject message = new JsonObject();
         message.addProperty("t", "left");
         message.addProperty("who", fleet.self().who());
-        Peer to = fleet.peer(leader);
-        if (to != null) {
-            to.send(message);
+        Peer peer = fleet.peer(leader);
+        if (peer != null) {
+            peer.send(message);
         }
     }
 
--- a/src/main/java/laneflow/policy/PolicyApi.java
+++ b/src/main/java/laneflow/policy/PolicyApi.java
@@ -70,9 +70,9 @@
         }
     }
 
-    private void atLeader(String path, Answer answer, Runnable then) {
+    private void atLeader(String path, Answer answer, Runnable action) {
         if (leadership != null && leadership.isLeader()) {
-            then.run();
+            action.run();
             return;
         }
         String leader = leadership != null ? leadership.leader() : policy.leader();
@@ -86,11 +86,11 @@
     private void history(Answer answer) {
         leadership.read(
                 ledger -> {
-                    JsonArray all = new JsonArray();
-                    ledger.recent(MAX_HISTORY).forEach(change -> all.add(change.toJson(false)));
-                    return all;
+                    JsonArray changes = new JsonArray();
+                    ledger.recent(MAX_HISTORY).forEach(change -> changes.add(change.toJson(false)));
+                    return changes;
                 },
-                found -> respond(found, answer));
+                result -> respond(result, answer));
     }
 
     private void change(String name, Answer answer) {
@@ -99,20 +99,20 @@
                     Change change = ledger.change(name);
                     return change == null ? new JsonObject() : change.toJson(true);
                 },
-                found -> {
-                    if (found instanceof JsonObject one && one.size() == 0) {
+                result -> {
+                    if (result instanceof JsonObject json && json.size() == 0) {
                         answer.say(404, TEXT, "", "change '" + name + "' does not exist\n");
                     } else {
-                        respond(found, answer);
+                        respond(result, answer);
                     }
                 });
     }
 
-    private void respond(Object found, Answer answer) {
-        if (found == null) {
+    private void respond(Object result, Answer answer) {
+        if (result == null) {
             unavailable(answer);
         } else {
-            answer.say(200, JSON, "", found + "\n");
+            answer.say(200, JSON, "", result + "\n");
         }
     }
 
@@ -126,7 +126,7 @@
             answer.say(400, TEXT, "", "expected an object with one of " + VOTER_OPERATIONS + " and a voter's name\n");
             return;
         }
-        Consumer<String> then = reason -> {
+        Consumer<String> callback = reason -> {
             if (reason == null) {
                 answer.say(200, JSON, "", request + "\n");
             } else {
@@ -135,9 +135,9 @@
             }
         };
         if (operation.equals("remove")) {
-            leadership.removeVoter(name.getAsString(), then);
+            leadership.removeVoter(name.getAsString(), callback);
         } else {
-            leadership.addVoter(name.getAsString(), operation.equals("replace"), then);
+            leadership.addVoter(name.getAsString(), operation.equals("replace"), callback);
         }
     }
 
@@ -145,7 +145,7 @@
         JsonObject request = PolicyAgent.parseObject(body);
         JsonElement name = request == null ? null : request.get("name");
         JsonElement types = request == null ? null : request.get("types");
-        JsonElement by = request == null ? null : request.get("by");
+        JsonElement proposerField = request == null ? null : request.get("by");
         if (name == null || !name.isJsonPrimitive() || types == null || !types.isJsonObject()) {
             answer.say(400, TEXT, "", "expected an object with 'name', a string, and 'types', an object\n");
             return;
@@ -155,19 +155,20 @@
             answer.say(400, TEXT, "", invalid + "\n");
             return;
         }
-        String proposer = by != null && by.isJsonPrimitive() ? by.getAsString() : "an operator";
+        String proposer =
+                proposerField != null && proposerField.isJsonPrimitive() ? proposerField.getAsString() : "an operator";
         if (reservedProposers.contains(proposer)) {
             answer.say(400, TEXT, "", "by: '" + proposer + "' is reserved for changes that the program makes itself\n");
             return;
         }
         counters.add("policy.proposed");
-        Consumer<JsonObject> then = found -> {
-            if (found != null && found.has("error")) {
-                answer.say(409, TEXT, "", found.get("error").getAsString() + "\n");
+        Consumer<JsonObject> callback = result -> {
+            if (result != null && result.has("error")) {
+                answer.say(409, TEXT, "", result.get("error").getAsString() + "\n");
             } else {
-                respond(found, answer);
+                respond(result, answer);
             }
         };
-        leadership.propose(name.getAsString(), types.getAsJsonObject(), proposer, then);
+        leadership.propose(name.getAsString(), types.getAsJsonObject(), proposer, callback);
     }
 }
--- a/src/main/java/laneflow/policy/PolicyMessages.java
+++ b/src/main/java/laneflow/policy/PolicyMessages.java
@@ -30,19 +30,19 @@
         return message;
     }
 
-    static Renewal renewal(JsonObject message) {
+    static Renewal renewal(JsonObject from) {
         Set<Long> ready = new HashSet<>();
-        message.getAsJsonArray("ready").forEach(element -> ready.add(element.getAsLong()));
+        from.getAsJsonArray("ready").forEach(one -> ready.add(one.getAsLong()));
         List<String> reasons = new ArrayList<>();
-        message.getAsJsonArray("reasons").forEach(element -> reasons.add(element.getAsString()));
+        from.getAsJsonArray("reasons").forEach(one -> reasons.add(one.getAsString()));
         return new Renewal(
-                message.get("term").getAsInt(),
-                message.get("seq").getAsLong(),
-                message.get("begun").getAsLong(),
+                from.get("term").getAsInt(),
+                from.get("seq").getAsLong(),
+                from.get("begun").getAsLong(),
                 ready,
-                message.get("refused").getAsLong(),
+                from.get("refused").getAsLong(),
                 reasons,
-                message.get("round_trip").getAsLong());
+                from.get("round_trip").getAsLong());
     }
 
     /**
@@ -68,14 +68,14 @@
         return message;
     }
 
-    static Grant grant(JsonObject message) {
+    static Grant grant(JsonObject from) {
         return new Grant(
-                message.get("term").getAsInt(),
-                message.get("seq").getAsLong(),
-                message.get("now").getAsLong(),
-                message.get("number").getAsLong(),
-                message.get("from").getAsLong(),
-                message.get("until").getAsLong(),
-                message.get("open").getAsLong());
+                from.get("term").getAsInt(),
+                from.get("seq").getAsLong(),
+                from.get("now").getAsLong(),
+                from.get("number").getAsLong(),
+                from.get("from").getAsLong(),
+                from.get("until").getAsLong(),
+                from.get("open").getAsLong());
     }
 }
--- a/src/main/java/laneflow/policy/PolicySubsystem.java
+++ b/src/main/java/laneflow/policy/PolicySubsystem.java
@@ -132,15 +132,15 @@
 
     /** Reads the counts on the traffic thread, which owns them. */
     private void readTallies(Scheduler scheduler) {
-        JsonArray all = new JsonArray();
+        JsonArray tallies = new JsonArray();
         for (long[] row : scheduler.tallies()) {
             JsonArray counts = new JsonArray();
-            for (long one : row) {
-                counts.add(one);
+            for (long count : row) {
+                counts.add(count);
             }
-            all.add(counts);
+            tallies.add(counts);
         }
-        runOn(loop, () -> policy.onTallies(all));
+        runOn(loop, () -> policy.onTallies(tallies));
     }
 
     private static void runOn(Loop target, Runnable task) {
@@ -229,7 +229,7 @@
                 policy,
                 new FleetTrial(deps.classes(), deps.config().trialMicros, deps.config().maxWorsening),
                 extensions);
-        leadership[0].begin();
+        leadership[0].start();
         group[0].start(opened.restored());
         group[0].onLinksChanged();
         return leadership[0];
--- a/src/main/java/laneflow/policy/PolicyTypes.java
+++ b/src/main/java/laneflow/policy/PolicyTypes.java
@@ -59,7 +59,9 @@
             if (!types.containsKey(name)) {
                 findings.add(name + ": "
                         + fixedTypes.getOrDefault(
-                                name, "is no type that is taken here; taken are " + String.join(", ", types.keySet())));
+                                name,
+                                "is not a type accepted by this scheduler; accepted types are "
+                                        + String.join(", ", types.keySet())));
             }
         }
         for (ResourceType type : types.values()) {
--- a/src/main/java/laneflow/policy/RaftCodec.java
+++ b/src/main/java/laneflow/policy/RaftCodec.java
@@ -82,12 +82,12 @@
      *
      * @throws IllegalArgumentException if it is not one
      */
-    static RaftMessage read(JsonObject from) {
-        Class<?> model = MESSAGES.get(from.get("kind").getAsString());
+    static RaftMessage read(JsonObject json) {
+        Class<?> model = MESSAGES.get(json.get("kind").getAsString());
         if (model == null) {
-            throw new IllegalArgumentException("a message of unknown kind " + from.get("kind"));
+            throw new IllegalArgumentException("a message of unknown kind " + json.get("kind"));
         }
-        return (RaftMessage) build(from, model);
+        return (RaftMessage) build(json, model);
     }
 
     /** Writes an operation of the log. */
@@ -106,19 +106,19 @@
         return new JsonPrimitive((String) operation);
     }
 
-    static Object readOperation(JsonElement from) {
-        if (from == null || from.isJsonNull()) {
+    static Object readOperation(JsonElement json) {
+        if (json == null || json.isJsonNull()) {
             return null;
         }
-        if (from.isJsonPrimitive()) {
-            return from.getAsString();
+        if (json.isJsonPrimitive()) {
+            return json.getAsString();
         }
-        JsonObject json = from.getAsJsonObject();
+        JsonObject operation = json.getAsJsonObject();
         UpdateRaftGroupMembersOpBuilder builder = MODELS.createUpdateRaftGroupMembersOpBuilder();
-        return builder.setMembers(readVoters(json.getAsJsonArray("members")))
-                .setVotingMembers(readVoters(json.getAsJsonArray("voting")))
-                .setEndpoint(VoterId.parse(json.get("endpoint").getAsString()))
-                .setMode(MembershipChangeMode.valueOf(json.get("mode").getAsString()))
+        return builder.setMembers(readVoters(operation.getAsJsonArray("members")))
+                .setVotingMembers(readVoters(operation.getAsJsonArray("voting")))
+                .setEndpoint(VoterId.parse(operation.get("endpoint").getAsString()))
+                .setMode(MembershipChangeMode.valueOf(operation.get("mode").getAsString()))
                 .build();
     }
 
@@ -128,9 +128,9 @@
         return names;
     }
 
-    static Collection<RaftEndpoint> readVoters(JsonArray from) {
+    static Collection<RaftEndpoint> readVoters(JsonArray ids) {
         Collection<RaftEndpoint> endpoints = new LinkedHashSet<>();
-        from.forEach(one -> endpoints.add(VoterId.parse(one.getAsString())));
+        ids.forEach(one -> endpoints.add(VoterId.parse(one.getAsString())));
         return endpoints;
     }
 
@@ -138,8 +138,8 @@
         return fields(view, RaftGroupMembersView.class);
     }
 
-    static RaftGroupMembersView readMembers(JsonObject from) {
-        return (RaftGroupMembersView) build(from, RaftGroupMembersView.class);
+    static RaftGroupMembersView readMembers(JsonObject json) {
+        return (RaftGroupMembersView) build(json, RaftGroupMembersView.class);
     }
 
     static LogEntry entry(long index, int term, Object operation) {
@@ -230,14 +230,14 @@
         return writeOperation(value);
     }
 
-    private static Object build(JsonObject from, Class<?> type) {
+    private static Object build(JsonObject json, Class<?> type) {
         ModelAccess shape = accessOf(type);
         Object builder = invoke(shape.create, MODELS);
         if (shape.setGroupId != null) {
             invoke(shape.setGroupId, builder, GROUP_ID);
         }
         for (Field field : shape.fields) {
-            JsonElement value = from.get(field.name());
+            JsonElement value = json.get(field.name());
             if (value != null && !value.isJsonNull()) {
                 invoke(field.set(), builder, read(value, field.type()));
             }
@@ -245,29 +245,29 @@
         return invoke(shape.build, builder);
     }
 
-    private static Object read(JsonElement from, Type type) {
+    private static Object read(JsonElement json, Type type) {
         if (type == long.class) {
-            return from.getAsLong();
+            return json.getAsLong();
         }
         if (type == int.class) {
-            return from.getAsInt();
+            return json.getAsInt();
         }
         if (type == boolean.class) {
-            return from.getAsBoolean();
+            return json.getAsBoolean();
         }
         if (type == RaftEndpoint.class) {
-            return VoterId.parse(from.getAsString());
+            return VoterId.parse(json.getAsString());
         }
         if (type == Object.class) {
-            return readOperation(from);
+            return readOperation(json);
         }
         if (type instanceof ParameterizedType parameterized) {
             Type elementType = parameterized.getActualTypeArguments()[0];
             List<Object> list = new ArrayList<>();
-            from.getAsJsonArray().forEach(one -> list.add(read(one, elementType)));
+            json.getAsJsonArray().forEach(one -> list.add(read(one, elementType)));
             return list;
         }
-        return build(from.getAsJsonObject(), (Class<?>) type);
+        return build(json.getAsJsonObject(), (Class<?>) type);
     }
 
     private static Object invoke(Method method, Object on, Object... with) {
--- a/src/main/java/laneflow/policy/RaftVoter.java
+++ b/src/main/java/laneflow/policy/RaftVoter.java
@@ -91,7 +91,7 @@
         void onRole(int term, boolean leads, String leader, Set<String> voters);
 
         /** The voter stopped because of a fault. */
-        void onStopped(String why);
+        void onStopped(String reason);
 
         /** The voter stopped because it was removed from the group. */
         void onRemoved();
@@ -169,7 +169,7 @@
     private void onStoreFailure(String reason) {
         storeFailed = true;
         leads = false;
-        stopped("writing its store failed: " + reason);
+        reportStopped("writing its store failed: " + reason);
     }
 
     /** Starts to vote, with the restored state or else as one of these initial voters. */
@@ -202,7 +202,7 @@
         node = builder.build();
         node.start().whenComplete((started, failed) -> {
             if (failed != null) {
-                stopped("the Raft node failed to start: " + failed.getMessage());
+                reportStopped("the Raft node failed to start: " + failed.getMessage());
             }
         });
         scheduleWatch(leaseNs);
@@ -361,28 +361,28 @@
      *
      * @param term the answer is null if the term has changed by then
      */
-    void query(int term, LedgerQuery query, Consumer<Object> then) {
+    void query(int term, LedgerQuery query, Consumer<Object> callback) {
         runOnVoterThread(
                 () -> node.<Object>query(query, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
                         .whenComplete((done, failed) -> {
-                            boolean still = failed == null && node.getTerm().getTerm() == term;
-                            runOnLoop(() -> then.accept(still ? done.getResult() : null));
+                            boolean sameTerm = failed == null && node.getTerm().getTerm() == term;
+                            runOnLoop(() -> callback.accept(sameTerm ? done.getResult() : null));
                         }),
-                () -> then.accept(null));
+                () -> callback.accept(null));
     }
 
     /**
      * Replicates an operation; the answer comes on the loop and is null if the operation's fate is unknown.
      */
-    void replicate(JsonObject operation, Consumer<JsonObject> then) {
+    void replicate(JsonObject operation, Consumer<JsonObject> callback) {
         runOnVoterThread(
                 () -> node.<Object>replicate(operation.toString()).whenComplete((done, failed) -> {
                     JsonObject answer = failed == null
                             ? JsonParser.parseString((String) done.getResult()).getAsJsonObject()
                             : null;
-                    runOnLoop(() -> then.accept(answer));
+                    runOnLoop(() -> callback.accept(answer));
                 }),
-                () -> then.accept(null));
+                () -> callback.accept(null));
     }
 
     /**
@@ -390,7 +390,7 @@
      * the new voter starts as a learner. Answers null on success, else why it failed; a retry continues where
      * it stopped.
      */
-    void addVoter(VoterId voter, Consumer<String> then) {
+    void addVoter(VoterId voter, Consumer<String> callback) {
         runOnVoterThread(
                 () -> {
                     RaftGroupMembers now = node.getCommittedMembers();
@@ -407,13 +407,13 @@
                     reportOutcome(
                             removed.thenCompose(index ->
                                     changeMembership(voter, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, index)),
-                            then);
+                            callback);
                 },
-                () -> then.accept("this process is stopping"));
+                () -> callback.accept("this process is stopping"));
     }
 
     /** Removes a voter. Answers null on success, else why it failed. */
-    void removeVoter(VoterId voter, Consumer<String> then) {
+    void removeVoter(VoterId voter, Consumer<String> callback) {
         runOnVoterThread(
                 () -> reportOutcome(
                         changeMembership(
@@ -424,9 +424,9 @@
                             if (why == null) {
                                 sender.accept(voter.name(), removedMessage(voter));
                             }
-                            then.accept(why);
+                            callback.accept(why);
                         }),
-                () -> then.accept("this process is stopping"));
+                () -> callback.accept("this process is stopping"));
     }
 
     /** Transfers leadership to another voter, so that this one can be removed. */
@@ -440,8 +440,8 @@
                 .findFirst();
     }
 
-    private void reportOutcome(CompletableFuture<Long> change, Consumer<String> then) {
-        change.whenComplete((done, failed) -> runOnLoop(() -> then.accept(
+    private void reportOutcome(CompletableFuture<Long> change, Consumer<String> callback) {
+        change.whenComplete((done, failed) -> runOnLoop(() -> callback.accept(
                 failed == null
                         ? null
                         : String.valueOf(
@@ -476,13 +476,13 @@
         }
     }
 
-    private void stopped(String why) {
-        runOnLoop(() -> listener.onStopped(why));
+    private void reportStopped(String reason) {
+        runOnLoop(() -> listener.onStopped(reason));
     }
 
     private void onReport(RaftNodeReport report) {
         if (report.getStatus() == RaftNodeStatus.TERMINATED && !closed) {
-            stopped("the Raft library terminated the node, usually because a disk is full or fails");
+            reportStopped("the Raft library terminated the node, usually because a disk is full or fails");
             return;
         }
         int term = report.getTerm().getTerm();
@@ -510,11 +510,11 @@
             return;
         }
         VoterId to = (VoterId) target;
-        JsonObject all = new JsonObject();
-        all.addProperty("t", "raft");
-        all.addProperty("to", to.text());
-        all.add("m", RaftCodec.write(message));
-        runOnLoop(() -> sender.accept(to.name(), all));
+        JsonObject envelope = new JsonObject();
+        envelope.addProperty("t", "raft");
+        envelope.addProperty("to", to.text());
+        envelope.add("m", RaftCodec.write(message));
+        runOnLoop(() -> sender.accept(to.name(), envelope));
     }
 
     @Override
--- a/src/main/java/laneflow/policy/RenewalExtension.java
+++ b/src/main/java/laneflow/policy/RenewalExtension.java
@@ -15,13 +15,13 @@
         long now();
 
         /** At the leader: replicates an operation; the answer is null if its fate is unknown. */
-        void replicate(JsonObject operation, Consumer<JsonObject> then);
+        void replicate(JsonObject operation, Consumer<JsonObject> callback);
 
         /** True if this process is the leader, as far as it knows. */
         boolean isLeader();
 
         /** At the leader: reads a part of the ledger as a majority holds it now; null if that is unknown. */
-        void read(String part, Consumer<Object> then);
+        void read(String part, Consumer<Object> callback);
 
         /** At the leader: sends that process an unsolicited grant. */
         void sendGrant(String processId);
--- a/src/main/java/laneflow/policy/decision/Change.java
+++ b/src/main/java/laneflow/policy/decision/Change.java
@@ -26,7 +26,7 @@
         long number,
         String digest,
         JsonObject types,
-        String by,
+        String proposer,
         State state,
         List<String> reasons,
         long proposedMs,
@@ -44,7 +44,7 @@
     }
 
     Change opened(long openedNumber) {
-        return new Change(name, openedNumber, digest, types, by, State.OPEN, reasons, proposedMs, 0);
+        return new Change(name, openedNumber, digest, types, proposer, State.OPEN, reasons, proposedMs, 0);
     }
 
     /**
@@ -52,7 +52,7 @@
      * the content of an abandoned change.
      */
     Change ended(State outcome, List<String> outcomeReasons, long atMs) {
-        return new Change(name, number, digest, null, by, outcome, List.copyOf(outcomeReasons), proposedMs, atMs);
+        return new Change(name, number, digest, null, proposer, outcome, List.copyOf(outcomeReasons), proposedMs, atMs);
     }
 
     /** The form used in reports and snapshots; includes the content if asked for and still there. */
@@ -62,7 +62,7 @@
         json.addProperty("number", number);
         json.addProperty("state", state.name().toLowerCase(java.util.Locale.ROOT));
         json.addProperty("digest", digest);
-        json.addProperty("by", by);
+        json.addProperty("by", proposer);
         json.addProperty("proposed_ms", proposedMs);
         if (isDecided()) {
             json.addProperty("ended_ms", endedMs);
--- a/src/main/java/laneflow/policy/decision/LeaderState.java
+++ b/src/main/java/laneflow/policy/decision/LeaderState.java
@@ -37,7 +37,7 @@
 
     /** The operation to replicate to the voters. */
     public enum Operation {
-        NONE,
+        NOTHING,
         APPLY,
         ABANDON
     }
@@ -55,11 +55,11 @@
     /** A grant that may still arrive, or the last one that the scheduler acknowledged. */
     private record IssuedGrant(long seq, long number, long until) {}
 
-    private static final class SchedulerState {
-        private final List<IssuedGrant> grants = new ArrayList<>();
+    private static final class Holder {
+        private final List<IssuedGrant> given = new ArrayList<>();
         private long seq;
         private long lastRenewalAt;
-        private long activePolicy = -1;
+        private long begun = -1;
         private Set<Long> ready = Set.of();
         private long refused;
         private List<String> reasons = List.of();
@@ -68,7 +68,7 @@
         /** Latest end of a grant for a policy with a lower number. */
         private long latestGrantEnd(long belowPolicy) {
             long latest = 0;
-            for (IssuedGrant grant : grants) {
+            for (IssuedGrant grant : given) {
                 latest = grant.number() < belowPolicy ? Math.max(latest, grant.until()) : latest;
             }
             return latest;
@@ -78,73 +78,73 @@
     private final int term;
     private final Times times;
     /** Grants of former leaders may be in effect until then. */
-    private final long formerGrantsEnd;
+    private final long formerUntil;
 
-    private final Map<String, SchedulerState> schedulers = new TreeMap<>();
+    private final Map<String, Holder> holders = new TreeMap<>();
     private View view;
     private long confirmedAt;
     /** True once the policy in force has started: no scheduler decides by an earlier one any more. */
-    private boolean inForceStarted;
+    private boolean begun;
 
-    private long startAt;
+    private long beginAt;
     /** The policy that schedulers use until the one in force starts; -1 if unknown. */
-    private long previousPolicy = -1;
+    private long before = -1;
 
     private long switchAt;
     private long openedAt;
-    private long openNumber;
-    private boolean decisionRequested;
+    private long open;
+    private boolean asked;
 
     /** @param electedAt an instant after the election */
     public LeaderState(int term, long electedAt, Times times) {
         this.term = term;
         this.times = times;
-        formerGrantsEnd = electedAt + (long) (times.lease() * (1 + 2 * Lease.MAX_DRIFT)) + FORMER_GRANT_MARGIN_MICROS;
+        formerUntil = electedAt + (long) (times.lease() * (1 + 2 * Lease.MAX_DRIFT)) + FORMER_GRANT_MARGIN_MICROS;
     }
 
     /**
      * Records that a majority confirmed this leader, at or after {@code submittedAt}, with the given state.
      */
-    public void onConfirmed(long submittedAt, View confirmedView) {
+    public void onConfirmed(long submittedAt, View now) {
         if (view == null) {
-            inForceStarted = confirmedView.inForce() == 0;
-        } else if (confirmedView.inForce() > view.inForce()) {
-            previousPolicy = inForceStarted ? view.inForce() : -1;
-            inForceStarted = false;
+            begun = now.inForce() == 0;
+        } else if (now.inForce() > view.inForce()) {
+            before = begun ? view.inForce() : -1;
+            begun = false;
             switchAt = 0;
         }
         confirmedAt = Math.max(confirmedAt, submittedAt);
-        view = confirmedView;
-        long opened = confirmedView.open() == null ? 0 : confirmedView.open().number();
-        if (opened != openNumber) {
-            openNumber = opened;
+        view = now;
+        long opened = now.open() == null ? 0 : now.open().number();
+        if (opened != open) {
+            open = opened;
             openedAt = submittedAt;
-            decisionRequested = false;
+            asked = false;
         }
     }
 
     /** Records that the requested operation was not replicated: it is requested again. */
     public void onDecisionFailed() {
-        decisionRequested = false;
+        asked = false;
     }
 
     /** Records a scheduler's renewal; {@link #grant} makes the answer to it. */
     public void onRenewal(long now, String processId, Renewal renewal) {
-        SchedulerState scheduler = schedulers.computeIfAbsent(processId, name -> new SchedulerState());
-        scheduler.lastRenewalAt = now;
-        scheduler.roundTrip = (renewal.roundTrip() + scheduler.roundTrip) / 2;
-        scheduler.ready = renewal.ready();
-        scheduler.refused = renewal.refused();
-        scheduler.reasons = renewal.reasons();
-        scheduler.activePolicy = Math.max(scheduler.activePolicy, renewal.activePolicy());
+        Holder holder = holders.computeIfAbsent(processId, name -> new Holder());
+        holder.lastRenewalAt = now;
+        holder.roundTrip = (renewal.roundTrip() + holder.roundTrip) / 2;
+        holder.ready = renewal.ready();
+        holder.refused = renewal.refused();
+        holder.reasons = renewal.reasons();
+        holder.begun = Math.max(holder.begun, renewal.activePolicy());
         if (renewal.grantTerm() == term) {
-            scheduler.grants.removeIf(grant -> grant.seq() < renewal.grantSeq());
+            holder.given.removeIf(grant -> grant.seq() < renewal.grantSeq());
         }
     }
 
     /** Forgets a scheduler that stopped gracefully: it has announced that it makes no more decisions. */
     public void removeScheduler(String processId) {
-        schedulers.remove(processId);
+        holders.remove(processId);
     }
 
     /**
@@ -152,129 +152,127 @@
      * which policy has started.
      */
     public Grant grant(long now, String processId) {
-        SchedulerState scheduler = schedulers.get(processId);
-        if (view == null || scheduler == null || !inForceStarted && previousPolicy < 0) {
+        Holder holder = holders.get(processId);
+        if (view == null || holder == null || !begun && before < 0) {
             // A grant of a former leader may still be in effect: revoking it would interrupt service for
             // nothing.
             return null;
         }
         long number = view.inForce();
         long until = confirmedAt + times.lease();
-        long from = inForceStarted ? startAt : 0;
-        if (!inForceStarted) {
+        long from = begun ? beginAt : 0;
+        if (!begun) {
             // Whoever uses the previous policy keeps it until the instant at which it ends for all
             // schedulers.
-            boolean continuesPrevious = previousPolicy >= 0 && scheduler.activePolicy == previousPolicy;
-            number = continuesPrevious ? previousPolicy : number;
+            boolean continuesPrevious = before >= 0 && holder.begun == before;
+            number = continuesPrevious ? before : number;
             until = continuesPrevious && switchAt > 0 ? Math.min(until, switchAt) : 0;
-        } else if (!scheduler.ready.contains(number) || isOverdue(now, scheduler)) {
+        } else if (!holder.ready.contains(number) || isLate(now, holder)) {
             until = 0;
         }
         until = until > now ? until : 0;
-        scheduler.seq++;
+        holder.seq++;
         // The message may be lost: earlier grants stay recorded until the scheduler acknowledges this one.
-        scheduler.grants.add(new IssuedGrant(scheduler.seq, number, until));
-        dropExpiredGrants(scheduler, now);
-        return new Grant(term, scheduler.seq, now, number, from, until, openNumber);
+        holder.given.add(new IssuedGrant(holder.seq, number, until));
+        compact(holder, now);
+        return new Grant(term, holder.seq, now, number, from, until, open);
     }
 
     /** Drops expired grants, which can have no effect any more. */
-    private static void dropExpiredGrants(SchedulerState scheduler, long now) {
-        IssuedGrant last = scheduler.grants.get(scheduler.grants.size() - 1);
-        scheduler.grants.removeIf(grant -> grant != last && grant.until() <= now);
+    private static void compact(Holder holder, long now) {
+        IssuedGrant last = holder.given.get(holder.given.size() - 1);
+        holder.given.removeIf(one -> one != last && one.until() <= now);
     }
 
     /**
      * True if a scheduler is not ready for the open change in time. It gets no lease then, so that the others
      * need not wait for it.
      */
-    private boolean isOverdue(long now, SchedulerState scheduler) {
-        return openNumber > 0 && !scheduler.ready.contains(openNumber) && now > openedAt + times.prepare();
+    private boolean isLate(long now, Holder holder) {
+        return open > 0 && !holder.ready.contains(open) && now > openedAt + times.prepare();
     }
 
-    private boolean isReachable(long now, SchedulerState scheduler) {
-        return now - scheduler.lastRenewalAt < times.silence();
+    private boolean isReachable(long now, Holder holder) {
+        return now - holder.lastRenewalAt < times.silence();
     }
 
     /** Decides what to do now. Call it after every event and at {@link #nextCheckAt}. */
     public Step step(long now) {
         if (view == null || now >= confirmedAt + times.lease()) {
-            return new Step(Operation.NONE, null, List.of(), false);
+            return new Step(Operation.NOTHING, null, List.of(), false);
         }
-        schedulers
-                .values()
-                .removeIf(scheduler -> now - scheduler.lastRenewalAt > FORGET_AFTER_LEASES * times.lease()
-                        && scheduler.latestGrantEnd(Long.MAX_VALUE) <= now);
-        return inForceStarted ? decideOpenChange(now) : startInForce(now);
+        holders.values()
+                .removeIf(holder -> now - holder.lastRenewalAt > FORGET_AFTER_LEASES * times.lease()
+                        && holder.latestGrantEnd(Long.MAX_VALUE) <= now);
+        return begun ? decideOpenChange(now) : startPolicyInForce(now);
     }
 
     private Step decideOpenChange(long now) {
-        if (openNumber == 0 || decisionRequested) {
-            return new Step(Operation.NONE, null, List.of(), false);
+        if (open == 0 || asked) {
+            return new Step(Operation.NOTHING, null, List.of(), false);
         }
         String name = view.open().name();
         List<String> objections = new ArrayList<>();
-        boolean mustWait = now < formerGrantsEnd;
-        for (Map.Entry<String, SchedulerState> entry : schedulers.entrySet()) {
-            SchedulerState scheduler = entry.getValue();
-            if (scheduler.refused == openNumber) {
-                scheduler.reasons.forEach(reason -> objections.add(entry.getKey() + ": " + reason));
-            } else if (!scheduler.ready.contains(openNumber) && scheduler.latestGrantEnd(Long.MAX_VALUE) > now) {
-                mustWait = true;
-                if (isReachable(now, scheduler) && now > openedAt + times.prepare()) {
+        boolean waits = now < formerUntil;
+        for (Map.Entry<String, Holder> entry : holders.entrySet()) {
+            Holder holder = entry.getValue();
+            if (holder.refused == open) {
+                holder.reasons.forEach(reason -> objections.add(entry.getKey() + ": " + reason));
+            } else if (!holder.ready.contains(open) && holder.latestGrantEnd(Long.MAX_VALUE) > now) {
+                waits = true;
+                if (isReachable(now, holder) && now > openedAt + times.prepare()) {
                     objections.add(entry.getKey() + ": not ready within " + times.prepare() / 1000 + " ms");
                 }
             }
         }
         if (!objections.isEmpty()) {
-            decisionRequested = true;
+            asked = true;
             return new Step(Operation.ABANDON, name, objections, false);
         }
-        if (mustWait) {
-            return new Step(Operation.NONE, null, List.of(), false);
+        if (waits) {
+            return new Step(Operation.NOTHING, null, List.of(), false);
         }
-        decisionRequested = true;
+        asked = true;
         return new Step(Operation.APPLY, name, List.of(), false);
     }
 
     /** Starts the policy in force once no scheduler can still decide by the previous one. */
-    private Step startInForce(long now) {
+    private Step startPolicyInForce(long now) {
         long number = view.inForce();
-        if (previousPolicy < 0) {
+        if (before < 0) {
             // It was applied under a former leader. A scheduler that already uses it shows that it has
             // started.
-            boolean alreadyActive =
-                    schedulers.values().stream().anyMatch(scheduler -> scheduler.activePolicy >= number);
-            if (!alreadyActive && now < formerGrantsEnd) {
-                return new Step(Operation.NONE, null, List.of(), false);
+            boolean alreadyActive = holders.values().stream().anyMatch(holder -> holder.begun >= number);
+            if (!alreadyActive && now < formerUntil) {
+                return new Step(Operation.NOTHING, null, List.of(), false);
             }
             return started(0);
         }
-        long latestEnd = schedulers.values().stream()
-                .mapToLong(scheduler -> scheduler.latestGrantEnd(number))
+        long latest = holders.values().stream()
+                .mapToLong(holder -> holder.latestGrantEnd(number))
                 .max()
                 .orElse(0);
-        if (switchAt > 0 && latestEnd <= switchAt || latestEnd <= now) {
+        if (switchAt > 0 && latest <= switchAt || latest <= now) {
             return started(Math.max(switchAt, now));
         }
         if (switchAt == 0 || now >= switchAt - announceMicros(now) / 2) {
             // An unreachable scheduler can't be told to stop early: the others may use the previous policy as
             // long as it can.
-            long unreachableEnd = schedulers.values().stream()
-                    .filter(scheduler -> !isReachable(now, scheduler))
-                    .mapToLong(scheduler -> scheduler.latestGrantEnd(number))
+            long unreachableEnd = holders.values().stream()
+                    .filter(holder -> !isReachable(now, holder))
+                    .mapToLong(holder -> holder.latestGrantEnd(number))
                     .max()
                     .orElse(0);
             switchAt = Math.max(now + announceMicros(now), unreachableEnd);
-            return new Step(Operation.NONE, null, List.of(), true);
+            return new Step(Operation.NOTHING, null, List.of(), true);
         }
-        return new Step(Operation.NONE, null, List.of(), false);
+        return new Step(Operation.NOTHING, null, List.of(), false);
     }
 
     private Step started(long at) {
-        inForceStarted = true;
-        startAt = at;
-        return new Step(Operation.NONE, null, List.of(), true);
+        begun = true;
+        beginAt = at;
+        return new Step(Operation.NOTHING, null, List.of(), true);
     }
 
     /** Time that suffices for a message to each reachable scheduler and its answer. */
@@ -282,9 +280,9 @@
         return Math.max(
                 MIN_ANNOUNCE_MICROS,
                 ANNOUNCE_ROUND_TRIPS
-                        * schedulers.values().stream()
-                                .filter(scheduler -> isReachable(now, scheduler))
-                                .mapToLong(scheduler -> scheduler.roundTrip)
+                        * holders.values().stream()
+                                .filter(holder -> isReachable(now, holder))
+                                .mapToLong(holder -> holder.roundTrip)
                                 .max()
                                 .orElse(0));
     }
@@ -294,20 +292,20 @@
         if (view == null) {
             return Long.MAX_VALUE;
         }
-        if (!inForceStarted) {
-            return previousPolicy < 0
-                    ? Math.max(now + 1000, Math.min(formerGrantsEnd, now + times.silence()))
+        if (!begun) {
+            return before < 0
+                    ? Math.max(now + 1000, Math.min(formerUntil, now + times.silence()))
                     : now + MIN_ANNOUNCE_MICROS / 2;
         }
-        if (openNumber == 0 || decisionRequested) {
+        if (open == 0 || asked) {
             return Long.MAX_VALUE;
         }
-        long next = Math.max(formerGrantsEnd, openedAt + times.prepare() + 1);
-        next = formerGrantsEnd > now ? Math.min(next, formerGrantsEnd) : next;
-        for (SchedulerState scheduler : schedulers.values()) {
-            long grantEnd = scheduler.latestGrantEnd(Long.MAX_VALUE);
-            if (grantEnd > now && !scheduler.ready.contains(openNumber)) {
-                next = Math.min(next, grantEnd);
+        long next = Math.max(formerUntil, openedAt + times.prepare() + 1);
+        next = formerUntil > now ? Math.min(next, formerUntil) : next;
+        for (Holder holder : holders.values()) {
+            long ends = holder.latestGrantEnd(Long.MAX_VALUE);
+            if (ends > now && !holder.ready.contains(open)) {
+                next = Math.min(next, ends);
             }
         }
         return Math.max(next, now + 1000);
@@ -323,12 +321,10 @@
      */
     public List<String> awaitedSchedulers(long now) {
         List<String> names = new ArrayList<>();
-        schedulers.forEach((name, scheduler) -> {
-            boolean mayUsePrevious = !inForceStarted && view != null && scheduler.latestGrantEnd(view.inForce()) > now;
-            boolean notReady = inForceStarted
-                    && openNumber > 0
-                    && !scheduler.ready.contains(openNumber)
-                    && scheduler.latestGrantEnd(Long.MAX_VALUE) > now;
+        holders.forEach((name, holder) -> {
+            boolean mayUsePrevious = !begun && view != null && holder.latestGrantEnd(view.inForce()) > now;
+            boolean notReady =
+                    begun && open > 0 && !holder.ready.contains(open) && holder.latestGrantEnd(Long.MAX_VALUE) > now;
             if (mayUsePrevious || notReady) {
                 names.add(name);
             }
@@ -342,11 +338,11 @@
      */
     public List<SchedulerStatus> schedulerStatuses(long now) {
         List<SchedulerStatus> statuses = new ArrayList<>();
-        schedulers.forEach((name, scheduler) -> statuses.add(new SchedulerStatus(
+        holders.forEach((name, holder) -> statuses.add(new SchedulerStatus(
                 name,
-                scheduler.activePolicy,
-                (now - scheduler.lastRenewalAt) / 1000,
-                Math.max(0, scheduler.latestGrantEnd(Long.MAX_VALUE) - now) / 1000)));
+                holder.begun,
+                (now - holder.lastRenewalAt) / 1000,
+                Math.max(0, holder.latestGrantEnd(Long.MAX_VALUE) - now) / 1000)));
         statuses.sort(Comparator.comparing(SchedulerStatus::processId));
         return statuses;
     }
--- a/src/main/java/laneflow/policy/decision/Lease.java
+++ b/src/main/java/laneflow/policy/decision/Lease.java
@@ -26,7 +26,8 @@
     private long fence;
 
     /**
-     * Applies a grant; false, with no effect, if it is older than one applied before.
+     * Applies a grant. Returns false, with no effect, if it is older than one applied before or if its
+     * instants can't be converted.
      *
      * @param sentAt when the renewal that it answers was sent; negative if the grant was unsolicited
      * @param receivedAt now
--- a/src/main/java/laneflow/policy/decision/Ledger.java
+++ b/src/main/java/laneflow/policy/decision/Ledger.java
@@ -105,10 +105,10 @@
     // ---- operations as written to the log ----
 
     /** Proposes a change. */
-    public static JsonObject propose(String name, JsonObject types, String by, long nowMs) {
+    public static JsonObject propose(String name, JsonObject types, String proposer, long nowMs) {
         JsonObject op = op("propose", name, nowMs);
         op.add("types", types);
-        op.addProperty("by", by);
+        op.addProperty("by", proposer);
         return op;
     }
 
@@ -116,8 +116,8 @@
      * The same, accepted only if {@code expectedInForce} is the last change applied and none is undecided, so
      * that the proposer knows what the change replaces.
      */
-    public static JsonObject propose(String name, JsonObject types, String by, long nowMs, long expectedInForce) {
-        JsonObject op = propose(name, types, by, nowMs);
+    public static JsonObject propose(String name, JsonObject types, String proposer, long nowMs, long expectedInForce) {
+        JsonObject op = propose(name, types, proposer, nowMs);
         op.addProperty(EXPECTED_IN_FORCE, expectedInForce);
         return op;
     }
@@ -295,9 +295,9 @@
         return result;
     }
 
-    private static JsonObject error(String text) {
+    private static JsonObject error(String message) {
         JsonObject answer = new JsonObject();
-        answer.addProperty("error", text);
+        answer.addProperty("error", message);
         return answer;
     }
 
--- a/src/test/java/laneflow/policy/LeaseGateTest.java
+++ b/src/test/java/laneflow/policy/LeaseGateTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The lease where requests are taken, whatever the control thread does or leaves undone. */
+/** The gate applies the lease whatever the control thread does or fails to do. */
 class LeaseGateTest {
     @TempDir
     private Path folder;
@@ -36,10 +36,10 @@
             new PolicyTypes(List.of(new BansType(names -> events.add("adopt " + names))), Map.of());
     private Loop traffic;
     private LeaseGate gate;
-    /** On the traffic's thread, as the gate is. */
+    /** Used on the traffic thread, like the gate. */
     private long now = 100;
 
-    private Runnable amidClock = () -> {};
+    private Runnable onClockRead = () -> {};
 
     private PolicyConfig config() throws Exception {
         Path file = folder.resolve("f.toml");
@@ -51,7 +51,7 @@
     }
 
     @BeforeEach
-    void make() throws Exception {
+    void createGate() throws Exception {
         PolicyConfig config = config();
         traffic = new Loop(128);
         traffic.call(() -> gate = new LeaseGate(
@@ -61,32 +61,33 @@
                 config,
                 () -> {
                     long read = now;
-                    amidClock.run();
+                    onClockRead.run();
                     return read;
                 },
-                (number, waits) -> events.add("told " + number)));
+                (number, waits) -> events.add("adopted " + number)));
     }
 
     @AfterEach
-    void end() throws InterruptedException {
+    void stopLoop() throws InterruptedException {
         traffic.stop();
     }
 
-    private Published holds(long number, long stop, long next, long nextStart, long nextStop) {
-        PolicyTypes.Prepared own = types.read(new JsonObject());
+    private Published published(long number, long stop, long next, long nextStart, long nextStop) {
+        PolicyTypes.Prepared filePolicy = types.read(new JsonObject());
         JsonObject bans = new JsonObject();
-        JsonArray one = new JsonArray();
-        one.add(JsonParser.parseString("{\"name\": \"till-3\"}"));
-        bans.add("bans", one);
+        JsonArray resources = new JsonArray();
+        resources.add(JsonParser.parseString("{\"name\": \"till-3\"}"));
+        bans.add("bans", resources);
         return new Published(
-                new LeaseSnapshot(number, stop, next, nextStart, nextStop, 0), Map.of(0L, own, 1L, types.read(bans)));
+                new LeaseSnapshot(number, stop, next, nextStart, nextStop, 0),
+                Map.of(0L, filePolicy, 1L, types.read(bans)));
     }
 
     @Test
-    void aLeaseEndsByTheClockThoughNothingMoreIsPublished() throws Exception {
+    void leaseExpiresWithoutAnotherPublication() throws Exception {
         traffic.call(() -> {
             assertFalse(gate.mayDecide());
-            gate.publish(holds(0, 200, -1, 0, 0));
+            gate.publish(published(0, 200, -1, 0, 0));
             now = 199;
             assertTrue(gate.mayDecide());
             now = 200;
@@ -96,99 +97,102 @@
     }
 
     @Test
-    void aPolicyIsAdoptedByTheRequestThatComesFirstAndOnlyThenTold() throws Exception {
+    void firstRequestAdoptsThePolicyBeforeTheListenerIsNotified() throws Exception {
         traffic.call(() -> {
-            gate.publish(holds(0, 150, 1, 160, 400));
+            gate.publish(published(0, 150, 1, 160, 400));
             assertTrue(gate.mayDecide());
             now = 155;
-            assertFalse(gate.mayDecide(), "by neither");
-            assertEquals(List.of("adopt []", "told 0"), events);
+            assertFalse(gate.mayDecide(), "between the two policies");
+            assertEquals(List.of("adopt []", "adopted 0"), events);
             now = 160;
             assertTrue(gate.mayDecide());
-            assertEquals(List.of("adopt []", "told 0", "adopt [till-3]", "told 1"), events);
+            assertEquals(List.of("adopt []", "adopted 0", "adopt [till-3]", "adopted 1"), events);
             assertEquals(1, gate.policyNumber());
             assertEquals(10, counters.get("policy.fence_most_us"));
         });
     }
 
-    /** A process that was slow to start reads its first grant when that has run out: the next one counts. */
+    /** A process that starts slowly may read its first grant after it has expired: the next grant counts. */
     @Test
-    void aPolicyBeginsWithTheFirstGrantThatStillHoldsThoughNobodyAsks() throws Exception {
-        traffic.call(() -> gate.publish(holds(0, 90, -1, 0, 0)));
+    void firstUnexpiredGrantIsAdoptedWithoutRequests() throws Exception {
+        traffic.call(() -> gate.publish(published(0, 90, -1, 0, 0)));
         traffic.call(() -> assertEquals(List.of(), events));
-        traffic.call(() -> gate.publish(holds(0, 200, -1, 0, 0)));
-        traffic.call(() -> assertEquals(List.of("adopt []", "told 0"), events));
-        traffic.call(() -> gate.publish(holds(0, 300, -1, 0, 0)));
-        traffic.call(() -> assertEquals(List.of("adopt []", "told 0"), events, "a renewal adopts nothing anew"));
+        traffic.call(() -> gate.publish(published(0, 200, -1, 0, 0)));
+        traffic.call(() -> assertEquals(List.of("adopt []", "adopted 0"), events));
+        traffic.call(() -> gate.publish(published(0, 300, -1, 0, 0)));
+        traffic.call(() -> assertEquals(List.of("adopt []", "adopted 0"), events, "a renewal adopts nothing again"));
     }
 
-    /** The control thread publishes an earlier end, and says so, right behind a request's look at the clock. */
+    /**
+     * The control thread publishes an earlier end and acknowledges it just after a request has read the
+     * clock.
+     */
     @Test
-    void whatIsPublishedBehindTheClockIsSeen() throws Exception {
+    void snapshotPublishedAfterTheClockReadIsSeen() throws Exception {
         traffic.call(() -> {
-            gate.publish(holds(0, 1000, -1, 0, 0));
+            gate.publish(published(0, 1000, -1, 0, 0));
             assertTrue(gate.mayDecide());
             now = 500;
-            amidClock = () -> gate.publish(holds(0, 400, 1, 600, 900));
+            onClockRead = () -> gate.publish(published(0, 400, 1, 600, 900));
             assertFalse(gate.mayDecide());
         });
     }
 
     /**
-     * By the clock itself, and with a control thread that stands still amid its turn, as one does whose disk or
-     * whose peers hold it up: the gate is its lease's end, read anew for each request, and nobody's word.
+     * With the real clock and a control thread that is blocked within its turn, as by a slow disk or peer:
+     * the lease still ends on time, by the clock that each request reads.
      */
     @Test
-    void withTheControlThreadStandingStillItEndsByItself() throws Exception {
+    void leaseExpiresWhileTheControlThreadIsBlocked() throws Exception {
         Loop control = new Loop("control", 8, true);
-        CountDownLatch still = new CountDownLatch(1);
-        AtomicBoolean ranOn = new AtomicBoolean();
+        CountDownLatch release = new CountDownLatch(1);
+        AtomicBoolean controlContinued = new AtomicBoolean();
         try {
             LongSupplier clock = PolicyAgent.clock(control, 1);
-            long[] read = new long[1];
-            LeaseGate[] own = new LeaseGate[1];
+            long[] lastRead = new long[1];
+            LeaseGate[] ownGate = new LeaseGate[1];
             PolicyConfig config = config();
-            traffic.call(() -> own[0] = new LeaseGate(
+            traffic.call(() -> ownGate[0] = new LeaseGate(
                     traffic,
                     counters,
                     () -> 1,
                     config,
                     () -> {
-                        read[0] = clock.getAsLong();
-                        return read[0];
+                        lastRead[0] = clock.getAsLong();
+                        return lastRead[0];
                     },
-                    (number, waits) -> events.add("told " + number)));
-            long[] stop = new long[1];
+                    (number, waits) -> events.add("adopted " + number)));
+            long[] end = new long[1];
             control.call(() -> {
-                stop[0] = clock.getAsLong() + 300_000;
-                own[0].publish(holds(0, stop[0], -1, 0, 0));
+                end[0] = clock.getAsLong() + 300_000;
+                ownGate[0].publish(published(0, end[0], -1, 0, 0));
             });
-            CountDownLatch stands = new CountDownLatch(1);
+            CountDownLatch blocked = new CountDownLatch(1);
             control.later(() -> {
-                stands.countDown();
-                awaitQuietly(still);
+                blocked.countDown();
+                awaitQuietly(release);
             });
-            control.later(() -> ranOn.set(true));
-            stands.await();
+            control.later(() -> controlContinued.set(true));
+            blocked.await();
             traffic.call(() -> {
-                long before = read[0];
+                long before = lastRead[0];
                 int decided = 0;
-                while (own[0].mayDecide()) {
-                    assertTrue(read[0] < stop[0], "decided at " + read[0] + ", it ended at " + stop[0]);
-                    before = read[0];
+                while (ownGate[0].mayDecide()) {
+                    assertTrue(lastRead[0] < end[0], "decided at " + lastRead[0] + ", the lease ended at " + end[0]);
+                    before = lastRead[0];
                     decided++;
                 }
-                assertTrue(read[0] >= stop[0] && before < stop[0], before + " " + read[0] + " " + stop[0]);
-                assertTrue(decided > 0, "it decided while it had leave");
-                assertFalse(own[0].isReady());
-                assertFalse(own[0].mayDecide());
+                assertTrue(lastRead[0] >= end[0] && before < end[0], before + " " + lastRead[0] + " " + end[0]);
+                assertTrue(decided > 0, "nothing was decided under the lease");
+                assertFalse(ownGate[0].isReady());
+                assertFalse(ownGate[0].mayDecide());
             });
-            assertFalse(ranOn.get(), "the control thread stood still throughout");
-            still.countDown();
-            control.call(() -> own[0].publish(holds(0, clock.getAsLong() + 60_000_000, -1, 0, 0)));
-            traffic.call(() -> assertTrue(own[0].mayDecide(), "renewed, it decides again"));
+            assertFalse(controlContinued.get(), "the control thread was not blocked throughout");
+            release.countDown();
+            control.call(() -> ownGate[0].publish(published(0, clock.getAsLong() + 60_000_000, -1, 0, 0)));
+            traffic.call(() -> assertTrue(ownGate[0].mayDecide(), "no decision after a renewal"));
         } finally {
-            still.countDown();
+            release.countDown();
             control.stop();
         }
     }
@@ -202,12 +206,12 @@
     }
 
     @Test
-    void whatWasNotReadIsNotDecidedBy() throws Exception {
+    void policyThatWasNotPreparedIsNotUsed() throws Exception {
         traffic.call(() -> {
             gate.publish(new Published(new LeaseSnapshot(7, 400, -1, 0, 0, 0), Map.of()));
             assertFalse(gate.mayDecide());
             assertEquals(1, counters.get("policy.granted_unready"));
-            gate.publish(holds(1, 400, -1, 0, 0));
+            gate.publish(published(1, 400, -1, 0, 0));
             assertTrue(gate.mayDecide());
             gate.stop();
             assertFalse(gate.mayDecide());
--- a/src/test/java/laneflow/policy/PolicyConfigTest.java
+++ b/src/test/java/laneflow/policy/PolicyConfigTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The operators' file on fleets: what is wrong is told, all of it, with its place. */
+/** Reading of the [policy] and [fleet] tables: all errors are reported, each with its place. */
 class PolicyConfigTest {
     @TempDir
     private Path folder;
@@ -23,12 +23,12 @@
         return Setup.operators(file, null, null);
     }
 
-    private String wrong(String tables) {
+    private String errorOf(String tables) {
         return assertThrows(ConfigException.class, () -> read(tables)).getMessage();
     }
 
     @Test
-    void aVoterAndAnotherAreRead() throws Exception {
+    void readsAVoterAndANonVoter() throws Exception {
         String fleet = "[fleet]\nlisten = \"127.0.0.1:0\"\n[fleet.peers]\nn2 = \"127.0.0.1:1\"\nn3 = \"127.0.0.1:2\"\n"
                 + "[policy]\ncut_off = \"serve\"\n";
         PolicyConfig voter = read(fleet + "voters = [\"n1\", \"n2\", \"n3\"]\ndir = \"votes\"\n")
@@ -36,7 +36,7 @@
         assertEquals(Path.of("votes"), voter.dir);
         assertTrue(voter.servesWithoutLease);
         assertEquals(1_000_000, voter.leaseMicros);
-        // One that does not vote may be taken in: it has a place for its votes then.
+        // A scheduler that does not vote may be added as a voter: it can have a folder for its votes.
         assertEquals(
                 Path.of("votes"),
                 read(fleet + "voters = [\"n2\"]\ndir = \"votes\"\n").policy().dir);
@@ -45,18 +45,18 @@
     }
 
     @Test
-    void whatIsWrongIsToldWithItsPlace() {
-        assertTrue(wrong("[policy]\nvoters = [\"n1\"]\ndir = \"d\"\n").contains("needs the table [fleet]"));
+    void errorsNameTheirPlace() {
+        assertTrue(errorOf("[policy]\nvoters = [\"n1\"]\ndir = \"d\"\n").contains("needs the table [fleet]"));
         String fleet = "[fleet]\nlisten = \"127.0.0.1:0\"\n[fleet.peers]\nn2 = \"127.0.0.1:1\"\n[policy]\n";
-        assertTrue(wrong(fleet + "voters = [\"n1\", \"n2\"]\ndir = \"d\"\n").contains("names 2 schedulers"));
-        assertTrue(wrong(fleet + "voters = [\"n1\"]\n").contains("[policy] dir: is missing"));
+        assertTrue(errorOf(fleet + "voters = [\"n1\", \"n2\"]\ndir = \"d\"\n").contains("names 2 schedulers"));
+        assertTrue(errorOf(fleet + "voters = [\"n1\"]\n").contains("[policy] dir: is missing"));
         String many =
-                wrong(fleet + "voters = [\"n1\", \"n2\", \"n9\"]\ndir = \"d\"\nlease_ms = 5\ncut_off = \"maybe\"\n");
+                errorOf(fleet + "voters = [\"n1\", \"n2\", \"n9\"]\ndir = \"d\"\nlease_ms = 5\ncut_off = \"maybe\"\n");
         for (String part : List.of("'n9' is neither", "5 is not between 100 and 600000", "'maybe' is none of")) {
             assertTrue(many.contains(part), many);
         }
-        assertTrue(wrong("[fleet]\nlisten = \"here\"\nname = \"a b\"\n").contains("is no name"));
-        assertTrue(
-                wrong(fleet.replace("127.0.0.1:1", "x") + "voters = [\"n2\"]\n").contains("[fleet.peers] n2"));
+        assertTrue(errorOf("[fleet]\nlisten = \"here\"\nname = \"a b\"\n").contains("is no name"));
+        assertTrue(errorOf(fleet.replace("127.0.0.1:1", "x") + "voters = [\"n2\"]\n")
+                .contains("[fleet.peers] n2"));
     }
 }
--- a/src/test/java/laneflow/policy/PolicyAmidStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyDisruptionStoryTest.java
@@ -16,80 +16,84 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Changes of policy amid a planned end, an upgrade, on a full disk, and beside a peer of an earlier build. */
+/**
+ * Policy changes during a graceful stop, an upgrade and on a full disk, and beside a scheduler of an earlier
+ * build.
+ */
 @Timeout(300)
-class PolicyAmidStoryTest extends PolicyStories {
+class PolicyDisruptionStoryTest extends PolicyStoryBase {
 
     @Test
-    void amidAPlannedEndRequestsKeepTheirPolicyAndNobodyWaits() throws Exception {
+    void gracefulStopKeepsRequestPoliciesAndDelaysNoChange() throws Exception {
         fleet(4);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
-        try (Peer client = asking(3, "open")) {
-            try (Peer call = till.accept()) {
+        try (Peer client = sendRequest(3, "open")) {
+            try (Peer call = endpoint.accept()) {
                 call.message();
-                // Without a word from its endpoint the request would be given up before the change is made.
+                // Without a message from the endpoint the request would be given up before the change is
+                // made.
                 call.begins("{'id':'open','state':'started'}");
-                // It drains while a change is made, and still takes what comes.
+                // It drains during the change and still accepts requests.
                 rig.term(3);
-                rig.await("it says that it ends", () -> rig.log(3).contains("stopping, 1 open"));
-                rig.proposeUntilTaken(0, "amid-a-drain", bans("x"));
-                decided(0, "amid-a-drain", "applied");
+                rig.await("it logs that it stops", () -> rig.log(3).contains("stopping, 1 open"));
+                rig.proposeUntilTaken(0, "during-drain", bans("x"));
+                awaitState(0, "during-drain", "applied");
                 rig.awaitDeciding(1, rig.all());
-                String late = refusedOrAnswered(3, "late");
+                String late = responseOrRefusal(3, "late");
                 call.ends("{'id':'open','state':'done','result':'ran'}");
                 assertTrue(client.message().contains("Config-Version: policy=0"));
                 assertTrue(late.contains("policy=1") || late.contains(" 503 "), late);
             }
         }
         assertEquals(143, rig.ended(3));
-        // It has said that it leaves: the next change waits for no lease of its.
+        // It has announced its stop: the next change does not wait for its lease.
         long from = System.nanoTime();
-        rig.proposeUntilTaken(0, "behind-it", bans("y"));
+        rig.proposeUntilTaken(0, "after-stop", bans("y"));
         rig.awaitDeciding(2, 0, 1, 2);
         assertTrue(System.nanoTime() - from < TimeUnit.SECONDS.toNanos(30));
-        check();
+        checkHistory();
     }
 
-    /** A request that comes while a scheduler drains, its till answering at once if it is called. */
-    private String refusedOrAnswered(int i, String id) throws Exception {
-        try (Peer client = asking(i, id)) {
+    /** The answer to a request to a draining scheduler, or a refusal in its place. */
+    private String responseOrRefusal(int i, String id) throws Exception {
+        try (Peer client = sendRequest(i, id)) {
             return client.message();
         } catch (IOException e) {
-            // It takes no more clients.
+            // It accepts no more connections.
             return "HTTP/1.1 503 closed";
         }
     }
 
     @Test
-    void aLeaderThatEndsInOrderAmidAChangeLeavesItToTheNext() throws Exception {
+    void nextLeaderFinishesTheChangeOfALeaderThatStops() throws Exception {
         fleet(4);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         int leader = rig.leader();
         rig.term(leader);
         rig.await(
-                "it is taken",
-                () -> rig.propose(3, "amid", bans("x")) != null
-                        || state(3, "amid").equals("applied"));
+                "the proposal is accepted",
+                () -> rig.propose(3, "during-stop", bans("x")) != null
+                        || changeState(3, "during-stop").equals("applied"));
         assertEquals(143, rig.ended(leader));
-        decided(3, "amid", "applied");
+        awaitState(3, "during-stop", "applied");
         for (int i : rig.all()) {
             if (i != leader) {
                 rig.awaitDeciding(1, i);
             }
         }
-        check();
+        checkHistory();
     }
 
     @Test
-    void aFullDiskCostsTheVoteAndNotTheService() throws Exception {
+    void fullDiskCostsTheVoteButNotTheService() throws Exception {
         fleet(4);
-        // The library that its store uses unpacks itself first, and is somewhat smaller.
+        // The SQLite library unpacks itself there first and is somewhat smaller than this.
         rig.fullAt(1, 2_500_000);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
-        // Each of these is some ten pages of its log.
+        // Each change takes about ten pages of the voter's log.
         String many = "name".repeat(2000);
         StringBuilder names = new StringBuilder();
         for (int i = 0; i < 40; i++) {
@@ -104,47 +108,48 @@
             long next = ++changes;
             String types = "{\"bans\":[" + names + ",{\"name\":\"till-" + next + "\"}]}";
             rig.proposeUntilTaken(0, "big-" + next, types);
-            decided(0, "big-" + next, "applied");
-            assertTrue(next < 500, "its disk did not become full");
+            awaitState(0, "big-" + next, "applied");
+            assertTrue(next < 500, "the disk did not fill up");
         }
         assertTrue(rig.log(1).contains("this process has stopped voting"), rig.log(1));
-        // It serves on, the others decide on, and it learns what they decide.
+        // It continues to serve, the others continue to decide, and it learns their decisions.
         long last = changes + 1;
-        rig.proposeUntilTaken(0, "behind", bans("z"));
+        rig.proposeUntilTaken(0, "after-failure", bans("z"));
         rig.awaitDeciding(last, rig.all());
         assertTrue(request(1, "r").contains("policy=" + last));
-        check();
+        checkHistory();
     }
 
     @Test
-    void aPeerOfAnEarlierBuildIsHeardAndMayTurnDown() throws Exception {
+    void schedulerOfAnEarlierBuildCanRejectAChange() throws Exception {
         fleet(3);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         int leader = rig.leader();
-        // A stand-in for a build that knows neither the type nor newer words, and says more than is known here.
+        // A stand-in for a build that knows neither the resource type nor newer messages, and sends fields
+        // unknown here.
         try (Peer old = Stand.peer(
                 "127.0.0.1", Integer.parseInt(rig.fleetAddress(leader).split(":")[1]))) {
             old.write("POST /fleet/link HTTP/1.1\r\nHost: f\r\nTransfer-Encoding: chunked\r\n\r\n");
-            says(old, "{'t':'hello','name':'old','life':'1','build':'0.1','from':1,'to':1,'extra':{'a':[1]}}");
-            says(old, "{'t':'long-gone','x':1}");
-            says(old, renewal(0, "[]"));
-            hears(old, "\"t\":\"grant\"");
+            sendLine(old, "{'t':'hello','name':'old','life':'1','build':'0.1','from':1,'to':1,'extra':{'a':[1]}}");
+            sendLine(old, "{'t':'unknown-kind','x':1}");
+            sendLine(old, renewal(0, "[]"));
+            readUntil(old, "\"t\":\"grant\"");
             rig.proposeUntilTaken(leader, "new-type", "{\"module\":[{\"name\":\"module\",\"cross_each_way\":0.3}]}");
-            hears(old, "\"t\":\"content\"");
-            says(old, renewal(1, "['module: is no type that is taken here']"));
-            decided(leader, "new-type", "abandoned");
-            JsonObject told = rig.change(leader, "new-type");
-            assertTrue(told.get("reasons").toString().contains("old#1: module: is no type"), told.toString());
-            // It never said that it leaves: the next change waits for its lease, and no longer.
+            readUntil(old, "\"t\":\"content\"");
+            sendLine(old, renewal(1, "['module: is not a type accepted by this scheduler']"));
+            awaitState(leader, "new-type", "abandoned");
+            JsonObject change = rig.change(leader, "new-type");
+            assertTrue(change.get("reasons").toString().contains("old#1: module: is not a type"), change.toString());
+            // It never announced its stop: the next change waits until its lease ends, and no longer.
             rig.proposeUntilTaken(leader, "next", bans("x"));
         }
-        decided(leader, "next", "applied");
+        awaitState(leader, "next", "applied");
         rig.awaitDeciding(2, rig.all());
-        // Where all know it, it takes hold.
+        // Once all schedulers know the type, the change is applied.
         rig.proposeUntilTaken(leader, "new-type-again", "{\"module\":[{\"name\":\"module\",\"cross_each_way\":0.3}]}");
         rig.awaitDeciding(3, rig.all());
-        check();
+        checkHistory();
     }
 
     private static String renewal(int refused, String reasons) {
@@ -152,13 +157,13 @@
                 + ",'reasons':" + reasons + ",'round_trip':100,'tallies':[[0,0],[0,0]]}";
     }
 
-    private static void says(Peer to, String line) throws IOException {
+    private static void sendLine(Peer to, String line) throws IOException {
         String text = line.replace('\'', '"') + "\n";
         to.write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 
-    /** Reads on until a line holds that. */
-    private static void hears(Peer from, String part) throws IOException {
+    /** Reads lines until one contains {@code part}. */
+    private static void readUntil(Peer from, String part) throws IOException {
         String line;
         do {
             line = from.readTo("\n");
@@ -166,7 +171,7 @@
     }
 
     @Test
-    void anUpgradeOnThePassedSocketAmidChangesKeepsThePromises() throws Exception {
+    void upgradeWithPassedSocketDuringChangesKeepsTheInvariants() throws Exception {
         fleet(4);
         rig.start(0);
         rig.start(1);
@@ -180,22 +185,24 @@
             rig.proposeUntilTaken(0, "before", bans("a"));
             rig.awaitDeciding(1, rig.all());
             Started next = platform.launch();
-            // Both live, both decide, and a change is one for both.
-            rig.proposeUntilTaken(0, "amid-1", bans("b"));
-            rig.await("the new one can serve", () -> next.call("check").equals("done"));
-            rig.proposeUntilTaken(1, "amid-2", bans("c"));
-            decided(0, "amid-2", "applied");
-            // Between two policies nothing comes to the till: ask once both decide by the new one.
+            // Both processes run and decide, and a change applies to both.
+            rig.proposeUntilTaken(0, "during-upgrade-1", bans("b"));
+            rig.await("the new process can serve", () -> next.call("check").equals("done"));
+            rig.proposeUntilTaken(1, "during-upgrade-2", bans("c"));
+            awaitState(0, "during-upgrade-2", "applied");
+            // Between two policies no request reaches the endpoint: send one when both decide by the new
+            // policy.
             rig.awaitDeciding(3, rig.all());
-            rig.await("the new one decides", () -> next.call("check").equals("done"));
-            try (Peer client = ask(platform.port, "u");
-                    Peer call = till.accept()) {
+            rig.await("the new process decides", () -> next.call("check").equals("done"));
+            try (Peer client = sendRequestTo(platform.port, "u");
+                    Peer call = endpoint.accept()) {
                 call.message();
                 answer(call, "u");
             }
             former.handle().destroy();
             former.ended();
-            // Its address and its store are the new one's now: it is asked there, and votes with what it had.
+            // The new process has taken over the address and the store: it answers there and votes with the
+            // stored state.
             rig.awaitDeciding(3, rig.all());
             rig.await(
                     "it votes",
@@ -205,7 +212,7 @@
             rig.awaitDeciding(4, 1, 2, 3);
             rig.start(0);
             rig.awaitDeciding(4, rig.all());
-            checkWith(2);
+            checkHistoryWith(2);
         }
     }
 }
--- a/src/test/java/laneflow/policy/PolicyStories.java
+++ b/src/test/java/laneflow/policy/PolicyStoryBase.java
@@ -17,9 +17,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What stories of policies over real processes begin and end with: each ends with a look at its history. */
-abstract class PolicyStories {
-    /** Long: a call that is out must outlast a change on a machine that is busy. */
+/**
+ * Common setup of the policy tests that use real processes. Every test must end with a check of its history.
+ */
+abstract class PolicyStoryBase {
+    /** A long deadline: an open call must outlast a policy change on a busy machine. */
     static final String CLASSES = "[classes.check]\naim_ms = 200\ndeadline_ms = 60000\nrepeat = \"safe\"\n";
 
     static final String POST = "[classes.post]\ndeadline_ms = 5000\nrepeat = \"safe\"\n";
@@ -27,18 +29,18 @@
     @TempDir
     Path folder;
 
-    Endpoint till;
+    Endpoint endpoint;
     Rig rig;
     final PolicyHistory history = new PolicyHistory();
     boolean checked;
 
     @BeforeEach
-    void begin() throws IOException {
-        till = new Endpoint("till");
+    void startEndpoint() throws IOException {
+        endpoint = new Endpoint("till");
     }
 
     String file(String classes) {
-        return "zones = [\"z\"]\n" + classes + "[endpoints.till]\ndial = \"" + till.dial()
+        return "zones = [\"z\"]\n" + classes + "[endpoints.till]\ndial = \"" + endpoint.dial()
                 + "\"\n[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\ntell_policy = true\n";
     }
 
@@ -46,18 +48,18 @@
         fleet(schedulers, "");
     }
 
-    /** The same, with more lines in the table of policy. */
+    /** The same, with more lines in the [policy] table. */
     void fleet(int schedulers, String policy) throws IOException {
         rig = new Rig(folder, schedulers, 3, 7, file(CLASSES + POST) + policy);
     }
 
     @AfterEach
-    void end() throws Exception {
+    void closeAll() throws Exception {
         try {
-            assertTrue(checked, "a story ends with a look at its history");
+            assertTrue(checked, "the test did not check its history");
         } finally {
             rig.close();
-            till.close();
+            endpoint.close();
         }
     }
 
@@ -72,20 +74,20 @@
         return "{\"bans\":[" + all + "]}";
     }
 
-    /** Reads everything that was written, and holds it against what is promised. */
-    void check() throws Exception {
-        checkWith(-1);
+    /** Reads all logs and outcomes and checks them against the invariants. */
+    void checkHistory() throws Exception {
+        checkHistoryWith(-1);
     }
 
-    /** The same where one has been started by other means. */
-    void checkWith(int also) throws Exception {
+    /** The same if that scheduler was not started by the rig. */
+    void checkHistoryWith(int startedElsewhere) throws Exception {
         checked = true;
         for (int i = 0; i < rig.size(); i++) {
             history.log(Rig.name(i), rig.log(i));
-            if (rig.isUp(i) || i == also) {
+            if (rig.isUp(i) || i == startedElsewhere) {
                 int at = i;
                 rig.await(
-                        "its outcomes",
+                        "the outcomes are readable",
                         () -> rig.ask(at, "/policy/history", null).statusCode() == 200);
                 JsonParser.parseString(rig.ask(i, "/policy/history", null).body())
                         .getAsJsonArray()
@@ -101,10 +103,10 @@
         assertEquals(List.of(), history.check());
     }
 
-    /** Waits until a voter leads that is not this one, and returns it. */
-    int anotherLeads(int former) throws IOException, InterruptedException {
+    /** Waits until another voter than {@code former} is the leader, and returns it. */
+    int awaitNewLeader(int former) throws IOException, InterruptedException {
         int[] found = {-1};
-        rig.await("another leads", () -> {
+        rig.await("another voter is the leader", () -> {
             for (int i = 0; i < 3; i++) {
                 if (i != former && rig.isUp(i) && rig.policy(i).has("leads")) {
                     found[0] = i;
@@ -115,44 +117,44 @@
         return found[0];
     }
 
-    String state(int i, String name) throws IOException, InterruptedException {
+    String changeState(int i, String name) throws IOException, InterruptedException {
         JsonObject change = rig.change(i, name);
-        return change == null ? "not known" : change.get("state").getAsString();
+        return change == null ? "unknown" : change.get("state").getAsString();
     }
 
-    void decided(int i, String name, String state) throws IOException, InterruptedException {
-        rig.await(name + " is " + state, () -> state(i, name).equals(state));
+    void awaitState(int i, String name, String state) throws IOException, InterruptedException {
+        rig.await(name + " is " + state, () -> changeState(i, name).equals(state));
     }
 
-    /** A client that has asked a scheduler. */
-    Peer asking(int i, String id) throws IOException {
-        return ask(rig.clientPort(i), id);
+    /** A client that has sent a request to a scheduler. */
+    Peer sendRequest(int i, String id) throws IOException {
+        return sendRequestTo(rig.clientPort(i), id);
     }
 
-    static Peer ask(int port, String id) throws IOException {
+    static Peer sendRequestTo(int port, String id) throws IOException {
         return Stand.peer("127.0.0.1", port)
                 .write("POST /check HTTP/1.1\r\nHost: c\r\nReq-Id: " + id + "\r\nContent-Length: 0\r\n\r\n");
     }
 
-    /** The till answers what came to it. */
+    /** Has the endpoint answer a call. */
     static void answer(Peer call, String id) throws IOException {
         call.says("{'id':'" + id + "','state':'done','result':'ran'}");
     }
 
-    /** The answer to a request at a scheduler, its till answering at once. */
+    /** The scheduler's answer to a request that the endpoint answers at once. */
     String request(int i, String id) throws Exception {
-        try (Peer client = asking(i, id);
-                Peer call = till.accept()) {
+        try (Peer client = sendRequest(i, id);
+                Peer call = endpoint.accept()) {
             call.message();
             answer(call, id);
             return client.message();
         }
     }
 
-    String refused(int i, String id) throws Exception {
-        // Other schedulers can come before clients can.
+    String requestWithoutEndpoint(int i, String id) throws Exception {
+        // A scheduler accepts other schedulers before it accepts clients.
         rig.awaitClients(i);
-        try (Peer client = asking(i, id)) {
+        try (Peer client = sendRequest(i, id)) {
             return client.message();
         }
     }
--- a/src/test/java/laneflow/policy/PolicyVotersStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyVotersStoryTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Voters that come and go one at a time while changes are proposed and requests come. */
+/** Voters are added and removed one at a time while changes are proposed and requests sent. */
 @Timeout(300)
-class PolicyVotersStoryTest extends PolicyStories {
-    /** Proposes one change after the other, and has a request answered behind each, until it is told to end. */
+class PolicyVotersStoryTest extends PolicyStoryBase {
+    /** Proposes changes one after the other and sends a request after each, until closed. */
     private final class Load implements AutoCloseable {
         private final List<String> names = new ArrayList<>();
         private final Thread thread = new Thread(this::run, "load");
-        private final Thread answering = new Thread(this::answer, "till");
+        private final Thread answering = new Thread(this::answer, "endpoint");
         private volatile boolean over;
         private volatile Exception failed;
 
@@ -30,13 +30,13 @@
             thread.start();
         }
 
-        /** The till answers whatever comes; between two policies nothing does. */
+        /** The endpoint answers every call; between two policies none comes. */
         private void answer() {
             while (!over) {
-                try (Peer call = till.accept()) {
+                try (Peer call = endpoint.accept()) {
                     String head = call.message();
                     String id = head.replaceAll("(?s).*Req-Id: ([^\r]*)\r.*", "$1");
-                    PolicyStories.answer(call, id);
+                    PolicyStoryBase.answer(call, id);
                 } catch (IOException e) {
                     continue;
                 }
@@ -48,11 +48,11 @@
                 for (int n = 0; !over; n++) {
                     String name = "load-" + n;
                     rig.proposeUntilTaken(4, name, bans("x" + name));
-                    decided(4, name, "applied");
+                    awaitState(4, name, "applied");
                     names.add(name);
-                    try (Peer client = asking(4, name)) {
+                    try (Peer client = sendRequest(4, name)) {
                         String answer = client.message();
-                        // Between two policies nobody decides for a moment, and says so at once.
+                        // Between two policies schedulers refuse requests for a moment.
                         assertTrue(answer.contains(" 200 ") || answer.contains(" 503 "), answer);
                     }
                 }
@@ -71,7 +71,7 @@
         }
     }
 
-    private int order(String what, int voter) throws IOException, InterruptedException {
+    private int changeVoter(String what, int voter) throws IOException, InterruptedException {
         return rig.ask(4, "/policy/voters", "{\"" + what + "\":\"" + Rig.name(voter) + "\"}")
                 .statusCode();
     }
@@ -80,79 +80,79 @@
         return rig.policy(i).getAsJsonObject("voter");
     }
 
-    private boolean is(int i, String what) throws IOException, InterruptedException {
+    private boolean flag(int i, String what) throws IOException, InterruptedException {
         return voter(i).get(what).getAsBoolean();
     }
 
     @Test
-    void votersComeAndGoOneAtATimeUnderLoad() throws Exception {
+    void votersAreAddedAndRemovedUnderLoad() throws Exception {
         rig = new Rig(folder, 5, 4, 11, file(CLASSES + POST));
         rig.votersNamed(3);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
-        assertTrue(is(3, "candidate"));
+        assertTrue(flag(3, "candidate"));
         List<String> names;
         try (Load load = new Load()) {
-            // A fourth comes, and votes; asked again that is said.
-            rig.await("it is taken in", () -> order("add", 3) == 200);
+            // A fourth voter is added; adding it again is an error.
+            rig.await("it is added", () -> changeVoter("add", 3) == 200);
             rig.await(
                     "it votes",
-                    () -> is(3, "votes") && voter(3).getAsJsonArray("voters").size() == 4);
-            assertEquals(409, order("add", 3));
-            assertEquals(409, order("remove", 4));
-            // The one that leads goes: it hands over first.
+                    () -> flag(3, "votes") && voter(3).getAsJsonArray("voters").size() == 4);
+            assertEquals(409, changeVoter("add", 3));
+            assertEquals(409, changeVoter("remove", 4));
+            // The leader is removed: it transfers its leadership first.
             int first = rig.leader();
-            rig.await("it is taken out", () -> order("remove", first) == 200);
-            rig.await("it hears of it", () -> is(first, "removed"));
-            assertFalse(is(first, "votes"));
-            // Three vote now, and one that is new among them: another can be lost.
+            rig.await("it is removed", () -> changeVoter("remove", first) == 200);
+            rig.await("it learns of its removal", () -> flag(first, "removed"));
+            assertFalse(flag(first, "votes"));
+            // There are three voters now, one of them new: another one may fail.
             int second = rig.leader();
-            int third = other(first, second);
+            int third = otherVoter(first, second);
             rig.kill(third);
             String then = "three-vote";
             rig.proposeUntilTaken(4, then, bans("t"));
-            decided(4, then, "applied");
+            awaitState(4, then, "applied");
             rig.start(third);
-            rig.await("it votes again", () -> is(third, "votes"));
+            rig.await("it votes again", () -> flag(third, "votes"));
             names = load.names;
         }
-        assertTrue(names.size() > 3, names + " were decided meanwhile");
-        // Started anew with its old store the one that was taken out unseats nobody.
-        int gone = removed();
-        rig.await("somebody leads", () -> rig.leader() >= 0);
+        assertTrue(names.size() > 3, names + " were decided under load");
+        // Restarted with its old store, the removed voter does not unseat the leader.
+        int removed = removedVoter();
+        rig.await("there is a leader", () -> rig.leader() >= 0);
         int term = rig.policy(rig.leader()).getAsJsonObject("voter").get("term").getAsInt();
-        rig.kill(gone);
-        rig.start(gone);
-        rig.await("it is told again", () -> is(gone, "removed"));
-        rig.proposeUntilTaken(4, "still", bans("s"));
-        decided(4, "still", "applied");
+        rig.kill(removed);
+        rig.start(removed);
+        rig.await("it learns of its removal again", () -> flag(removed, "removed"));
+        rig.proposeUntilTaken(4, "after-restart", bans("s"));
+        awaitState(4, "after-restart", "applied");
         assertEquals(
                 term,
                 rig.policy(rig.leader()).getAsJsonObject("voter").get("term").getAsInt());
-        // Its old store can't be taken in again; a new one can.
-        assertEquals(409, order("add", gone));
-        rig.kill(gone);
-        rig.wipe(gone);
-        rig.start(gone);
-        rig.await("it is up", () -> rig.policy(gone).has("voter"));
-        rig.await("it is taken in", () -> order("add", gone) == 200);
-        rig.await("it votes", () -> is(gone, "votes"));
+        // Its old store can't be added again, a new one can.
+        assertEquals(409, changeVoter("add", removed));
+        rig.kill(removed);
+        rig.wipe(removed);
+        rig.start(removed);
+        rig.await("it is up", () -> rig.policy(removed).has("voter"));
+        rig.await("it is added", () -> changeVoter("add", removed) == 200);
+        rig.await("it votes", () -> flag(removed, "votes"));
         long last = rig.policy(rig.leader()).get("policy").getAsLong();
         rig.awaitDeciding(last, rig.all());
-        check();
+        checkHistory();
     }
 
-    private int removed() throws IOException, InterruptedException {
+    private int removedVoter() throws IOException, InterruptedException {
         for (int i = 0; i < 4; i++) {
-            if (is(i, "removed")) {
+            if (flag(i, "removed")) {
                 return i;
             }
         }
-        throw new IOException("nobody was taken out");
+        throw new IOException("no voter was removed");
     }
 
-    /** A voter that is neither. */
-    private static int other(int one, int two) {
+    /** A voter other than these two. */
+    private static int otherVoter(int one, int two) {
         for (int i = 0; i < 4; i++) {
             if (i != one && i != two) {
                 return i;
--- a/src/test/java/laneflow/policy/decision/LeaseSnapshotTest.java
+++ b/src/test/java/laneflow/policy/decision/LeaseSnapshotTest.java
@@ -6,14 +6,14 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What is published of a lease says at every instant what the lease itself would. */
+/** A snapshot of a lease agrees with the lease itself at every instant. */
 class LeaseSnapshotTest {
     @Test
-    void itSaysOfEveryInstantWhatTheLeaseDoes() {
+    void agreesWithTheLeaseAtEveryInstant() {
         SplittableRandom random = new SplittableRandom(11);
         int deciding = 0;
         int changes = 0;
-        for (int day = 0; day < 300; day++) {
+        for (int run = 0; run < 300; run++) {
             Lease lease = new Lease();
             long now = 1_000_000;
             long number = 0;
@@ -22,14 +22,14 @@
                 long until = random.nextInt(6) == 0 ? 0 : now + random.nextLong(3000);
                 long from = random.nextBoolean() ? 0 : now + random.nextLong(600);
                 lease.accept(new Grant(1, seq, now, number, from, until, 0), now - random.nextLong(200), now);
-                LeaseSnapshot leave = lease.snapshot();
-                long begun = lease.current();
+                LeaseSnapshot snapshot = lease.snapshot();
+                long previous = lease.current();
                 for (long at = now; at < now + 1000; at += 1 + random.nextLong(90)) {
-                    assertEquals(lease.policyAt(at), leave.policyAt(at), "day " + day + " seq " + seq);
-                    assertEquals(lease.fence(), leave.fence(at));
-                    deciding += leave.policyAt(at) >= 0 ? 1 : 0;
+                    assertEquals(lease.policyAt(at), snapshot.policyAt(at), "run " + run + " seq " + seq);
+                    assertEquals(lease.fence(), snapshot.fence(at));
+                    deciding += snapshot.policyAt(at) >= 0 ? 1 : 0;
                 }
-                changes += lease.current() > begun ? 1 : 0;
+                changes += lease.current() > previous ? 1 : 0;
                 now += 1000;
             }
         }
--- a/src/test/java/laneflow/policy/decision/LedgerTest.java
+++ b/src/test/java/laneflow/policy/decision/LedgerTest.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What the voters agree on: one outcome a change, the same wherever the same operations are run. */
+/** The voters' state machine: one outcome per change, the same wherever the same operations are applied. */
 class LedgerTest {
     private final Ledger ledger = new Ledger();
 
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void aChangeHoldsItsTypesAsOneAndLeavesTheOthers() {
+    void changeReplacesItsTypesAndKeepsTheOthers() {
         propose("a", "{bans:[{name:'e1'}],limits:[{attempts:3}]}");
         assertEquals(0, ledger.view().inForce());
         ledger.run(Ledger.apply("a", 6));
@@ -36,28 +36,28 @@
         assertEquals(
                 types("{limits:[{attempts:3}],bans:[{name:'e2'}]}"),
                 ledger.view().merged());
-        // An empty list gives a type back to the file.
+        // An empty list returns the type to the file.
         propose("c", "{limits:[]}");
         ledger.run(Ledger.apply("c", 8));
         assertEquals(types("{bans:[{name:'e2'}]}"), ledger.view().merged());
     }
 
     @Test
-    void theFirstDecisionStands() {
+    void firstDecisionIsFinal() {
         propose("a", "{bans:[]}");
         assertEquals(
                 "abandoned",
                 ledger.run(Ledger.abandon("a", List.of("no"), 6)).get("state").getAsString());
         assertEquals("abandoned", ledger.run(Ledger.apply("a", 7)).get("state").getAsString());
         assertEquals(0, ledger.view().inForce());
-        // Asked again, it is the same change, and the same answer.
+        // Proposed again it is the same change, with the same outcome.
         assertEquals("abandoned", propose("a", "{bans:[]}").get("state").getAsString());
         assertTrue(propose("a", "{limits:[]}").get("error").getAsString().contains("different content"));
         assertTrue(ledger.run(Ledger.apply("z", 7)).has("error"));
     }
 
     @Test
-    void changesWaitTheirTurnAndNoMoreThanSo() {
+    void changesWaitInOrderUpToTheLimit() {
         for (int i = 0; i <= Ledger.MAX_WAITING; i++) {
             assertEquals(
                     i == 0 ? "open" : "waiting",
@@ -67,12 +67,12 @@
         assertEquals("waiting", ledger.run(Ledger.apply("c5", 1)).get("state").getAsString());
         ledger.run(Ledger.abandon("c0", List.of("no"), 1));
         assertEquals("c1", ledger.view().open().name());
-        // A number is one change's for ever, whatever became of it.
+        // A number belongs to one change, whatever its outcome.
         assertEquals(2, ledger.view().open().number());
     }
 
     @Test
-    void whatIsNoChangeIsRefusedInWords() {
+    void invalidChangesAreRejectedWithAReason() {
         assertTrue(propose("a b", "{bans:[]}").get("error").getAsString().startsWith("name:"));
         assertTrue(propose("a", "{}").get("error").getAsString().startsWith("types:"));
         assertTrue(propose("a", "{bans:{}}").get("error").getAsString().startsWith("types.bans:"));
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void aSnapshotAndTheSameOperationsLeadToTheSameState() {
+    void sameOperationsAndSnapshotsLeadToTheSameState() {
         SplittableRandom random = new SplittableRandom(3);
         Ledger other = new Ledger();
         for (int i = 0; i < 2000; i++) {
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void theOldestOutcomesAreForgottenAndNoUndecidedChangeIs() {
+    void oldestOutcomesAreDroppedButNoUndecidedChange() {
         propose("first", "{bans:[]}");
         for (int i = 0; i < Ledger.MAX_OUTCOMES + 5; i++) {
             ledger.run(Ledger.abandon(ledger.view().open().name(), List.of(), i));
--- a/src/test/java/laneflow/transcripts/PolicyTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/PolicyTranscriptsTest.java
@@ -14,18 +14,18 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Changes of policy, as an operator and a client of one scheduler that votes alone see them. */
+/** Policy changes as seen by an operator and a client of a scheduler that is the only voter. */
 @Timeout(120)
 class PolicyTranscriptsTest {
     @TempDir
     private Path folder;
 
-    /** What happens at a scheduler that decides by its first policy. */
-    private interface Story {
-        void tell(Operator operator, Party client, Endpoint endpoint) throws Exception;
+    /** The exchanges with a scheduler that decides by its first policy. */
+    private interface Scenario {
+        void run(Operator operator, Party client, Endpoint endpoint) throws Exception;
     }
 
-    private void decided(Transcript transcript, Story story) throws Exception {
+    private void withDecidingScheduler(Transcript transcript, Scenario scenario) throws Exception {
         Path own = Files.createTempDirectory(folder, "n1");
         Endpoint endpoint = new Endpoint("e1");
         int fleet = Crew.port();
@@ -47,7 +47,7 @@
                     transcript,
                     "client",
                     Stand.peer("127.0.0.1", serve.front().address().getPort()))) {
-                story.tell(new Operator(transcript, fleet), client, endpoint);
+                scenario.run(new Operator(transcript, fleet), client, endpoint);
             }
         } finally {
             serve.halt();
@@ -61,35 +61,41 @@
         }
     }
 
-    /** Asks the fleet's address, one question a connection. */
+    /** Sends requests to the fleet address, one per connection. */
     private record Operator(Transcript transcript, int fleet) {
-        void proposes(String body) throws IOException {
-            asks("POST /policy/changes HTTP/1.1\r\nHost: f\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+        void propose(String body) throws IOException {
+            send("POST /policy/changes HTTP/1.1\r\nHost: f\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
         }
 
-        /** Waits until it is decided, unrecorded, since how often one asks is free; then asks once more. */
-        void awaits(String name, String state) throws Exception {
+        /**
+         * Waits until the change is decided, then asks once more. The polling isn't recorded, as its number
+         * of requests varies.
+         */
+        void awaitState(String name, String state) throws Exception {
             String path = "/policy/changes/" + name;
             Await.until(
                     name + " is " + state,
                     () -> raw(fleet, path).contains("\"" + state + "\""),
                     () -> raw(fleet, path));
-            looks(path);
+            get(path);
         }
 
-        /** Applied is what the voters say; a scheduler decides by it a little later, when its lease says so. */
-        void decidesBy(int policy) throws Exception {
+        /**
+         * Waits until the scheduler uses the policy: that is later than its being applied, when the lease
+         * permits it.
+         */
+        void awaitPolicy(int policy) throws Exception {
             Await.until(
                     "it decides by " + policy,
                     () -> raw(fleet, "/policy").contains("\"policy\":" + policy + ","),
                     () -> raw(fleet, "/policy"));
         }
 
-        void looks(String path) throws IOException {
-            asks("GET " + path + " HTTP/1.1\r\nHost: f\r\n\r\n");
+        void get(String path) throws IOException {
+            send("GET " + path + " HTTP/1.1\r\nHost: f\r\n\r\n");
         }
 
-        private void asks(String request) throws IOException {
+        private void send(String request) throws IOException {
             try (Party operator = new Party(transcript, "operator", Stand.peer("127.0.0.1", fleet))) {
                 operator.write(request).message();
             }
@@ -99,16 +105,16 @@
     @Test
     void applied() throws Exception {
         Transcript.of(
-                "A change of policy is applied: the endpoint is banned, and given back by the next change.",
-                transcript -> decided(transcript, (operator, client, endpoint) -> {
-                    operator.proposes("{\"name\":\"ban\",\"types\":{\"bans\":[{\"name\":\"e1\"}]}}");
-                    operator.awaits("ban", "applied");
-                    operator.decidesBy(1);
+                "A policy change is applied: it bans an endpoint, and the next change lifts the ban.",
+                transcript -> withDecidingScheduler(transcript, (operator, client, endpoint) -> {
+                    operator.propose("{\"name\":\"ban\",\"types\":{\"bans\":[{\"name\":\"e1\"}]}}");
+                    operator.awaitState("ban", "applied");
+                    operator.awaitPolicy(1);
                     client.post("capture", "1", "", "pay");
                     client.message();
-                    operator.proposes("{\"name\":\"no-bans\",\"types\":{\"bans\":[]}}");
-                    operator.awaits("no-bans", "applied");
-                    operator.decidesBy(2);
+                    operator.propose("{\"name\":\"no-bans\",\"types\":{\"bans\":[]}}");
+                    operator.awaitState("no-bans", "applied");
+                    operator.awaitPolicy(2);
                     client.post("capture", "2", "", "pay");
                     Party call = new Party(transcript, "e1", endpoint.accept());
                     call.message();
@@ -120,11 +126,11 @@
     @Test
     void abandoned() throws Exception {
         Transcript.of(
-                "A change that a scheduler turns down is abandoned with its reasons; what held holds on.",
-                transcript -> decided(transcript, (operator, client, endpoint) -> {
-                    operator.proposes("{\"name\":\"capture-safe\",\"types\":{\"classes\":[{\"name\":\"check\","
+                "A change that a scheduler rejects is abandoned with its reasons; the policy in force stays.",
+                transcript -> withDecidingScheduler(transcript, (operator, client, endpoint) -> {
+                    operator.propose("{\"name\":\"capture-safe\",\"types\":{\"classes\":[{\"name\":\"check\","
                             + "\"repeat\":\"safe\"},{\"name\":\"capture\",\"repeat\":\"safe\"}]}}");
-                    operator.awaits("capture-safe", "abandoned");
+                    operator.awaitState("capture-safe", "abandoned");
                     client.post("capture", "1", "", "pay");
                     Party call = new Party(transcript, "e1", endpoint.accept());
                     call.message();
@@ -134,12 +140,12 @@
     }
 
     @Test
-    void noChange() throws Exception {
+    void rejected() throws Exception {
         Transcript.of(
-                "What is no change, or another one under a name that is taken: turned down in words.",
-                transcript -> decided(transcript, (operator, client, endpoint) -> {
-                    operator.proposes("{\"name\":\"ban\",\"types\":{\"bans\":[{\"name\":\"e9\"}]}}");
-                    operator.awaits("ban", "applied");
+                "Invalid changes and a different change under a used name are rejected with a reason.",
+                transcript -> withDecidingScheduler(transcript, (operator, client, endpoint) -> {
+                    operator.propose("{\"name\":\"ban\",\"types\":{\"bans\":[{\"name\":\"e9\"}]}}");
+                    operator.awaitState("ban", "applied");
                     for (String body : new String[] {
                         "{\"name\":\"ban\",\"types\":{\"bans\":[]}}",
                         "no JSON",
@@ -150,10 +156,10 @@
                         "{\"name\":\"a\",\"types\":{\"bans\":{}}}",
                         "{\"name\":\"a\",\"types\":{\"bans\":[]},\"by\":\"maintenance\"}"
                     }) {
-                        operator.proposes(body);
+                        operator.propose(body);
                     }
                     for (String path : new String[] {"/policy/changes/unknown", "/policy/nothing"}) {
-                        operator.looks(path);
+                        operator.get(path);
                     }
                 }));
     }
