--- a/src/main/java/laneflow/policy/PolicyAgent.java
+++ b/src/main/java/laneflow/policy/PolicyAgent.java
@@ -59,14 +59,14 @@
     private final SplittableRandom random;
     private final LongSupplier clock;
     private final Lease lease = new Lease();
-    private final Deadline renewal;
+    private final Deadline renewalTimer;
     /** Policies read, by number; the configuration file's own is ready from the start. */
     private final TreeMap<Long, PolicyTypes.Prepared> prepared = new TreeMap<>();
 
     private final Set<Long> contentRequested = new HashSet<>();
     private final Map<String, Long> skippedUntil = new LinkedHashMap<>();
     private RenewalExtensions extensions = new RenewalExtensions(List.of());
-    /** Null where this process does not vote. */
+    /** Null if this process does not vote. */
     private Leadership leadership;
 
     private String leader = "";
@@ -107,19 +107,19 @@
             Runnable requestTallies) {}
 
     /** Creates an agent without a lease. */
-    PolicyAgent(Dependencies parts, LeaseGate gate) {
-        loop = parts.loop();
-        fleet = parts.fleet();
-        counters = parts.counters();
-        config = parts.config();
-        types = parts.types();
-        reader = parts.reader();
-        clock = parts.clock();
-        requestTallies = parts.requestTallies();
+    PolicyAgent(Dependencies deps, LeaseGate gate) {
+        loop = deps.loop();
+        fleet = deps.fleet();
+        counters = deps.counters();
+        config = deps.config();
+        types = deps.types();
+        reader = deps.reader();
+        clock = deps.clock();
+        requestTallies = deps.requestTallies();
         this.gate = gate;
         voterNames = new ArrayList<>(config.voters);
-        random = new SplittableRandom(parts.seed());
-        renewal = loop.deadlines().create(this::renew);
+        random = new SplittableRandom(deps.seed());
+        renewalTimer = loop.deadlines().create(this::renew);
         prepared.put(0L, types.read(new JsonObject()));
     }
 
@@ -276,7 +276,7 @@
         long period = config.leaseMicros / RENEWALS_PER_LEASE;
         loop.deadlines()
                 .set(
-                        renewal,
+                        renewalTimer,
                         loop.micros() + period * 17 / 20,
                         loop.micros() + period * 9 / 10 + random.nextLong(1 + period / 10));
         reportLeaseLoss();
@@ -314,7 +314,7 @@
      */
     void renewNow() {
         if (!stopped) {
-            loop.deadlines().set(renewal, loop.micros());
+            loop.deadlines().set(renewalTimer, loop.micros());
         }
     }
 
@@ -502,7 +502,7 @@
             return;
         }
         stopped = true;
-        loop.deadlines().cancel(renewal);
+        loop.deadlines().cancel(renewalTimer);
         if (leadership != null && leadership.isLeader()) {
             leadership.onSchedulerLeft(fleet.self().who());
             return;
--- a/src/main/java/laneflow/policy/PolicyApi.java
+++ b/src/main/java/laneflow/policy/PolicyApi.java
@@ -29,7 +29,7 @@
     private final Counters counters;
     /** Names of ledger parts, whose own proposals carry them: operators can't use them. */
     private final Set<String> reservedProposers;
-    /** Null where this process does not vote. */
+    /** Null if this process does not vote. */
     private Leadership leadership;
 
     PolicyApi(
--- a/src/main/java/laneflow/policy/PolicySubsystem.java
+++ b/src/main/java/laneflow/policy/PolicySubsystem.java
@@ -32,7 +32,7 @@
     private final LeaseGate gate;
     private final RenewalExtensions extensions;
     private PolicyApi api;
-    /** Null where this process does not vote. */
+    /** Null if this process does not vote. */
     private volatile RaftVoter voter;
 
     private volatile boolean closed;
--- a/src/main/java/laneflow/policy/RaftVoter.java
+++ b/src/main/java/laneflow/policy/RaftVoter.java
@@ -209,12 +209,12 @@
     }
 
     /**
-     * A follower of this library (0.7) that receives a leader's message during its own pre-vote keeps that
-     * pre-vote open, and while it is open the follower's leader timeout never fires: restarted voters did not
-     * elect a new leader for as long as one waited. Moreover, all followers time out at once and split their
-     * votes. So a silent leader is detected here, by one voter after the other and before the library does
-     * it, and an election is started with the message by which a leader transfers its leadership. An election
-     * without a pre-vote is as safe.
+     * Starts an election when the leader is silent, before the library's own timeout does. A follower of this
+     * library (0.7) that receives a leader's message during its own pre-vote keeps that pre-vote open, and
+     * while it is open the follower's leader timeout never fires: restarted voters did not elect a new leader
+     * for as long as one waited. Moreover, all followers time out at once and split their votes. Here one
+     * voter after the other times out, and the election is started with the message by which a leader
+     * transfers its leadership. An election without a pre-vote is as safe.
      */
     private void watchLeader() {
         RaftEndpoint leader = node.getTerm().getLeaderEndpoint();
@@ -240,9 +240,9 @@
 
     private void checkLeader(RaftEndpoint leader, long now, boolean stalled) {
         if (stalled || leads || leader == null || node.getStatus() != RaftNodeStatus.ACTIVE) {
-            onLeaderHeard(now);
+            resetLeaderTimeout(now);
         } else if (now - leaderLastHeardNs > leaderTimeoutNs) {
-            onLeaderHeard(now);
+            resetLeaderTimeout(now);
             node.getReport().whenComplete((response, failed) -> {
                 if (failed == null) {
                     RaftNodeReport report = response.getResult();
@@ -260,7 +260,7 @@
         }
     }
 
-    private void onLeaderHeard(long now) {
+    private void resetLeaderTimeout(long now) {
         leaderLastHeardNs = now;
         leaderTimeoutNs = (long) (leaseNs * (FIRST_TIMEOUT_LEASES + TIMEOUT_SPREAD_LEASES * timeoutRank()));
     }
@@ -316,7 +316,7 @@
                     return;
                 }
                 if (decoded instanceof AppendEntriesRequest || decoded instanceof InstallSnapshotRequest) {
-                    onLeaderHeard(System.nanoTime());
+                    resetLeaderTimeout(System.nanoTime());
                 } else if (isVoteOfRemoved(decoded)) {
                     if (leads) {
                         runOnLoop(() -> sender.accept(from, removedMessage(decoded.getSender())));
@@ -331,8 +331,9 @@
     }
 
     /**
-     * A removed voter that has not learnt of its removal times out: its vote requests would only unseat a
-     * working leader. Only the leader knows the members for sure, and tells the removed voter.
+     * True for a vote request of a removed voter. A voter that has not learnt of its removal times out, and
+     * its requests would only unseat a working leader. Only the leader knows the members for sure, and tells
+     * the removed voter.
      */
     private boolean isVoteOfRemoved(RaftMessage message) {
         return (message instanceof VoteRequest || message instanceof PreVoteRequest)
@@ -397,15 +398,15 @@
                     Optional<RaftEndpoint> former = now.getMembers().stream()
                             .filter(one -> ((VoterId) one).name().equals(voter.name()) && !one.equals(voter))
                             .findFirst();
-                    CompletableFuture<Long> removed = former.isEmpty()
+                    CompletableFuture<Long> changed = former.isEmpty()
                             ? CompletableFuture.completedFuture(now.getLogIndex())
                             : changeMembership(former.get(), MembershipChangeMode.REMOVE_MEMBER, now.getLogIndex());
                     if (!now.getMembers().contains(voter)) {
-                        removed = removed.thenCompose(
+                        changed = changed.thenCompose(
                                 index -> changeMembership(voter, MembershipChangeMode.ADD_LEARNER, index));
                     }
                     reportOutcome(
-                            removed.thenCompose(index ->
+                            changed.thenCompose(index ->
                                     changeMembership(voter, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, index)),
                             callback);
                 },
@@ -420,11 +421,11 @@
                                 voter,
                                 MembershipChangeMode.REMOVE_MEMBER,
                                 node.getCommittedMembers().getLogIndex()),
-                        why -> {
-                            if (why == null) {
+                        reason -> {
+                            if (reason == null) {
                                 sender.accept(voter.name(), removedMessage(voter));
                             }
-                            callback.accept(why);
+                            callback.accept(reason);
                         }),
                 () -> callback.accept("this process is stopping"));
     }
