--- a/src/main/java/laneflow/policy/Leadership.java
+++ b/src/main/java/laneflow/policy/Leadership.java
@@ -95,7 +95,7 @@
                 onSchedulerLeft(message.get("who").getAsString());
             }
         });
-        fleet.watch(peer -> group.onLinksChanged(), peer -> {
+        fleet.onLinkChange(peer -> group.onLinksChanged(), peer -> {
             group.onLinksChanged();
             routes.values().removeIf(route -> route == peer);
         });
@@ -159,7 +159,7 @@
     /** Handles the extensions' data of this process's own renewal, sent at that instant. */
     void renewExtensions(long renewalSentAt) {
         if (state != null) {
-            extensions.renewLocally(fleet.self().who(), renewalSentAt, policy::now);
+            extensions.renewLocally(fleet.self().id(), renewalSentAt, policy::now);
         }
     }
 
@@ -252,7 +252,7 @@
 
     /** Handles this process's own renewal; null if there is no grant for it. */
     Grant onRenewal(Renewal own, JsonArray tallies) {
-        String processId = fleet.self().who();
+        String processId = fleet.self().id();
         trial.onTallies(processId, tallies);
         state.onRenewal(policy.now(), processId, own);
         step();
@@ -275,7 +275,7 @@
     /** Forwards the leader's message to a scheduler that is linked to this voter. */
     void forwardToScheduler(JsonObject message) {
         String processId = message.get("for").getAsString();
-        Peer peer = fleet.accepted(processId);
+        Peer peer = fleet.acceptedPeer(processId);
         if (peer != null) {
             peer.send(message);
         }
@@ -311,7 +311,7 @@
         message.addProperty("for", processId);
         message.addProperty("number", number);
         message.addProperty("policy", text);
-        if (processId.equals(fleet.self().who())) {
+        if (processId.equals(fleet.self().id())) {
             policy.onContent(message);
         } else if (routes.containsKey(processId)) {
             counters.add("policy.contents_sent");
@@ -322,7 +322,7 @@
     void sendGrant(String processId, long renewalSentAt) {
         Grant grant = state == null ? null : state.grant(policy.now(), processId);
         Peer route = routes.get(processId);
-        if (processId.equals(fleet.self().who())) {
+        if (processId.equals(fleet.self().id())) {
             policy.renewNow();
         } else if (grant != null && route != null) {
             JsonObject message =
@@ -506,7 +506,7 @@
             JsonArray awaited = new JsonArray();
             // The membership view only adds an explanation; what is waited for depends on leases alone.
             state.awaitedSchedulers(policy.now()).forEach(processId -> {
-                String described = fleet.described(processId.substring(0, Math.max(0, processId.lastIndexOf('#'))));
+                String described = fleet.description(processId.substring(0, Math.max(0, processId.lastIndexOf('#'))));
                 awaited.add(described.isEmpty() ? processId : processId + " (" + described + ")");
             });
             leadership.add("waits_for", awaited);
--- a/src/main/java/laneflow/policy/LeaseGate.java
+++ b/src/main/java/laneflow/policy/LeaseGate.java
@@ -128,7 +128,7 @@
     }
 
     @Override
-    public long decidesWithin() {
+    public long microsUntilOpen() {
         return stopped || !isSwitchPending() ? Long.MAX_VALUE : microsToSwitch();
     }
 
@@ -137,14 +137,14 @@
      * than now.
      */
     private long microsToSwitch() {
-        return traffic.fresh()
+        return traffic.currentMicros()
                 - traffic.micros()
                 + Math.max(0, published.lease().nextStart() - clock.getAsLong())
                 + 1;
     }
 
     @Override
-    public double comeBack() {
+    public double retryAfter() {
         return retryAfterSeconds;
     }
 
--- a/src/main/java/laneflow/policy/PolicyAgent.java
+++ b/src/main/java/laneflow/policy/PolicyAgent.java
@@ -125,9 +125,9 @@
 
     /** A process's clock for leases: monotonic, not cached, callable on any thread. */
     static LongSupplier clock(Loop loop, double rate) {
-        long origin = loop.fresh();
+        long origin = loop.currentMicros();
         return () -> {
-            long passed = loop.fresh() - origin;
+            long passed = loop.currentMicros() - origin;
             return origin + (rate == 1 ? passed : (long) (passed * rate));
         };
     }
@@ -137,7 +137,7 @@
         leadership = ownLeadership;
         fleet.handle("grant", this::onGrant);
         fleet.handle("content", (from, message) -> onContent(message));
-        fleet.watch(
+        fleet.onLinkChange(
                 peer -> {
                     if (decidingPolicy() < 0) {
                         renewNow();
@@ -300,7 +300,7 @@
         if (peer != null) {
             unanswered++;
             JsonObject message = PolicyMessages.renewal(buildRenewal());
-            message.addProperty("who", fleet.self().who());
+            message.addProperty("who", fleet.self().id());
             message.addProperty("at", now());
             message.add("tallies", tallies);
             extensions.addRenewalData(message);
@@ -364,7 +364,7 @@
 
     /** Handles a grant that came over a link. */
     private void onGrant(Peer from, JsonObject message) {
-        if (!message.get("for").getAsString().equals(fleet.self().who())) {
+        if (!message.get("for").getAsString().equals(fleet.self().id())) {
             if (leadership != null) {
                 leadership.forwardToScheduler(message);
             }
@@ -431,7 +431,7 @@
         contentRequested.add(number);
         JsonObject message = new JsonObject();
         message.addProperty("t", "want");
-        message.addProperty("who", fleet.self().who());
+        message.addProperty("who", fleet.self().id());
         message.addProperty("number", number);
         Peer peer = renewalTarget();
         if (leadership != null && leadership.isLeader()) {
@@ -450,7 +450,7 @@
     /** Handles a policy's content: it is read on another thread, and the next renewal reports the result. */
     void onContent(JsonObject message) {
         if (message.has("for")
-                && !message.get("for").getAsString().equals(fleet.self().who())) {
+                && !message.get("for").getAsString().equals(fleet.self().id())) {
             if (leadership != null) {
                 leadership.forwardToScheduler(message);
             }
@@ -504,12 +504,12 @@
         stopped = true;
         loop.deadlines().cancel(renewalTimer);
         if (leadership != null && leadership.isLeader()) {
-            leadership.onSchedulerLeft(fleet.self().who());
+            leadership.onSchedulerLeft(fleet.self().id());
             return;
         }
         JsonObject message = new JsonObject();
         message.addProperty("t", "left");
-        message.addProperty("who", fleet.self().who());
+        message.addProperty("who", fleet.self().id());
         Peer peer = fleet.peer(leader);
         if (peer != null) {
             peer.send(message);
@@ -528,7 +528,7 @@
         long deciding = decidingPolicy();
         JsonObject report = new JsonObject();
         report.addProperty("scheduler", fleet.self().name());
-        report.addProperty("life", fleet.self().life());
+        report.addProperty("life", fleet.self().instance());
         report.addProperty(
                 "state",
                 deciding >= 0
--- a/src/main/java/laneflow/policy/PolicySubsystem.java
+++ b/src/main/java/laneflow/policy/PolicySubsystem.java
@@ -78,14 +78,14 @@
         Scheduler scheduler = deps.scheduler();
         traffic = deps.traffic();
         LongSupplier clock = PolicyAgent.clock(loop, deps.clockRate());
-        gate = new LeaseGate(traffic, scheduler.counters(), scheduler::retuned, config, clock, this::onAdopted);
+        gate = new LeaseGate(traffic, scheduler.counters(), scheduler::settingsChanged, config, clock, this::onAdopted);
         policy = new PolicyAgent(
                 new PolicyAgent.Dependencies(
                         loop,
                         fleet,
                         deps.counters(),
                         config,
-                        deps.types().apply(new BansType(scheduler::bar)),
+                        deps.types().apply(new BansType(scheduler::ban)),
                         deps.reading(),
                         deps.seed(),
                         clock,
@@ -106,7 +106,7 @@
             }
         }
         OpenedStore opened = openedStore;
-        traffic.call(() -> scheduler.decideWhile(gate));
+        traffic.call(() -> scheduler.setAdmissionGate(gate));
         loop.call(() -> {
             Leadership leadership = opened == null ? null : startVoter(deps, opened);
             api = new PolicyApi(
@@ -133,7 +133,7 @@
     /** Reads the counts on the traffic thread, which owns them. */
     private void readTallies(Scheduler scheduler) {
         JsonArray tallies = new JsonArray();
-        for (long[] row : scheduler.tallies()) {
+        for (long[] row : scheduler.countsByClass()) {
             JsonArray counts = new JsonArray();
             for (long count : row) {
                 counts.add(count);
--- a/src/main/java/laneflow/policy/VoterGroup.java
+++ b/src/main/java/laneflow/policy/VoterGroup.java
@@ -96,7 +96,7 @@
     /** Called on the loop when a link has come up or gone down. */
     void onLinksChanged() {
         Set<String> names = new TreeSet<>();
-        for (String name : fleet.dialled()) {
+        for (String name : fleet.dialledNames()) {
             if (fleet.peer(name) != null) {
                 names.add(name);
             }
@@ -129,7 +129,7 @@
     }
 
     private void announce() {
-        for (String name : fleet.dialled()) {
+        for (String name : fleet.dialledNames()) {
             Peer peer = fleet.peer(name);
             if (peer != null) {
                 peer.send(announcement());
--- a/src/test/java/laneflow/transcripts/PolicyTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/PolicyTranscriptsTest.java
@@ -22,7 +22,7 @@
 
     /** The exchanges with a scheduler that decides by its first policy. */
     private interface Scenario {
-        void run(Operator operator, Party client, Endpoint endpoint) throws Exception;
+        void run(Operator operator, RecordedPeer client, Endpoint endpoint) throws Exception;
     }
 
     private void withDecidingScheduler(Transcript transcript, Scenario scenario) throws Exception {
@@ -43,7 +43,7 @@
                     "it decides",
                     () -> raw(fleet, "/policy").contains("\"state\":\"deciding\""),
                     () -> raw(fleet, "/policy"));
-            try (Party client = new Party(
+            try (RecordedPeer client = new RecordedPeer(
                     transcript,
                     "client",
                     Stand.peer("127.0.0.1", serve.front().address().getPort()))) {
@@ -96,7 +96,7 @@
         }
 
         private void send(String request) throws IOException {
-            try (Party operator = new Party(transcript, "operator", Stand.peer("127.0.0.1", fleet))) {
+            try (RecordedPeer operator = new RecordedPeer(transcript, "operator", Stand.peer("127.0.0.1", fleet))) {
                 operator.write(request).message();
             }
         }
@@ -116,9 +116,9 @@
                     operator.awaitState("no-bans", "applied");
                     operator.awaitPolicy(2);
                     client.post("capture", "2", "", "pay");
-                    Party call = new Party(transcript, "e1", endpoint.accept());
+                    RecordedPeer call = new RecordedPeer(transcript, "e1", endpoint.accept());
                     call.message();
-                    call.says("{'id':'2','state':'done','result':'paid'}");
+                    call.reply("{'id':'2','state':'done','result':'paid'}");
                     client.message();
                 }));
     }
@@ -132,9 +132,9 @@
                             + "\"repeat\":\"safe\"},{\"name\":\"capture\",\"repeat\":\"safe\"}]}}");
                     operator.awaitState("capture-safe", "abandoned");
                     client.post("capture", "1", "", "pay");
-                    Party call = new Party(transcript, "e1", endpoint.accept());
+                    RecordedPeer call = new RecordedPeer(transcript, "e1", endpoint.accept());
                     call.message();
-                    call.says("{'id':'1','state':'done','result':'paid'}");
+                    call.reply("{'id':'1','state':'done','result':'paid'}");
                     client.message();
                 }));
     }
