--- a/src/main/java/laneflow/policy/PolicySubsystem.java
+++ b/src/main/java/laneflow/policy/PolicySubsystem.java
@@ -70,24 +70,24 @@
      * Opens the store of votes, if this process has one, and starts. From here on the scheduler decides only
      * under a lease. A store that can't be used costs the vote, not the service.
      */
-    public PolicySubsystem(Dependencies deps) throws InterruptedException {
-        loop = deps.loop();
-        extensions = new RenewalExtensions(deps.extensions());
-        PolicyConfig config = deps.config();
-        Fleet fleet = deps.fleet();
-        Scheduler scheduler = deps.scheduler();
-        traffic = deps.traffic();
-        LongSupplier clock = PolicyAgent.clock(loop, deps.clockRate());
+    public PolicySubsystem(Dependencies given) throws InterruptedException {
+        loop = given.loop();
+        extensions = new RenewalExtensions(given.extensions());
+        PolicyConfig config = given.config();
+        Fleet fleet = given.fleet();
+        Scheduler scheduler = given.scheduler();
+        traffic = given.traffic();
+        LongSupplier clock = PolicyAgent.clock(loop, given.clockRate());
         gate = new LeaseGate(traffic, scheduler.counters(), scheduler::settingsChanged, config, clock, this::onAdopted);
         policy = new PolicyAgent(
                 new PolicyAgent.Dependencies(
                         loop,
                         fleet,
-                        deps.counters(),
+                        given.counters(),
                         config,
-                        deps.types().apply(new BansType(scheduler::ban)),
-                        deps.reading(),
-                        deps.seed(),
+                        given.types().apply(new BansType(scheduler::ban)),
+                        given.reading(),
+                        given.seed(),
                         clock,
                         () -> runOn(traffic, () -> readTallies(scheduler))),
                 gate);
@@ -95,34 +95,34 @@
         boolean storeLocked = false;
         if (config.dir != null) {
             try {
-                openedStore = openStore(deps);
+                openedStore = openStore(given);
             } catch (VoteStore.StoreLockedException e) {
-                storeLocked = deps.upgrade();
+                storeLocked = given.upgrade();
                 if (!storeLocked) {
-                    reportVoteLost(deps, e);
+                    reportVoteLost(given, e);
                 }
             } catch (IOException e) {
-                reportVoteLost(deps, e);
+                reportVoteLost(given, e);
             }
         }
         OpenedStore opened = openedStore;
         traffic.call(() -> scheduler.setAdmissionGate(gate));
         loop.call(() -> {
-            Leadership leadership = opened == null ? null : startVoter(deps, opened);
+            Leadership leadership = opened == null ? null : startVoter(given, opened);
             api = new PolicyApi(
-                    fleet, policy, deps.counters(), deps.ledgerParts().keySet(), leadership);
+                    fleet, policy, given.counters(), given.ledgerParts().keySet(), leadership);
             policy.attach(extensions);
             policy.start(leadership);
         });
         if (storeLocked) {
             LOG.info("policy: voting starts when the previous process has ended");
-            Threads.daemon(() -> waitForStore(deps), "policy-store").start();
+            Threads.daemon(() -> waitForStore(given), "policy-store").start();
         }
     }
 
-    private static void reportVoteLost(Dependencies deps, IOException cause) {
+    private static void reportVoteLost(Dependencies given, IOException cause) {
         LOG.error("policy: this process does not vote: {}", cause.getMessage());
-        deps.counters().set("policy.vote_lost", 1);
+        given.counters().set("policy.vote_lost", 1);
     }
 
     /** Called on the traffic thread. */
@@ -155,14 +155,14 @@
      * Waits, during an upgrade, until the previous process ends and releases the store. Runs on a thread of
      * its own.
      */
-    private void waitForStore(Dependencies deps) {
+    private void waitForStore(Dependencies given) {
         while (!closed) {
             OpenedStore opened = null;
             try {
-                opened = openStore(deps);
+                opened = openStore(given);
                 OpenedStore openedStore = opened;
                 loop.call(() -> {
-                    Leadership leadership = startVoter(deps, openedStore);
+                    Leadership leadership = startVoter(given, openedStore);
                     policy.becomeVoter(leadership);
                     api.becomeVoter(leadership);
                 });
@@ -170,7 +170,7 @@
             } catch (VoteStore.StoreLockedException e) {
                 LOG.debug("the store is still locked", e);
             } catch (IOException e) {
-                loop.later(() -> reportVoteLost(deps, e));
+                loop.later(() -> reportVoteLost(given, e));
                 return;
             } catch (InterruptedException | RejectedExecutionException e) {
                 close(opened.store());
@@ -183,8 +183,9 @@
     /** A store of votes with the state that an earlier process left in it, or null. */
     private record OpenedStore(VoteStore store, RestoredRaftState restored) {}
 
-    private static OpenedStore openStore(Dependencies deps) throws IOException {
-        VoteStore store = VoteStore.open(deps.config().dir, deps.fleet().self().name());
+    private static OpenedStore openStore(Dependencies given) throws IOException {
+        VoteStore store =
+                VoteStore.open(given.config().dir, given.fleet().self().name());
         try {
             return new OpenedStore(store, store.restored());
         } catch (IOException e) {
@@ -193,13 +194,13 @@
         }
     }
 
-    private Leadership startVoter(Dependencies deps, OpenedStore opened) {
+    private Leadership startVoter(Dependencies given, OpenedStore opened) {
         VoterGroup[] group = new VoterGroup[1];
         Leadership[] leadership = new Leadership[1];
         voter = new RaftVoter(
                 opened.store(),
-                new Ledger(deps.ledgerParts()),
-                deps.config().leaseMicros,
+                new Ledger(given.ledgerParts()),
+                given.config().leaseMicros,
                 loop::later,
                 (to, message) -> group[0].send(to, message),
                 new RaftVoter.Listener() {
@@ -218,16 +219,16 @@
                         leadership[0].onRemoved();
                     }
                 });
-        group[0] = new VoterGroup(loop, deps.fleet(), deps.config(), deps.counters(), voter);
+        group[0] = new VoterGroup(loop, given.fleet(), given.config(), given.counters(), voter);
         leadership[0] = new Leadership(
                 loop,
-                deps.fleet(),
-                deps.config(),
-                deps.counters(),
+                given.fleet(),
+                given.config(),
+                given.counters(),
                 voter,
                 group[0],
                 policy,
-                new FleetTrial(deps.classes(), deps.config().trialMicros, deps.config().maxWorsening),
+                new FleetTrial(given.classes(), given.config().trialMicros, given.config().maxWorsening),
                 extensions);
         leadership[0].start();
         group[0].start(opened.restored());
