--- a/src/main/java/laneflow/maintenance/decision/WindowLedger.java
+++ b/src/main/java/laneflow/maintenance/decision/WindowLedger.java
@@ -283,12 +283,12 @@
     // ---- beside changes of policy ----
 
     @Override
-    public void changed(Ledger.View now) {
+    public void onPolicyChanged(Ledger.View now) {
         inForce = now.inForce();
         bans = names(now.merged());
         undecided = now.open() != null;
         undecidedBans = undecided ? names(now.openMerged()) : Set.of();
-        if (undecided && now.open().by().equals(NAME)) {
+        if (undecided && now.open().proposer().equals(NAME)) {
             // What operators ban already stays theirs, and stays banned behind the window.
             undecidedBans.stream().filter(name -> !bans.contains(name)).forEach(own::add);
         }
@@ -314,7 +314,7 @@
     }
 
     @Override
-    public String against(JsonObject types, JsonObject merged) {
+    public String rejectionReason(JsonObject types, JsonObject merged) {
         if (!types.has(BANS)) {
             return null;
         }
--- a/src/main/java/laneflow/policy/Leadership.java
+++ b/src/main/java/laneflow/policy/Leadership.java
@@ -14,8 +14,8 @@
 import laneflow.fleet.Peer;
 import laneflow.net.Loop;
 import laneflow.policy.decision.Grant;
-import laneflow.policy.decision.Lead;
-import laneflow.policy.decision.Lead.Step;
+import laneflow.policy.decision.LeaderState;
+import laneflow.policy.decision.LeaderState.Step;
 import laneflow.policy.decision.Ledger;
 import laneflow.policy.decision.Ledger.View;
 import laneflow.policy.decision.Renewal;
@@ -23,203 +23,210 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A voter's part besides voting: while it leads it has a majority confirm that, hears the schedulers'
- * renewals, grants leases, and carries changes through; while it does not lead it passes renewals on to the
- * voter that does. On the loop's thread.
+ * A voter's duties beyond Raft. As leader it has a majority confirm its leadership, handles the schedulers'
+ * renewals, grants leases and carries changes through; otherwise it forwards renewals to the leader. On the
+ * loop's thread.
  */
 final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
-    /** So end reasons that pass by themselves. */
-    static final String ASK_AGAIN = "; ask again";
+    /** Ends the reasons of failures that are temporary; {@link PolicyApi} answers those with 503. */
+    static final String RETRY_SUFFIX = "; ask again";
 
-    private static final int ROUNDS_A_LEASE = 4;
-    private static final int QUIET_PARTS = 2;
+    private static final int CONFIRMATIONS_PER_LEASE = 4;
+    private static final int SILENCE_LEASE_DIVISOR = 2;
 
     private final Loop loop;
     private final Fleet fleet;
     private final PolicyConfig config;
     private final Counters counters;
-    private final Voting voting;
+    private final RaftVoter voter;
     private final VoterGroup group;
-    private final Policy policy;
+    private final PolicyAgent policy;
     private final FleetTrial trial;
-    private final RenewalExtensions riders;
-    private final Deadline round;
-    private final Deadline look;
-    /** How each scheduler is reached: by the link of its last renewal. */
+    private final RenewalExtensions extensions;
+    private final Deadline confirmTimer;
+    private final Deadline stepTimer;
+    /** The link on which each scheduler's last renewal came; grants go back on it. */
     private final Map<String, Peer> routes = new HashMap<>();
 
     private final Map<Long, String> contents = new LinkedHashMap<>();
-    private Lead lead;
+    private LeaderState state;
     private View view;
     private int term;
     private String leader = "";
     private Set<String> voters = Set.of();
-    /** By which names they go; each grant tells. */
+    /** The voters' names, sent with each grant. */
     private JsonArray voterNames = new JsonArray();
 
-    private boolean looking;
-    private boolean lookAgain;
+    private boolean confirming;
+    private boolean confirmAgain;
     private boolean stopped;
-    /** The store that this leader has last asked to begin. */
-    private String invited = "";
+    /** Id of the store that this leader last invited to start voting. */
+    private String invitedStore = "";
 
     Leadership(
             Loop loop,
             Fleet fleet,
             PolicyConfig config,
             Counters counters,
-            Voting voting,
+            RaftVoter voter,
             VoterGroup group,
-            Policy policy,
+            PolicyAgent policy,
             FleetTrial trial,
-            RenewalExtensions riders) {
+            RenewalExtensions extensions) {
         this.loop = loop;
         this.fleet = fleet;
         this.config = config;
         this.counters = counters;
-        this.voting = voting;
+        this.voter = voter;
         this.group = group;
         this.policy = policy;
         this.trial = trial;
-        this.riders = riders;
-        round = loop.deadlines().create(this::confirm);
-        look = loop.deadlines().create(this::step);
+        this.extensions = extensions;
+        confirmTimer = loop.deadlines().create(this::confirm);
+        stepTimer = loop.deadlines().create(this::step);
     }
 
-    void begin() {
-        fleet.handle("renew", this::renewed);
-        fleet.handle("want", (from, message) -> wanted(from, message));
+    void start() {
+        fleet.handle("renew", this::onRenewal);
+        fleet.handle("want", (from, message) -> onContentRequest(from, message));
         fleet.handle("left", (from, message) -> {
-            if (!passOn(message)) {
-                left(message.get("who").getAsString());
+            if (!forwardToLeader(message)) {
+                onSchedulerLeft(message.get("who").getAsString());
             }
         });
-        fleet.onLinkChange(peer -> group.linked(), peer -> {
-            group.linked();
+        fleet.onLinkChange(peer -> group.onLinksChanged(), peer -> {
+            group.onLinksChanged();
             routes.values().removeIf(route -> route == peer);
         });
     }
 
-    // ---- who leads ----
+    // ---- leadership ----
 
-    void role(int now, boolean leads, String who, Set<String> members) {
-        term = now;
-        voters = members;
+    void onRole(int newTerm, boolean leads, String newLeader, Set<String> newVoters) {
+        term = newTerm;
+        voters = newVoters;
         voterNames = new JsonArray();
-        members.forEach(id -> voterNames.add(VoterId.parse(id).name()));
-        group.members(members);
-        if (!who.equals(leader)) {
-            leader = who;
-            LOG.info("policy: term {}, led by {}", now, who.isEmpty() ? "nobody yet" : who);
+        newVoters.forEach(id -> voterNames.add(VoterId.parse(id).name()));
+        group.onVoters(newVoters);
+        if (!newLeader.equals(leader)) {
+            leader = newLeader;
+            LOG.info("policy: term {}, leader {}", newTerm, newLeader.isEmpty() ? "none yet" : newLeader);
         }
         if (!leads) {
-            lead = null;
-            riders.leadsNoMore();
-        } else if (lead == null || lead.term() != now) {
+            state = null;
+            extensions.onLeadershipLost();
+        } else if (state == null || state.term() != newTerm) {
             counters.add("policy.elected");
-            lead = new Lead(
-                    now, policy.now(), new Lead.Times(config.lease, config.lease / QUIET_PARTS, config.prepare));
+            state = new LeaderState(
+                    newTerm,
+                    policy.now(),
+                    new LeaderState.Times(
+                            config.leaseMicros, config.leaseMicros / SILENCE_LEASE_DIVISOR, config.prepareMicros));
             view = null;
-            trial.begin(policy.now());
-            riders.leads(now);
+            trial.start(policy.now());
+            extensions.onElected(newTerm);
             confirm();
         }
     }
 
-    void stopped(String why) {
-        if (end()) {
+    void onStopped(String reason) {
+        if (stopVoting()) {
             counters.set("policy.vote_lost", 1);
-            LOG.error("policy: this process votes no more: {}", why);
+            LOG.error("policy: this process has stopped voting: {}", reason);
         }
     }
 
-    void takenOut() {
-        if (end()) {
-            LOG.info("policy: taken out, this process votes no more");
+    void onRemoved() {
+        if (stopVoting()) {
+            LOG.info("policy: removed from the voters, this process has stopped voting");
         }
     }
 
-    /** True the first time. */
-    private boolean end() {
+    /** Returns true on the first call. */
+    private boolean stopVoting() {
         boolean first = !stopped;
         stopped = true;
-        lead = null;
-        riders.leadsNoMore();
-        // It hears of no election any more: who leads is known from leases, as by those that do not vote.
+        state = null;
+        extensions.onLeadershipLost();
+        // It learns of no more elections: like a scheduler that does not vote, it knows the leader from its
+        // grants.
         leader = "";
         voters = Set.of();
         return first;
     }
 
-    /** What rides on this process's own renewal, asked at that instant. */
-    void ride(long asked) {
-        if (lead != null) {
-            riders.ride(fleet.self().id(), asked, policy::now);
+    /** Handles the extensions' data of this process's own renewal, sent at that instant. */
+    void renewExtensions(long renewalSentAt) {
+        if (state != null) {
+            extensions.renewLocally(fleet.self().id(), renewalSentAt, policy::now);
         }
     }
 
-    boolean leads() {
-        return lead != null;
+    boolean isLeader() {
+        return state != null;
     }
 
-    /** True where schedulers' counts are wanted with their renewals. */
-    boolean tries() {
-        return trial.isOn();
+    /** True if schedulers must send their counts with renewals. */
+    boolean needsTallies() {
+        return trial.isEnabled();
     }
 
-    /** Has a majority say that this is still the leader, and what holds. */
+    /** Has a majority confirm that this is still the leader, and reads the state as of then. */
     private void confirm() {
-        if (lead == null || stopped) {
+        if (state == null || stopped) {
             return;
         }
-        long every = config.lease / ROUNDS_A_LEASE;
-        loop.deadlines().set(round, loop.micros() + every * 9 / 10, loop.micros() + every);
-        if (looking) {
-            lookAgain = true;
+        long every = config.leaseMicros / CONFIRMATIONS_PER_LEASE;
+        loop.deadlines().set(confirmTimer, loop.micros() + every * 9 / 10, loop.micros() + every);
+        if (confirming) {
+            confirmAgain = true;
             return;
         }
-        looking = true;
-        Lead of = lead;
-        long submitted = policy.now();
-        voting.look(of.term(), ledger -> new Seen(ledger.view(), riders.parts(ledger)), found -> {
-            looking = false;
-            boolean again = lookAgain;
-            lookAgain = false;
-            if (lead == of && found instanceof Seen seen) {
-                confirmed(submitted, seen.changes());
-                if (lead == of) {
-                    riders.confirmed(submitted, seen.parts());
-                }
-            }
-            if (again) {
-                confirm();
-            }
-        });
+        confirming = true;
+        LeaderState confirmed = state;
+        long submittedAt = policy.now();
+        voter.query(
+                confirmed.term(), ledger -> new ConfirmedState(ledger.view(), extensions.partViews(ledger)), result -> {
+                    confirming = false;
+                    boolean again = confirmAgain;
+                    confirmAgain = false;
+                    if (state == confirmed && result instanceof ConfirmedState seen) {
+                        onConfirmed(submittedAt, seen.view());
+                        if (state == confirmed) {
+                            extensions.onConfirmed(submittedAt, seen.parts());
+                        }
+                    }
+                    if (again) {
+                        confirm();
+                    }
+                });
     }
 
-    /** Both of one moment. */
-    private record Seen(View changes, Map<String, Object> parts) {}
+    /** The state of the changes and of the extensions' parts at one moment. */
+    private record ConfirmedState(View view, Map<String, Object> parts) {}
 
-    private void confirmed(long submitted, View found) {
+    private void onConfirmed(long submittedAt, View confirmedView) {
         View before = view;
-        view = found;
-        lead.confirmed(submitted, found);
-        if (before != null && found.inForce() > before.inForce()) {
-            trial.applied(policy.now(), before, found);
+        view = confirmedView;
+        state.onConfirmed(submittedAt, confirmedView);
+        if (before != null && confirmedView.inForce() > before.inForce()) {
+            trial.onApplied(policy.now(), before, confirmedView);
         }
-        boolean news = before == null
-                || found.inForce() != before.inForce()
-                || (found.open() == null ? 0 : found.open().number())
+        boolean isChanged = before == null
+                || confirmedView.inForce() != before.inForce()
+                || (confirmedView.open() == null ? 0 : confirmedView.open().number())
                         != (before.open() == null ? 0 : before.open().number());
-        if (news) {
+        if (isChanged) {
             contents.clear();
-            contents.put(found.inForce(), found.merged().toString());
-            if (found.open() != null) {
-                contents.put(found.open().number(), found.openMerged().toString());
+            contents.put(confirmedView.inForce(), confirmedView.merged().toString());
+            if (confirmedView.open() != null) {
+                contents.put(
+                        confirmedView.open().number(),
+                        confirmedView.openMerged().toString());
             }
             step();
-            tellAll(found.open() == null ? 0 : found.open().number());
+            broadcast(confirmedView.open() == null ? 0 : confirmedView.open().number());
         } else {
             step();
         }
@@ -227,289 +234,293 @@
 
     // ---- schedulers ----
 
-    private void renewed(Peer from, JsonObject message) {
-        if (passOn(message)) {
+    private void onRenewal(Peer from, JsonObject message) {
+        if (forwardToLeader(message)) {
             return;
         }
-        if (lead == null) {
+        if (state == null) {
             return;
         }
-        String who = message.get("who").getAsString();
-        routes.put(who, from);
-        trial.heard(who, message.getAsJsonArray("tallies"));
-        lead.heard(policy.now(), who, Words.renewal(message));
+        String processId = message.get("who").getAsString();
+        routes.put(processId, from);
+        trial.onTallies(processId, message.getAsJsonArray("tallies"));
+        state.onRenewal(policy.now(), processId, PolicyMessages.renewal(message));
         step();
-        riders.heard(who, message);
-        tell(who, message.get("at").getAsLong());
+        extensions.onRenewal(processId, message);
+        sendGrant(processId, message.get("at").getAsLong());
     }
 
-    /** This process's own renewal; null where there is no answer to it. */
-    Grant renewed(Renewal own, JsonArray tallies) {
-        String who = fleet.self().id();
-        trial.heard(who, tallies);
-        lead.heard(policy.now(), who, own);
+    /** Handles this process's own renewal; null if there is no grant for it. */
+    Grant onRenewal(Renewal own, JsonArray tallies) {
+        String processId = fleet.self().id();
+        trial.onTallies(processId, tallies);
+        state.onRenewal(policy.now(), processId, own);
         step();
-        return lead == null ? null : lead.grant(policy.now(), who);
+        return state == null ? null : state.grant(policy.now(), processId);
     }
 
-    /** Passes a scheduler's word on to the voter that leads; true unless it is for this one. */
-    private boolean passOn(JsonObject message) {
-        if (lead != null) {
+    /** Forwards a scheduler's message to the leader; false if this process is the leader. */
+    private boolean forwardToLeader(JsonObject message) {
+        if (state != null) {
             return false;
         }
-        Peer to = fleet.peer(leader());
-        if (to != null && !message.has("passed")) {
+        Peer leaderPeer = fleet.peer(leader());
+        if (leaderPeer != null && !message.has("passed")) {
             message.addProperty("passed", fleet.self().name());
-            to.send(message);
+            leaderPeer.send(message);
         }
         return true;
     }
 
-    /** A word of the leader's to a scheduler that came by this voter. */
-    void passBack(JsonObject message) {
-        String who = message.get("for").getAsString();
-        Peer to = fleet.acceptedPeer(who);
-        if (to != null) {
-            to.send(message);
+    /** Forwards the leader's message to a scheduler that is linked to this voter. */
+    void forwardToScheduler(JsonObject message) {
+        String processId = message.get("for").getAsString();
+        Peer peer = fleet.acceptedPeer(processId);
+        if (peer != null) {
+            peer.send(message);
         }
     }
 
-    void left(String who) {
-        if (lead != null) {
-            lead.left(who);
-            riders.left(who);
-            routes.remove(who);
+    void onSchedulerLeft(String processId) {
+        if (state != null) {
+            state.removeScheduler(processId);
+            extensions.onSchedulerLeft(processId);
+            routes.remove(processId);
             step();
         }
     }
 
-    void wanted(Peer from, JsonObject message) {
-        if (passOn(message)) {
+    void onContentRequest(Peer from, JsonObject message) {
+        if (forwardToLeader(message)) {
             return;
         }
-        String who = message.get("who").getAsString();
+        String processId = message.get("who").getAsString();
         if (from != null) {
-            routes.put(who, from);
+            routes.put(processId, from);
         }
-        content(who, message.get("number").getAsLong());
+        sendContent(processId, message.get("number").getAsLong());
     }
 
-    private void content(String who, long number) {
+    private void sendContent(String processId, long number) {
         String text = contents.get(number);
         if (text == null) {
             return;
         }
         JsonObject message = new JsonObject();
         message.addProperty("t", "content");
-        message.addProperty("for", who);
+        message.addProperty("for", processId);
         message.addProperty("number", number);
         message.addProperty("policy", text);
-        if (who.equals(fleet.self().id())) {
-            policy.content(message);
-        } else if (routes.containsKey(who)) {
+        if (processId.equals(fleet.self().id())) {
+            policy.onContent(message);
+        } else if (routes.containsKey(processId)) {
             counters.add("policy.contents_sent");
-            routes.get(who).send(message);
+            routes.get(processId).send(message);
         }
     }
 
-    void tell(String who, long at) {
-        Grant grant = lead == null ? null : lead.grant(policy.now(), who);
-        Peer route = routes.get(who);
-        if (who.equals(fleet.self().id())) {
+    void sendGrant(String processId, long renewalSentAt) {
+        Grant grant = state == null ? null : state.grant(policy.now(), processId);
+        Peer route = routes.get(processId);
+        if (processId.equals(fleet.self().id())) {
             policy.renewNow();
         } else if (grant != null && route != null) {
-            JsonObject message = Words.grant(grant, who, fleet.self().name(), at, voterNames);
-            message.addProperty("trial", trial.isOn());
-            riders.word(message, who, at < 0);
+            JsonObject message =
+                    PolicyMessages.grant(grant, processId, fleet.self().name(), renewalSentAt, voterNames);
+            message.addProperty("trial", trial.isEnabled());
+            extensions.addGrantData(message, processId, renewalSentAt < 0);
             route.send(message);
         }
     }
 
-    /** All schedulers hear how things stand, and the content of what is to be decided. */
-    private void tellAll(long opened) {
-        for (String who : List.copyOf(routes.keySet())) {
-            if (opened > 0) {
-                content(who, opened);
+    /** Sends all schedulers a grant, preceded by the content of the open change, if any. */
+    private void broadcast(long openNumber) {
+        for (String processId : List.copyOf(routes.keySet())) {
+            if (openNumber > 0) {
+                sendContent(processId, openNumber);
             }
-            tell(who, -1);
+            sendGrant(processId, -1);
         }
         policy.renewNow();
     }
 
-    // ---- what follows ----
+    // ---- decisions ----
 
     private void step() {
-        if (lead == null) {
+        if (state == null) {
             return;
         }
-        Step step = lead.step(policy.now());
-        switch (step.ask()) {
-            case APPLY -> ask(Ledger.apply(step.name(), System.currentTimeMillis()));
-            case ABANDON -> ask(Ledger.abandon(step.name(), step.reasons(), System.currentTimeMillis()));
+        Step step = state.step(policy.now());
+        switch (step.operation()) {
+            case APPLY -> replicateDecision(Ledger.apply(step.name(), System.currentTimeMillis()));
+            case ABANDON -> replicateDecision(Ledger.abandon(step.name(), step.reasons(), System.currentTimeMillis()));
             default -> {}
         }
-        if (step.tell()) {
-            tellAll(0);
+        if (step.broadcast()) {
+            broadcast(0);
         }
-        long next = lead.nextLook(policy.now());
+        long next = state.nextCheckAt(policy.now());
         if (next == Long.MAX_VALUE) {
-            loop.deadlines().cancel(look);
+            loop.deadlines().cancel(stepTimer);
         } else {
-            loop.deadlines().set(look, loop.micros() + Math.max(1, next - policy.now()));
+            loop.deadlines().set(stepTimer, loop.micros() + Math.max(1, next - policy.now()));
         }
-        takeBack();
+        rollBackIfWorse();
     }
 
-    /** Puts an operation of another part into the log, and has the state confirmed again. */
-    void replicate(JsonObject operation, Consumer<JsonObject> then) {
-        voting.replicate(operation, answer -> {
-            then.accept(answer);
+    /** Replicates an operation of another ledger part, then has the state confirmed again. */
+    void replicate(JsonObject operation, Consumer<JsonObject> callback) {
+        voter.replicate(operation, answer -> {
+            callback.accept(answer);
             confirm();
         });
     }
 
-    private void ask(JsonObject operation) {
-        Lead of = lead;
-        voting.replicate(operation, answer -> {
-            if (lead == of && answer == null) {
-                // Whether it is in the log is not known: the next look tells, and asking twice does no harm.
-                of.notTaken();
+    private void replicateDecision(JsonObject operation) {
+        LeaderState requester = state;
+        voter.replicate(operation, answer -> {
+            if (state == requester && answer == null) {
+                // Its fate is unknown: the next confirmation shows it, and repeating the request does no
+                // harm.
+                requester.onDecisionFailed();
             }
             confirm();
         });
     }
 
-    private void takeBack() {
-        JsonObject worse = view == null || lead == null ? null : trial.look(policy.now());
-        if (worse != null) {
+    private void rollBackIfWorse() {
+        JsonObject rollback = view == null || state == null ? null : trial.check(policy.now());
+        if (rollback != null) {
             counters.add("policy.taken_back");
             LOG.warn(
-                    "policy: {} is taken back: {}",
-                    worse.get("of").getAsString(),
-                    worse.get("why").getAsString());
+                    "policy: {} is rolled back: {}",
+                    rollback.get("of").getAsString(),
+                    rollback.get("why").getAsString());
             propose(
-                    worse.get("name").getAsString(),
-                    worse.getAsJsonObject("types"),
-                    "the trial: " + worse.get("why").getAsString(),
+                    rollback.get("name").getAsString(),
+                    rollback.getAsJsonObject("types"),
+                    "the trial: " + rollback.get("why").getAsString(),
                     answer -> {});
         }
     }
 
-    // ---- for those who ask ----
+    // ---- requests of operators ----
 
-    /** Proposes a change; the answer is the change as it stands, an error, or null: not known. */
-    void propose(String name, JsonObject types, String by, Consumer<JsonObject> then) {
-        voting.replicate(Ledger.propose(name, types, by, System.currentTimeMillis()), answer -> {
+    /**
+     * Proposes a change; the answer is the change as it then is, an error, or null if the outcome is unknown.
+     */
+    void propose(String name, JsonObject types, String proposer, Consumer<JsonObject> callback) {
+        voter.replicate(Ledger.propose(name, types, proposer, System.currentTimeMillis()), answer -> {
             confirm();
-            then.accept(answer);
+            callback.accept(answer);
         });
     }
 
     /**
-     * Takes a voter in: one that has lost its store, or another; tells null, or why it was not done.
+     * Adds a voter, or replaces one that has lost its store. Answers null on success, else why it failed.
      *
-     * @param anew true if it is one that was a voter
+     * @param replacing true if it was a voter before
      */
-    void takeIn(String name, boolean anew, Consumer<String> then) {
-        String mark = group.mark(name);
-        boolean known = named(name) != null;
-        if (anew && !known && !config.voters.contains(name)) {
-            then.accept("'" + name + "' is no voter; those are " + voters);
-        } else if (!anew && known && !voters.contains(mark)) {
-            then.accept("'" + name + "' is a voter already, and has another store: --replace takes that in");
-        } else if (!anew && !known && voters.size() >= PolicyConfig.MOST_VOTERS) {
-            then.accept(voters.size() + " vote already; take one out first");
-        } else if (mark != null && voters.contains(mark)) {
-            then.accept(name + " votes with this store already");
+    void addVoter(String name, boolean replacing, Consumer<String> callback) {
+        String storeId = group.storeId(name);
+        boolean known = voterNamed(name) != null;
+        if (replacing && !known && !config.voters.contains(name)) {
+            callback.accept("'" + name + "' is not a voter; the voters are " + voters);
+        } else if (!replacing && known && !voters.contains(storeId)) {
+            callback.accept("'" + name + "' is already a voter, with another store: use --replace");
+        } else if (!replacing && !known && voters.size() >= PolicyConfig.MAX_VOTERS) {
+            callback.accept(voters.size() + " voters already; remove one first");
+        } else if (storeId != null && voters.contains(storeId)) {
+            callback.accept(name + " already votes with this store");
         } else if (!group.dial(name)) {
-            then.accept("[fleet.peers] does not say here where '" + name + "' is");
-        } else if (mark == null || fleet.peer(name) == null) {
-            then.accept(name + " can't be reached from here yet, or has no 'dir' for votes" + ASK_AGAIN);
-        } else if (!group.isEmpty(name) && !mark.equals(invited)) {
-            then.accept(name + "'s store has voted before: empty its 'dir' and start it anew");
+            callback.accept("[fleet.peers] has no address of '" + name + "' here");
+        } else if (storeId == null || fleet.peer(name) == null) {
+            callback.accept(name + " can't be reached from here yet, or has no [policy] dir" + RETRY_SUFFIX);
+        } else if (!group.isEmpty(name) && !storeId.equals(invitedStore)) {
+            callback.accept(name + "'s store has voted before: empty its [policy] dir and restart it");
         } else if (!group.invite(name)) {
-            then.accept(name + " can't be reached from here");
+            callback.accept(name + " can't be reached from here");
         } else {
-            invited = mark;
-            voting.takeIn(VoterId.parse(mark), then);
+            invitedStore = storeId;
+            voter.addVoter(VoterId.parse(storeId), callback);
         }
     }
 
-    /** Takes a voter out; tells null, or why it was not done. */
-    void takeOut(String name, Consumer<String> then) {
-        String id = named(name);
+    /** Removes a voter. Answers null on success, else why it failed. */
+    void removeVoter(String name, Consumer<String> callback) {
+        String id = voterNamed(name);
         if (id == null) {
-            then.accept("'" + name + "' is no voter; those are " + voters);
+            callback.accept("'" + name + "' is not a voter; the voters are " + voters);
         } else if (voters.size() == 1) {
-            then.accept("'" + name + "' is the only voter: take another in first");
-        } else if (id.equals(voting.self().text())) {
-            voting.stepDown();
-            then.accept(name + " leads, and hands over now" + ASK_AGAIN);
+            callback.accept("'" + name + "' is the only voter: add another one first");
+        } else if (id.equals(voter.self().text())) {
+            voter.stepDown();
+            callback.accept(name + " is the leader and hands over now" + RETRY_SUFFIX);
         } else {
-            voting.takeOut(VoterId.parse(id), then);
+            voter.removeVoter(VoterId.parse(id), callback);
         }
     }
 
-    /** The voter of that name, with its store, or null. */
-    private String named(String name) {
+    /** The id of the voter of that name, or null. */
+    private String voterNamed(String name) {
         return voters.stream()
                 .filter(id -> VoterId.parse(id).name().equals(name))
                 .findFirst()
                 .orElse(null);
     }
 
-    /** Reads the state as a majority holds it; null where it is not known. */
-    void read(Voting.Look what, Consumer<Object> then) {
-        if (lead == null) {
-            then.accept(null);
+    /** Reads the state as a majority holds it; the answer is null if that is unknown. */
+    void read(RaftVoter.LedgerQuery query, Consumer<Object> callback) {
+        if (state == null) {
+            callback.accept(null);
         } else {
-            voting.look(lead.term(), what, then);
+            voter.query(state.term(), query, callback);
         }
     }
 
-    /** The voter that leads, or empty. */
+    /** Name of the leader, or empty if unknown. */
     String leader() {
         return leader.isEmpty() ? policy.leader() : leader;
     }
 
-    void report(JsonObject all) {
-        JsonObject own = new JsonObject();
-        own.addProperty("store", voting.self().text());
-        own.addProperty("votes", voting.isBegun() && !stopped);
-        own.addProperty("lost", group.isLost());
-        own.addProperty("candidate", group.isCandidate());
-        own.addProperty("removed", group.isRemoved());
+    void addReport(JsonObject report) {
+        JsonObject voterReport = new JsonObject();
+        voterReport.addProperty("store", voter.self().text());
+        voterReport.addProperty("votes", voter.isStarted() && !stopped);
+        voterReport.addProperty("lost", group.isStoreLost());
+        voterReport.addProperty("candidate", group.isCandidate());
+        voterReport.addProperty("removed", group.isRemoved());
         JsonArray names = new JsonArray();
         voters.forEach(names::add);
-        own.add("voters", names);
-        own.addProperty("term", term);
-        all.add("voter", own);
-        if (lead == null || view == null) {
+        voterReport.add("voters", names);
+        voterReport.addProperty("term", term);
+        report.add("voter", voterReport);
+        if (state == null || view == null) {
             return;
         }
-        JsonObject leads = new JsonObject();
-        leads.addProperty("in_force", view.inForce());
-        leads.addProperty("digest", view.digest());
+        JsonObject leadership = new JsonObject();
+        leadership.addProperty("in_force", view.inForce());
+        leadership.addProperty("digest", view.digest());
         if (view.open() != null) {
-            leads.add("open", view.open().json(false));
-            JsonArray waits = new JsonArray();
-            // What the view has on them explains; the lease alone decides.
-            lead.waitsFor(policy.now()).forEach(who -> {
-                String known = fleet.description(who.substring(0, Math.max(0, who.lastIndexOf('#'))));
-                waits.add(known.isEmpty() ? who : who + " (" + known + ")");
+            leadership.add("open", view.open().toJson(false));
+            JsonArray awaited = new JsonArray();
+            // The membership view only adds an explanation; what is waited for depends on leases alone.
+            state.awaitedSchedulers(policy.now()).forEach(processId -> {
+                String described = fleet.description(processId.substring(0, Math.max(0, processId.lastIndexOf('#'))));
+                awaited.add(described.isEmpty() ? processId : processId + " (" + described + ")");
             });
-            leads.add("waits_for", waits);
+            leadership.add("waits_for", awaited);
         }
         JsonArray schedulers = new JsonArray();
-        lead.known(policy.now()).forEach(one -> {
-            JsonObject known = new JsonObject();
-            known.addProperty("who", one.who());
-            known.addProperty("policy", one.begun());
-            known.addProperty("heard_ms", one.heardMs());
-            known.addProperty("lease_ms", one.leaseMs());
-            schedulers.add(known);
+        state.schedulerStatuses(policy.now()).forEach(status -> {
+            JsonObject scheduler = new JsonObject();
+            scheduler.addProperty("who", status.processId());
+            scheduler.addProperty("policy", status.activePolicy());
+            scheduler.addProperty("heard_ms", status.lastRenewalMs());
+            scheduler.addProperty("lease_ms", status.leaseMs());
+            schedulers.add(scheduler);
         });
-        leads.add("schedulers", schedulers);
-        all.add("leads", leads);
+        leadership.add("schedulers", schedulers);
+        report.add("leads", leadership);
     }
 }
--- a/src/main/java/laneflow/policy/LeaseGate.java
+++ b/src/main/java/laneflow/policy/LeaseGate.java
@@ -16,191 +16,202 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The lease where requests are taken: on the traffic's thread, while all that keeps the lease is on the
- * control thread. That thread publishes what holds, whole and unchanging; a request reads the clock first
- * and what holds behind it. So whatever was published before the control thread said that it obeys it, is
- * seen by every decision of a later instant, and a lease that has run out gates by the clock alone, whatever
- * the control thread is doing.
+ * Admits requests only under a valid lease. It runs on the traffic thread, while the lease is kept on the
+ * control thread, which publishes immutable snapshots. A request reads the clock first and the snapshot after
+ * that: whatever was published before the control thread acknowledged a grant is seen by every later
+ * decision. An expired lease closes the gate by the clock alone, whatever the control thread is doing.
  *
- * <p>A policy is adopted here, as a whole and in one turn, and only then does the control thread hear of it.
+ * <p>A policy is adopted here, as a whole and in one turn; the control thread is notified afterwards.
  */
 final class LeaseGate implements AdmissionGate {
     private static final Logger LOG = LoggerFactory.getLogger(LeaseGate.class);
-    private static final int MOST_STAMPS = 64;
-    private static final double COME_BACK_PART = 0.1;
+    private static final int MAX_EPOCHS_KEPT = 64;
+    private static final double RETRY_AFTER_LEASE_SHARE = 0.1;
 
     /**
-     * What the control thread publishes.
+     * A snapshot published by the control thread.
      *
-     * @param ready what was read and found sound of the policies that the leave names
+     * @param prepared the valid policies among those that the lease names
      */
-    record Published(LeaseSnapshot leave, Map<Long, PolicyTypes.Prepared> ready) {}
+    record Published(LeaseSnapshot lease, Map<Long, PolicyTypes.Prepared> prepared) {}
 
-    /** Told, on the traffic's thread, of what was adopted and what of it waits for a restart. */
-    interface Adopted {
-        void adopted(long number, List<String> waitsForRestart);
+    /**
+     * Notified on the traffic thread of an adopted policy and of those of its settings that need a restart.
+     */
+    interface AdoptionListener {
+        void onAdopted(long number, List<String> waitsForRestart);
     }
 
     private final Loop traffic;
-    private final IntSupplier retuned;
+    private final IntSupplier settingsChanged;
     private final Counters counters;
-    private final boolean servesCutOff;
-    private final double comeBack;
+    private final boolean servesWithoutLease;
+    private final double retryAfterSeconds;
     private final LongSupplier clock;
-    private final Adopted news;
-    private final Deadline begin;
-    private final TreeMap<Integer, Long> stamps = new TreeMap<>();
+    private final AdoptionListener listener;
+    private final Deadline switchTimer;
+    private final TreeMap<Integer, Long> policyByEpoch = new TreeMap<>();
     private volatile Published published = new Published(LeaseSnapshot.NONE, Map.of());
-    /** The policy that was adopted last, -1 before the first; written on the traffic's thread only. */
-    private volatile long begun = -1;
+    /** The policy adopted last, -1 before the first; written on the traffic thread only. */
+    private volatile long adoptedPolicy = -1;
 
-    private boolean left;
+    private boolean stopped;
     private long lastDecidedNs;
 
     /**
-     * One that may not decide yet.
+     * Creates a closed gate.
      *
-     * @param retuned tells the scheduler that settings have changed; the number of what comes under them
-     * @param clock the lease's, which any thread may read
+     * @param settingsChanged tells the scheduler that settings have changed; returns the epoch of requests
+     * that come under them
+     * @param clock the clock for leases, which any thread may read
      */
     LeaseGate(
             Loop traffic,
             Counters counters,
-            IntSupplier retuned,
+            IntSupplier settingsChanged,
             PolicyConfig config,
             LongSupplier clock,
-            Adopted news) {
+            AdoptionListener listener) {
         this.traffic = traffic;
         this.counters = counters;
-        this.retuned = retuned;
+        this.settingsChanged = settingsChanged;
         this.clock = clock;
-        this.news = news;
-        servesCutOff = config.servesCutOff;
-        comeBack = config.lease / 1e6 * COME_BACK_PART;
-        begin = traffic.deadlines().create(this::look);
+        this.listener = listener;
+        servesWithoutLease = config.servesWithoutLease;
+        retryAfterSeconds = config.leaseMicros / 1e6 * RETRY_AFTER_LEASE_SHARE;
+        switchTimer = traffic.deadlines().create(this::switchIfDue);
     }
 
-    /** On the control thread: from its return on nothing is decided by what was published before. */
-    void publish(Published now) {
-        published = now;
-        if (now.leave().next() >= 0 || now.leave().number() != begun) {
-            // Begun with also where nobody asks, and where an earlier grant had run out before it was read. A
-            // renewal of what has begun wakes nobody.
+    /**
+     * Publishes a snapshot, on the control thread. Once it returns, no decision is made by an earlier one.
+     */
+    void publish(Published next) {
+        published = next;
+        if (next.lease().next() >= 0 || next.lease().current() != adoptedPolicy) {
+            // Switches even if no request comes or an earlier grant expired unread. Renewals of the adopted
+            // policy need no wake-up.
             try {
-                traffic.later(this::look);
+                traffic.later(this::switchIfDue);
             } catch (RejectedExecutionException e) {
-                LOG.debug("nobody takes requests any more");
+                LOG.debug("the traffic loop has ended");
             }
         }
     }
 
-    private void look() {
-        settle();
-        if (!left && isAboutToBegin()) {
-            traffic.deadlines().set(begin, traffic.micros() + untilNext());
+    private void switchIfDue() {
+        currentPolicy();
+        if (!stopped && isSwitchPending()) {
+            traffic.deadlines().set(switchTimer, traffic.micros() + microsToSwitch());
         }
     }
 
-    private boolean isAboutToBegin() {
-        LeaseSnapshot leave = published.leave();
-        return leave.next() >= 0 && leave.next() != begun;
+    private boolean isSwitchPending() {
+        LeaseSnapshot lease = published.lease();
+        return lease.next() >= 0 && lease.next() != adoptedPolicy;
     }
 
     @Override
     public boolean mayDecide() {
-        boolean may = settle() >= 0;
-        if (!may && servesCutOff) {
+        boolean may = currentPolicy() >= 0;
+        if (!may && servesWithoutLease) {
             counters.add("policy.decided_without_lease");
         }
-        if (may || servesCutOff) {
+        if (may || servesWithoutLease) {
             lastDecidedNs = System.nanoTime();
         }
-        return may || servesCutOff;
+        return may || servesWithoutLease;
     }
 
-    /** Whether clients may be asked for. */
+    /** Readiness: whether this scheduler should get clients. */
     boolean isReady() {
-        return !left && (servesCutOff || settle() >= 0);
+        return !stopped && (servesWithoutLease || currentPolicy() >= 0);
     }
 
     @Override
     public long microsUntilOpen() {
-        return left || !isAboutToBegin() ? Long.MAX_VALUE : untilNext();
+        return stopped || !isSwitchPending() ? Long.MAX_VALUE : microsToSwitch();
     }
 
-    /** From the turn's instant on, which deadlines are set by and which lags behind now. */
-    private long untilNext() {
+    /**
+     * Time until the switch, counted like all deadlines from the instant of the current turn, which is older
+     * than now.
+     */
+    private long microsToSwitch() {
         return traffic.currentMicros()
                 - traffic.micros()
-                + Math.max(0, published.leave().nextStart() - clock.getAsLong())
+                + Math.max(0, published.lease().nextStart() - clock.getAsLong())
                 + 1;
     }
 
     @Override
     public double retryAfter() {
-        return comeBack;
+        return retryAfterSeconds;
     }
 
-    /** Begins with what is due; returns the policy by which it may decide now, or -1. */
-    private long settle() {
-        // Read anew for each request: a process that was stopped amid a turn wakes with the turn's old time.
+    /**
+     * Switches to the next policy if it is due; returns the policy by which requests may be decided now, or
+     * -1.
+     */
+    private long currentPolicy() {
+        // Read for each request: a process suspended within a turn resumes with the time of that turn.
         long now = clock.getAsLong();
-        // The other way round, what was published between the two would be passed over at an instant at
-        // which the control thread has said already that it is obeyed.
+        // In the opposite order, a snapshot published between the two reads would be missed at an instant at
+        // which the control thread has already acknowledged it.
         VarHandle.fullFence();
-        Published holds = published;
-        long number = left ? -1 : holds.leave().deciding(now);
-        if (number >= 0 && number != begun && !adopt(number, holds, now)) {
+        Published snapshot = published;
+        long number = stopped ? -1 : snapshot.lease().policyAt(now);
+        if (number >= 0 && number != adoptedPolicy && !adopt(number, snapshot, now)) {
             return -1;
         }
         return number;
     }
 
-    /** All of it in this turn: requests that come see the new one, those that are open keep theirs. */
-    private boolean adopt(long number, Published holds, long now) {
-        PolicyTypes.Prepared next = holds.ready().get(number);
+    /** Adopts a policy in one turn: new requests see the new policy, open ones keep theirs. */
+    private boolean adopt(long number, Published snapshot, long now) {
+        PolicyTypes.Prepared next = snapshot.prepared().get(number);
         if (next == null) {
-            // No leader grants what was not said to be ready; deciding by another would be worse than not.
+            // A leader grants only what was reported ready; to decide by another policy would be worse than
+            // not to decide.
             counters.add("policy.granted_unready");
             return false;
         }
-        long from = System.nanoTime();
-        long before = begun;
-        List<String> waits = next.adopt();
-        begun = number;
-        stamps.put(retuned.getAsInt(), number);
-        if (stamps.size() > MOST_STAMPS) {
-            stamps.pollFirstEntry();
+        long startNs = System.nanoTime();
+        long before = adoptedPolicy;
+        List<String> waitsForRestart = next.adopt();
+        adoptedPolicy = number;
+        policyByEpoch.put(settingsChanged.getAsInt(), number);
+        if (policyByEpoch.size() > MAX_EPOCHS_KEPT) {
+            policyByEpoch.pollFirstEntry();
         }
         counters.add("policy.begun");
-        long fence = before >= 0 ? holds.leave().fence(now) : 0;
+        long fence = before >= 0 ? snapshot.lease().fence(now) : 0;
         counters.set("policy.fence_most_us", Math.max(fence, counters.get("policy.fence_most_us")));
         LOG.info(
                 "policy begins number={} before={} last_decided_ns={} began_ns={} fence_us={} took_us={}",
                 number,
                 Math.max(0, before),
                 lastDecidedNs,
-                from,
+                startNs,
                 fence,
-                (System.nanoTime() - from) / 1000);
-        news.adopted(number, waits);
+                (System.nanoTime() - startNs) / 1000);
+        listener.onAdopted(number, waitsForRestart);
         return true;
     }
 
-    /** The policy that was adopted last; 0: the file's own. */
-    long number() {
-        return Math.max(0, begun);
+    /** The policy adopted last; 0 is the configuration file's. */
+    long policyNumber() {
+        return Math.max(0, adoptedPolicy);
     }
 
-    /** The policy that requests of that epoch came under, for answers; empty where none has begun. */
-    String stamp(int epoch) {
-        Map.Entry<Integer, Long> at = stamps.floorEntry(epoch);
+    /** The policy of that epoch's requests, as told to clients; empty before the first policy. */
+    String versionOfEpoch(int epoch) {
+        Map.Entry<Integer, Long> at = policyByEpoch.floorEntry(epoch);
         return at == null ? "" : "policy=" + at.getValue();
     }
 
-    /** It decides no more. */
-    void leave() {
-        left = true;
-        traffic.deadlines().cancel(begin);
+    /** Stops using any lease, for good. */
+    void stop() {
+        stopped = true;
+        traffic.deadlines().cancel(switchTimer);
     }
 }
--- a/src/main/java/laneflow/policy/RenewalExtension.java
+++ b/src/main/java/laneflow/policy/RenewalExtension.java
@@ -5,65 +5,68 @@
 import java.util.function.Consumer;
 
 /**
- * What rides on renewals and grants, and on the voters' log, beside policy: no message and no question to a
- * majority is spent on it alone. All on the loop's thread.
+ * A feature that adds its data to renewals, grants and the voters' log, so that it needs no messages and no
+ * majority reads of its own. All methods are called on the loop's thread.
  */
 public interface RenewalExtension {
-    /** What policy does for it. */
-    interface Carriage {
-        /** This process's clock for leases, read now; on any thread. */
+    /** The services that the policy subsystem provides to an extension. */
+    interface Context {
+        /** This process's clock for leases; callable on any thread. */
         long now();
 
-        /** At a leader: puts an operation into the log; the answer is null where it is not known to be in. */
-        void replicate(JsonObject operation, Consumer<JsonObject> then);
+        /** At the leader: replicates an operation; the answer is null if its fate is unknown. */
+        void replicate(JsonObject operation, Consumer<JsonObject> callback);
 
-        /** True if this process leads the voters, as far as it knows. */
-        boolean leads();
+        /** True if this process is the leader, as far as it knows. */
+        boolean isLeader();
 
-        /** At a leader: a part of the ledger as a majority holds it now; null: it is not known. */
-        void read(String part, Consumer<Object> then);
+        /** At the leader: reads a part of the ledger as a majority holds it now; null if that is unknown. */
+        void read(String part, Consumer<Object> callback);
 
-        /** At a leader: that process is told how things stand, unasked. */
-        void tell(String who);
+        /** At the leader: sends that process an unsolicited grant. */
+        void sendGrant(String processId);
 
-        /** Something has changed: the next renewal goes out at once. */
+        /** Sends the next renewal at once because something has changed. */
         void renewNow();
 
-        /** The voter that leads as far as is known, or empty. */
+        /** Name of the leader, or empty if unknown. */
         String leader();
 
-        /** Microseconds for which a leader's word lasts. */
-        long lease();
+        /** Duration of a lease in microseconds. */
+        long leaseMicros();
     }
 
-    /** Its part of the ledger. */
-    String part();
+    /** The name of its part of the ledger. */
+    String ledgerPart();
 
-    /** It can begin. */
-    void ride(Carriage by);
+    /** Starts the extension. */
+    void start(Context context);
 
     // ---- at a scheduler ----
 
-    /** What goes with the next renewal; null: nothing. */
-    JsonElement says();
+    /** Data to send with the next renewal, or null. */
+    JsonElement renewalData();
 
-    /** The leader's word; it answers what was sent at that instant, or nothing: negative. */
-    void told(JsonElement word, long sentAt, long heardAt);
+    /**
+     * Data received with a grant. {@code sentAt} is when the renewal that it answers was sent; negative if
+     * the grant was unsolicited.
+     */
+    void onGrant(JsonElement grantData, long sentAt, long heardAt);
 
     // ---- at the leader ----
 
-    /** This process leads in that term, until another term or {@link #leadsNoMore}. */
-    void leads(int term);
+    /** This process is the leader of that term, until another term or {@link #onLeadershipLost}. */
+    void onElected(int term);
 
-    void leadsNoMore();
+    void onLeadershipLost();
 
-    /** A majority has confirmed it, with its part of the ledger as it stood then. */
-    void confirmed(long submittedAt, Object part);
+    /** A majority confirmed the leader; {@code part} is the extension's part of the ledger at that time. */
+    void onConfirmed(long submittedAt, Object part);
 
-    void heard(String who, JsonElement said);
+    void onRenewal(String processId, JsonElement renewalData);
 
-    /** What a process is told; null: nothing. */
-    JsonElement word(String who, boolean unasked);
+    /** Data to send to a process with a grant, or null. */
+    JsonElement grantData(String processId, boolean unsolicited);
 
-    void left(String who);
+    void onSchedulerLeft(String processId);
 }
--- a/src/main/java/laneflow/policy/VoterGroup.java
+++ b/src/main/java/laneflow/policy/VoterGroup.java
@@ -22,94 +22,95 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How voters find together. A voter whose store holds a vote goes on with it. One with an empty store is
- * either of a fleet that begins, or has lost its disk; it can't tell by itself, and a voter that has
- * forgotten its vote must not vote again. So voters tell each other their stores' marks and whom they began
- * with. With an empty store one begins if a voter that has begun counts this very store among the first, or
- * if all voters of the file say that theirs are empty too. Else it does not vote until it is taken in, as
- * does one that the file does not name as a voter.
+ * Decides when a voter starts to vote, and with which group. A voter whose store holds a vote continues with
+ * it. An empty store belongs either to a new fleet or to a voter that has lost its disk; the voter can't tell
+ * which, and one that has forgotten its vote must not vote again. Voters therefore announce their store ids
+ * and the initial voters of their group. A voter with an empty store starts if a running voter names this
+ * very store among the initial voters, or if all voters of the configuration file announce empty stores.
+ * Otherwise it does not vote until an operator adds it, as is the case for schedulers that the file does not
+ * name as voters.
  */
 final class VoterGroup {
     private static final Logger LOG = LoggerFactory.getLogger(VoterGroup.class);
-    private static final long TELL_EVERY = 100_000;
+    private static final long ANNOUNCE_PERIOD_MICROS = 100_000;
 
     private final Loop loop;
     private final Fleet fleet;
     private final PolicyConfig config;
     private final Counters counters;
-    private final Voting voting;
-    private final Deadline tell;
-    /** The stores of voters that are empty, as they have said, by name. */
-    private final Map<String, String> empty = new HashMap<>();
+    private final RaftVoter voter;
+    private final Deadline announceTimer;
+    /** Ids of stores announced as empty, by the voter's name. */
+    private final Map<String, String> emptyStores = new HashMap<>();
 
-    private final Map<String, String> marks = new HashMap<>();
-    /** True where the file does not name this one as a voter. */
+    private final Map<String, String> storeIds = new HashMap<>();
+    /** True if the configuration file does not name this scheduler as a voter. */
     private final boolean candidate;
 
-    private String group = "";
-    private boolean lost;
+    private String groupId = "";
+    private boolean storeLost;
     private boolean removed;
 
-    VoterGroup(Loop loop, Fleet fleet, PolicyConfig config, Counters counters, Voting voting) {
+    VoterGroup(Loop loop, Fleet fleet, PolicyConfig config, Counters counters, RaftVoter voter) {
         this.loop = loop;
         this.fleet = fleet;
         this.config = config;
         this.counters = counters;
-        this.voting = voting;
-        candidate = !config.voters.contains(voting.self().name());
-        tell = loop.deadlines().create(this::tell);
+        this.voter = voter;
+        candidate = !config.voters.contains(voter.self().name());
+        announceTimer = loop.deadlines().create(this::announce);
     }
 
-    /** @param restored what the store holds, or null where it is empty */
-    void begin(RestoredRaftState restored) {
-        fleet.handle("voter", this::heard);
+    /** @param restored the state in the store, or null if it is empty */
+    void start(RestoredRaftState restored) {
+        fleet.handle("voter", this::onAnnouncement);
         fleet.handle("raft", (from, message) -> {
-            if (voting.isBegun() && message.get("group").getAsString().equals(group)) {
-                voting.take(from.name(), message);
+            if (voter.isStarted() && message.get("group").getAsString().equals(groupId)) {
+                voter.onMessage(from.name(), message);
             } else {
                 counters.add("policy.other_group");
             }
         });
         fleet.handle("join", (from, message) -> {
-            if (!voting.isBegun()
-                    && message.get("id").getAsString().equals(voting.self().text())) {
-                lost = false;
+            if (!voter.isStarted()
+                    && message.get("id").getAsString().equals(voter.self().text())) {
+                storeLost = false;
                 counters.set("policy.vote_lost", 0);
-                start(null, RaftCodec.readVoters(message.getAsJsonArray("first")));
+                startVoting(null, RaftCodec.readVoters(message.getAsJsonArray("first")));
             }
         });
         fleet.handle("removed", (from, message) -> {
-            if (!removed && message.get("id").getAsString().equals(voting.self().text())) {
+            if (!removed && message.get("id").getAsString().equals(voter.self().text())) {
                 removed = true;
-                voting.leave();
+                voter.stopAfterRemoval();
             }
         });
         if (restored != null) {
-            start(restored, List.of());
+            startVoting(restored, List.of());
         } else {
-            alone();
+            startIfAllEmpty();
         }
-        tell();
+        announce();
     }
 
-    /** On the loop: a link has come up or gone down. */
-    void linked() {
+    /** Called on the loop when a link has come up or gone down. */
+    void onLinksChanged() {
         Set<String> names = new TreeSet<>();
-        for (String voter : fleet.dialledNames()) {
-            if (fleet.peer(voter) != null) {
-                names.add(voter);
+        for (String name : fleet.dialledNames()) {
+            if (fleet.peer(name) != null) {
+                names.add(name);
             }
         }
-        voting.reachable(names);
-        tell();
+        voter.reachable(names);
+        announce();
     }
 
-    /** On the loop: these vote now, by their stores. */
-    void members(Set<String> ids) {
+    /** Called on the loop with the ids of the current voters. */
+    void onVoters(Set<String> ids) {
         ids.forEach(id -> dial(VoterId.parse(id).name()));
     }
 
-    /** Keeps a link to that scheduler; false where the file does not say where it is. */
+    /** Keeps a link to that scheduler; false if its address is not configured. */
     boolean dial(String name) {
         if (fleet.address(name) == null) {
             return false;
@@ -118,142 +119,144 @@
         return true;
     }
 
-    /** On the loop: a message of the library's to the voter of that name. */
+    /** Called on the loop: sends a Raft message to the voter of that name. */
     void send(String to, JsonObject message) {
         Peer peer = fleet.peer(to);
         if (peer != null) {
-            message.addProperty("group", group);
+            message.addProperty("group", groupId);
             peer.send(message);
         }
     }
 
-    private void tell() {
-        for (String voter : fleet.dialledNames()) {
-            Peer peer = fleet.peer(voter);
+    private void announce() {
+        for (String name : fleet.dialledNames()) {
+            Peer peer = fleet.peer(name);
             if (peer != null) {
-                peer.send(word());
+                peer.send(announcement());
             }
         }
-        if (!voting.isBegun() && !candidate) {
-            loop.deadlines().set(tell, loop.micros() + TELL_EVERY);
+        if (!voter.isStarted() && !candidate) {
+            loop.deadlines().set(announceTimer, loop.micros() + ANNOUNCE_PERIOD_MICROS);
         }
     }
 
-    /** The stores of those that this one began with. */
-    private JsonArray first() {
-        JsonArray all = new JsonArray();
-        voting.firstVoters().forEach(all::add);
-        return all;
+    /** Ids of the group's initial voters. */
+    private JsonArray initialVoters() {
+        JsonArray ids = new JsonArray();
+        voter.initialVoterIds().forEach(ids::add);
+        return ids;
     }
 
-    private JsonObject word() {
-        JsonObject all = new JsonObject();
-        all.addProperty("t", "voter");
-        all.addProperty("id", voting.self().text());
-        if (voting.isBegun()) {
-            all.add("first", first());
+    private JsonObject announcement() {
+        JsonObject message = new JsonObject();
+        message.addProperty("t", "voter");
+        message.addProperty("id", voter.self().text());
+        if (voter.isStarted()) {
+            message.add("first", initialVoters());
         }
-        return all;
+        return message;
     }
 
-    private void heard(Peer from, JsonObject message) {
+    private void onAnnouncement(Peer from, JsonObject message) {
         VoterId id = VoterId.parse(message.get("id").getAsString());
         if (!id.name().equals(from.name())) {
             counters.add("fleet.garbled");
             return;
         }
-        marks.put(id.name(), id.text());
+        storeIds.put(id.name(), id.text());
         JsonElement first = message.get("first");
         if (first == null) {
-            empty.put(id.name(), id.text());
+            emptyStores.put(id.name(), id.text());
         } else {
-            empty.remove(id.name());
+            emptyStores.remove(id.name());
         }
-        if (voting.isBegun()) {
+        if (voter.isStarted()) {
             if (first == null) {
-                // It waits to hear whom this one began with.
-                from.send(word());
+                // The other voter waits for the ids of this group's initial voters.
+                from.send(announcement());
             }
             return;
         }
         if (first != null) {
-            Collection<RaftEndpoint> all = RaftCodec.readVoters(first.getAsJsonArray());
-            if (all.contains(voting.self())) {
-                start(null, all);
-            } else if (!lost && !candidate) {
-                lost = true;
+            Collection<RaftEndpoint> initial = RaftCodec.readVoters(first.getAsJsonArray());
+            if (initial.contains(voter.self())) {
+                startVoting(null, initial);
+            } else if (!storeLost && !candidate) {
+                storeLost = true;
                 counters.set("policy.vote_lost", 1);
                 LOG.error(
-                        "policy: this store of votes is new, and the voters {} had another one of {}: it"
-                                + " does not vote until it is taken in anew",
+                        "policy: this store of votes is new, but the initial voters {} had another one of {}:"
+                                + " it does not vote until an operator replaces that voter",
                         first,
-                        voting.self().name());
+                        voter.self().name());
             }
             return;
         }
-        alone();
+        startIfAllEmpty();
     }
 
-    /** All voters of the file have said that their stores are empty: they begin together. */
-    private void alone() {
+    /** Starts a new group once all voters of the file have announced empty stores. */
+    private void startIfAllEmpty() {
         if (candidate) {
             return;
         }
-        Collection<RaftEndpoint> all = new LinkedHashSet<>();
-        for (String voter : new TreeSet<>(config.voters)) {
-            String id = voter.equals(voting.self().name()) ? voting.self().text() : empty.get(voter);
+        Collection<RaftEndpoint> initial = new LinkedHashSet<>();
+        for (String name : new TreeSet<>(config.voters)) {
+            String id = name.equals(voter.self().name()) ? voter.self().text() : emptyStores.get(name);
             if (id == null) {
                 return;
             }
-            all.add(VoterId.parse(id));
+            initial.add(VoterId.parse(id));
         }
-        if (!lost) {
-            start(null, all);
+        if (!storeLost) {
+            startVoting(null, initial);
         }
     }
 
-    private void start(RestoredRaftState restored, Collection<RaftEndpoint> first) {
-        voting.begin(restored, first);
-        group = Canonical.digest(first()).substring(0, 16);
-        LOG.info("policy: votes as {}, begun with {}", voting.self(), voting.firstVoters());
-        tell();
+    private void startVoting(RestoredRaftState restored, Collection<RaftEndpoint> first) {
+        voter.start(restored, first);
+        groupId = Canonical.digest(initialVoters()).substring(0, 16);
+        LOG.info("policy: voting as {}, initial voters {}", voter.self(), voter.initialVoterIds());
+        announce();
     }
 
-    /** At the leader: the voter of that name is to begin with its new store; false if it can't be told. */
+    /**
+     * At the leader: tells the voter of that name to start with its new store; false if it can't be reached.
+     */
     boolean invite(String name) {
         Peer peer = fleet.peer(name);
-        if (peer == null || !marks.containsKey(name)) {
+        if (peer == null || !storeIds.containsKey(name)) {
             return false;
         }
-        JsonObject all = new JsonObject();
-        all.addProperty("t", "join");
-        all.addProperty("id", marks.get(name));
-        all.add("first", first());
-        return peer.send(all);
+        JsonObject message = new JsonObject();
+        message.addProperty("t", "join");
+        message.addProperty("id", storeIds.get(name));
+        message.add("first", initialVoters());
+        return peer.send(message);
     }
 
-    /** True if the store of that name has never voted, as its process has said. */
+    /** True if the store of that name is announced as empty. */
     boolean isEmpty(String name) {
-        return empty.containsKey(name);
+        return emptyStores.containsKey(name);
     }
 
-    /** True where this process may be taken in as a voter. */
+    /** True if this process doesn't vote but can be added as a voter. */
     boolean isCandidate() {
-        return candidate && !voting.isBegun();
+        return candidate && !voter.isStarted();
     }
 
-    /** True where it was a voter, and was taken out. */
+    /** True if this process was a voter and was removed. */
     boolean isRemoved() {
         return removed;
     }
 
-    /** True where this process has a store but must not vote with it. */
-    boolean isLost() {
-        return lost;
+    /** True if this process has lost its old store and must not vote with the new one. */
+    boolean isStoreLost() {
+        return storeLost;
     }
 
-    /** The store that a voter of that name has now, as it has said, or null. */
-    String mark(String name) {
-        return name.equals(voting.self().name()) ? voting.self().text() : marks.get(name);
+    /** Id of the store that the voter of that name has announced, or null. */
+    String storeId(String name) {
+        return name.equals(voter.self().name()) ? voter.self().text() : storeIds.get(name);
     }
 }
--- a/src/main/java/laneflow/policy/decision/Change.java
+++ b/src/main/java/laneflow/policy/decision/Change.java
@@ -7,30 +7,31 @@
 import java.util.List;
 
 /**
- * A change of policy as the voters know it: any number of types as one, with one outcome for ever.
+ * A policy change as replicated by the voters: any number of resource types, applied or abandoned together,
+ * once and for all.
  *
- * @param name given by whoever proposes it; the same name is the same change
- * @param number its place in the order of changes, from 1; 0 while it waits for its turn
- * @param digest of its content
- * @param types the resources of each type that it names, or null where its content is no longer kept
+ * @param name chosen by the proposer; proposals with the same name are the same change
+ * @param number its position in the order of changes, from 1; 0 while it waits
+ * @param digest digest of its content
+ * @param types the resources of each type that it names, or null once the content is dropped
  * @param by who proposed it
- * @param state where it stands
+ * @param state its state
  * @param reasons why it was abandoned
- * @param proposedMs wall clock of the leader that took it, Unix milliseconds; for people, nothing rests on
- * it
- * @param endedMs the same of the decision, 0 before it
+ * @param proposedMs when the leader received it: Unix milliseconds of the leader's wall clock, for display
+ * only
+ * @param endedMs the same for the decision, 0 before it
  */
 public record Change(
         String name,
         long number,
         String digest,
         JsonObject types,
-        String by,
+        String proposer,
         State state,
         List<String> reasons,
         long proposedMs,
         long endedMs) {
-    /** WAITING and OPEN are undecided; the others are final. */
+    /** WAITING and OPEN are undecided, the other states are final. */
     public enum State {
         WAITING,
         OPEN,
@@ -42,54 +43,57 @@
         return state == State.APPLIED || state == State.ABANDONED;
     }
 
-    Change opened(long as) {
-        return new Change(name, as, digest, types, by, State.OPEN, reasons, proposedMs, 0);
+    Change opened(long openedNumber) {
+        return new Change(name, openedNumber, digest, types, proposer, State.OPEN, reasons, proposedMs, 0);
     }
 
-    /** Its content goes: what is in force is kept merged, and nothing asks for what was abandoned. */
-    Change ended(State how, List<String> why, long atMs) {
-        return new Change(name, number, digest, null, by, how, List.copyOf(why), proposedMs, atMs);
+    /**
+     * Ends the change and drops its content: the ledger keeps the merged policy in force, and nothing reads
+     * the content of an abandoned change.
+     */
+    Change ended(State outcome, List<String> outcomeReasons, long atMs) {
+        return new Change(name, number, digest, null, proposer, outcome, List.copyOf(outcomeReasons), proposedMs, atMs);
     }
 
-    /** For reports and snapshots; the content only where it is wanted and still there. */
-    public JsonObject json(boolean content) {
-        JsonObject all = new JsonObject();
-        all.addProperty("name", name);
-        all.addProperty("number", number);
-        all.addProperty("state", state.name().toLowerCase(java.util.Locale.ROOT));
-        all.addProperty("digest", digest);
-        all.addProperty("by", by);
-        all.addProperty("proposed_ms", proposedMs);
+    /** The form used in reports and snapshots; includes the content if asked for and still there. */
+    public JsonObject toJson(boolean includeContent) {
+        JsonObject json = new JsonObject();
+        json.addProperty("name", name);
+        json.addProperty("number", number);
+        json.addProperty("state", state.name().toLowerCase(java.util.Locale.ROOT));
+        json.addProperty("digest", digest);
+        json.addProperty("by", proposer);
+        json.addProperty("proposed_ms", proposedMs);
         if (isDecided()) {
-            all.addProperty("ended_ms", endedMs);
+            json.addProperty("ended_ms", endedMs);
         }
         if (!reasons.isEmpty()) {
             JsonArray texts = new JsonArray();
             reasons.forEach(texts::add);
-            all.add("reasons", texts);
+            json.add("reasons", texts);
         }
-        if (content && types != null) {
-            all.add("types", types);
+        if (includeContent && types != null) {
+            json.add("types", types);
         }
-        return all;
+        return json;
     }
 
-    static Change of(JsonObject from) {
+    static Change fromJson(JsonObject json) {
         List<String> reasons = new ArrayList<>();
-        if (from.has("reasons")) {
-            for (JsonElement one : from.getAsJsonArray("reasons")) {
-                reasons.add(one.getAsString());
+        if (json.has("reasons")) {
+            for (JsonElement reason : json.getAsJsonArray("reasons")) {
+                reasons.add(reason.getAsString());
             }
         }
         return new Change(
-                from.get("name").getAsString(),
-                from.get("number").getAsLong(),
-                from.get("digest").getAsString(),
-                from.has("types") ? from.getAsJsonObject("types") : null,
-                from.get("by").getAsString(),
-                State.valueOf(from.get("state").getAsString().toUpperCase(java.util.Locale.ROOT)),
+                json.get("name").getAsString(),
+                json.get("number").getAsLong(),
+                json.get("digest").getAsString(),
+                json.has("types") ? json.getAsJsonObject("types") : null,
+                json.get("by").getAsString(),
+                State.valueOf(json.get("state").getAsString().toUpperCase(java.util.Locale.ROOT)),
                 reasons,
-                from.get("proposed_ms").getAsLong(),
-                from.has("ended_ms") ? from.get("ended_ms").getAsLong() : 0);
+                json.get("proposed_ms").getAsLong(),
+                json.has("ended_ms") ? json.get("ended_ms").getAsLong() : 0);
     }
 }
--- a/src/main/java/laneflow/policy/decision/LeaderClock.java
+++ b/src/main/java/laneflow/policy/decision/LeaderClock.java
@@ -1,59 +1,65 @@
 package laneflow.policy.decision;
 
 /**
- * Where a leader's clock can be, by this process's own: from exchanges with that leader, and the most by
- * which
- * two clocks' rates differ. A stamp that the leader wrote between a word's going out and its answer's coming
- * in bounds its clock from both sides at any later time; one that answers nothing bounds it from below only.
- * No I/O; instants are microseconds.
+ * Bounds of the leader's clock in terms of this process's clock, derived from message exchanges with that
+ * leader and the largest possible difference between the rates of two clocks. A stamp that the leader wrote
+ * between the sending of a renewal and the arrival of its answer bounds the leader's clock from both sides at
+ * any later time; the stamp of an unsolicited message bounds it only from below. No I/O; instants are
+ * microseconds.
  */
 public final class LeaderClock {
-    /** Clocks' rates differ by no more than this share. */
-    public static final double DRIFT = 0.001;
+    /** Largest relative difference between the rates of two clocks. */
+    public static final double MAX_DRIFT = 0.001;
 
-    private static final long NEVER = Long.MIN_VALUE;
+    private static final long UNSET = Long.MIN_VALUE;
 
-    /** The leader's clock is at most the stamp plus what has passed here since, at the faster rate. */
-    private long mostStamp;
+    /** Upper bound: this stamp plus the time since {@link #upperAt}, at the faster rate. */
+    private long upperStamp;
 
-    private long mostAt = NEVER;
-    /** And at least this stamp plus what has passed here since, at the slower rate. */
-    private long leastStamp;
+    private long upperAt = UNSET;
+    /** Lower bound: this stamp plus the time since {@link #lowerAt}, at the slower rate. */
+    private long lowerStamp;
 
-    private long leastAt = NEVER;
+    private long lowerAt = UNSET;
 
-    /** True once an exchange has bounded it from both sides. */
-    public boolean isKnown() {
-        return mostAt != NEVER;
+    /** True once an exchange has bounded the clock from both sides. */
+    public boolean isBounded() {
+        return upperAt != UNSET;
     }
 
-    /** Another leader, another clock. */
-    public void forget() {
-        mostAt = NEVER;
-        leastAt = NEVER;
+    /** Drops all bounds; called when another leader, with another clock, takes over. */
+    public void reset() {
+        upperAt = UNSET;
+        lowerAt = UNSET;
     }
 
-    /** A stamp of the leader's, heard now; it answers what was sent at that instant, or nothing: negative. */
-    public void stamp(long stamp, long sentAt, long heardAt) {
-        if (leastAt == NEVER || stamp - leastStamp > (heardAt - leastAt) * (1 - DRIFT)) {
-            leastStamp = stamp;
-            leastAt = heardAt;
+    /**
+     * Adds a stamp of the leader's.
+     *
+     * @param sentAt when the renewal that it answers was sent; negative if the message was unsolicited
+     * @param receivedAt now
+     */
+    public void addStamp(long stamp, long sentAt, long receivedAt) {
+        if (lowerAt == UNSET || stamp - lowerStamp > (receivedAt - lowerAt) * (1 - MAX_DRIFT)) {
+            lowerStamp = stamp;
+            lowerAt = receivedAt;
         }
         if (sentAt >= 0
-                && (mostAt == NEVER
-                        || stamp + (heardAt - sentAt) * (1 + DRIFT) < mostStamp + (heardAt - mostAt) * (1 + DRIFT))) {
-            mostStamp = stamp;
-            mostAt = sentAt;
+                && (upperAt == UNSET
+                        || stamp + (receivedAt - sentAt) * (1 + MAX_DRIFT)
+                                < upperStamp + (receivedAt - upperAt) * (1 + MAX_DRIFT))) {
+            upperStamp = stamp;
+            upperAt = sentAt;
         }
     }
 
-    /** An instant here that is not behind the leader's: what ends then has ended in time. */
-    public long noLaterThan(long leaders) {
-        return mostAt + (long) Math.floor((leaders - mostStamp) / (1 + DRIFT));
+    /** A local instant not after the leader's: what ends here at that instant ends in time. */
+    public long localNotAfter(long leaderInstant) {
+        return upperAt + (long) Math.floor((leaderInstant - upperStamp) / (1 + MAX_DRIFT));
     }
 
-    /** An instant here that is not before the leader's: what begins then does not begin too soon. */
-    public long noSoonerThan(long leaders) {
-        return leastAt + (long) Math.ceil((leaders - leastStamp) / (1 - DRIFT));
+    /** A local instant not before the leader's: what starts here at that instant doesn't start early. */
+    public long localNotBefore(long leaderInstant) {
+        return lowerAt + (long) Math.ceil((leaderInstant - lowerStamp) / (1 - MAX_DRIFT));
     }
 }
--- a/src/main/java/laneflow/policy/decision/Lease.java
+++ b/src/main/java/laneflow/policy/decision/Lease.java
@@ -1,90 +1,91 @@
 package laneflow.policy.decision;
 
 /**
- * A scheduler's leave to decide, by its own clock. The leader says in its clock until when a policy holds;
- * here that becomes an instant of this process's clock, early for an end and late for a beginning, so that
- * whatever the two clocks do within their bound, nobody begins by a policy before all others have ended with
- * the one before it.
+ * A scheduler's lease: the policy by which it may decide and until when, by its own clock. The leader states
+ * the limits by its own clock; they are converted to this process's clock, rounded early for an end and late
+ * for a start. While the two clocks keep within their bounds, no scheduler starts to use a policy before all
+ * others have stopped using the previous one.
  *
- * <p>The bound comes of exchanges: a stamp that the leader wrote between a renewal's going out and its
- * answer's coming in says how far the leader's clock can be at any later time. A word that answers nothing
- * only bounds it from below. No I/O; instants are microseconds.
+ * <p>The bounds come from message exchanges, see {@link LeaderClock}: an answer bounds the leader's clock
+ * from both sides, an unsolicited message only from below. No I/O; instants are microseconds.
  */
 public final class Lease {
-    /** Clocks' rates differ by no more than this share. */
-    public static final double DRIFT = LeaderClock.DRIFT;
+    /** Largest relative difference between the rates of two clocks. */
+    public static final double MAX_DRIFT = LeaderClock.MAX_DRIFT;
 
     private static final long NEVER = Long.MIN_VALUE;
 
     private int term = -1;
     private long seq;
     private final LeaderClock clock = new LeaderClock();
-    private long number = -1;
-    private long stop = NEVER;
+    private long current = -1;
+    private long end = NEVER;
     private long next = -1;
     private long nextStart;
-    private long nextStop;
+    private long nextEnd;
     private long fence;
 
     /**
-     * Takes a leader's word; false if it is older than one obeyed already, and changes nothing.
+     * Applies a grant. Returns false, with no effect, if it is older than one applied before or if its
+     * instants can't be converted.
      *
-     * @param sentAt when the renewal that it answers went out, or a negative number: it answers none
-     * @param heardAt now
+     * @param sentAt when the renewal that it answers was sent; negative if the grant was unsolicited
+     * @param receivedAt now
      */
-    public boolean take(Grant grant, long sentAt, long heardAt) {
+    public boolean accept(Grant grant, long sentAt, long receivedAt) {
         if (grant.term() < term
                 || grant.term() == term && grant.seq() <= seq
-                || grant.number() < Math.max(number, next)) {
+                || grant.number() < Math.max(current, next)) {
             return false;
         }
-        if (sentAt < 0 && (grant.term() > term || !clock.isKnown())) {
-            // It tells nothing of when: obeyed, it would end what a former leader granted for no reason.
+        if (sentAt < 0 && (grant.term() > term || !clock.isBounded())) {
+            // Without bounds of this leader's clock the grant can't be converted; applying it would
+            // needlessly end a former leader's grant.
             return false;
         }
         if (grant.term() > term) {
             term = grant.term();
-            clock.forget();
+            clock.reset();
         }
         seq = grant.seq();
-        clock.stamp(grant.leaderNow(), sentAt, heardAt);
-        settle(heardAt);
-        long ends = grant.until() == 0 ? NEVER : clock.noLaterThan(grant.until());
-        if (grant.number() == number) {
-            stop = ends;
-        } else if (ends != NEVER) {
+        clock.addStamp(grant.leaderNow(), sentAt, receivedAt);
+        startNextIfDue(receivedAt);
+        long grantEnd = grant.until() == 0 ? NEVER : clock.localNotAfter(grant.until());
+        if (grant.number() == current) {
+            end = grantEnd;
+        } else if (grantEnd != NEVER) {
             next = grant.number();
-            nextStop = ends;
-            nextStart = grant.from() == 0 ? heardAt : clock.noSoonerThan(grant.from());
+            nextEnd = grantEnd;
+            nextStart = grant.from() == 0 ? receivedAt : clock.localNotBefore(grant.from());
         } else {
-            // No leave at all: what it was about to begin with goes too.
-            stop = NEVER;
+            // The leader grants nothing: the pending switch is cancelled, too.
+            end = NEVER;
             next = -1;
         }
         return true;
     }
 
-    private void settle(long now) {
+    private void startNextIfDue(long now) {
         if (next >= 0 && now >= nextStart) {
-            fence = stop == NEVER ? 0 : Math.max(0, nextStart - stop);
-            number = next;
-            stop = nextStop;
+            fence = end == NEVER ? 0 : Math.max(0, nextStart - end);
+            current = next;
+            end = nextEnd;
             next = -1;
         }
     }
 
-    /** The policy by which it may decide at this instant, or -1: it may not decide. */
-    public long deciding(long now) {
-        settle(now);
-        return now < stop ? number : -1;
+    /** The policy by which it may decide at that instant, or -1 if it may not decide. */
+    public long policyAt(long now) {
+        startNextIfDue(now);
+        return now < end ? current : -1;
     }
 
-    /** The policy last begun with, whether or not its time is over; -1 before the first. */
-    public long begun() {
-        return number;
+    /** The policy started last, even if its lease has run out; -1 before the first. */
+    public long current() {
+        return current;
     }
 
-    /** The policy that it begins with next, or -1; when is told by {@link #nextStart}. */
+    /** The policy to switch to at {@link #nextStart}, or -1. */
     public long next() {
         return next;
     }
@@ -93,17 +94,17 @@
         return nextStart;
     }
 
-    /** How long it decided by neither policy when it last began with one, in microseconds. */
+    /** Microseconds without any policy at the last switch. */
     public long fence() {
         return fence;
     }
 
-    /** When its leave ends unless it is renewed; in the past where it has none. */
-    public long stop() {
-        return stop;
+    /** When the lease ends unless renewed; in the past if there is none. */
+    public long end() {
+        return end;
     }
 
-    /** The term of the latest word obeyed, and that word's number. */
+    /** Term of the latest grant applied; {@link #seq} is that grant's number. */
     public int term() {
         return term;
     }
@@ -112,8 +113,8 @@
         return seq;
     }
 
-    /** As it stands now, for whoever reads it on another thread. */
-    public LeaseSnapshot leave() {
-        return new LeaseSnapshot(number, stop, next, nextStart, nextStop, fence);
+    /** An immutable copy for other threads. */
+    public LeaseSnapshot snapshot() {
+        return new LeaseSnapshot(current, end, next, nextStart, nextEnd, fence);
     }
 }
--- a/src/main/java/laneflow/policy/decision/Ledger.java
+++ b/src/main/java/laneflow/policy/decision/Ledger.java
@@ -13,78 +13,78 @@
 import laneflow.policy.decision.Change.State;
 
 /**
- * What the voters agree on, as a state machine: the same operations in the same order lead to the same
- * state at each of them. Changes are taken in the order in which they were proposed, one open at a time;
- * each ends applied or abandoned, once. What is in force is kept merged: the newest resources of each type
- * that any applied change named; an empty list gives a type back to each scheduler's own file. Not
- * thread-safe; no I/O, no clock: wall times come with the operations.
+ * The state machine that the voters replicate: the same operations in the same order lead to the same state
+ * at each voter. Changes are handled in the order in which they were proposed, one open at a time, and each
+ * ends applied or abandoned exactly once. The policy in force is kept merged: the newest resources of each
+ * type that any applied change named; an empty list returns a type to each scheduler's own file. Not
+ * thread-safe; no I/O and no clock: wall-clock times come with the operations.
  */
 public final class Ledger {
-    /** Outcomes kept by name; an older name can be used again. */
-    public static final int MOST_KEPT = 10_000;
-    /** Changes that may wait behind the open one. */
-    public static final int MOST_WAITING = 16;
-    /** The longest content of a change, in characters of its JSON. */
-    public static final int MOST_CONTENT = 256 * 1024;
-    /** The field of an operation that names the part that it is for; without it, it is on changes. */
+    /** Number of changes whose outcome is kept; the name of an older one can be used again. */
+    public static final int MAX_OUTCOMES = 10_000;
+    /** Number of changes that may wait behind the open one. */
+    public static final int MAX_WAITING = 16;
+    /** Longest content of a change, in characters of its JSON. */
+    public static final int MAX_CONTENT_CHARS = 256 * 1024;
+    /** The field of an operation that names the part it is for; operations without it are on changes. */
     public static final String PART = "part";
 
-    private static final String ONLY_ON = "only_on";
-    private static final String NAME = "[A-Za-z0-9_.-]{1,64}";
-    private static final int MOST_REASONS = 32;
-    private static final int MOST_REASON = 500;
+    private static final String EXPECTED_IN_FORCE = "only_on";
+    private static final String NAME_PATTERN = "[A-Za-z0-9_.-]{1,64}";
+    private static final int MAX_REASONS = 32;
+    private static final int MAX_REASON_CHARS = 500;
 
-    /** All changes that are known, by name, in the order in which they were proposed. */
+    /** All known changes by name, in the order in which they were proposed. */
     private final Map<String, Change> changes = new LinkedHashMap<>();
-    /** Those of them that are undecided, in their order: the first one is open. */
+    /** The undecided ones in the same order; the first is open. */
     private final Map<String, Change> pending = new LinkedHashMap<>();
 
-    private long opened;
+    private long lastNumber;
     private long inForce;
     private JsonObject merged = new JsonObject();
     private String digest = Canonical.digest(merged);
     private View view;
 
     /**
-     * The state at one moment; never changed.
+     * An immutable copy of the state.
      *
-     * @param inForce the number of the last change applied; 0: each scheduler's own file
+     * @param inForce the number of the last change applied; 0 means each scheduler's own file
      * @param merged the resources of each type that applied changes named
-     * @param digest of these
-     * @param open the change that is to be decided, or null
-     * @param openMerged what will be in force if that is applied, or null
-     * @param waiting the names behind it
+     * @param digest digest of {@code merged}
+     * @param open the change to be decided, or null
+     * @param openMerged the merged policy if the open change is applied, or null
+     * @param waiting the names of the changes that wait behind the open one
      */
     public record View(
             long inForce, JsonObject merged, String digest, Change open, JsonObject openMerged, List<String> waiting) {}
 
     /**
-     * More that the voters agree on, beside changes: a state machine of its own. It has to be the same at all
-     * voters, whatever their files say.
+     * A further state machine replicated together with the changes. It must be the same at all voters,
+     * whatever their configuration files say.
      */
     public interface Part {
-        /** Carries out an operation; the answer says what came of it, or {@code error}. */
+        /** Applies an operation; returns its result, or an object with {@code error}. */
         JsonObject run(JsonObject operation);
 
-        /** The state at this moment, as something that never changes. */
+        /** An immutable copy of the state. */
         Object view();
 
         JsonObject snapshot();
 
-        /** Takes a snapshot's state in place of its own; null: one of a build that did not know this part. */
-        void restore(JsonObject from);
+        /** Replaces the state by that of a snapshot; null if a build without this part wrote it. */
+        void restore(JsonObject snapshot);
 
-        /** What holds of the changes from now on; told behind a snapshot's restoring, too. */
-        default void changed(View now) {}
+        /** Called with the new state of the changes, also after a snapshot is restored. */
+        default void onPolicyChanged(View view) {}
 
         /**
-         * Why a change must not come into force, or null. Asked when it is proposed, and again when it is
-         * to be applied.
+         * Why a change must not come into force, or null. Called when the change is proposed and again when
+         * it is to be applied.
          *
-         * @param types those that it names
-         * @param merged what would be in force, all of it
+         * @param types the types that it names
+         * @param merged the whole policy that would be in force
          */
-        default String against(JsonObject types, JsonObject merged) {
+        default String rejectionReason(JsonObject types, JsonObject merged) {
             return null;
         }
     }
@@ -95,45 +95,45 @@
         this(Map.of());
     }
 
-    /** @param parts by name */
+    /** @param parts further state machines by name */
     public Ledger(Map<String, Part> parts) {
-        // In one order everywhere: what the first of them has against a change is told.
+        // Sorted, so that every voter reports the same part's objection to a change.
         this.parts = new TreeMap<>(parts);
-        look();
+        updateView();
     }
 
-    // ---- operations, as they stand in the log ----
+    // ---- operations as written to the log ----
 
-    /** A proposal. */
-    public static JsonObject propose(String name, JsonObject types, String by, long nowMs) {
+    /** Proposes a change. */
+    public static JsonObject propose(String name, JsonObject types, String proposer, long nowMs) {
         JsonObject op = op("propose", name, nowMs);
         op.add("types", types);
-        op.addProperty("by", by);
+        op.addProperty("by", proposer);
         return op;
     }
 
     /**
-     * The same, taken only where that change is the last applied and none is undecided: what it replaces is
-     * known to whoever proposes it.
+     * The same, accepted only if {@code expectedInForce} is the last change applied and none is undecided, so
+     * that the proposer knows what the change replaces.
      */
-    public static JsonObject propose(String name, JsonObject types, String by, long nowMs, long onlyOn) {
-        JsonObject op = propose(name, types, by, nowMs);
-        op.addProperty(ONLY_ON, onlyOn);
+    public static JsonObject propose(String name, JsonObject types, String proposer, long nowMs, long expectedInForce) {
+        JsonObject op = propose(name, types, proposer, nowMs);
+        op.addProperty(EXPECTED_IN_FORCE, expectedInForce);
         return op;
     }
 
-    /** The open change is applied. */
+    /** Applies the open change. */
     public static JsonObject apply(String name, long nowMs) {
         return op("apply", name, nowMs);
     }
 
-    /** The open change is abandoned, for these reasons. */
+    /** Abandons the open change for these reasons. */
     public static JsonObject abandon(String name, List<String> reasons, long nowMs) {
         JsonObject op = op("abandon", name, nowMs);
         JsonArray texts = new JsonArray();
         reasons.stream()
-                .limit(MOST_REASONS)
-                .map(text -> text.length() > MOST_REASON ? text.substring(0, MOST_REASON) : text)
+                .limit(MAX_REASONS)
+                .map(text -> text.length() > MAX_REASON_CHARS ? text.substring(0, MAX_REASON_CHARS) : text)
                 .forEach(texts::add);
         op.add("reasons", texts);
         return op;
@@ -147,93 +147,95 @@
         return op;
     }
 
-    /** Why these can't be proposed, whatever the state; null if they can. */
-    public static String unfit(String name, JsonObject types) {
-        if (name == null || !name.matches(NAME)) {
-            return "name: a change is named by up to 64 letters, digits, '_', '.' and '-'";
+    /** Why such a change can't be proposed, whatever the state; null if it can. */
+    public static String invalidReason(String name, JsonObject types) {
+        if (name == null || !name.matches(NAME_PATTERN)) {
+            return "name: must consist of 1 to 64 letters, digits, '_', '.' and '-'";
         }
         if (types == null || types.size() == 0) {
-            return "types: a change holds at least one type";
+            return "types: must name at least one type";
         }
         for (Map.Entry<String, JsonElement> type : types.entrySet()) {
             if (!type.getValue().isJsonArray()) {
-                return "types." + type.getKey() + ": is no list of resources";
+                return "types." + type.getKey() + ": must be a list of resources";
             }
         }
         int length = types.toString().length();
-        return length <= MOST_CONTENT ? null : "types: " + length + " characters, the most are " + MOST_CONTENT;
+        return length <= MAX_CONTENT_CHARS
+                ? null
+                : "types: " + length + " characters, the limit is " + MAX_CONTENT_CHARS;
     }
 
     /**
-     * Carries out an operation of the log. The answer is the change as it then stands, or {@code error}
-     * with the reason why nothing was changed.
+     * Applies an operation of the log. Returns the change as it then is, or an object with {@code error} if
+     * nothing was changed.
      */
     public JsonObject run(JsonObject op) {
         if (op.has(PART)) {
             Part part = parts.get(op.get(PART).getAsString());
-            return part == null ? error("this build knows no part " + op.get(PART)) : part.run(op);
+            return part == null ? error("this build has no ledger part " + op.get(PART)) : part.run(op);
         }
         String name = op.get("name").getAsString();
-        Change known = changes.get(name);
+        Change change = changes.get(name);
         String kind = op.get("op").getAsString();
         if (kind.equals("propose")) {
-            return propose(name, known, op);
+            return propose(name, change, op);
         }
         boolean applies = kind.equals("apply");
-        if (known == null || known.state() != State.OPEN) {
-            // Asked twice, or by a leader that did not know yet: the first decision stands.
-            return known == null ? error("there is no change '" + name + "'") : known.json(false);
+        if (change == null || change.state() != State.OPEN) {
+            // A repeated request, or one of a leader with an old state: the first decision stands.
+            return change == null ? error("change '" + name + "' does not exist") : change.toJson(false);
         }
         List<String> reasons = new ArrayList<>();
         if (op.has("reasons")) {
-            op.getAsJsonArray("reasons").forEach(one -> reasons.add(one.getAsString()));
+            op.getAsJsonArray("reasons").forEach(reason -> reasons.add(reason.getAsString()));
         }
-        String against = applies ? against(known.types()) : null;
-        if (against != null) {
-            // What a part needs may have come up behind the proposal.
+        String rejection = applies ? rejectionReason(change.types()) : null;
+        if (rejection != null) {
+            // A part's objection may have arisen since the proposal.
             applies = false;
-            reasons.add(against);
+            reasons.add(rejection);
         }
         if (applies) {
-            inForce = known.number();
-            merged = merge(known.types());
+            inForce = change.number();
+            merged = merge(change.types());
             digest = Canonical.digest(merged);
         }
-        Change ended = known.ended(
+        Change ended = change.ended(
                 applies ? State.APPLIED : State.ABANDONED, reasons, op.get("ms").getAsLong());
         changes.put(name, ended);
         pending.remove(name);
         openNext();
-        look();
-        return ended.json(false);
+        updateView();
+        return ended.toJson(false);
     }
 
-    private JsonObject propose(String name, Change known, JsonObject op) {
+    private JsonObject propose(String name, Change existing, JsonObject op) {
         JsonObject types = op.getAsJsonObject("types");
-        String unfit = unfit(name, types);
-        if (unfit != null) {
-            return error(unfit);
+        String invalid = invalidReason(name, types);
+        if (invalid != null) {
+            return error(invalid);
         }
-        String of = Canonical.digest(types);
-        if (known != null) {
-            return known.digest().equals(of)
-                    ? known.json(false)
-                    : error("the name '" + name + "' is that of a change with another content");
+        String proposedDigest = Canonical.digest(types);
+        if (existing != null) {
+            return existing.digest().equals(proposedDigest)
+                    ? existing.toJson(false)
+                    : error("change '" + name + "' already exists with different content");
         }
-        if (pending.size() > MOST_WAITING) {
-            return error(MOST_WAITING + " changes wait already");
+        if (pending.size() > MAX_WAITING) {
+            return error(MAX_WAITING + " changes are already waiting");
         }
-        if (op.has(ONLY_ON) && (op.get(ONLY_ON).getAsLong() != inForce || !pending.isEmpty())) {
-            return error("another change was applied, or is undecided, since '" + name + "' was made");
+        if (op.has(EXPECTED_IN_FORCE) && (op.get(EXPECTED_IN_FORCE).getAsLong() != inForce || !pending.isEmpty())) {
+            return error("another change was applied or is undecided since '" + name + "' was prepared");
         }
-        String against = against(types);
-        if (against != null) {
-            return error(against);
+        String rejection = rejectionReason(types);
+        if (rejection != null) {
+            return error(rejection);
         }
         Change added = new Change(
                 name,
                 0,
-                of,
+                proposedDigest,
                 types,
                 op.get("by").getAsString(),
                 State.WAITING,
@@ -242,26 +244,26 @@
                 0);
         changes.put(name, added);
         pending.put(name, added);
-        forget();
+        dropOldOutcomes();
         openNext();
-        look();
-        return changes.get(name).json(false);
+        updateView();
+        return changes.get(name).toJson(false);
     }
 
-    private String against(JsonObject types) {
-        JsonObject then = merge(types);
+    private String rejectionReason(JsonObject types) {
+        JsonObject mergedAfter = merge(types);
         for (Part part : parts.values()) {
-            String why = part.against(types, then);
-            if (why != null) {
-                return why;
+            String reason = part.rejectionReason(types, mergedAfter);
+            if (reason != null) {
+                return reason;
             }
         }
         return null;
     }
 
-    private void forget() {
+    private void dropOldOutcomes() {
         var oldest = changes.values().iterator();
-        for (int over = changes.size() - MOST_KEPT; over > 0 && oldest.hasNext(); over--) {
+        for (int excess = changes.size() - MAX_OUTCOMES; excess > 0 && oldest.hasNext(); excess--) {
             if (!oldest.next().isDecided()) {
                 return;
             }
@@ -273,7 +275,7 @@
         if (!pending.isEmpty()) {
             Change next = pending.values().iterator().next();
             if (next.state() == State.WAITING) {
-                Change open = next.opened(++opened);
+                Change open = next.opened(++lastNumber);
                 pending.put(open.name(), open);
                 changes.put(open.name(), open);
             }
@@ -281,29 +283,29 @@
     }
 
     private JsonObject merge(JsonObject types) {
-        JsonObject all = new JsonObject();
-        merged.entrySet().forEach(type -> all.add(type.getKey(), type.getValue()));
+        JsonObject result = new JsonObject();
+        merged.entrySet().forEach(type -> result.add(type.getKey(), type.getValue()));
         types.entrySet().forEach(type -> {
             if (type.getValue().getAsJsonArray().isEmpty()) {
-                all.remove(type.getKey());
+                result.remove(type.getKey());
             } else {
-                all.add(type.getKey(), type.getValue());
+                result.add(type.getKey(), type.getValue());
             }
         });
-        return all;
+        return result;
     }
 
-    private static JsonObject error(String text) {
+    private static JsonObject error(String message) {
         JsonObject answer = new JsonObject();
-        answer.addProperty("error", text);
+        answer.addProperty("error", message);
         return answer;
     }
 
-    private void look() {
+    private void updateView() {
         List<String> waiting = new ArrayList<>(pending.keySet());
         Change open = waiting.isEmpty() ? null : pending.get(waiting.remove(0));
         view = new View(inForce, merged, digest, open, open == null ? null : merge(open.types()), List.copyOf(waiting));
-        parts.values().forEach(part -> part.changed(view));
+        parts.values().forEach(part -> part.onPolicyChanged(view));
     }
 
     // ---- reading ----
@@ -312,8 +314,8 @@
         return view;
     }
 
-    /** The state of the part of that name; there must be one. */
-    public Object part(String name) {
+    /** The state of the part of that name, which must exist. */
+    public Object partView(String name) {
         return parts.get(name).view();
     }
 
@@ -322,45 +324,45 @@
         return changes.get(name);
     }
 
-    /** The last changes, the newest first. */
-    public List<Change> last(int most) {
-        List<Change> all = new ArrayList<>(changes.values());
-        Collections.reverse(all);
-        return all.subList(0, Math.min(most, all.size()));
+    /** The most recent changes, newest first. */
+    public List<Change> recent(int limit) {
+        List<Change> recent = new ArrayList<>(changes.values());
+        Collections.reverse(recent);
+        return recent.subList(0, Math.min(limit, recent.size()));
     }
 
-    /** All of it, for a snapshot of the log. */
+    /** The whole state, for a snapshot of the log. */
     public JsonObject snapshot() {
-        JsonObject all = new JsonObject();
+        JsonObject snapshot = new JsonObject();
         JsonArray list = new JsonArray();
-        changes.values().forEach(change -> list.add(change.json(true)));
-        all.add("changes", list);
-        all.addProperty("opened", opened);
-        all.addProperty("in_force", inForce);
-        all.add("merged", merged);
-        JsonObject others = new JsonObject();
-        parts.forEach((name, part) -> others.add(name, part.snapshot()));
-        all.add("parts", others);
-        return all;
+        changes.values().forEach(change -> list.add(change.toJson(true)));
+        snapshot.add("changes", list);
+        snapshot.addProperty("opened", lastNumber);
+        snapshot.addProperty("in_force", inForce);
+        snapshot.add("merged", merged);
+        JsonObject partSnapshots = new JsonObject();
+        parts.forEach((name, part) -> partSnapshots.add(name, part.snapshot()));
+        snapshot.add("parts", partSnapshots);
+        return snapshot;
     }
 
-    /** Takes a snapshot's state in place of its own. */
-    public void restore(JsonObject from) {
+    /** Replaces the state by that of a snapshot. */
+    public void restore(JsonObject snapshot) {
         changes.clear();
         pending.clear();
-        for (JsonElement one : from.getAsJsonArray("changes")) {
-            Change change = Change.of(one.getAsJsonObject());
+        for (JsonElement element : snapshot.getAsJsonArray("changes")) {
+            Change change = Change.fromJson(element.getAsJsonObject());
             changes.put(change.name(), change);
             if (!change.isDecided()) {
                 pending.put(change.name(), change);
             }
         }
-        opened = from.get("opened").getAsLong();
-        inForce = from.get("in_force").getAsLong();
-        merged = from.getAsJsonObject("merged");
+        lastNumber = snapshot.get("opened").getAsLong();
+        inForce = snapshot.get("in_force").getAsLong();
+        merged = snapshot.getAsJsonObject("merged");
         digest = Canonical.digest(merged);
-        JsonObject others = from.has("parts") ? from.getAsJsonObject("parts") : new JsonObject();
-        parts.forEach((name, part) -> part.restore(others.getAsJsonObject(name)));
-        look();
+        JsonObject partSnapshots = snapshot.has("parts") ? snapshot.getAsJsonObject("parts") : new JsonObject();
+        parts.forEach((name, part) -> part.restore(partSnapshots.getAsJsonObject(name)));
+        updateView();
     }
 }
--- a/src/main/java/laneflow/task/decision/TaskHolder.java
+++ b/src/main/java/laneflow/task/decision/TaskHolder.java
@@ -61,16 +61,16 @@
     public boolean take(TaskGrant word, long sentAt, long heardAt) {
         if (word.term() < term
                 || word.term() == term && word.seq() <= seq
-                || sentAt < 0 && (word.term() > term || !clock.isKnown())
+                || sentAt < 0 && (word.term() > term || !clock.isBounded())
                 || word.holds() == null && (word.term() != knownTerm || word.version() != version)) {
             return false;
         }
         if (word.term() > term) {
             term = word.term();
-            clock.forget();
+            clock.reset();
         }
         seq = word.seq();
-        clock.stamp(word.leaderNow(), sentAt, heardAt);
+        clock.addStamp(word.leaderNow(), sentAt, heardAt);
         if (word.holds() != null) {
             holds = Collections.unmodifiableSortedMap(new TreeMap<>(word.holds()));
             knownTerm = word.term();
@@ -78,7 +78,7 @@
             given.entrySet().removeIf(one -> !one.getValue().equals(holds.get(one.getKey())));
         }
         wantsMissing = word.wantsMissing();
-        stop = word.until() == 0 ? NEVER : clock.noLaterThan(word.until());
+        stop = word.until() == 0 ? NEVER : clock.localNotAfter(word.until());
         obey();
         return true;
     }
