--- a/src/main/java/laneflow/control/SettingTypes.java
+++ b/src/main/java/laneflow/control/SettingTypes.java
@@ -149,7 +149,7 @@
 
     private static void adopt(String name, JobClass[] classes, int at, JobClass to, List<String> later) {
         JobClass from = classes[at];
-        if (from.effect != to.effect || from.window != to.window) {
+        if (from.effect != to.effect || from.dedupWindow != to.dedupWindow) {
             later.add(name + ": repeat and window_ms from the next start on");
         }
         JobClass next = new JobClass();
@@ -160,7 +160,7 @@
         next.lateWorth = from.lateWorth;
         next.effect = from.effect;
         next.group = from.group;
-        next.window = from.window;
+        next.dedupWindow = from.dedupWindow;
         next.kind = from.kind;
         next.stream = from.stream;
         classes[at] = next;
@@ -236,7 +236,7 @@
      * and the budget of further attempts. They hold for the requests that come from then on.
      */
     public static ResourceType module(Settings settings) {
-        double[] first = {settings.crossEachWay, settings.furtherFree, settings.furtherShare, settings.furtherWithin};
+        double[] first = {settings.crossEachWay, settings.retryFree, settings.retryShare, settings.retryWindow};
         return new Setting("module", () -> adopt(settings, first), (resources, said) -> {
             Findings findings = Findings.paths();
             JsonObject one = resources.get(0).getAsJsonObject().deepCopy();
@@ -256,9 +256,9 @@
 
     private static List<String> adopt(Settings settings, double[] to) {
         settings.crossEachWay = to[0];
-        settings.furtherFree = to[1];
-        settings.furtherShare = to[2];
-        settings.furtherWithin = to[3];
+        settings.retryFree = to[1];
+        settings.retryShare = to[2];
+        settings.retryWindow = to[3];
         return List.of();
     }
 
--- a/src/main/java/laneflow/core/Scheduler.java
+++ b/src/main/java/laneflow/core/Scheduler.java
@@ -114,7 +114,7 @@
 
     /** This process is that part of the scheduler; the rest is another process's that it takes over from. */
     public void share(double part) {
-        event(() -> module.share(now(), part));
+        event(() -> module.budgetShare(now(), part));
     }
 
     /** The endpoint is to be used again. */
@@ -222,7 +222,7 @@
      * the number that those to come carry ({@link Request#epoch}).
      */
     public int retuned() {
-        event(module::retuned);
+        event(module::settingsChanged);
         return ++epoch;
     }
 
@@ -440,7 +440,7 @@
         return !request.mayHaveRun()
                 || type.effect == Effect.SAFE
                 || type.effect == Effect.KEYED
-                        && clock.fresh() < request.firstMayHaveRun() + (long) (type.window * 1e6);
+                        && clock.fresh() < request.firstMayHaveRun() + (long) (type.dedupWindow * 1e6);
     }
 
     /** The endpoint has started on it. */
@@ -669,7 +669,7 @@
         }
 
         @Override
-        public void turnedAway(long id, Refusal refusal) {
+        public void explainRefusal(long id, Refusal refusal) {
             counters.add("turned_away." + refusal.reason().name().toLowerCase(Locale.ROOT));
             Request request = requests.get(id);
             if (LOG.isDebugEnabled() && request != null) {
--- a/src/main/java/laneflow/decision/Dispatch.java
+++ b/src/main/java/laneflow/decision/Dispatch.java
@@ -17,8 +17,8 @@
  *
  * <p><b>Ownership.</b> Values passed in are read before the method returns and may be reused by the host
  * afterwards, but for {@link Settings}: of these only {@code maxAttempts}, {@code retryAfter},
- * {@code maxRetryAfter}, {@code crossEachWay}, those that begin with {@code further}, and the entries of
- * {@code classes} as wholes, may change, between two events and with {@link #retuned} behind it. A request
+ * {@code maxRetryAfter}, {@code crossEachWay}, those that begin with {@code retry}, and the entries of
+ * {@code classes} as wholes, may change, between two events and with {@link #settingsChanged} behind it. A request
  * keeps what it came under; no class changes its effect or kind.
  *
  * <p><b>Misuse.</b> A request id already open, and outcomes, notes, timers or probe results for things
@@ -113,7 +113,7 @@
         public Effect effect = Effect.UNSAFE;
         public Group group = Group.CELL;
         /** Keyed only: how long a group remembers, from the earliest attempt that may have run. */
-        public double window;
+        public double dedupWindow;
         /** The only worker kind that runs the class, or -1. */
         public int kind = -1;
 
@@ -136,7 +136,7 @@
     final class Settings {
         public int zone;
         public int zones = 1;
-        public int me;
+        public int dispatcherIndex;
         public int dispatchers = 1;
         public JobClass[] classes = {};
         /** None where requests are not told apart by whose they are. */
@@ -144,7 +144,7 @@
         /** Worth of a request beyond its tenant's share, as a part of its class's. */
         public double overShareWorth = 1;
 
-        public boolean listMustBeAsked;
+        public boolean listNeedsSubscription;
         public ReportSource reports = ReportSource.NONE;
         public WeightSource weights = WeightSource.NONE;
         public boolean mayProbe;
@@ -156,9 +156,9 @@
         public double connectTimeout = 1;
         public boolean tellsStart;
         /** Seconds between progress notes; 0: none. */
-        public double progressEvery;
+        public double progressInterval;
         /** True where the head of a worker's queue waits until it fits and holds up those behind it. */
-        public boolean headBlocks;
+        public boolean headOfLineBlocking;
 
         public double drainGrace;
         public double coldShare = 1;
@@ -168,17 +168,17 @@
         /** An answer 'full' is no proof: a worker may shed work that it had begun. */
         public boolean fullMayHaveRun;
         /**
-         * In any {@code furtherWithin} seconds attempts beyond each request's first number at most
-         * {@code furtherFree} plus {@code furtherShare} for each request taken; 0 seconds: no such budget.
+         * In any {@code retryWindow} seconds attempts beyond each request's first number at most
+         * {@code retryFree} plus {@code retryShare} for each request taken; 0 seconds: no such budget.
          */
-        public double furtherFree;
+        public double retryFree;
 
-        public double furtherShare;
-        public double furtherWithin;
+        public double retryShare;
+        public double retryWindow;
         /** The chance of the next zone on the ring where home is full; the rest is the one before it. */
         public double crossEachWay = 0.5;
         /** Seconds within which idle connections to a draining worker are closed; 0: not asked for. */
-        public double closeOnDrain;
+        public double closeOnDrainWithin;
         /** The shortest time between two events' clocks. */
         public double tick = 0.001;
     }
@@ -245,10 +245,10 @@
     void setUp(double now, long worker);
 
     /** Another process works under this dispatcher's number: this one's part of what both may do. */
-    void share(double now, double part);
+    void budgetShare(double now, double part);
 
     /** Settings that may change have changed: they hold for the requests that come from now on. */
-    void retuned();
+    void settingsChanged();
 
     /** A request has arrived; exactly one final answer is owed. */
     void request(double now, Request request);
@@ -288,7 +288,7 @@
         void refuse(long request, double retryAfter);
 
         /** Told right before a request that was placed nowhere is refused or failed: which check it did not pass. */
-        default void turnedAway(long request, Refusal refusal) {}
+        default void explainRefusal(long request, Refusal refusal) {}
 
         /** Final answer: not served, and it may have had its effect. */
         void fail(long request);
--- a/src/main/java/laneflow/decision/Job.java
+++ b/src/main/java/laneflow/decision/Job.java
@@ -30,9 +30,9 @@
     boolean toldWhen;
     double longestRetryAfter;
     double crossEachWay;
-    double furtherFree;
-    double furtherShare;
-    double furtherWithin;
+    double retryFree;
+    double retryShare;
+    double retryWindow;
     /** Reports it still waits for. */
     int awaited;
     /** When it began to wait for them. */
@@ -63,9 +63,9 @@
         toldWhen = settings.retryAfter;
         longestRetryAfter = settings.maxRetryAfter;
         crossEachWay = settings.crossEachWay;
-        furtherFree = settings.furtherFree;
-        furtherShare = settings.furtherShare;
-        furtherWithin = settings.furtherWithin;
+        retryFree = settings.retryFree;
+        retryShare = settings.retryShare;
+        retryWindow = settings.retryWindow;
         arrivedAt = now;
         lastCall = call;
         hint = work;
--- a/src/main/java/laneflow/decision/Logic.java
+++ b/src/main/java/laneflow/decision/Logic.java
@@ -96,7 +96,7 @@
         shares = new Shares(settings);
         slack = new double[settings.classes.length];
         Arrays.fill(slack, Double.POSITIVE_INFINITY);
-        retuned();
+        settingsChanged();
     }
 
     // ---- events ----
@@ -105,7 +105,7 @@
     public void start(double at) {
         clock(at);
         slowStart.start(now);
-        if (settings.listMustBeAsked) {
+        if (settings.listNeedsSubscription) {
             out.watchList();
         }
     }
@@ -115,7 +115,7 @@
         clock(at);
         if (kind == ListKind.FAILED) {
             // A broken subscription is silent from here on: an old list would be followed for ever.
-            if (settings.listMustBeAsked && !askPending) {
+            if (settings.listNeedsSubscription && !askPending) {
                 askPending = true;
                 out.wake(LIST_RETRY * (1 + random.nextDouble()), ASK_LIST);
             }
@@ -160,13 +160,13 @@
     }
 
     @Override
-    public void share(double at, double of) {
+    public void budgetShare(double at, double of) {
         clock(at);
         slowStart.share(of);
     }
 
     @Override
-    public void retuned() {
+    public void settingsChanged() {
         highestWorth = 0;
         for (JobClass type : settings.classes) {
             highestWorth = Math.max(highestWorth, type.worth);
@@ -276,12 +276,12 @@
             if (Double.isNaN(attempt.startedAt)) {
                 // Where no start is told, the first word comes a while after it: read as the start it would
                 // make every worker look fast, and cold ones be sent too much.
-                double before = note == Note.PROGRESS ? settings.progressEvery : 0;
+                double before = note == Note.PROGRESS ? settings.progressInterval : 0;
                 attempt.startedAt = Math.max(attempt.sentAt, now - before);
                 attempt.view.waited(attempt, now);
                 loseOvertaken(attempt);
             }
-            if (note == Note.ANSWERING && settings.progressEvery == 0 && !attempt.lost) {
+            if (note == Note.ANSWERING && settings.progressInterval == 0 && !attempt.lost) {
                 // However slowly the network brings the answer, the worker has done the job.
                 attempt.answeredAt = now;
                 attempt.view.lose(attempt);
@@ -512,7 +512,7 @@
 
     private void finish(Job job, Refusal refusal) {
         end(job);
-        out.turnedAway(job.id, refusal);
+        out.explainRefusal(job.id, refusal);
         if (retries.mayRefuse(job, now)) {
             out.refuse(job.id, job.toldWhen ? comeBack(job) : 0);
         } else {
@@ -657,7 +657,7 @@
      */
     private void loseOvertaken(Attempt started) {
         WorkerView view = started.view;
-        for (int i = 0; i < view.ownCount && settings.headBlocks; i++) {
+        for (int i = 0; i < view.ownCount && settings.headOfLineBlocking; i++) {
             Attempt attempt = view.own[i];
             if (Double.isNaN(attempt.startedAt)
                     && attempt.sentAt < started.sentAt - settings.connectTimeout
@@ -677,10 +677,10 @@
      * notice and after each attempt's end. One still being opened then is idle only later: once more for it.
      */
     private void closeIdle(WorkerView view) {
-        if (settings.closeOnDrain > 0 && view.state != State.READY) {
+        if (settings.closeOnDrainWithin > 0 && view.state != State.READY) {
             out.closeIdle(view.id);
             closing.add(view);
-            out.wake(settings.closeOnDrain / 2, CLOSE_AGAIN);
+            out.wake(settings.closeOnDrainWithin / 2, CLOSE_AGAIN);
         }
     }
 
--- a/src/main/java/laneflow/decision/RetryPolicy.java
+++ b/src/main/java/laneflow/decision/RetryPolicy.java
@@ -21,7 +21,7 @@
 
     /** A request has been taken: it earns its share of a further attempt. */
     void requestTaken(double now) {
-        taken.count(now - settings.furtherWithin);
+        taken.count(now - settings.retryWindow);
         taken.add(now, 1);
     }
 
@@ -35,13 +35,13 @@
         return job.attempts < job.mostAttempts && mayRepeat(job, now) && withinBudget(job, now);
     }
 
-    /** A further attempt: never for unsafe once one may have run; keyed only while its window lasts. */
+    /** A further attempt: never for unsafe once one may have run; keyed only while its deduplication window lasts. */
     boolean mayRepeat(Job job, double now) {
         switch (job.type.effect) {
             case SAFE:
                 return true;
             case KEYED:
-                return !job.mayHaveRun() || now < job.firstMayHaveRun() + job.type.window;
+                return !job.mayHaveRun() || now < job.firstMayHaveRun() + job.type.dedupWindow;
             default:
                 return !job.mayHaveRun();
         }
@@ -75,9 +75,9 @@
      * within its ration. Times are read to the tick, on the careful side.
      */
     private boolean withinBudget(Job job, double now) {
-        double since = now - job.furtherWithin;
+        double since = now - job.retryWindow;
         int made = further.count(since - settings.tick);
         int got = taken.count(since + settings.tick);
-        return job.furtherWithin <= 0 || made + 1 <= job.furtherFree + job.furtherShare * got;
+        return job.retryWindow <= 0 || made + 1 <= job.retryFree + job.retryShare * got;
     }
 }
--- a/src/main/java/laneflow/decision/SlowStart.java
+++ b/src/main/java/laneflow/decision/SlowStart.java
@@ -51,7 +51,7 @@
         double budget = afresh * SHARE * (n + 2 * Math.sqrt(n) + 2) * mean;
         double each = Math.max(JOBS_IN_PART * meanHint.mean(), budget / settings.dispatchers);
         long first = (view.id * 0x9E3779B97F4A7C15L ^ Double.doubleToLongBits(view.startedAt)) >>> 16;
-        long before = (settings.me * NUMBER_SPREAD + first) % settings.dispatchers;
+        long before = (settings.dispatcherIndex * NUMBER_SPREAD + first) % settings.dispatchers;
         double mine = part * Math.min(each, budget - before * each);
         return view.coldLog.since(now - settings.fallWithin) + cost(job) <= mine;
     }
--- a/src/main/java/laneflow/durable/DurableJobs.java
+++ b/src/main/java/laneflow/durable/DurableJobs.java
@@ -651,7 +651,7 @@
         JobClass type = scheduler.settings().classes[job.jobClass];
         long nowMs = wall.getAsLong();
         Verdict verdict = Settlement.decide(
-                type.effect, job.attempts, (long) (type.window * 1000), nowMs, latestMs, MOST_ATTEMPTS);
+                type.effect, job.attempts, (long) (type.dedupWindow * 1000), nowMs, latestMs, MOST_ATTEMPTS);
         switch (verdict.kind()) {
             case AGAIN:
                 job.untilMs = verdict.untilMs();
--- a/src/main/java/laneflow/http/DiscoveryWatch.java
+++ b/src/main/java/laneflow/http/DiscoveryWatch.java
@@ -85,7 +85,7 @@
         address = config.discovery;
         seq = config.known.seq;
         random = new SplittableRandom(config.seed);
-        asked = config.settings.listMustBeAsked;
+        asked = config.settings.listNeedsSubscription;
         timer = loop.deadlines().create(this::due);
     }
 
--- a/src/main/java/laneflow/lab/world/CapacityWorld.java
+++ b/src/main/java/laneflow/lab/world/CapacityWorld.java
@@ -441,7 +441,7 @@
         settings.classes = new JobClass[] {type};
         settings.zones = day.zones;
         settings.zone = number % day.zones;
-        settings.me = number;
+        settings.dispatcherIndex = number;
         settings.dispatchers = day.schedulers;
         settings.reports = ReportSource.ANSWERS;
         settings.maxAttempts = 5;
@@ -449,7 +449,7 @@
         settings.retryAfter = true;
         settings.maxRetryAfter = 2;
         settings.tellsStart = true;
-        settings.headBlocks = true;
+        settings.headOfLineBlocking = true;
         settings.drainGrace = 0.5;
         settings.coldShare = 0.2;
         settings.coldFor = 5;
--- a/src/main/java/laneflow/wire/SettingsReader.java
+++ b/src/main/java/laneflow/wire/SettingsReader.java
@@ -24,9 +24,9 @@
         Settings s = settings;
         s.zone = integer(root, "az", 0);
         s.zones = Math.max(1, array(root, "areas").size());
-        s.me = integer(root, "slotNo", 0);
+        s.dispatcherIndex = integer(root, "slotNo", 0);
         s.dispatchers = Math.max(1, integer(root, "siblings", 1));
-        s.listMustBeAsked = text(root, "discovery", "push").equals("ask");
+        s.listNeedsSubscription = text(root, "discovery", "push").equals("ask");
         s.weights = weights(text(root, "weightSource", "none"));
         s.tick = number(root, "tick", s.tick);
         classes(root);
@@ -36,8 +36,8 @@
         rules(object(root, "rules"));
         JsonObject info = object(root, "familyInfo");
         s.tellsStart = flag(info, "tellsStart", false);
-        s.progressEvery = number(info, "progress", 0);
-        s.headBlocks = text(info, "queueOrder", "fifo").equals("fifo");
+        s.progressInterval = number(info, "progress", 0);
+        s.headOfLineBlocking = text(info, "queueOrder", "fifo").equals("fifo");
         JsonObject reporting = object(root, "reporting");
         s.reports = reports(text(reporting, "source", "none"));
         JsonArray fields = array(reporting, "fields");
@@ -78,7 +78,7 @@
             to.lateWorth = number(from, "lateWorth", 0);
             to.effect = effect(text(from, "semantics", "side_effect"));
             to.group = group(text(from, "group", "cell"));
-            to.window = number(from, "dedupWindow", 0);
+            to.dedupWindow = number(from, "dedupWindow", 0);
             to.stream = flag(from, "stream", false);
             to.kind = (int) at(info, "classKind", i, -1);
             settings.classes[i] = to;
@@ -116,11 +116,11 @@
         s.fallMultiple = number(from, "tipMultiple", s.fallMultiple);
         s.fallWithin = number(from, "fall", 0);
         s.fullMayHaveRun = flag(from, "lateShedding", false);
-        s.furtherFree = number(from, "spareAttempts", 0);
-        s.furtherShare = number(from, "repeatRatio", 0);
-        s.furtherWithin = number(from, "resendSpan", 0);
+        s.retryFree = number(from, "spareAttempts", 0);
+        s.retryShare = number(from, "repeatRatio", 0);
+        s.retryWindow = number(from, "resendSpan", 0);
         s.crossEachWay = number(from, "crossEachWay", s.crossEachWay);
-        s.closeOnDrain = number(from, "closeOnDrainWithin", 0);
+        s.closeOnDrainWithin = number(from, "closeOnDrainWithin", 0);
     }
 
     private static Effect effect(String word) throws WireException {
--- a/src/test/java/laneflow/config/OperatorFileTest.java
+++ b/src/test/java/laneflow/config/OperatorFileTest.java
@@ -36,7 +36,7 @@
         assertEquals("127.0.0.1:8081", setup.config().listen);
         assertEquals(3, setup.config().known.entries.size());
         assertEquals(Effect.UNSAFE, setup.config().settings.classes[1].effect);
-        assertEquals(10, setup.config().settings.classes[2].window);
+        assertEquals(10, setup.config().settings.classes[2].dedupWindow);
         assertEquals(0.5, setup.config().settings.drainGrace);
         assertTrue(setup.gearman().functions.get("points_post").durable());
         assertEquals(3000, setup.durable().classes[2].leaseMs);
@@ -55,14 +55,14 @@
                 null,
                 null);
         assertEquals(0.25, setup.config().settings.crossEachWay);
-        assertEquals(3, setup.config().settings.furtherFree);
-        assertEquals(0.1, setup.config().settings.furtherShare);
-        assertEquals(5, setup.config().settings.furtherWithin);
+        assertEquals(3, setup.config().settings.retryFree);
+        assertEquals(0.1, setup.config().settings.retryShare);
+        assertEquals(5, setup.config().settings.retryWindow);
         assertTrue(wrong(file + "[module]\nretry_free = 3\n").contains("[module] retry_window_ms: is missing"));
         Path platform = write("p.json", "{\"settings\":{\"rules\":{\"spareAttempts\":1}}}");
         Setup both = Setup.operators(
                 write("a.toml", file + "[module]\nretry_free = 3\nretry_window_ms = 1\n"), platform, null);
-        assertEquals(1, both.config().settings.furtherFree);
+        assertEquals(1, both.config().settings.retryFree);
         assertTrue(both.fixed().containsKey("module"));
     }
 
--- a/src/test/java/laneflow/control/ModuleTypeTest.java
+++ b/src/test/java/laneflow/control/ModuleTypeTest.java
@@ -20,7 +20,7 @@
     @Test
     void whatItNamesHoldsAndTheFilesOwnComesBack() {
         settings.crossEachWay = 0.25;
-        settings.furtherWithin = 3;
+        settings.retryWindow = 3;
         ResourceType type = SettingTypes.module(settings);
         ResourceType.Reading read = type.read(
                 one(",\"cross_each_way\":0.7,\"retry_free\":4,\"retry_share\":0.1," + "\"retry_window_ms\":1500"));
@@ -28,13 +28,13 @@
         assertEquals(0.25, settings.crossEachWay, "reading alone changes nothing");
         assertEquals(List.of(), read.adopt());
         assertEquals(0.7, settings.crossEachWay);
-        assertEquals(4, settings.furtherFree);
-        assertEquals(0.1, settings.furtherShare);
-        assertEquals(1.5, settings.furtherWithin);
+        assertEquals(4, settings.retryFree);
+        assertEquals(0.1, settings.retryShare);
+        assertEquals(1.5, settings.retryWindow);
         type.base().adopt();
         assertEquals(0.25, settings.crossEachWay);
-        assertEquals(3, settings.furtherWithin);
-        assertEquals(0, settings.furtherFree);
+        assertEquals(3, settings.retryWindow);
+        assertEquals(0, settings.retryFree);
     }
 
     @Test
--- a/src/test/java/laneflow/core/FleetRules.java
+++ b/src/test/java/laneflow/core/FleetRules.java
@@ -84,7 +84,7 @@
     private static boolean mayFollow(JobClass type, Out earlier, Out later, long now) {
         return type.effect == Effect.SAFE
                 || type.effect == Effect.KEYED
-                        && now <= earlier.begunAt + (long) (type.window * 1e6) + SLACK
+                        && now <= earlier.begunAt + (long) (type.dedupWindow * 1e6) + SLACK
                         && (type.group == Group.ALL
                                 || (type.group == Group.ZONE
                                         ? earlier.machine.entry.zone == later.machine.entry.zone
--- a/src/test/java/laneflow/core/SchedulerTest.java
+++ b/src/test/java/laneflow/core/SchedulerTest.java
@@ -56,7 +56,7 @@
             JobClass type = settings.classes[effect.ordinal()] = new JobClass();
             type.effect = effect;
             type.group = Group.ALL;
-            type.window = 10;
+            type.dedupWindow = 10;
             type.stretch = 2;
         }
         settings.maxAttempts = 5;
@@ -568,7 +568,7 @@
             other.scheduler.start(other, List.of(entry("a", State.READY), second));
             other.submit(KEYED);
             other.scheduler.ended(other.calls.get(0), Outcome.FULL, null, null);
-            other.scheduler.settings().classes[KEYED].window = 1;
+            other.scheduler.settings().classes[KEYED].dedupWindow = 1;
             other.pass(999_000);
             assertTrue(other.scheduler.mayBegin(other.calls.get(1)));
             other.pass(1_000);
--- a/src/test/java/laneflow/core/World.java
+++ b/src/test/java/laneflow/core/World.java
@@ -207,7 +207,7 @@
     private Settings settings(int number) {
         Settings settings = SchedulerTest.settings();
         settings.mayCancel = mayCancel;
-        settings.classes[SchedulerTest.KEYED].window = WINDOW / 1e6;
+        settings.classes[SchedulerTest.KEYED].dedupWindow = WINDOW / 1e6;
         for (JobClass type : settings.classes) {
             type.aim = 2;
             type.deadline = DEADLINE / 1e6;
@@ -215,8 +215,8 @@
         settings.zones = 2;
         settings.zone = number;
         settings.dispatchers = 2;
-        settings.me = number;
-        settings.headBlocks = true;
+        settings.dispatcherIndex = number;
+        settings.headOfLineBlocking = true;
         settings.reports = ReportSource.ANSWERS;
         settings.coldShare = 0.13;
         settings.coldFor = 24;
--- a/src/test/java/laneflow/decision/Checker.java
+++ b/src/test/java/laneflow/decision/Checker.java
@@ -139,18 +139,18 @@
 
     /** Kept at every further attempt, the budget is kept in every window. */
     private void further(double now, long id) {
-        double since = now - settings.furtherWithin;
+        double since = now - settings.retryWindow;
         further.add(now);
         long made = further.stream().filter(at -> at > since).count();
         long asked = taken.stream().filter(at -> at > since).count();
-        if (settings.furtherWithin > 0 && made > settings.furtherFree + settings.furtherShare * asked) {
+        if (settings.retryWindow > 0 && made > settings.retryFree + settings.retryShare * asked) {
             fail("a further attempt beyond the budget", now, id);
         }
     }
 
     /** The worker's connections are closed: what is idle there from now on needs a later word. */
     void closed(double now, long worker) {
-        if (settings.closeOnDrain == 0 && !down.containsKey(worker) || !known.containsKey(worker)) {
+        if (settings.closeOnDrainWithin == 0 && !down.containsKey(worker) || !known.containsKey(worker)) {
             fail("a worker's connections closed unasked", now, worker);
         }
         toClose.remove(worker);
@@ -158,7 +158,7 @@
     }
 
     private void mustClose(double now, long worker) {
-        if (settings.closeOnDrain > 0 && toldToStop.containsKey(worker)) {
+        if (settings.closeOnDrainWithin > 0 && toldToStop.containsKey(worker)) {
             toClose.put(worker, now);
         }
     }
@@ -166,7 +166,7 @@
     /** Nothing is idle at a worker told to stop for longer than its time. */
     void closedInTime(double now) {
         toClose.forEach((worker, at) -> {
-            if (now > at + settings.closeOnDrain) {
+            if (now > at + settings.closeOnDrainWithin) {
                 fail("idle connections left open", now, worker);
             }
         });
@@ -177,7 +177,7 @@
             return true;
         }
         return type.effect == Effect.KEYED
-                && now <= earlier.at + type.window
+                && now <= earlier.at + type.dedupWindow
                 && (type.group == Group.ALL
                         || (type.group == Group.ZONE
                                 ? earlier.worker.zone == worker.zone
--- a/src/test/java/laneflow/decision/ColdFleet.java
+++ b/src/test/java/laneflow/decision/ColdFleet.java
@@ -182,7 +182,7 @@
             s.classes[0].deadline = 2 * PATIENT;
             s.zones = drawn.zones;
             s.zone = drawn.zoneOf(me);
-            s.me = me;
+            s.dispatcherIndex = me;
             s.dispatchers = drawn.schedulers;
             s.coldFor = drawn.coldFor;
             s.coldShare = drawn.coldShare;
--- a/src/test/java/laneflow/decision/GuardTest.java
+++ b/src/test/java/laneflow/decision/GuardTest.java
@@ -156,7 +156,7 @@
     @Test
     void listThatMustBeAskedIsAskedAtTheStartAndAgainAfterAFailure() {
         Settings settings = Rig.settings(Effect.SAFE);
-        settings.listMustBeAsked = true;
+        settings.listNeedsSubscription = true;
         Rig rig = new Rig(settings);
         assertEquals(1, rig.all("watch", 0).size());
         rig.logic.list(rig.now, ListKind.FAILED, List.of());
@@ -191,7 +191,7 @@
                 .ends(1, 0, Outcome.OK, Rig.free(4))
                 .pass(2);
         rig.logic.list(rig.now, ListKind.CHANGES, List.of(Rig.worker(1, 0, State.READY, rig.now)));
-        rig.logic.share(rig.now, part);
+        rig.logic.budgetShare(rig.now, part);
         return rig.callsAtOnce(10, 300, 0.01);
     }
 
@@ -283,7 +283,7 @@
             settings.dispatchers = dispatchers;
             double budget = Rig.fells(settings, settings.coldShare, 0.02);
             double sent = 0;
-            for (settings.me = 0; settings.me < dispatchers; settings.me++) {
+            for (settings.dispatcherIndex = 0; settings.dispatcherIndex < dispatchers; settings.dispatcherIndex++) {
                 sent += workToCold(settings, 0, 2);
             }
             assertTrue(sent > 0, "a cold worker is used by one of " + dispatchers);
@@ -461,7 +461,7 @@
         rig.logic.note(rig.now, 1, 0, 1, Dispatch.Note.ANSWERING, 0);
         assertEquals(1, rig.ask(3).sentTo(3));
         // Where workers tell of progress a line that comes in pieces may be such a word.
-        settings.progressEvery = 1;
+        settings.progressInterval = 1;
         Rig told = new Rig(settings).workers(0, 1).ask(1).starts(1, 0);
         told.logic.note(told.now, 1, 0, 1, Dispatch.Note.ANSWERING, 0);
         assertEquals("refuse", told.ask(2).answers(2));
@@ -519,7 +519,7 @@
     @Test
     void progressTellsHowMuchOfAJobIsLeft() {
         Settings s = Rig.settings(Effect.SAFE);
-        s.progressEvery = 1;
+        s.progressInterval = 1;
         for (int i = 0; i < 20; i++) {
             Rig rig = new Rig(s).workers(0, 1, 2);
             rig.ask(1 + 10 * i).ask(2 + 10 * i);
@@ -723,7 +723,7 @@
     void whatALaterJobHasOvertakenIsLostAndGoesElsewhereIfItMay() {
         for (Effect effect : new Effect[] {Effect.SAFE, Effect.UNSAFE}) {
             Settings settings = Rig.settings(effect);
-            settings.headBlocks = true;
+            settings.headOfLineBlocking = true;
             settings.tellsStart = true;
             settings.mayCancel = true;
             settings.connectTimeout = 0.3;
@@ -1200,9 +1200,9 @@
     /** Further attempts are rationed over two seconds. */
     private static Settings rationed(double free, double share) {
         Settings settings = Rig.settings(Effect.SAFE);
-        settings.furtherFree = free;
-        settings.furtherShare = share;
-        settings.furtherWithin = 2;
+        settings.retryFree = free;
+        settings.retryShare = share;
+        settings.retryWindow = 2;
         return settings;
     }
 
@@ -1238,8 +1238,8 @@
         Settings settings = rationed(0, 0);
         Rig rig = new Rig(settings).workers(0, 1, 2, 3, 4, 5, 6, 7, 8);
         rig.ask(1);
-        settings.furtherFree = 10;
-        rig.logic.retuned();
+        settings.retryFree = 10;
+        rig.logic.settingsChanged();
         rig.ask(2).pass(0.1).ends(1, 0, Outcome.ERROR).ends(2, 0, Outcome.ERROR);
         assertEquals(1, rig.sends(1).size());
         assertEquals(2, rig.sends(2).size());
@@ -1267,7 +1267,7 @@
     @Test
     void idleConnectionsAreClosedOnDrains() {
         Settings settings = Rig.settings(Effect.SAFE);
-        settings.closeOnDrain = 0.3;
+        settings.closeOnDrainWithin = 0.3;
         Rig rig = new Rig(settings).workers(0, 1).ask(5).pass(0.1);
         assertEquals(0, rig.all("close", 0).size());
         rig.logic.list(rig.now, ListKind.CHANGES, List.of(Rig.worker(1, 0, State.DRAINING, 0)));
@@ -1322,7 +1322,7 @@
                 settings.classes[0].deadline = 1000;
                 settings.zones = 4;
                 settings.zone = me % 4;
-                settings.me = me;
+                settings.dispatcherIndex = me;
                 settings.dispatchers = dispatchers;
                 settings.fallWithin = 20;
                 settings.coldFor = 1000;
@@ -1360,7 +1360,7 @@
         List<Double> sentAt = new ArrayList<>();
         double start = 0;
         for (int me = 0; me < dispatchers; me++) {
-            settings.me = me;
+            settings.dispatcherIndex = me;
             Rig rig = new Rig(settings).pass(2 * settings.fallWithin);
             start = rig.now;
             rig.logic.list(rig.now, ListKind.CHANGES, List.of(Rig.worker(9, 0, State.READY, start)));
@@ -1419,7 +1419,7 @@
         Settings settings = Rig.settings(Effect.SAFE);
         settings.classes[0].aim = 50;
         settings.classes[0].deadline = 100;
-        settings.progressEvery = progress ? 1 : 0;
+        settings.progressInterval = progress ? 1 : 0;
         settings.coldShare = 0.5;
         Rig rig = new Rig(settings).workers(0, 1);
         for (long id = 1; id <= 20; id++) {
--- a/src/test/java/laneflow/decision/PropertyTest.java
+++ b/src/test/java/laneflow/decision/PropertyTest.java
@@ -103,7 +103,7 @@
             Dispatch.Settings settings = Rig.settings(Dispatch.Effect.SAFE);
             settings.zones = 2;
             settings.dispatchers = 300;
-            settings.me = me;
+            settings.dispatcherIndex = me;
             settings.reports = Dispatch.ReportSource.PROBES;
             settings.mayProbe = true;
             settings.tellsStart = true;
--- a/src/test/java/laneflow/decision/RandomDay.java
+++ b/src/test/java/laneflow/decision/RandomDay.java
@@ -51,8 +51,8 @@
         settings.mayCancel = random.nextBoolean();
         settings.mayProbe = random.nextBoolean();
         settings.tellsStart = random.nextBoolean();
-        settings.progressEvery = random.nextBoolean() ? 0.5 : 0;
-        settings.listMustBeAsked = random.nextBoolean();
+        settings.progressInterval = random.nextBoolean() ? 0.5 : 0;
+        settings.listNeedsSubscription = random.nextBoolean();
         settings.reports = ReportSource.values()[random.nextInt(3)];
         settings.weights = Dispatch.WeightSource.values()[random.nextInt(4)];
         settings.drainGrace = 0.2;
@@ -61,10 +61,10 @@
         settings.fallMultiple = 2 + 2 * random.nextDouble();
         settings.fallWithin = 1 + 2 * random.nextDouble();
         settings.fullMayHaveRun = random.nextBoolean();
-        settings.furtherWithin = random.nextBoolean() ? 0 : 1 + random.nextInt(5);
-        settings.furtherFree = random.nextInt(4);
-        settings.furtherShare = 0.2 * random.nextDouble();
-        settings.closeOnDrain = random.nextBoolean() ? 0 : 0.3;
+        settings.retryWindow = random.nextBoolean() ? 0 : 1 + random.nextInt(5);
+        settings.retryFree = random.nextInt(4);
+        settings.retryShare = 0.2 * random.nextDouble();
+        settings.closeOnDrainWithin = random.nextBoolean() ? 0 : 0.3;
         classes(kinds);
         double[] capacity = new double[kinds];
         java.util.Arrays.fill(capacity, 4);
@@ -86,7 +86,7 @@
             JobClass c = new JobClass();
             c.effect = Effect.values()[random.nextInt(3)];
             c.group = Group.values()[random.nextInt(3)];
-            c.window = 0.5 + 3 * random.nextDouble();
+            c.dedupWindow = 0.5 + 3 * random.nextDouble();
             c.aim = 0.5 + random.nextDouble();
             c.stretch = 3 * random.nextDouble();
             c.deadline = 2 + 8 * random.nextDouble();
--- a/src/test/java/laneflow/decision/Rig.java
+++ b/src/test/java/laneflow/decision/Rig.java
@@ -51,7 +51,7 @@
         c.aim = 2;
         c.stretch = 2;
         c.deadline = 10;
-        c.window = 3;
+        c.dedupWindow = 3;
         c.group = Dispatch.Group.ALL;
         s.classes = new JobClass[] {c};
         s.maxAttempts = 4;
@@ -214,7 +214,7 @@
     }
 
     @Override
-    public void turnedAway(long request, Refusal refusal) {
+    public void explainRefusal(long request, Refusal refusal) {
         refusals.put(request, refusal);
     }
 
--- a/src/test/java/laneflow/decision/StartingEmptyTest.java
+++ b/src/test/java/laneflow/decision/StartingEmptyTest.java
@@ -56,7 +56,7 @@
         settings.dispatchers = 4;
         double sent = 0;
         for (double startsAt : new double[] {100, 100.4}) {
-            for (settings.me = 0; settings.me < 4; settings.me++) {
+            for (settings.dispatcherIndex = 0; settings.dispatcherIndex < 4; settings.dispatcherIndex++) {
                 double one = fill(settings, startsAt, 99);
                 assertTrue(one > 0, "each has a part");
                 sent += one;
--- a/src/test/java/laneflow/durable/DurableJobsTest.java
+++ b/src/test/java/laneflow/durable/DurableJobsTest.java
@@ -57,7 +57,7 @@
             JobClass type = settings.classes[effect.ordinal()] = new JobClass();
             type.effect = effect;
             type.group = Group.ALL;
-            type.window = 10;
+            type.dedupWindow = 10;
             type.stretch = 2;
             type.deadline = 5;
         }
--- a/src/test/java/laneflow/wire/WireHostTest.java
+++ b/src/test/java/laneflow/wire/WireHostTest.java
@@ -198,15 +198,15 @@
         assertEquals(1, read.settings.classes[0].worth);
         assertEquals(3, read.settings.classes[1].stretch);
         assertEquals(laneflow.decision.Dispatch.ReportSource.PROBES, read.settings.reports);
-        assertFalse(read.settings.headBlocks);
+        assertFalse(read.settings.headOfLineBlocking);
         assertFalse(read.settings.mayProbe);
         assertEquals("lat_ms", read.reportFields[1]);
         assertTrue(read.settings.fullMayHaveRun);
-        assertEquals(3, read.settings.furtherFree);
-        assertEquals(0.1, read.settings.furtherShare);
-        assertEquals(5, read.settings.furtherWithin);
-        assertEquals(0.3, read.settings.closeOnDrain);
-        assertEquals(0, SettingsReader.read("{\"classes\": [{}]}").settings.furtherWithin);
+        assertEquals(3, read.settings.retryFree);
+        assertEquals(0.1, read.settings.retryShare);
+        assertEquals(5, read.settings.retryWindow);
+        assertEquals(0.3, read.settings.closeOnDrainWithin);
+        assertEquals(0, SettingsReader.read("{\"classes\": [{}]}").settings.retryWindow);
     }
 
     @Test
