--- a/src/main/java/laneflow/decision/DeadlineHeap.java
+++ b/src/main/java/laneflow/decision/DeadlineHeap.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Open requests by their last call: a binary heap. Ended ones stay until they come to the top. */
+/** A binary heap of requests ordered by answer deadline. Ended requests stay until they reach the top. */
 final class DeadlineHeap {
     private Job[] heap = new Job[64];
     private int count;
@@ -15,9 +15,9 @@
         if (count == heap.length) {
             heap = Arrays.copyOf(heap, count * 2);
         }
-        job.onCalls = true;
+        job.inDeadlineHeap = true;
         int i = count++;
-        while (i > 0 && heap[(i - 1) / 2].lastCall > job.lastCall) {
+        while (i > 0 && heap[(i - 1) / 2].answerDeadline > job.answerDeadline) {
             heap[i] = heap[(i - 1) / 2];
             i = (i - 1) / 2;
         }
@@ -30,10 +30,10 @@
         heap[count] = null;
         int i = 0;
         for (int child = 1; child < count; child = 2 * i + 1) {
-            if (child + 1 < count && heap[child + 1].lastCall < heap[child].lastCall) {
+            if (child + 1 < count && heap[child + 1].answerDeadline < heap[child].answerDeadline) {
                 child++;
             }
-            if (heap[child].lastCall >= last.lastCall) {
+            if (heap[child].answerDeadline >= last.answerDeadline) {
                 break;
             }
             heap[i] = heap[child];
@@ -42,7 +42,7 @@
         if (count > 0) {
             heap[i] = last;
         }
-        top.onCalls = false;
+        top.inDeadlineHeap = false;
         return top;
     }
 }
--- a/src/main/java/laneflow/decision/Dispatch.java
+++ b/src/main/java/laneflow/decision/Dispatch.java
@@ -3,45 +3,48 @@
 import java.util.List;
 
 /**
- * The whole interface of the dispatcher's decisions: the events a host reports, the values they carry, and
- * the {@link Actions} it carries out. {@link Logic} implements it; one object serves one dispatcher.
+ * The interface between a dispatcher's decisions and its host: the events the host reports, the values they
+ * carry, and the {@link Actions} the host carries out. {@link Logic} implements it; one instance serves one dispatcher.
  *
- * <p><b>Threading.</b> Not thread-safe: the host calls one method at a time. Actions are called before an
- * event method returns, on the same thread; they must not call back into the dispatcher.
+ * <p><b>Threading.</b> Not thread-safe: the host calls one method at a time. Actions are invoked on the same
+ * thread before the event method returns; they must not call back into the dispatcher.
  *
- * <p><b>Time.</b> {@code now} is in seconds on the host's clock, any origin. A clock that goes back is
- * read as standing still. All durations are seconds.
+ * <p><b>Time.</b> {@code now} is in seconds on the host's clock, with any origin. A clock that goes back is
+ * treated as standing still. All durations are in seconds.
  *
- * <p><b>Order.</b> Events are reported in the order they happened. {@link #list} with the list last held
- * (or an empty one) comes before the first request. The same settings, seed and events give the same actions.
+ * <p><b>Order.</b> Events are reported in the order they happened. {@link #list} is called with the last known
+ * list (or an empty one) before the first request. The same settings, seed and events produce the same actions.
  *
  * <p><b>Ownership.</b> Values passed in are read before the method returns and may be reused by the host
- * afterwards, but for {@link Settings}: of these only {@code maxAttempts}, {@code retryAfter},
- * {@code maxRetryAfter}, {@code crossEachWay}, those that begin with {@code retry}, and the entries of
- * {@code classes} as wholes, may change, between two events and with {@link #settingsChanged} behind it. A request
- * keeps what it came under; no class changes its effect or kind.
+ * afterwards, except for {@link Settings}, which is kept. Of its fields only {@code maxAttempts},
+ * {@code retryAfter}, {@code maxRetryAfter}, {@code crossEachWay}, {@code retryFree}, {@code retryShare},
+ * {@code retryWindow}, and whole entries of {@code classes} may change, only between two events and followed
+ * by {@link #settingsChanged}. A request keeps the settings it arrived under; no class changes its effect or kind.
  *
- * <p><b>Misuse.</b> A request id already open, and outcomes, notes, timers or probe results for things
- * unknown, are ignored. A class out of range is an {@link IllegalArgumentException}. Settings no decision
- * can be made from are refused by the constructor with the same exception.
+ * <p><b>Misuse.</b> A request whose id is already open is ignored, as are outcomes, notes, timers and probe
+ * results for anything unknown. A class out of range throws {@link IllegalArgumentException}; so does the
+ * constructor for settings that allow no decision.
  */
 public interface Dispatch {
 
-    /** What a repeat of a request does. */
+    /** What happens if a request runs more than once. */
     enum Effect {
         SAFE,
         KEYED,
         UNSAFE
     }
 
-    /** Which workers drop repeats of a keyed request. */
+    /** Which workers recognize and drop repeats of a keyed request. */
     enum Group {
         ALL,
         ZONE,
         CELL
     }
 
-    /** How an attempt or a probe ended. Only those that prove it, settings aside, say {@link #neverRan}. */
+    /**
+     * How an attempt or a probe ended. {@link #neverRan} is set only where the outcome proves it, subject to
+     * {@link Settings#fullMayHaveRun}.
+     */
     enum Outcome {
         OK(false),
         ERROR(false),
@@ -52,7 +55,7 @@
         CANCELLED(false),
         MOOT(true);
 
-        /** True where the outcome proves that the worker never ran the job. */
+        /** True if the outcome proves that the worker never ran the job. */
         public final boolean neverRan;
 
         Outcome(boolean neverRan) {
@@ -60,14 +63,14 @@
         }
     }
 
-    /** What discovery knows of a worker. */
+    /** A worker's state according to discovery. */
     enum State {
         READY,
         DRAINING,
         GONE
     }
 
-    /** A list: changes only, all workers, all workers as held before a restart, or nothing (failed). */
+    /** What a list contains: changes only, all workers, all workers known before a restart, or nothing (failed). */
     enum ListKind {
         CHANGES,
         WHOLE,
@@ -82,7 +85,7 @@
         NONE
     }
 
-    /** What a worker's weight means: nothing, its size, roughly its size, or its size lowered by its load. */
+    /** What a worker's weight means: nothing, its size, roughly its size, or its size reduced by its load. */
     enum WeightSource {
         NONE,
         NOMINAL,
@@ -90,7 +93,7 @@
         LIVE
     }
 
-    /** What is seen of a job in work: its start, how much of it is done, or the first bytes of its answer. */
+    /** Progress seen on a running job: its start, the fraction done, or the first bytes of its answer. */
     enum Note {
         STARTED,
         PROGRESS,
@@ -99,39 +102,39 @@
 
     /** One class of requests. */
     final class JobClass {
-        /** Answered within {@code aim + stretch x its running time at speed 1} it earns its full worth. */
+        /** A request answered within {@code aim + stretch x its running time at speed 1} earns its full worth. */
         public double aim = 1;
 
         public double stretch;
-        /** The longest a client waits for this class; each request carries its own instant. */
+        /** The longest a client of this class waits; each request carries its own deadline. */
         public double deadline = 10;
 
         public double worth = 1;
-        /** The share of the worth that an answer after the aim still earns. */
+        /** The fraction of the worth that an answer after the aim still earns. */
         public double lateWorth;
 
         public Effect effect = Effect.UNSAFE;
         public Group group = Group.CELL;
-        /** Keyed only: how long a group remembers, from the earliest attempt that may have run. */
+        /** Keyed only: how long a group recognizes repeats, from the earliest attempt that may have run. */
         public double dedupWindow;
-        /** The only worker kind that runs the class, or -1. */
+        /** The only worker kind that runs the class, or -1 if any kind does. */
         public int kind = -1;
 
         public boolean stream;
     }
 
-    /** A customer whose requests carry its number. */
+    /** A tenant; requests refer to it by its index in {@link Settings#tenants}. */
     final class Tenant {
         public String name = "";
-        /** Requests a second at all dispatchers together that are within its share; 0: nobody says. */
+        /** Requests per second across all dispatchers that are within its share; 0: not stated. */
         public double quota;
-        /** Its part of the service; 0: nobody says. */
+        /** Its fraction of the service; 0: not stated. */
         public double portion;
     }
 
     /**
-     * What a dispatcher is told at its start. The defaults are the careful choice where a key is absent.
-     * A dispatcher need not use all of it. Not used now: second copies, the grace, the connect time-out.
+     * A dispatcher's configuration. Defaults are the conservative choice for an absent key. Not every field is
+     * used: {@link Logic} reads neither {@code secondCopies} nor {@code drainGrace}.
      */
     final class Settings {
         public int zone;
@@ -139,9 +142,9 @@
         public int dispatcherIndex;
         public int dispatchers = 1;
         public JobClass[] classes = {};
-        /** None where requests are not told apart by whose they are. */
+        /** Empty if requests are not attributed to tenants. */
         public Tenant[] tenants = {};
-        /** Worth of a request beyond its tenant's share, as a part of its class's. */
+        /** Worth of a request beyond its tenant's share, as a fraction of its class's worth. */
         public double overShareWorth = 1;
 
         public boolean listNeedsSubscription;
@@ -155,9 +158,9 @@
         public double maxRetryAfter;
         public double connectTimeout = 1;
         public boolean tellsStart;
-        /** Seconds between progress notes; 0: none. */
+        /** Seconds between progress notes; 0: no progress is reported. */
         public double progressInterval;
-        /** True where the head of a worker's queue waits until it fits and holds up those behind it. */
+        /** True if the head of a worker's queue waits until it fits and blocks the jobs behind it. */
         public boolean headOfLineBlocking;
 
         public double drainGrace;
@@ -165,21 +168,21 @@
         public double coldFor;
         public double fallMultiple = 1;
         public double fallWithin;
-        /** An answer 'full' is no proof: a worker may shed work that it had begun. */
+        /** The outcome {@link Outcome#FULL} proves nothing: a worker may shed work that it had begun. */
         public boolean fullMayHaveRun;
         /**
-         * In any {@code retryWindow} seconds attempts beyond each request's first number at most
-         * {@code retryFree} plus {@code retryShare} for each request taken; 0 seconds: no such budget.
+         * Retry budget: in any {@code retryWindow} seconds there are at most {@code retryFree} retries plus
+         * {@code retryShare} for each request accepted. A window of 0 means no retry budget.
          */
         public double retryFree;
 
         public double retryShare;
         public double retryWindow;
-        /** The chance of the next zone on the ring where home is full; the rest is the one before it. */
+        /** The probability of trying the next zone on the ring when home is full, rather than the previous one. */
         public double crossEachWay = 0.5;
-        /** Seconds within which idle connections to a draining worker are closed; 0: not asked for. */
+        /** Seconds within which idle connections to a draining worker must be closed; 0: not required. */
         public double closeOnDrainWithin;
-        /** The shortest time between two events' clocks. */
+        /** The resolution of event times. */
         public double tick = 0.001;
     }
 
@@ -191,11 +194,11 @@
         public int cell;
         public State state = State.READY;
         public double weight = 1;
-        /** When it last started; 0: long ago. */
+        /** When it last started; 0: long ago or unknown. */
         public double startedAt;
-        /** The classes it can run, a bit each; all where nobody says. */
+        /** The classes it can run, one bit each; all if not stated. */
         public long classes = -1;
-        /** The abilities that it has, in ascending order; null: whatever a request of its classes needs. */
+        /** Its abilities in ascending order; null: every ability that a request of its classes may need. */
         public long[] abilities;
     }
 
@@ -203,27 +206,27 @@
     final class Request {
         public long id;
         public int jobClass;
-        /** Whose it is, by the number of {@link Settings#tenants}; any other: nobody's that is known. */
+        /** The index of its tenant in {@link Settings#tenants}; any other value: no known tenant. */
         public int tenant = -1;
-        /** The instant at which its client gives up. */
+        /** The time at which its client gives up. */
         public double deadline;
-        /** Expected running time on a standard core; NaN where it is not known. */
+        /** Expected running time on a standard core; NaN if unknown. */
         public double hint = Double.NaN;
 
         public double slots = 1;
         public double memory;
-        /** What a worker must have among its abilities to run it; 0: nothing. */
+        /** The ability that a worker must have to run it; 0: none. */
         public long ability;
     }
 
-    /** A worker's word on its load; NaN where it does not say. */
+    /** A worker's report of its load; NaN for each figure that it does not state. */
     final class LoadReport {
         public double freeSlots = Double.NaN;
         public double freeMemory = Double.NaN;
         public double queue = Double.NaN;
-        public double rate = Double.NaN; // Jobs served a second.
+        public double rate = Double.NaN; // Jobs served per second.
 
-        /** Back to saying nothing. */
+        /** Resets every figure to not stated. */
         public void clear() {
             freeSlots = Double.NaN;
             freeMemory = Double.NaN;
@@ -232,82 +235,83 @@
         }
     }
 
-    /** The dispatcher has started: it may ask for timers and for the list. */
+    /** The dispatcher has started; it may request timers and the list. */
     void start(double now);
 
-    /** Discovery's view of the workers; entries are empty for {@link ListKind#FAILED}. */
+    /** Discovery has reported workers; entries are empty for {@link ListKind#FAILED}. */
     void list(double now, ListKind kind, List<Worker> entries);
 
-    /** Operators want nothing more sent to that worker, whatever lists say, until it is set up. */
+    /** Operators take the worker out of service: whatever lists say, nothing is sent to it until it is set up. */
     void setDown(double now, long worker);
 
-    /** Operators have that worker back, cold unless a list tells of a start since it was set down. */
+    /** Operators return the worker to service. It counts as cold from now unless a list shows a start since it was set down. */
     void setUp(double now, long worker);
 
-    /** Another process works under this dispatcher's number: this one's part of what both may do. */
+    /** Sets this process's fraction of the slow-start budgets while another process has the same dispatcher index. */
     void budgetShare(double now, double part);
 
-    /** Settings that may change have changed: they hold for the requests that come from now on. */
+    /** Changeable settings have changed; they apply to requests that arrive from now on. */
     void settingsChanged();
 
-    /** A request has arrived; exactly one final answer is owed. */
+    /** A request has arrived; it gets exactly one final answer. */
     void request(double now, Request request);
 
-    /** The request's client has left; nothing is owed any more. */
+    /** The request's client has left; no answer is needed any more. */
     void abandoned(double now, long request);
 
-    /** A timer asked for with {@link Actions#wake} has run out. */
+    /** A timer requested with {@link Actions#wake} has expired. */
     void timer(double now, long token);
 
     /**
-     * An attempt has ended; told once for every {@link Actions#send}, also after the request's end.
+     * An attempt has ended. Reported once for every {@link Actions#send}, even after the request has ended.
      *
-     * @param over the request has ended: the client has its answer
+     * @param over whether the request has ended: the client has its answer
      * @param report the worker's load report, or null
      */
     void outcome(double now, long request, int attempt, long worker, Outcome outcome, boolean over, LoadReport report);
 
     /**
-     * A probe has ended, with a report or null. {@link Outcome#MOOT}: nobody asked; the report is another
-     * dispatcher's, {@code took} seconds old and newer than any other of that worker.
+     * A probe has ended, with a report or null. {@link Outcome#MOOT} marks a report that was not requested: it comes
+     * from another dispatcher, is {@code took} seconds old, and is newer than any other report of that worker.
      */
     void probed(double now, long worker, double took, Outcome outcome, LoadReport report);
 
-    /** A streamed answer has begun: the attempt belongs to the client and no deadline runs. */
+    /** A streamed answer has begun: the attempt is committed to the client and its deadline no longer applies. */
     void streaming(double now, long request, int attempt);
 
-    /** A word on an attempt still in work; {@code share} is the part done, for {@link Note#PROGRESS}. */
+    /** Progress on a running attempt; {@code share} is the fraction done, for {@link Note#PROGRESS}. */
     void note(double now, long request, int attempt, long worker, Note note, double share);
 
-    /** What the dispatcher asks of its host. */
+    /** What the dispatcher requests of its host. */
     interface Actions {
-        /** Sends the request's next attempt, numbered from 0; it may take until its client gives up. */
+        /** Sends the request's next attempt, numbered from 0; it may run until its client gives up. */
         void send(long request, int attempt, long worker);
 
-        /** Final answer: not served, safe to try again, after that many seconds if above 0. */
+        /** Final answer: not served and safe to retry, after {@code retryAfter} seconds if above 0. */
         void refuse(long request, double retryAfter);
 
-        /** Told right before a request that was placed nowhere is refused or failed: which check it did not pass. */
+        /** Called right before a request that could not be placed is refused or failed, with the check that it did not pass. */
         default void explainRefusal(long request, Refusal refusal) {}
 
-        /** Final answer: not served, and it may have had its effect. */
+        /** Final answer: not served, but it may have taken effect. */
         void fail(long request);
 
         /**
-         * Stops waiting for an attempt; its outcome still comes. True if it can't have run: it never began.
+         * Stops waiting for an attempt; its outcome is still reported. Returns true if it never began and so can't
+         * have run.
          */
         boolean cancel(long request, int attempt);
 
-        /** Asks a worker for its load. */
+        /** Requests a load report from a worker. */
         void probe(long worker);
 
         /** Closes this dispatcher's idle connections to a worker. */
         void closeIdle(long worker);
 
-        /** Asks for {@link Dispatch#timer} after {@code delay}. Timers can't be taken back. */
+        /** Schedules {@link Dispatch#timer} after {@code delay}. Timers can't be cancelled. */
         void wake(double delay, long token);
 
-        /** Subscribes to changes of the list, where it must be asked. */
+        /** Subscribes to the list; called only if {@link Settings#listNeedsSubscription} is set. */
         void watchList();
     }
 }
--- a/src/main/java/laneflow/decision/Job.java
+++ b/src/main/java/laneflow/decision/Job.java
@@ -5,80 +5,81 @@
 import laneflow.decision.Dispatch.Request;
 import laneflow.decision.Dispatch.Settings;
 
-/** A request's record, from its arrival until nothing of it is out: facts, on which {@link Logic} decides. */
+/** The state of one request, from its arrival until no attempt is outstanding. {@link Logic} decides on it. */
 final class Job {
     long id;
     JobClass type;
     /** Its class as a bit of {@link Dispatch.Worker#classes}. */
     long classBit;
-    /** What a worker must be able to do, or 0. */
+    /** The ability that a worker must have, or 0. */
     long ability;
 
     double arrivedAt;
-    double lastCall;
-    /** Seconds from its arrival within which it earns its full worth: no longer than its client waits. */
+    /** When the final answer is given at the latest: shortly before the client gives up. */
+    double answerDeadline;
+    /** Seconds from its arrival within which an answer earns its full worth; at most as long as its client waits. */
     double aim;
-    /** Its class's, or less where its tenant asks for more than its share. */
+    /** The worth of its class, or less if its tenant exceeds its share. */
     double worth;
 
     double hint;
     double slots;
     double memory;
-    /** The limits under which it came: others may hold for those that come later. */
-    int mostAttempts;
+    /** The limits in force when it arrived; later requests may have others. */
+    int maxAttempts;
 
-    boolean toldWhen;
-    double longestRetryAfter;
+    boolean sendRetryAfter;
+    double maxRetryAfter;
     double crossEachWay;
     double retryFree;
     double retryShare;
     double retryWindow;
-    /** Reports it still waits for. */
-    int awaited;
-    /** When it began to wait for them. */
+    /** Number of load reports it still waits for. */
+    int pendingReports;
+    /** When it began to wait for reports. */
     double heldAt;
-    /** It would have been turned away, and has been held once for reports that may say otherwise. */
-    boolean lastLook;
+    /** It was about to be refused and was held once for fresh reports. */
+    boolean probedBeforeRefusal;
 
     boolean live;
-    /** Being placed where it ends after its aim. */
-    boolean late;
+    /** It is being placed where it ends after its aim. */
+    boolean acceptLate;
 
     boolean streaming;
     boolean released;
-    boolean onCalls;
-    boolean isSpare;
-    Job nextSpare;
+    boolean inDeadlineHeap;
+    boolean isFree;
+    Job nextFree;
     Attempt[] attempt = new Attempt[2];
     int attempts;
     int outstanding;
 
-    Job open(Request request, Settings settings, Shares shares, double now, double call, double work) {
+    Job open(Request request, Settings settings, Shares shares, double now, double deadline, double work) {
         id = request.id;
         type = settings.classes[request.jobClass];
         classBit = 1L << request.jobClass;
-        aim = Math.min(type.aim + type.stretch * work, call - now);
+        aim = Math.min(type.aim + type.stretch * work, deadline - now);
         worth = type.worth * shares.worth(request.tenant, now);
-        mostAttempts = settings.maxAttempts;
-        toldWhen = settings.retryAfter;
-        longestRetryAfter = settings.maxRetryAfter;
+        maxAttempts = settings.maxAttempts;
+        sendRetryAfter = settings.retryAfter;
+        maxRetryAfter = settings.maxRetryAfter;
         crossEachWay = settings.crossEachWay;
         retryFree = settings.retryFree;
         retryShare = settings.retryShare;
         retryWindow = settings.retryWindow;
         arrivedAt = now;
-        lastCall = call;
+        answerDeadline = deadline;
         hint = work;
         slots = request.slots;
         memory = request.memory;
         ability = request.ability;
-        awaited = 0;
-        lastLook = false;
+        pendingReports = 0;
+        probedBeforeRefusal = false;
         live = true;
         streaming = false;
         released = false;
-        isSpare = false;
-        nextSpare = null;
+        isFree = false;
+        nextFree = null;
         attempts = 0;
         outstanding = 0;
         return this;
@@ -100,7 +101,7 @@
         return attempt[attempts++];
     }
 
-    /** The attempt of that number if it is still out, or null. */
+    /** The attempt with that number if it is still outstanding, or null. */
     Attempt outstanding(int number) {
         return number >= 0 && number < attempts && attempt[number].outstanding ? attempt[number] : null;
     }
@@ -123,7 +124,7 @@
         return false;
     }
 
-    /** When the earliest attempt was sent that may have run. */
+    /** When the earliest attempt that may have run was sent, or infinity. */
     double firstMayHaveRun() {
         for (int i = 0; i < attempts; i++) {
             if (attempt[i].mayHaveRun) {
@@ -141,22 +142,22 @@
         double sentAt;
         double startedAt;
         double heardAt;
-        /** When its answer began to come, where the rest came later; infinite otherwise. */
+        /** When its answer began to arrive, if the rest arrived later; infinite otherwise. */
         double answeredAt;
-        /** Part done at the last word, where it told. */
-        double share;
-        /** The wait foreseen when it was sent, seconds. */
-        double wait;
-        /** The part of it that known work ahead made up, before any correction. */
+        /** Fraction done at the last progress note; 0 before the first. */
+        double progress;
+        /** The wait expected when it was sent, in seconds. */
+        double expectedWait;
+        /** The share of the expected wait due to known work ahead, before any correction. */
         double queueWait;
-        /** When it is to be heard of at the latest if all goes as foreseen. */
+        /** When its start or end is expected at the latest. */
         double dueAt;
 
         boolean outstanding;
         boolean mayHaveRun;
-        /** Still out, but held to be at work no more. */
+        /** Still outstanding, but no longer assumed to be running. */
         boolean lost;
-        /** Its place among its worker's outstanding attempts. */
+        /** Its index among its worker's outstanding attempts. */
         int index;
 
         Attempt(Job job) {
--- a/src/main/java/laneflow/decision/Jobs.java
+++ b/src/main/java/laneflow/decision/Jobs.java
@@ -2,33 +2,33 @@
 
 import org.agrona.collections.Long2ObjectHashMap;
 
-/** The jobs of which anything is still out, by request; ended ones are used again. */
+/** Jobs by request id, kept while an attempt is outstanding; released jobs are reused. */
 final class Jobs {
     private final Long2ObjectHashMap<Job> jobs = new Long2ObjectHashMap<>();
-    private Job spare;
+    private Job freeList;
 
     Job get(long id) {
         return jobs.get(id);
     }
 
-    /** A job, to be opened, under this id. */
+    /** A new or reused job registered under this id; the caller fills it in. */
     Job open(long id) {
-        Job job = spare != null ? spare : new Job();
-        spare = job.nextSpare;
+        Job job = freeList != null ? freeList : new Job();
+        freeList = job.nextFree;
         jobs.put(id, job);
         return job;
     }
 
-    /** An ended job is kept until its last attempt is settled and its last call is off the heap. */
+    /** Keeps an ended job until its last attempt is settled, and out of the free list until it is off the deadline heap. */
     void release(Job job) {
         if (!job.live && job.outstanding == 0 && !job.released) {
             jobs.remove(job.id);
             job.released = true;
         }
-        if (job.released && !job.onCalls && !job.isSpare) {
-            job.isSpare = true;
-            job.nextSpare = spare;
-            spare = job;
+        if (job.released && !job.inDeadlineHeap && !job.isFree) {
+            job.isFree = true;
+            job.nextFree = freeList;
+            freeList = job;
         }
     }
 
--- a/src/main/java/laneflow/decision/KindEstimates.java
+++ b/src/main/java/laneflow/decision/KindEstimates.java
@@ -1,108 +1,110 @@
 package laneflow.decision;
 
-/** What is seen of one kind of worker. */
+/** Estimates learned for one kind of worker. */
 final class KindEstimates {
-    /** Say of a job in the mean work of those that ran here. */
+    /** Weight of a new job in the mean work of a job. */
     private static final double WORK_GAIN = 0.02;
-    /** Seconds of work at standard speed that a kind starts with: a lucky job must not make it look fast. */
+    /** Seconds of work at standard speed assumed at first, so that one short job does not make a kind look fast. */
     private static final double SPEED_PRIOR = 2;
-    /** Part of an assumed speed that a capacity is reckoned with, where no job has shown any. */
+    /** Fraction of the assumed speed that counts toward capacity before any job has run. */
     private static final double SPEED_TRUSTED = 0.6;
-    /** Seconds of its kind's speed that weigh in with what was seen of one worker. */
-    private static final double KIND_SAY = 3;
-    /** Seconds added to waits seen and foreseen: where there are hardly any, what is foreseen is believed. */
+    /** Seconds of the kind's mean speed that are mixed into the observations of one worker. */
+    private static final double KIND_WEIGHT = 3;
+    /** Seconds added to the observed and the expected mean wait, so that tiny waits leave the scale near 1. */
     private static final double WAIT_PRIOR = 0.05;
-    /** Times as many where reports tell of queues: then more of the wait is foreseen. */
-    private static final double QUEUE_TOLD = 4;
-    /** Seconds for which an answer 'full' is believed at most, also where jobs are long. */
-    private static final double LONGEST_FULL = 0.3;
+    /** Factor on {@link #WAIT_PRIOR} where reports state the queue: then the expected wait is more reliable. */
+    private static final double QUEUE_REPORTED_FACTOR = 4;
+    /** Longest time, in seconds, that a worker counts as full after answering 'full', even if jobs are long. */
+    private static final double MAX_FULL_SECONDS = 0.3;
     /** Some class runs on no other kind. */
     boolean soleHost;
 
-    double slotsSeen;
-    /** Mean of free slots and of the work that is served a second, over reports; 0 before the first. */
-    private double slotsFree;
+    double maxFreeSlots;
+    /** Means over reports of free slots and of work served per second; 0 before the first report. */
+    private double meanFreeSlots;
 
-    private double workServed;
-    /** Greatest weight listed: where weights are live, that of an idle worker. */
-    double sizeSeen;
-    /** Its reports tell how many requests wait. */
-    boolean tellsQueue;
+    private double meanWorkRate;
+    /** Greatest listed weight; where weights are live, that of an idle worker. */
+    double maxWeight;
+    /** Its reports state how many requests wait. */
+    boolean reportsQueue;
 
     private double work = SPEED_PRIOR;
     private double time = SPEED_PRIOR;
-    /** Seconds of these two that are still the assumption they started with. */
+    /** Seconds of {@link #work} and {@link #time} that are still the initial assumption. */
     private double assumed = SPEED_PRIOR;
-    /** Mean work of the jobs that ran on its workers, seconds of a standard core; 0 before the first. */
+    /** Mean work of the jobs that ran on its workers, in seconds on a standard core; 0 before the first. */
     private double meanWork;
 
-    double waitSeen;
-    double waitForeseen;
+    double meanObservedWait;
+    double meanExpectedWait;
     double waitedAt;
 
-    void ran(double jobWork, double took) {
+    void recordRun(double jobWork, double took) {
         meanWork += (meanWork > 0 ? WORK_GAIN : 1) * (jobWork - meanWork);
-        work += jobWork - work / WorkerView.SPEED_MEMORY;
-        time += took - time / WorkerView.SPEED_MEMORY;
-        assumed -= assumed / WorkerView.SPEED_MEMORY;
+        work += jobWork - work / WorkerView.SPEED_MEMORY_JOBS;
+        time += took - time / WorkerView.SPEED_MEMORY_JOBS;
+        assumed -= assumed / WorkerView.SPEED_MEMORY_JOBS;
     }
 
-    void waited(double wait, double foreseen, double now) {
-        waitSeen += Logic.WAIT_MEMORY * (wait - waitSeen);
-        waitForeseen += Logic.WAIT_MEMORY * (foreseen - waitForeseen);
+    void recordWait(double wait, double foreseen, double now) {
+        meanObservedWait += Logic.WAIT_MEAN_GAIN * (wait - meanObservedWait);
+        meanExpectedWait += Logic.WAIT_MEAN_GAIN * (foreseen - meanExpectedWait);
         waitedAt = now;
     }
 
-    void busy(double free, double served) {
-        double gain = workServed > 0 ? WorkerView.OTHERS_GAIN : 1;
-        slotsFree += gain * (free - slotsFree);
-        workServed += gain * (served - workServed);
+    void recordThroughput(double free, double served) {
+        double gain = meanWorkRate > 0 ? WorkerView.OTHERS_GAIN : 1;
+        meanFreeSlots += gain * (free - meanFreeSlots);
+        meanWorkRate += gain * (served - meanWorkRate);
     }
 
     /**
-     * Slots of a worker of this kind, one if none was ever reported. The most seen free are too few where
-     * nobody was idle since the start; Little's law tells those at work: work served a second by its speed.
+     * Slots of a worker of this kind; 1 if none was ever reported. The highest reported number of free slots is
+     * too low if no worker has been idle since the start. By Little's law the busy slots are the work served per
+     * second divided by the speed.
      */
     double slots() {
-        return Math.max(1, Math.max(slotsSeen, slotsFree + workServed / speed()));
+        return Math.max(1, Math.max(maxFreeSlots, meanFreeSlots + meanWorkRate / speed()));
     }
 
     double speed() {
         return work / time;
     }
 
-    /** The same with what was seen of one worker: work that it did, and the seconds that this took. */
+    /** The kind's speed combined with the observations of one worker: its work done and the seconds it took. */
     double speed(double workSeen, double timeSeen) {
-        return (workSeen + KIND_SAY * speed()) / (timeSeen + KIND_SAY);
+        return (workSeen + KIND_WEIGHT * speed()) / (timeSeen + KIND_WEIGHT);
     }
 
-    /** Seconds until one of its slots comes free, in the mean, if all are taken; 0 before the first job. */
+    /** Mean seconds until a slot becomes free if all are taken; 0 before the first job. */
     double slotTime() {
         return meanWork / (slots() * speed());
     }
 
-    /** Seconds for which an answer 'full' is believed: what it takes until one of its slots comes free. */
-    double fullFor() {
-        return meanWork > 0 ? Math.min(LONGEST_FULL, slotTime()) : LONGEST_FULL;
+    /** Seconds that a worker counts as full after answering 'full': the mean time until a slot becomes free. */
+    double fullSeconds() {
+        return meanWork > 0 ? Math.min(MAX_FULL_SECONDS, slotTime()) : MAX_FULL_SECONDS;
     }
 
     /**
-     * Standard cores that a warm worker of this kind is seen to bear. While its speed is mostly assumed, only
-     * a part of it is trusted: a cold worker that is taken for twice as strong as it is falls over.
+     * Estimated capacity of a warm worker of this kind, in standard cores. While the speed is mostly assumed, only
+     * a fraction of it counts: a cold worker whose capacity is estimated at twice the true value is overloaded.
      */
     double capacity() {
         double part = assumed / time;
         double trusted = 1 - (1 - SPEED_TRUSTED) * part * part;
-        return slotsSeen > 0 ? slots() * speed() * trusted : Logic.UNKNOWN_CAPACITY;
+        return maxFreeSlots > 0 ? slots() * speed() * trusted : Logic.UNKNOWN_CAPACITY;
     }
 
     /**
-     * Times the known work ahead that jobs wait: siblings' jobs and the queue's order are unseen. Found slow
-     * to start a kind would get no job, and stay shut out: without a start to renew it the scale fades.
+     * Ratio of observed to expected waits. It covers what is not known: other dispatchers' jobs and the order of
+     * the queue. The ratio fades toward 1 while no job starts; a kind found slow to start would otherwise get no
+     * job and never recover.
      */
     double waitScale(double now) {
-        double prior = tellsQueue ? QUEUE_TOLD * WAIT_PRIOR : WAIT_PRIOR;
-        double scale = (waitSeen + prior) / (waitForeseen + prior);
-        return 1 + (scale - 1) / (1 + (now - waitedAt) / WorkerView.MEAN_AGE);
+        double prior = reportsQueue ? QUEUE_REPORTED_FACTOR * WAIT_PRIOR : WAIT_PRIOR;
+        double scale = (meanObservedWait + prior) / (meanExpectedWait + prior);
+        return 1 + (scale - 1) / (1 + (now - waitedAt) / WorkerView.MEAN_HALF_LIFE);
     }
 }
--- a/src/main/java/laneflow/decision/Logic.java
+++ b/src/main/java/laneflow/decision/Logic.java
@@ -9,43 +9,48 @@
 import org.agrona.collections.Long2ObjectHashMap;
 
 /**
- * Every decision of a dispatcher; its types, events and actions are in {@code Dispatch.java}.
+ * Makes every decision of a dispatcher; its types, events and actions are defined in {@link Dispatch}.
  *
- * <p>A request goes to the least-loaded worker of its home pool that is not judged full; from a full pool
- * a coin sends it to a ring neighbour with room, or it is refused. Around that path stand guards: the last
- * call, effects, cold budgets, suspicion. docs/design.md says why; docs/on-call.md what to do at night.
+ * <p>A request goes to the least-loaded worker of its home zone that is not considered full. If all are full, it
+ * goes to a random neighbour on the ring of zones that has room, or it is refused. Safeguards around that path are
+ * the answer deadline, effect rules, slow start and outlier detection. See docs/design.md for the rationale and
+ * docs/on-call.md for operations.
  */
 public final class Logic implements Dispatch {
-    private static final double IN_TIME = 0.9; // Share of a job's aim to fill: hints and speeds are guesses.
-    /** Of the longest work that can be in time, for one untold: hurried classes would be refused for ever. */
-    private static final double UNHINTED_PART = 0.5;
-    /** Part of the wait its aim leaves that a class is given however little it is worth: none starves. */
-    private static final double LEAST_WAIT = 0.2;
-    /** Part of the time in which a slot comes free that work of little worth may wait: no queue grows so. */
-    private static final double SLOT_WAIT = 0.5;
-    /** Times its own class's mean slack that a job may wait: heavy ones could bear more, light ones not. */
-    private static final double OWN_SLACK = 1.5;
-    /** Part of its running time that a late job may wait on the kind it is tied to, which others spare. */
-    private static final double LATE_WAIT_PART = 0.3;
-    /** Jobs waiting for each slot of a worker that answers 'full', at least: its waiting room is taken. */
-    private static final double FULL_QUEUE = 1;
-
-    private static final double PROBE_EVERY = 0.5; // Seconds for which a report is fresh: no probe then.
-    /** Seconds that a job waits at most for reports: about a probe's way there and back, and some ticks. */
+    private static final double AIM_SHARE = 0.9; // Usable fraction of a job's aim: hints and speeds are estimates.
+    /**
+     * Largest assumed work of a job without a hint, as a fraction of the longest work that can be in time. Without
+     * this bound, classes with a short aim would always be refused.
+     */
+    private static final double UNHINTED_SHARE = 0.5;
+    /** Fraction of the wait its aim allows that a class gets however little it is worth, so that none starves. */
+    private static final double MIN_WAIT_SHARE = 0.2;
+    /** Fraction of the time until a slot becomes free that work of low worth may wait; this builds no queue. */
+    private static final double SLOT_WAIT_SHARE = 0.5;
+    /** A job's longest wait as a multiple of its class's mean slack: heavy jobs could wait longer, light ones not. */
+    private static final double OWN_SLACK_FACTOR = 1.5;
+    /** Fraction of its running time that a late job may wait on the kind its class is tied to, which others avoid. */
+    private static final double LATE_WAIT_SHARE = 0.3;
+    /** Assumed minimum of queued jobs per slot of a worker that answers 'full'. */
+    private static final double FULL_QUEUE_PER_SLOT = 1;
+
+    private static final double PROBE_INTERVAL =
+            0.5; // Seconds after a report or probe during which a worker is not probed.
+    /** Longest time in seconds that a job waits for reports: about a probe's round trip and some ticks. */
     private static final double REPORT_WAIT = 0.01;
 
-    private static final int PROBES_EACH = 4; // For each request placed: probes cost workers time.
-    private static final double LIST_RETRY = 1; // Seconds at least: discovery serves all dispatchers.
-    private static final double LAST_CALL_TICKS = 2; // From the final answer to the client's giving up.
-    /** Capacity of a worker nothing is known of, standard cores: a cold one must not be overestimated. */
+    private static final int PROBES_PER_REQUEST = 4; // Limited because probes cost workers time.
+    private static final double LIST_RETRY = 1; // Minimum in seconds: discovery serves all dispatchers.
+    private static final double ANSWER_MARGIN_TICKS = 2; // From the final answer until the client gives up.
+    /** Capacity in standard cores of an unknown worker; low, so that a cold one is not overestimated. */
     static final double UNKNOWN_CAPACITY = 0.5;
 
-    static final double WAIT_MEMORY = 0.05; // Say of a start note in the waits seen and foreseen.
-    private static final double SLACK_GAIN = 0.05; // Say of a request in its class's mean wait.
-    private static final double RETRY_PART = 0.15; // Of the time left, after which a refused job comes back.
+    static final double WAIT_MEAN_GAIN = 0.05; // Weight of a start note in the mean waits.
+    private static final double SLACK_GAIN = 0.05; // Weight of a request in its class's mean slack.
+    private static final double RETRY_DELAY_SHARE = 0.15; // Fraction of the time left used as Retry-After.
 
-    private static final long LAST_CALL = 1;
-    private static final long ASK_LIST = 2;
+    private static final long ANSWER_DEADLINE = 1;
+    private static final long RESUBSCRIBE = 2;
     private static final long REPORTS_OVERDUE = 3;
     private static final long CLOSE_AGAIN = 4;
 
@@ -55,11 +60,11 @@
     private final Long2ObjectHashMap<WorkerView> views = new Long2ObjectHashMap<>();
     private final Jobs jobs = new Jobs();
     private final Long2ObjectHashMap<KindEstimates> kinds = new Long2ObjectHashMap<>();
-    private final Long2ObjectHashMap<ZoneLoad> crowds = new Long2ObjectHashMap<>();
-    private final Pool[] pools; // The ready workers of each zone; the last, for no zone, stays empty.
-    private final ArrayDeque<Job> held = new ArrayDeque<>(); // Wait for reports, in order of arrival.
-    private final DeadlineHeap calls = new DeadlineHeap();
-    /** Workers told to drain whose connections are to be closed once more. */
+    private final Long2ObjectHashMap<ZoneLoad> zoneLoads = new Long2ObjectHashMap<>();
+    private final Pool[] pools; // The ready workers of each zone; the last one, for no zone, stays empty.
+    private final ArrayDeque<Job> held = new ArrayDeque<>(); // Jobs waiting for reports, in order of arrival.
+    private final DeadlineHeap deadlines = new DeadlineHeap();
+    /** Workers that stopped being ready and whose idle connections are to be closed a second time. */
     private final ArrayDeque<WorkerView> closing = new ArrayDeque<>();
 
     private final MeanHint meanHint = new MeanHint();
@@ -67,15 +72,15 @@
     private final RetryPolicy retries;
     private final SlowStart slowStart;
     private final OutlierDetection outliers;
-    private double callArmed = Double.POSITIVE_INFINITY;
+    private double armedDeadline = Double.POSITIVE_INFINITY;
     private int listRound;
-    private boolean askPending;
+    private boolean resubscribePending;
     private double highestWorth;
     private final Shares shares;
-    private final double[] slack; // Mean wait that each class's jobs can bear.
+    private final double[] meanSlack; // Mean time that each class's jobs can wait and still be in time.
     private double now = Double.NEGATIVE_INFINITY;
 
-    /** A dispatcher with these settings and this seed; actions go to {@code out}. */
+    /** Creates a dispatcher with these settings and this random seed; actions go to {@code out}. */
     public Logic(Settings settings, long seed, Actions out) {
         if (settings.classes.length == 0
                 || settings.zones < 1
@@ -83,7 +88,8 @@
                 || settings.zone < 0
                 || settings.zone >= settings.zones
                 || settings.maxAttempts < 1) {
-            throw new IllegalArgumentException("no class, a zone out of range, no dispatcher or no attempt");
+            throw new IllegalArgumentException(
+                    "settings need a class, a zone within range, a dispatcher and an attempt");
         }
         this.settings = settings;
         this.out = out;
@@ -94,8 +100,8 @@
         pools = new Pool[settings.zones + 1];
         Arrays.setAll(pools, zone -> new Pool(random.nextInt()));
         shares = new Shares(settings);
-        slack = new double[settings.classes.length];
-        Arrays.fill(slack, Double.POSITIVE_INFINITY);
+        meanSlack = new double[settings.classes.length];
+        Arrays.fill(meanSlack, Double.POSITIVE_INFINITY);
         settingsChanged();
     }
 
@@ -103,7 +109,7 @@
 
     @Override
     public void start(double at) {
-        clock(at);
+        advanceClock(at);
         slowStart.start(now);
         if (settings.listNeedsSubscription) {
             out.watchList();
@@ -112,21 +118,21 @@
 
     @Override
     public void list(double at, ListKind kind, List<Worker> entries) {
-        clock(at);
+        advanceClock(at);
         if (kind == ListKind.FAILED) {
-            // A broken subscription is silent from here on: an old list would be followed for ever.
-            if (settings.listNeedsSubscription && !askPending) {
-                askPending = true;
-                out.wake(LIST_RETRY * (1 + random.nextDouble()), ASK_LIST);
+            // A failed subscription delivers nothing more: without a new one the old list would be used for good.
+            if (settings.listNeedsSubscription && !resubscribePending) {
+                resubscribePending = true;
+                out.wake(LIST_RETRY * (1 + random.nextDouble()), RESUBSCRIBE);
             }
             return;
         }
         listRound++;
         for (int i = 0; i < entries.size(); i++) {
-            learn(entries.get(i));
+            updateWorker(entries.get(i));
         }
         if (kind != ListKind.CHANGES) {
-            // A worker missing from a whole list is gone: sending on would break its drain.
+            // A worker missing from a full list is gone: sending to it would disturb its drain.
             for (WorkerView view : views.values()) {
                 if (view.listRound != listRound && view.state != State.GONE) {
                     view.state = State.GONE;
@@ -134,35 +140,35 @@
                 }
             }
         }
-        index();
+        removeIneligible();
     }
 
     @Override
     public void setDown(double at, long worker) {
-        clock(at);
+        advanceClock(at);
         WorkerView view = views.computeIfAbsent(worker, id -> new WorkerView(id, settings));
         view.downAt = view.down ? view.downAt : now;
         view.down = true;
-        index();
+        removeIneligible();
         out.closeIdle(worker);
     }
 
     @Override
     public void setUp(double at, long worker) {
-        clock(at);
+        advanceClock(at);
         WorkerView view = views.get(worker);
         if (view != null && view.down) {
             view.down = false;
-            view.backAt = now;
-            view.forgetReport();
-            admit(view);
+            view.upAt = now;
+            view.clearReport();
+            addIfEligible(view);
         }
     }
 
     @Override
     public void budgetShare(double at, double of) {
-        clock(at);
-        slowStart.share(of);
+        advanceClock(at);
+        slowStart.setBudgetShare(of);
     }
 
     @Override
@@ -175,7 +181,7 @@
 
     @Override
     public void request(double at, Request request) {
-        clock(at);
+        advanceClock(at);
         if (request.jobClass < 0 || request.jobClass >= settings.classes.length) {
             throw new IllegalArgumentException("class " + request.jobClass + " is out of range");
         }
@@ -184,21 +190,21 @@
         }
         retries.requestTaken(now);
         Job job = open(request);
-        if (job.lastCall <= now) {
+        if (job.answerDeadline <= now) {
             finish(job, Refusal.of(Reason.DEADLINE));
             return;
         }
-        calls.push(job);
-        armCall();
-        learnSlack(request.jobClass, patience(job) - job.hint);
-        if (!held(job)) {
+        deadlines.push(job);
+        armDeadlineTimer();
+        recordSlack(request.jobClass, timeLeft(job) - job.hint);
+        if (!holdForReports(job)) {
             place(job);
         }
     }
 
     @Override
     public void abandoned(double at, long request) {
-        clock(at);
+        advanceClock(at);
         Job job = jobs.get(request);
         if (job != null && job.live) {
             end(job);
@@ -207,13 +213,13 @@
 
     @Override
     public void timer(double at, long token) {
-        clock(at);
-        if (token == LAST_CALL) {
-            lastCalls();
+        advanceClock(at);
+        if (token == ANSWER_DEADLINE) {
+            expireRequests();
         } else if (token == REPORTS_OVERDUE) {
             placeHeld(Double.NaN);
-        } else if (token == ASK_LIST) {
-            askPending = false;
+        } else if (token == RESUBSCRIBE) {
+            resubscribePending = false;
             out.watchList();
         } else if (token == CLOSE_AGAIN) {
             out.closeIdle(closing.poll().id);
@@ -223,42 +229,42 @@
     @Override
     public void outcome(
             double at, long request, int number, long worker, Outcome outcome, boolean over, LoadReport report) {
-        clock(at);
+        advanceClock(at);
         Job job = jobs.get(request);
         Attempt attempt = job == null ? null : job.outstanding(number);
         if (attempt == null) {
             return;
         }
         WorkerView view = attempt.view;
-        // Before it is settled: a report older than the job's end still counts it, and is not the siblings'.
+        // Must precede settling: a report taken before the job ended counts it, and it is no other dispatcher's job.
         if (report != null) {
-            view.take(report, attempt, meanHint.mean(), now);
+            view.recordReport(report, attempt, meanHint.mean(), now);
         }
         settle(attempt, outcome);
-        judge(view, outcome);
+        recordOutcome(view, outcome);
         closeIdle(view);
         if (!job.live) {
             jobs.release(job);
         } else if (over || outcome == Outcome.OK) {
             end(job);
         } else if (job.outstanding == 0) {
-            next(job);
+            retryOrFinish(job);
         }
     }
 
     @Override
     public void probed(double at, long worker, double took, Outcome outcome, LoadReport report) {
-        clock(at);
+        advanceClock(at);
         WorkerView view = views.get(worker);
         if (view != null && report != null) {
-            view.take(report, null, meanHint.mean(), outcome == Outcome.MOOT ? now - took : now);
+            view.recordReport(report, null, meanHint.mean(), outcome == Outcome.MOOT ? now - took : now);
         }
         placeHeld(view == null || outcome == Outcome.MOOT ? Double.NaN : view.probedAt);
     }
 
     @Override
     public void streaming(double at, long request, int number) {
-        clock(at);
+        advanceClock(at);
         Job job = jobs.get(request);
         if (job != null) {
             job.streaming = true;
@@ -267,68 +273,68 @@
 
     @Override
     public void note(double at, long request, int number, long worker, Note note, double share) {
-        clock(at);
+        advanceClock(at);
         Job job = jobs.get(request);
         Attempt attempt = job == null ? null : job.outstanding(number);
         if (attempt != null) {
             attempt.heardAt = now;
             pools[attempt.view.zone].outlier.clear();
             if (Double.isNaN(attempt.startedAt)) {
-                // Where no start is told, the first word comes a while after it: read as the start it would
-                // make every worker look fast, and cold ones be sent too much.
+                // Where starts are not reported, the first progress note comes some time after the start. Taken for
+                // the start, it would make every worker look fast, and cold ones would get too much.
                 double before = note == Note.PROGRESS ? settings.progressInterval : 0;
                 attempt.startedAt = Math.max(attempt.sentAt, now - before);
-                attempt.view.waited(attempt, now);
-                loseOvertaken(attempt);
+                attempt.view.recordWait(attempt, now);
+                markOvertakenLost(attempt);
             }
             if (note == Note.ANSWERING && settings.progressInterval == 0 && !attempt.lost) {
-                // However slowly the network brings the answer, the worker has done the job.
+                // The worker has finished the job, however slowly the network delivers the answer.
                 attempt.answeredAt = now;
-                attempt.view.lose(attempt);
+                attempt.view.markLost(attempt);
             }
             if (note == Note.PROGRESS) {
-                attempt.share = share;
+                attempt.progress = share;
             }
         }
     }
 
-    // ---- the placement path: home, pick, coin, refuse ----
+    // ---- placement: home zone, worker, neighbour zone, refusal ----
 
     private void place(Job job) {
-        WorkerView view = choose(job);
+        WorkerView view = chooseWorker(job);
         if (view != null) {
             send(job, view);
-        } else if (job.lastLook || !looksOnceMore(job)) {
+        } else if (job.probedBeforeRefusal || !probeBeforeRefusal(job)) {
             finish(job, refusal(job));
         }
     }
 
-    /** Before a job is turned away, workers unheard of lately are asked: by now they may have room. */
-    private boolean looksOnceMore(Job job) {
-        job.lastLook = true;
+    /** Before a job is refused, workers without a recent report are probed: they may have room by now. */
+    private boolean probeBeforeRefusal(Job job) {
+        job.probedBeforeRefusal = true;
         int home = homeZone(job);
-        for (int i = 0; home >= 0 && i < settings.zones && job.awaited == 0; i++) {
-            await(job, refresh(job, pools[(home + i) % settings.zones]));
+        for (int i = 0; home >= 0 && i < settings.zones && job.pendingReports == 0; i++) {
+            await(job, probeStale(job, pools[(home + i) % settings.zones]));
         }
-        return job.awaited > 0;
+        return job.pendingReports > 0;
     }
 
-    private WorkerView choose(Job job) {
+    private WorkerView chooseWorker(Job job) {
         int home = homeZone(job);
-        WorkerView view = home < 0 ? null : pickSparing(job, home);
+        WorkerView view = home < 0 ? null : pickSparingSoleHosts(job, home);
         if (view == null && home >= 0) {
-            view = coin(job, home);
+            view = pickNeighbour(job, home);
         }
-        // Nobody can end it in time, but late has some worth: it may take a slot that is free now.
+        // No worker can finish it in time, but a late answer has some worth: it may take a slot that is free now.
         if (view == null && home >= 0 && job.type.lateWorth > 0) {
-            job.late = true;
-            view = pickSparing(job, home);
-            job.late = false;
+            job.acceptLate = true;
+            view = pickSparingSoleHosts(job, home);
+            job.acceptLate = false;
         }
         return view;
     }
 
-    /** This zone, or the nearest on the ring with a ready worker for the class; -1 if there is none. */
+    /** This zone, or the nearest on the ring with a ready worker for the job; -1 if there is none. */
     private int homeZone(Job job) {
         int n = settings.zones;
         for (int i = 0; i <= n; i++) {
@@ -342,14 +348,14 @@
 
     private boolean serves(int zone, Job job) {
         for (int i = 0; i < pools[zone].count; i++) {
-            if (runs(pools[zone].ready[i], job)) {
+            if (canRun(pools[zone].ready[i], job)) {
                 return true;
             }
         }
         return false;
     }
 
-    private static boolean runs(WorkerView view, Job job) {
+    private static boolean canRun(WorkerView view, Job job) {
         return (job.type.kind < 0 || job.type.kind == view.kind)
                 && (view.classes & job.classBit) != 0
                 && (job.ability == 0
@@ -357,40 +363,42 @@
                         || Arrays.binarySearch(view.abilities, job.ability) >= 0);
     }
 
-    /** A job that runs anywhere spares the kinds that some class depends on, while others have room. */
-    private WorkerView pickSparing(Job job, int zone) {
+    /** A job that any kind can run avoids the kinds that some class depends on while others have room. */
+    private WorkerView pickSparingSoleHosts(Job job, int zone) {
         if (settings.reports == ReportSource.PROBES && (job.attempts > 0 || zone != settings.zone)) {
-            refresh(job, pools[zone]);
+            probeStale(job, pools[zone]);
         }
         WorkerView view = job.type.kind < 0 ? pick(job, zone, true) : null;
         return view != null ? view : pick(job, zone, false);
     }
 
     /**
-     * The zone's worker not judged full with least work outstanding from here, in time taken there. Where
-     * many dispatchers have next to nothing out each, the wait foreseen for siblings' jobs tells them apart.
+     * The zone's worker, among those not full, with the least outstanding work from this dispatcher, measured as
+     * time there. The expected wait for other dispatchers' jobs is added, which distinguishes the workers when each
+     * of many dispatchers has hardly any work outstanding.
      */
-    private WorkerView pick(Job job, int zone, boolean sparing) {
+    private WorkerView pick(Job job, int zone, boolean skipSoleHosts) {
         WorkerView best = null;
         double least = Double.POSITIVE_INFINITY;
         int ties = 0;
         Pool pool = pools[zone];
-        // Told of the same room by old reports all herd: twice as often as told 'full', own work decides.
-        boolean blind = random.nextDouble() < 2 * pool.fullShare;
+        // By the same old reports all dispatchers would choose the same worker. So own work alone decides, with
+        // twice the probability of an answer 'full'.
+        boolean ignoreWaits = random.nextDouble() < 2 * pool.fullShare;
         for (int i = 0; i < pool.count && !outliers.isEjected(pool, now); i++) {
             WorkerView view = pool.ready[i];
-            if (!runs(view, job)
-                    || sparing && view.peers.soleHost
+            if (!canRun(view, job)
+                    || skipSoleHosts && view.kindEstimates.soleHost
                     || job.tried(view)
                     || outliers.isEjected(view, now)
-                    || full(view, job)
+                    || isFull(view, job)
                     || !retries.effectAllows(job, view)
                     || now < view.warmAt && !slowStart.allows(view, job, now)) {
                 continue;
             }
             double speed = view.speed(now);
-            double time = (view.ownRemaining(now, speed) + job.work()) / (view.peers.slots() * speed)
-                    + (blind ? 0 : times.wait(view, job, now));
+            double time = (view.ownRemainingWork(now, speed) + job.work()) / (view.kindEstimates.slots() * speed)
+                    + (ignoreWaits ? 0 : times.wait(view, job, now));
             if (time < least) {
                 best = view;
                 least = time;
@@ -402,75 +410,77 @@
         return best;
     }
 
-    /** A full pool's coin: either neighbour on the ring of zones that serve the class, of those with room. */
-    private WorkerView coin(Job job, int home) {
+    /** Picks in one neighbour zone at random, or else in the other; zones that can't run the job are skipped. */
+    private WorkerView pickNeighbour(Job job, int home) {
         int step = random.nextDouble() < job.crossEachWay ? 1 : settings.zones - 1;
-        WorkerView view = neighbour(job, home, step);
-        return view != null ? view : neighbour(job, home, settings.zones - step);
+        WorkerView view = pickInDirection(job, home, step);
+        return view != null ? view : pickInDirection(job, home, settings.zones - step);
     }
 
-    private WorkerView neighbour(Job job, int home, int step) {
+    private WorkerView pickInDirection(Job job, int home, int step) {
         int zone = (home + step) % settings.zones;
         while (zone != home && !serves(zone, job)) {
             zone = (zone + step) % settings.zones;
         }
-        return zone == home ? null : pickSparing(job, zone);
+        return zone == home ? null : pickSparingSoleHosts(job, zone);
     }
 
-    /** Full: the worker answered 'full', lacks the memory, or could not end the job within its aim. */
-    private boolean full(WorkerView view, Job job) {
+    /** Whether the worker recently answered 'full', lacks the memory, or can't finish the job within its aim. */
+    private boolean isFull(WorkerView view, Job job) {
         if (now < view.fullUntil || lacksMemory(view, job)) {
             return true;
         }
         double run = job.hint / view.speed(now);
-        if (job.late) {
-            // Start notes always come a little late: on its own kind a tied class would never find a slot.
-            double most = job.type.kind < 0 ? 0 : LATE_WAIT_PART * run;
-            return times.wait(view, job, now) > most || now + run > job.lastCall;
+        if (job.acceptLate) {
+            // Start notes always arrive slightly late: without a margin a tied class would never find a slot on its
+            // kind.
+            double most = job.type.kind < 0 ? 0 : LATE_WAIT_SHARE * run;
+            return times.wait(view, job, now) > most || now + run > job.answerDeadline;
         }
-        return times.wait(view, job, now) > mostWait(job, patience(job) - run, view.peers.slotTime());
+        return times.wait(view, job, now) > maxWait(job, timeLeft(job) - run, view.kindEstimates.slotTime());
     }
 
     private boolean lacksMemory(WorkerView view, Job job) {
-        return now - view.reportAt <= WorkerView.REPORT_AGE
+        return now - view.reportAt <= WorkerView.REPORT_HALF_LIFE
                 && view.freeMemory + view.memoryInReport - view.ownMemory < job.memory;
     }
 
-    /** Seconds the job can still take and be in time. */
-    private double patience(Job job) {
-        return IN_TIME * job.aim - (now - job.arrivedAt);
+    /** Seconds that the job can still take and be in time. */
+    private double timeLeft(Job job) {
+        return AIM_SHARE * job.aim - (now - job.arrivedAt);
     }
 
-    /** Where work must wait, worth goes first: a class waits the less the less its work is worth. */
+    /** Fraction of its time left that a job may wait: the lower its worth, the shorter its wait under load. */
     private double waitShare(Job job) {
-        return LEAST_WAIT + (1 - LEAST_WAIT) * job.worth / highestWorth;
+        return MIN_WAIT_SHARE + (1 - MIN_WAIT_SHARE) * job.worth / highestWorth;
     }
 
     /**
-     * Patient work must not build queues in which hurried work as dear, or light jobs of its own class, can't
-     * be in time. A class tied to its kind need not yield. Of equal worth the light one would starve.
+     * The longest acceptable wait of a job. Jobs that can wait long must not build queues in which urgent jobs of
+     * the same or a higher worth, or light jobs of the same class, can't be in time. A class tied to a kind need not
+     * yield. A job may wait as long as others of equal worth, or light jobs would starve.
      */
-    private double mostWait(Job job, double left, double slotTime) {
-        double patience = left;
+    private double maxWait(Job job, double left, double slotTime) {
+        double timeLeft = left;
         double most = left;
-        for (int i = 0; i < slack.length; i++) {
+        for (int i = 0; i < meanSlack.length; i++) {
             JobClass other = settings.classes[i];
             double worth = other.worth;
-            if (worth == job.worth && other != job.type && slack[i] < Double.POSITIVE_INFINITY) {
-                patience = Math.max(patience, slack[i]);
+            if (worth == job.worth && other != job.type && meanSlack[i] < Double.POSITIVE_INFINITY) {
+                timeLeft = Math.max(timeLeft, meanSlack[i]);
             }
             if (worth >= job.worth && job.type.kind < 0) {
-                most = Math.min(most, worth > job.worth ? slack[i] : OWN_SLACK * slack[i]);
+                most = Math.min(most, worth > job.worth ? meanSlack[i] : OWN_SLACK_FACTOR * meanSlack[i]);
             }
         }
-        return Math.min(most, Math.max(waitShare(job) * patience, Math.min(patience, SLOT_WAIT * slotTime)));
+        return Math.min(most, Math.max(waitShare(job) * timeLeft, Math.min(timeLeft, SLOT_WAIT_SHARE * slotTime)));
     }
 
-    /** Jobs that can't be in time even at once don't count: nobody could yield enough for them. */
-    private void learnSlack(int jobClass, double left) {
+    /** Jobs that can't be in time even if started at once don't count: no wait of others is short enough for them. */
+    private void recordSlack(int jobClass, double left) {
         if (left > 0) {
-            double mean = slack[jobClass];
-            slack[jobClass] = mean < Double.POSITIVE_INFINITY ? mean + SLACK_GAIN * (left - mean) : left;
+            double mean = meanSlack[jobClass];
+            meanSlack[jobClass] = mean < Double.POSITIVE_INFINITY ? mean + SLACK_GAIN * (left - mean) : left;
         }
     }
 
@@ -480,11 +490,11 @@
         attempt.sentAt = now;
         attempt.startedAt = Double.NaN;
         attempt.heardAt = now;
-        attempt.share = 0;
+        attempt.progress = 0;
         attempt.queueWait = times.queueWait(view, job, now);
-        attempt.wait = times.wait(view, job, now);
-        // A silent machine shows only in what is overdue: a start, or the end where starts are not told.
-        attempt.dueAt = now + attempt.wait + (settings.tellsStart ? 0 : job.hint / view.speed(now));
+        attempt.expectedWait = times.wait(view, job, now);
+        // A silent machine shows only in what is overdue: a start, or an end where starts are not reported.
+        attempt.dueAt = now + attempt.expectedWait + (settings.tellsStart ? 0 : job.hint / view.speed(now));
         attempt.lost = false;
         attempt.answeredAt = Double.POSITIVE_INFINITY;
         attempt.outstanding = true;
@@ -499,10 +509,10 @@
         out.send(job.id, attempt.number, view.id);
     }
 
-    /** What follows an attempt that did not serve the request. */
-    private void next(Job job) {
-        if (job.streaming || now >= job.lastCall || !retries.allowsAnother(job, now)) {
-            finish(job, Refusal.of(now >= job.lastCall ? Reason.DEADLINE : Reason.NO_RETRY));
+    /** Retries after an attempt that did not serve the request, or gives the final answer. */
+    private void retryOrFinish(Job job) {
+        if (job.streaming || now >= job.answerDeadline || !retries.allowsAnother(job, now)) {
+            finish(job, Refusal.of(now >= job.answerDeadline ? Reason.DEADLINE : Reason.NO_RETRY));
         } else {
             place(job);
         }
@@ -514,27 +524,27 @@
         end(job);
         out.explainRefusal(job.id, refusal);
         if (retries.mayRefuse(job, now)) {
-            out.refuse(job.id, job.toldWhen ? comeBack(job) : 0);
+            out.refuse(job.id, job.sendRetryAfter ? retryDelay(job) : 0);
         } else {
             out.fail(job.id);
         }
     }
 
-    /** What kept a job that was placed nowhere from the home endpoint that passed most of the checks. */
+    /** Why a job could not be placed, by the worker of its home zone that passed the most checks. */
     private Refusal refusal(Job job) {
         int home = homeZone(job);
         Refusal nearest = Refusal.of(Reason.NO_ENDPOINT);
         for (int i = 0; home >= 0 && i < pools[home].count; i++) {
             WorkerView view = pools[home].ready[i];
-            Reason reason = runs(view, job) ? obstacle(view, job) : Reason.NO_ENDPOINT;
+            Reason reason = canRun(view, job) ? rejectionReason(view, job) : Reason.NO_ENDPOINT;
             if (reason.compareTo(nearest.reason()) > 0) {
-                double most = mostWait(job, patience(job) - job.hint / view.speed(now), view.peers.slotTime());
-                double slots = view.peers.slots();
+                double most = maxWait(job, timeLeft(job) - job.hint / view.speed(now), view.kindEstimates.slotTime());
+                double slots = view.kindEstimates.slots();
                 nearest = new Refusal(
                         reason,
                         view.id,
                         view.ownSlots,
-                        view.others(now),
+                        view.otherSlots(now),
                         slots,
                         now - view.reportAt,
                         times.wait(view, job, now),
@@ -544,7 +554,7 @@
         return nearest;
     }
 
-    private Reason obstacle(WorkerView view, Job job) {
+    private Reason rejectionReason(WorkerView view, Job job) {
         if (job.tried(view)) {
             return Reason.TRIED;
         }
@@ -554,48 +564,48 @@
         if (now < view.fullUntil) {
             return Reason.DECLINED;
         }
-        if (full(view, job)) {
-            return overload(view, job);
+        if (isFull(view, job)) {
+            return overloadReason(view, job);
         }
         return retries.effectAllows(job, view) ? Reason.SLOW_START : Reason.EFFECT;
     }
 
-    private Reason overload(WorkerView view, Job job) {
+    private Reason overloadReason(WorkerView view, Job job) {
         if (lacksMemory(view, job)) {
             return Reason.MEMORY;
         }
-        if (patience(job) < job.hint / view.speed(now)) {
+        if (timeLeft(job) < job.hint / view.speed(now)) {
             return Reason.TOO_LONG;
         }
-        if (view.ownSlots + job.slots > view.peers.slots()) {
+        if (view.ownSlots + job.slots > view.kindEstimates.slots()) {
             return Reason.OWN_LOAD;
         }
-        return times.queueWait(view, job, now) > view.unseenWait(now) ? Reason.OTHERS_LOAD : Reason.LATE_STARTS;
+        return times.queueWait(view, job, now) > view.extraWait(now) ? Reason.OTHERS_LOAD : Reason.LATE_STARTS;
     }
 
     /**
-     * Seconds after which a refused client should come back: at once where a home worker has room and only
-     * attempts are used up, else after a part of the time its job still has, in which others end.
+     * Seconds after which a refused client should retry: at once if a home worker has room and only the attempts
+     * are used up, otherwise after a fraction of the job's time left, in which other jobs end.
      */
-    private double comeBack(Job job) {
+    private double retryDelay(Job job) {
         int home = homeZone(job);
         for (int i = 0; home >= 0 && i < pools[home].count && !outliers.isEjected(pools[home], now); i++) {
             WorkerView view = pools[home].ready[i];
-            if (runs(view, job) && !outliers.isEjected(view, now) && !full(view, job)) {
+            if (canRun(view, job) && !outliers.isEjected(view, now) && !isFull(view, job)) {
                 return settings.tick;
             }
         }
         return home < 0
-                ? job.longestRetryAfter
-                : Math.min(job.longestRetryAfter, Math.max(settings.tick, RETRY_PART * patience(job)));
+                ? job.maxRetryAfter
+                : Math.min(job.maxRetryAfter, Math.max(settings.tick, RETRY_DELAY_SHARE * timeLeft(job)));
     }
 
     private void end(Job job) {
         job.live = false;
-        if (job.awaited > 0) {
+        if (job.pendingReports > 0) {
             held.remove(job);
         }
-        // An attempt nobody waits for any more would hold a slot that others could use.
+        // An attempt whose answer is not needed any more would occupy a slot that others could use.
         for (int i = 0; i < job.attempts && settings.mayCancel; i++) {
             if (job.attempt[i].outstanding) {
                 job.attempt[i].mayHaveRun &= !out.cancel(job.id, i);
@@ -604,40 +614,40 @@
         jobs.release(job);
     }
 
-    /** An attempt that never answers would leave its client without one: every request has a last call. */
-    private void lastCalls() {
-        // A timer that an earlier deadline has overtaken runs out too: it must not arm a further one.
-        if (now >= callArmed - settings.tick / 2) {
-            callArmed = Double.POSITIVE_INFINITY;
+    /** Answers requests whose deadline has come, such as those with an attempt that never ends. */
+    private void expireRequests() {
+        // A timer superseded by one for an earlier deadline still expires; it must not arm another.
+        if (now >= armedDeadline - settings.tick / 2) {
+            armedDeadline = Double.POSITIVE_INFINITY;
         }
-        while (calls.first() != null && (!calls.first().live || calls.first().lastCall <= now)) {
-            Job job = calls.pop();
+        while (deadlines.first() != null && (!deadlines.first().live || deadlines.first().answerDeadline <= now)) {
+            Job job = deadlines.pop();
             if (job.live && !job.streaming) {
                 finish(job, Refusal.of(Reason.DEADLINE));
             }
             jobs.release(job);
         }
-        armCall();
+        armDeadlineTimer();
     }
 
-    private void armCall() {
-        Job job = calls.first();
-        if (job != null && job.lastCall < callArmed) {
-            callArmed = job.lastCall;
-            out.wake(Math.max(0, callArmed - now), LAST_CALL);
+    private void armDeadlineTimer() {
+        Job job = deadlines.first();
+        if (job != null && job.answerDeadline < armedDeadline) {
+            armedDeadline = job.answerDeadline;
+            out.wake(Math.max(0, armedDeadline - now), ANSWER_DEADLINE);
         }
     }
 
-    // ---- guard: outlier detection ----
+    // ---- outlier detection ----
 
-    private void judge(WorkerView view, Outcome outcome) {
+    private void recordOutcome(WorkerView view, Outcome outcome) {
         Pool pool = pools[view.zone];
         pool.fullShare += WorkerView.OTHERS_GAIN * ((outcome == Outcome.FULL ? 1 : 0) - pool.fullShare);
         if (outcome == Outcome.OK || outcome == Outcome.FULL) {
-            view.fullUntil = outcome == Outcome.FULL ? now + view.peers.fullFor() : view.fullUntil;
-            if (outcome == Outcome.FULL && !view.peers.tellsQueue) {
-                // The only word of a queue: a worker believed to have none is tried in vain again and again.
-                view.taken((1 + FULL_QUEUE) * view.peers.slots(), now);
+            view.fullUntil = outcome == Outcome.FULL ? now + view.kindEstimates.fullSeconds() : view.fullUntil;
+            if (outcome == Outcome.FULL && !view.kindEstimates.reportsQueue) {
+                // The only sign of a queue: a worker assumed to have none would be tried in vain again and again.
+                view.recordOthers((1 + FULL_QUEUE_PER_SLOT) * view.kindEstimates.slots(), now);
             }
             view.outlier.clear();
             pool.outlier.clear();
@@ -651,18 +661,18 @@
     }
 
     /**
-     * Where a worker starts jobs in the order of their coming, one that a later one has overtaken is lost, or
-     * its connection has fallen silent. Counted on, it would make the worker look blocked until its client
-     * gives up; what may be repeated goes elsewhere at once.
+     * If a worker starts jobs in order of arrival, a job overtaken by a later one is lost or its connection is
+     * silent. Still counted, it would make the worker look blocked until its client gives up. A job that may be
+     * repeated is cancelled, so that it goes elsewhere at once.
      */
-    private void loseOvertaken(Attempt started) {
+    private void markOvertakenLost(Attempt started) {
         WorkerView view = started.view;
         for (int i = 0; i < view.ownCount && settings.headOfLineBlocking; i++) {
             Attempt attempt = view.own[i];
             if (Double.isNaN(attempt.startedAt)
                     && attempt.sentAt < started.sentAt - settings.connectTimeout
                     && !attempt.lost) {
-                view.lose(attempt);
+                view.markLost(attempt);
                 if (settings.mayCancel && attempt.job.live && retries.mayRepeat(attempt.job, now)) {
                     out.cancel(attempt.job.id, attempt.number);
                 }
@@ -670,11 +680,12 @@
         }
     }
 
-    // ---- guard: connections to workers that drain ----
+    // ---- connections to draining workers ----
 
     /**
-     * A worker that drains waits for its connections: where a time is stated the idle ones are closed at the
-     * notice and after each attempt's end. One still being opened then is idle only later: once more for it.
+     * A draining worker waits for its connections to close. If the settings state a time, idle ones are closed when
+     * the worker stops being ready and after each attempt. A connection that is still being opened becomes idle only
+     * later, so closing is repeated after half that time.
      */
     private void closeIdle(WorkerView view) {
         if (settings.closeOnDrainWithin > 0 && view.state != State.READY) {
@@ -684,9 +695,9 @@
         }
     }
 
-    // ---- following the list ----
+    // ---- worker list ----
 
-    private void learn(Worker entry) {
+    private void updateWorker(Worker entry) {
         WorkerView view = views.get(entry.id);
         if (view == null) {
             if (entry.state == State.GONE) {
@@ -696,7 +707,7 @@
             views.put(entry.id, view);
         }
         if (entry.startedAt > view.startedAt && view.listRound > 0) {
-            view.forgetReport();
+            view.clearReport();
         }
         view.listRound = listRound;
         int zone = entry.zone >= 0 && entry.zone < settings.zones ? entry.zone : settings.zones;
@@ -705,8 +716,8 @@
         }
         view.zone = zone;
         view.kind = entry.kind;
-        view.peers = kindOf(entry);
-        view.crowd = crowds.computeIfAbsent((long) entry.kind << 32 | entry.zone, key -> new ZoneLoad());
+        view.kindEstimates = kindOf(entry);
+        view.zoneLoad = zoneLoads.computeIfAbsent((long) entry.kind << 32 | entry.zone, key -> new ZoneLoad());
         view.cell = entry.cell;
         view.classes = entry.classes;
         view.abilities = entry.abilities;
@@ -715,19 +726,19 @@
             view.state = entry.state;
             closeIdle(view);
         }
-        view.peers.sizeSeen = Math.max(view.peers.sizeSeen, entry.weight);
-        // No report comes from a zone without jobs: held empty, it would draw all blocked jobs at once.
-        // A core is taken for a slot. A weight of nothing would spoil the mean for good.
+        view.kindEstimates.maxWeight = Math.max(view.kindEstimates.maxWeight, entry.weight);
+        // A zone without jobs sends no reports: assumed empty, it would attract all blocked jobs at once. So the load
+        // follows from the weight, taking a core for a slot. A weight of 0 would corrupt the mean for good.
         if (settings.weights == WeightSource.LIVE
                 && view.zone != settings.zone
                 && now >= view.warmAt
                 && entry.weight > 0) {
-            view.crowd.reported(view.peers.sizeSeen / entry.weight - 1, now);
+            view.zoneLoad.update(view.kindEstimates.maxWeight / entry.weight - 1, now);
         }
-        admit(view);
+        addIfEligible(view);
     }
 
-    private void admit(WorkerView view) {
+    private void addIfEligible(WorkerView view) {
         double since = view.coldSince();
         view.warmAt = since > 0 ? since + settings.coldFor : Double.NEGATIVE_INFINITY;
         if (view.isEligible() && !view.indexed && view.zone < settings.zones) {
@@ -735,8 +746,8 @@
         }
     }
 
-    /** Drops from the pools those that drain, are gone or set down; forgets the gone with nothing out. */
-    private void index() {
+    /** Removes ineligible workers from the pools, and forgets workers that are gone and no longer needed. */
+    private void removeIneligible() {
         for (Pool pool : pools) {
             for (int i = pool.count - 1; i >= 0; i--) {
                 if (!pool.ready[i].isEligible()) {
@@ -744,19 +755,19 @@
                 }
             }
         }
-        views.values().removeIf(this::forgettable);
+        views.values().removeIf(this::isForgettable);
     }
 
-    /** Not while its cold budget is partly spent: a list that flaps would let it be spent twice. */
-    private boolean forgettable(WorkerView view) {
+    /** Not while its slow-start budget is partly used: a flapping list would let the budget be used twice. */
+    private boolean isForgettable(WorkerView view) {
         return view.state == State.GONE
                 && view.ownCount == 0
                 && !view.down
                 && now >= view.warmAt
-                && view.coldLog.since(now - settings.fallWithin) == 0;
+                && view.coldSends.since(now - settings.fallWithin) == 0;
     }
 
-    /** Workers of a kind registered with different sizes are not alike: each size learns for itself. */
+    /** Estimates are kept per kind, and per size where weights are nominal: workers of different sizes differ. */
     private KindEstimates kindOf(Worker entry) {
         long size = settings.weights == WeightSource.NOMINAL ? Float.floatToIntBits((float) entry.weight) : 0;
         long key = (long) entry.kind << 32 | size;
@@ -774,15 +785,15 @@
     // ---- probes ----
 
     /**
-     * Asks workers that the job may go to for reports, in turn; returns how many. Probing every worker all
-     * the time would cost a large fleet more than its jobs do: what is asked follows from own traffic.
+     * Probes workers that can run the job and have no recent report, in round-robin order; returns how many.
+     * Probing every worker continually would cost a large fleet more than its jobs, so probes follow own traffic.
      */
-    private int refresh(Job job, Pool pool) {
+    private int probeStale(Job job, Pool pool) {
         int asked = 0;
         boolean may = settings.reports != ReportSource.NONE && settings.mayProbe;
-        for (int i = 0; i < pool.count && asked < PROBES_EACH && may; i++) {
+        for (int i = 0; i < pool.count && asked < PROBES_PER_REQUEST && may; i++) {
             WorkerView view = pool.next();
-            if (runs(view, job) && now - Math.max(view.probedAt, view.reportAt) >= PROBE_EVERY) {
+            if (canRun(view, job) && now - Math.max(view.probedAt, view.reportAt) >= PROBE_INTERVAL) {
                 view.probedAt = now;
                 out.probe(view.id);
                 asked++;
@@ -791,17 +802,17 @@
         return asked;
     }
 
-    /** In a large pool hardly a report is fresh when a job comes: it waits a moment for those it asks for. */
-    private boolean held(Job job) {
+    /** In a large pool hardly any report is fresh when a job arrives, so it briefly waits for the reports it requests. */
+    private boolean holdForReports(Job job) {
         int home = homeZone(job);
         if (home >= 0 && settings.reports == ReportSource.PROBES) {
-            await(job, refresh(job, pools[home]));
+            await(job, probeStale(job, pools[home]));
         }
-        return job.awaited > 0;
+        return job.pendingReports > 0;
     }
 
     private void await(Job job, int reports) {
-        job.awaited = reports;
+        job.pendingReports = reports;
         if (reports > 0) {
             job.heldAt = now;
             held.add(job);
@@ -809,15 +820,15 @@
         }
     }
 
-    /** Places the held jobs that have all reports asked for, with the one now here, or waited long enough. */
+    /** Places the held jobs that have now received all their reports or have waited long enough. */
     private void placeHeld(double askedAt) {
         for (int i = held.size(); i > 0; i--) {
             Job job = held.poll();
             if (job.heldAt == askedAt) {
-                job.awaited--;
+                job.pendingReports--;
             }
-            if (job.awaited == 0 || now >= job.heldAt + REPORT_WAIT - settings.tick / 2) {
-                job.awaited = 0;
+            if (job.pendingReports == 0 || now >= job.heldAt + REPORT_WAIT - settings.tick / 2) {
+                job.pendingReports = 0;
                 place(job);
             } else {
                 held.add(job);
@@ -825,37 +836,37 @@
         }
     }
 
-    // ---- book-keeping ----
+    // ---- bookkeeping ----
 
-    private void clock(double at) {
+    private void advanceClock(double at) {
         now = Math.max(now, at);
     }
 
     private Job open(Request request) {
-        // No worker ends in time what runs longer than its class waits: as told, one absurd hint would spoil
-        // the mean for hundreds of jobs, and all workers would look full.
+        // Hints are capped at the class's deadline, as no worker finishes a longer job in time. Uncapped, one absurd
+        // hint would distort the mean for hundreds of jobs, and all workers would look full.
         JobClass type = settings.classes[request.jobClass];
-        double call = request.deadline - LAST_CALL_TICKS * settings.tick;
-        double aim = Math.min(type.aim / Math.max(0, 1 - IN_TIME * type.stretch), call - now);
+        double answerDeadline = request.deadline - ANSWER_MARGIN_TICKS * settings.tick;
+        double aim = Math.min(type.aim / Math.max(0, 1 - AIM_SHARE * type.stretch), answerDeadline - now);
         double guess =
-                Math.min(meanHint.mean() > 0 ? meanHint.mean() : 1, UNHINTED_PART * Math.max(settings.tick, aim));
+                Math.min(meanHint.mean() > 0 ? meanHint.mean() : 1, UNHINTED_SHARE * Math.max(settings.tick, aim));
         double hint = Math.min(request.hint > 0 ? request.hint : guess, type.deadline);
         meanHint.add(hint);
-        return jobs.open(request.id).open(request, settings, shares, now, call, hint);
+        return jobs.open(request.id).open(request, settings, shares, now, answerDeadline, hint);
     }
 
     private void settle(Attempt attempt, Outcome outcome) {
         attempt.outstanding = false;
-        // Where workers also shed what they had begun, a repeat after 'full' could be a second effect.
+        // If workers also shed jobs that they had begun, a retry after 'full' could take effect twice.
         attempt.mayHaveRun = !outcome.neverRan || outcome == Outcome.FULL && settings.fullMayHaveRun;
         attempt.job.outstanding--;
         WorkerView view = attempt.view;
         view.remove(attempt);
         boolean told = !Double.isNaN(attempt.startedAt);
         if (outcome == Outcome.OK && (told || !settings.tellsStart) && now >= view.warmAt) {
-            double took = told ? Math.min(now, attempt.answeredAt) - attempt.startedAt : times.run(attempt, now);
-            view.peers.ran(attempt.job.hint, took);
-            view.ran(attempt.job.hint, took);
+            double took = told ? Math.min(now, attempt.answeredAt) - attempt.startedAt : times.runTime(attempt, now);
+            view.kindEstimates.recordRun(attempt.job.hint, took);
+            view.recordRun(attempt.job.hint, took);
         }
     }
 }
--- a/src/main/java/laneflow/decision/MeanHint.java
+++ b/src/main/java/laneflow/decision/MeanHint.java
@@ -1,26 +1,26 @@
 package laneflow.decision;
 
-/** The mean cost hint of the requests seen here, seconds of a standard core: a guess for the siblings' jobs. */
+/** Mean cost hint of this dispatcher's requests, in seconds on a standard core; also used for other dispatchers' jobs. */
 final class MeanHint {
-    /** Say of a new request in the mean. */
+    /** Weight of a new request in the mean. */
     private static final double GAIN = 0.02;
-    /** A mean of so many hints may be twice the true one. */
-    private static final double UNSURE = 1;
+    /** A mean over this many hints may be twice the true mean. */
+    private static final double PRIOR_COUNT = 1;
 
     private double mean;
     private long count;
 
-    /** 0 before the first. */
+    /** The mean, or 0 before the first hint. */
     double mean() {
         return mean;
     }
 
-    /** The least that the mean may be, while few hints were seen. */
-    double cautious() {
-        return mean * count / (count + UNSURE);
+    /** A conservative low estimate of the mean while few hints were seen. */
+    double lowerEstimate() {
+        return mean * count / (count + PRIOR_COUNT);
     }
 
-    /** It begins with the first one: any guess in its place keeps cold workers idle. */
+    /** The mean starts at the first hint: an assumed initial value would keep cold workers idle. */
     void add(double hint) {
         mean += Math.max(1.0 / ++count, GAIN) * (hint - mean);
     }
--- a/src/main/java/laneflow/decision/OutlierDetection.java
+++ b/src/main/java/laneflow/decision/OutlierDetection.java
@@ -4,20 +4,20 @@
 import laneflow.decision.Dispatch.Settings;
 
 /**
- * Outlier detection: a worker or a zone that fails is left alone for a while, for longer each time; then one job tries
- * it, until an answer clears it. Instants are seconds of the module's clock.
+ * Outlier detection: a worker or zone that fails is ejected, for longer each time. Afterwards one job at a time tries
+ * it until an answer clears it. Times are in seconds on the module's clock.
  */
 final class OutlierDetection {
-    /** Seconds of the first time that a worker is left alone; it doubles with each failure that follows. */
+    /** Duration of the first ejection in seconds; it doubles with each further one. */
     private static final double FIRST_EJECTION = 0.5;
-    /** Seconds: a worker that is back must be found. */
-    private static final double LONGEST_EJECTION = 8;
-    /** Connections broken or silent in a row that make a worker an outlier. */
-    private static final int CONNECTIONS_LOST = 2;
-    /** Connects failed in a row that make a zone an outlier. */
-    private static final int ZONE_FAILURES = 3;
-    /** Seconds that a trial of an ejected zone keeps others off. */
-    private static final double ZONE_TRIAL = 1;
+    /** Longest ejection in seconds, so that a recovered worker is found. */
+    private static final double MAX_EJECTION = 8;
+    /** Consecutive broken or silent connections that make a worker an outlier. */
+    private static final int CONNECTION_LOSS_THRESHOLD = 2;
+    /** Consecutive failed connects that make a zone an outlier. */
+    private static final int ZONE_FAILURE_THRESHOLD = 3;
+    /** Seconds for which a trial of an ejected zone blocks further jobs there. */
+    private static final double ZONE_TRIAL_SECONDS = 1;
 
     private final Settings settings;
     private final SplittableRandom random;
@@ -28,49 +28,50 @@
     }
 
     /**
-     * A dead worker keeps its last report and one that fails fast looks idle: both would draw ever more jobs.
+     * A dead worker keeps its last report, and a worker that fails fast looks idle: without ejection both would
+     * attract ever more jobs.
      */
     boolean isEjected(WorkerView view, double now) {
         return isEjected(view.outlier, view.ownCount > 0, now);
     }
 
     /**
-     * Where a whole zone is gone, or the link to it, each of its workers would draw an attempt to be
-     * ejected. After some failed connects in a row the zone is left alone like a worker, where there is
-     * another one: the only zone has nobody to spare, and its other workers may be idle.
+     * If a whole zone or the link to it is down, ejecting its workers one by one would cost an attempt each. So
+     * the zone is ejected as a whole after a few consecutive failed connects. A zone without an alternative is
+     * never ejected: some of its workers may still be reachable and idle.
      */
     boolean isEjected(Pool zone, double now) {
-        return settings.zones > 1 && isEjected(zone.outlier, now < zone.outlier.triedAt + ZONE_TRIAL, now);
+        return settings.zones > 1 && isEjected(zone.outlier, now < zone.outlier.triedAt + ZONE_TRIAL_SECONDS, now);
     }
 
     private boolean isEjected(OutlierState state, boolean onTrial, double now) {
-        return state.strikes > 0 && (now < state.until || onTrial && state.triedAt >= state.until);
+        return state.ejections > 0 && (now < state.ejectedUntil || onTrial && state.triedAt >= state.ejectedUntil);
     }
 
-    /** A job goes there. */
+    /** A job is sent to this worker. */
     void tried(WorkerView view, Pool zone, double now) {
         view.outlier.triedAt = now;
         zone.outlier.triedAt = now;
     }
 
-    /** One connection that breaks or falls silent says little of its worker; of a dead one all do. */
+    /** A single broken or silent connection says little about its worker; all connections to a dead worker fail. */
     void connectionLost(WorkerView view, double now) {
-        failed(view.outlier, CONNECTIONS_LOST, now);
+        recordFailure(view.outlier, CONNECTION_LOSS_THRESHOLD, now);
     }
 
     void answeredWithError(WorkerView view, double now) {
-        failed(view.outlier, 1, now);
+        recordFailure(view.outlier, 1, now);
     }
 
     void connectFailed(WorkerView view, Pool zone, double now) {
-        failed(view.outlier, 1, now);
-        failed(zone.outlier, ZONE_FAILURES, now);
+        recordFailure(view.outlier, 1, now);
+        recordFailure(zone.outlier, ZONE_FAILURE_THRESHOLD, now);
     }
 
-    private void failed(OutlierState state, int enough, double now) {
-        if (++state.inRow >= enough && now >= state.until) {
-            double time = Math.min(LONGEST_EJECTION, FIRST_EJECTION * Math.pow(2, state.strikes++));
-            state.until = now + time * (1 + random.nextDouble()) / 2;
+    private void recordFailure(OutlierState state, int threshold, double now) {
+        if (++state.consecutiveFailures >= threshold && now >= state.ejectedUntil) {
+            double duration = Math.min(MAX_EJECTION, FIRST_EJECTION * Math.pow(2, state.ejections++));
+            state.ejectedUntil = now + duration * (1 + random.nextDouble()) / 2;
         }
     }
 }
--- a/src/main/java/laneflow/decision/OutlierState.java
+++ b/src/main/java/laneflow/decision/OutlierState.java
@@ -1,19 +1,19 @@
 package laneflow.decision;
 
-/** What speaks against a worker, or a zone as a whole: failures without a sign of life between. */
+/** Failures of a worker or a whole zone since its last successful contact. */
 final class OutlierState {
-    int inRow;
-    /** Times it was left alone since the last sign of life. */
-    int strikes;
-    /** Until when it is left alone. */
-    double until = Double.NEGATIVE_INFINITY;
+    int consecutiveFailures;
+    /** Number of ejections since the last successful contact. */
+    int ejections;
+    /** When the current ejection ends. */
+    double ejectedUntil = Double.NEGATIVE_INFINITY;
 
     double triedAt = Double.NEGATIVE_INFINITY;
 
-    /** A sign of life. */
+    /** Resets the state after a successful contact. */
     void clear() {
-        inRow = 0;
-        strikes = 0;
-        until = Double.NEGATIVE_INFINITY;
+        consecutiveFailures = 0;
+        ejections = 0;
+        ejectedUntil = Double.NEGATIVE_INFINITY;
     }
 }
--- a/src/main/java/laneflow/decision/Outstanding.java
+++ b/src/main/java/laneflow/decision/Outstanding.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import laneflow.decision.Job.Attempt;
 
-/** This dispatcher's attempts out at one worker, with their sums. */
+/** This dispatcher's outstanding attempts at one worker, with the sums of their slots and memory. */
 class Outstanding {
     Attempt[] own = new Attempt[4];
     int ownCount;
@@ -20,8 +20,8 @@
         ownMemory += attempt.job.memory;
     }
 
-    /** It stays out, but counts no more. */
-    void lose(Attempt attempt) {
+    /** Keeps the attempt outstanding but removes it from the sums. */
+    void markLost(Attempt attempt) {
         attempt.lost = true;
         ownSlots -= attempt.job.slots;
         ownMemory -= attempt.job.memory;
@@ -29,7 +29,7 @@
 
     void remove(Attempt attempt) {
         if (!attempt.lost) {
-            lose(attempt);
+            markLost(attempt);
         }
         Attempt last = own[--ownCount];
         own[ownCount] = null;
--- a/src/main/java/laneflow/decision/Pool.java
+++ b/src/main/java/laneflow/decision/Pool.java
@@ -2,17 +2,17 @@
 
 import java.util.Arrays;
 
-/** The ready workers of one zone, each removed in one step, with a turn that comes to each of them. */
+/** The ready workers of one zone, with removal in constant time and round-robin iteration. */
 final class Pool {
     WorkerView[] ready = new WorkerView[8];
     int count;
-    /** Share of the attempts here that were answered 'full', of late. */
+    /** Moving average of the fraction of attempts here that were answered 'full'. */
     double fullShare;
 
     final OutlierState outlier = new OutlierState();
     private int turn;
 
-    /** An empty pool; turns begin with the worker that {@code first} points to. */
+    /** An empty pool whose round robin starts after index {@code first}. */
     Pool(int first) {
         turn = first & Integer.MAX_VALUE >> 1;
     }
@@ -36,7 +36,7 @@
         view.indexed = false;
     }
 
-    /** Each worker in turn. */
+    /** The next worker in round-robin order. */
     WorkerView next() {
         turn = (turn + 1) % count;
         return ready[turn];
--- a/src/main/java/laneflow/decision/Refusal.java
+++ b/src/main/java/laneflow/decision/Refusal.java
@@ -1,16 +1,16 @@
 package laneflow.decision;
 
 /**
- * Why a request was turned away, with what was held of the endpoint that came nearest to getting it.
+ * Why a request was not placed, with the estimates for the endpoint that passed the most checks.
  *
  * @param reason the check that this endpoint did not pass
- * @param worker that endpoint, 0 if there is none
- * @param ownSlots slots of it that this scheduler's own requests take
- * @param otherSlots slots of it that other schedulers' requests are held to take
- * @param slots slots that it is held to have
+ * @param worker the endpoint, or 0 if there is none
+ * @param ownSlots slots that this scheduler's own requests take there
+ * @param otherSlots slots that other schedulers' requests are estimated to take there
+ * @param slots slots that it is estimated to have
  * @param reportAge seconds since its last load report, infinite if there was none
- * @param foreseenWait seconds that the request was foreseen to wait there
- * @param mostWait seconds that it might have waited
+ * @param foreseenWait seconds that the request was expected to wait there
+ * @param mostWait the longest acceptable wait in seconds
  */
 public record Refusal(
         Reason reason,
@@ -22,37 +22,37 @@
         double foreseenWait,
         double mostWait) {
 
-    /** What kept a request from an endpoint, in the order in which it is checked: a later one is nearer to a send. */
+    /** What kept a request from an endpoint, in the order of the checks: the later, the closer it came to being sent. */
     public enum Reason {
-        /** No ready endpoint runs its class. */
+        /** No ready endpoint can run it. */
         NO_ENDPOINT,
-        /** An earlier attempt of the request went there. */
+        /** An earlier attempt of the request was sent there. */
         TRIED,
-        /** Failures keep it or its zone out for a while. */
+        /** The endpoint or its zone is ejected after failures. */
         OUTLIER,
-        /** It answered 'full' a moment ago. */
+        /** It recently answered 'full'. */
         DECLINED,
-        /** By a fresh report it lacks the memory. */
+        /** A fresh report shows too little memory. */
         MEMORY,
-        /** It could not end the request in time even if it began at once. */
+        /** It could not finish the request in time even if it started at once. */
         TOO_LONG,
-        /** Requests sent from here alone would make it wait too long. */
+        /** This scheduler's own requests there would make it wait too long. */
         OWN_LOAD,
-        /** With what other schedulers are held to have there it would wait too long. */
+        /** Together with other schedulers' estimated requests there it would wait too long. */
         OTHERS_LOAD,
-        /** Requests start there later than the load explains. */
+        /** Requests start there later than the known load explains. */
         LATE_STARTS,
-        /** An earlier attempt may have run, and only its own group of endpoints drops a repeat. */
+        /** An earlier attempt may have run, and only endpoints of its group would drop the repeat. */
         EFFECT,
-        /** What the slow start of a cold endpoint allows is used up. */
+        /** The slow-start budget of a cold endpoint is used up. */
         SLOW_START,
-        /** No further attempt is allowed: by their number, the retry budget, or what an earlier one may have done. */
+        /** No further attempt is allowed: by the number of attempts, the retry budget, or what an earlier attempt may have done. */
         NO_RETRY,
-        /** The client gives up. */
+        /** The client's deadline is reached. */
         DEADLINE
     }
 
-    /** One that no endpoint was looked at for. */
+    /** A refusal for which no endpoint was examined. */
     static Refusal of(Reason reason) {
         return new Refusal(reason, 0, 0, 0, 0, Double.POSITIVE_INFINITY, 0, 0);
     }
--- a/src/main/java/laneflow/decision/RetryPolicy.java
+++ b/src/main/java/laneflow/decision/RetryPolicy.java
@@ -5,37 +5,37 @@
 import laneflow.decision.Dispatch.Settings;
 
 /**
- * Whether a request may be attempted once more, and where: by what an earlier attempt may have done, and by the retry
- * budget. Instants are seconds of the module's clock.
+ * Decides whether and where a request may be retried, from what earlier attempts may have done and from the retry
+ * budget. Times are in seconds on the module's clock.
  */
 final class RetryPolicy {
     private final Settings settings;
-    /** Requests taken and further attempts made, as far back as the budget looks. */
-    private final SendLog taken = new SendLog();
+    /** Requests accepted and retries sent within the retry window. */
+    private final SendLog requestLog = new SendLog();
 
-    private final SendLog further = new SendLog();
+    private final SendLog retryLog = new SendLog();
 
     RetryPolicy(Settings settings) {
         this.settings = settings;
     }
 
-    /** A request has been taken: it earns its share of a further attempt. */
+    /** Records an accepted request, which adds its share to the retry budget. */
     void requestTaken(double now) {
-        taken.count(now - settings.retryWindow);
-        taken.add(now, 1);
+        requestLog.count(now - settings.retryWindow);
+        requestLog.add(now, 1);
     }
 
-    /** A further attempt goes out. */
+    /** Records a retry. */
     void attemptedAgain(double now) {
-        further.add(now, 1);
+        retryLog.add(now, 1);
     }
 
-    /** Whether a further attempt may follow those that there were. */
+    /** Whether another attempt is allowed after the earlier ones. */
     boolean allowsAnother(Job job, double now) {
-        return job.attempts < job.mostAttempts && mayRepeat(job, now) && withinBudget(job, now);
+        return job.attempts < job.maxAttempts && mayRepeat(job, now) && withinBudget(job, now);
     }
 
-    /** A further attempt: never for unsafe once one may have run; keyed only while its deduplication window lasts. */
+    /** Unsafe jobs are never repeated once one attempt may have run; keyed jobs only within their deduplication window. */
     boolean mayRepeat(Job job, double now) {
         switch (job.type.effect) {
             case SAFE:
@@ -47,14 +47,14 @@
         }
     }
 
-    /** A refusal tells the client that a repeat is harmless: only where that is so. */
+    /** A refusal tells the client that a retry is safe, so it is allowed only if that is true. */
     boolean mayRefuse(Job job, double now) {
         return job.type.effect == Effect.SAFE
                 || !job.mayHaveRun()
                 || job.type.effect == Effect.KEYED && job.type.group == Group.ALL && mayRepeat(job, now);
     }
 
-    /** A keyed job that may have run stays with the workers that drop its repeats. */
+    /** A keyed job that may have run is retried only on workers that drop its repeats. */
     boolean effectAllows(Job job, WorkerView view) {
         if (job.type.effect != Effect.KEYED || job.type.group == Group.ALL) {
             return true;
@@ -70,14 +70,14 @@
     }
 
     /**
-     * Many answers 'full' or failures at once would multiply the load just when there is too much: where the
-     * settings ration further attempts, whatever the earlier ones came to, one more must leave every window
-     * within its ration. Times are read to the tick, on the careful side.
+     * Retries after many failures or 'full' answers would multiply the load just when it is too high. If the
+     * settings define a retry budget, one more retry must keep every window within it, whatever the outcome of
+     * the earlier attempts. Window bounds are widened or narrowed by one tick, on the conservative side.
      */
     private boolean withinBudget(Job job, double now) {
         double since = now - job.retryWindow;
-        int made = further.count(since - settings.tick);
-        int got = taken.count(since + settings.tick);
-        return job.retryWindow <= 0 || made + 1 <= job.retryFree + job.retryShare * got;
+        int retryCount = retryLog.count(since - settings.tick);
+        int requestCount = requestLog.count(since + settings.tick);
+        return job.retryWindow <= 0 || retryCount + 1 <= job.retryFree + job.retryShare * requestCount;
     }
 }
--- a/src/main/java/laneflow/decision/SendLog.java
+++ b/src/main/java/laneflow/decision/SendLog.java
@@ -1,6 +1,6 @@
 package laneflow.decision;
 
-/** Sends with their work, in order, summed over the time since some instant; older ones are dropped. */
+/** A time-ordered log of events with an amount each, summed over a sliding window; older entries are dropped. */
 final class SendLog {
     private double[] at = new double[4];
     private double[] work = new double[4];
@@ -16,7 +16,7 @@
         work[i] = amount;
     }
 
-    /** How many there are since then. */
+    /** Drops the entries before {@code start} and returns the number of the others. */
     int count(double start) {
         while (count > 0 && at[first] < start) {
             first = (first + 1) % at.length;
@@ -25,6 +25,7 @@
         return count;
     }
 
+    /** Drops the entries before {@code start} and returns the sum of the others. */
     double since(double start) {
         count(start);
         double sum = 0;
--- a/src/main/java/laneflow/decision/Shares.java
+++ b/src/main/java/laneflow/decision/Shares.java
@@ -4,45 +4,48 @@
 import laneflow.decision.Dispatch.Tenant;
 
 /**
- * Which requests are beyond their tenant's share, as one dispatcher can tell. A quota is for all dispatchers
- * together, and none sees the others' traffic: of each quota the dispatcher's part is here, at least the even
- * one. Where more of the traffic comes than that, it comes of all tenants: the part is what the others of
- * them show by their requests, the median by portion. So one that asks for too much widens no share, least
- * its own. Requests come in bursts: a share is a leaky bucket used as a meter (Turner 1986), filling at the
- * share's rate and as deep as chance makes a count in {@link #SPAN}. Requests beyond it take nothing from it.
+ * Decides, as far as one dispatcher can tell, which requests exceed their tenant's share. A quota applies to all
+ * dispatchers together, but no dispatcher sees the others' traffic, so each applies a fraction of every quota:
+ * at least an even one. A dispatcher that receives more of the traffic receives more from all tenants, so for
+ * each tenant the fraction is the median of the other tenants' rates relative to their quotas, weighted by
+ * portion. A tenant that sends too much thus widens no share, least of all its own.
+ *
+ * <p>Requests arrive in bursts, so a share is a leaky bucket used as a meter (Turner 1986). It fills at the
+ * share's rate, and its depth is the count that random arrivals may reach in {@link #BURST_SECONDS}. Requests
+ * beyond the share take nothing from it.
  */
 final class Shares {
-    /** Seconds after which an arrival has lost about two thirds of its say in a tenant's rate. */
-    private static final double MEMORY = 10;
-    /** Seconds of its share that a tenant may ask for at once. */
-    private static final double SPAN = 2;
-    /** Spreads of a Poisson count that pass for chance. */
-    private static final double CHANCE = 3;
-    /** Seconds for which the tenants' order is kept. */
-    private static final double ORDERED = 0.5;
+    /** Time constant in seconds of a tenant's rate: by then a request has lost about two thirds of its weight. */
+    private static final double RATE_MEMORY = 10;
+    /** Seconds' worth of its share that a tenant may use at once. */
+    private static final double BURST_SECONDS = 2;
+    /** Standard deviations of a Poisson count that are accepted as random. */
+    private static final double BURST_DEVIATIONS = 3;
+    /** Seconds between two sorts of the tenants. */
+    private static final double ORDER_SECONDS = 0.5;
 
     private final Tenant[] tenants;
-    private final double even;
+    private final double evenShare;
     private final double overShareWorth;
-    /** Requests of each, the older the less, as counted at its last one. */
-    private final double[] came;
+    /** Exponentially decayed request count of each tenant, as of its last request. */
+    private final double[] requestCount;
 
-    private final double[] lastAt;
-    /** Requests left within the share, as counted at the last one. */
-    private final double[] left;
-    /** The tenants with a quota, those that ask for the least part of it first. */
+    private final double[] lastRequestAt;
+    /** Requests left within each tenant's share, as of its last request. */
+    private final double[] allowance;
+    /** The tenants with a quota, in ascending order of {@link #relativeRate}. */
     private final int[] order;
 
-    private final double[] asked;
+    private final double[] relativeRate;
     private double orderedAt = Double.NEGATIVE_INFINITY;
     private double firstAt = Double.NaN;
 
     Shares(Settings settings) {
-        // Where the settings price nothing, nobody is counted; one alone has nobody to take from.
+        // Nothing is counted if excess requests keep their full worth, or if there is only one tenant.
         boolean priced = settings.overShareWorth < 1 && settings.tenants.length > 1;
         tenants = priced ? settings.tenants : new Tenant[0];
         overShareWorth = settings.overShareWorth;
-        even = 1.0 / settings.dispatchers;
+        evenShare = 1.0 / settings.dispatchers;
         int count = 0;
         for (Tenant tenant : tenants) {
             count += tenant.quota > 0 ? 1 : 0;
@@ -53,39 +56,39 @@
                 order[--count] = i;
             }
         }
-        came = new double[tenants.length];
-        lastAt = new double[tenants.length];
-        left = new double[tenants.length];
-        asked = new double[tenants.length];
+        requestCount = new double[tenants.length];
+        lastRequestAt = new double[tenants.length];
+        allowance = new double[tenants.length];
+        relativeRate = new double[tenants.length];
     }
 
-    /** A request of that tenant has come: what it is worth, as a part of its class's worth. */
+    /** Counts a request of the tenant and returns its worth as a fraction of its class's worth. */
     double worth(int tenant, double now) {
         if (tenant < 0 || tenant >= tenants.length || !(tenants[tenant].quota > 0)) {
             return 1;
         }
         firstAt = Double.isNaN(firstAt) ? now : firstAt;
-        boolean first = came[tenant] == 0;
-        came[tenant] = came(tenant, now) + 1;
-        double share = tenants[tenant].quota * part(tenant, now);
-        double deep = Math.max(1, SPAN * share + CHANCE * Math.sqrt(SPAN * share));
-        left[tenant] = first ? deep : Math.min(deep, left[tenant] + share * (now - lastAt[tenant]));
-        lastAt[tenant] = now;
-        if (left[tenant] < 1) {
+        boolean first = requestCount[tenant] == 0;
+        requestCount[tenant] = requestCount(tenant, now) + 1;
+        double share = tenants[tenant].quota * trafficShare(tenant, now);
+        double depth = Math.max(1, BURST_SECONDS * share + BURST_DEVIATIONS * Math.sqrt(BURST_SECONDS * share));
+        allowance[tenant] = first ? depth : Math.min(depth, allowance[tenant] + share * (now - lastRequestAt[tenant]));
+        lastRequestAt[tenant] = now;
+        if (allowance[tenant] < 1) {
             return overShareWorth;
         }
-        left[tenant]--;
+        allowance[tenant]--;
         return 1;
     }
 
-    private double came(int tenant, double now) {
-        return came[tenant] * Math.exp((lastAt[tenant] - now) / MEMORY);
+    private double requestCount(int tenant, double now) {
+        return requestCount[tenant] * Math.exp((lastRequestAt[tenant] - now) / RATE_MEMORY);
     }
 
-    /** The part of all traffic that comes here, as the other tenants show it. */
-    private double part(int tenant, double now) {
-        if (now >= orderedAt + ORDERED) {
-            sort(now);
+    /** The fraction of all traffic that arrives here, estimated from the other tenants. */
+    private double trafficShare(int tenant, double now) {
+        if (now >= orderedAt + ORDER_SECONDS) {
+            sortTenants(now);
         }
         double all = 0;
         for (int one : order) {
@@ -96,26 +99,26 @@
         for (int i = 0; i < order.length && below < all / 2; i++) {
             if (order[i] != tenant) {
                 below += weight(order[i]);
-                median = asked[order[i]];
+                median = relativeRate[order[i]];
             }
         }
-        return Math.min(1, Math.max(even, median));
+        return Math.min(1, Math.max(evenShare, median));
     }
 
     private double weight(int tenant) {
         return tenants[tenant].portion > 0 ? tenants[tenant].portion : tenants[tenant].quota;
     }
 
-    /** By the part of its quota that each asks for here; they change places seldom: each moves alone. */
-    private void sort(double now) {
+    /** Insertion sort by {@link #relativeRate}: the order changes little between two sorts. */
+    private void sortTenants(double now) {
         orderedAt = now;
-        // A mean over less than that would tell of single requests.
-        double span = MEMORY * (1 - Math.exp(-Math.max(SPAN, now - firstAt) / MEMORY));
+        // A mean over a shorter span would be dominated by single requests.
+        double spanSeconds = RATE_MEMORY * (1 - Math.exp(-Math.max(BURST_SECONDS, now - firstAt) / RATE_MEMORY));
         for (int i = 0; i < order.length; i++) {
             int one = order[i];
-            asked[one] = came(one, now) / span / tenants[one].quota;
+            relativeRate[one] = requestCount(one, now) / spanSeconds / tenants[one].quota;
             int at = i;
-            while (at > 0 && asked[order[at - 1]] > asked[one]) {
+            while (at > 0 && relativeRate[order[at - 1]] > relativeRate[one]) {
                 order[at] = order[--at];
             }
             order[at] = one;
--- a/src/main/java/laneflow/decision/SlowStart.java
+++ b/src/main/java/laneflow/decision/SlowStart.java
@@ -3,27 +3,30 @@
 import laneflow.decision.Dispatch.Settings;
 
 /**
- * Slow start: a cold worker falls over from the sum of all dispatchers' sends, and none sees the others'.
- * What fells it, the n mean jobs that multiple x present capacity x span allow and what comes by chance
- * (two roots of n, and two), is cut into parts that hold some jobs. They go to dispatchers in the order
- * of their numbers, shifted by the worker's start, so all agree unasked. A budget that grows adds parts
- * and changes none, so those of one span never add up to more. Every send counts. The dispatchers' zones
- * are not told and may be one. Instants are seconds of the module's clock.
+ * Slow start: a cold worker is overloaded by the sum of all dispatchers' sends, and no dispatcher sees the
+ * others'. The overload limit is n + 2 x sqrt(n) + 2 mean jobs: n is {@code fallMultiple} x present capacity x
+ * {@code fallWithin}, and the rest allows for random variation.
+ *
+ * <p>The budget below that limit is divided into parts of at least a few jobs. Parts are assigned in the order
+ * of the dispatchers' indexes, with an offset from the worker's id and start time, so all dispatchers agree
+ * without communication. A growing budget adds parts and changes none, so the parts used within one window
+ * never exceed it. Every send counts. The other dispatchers' zones are unknown and may all be this one. Times are
+ * in seconds on the module's clock.
  */
 final class SlowStart {
-    /** Share used of what fells a cold worker: hints are rough, capacity is guessed from slots, not cores. */
-    private static final double SHARE = 0.9;
-    /** Of that, all that may be used while sends of before a restart still count at the worker. */
-    private static final double SHARE_AFTER_RESTART = 0.5;
-    /** Mean jobs that a part of a budget holds at least. */
-    private static final double JOBS_IN_PART = 2;
-    /** Any large prime: dispatchers of neighbouring numbers, maybe of one zone, share different workers. */
-    private static final long NUMBER_SPREAD = 7919;
+    /** Fraction of the overload limit that is used: hints are rough, and capacity is inferred from slots, not cores. */
+    private static final double LIMIT_SHARE = 0.9;
+    /** Fraction of the budget that is used while sends from before a restart may still count at the worker. */
+    private static final double LIMIT_SHARE_AFTER_RESTART = 0.5;
+    /** Minimum size of a part of a budget, in mean jobs. */
+    private static final double MIN_JOBS_PER_PART = 2;
+    /** A large prime, so that dispatchers with adjacent indexes, perhaps of one zone, get parts of different workers. */
+    private static final long INDEX_STRIDE = 7919;
 
     private final Settings settings;
     private final MeanHint meanHint;
-    /** Of this dispatcher's budgets, while another process works under its number. */
-    private double part = 1;
+    /** This process's fraction of the dispatcher's budgets while another process has the same index. */
+    private double budgetShare = 1;
 
     private double startedAt = Double.NEGATIVE_INFINITY;
 
@@ -32,42 +35,42 @@
         this.meanHint = meanHint;
     }
 
-    /** This dispatcher has started: what it sent before is not known, and counts at workers for a while. */
+    /** Records this dispatcher's start: what it sent before is unknown and still counts at workers for a while. */
     void start(double now) {
         startedAt = now;
     }
 
-    /** Another process works under this dispatcher's number: this one's part of what both may do. */
-    void share(double of) {
-        part = of;
+    /** Sets this process's fraction of the budgets that it shares with another process of the same index. */
+    void setBudgetShare(double fraction) {
+        budgetShare = fraction;
     }
 
-    /** Whether the job fits into what this dispatcher may send that cold worker now. */
+    /** Whether the job fits into this dispatcher's present budget for a cold worker. */
     boolean allows(WorkerView view, Job job, double now) {
-        double mean = meanHint.cautious();
-        double cores = view.warmth(now) * view.peers.capacity();
-        double n = settings.fallMultiple * cores * settings.fallWithin / mean;
-        double afresh = now < startedAt + settings.fallWithin ? SHARE_AFTER_RESTART : 1;
-        double budget = afresh * SHARE * (n + 2 * Math.sqrt(n) + 2) * mean;
-        double each = Math.max(JOBS_IN_PART * meanHint.mean(), budget / settings.dispatchers);
-        long first = (view.id * 0x9E3779B97F4A7C15L ^ Double.doubleToLongBits(view.startedAt)) >>> 16;
-        long before = (settings.dispatcherIndex * NUMBER_SPREAD + first) % settings.dispatchers;
-        double mine = part * Math.min(each, budget - before * each);
-        return view.coldLog.since(now - settings.fallWithin) + cost(job) <= mine;
+        double meanWork = meanHint.lowerEstimate();
+        double cores = view.warmupFactor(now) * view.kindEstimates.capacity();
+        double allowedJobs = settings.fallMultiple * cores * settings.fallWithin / meanWork;
+        double limitShare = now < startedAt + settings.fallWithin ? LIMIT_SHARE_AFTER_RESTART : 1;
+        double budget = limitShare * LIMIT_SHARE * (allowedJobs + 2 * Math.sqrt(allowedJobs) + 2) * meanWork;
+        double partSize = Math.max(MIN_JOBS_PER_PART * meanHint.mean(), budget / settings.dispatchers);
+        long offset = (view.id * 0x9E3779B97F4A7C15L ^ Double.doubleToLongBits(view.startedAt)) >>> 16;
+        long precedingParts = (settings.dispatcherIndex * INDEX_STRIDE + offset) % settings.dispatchers;
+        double ownBudget = budgetShare * Math.min(partSize, budget - precedingParts * partSize);
+        return view.coldSends.since(now - settings.fallWithin) + countedWork(job) <= ownBudget;
     }
 
-    /** The job goes to that worker: if it is cold it uses up a part of its budget. */
+    /** Charges the job to the worker's budget if the worker is cold. */
     void sent(WorkerView view, Job job, double now) {
         if (now < view.warmAt) {
-            view.coldLog.add(now, cost(job));
+            view.coldSends.add(now, countedWork(job));
         }
     }
 
     /**
-     * A light hint may be an error: of what fits into a small part the true work is more, and a cold worker
-     * filled by light hints would fall. Such a job counts as a mean one.
+     * A light hint may be an error. The jobs that fit into a small part would be those whose hints are too low, and
+     * they would overload a cold worker. So a job counts as at least a mean one.
      */
-    private double cost(Job job) {
+    private double countedWork(Job job) {
         return job.slots * Math.max(job.hint, meanHint.mean());
     }
 }
--- a/src/main/java/laneflow/decision/TimeEstimates.java
+++ b/src/main/java/laneflow/decision/TimeEstimates.java
@@ -2,10 +2,10 @@
 
 import laneflow.decision.Job.Attempt;
 
-/** How long jobs are held to wait and to run, in seconds; instants are seconds of the module's clock. */
+/** Estimates of waiting and running times in seconds; times are in seconds on the module's clock. */
 final class TimeEstimates {
-    /** Four times the square of the mean excess of a normal draw, in its spreads: 4 x 0.4 x 0.4. */
-    private static final double QUEUE_CHANCE = 0.64;
+    /** 4 x 0.4 x 0.4, where 0.4 is the mean positive part of a standard normal variable. */
+    private static final double QUEUE_VARIANCE_FACTOR = 0.64;
 
     private final MeanHint meanHint;
 
@@ -13,40 +13,41 @@
         this.meanHint = meanHint;
     }
 
-    /** Seconds until this worker would start the job. */
+    /** Expected seconds until this worker would start the job. */
     double wait(WorkerView view, Job job, double now) {
-        return Math.max(0, queueWait(view, job, now) * view.peers.waitScale(now) + view.unseenWait(now));
+        return Math.max(0, queueWait(view, job, now) * view.kindEstimates.waitScale(now) + view.extraWait(now));
     }
 
-    /** Seconds that the work known of makes it wait: the mean job's rest for each one too many. */
+    /** Expected wait due to known work: the mean remaining work of a job for each slot in excess, at the worker's throughput. */
     double queueWait(WorkerView view, Job job, double now) {
-        double slots = view.peers.slots();
-        double others = view.others(now);
-        double jobsAhead = view.ownSlots + others;
-        double over = jobsAhead + job.slots - slots;
-        // Siblings' jobs not in a fresh report come by chance: the more are unseen, the likelier is a queue.
-        double seen = 1 / (1 + (now - view.reportAt) / WorkerView.REPORT_AGE);
-        over = (over + Math.sqrt(over * over + QUEUE_CHANCE * others * (1 - seen * seen))) / 2;
-        if (over <= 0 || jobsAhead <= 0) {
+        double slots = view.kindEstimates.slots();
+        double otherSlots = view.otherSlots(now);
+        double jobsAhead = view.ownSlots + otherSlots;
+        double excess = jobsAhead + job.slots - slots;
+        // Other dispatchers' jobs that no fresh report shows vary at random: the more there are, the likelier is a
+        // queue.
+        double seen = 1 / (1 + (now - view.reportAt) / WorkerView.REPORT_HALF_LIFE);
+        excess = (excess + Math.sqrt(excess * excess + QUEUE_VARIANCE_FACTOR * otherSlots * (1 - seen * seen))) / 2;
+        if (excess <= 0 || jobsAhead <= 0) {
             return 0;
         }
         double speed = view.speed(now);
-        double mean = (view.ownRemaining(now, speed) + others * meanHint.mean()) / jobsAhead;
+        double mean = (view.ownRemainingWork(now, speed) + otherSlots * meanHint.mean()) / jobsAhead;
         if (view.ownSlots + job.slots <= slots) {
-            // It waits for siblings' jobs alone: these are not as long as the own ones that run beside them.
+            // It waits only for other dispatchers' jobs, which need not be as long as this one's own long jobs there.
             mean = Math.min(mean, meanHint.mean());
         }
-        return over * mean / (slots * speed);
+        return excess * mean / (slots * speed);
     }
 
     /**
-     * Seconds that a job ran whose start is not told. With nothing learned a slow kind would count as a standard one,
-     * and its cold workers be sent too much; so the wait is taken as foreseen. But one that ended sooner than foreseen
-     * waited less: held to have run in no time it would make its kind look many times as fast.
+     * Running time of a job whose start was not reported. Learning nothing would leave a slow kind at the standard
+     * speed, and its cold workers would get too much; so the wait is assumed to be as expected. A job that ended
+     * sooner than expected waited less: taken to have run in no time, it would make its kind look many times as fast.
      */
-    double run(Attempt attempt, double now) {
+    double runTime(Attempt attempt, double now) {
         double elapsed = Math.min(now, attempt.answeredAt) - attempt.sentAt;
         double foreseenRun = attempt.job.hint / attempt.view.speed(now);
-        return Math.min(elapsed, Math.max(elapsed - attempt.wait, foreseenRun));
+        return Math.min(elapsed, Math.max(elapsed - attempt.expectedWait, foreseenRun));
     }
 }
--- a/src/main/java/laneflow/decision/WorkerView.java
+++ b/src/main/java/laneflow/decision/WorkerView.java
@@ -6,39 +6,41 @@
 import laneflow.decision.Job.Attempt;
 
 /**
- * What one scheduler knows of one worker: its entry in the list, its reports, and the estimates of its speed
- * and load that follow from them. It decides nothing; {@link Logic} does.
+ * What one dispatcher knows of one worker: its list entry, its reports, and the estimates of its speed and load
+ * derived from them. It makes no decisions; {@link Logic} does.
  */
 final class WorkerView extends Outstanding {
-    /** Seconds in which a load report has lost half its weight, and after which its free memory is void. */
-    static final double REPORT_AGE = 1;
-    /** Seconds that a report is held to be older than its arrival: it was taken before and came late. */
+    /** Seconds after which a load report has lost half its weight and its free memory is no longer used. */
+    static final double REPORT_HALF_LIFE = 1;
+    /** Seconds added to a report's age, as it was taken before it arrived. */
     static final double REPORT_STALE = 0.5;
 
-    static final double MOST_TOLD = 4096; // Slots or waiting jobs that a report may tell of.
-    /** Seconds that a report may have been taken before it arrives: own sends younger than that may be in it. */
+    static final double MAX_REPORTED_JOBS =
+            4096; // Largest credible number of slots or waiting jobs, or jobs per second.
+    /** Seconds that a report may take to arrive: it may or may not count jobs sent more recently than that. */
     static final double REPORT_LAG = 0.2;
 
-    static final double OTHERS_GAIN = 0.1; // Say of a new report in the mean of what siblings keep there.
-    static final double WAIT_GAIN = 0.25; // Say of one late start in the wait that is not foreseen.
-    static final double OVERDUE_LEFT = 0.5; // Of what an overdue job ran: what ran long goes on.
-    /** Jobs after which an observation has lost about two thirds of its say in a learned speed. */
-    static final double SPEED_MEMORY = 20;
+    static final double OTHERS_GAIN = 0.1; // Weight of a new value in a moving average.
+    static final double WAIT_GAIN = 0.25; // Weight of one late start in the extra wait.
+    static final double OVERDUE_REMAINDER =
+            0.5; // Minimum remaining work as a fraction of the work done: long jobs tend to go on.
+    /** Jobs after which an observation has lost about two thirds of its weight in a learned speed. */
+    static final double SPEED_MEMORY_JOBS = 20;
 
-    static final double MEAN_AGE = 6; // Seconds unheard in which a mean has lost half its weight.
+    static final double MEAN_HALF_LIFE = 6; // Seconds without news after which a mean has lost half its weight.
 
     private final Settings settings;
     final long id;
     int zone;
     int kind;
-    KindEstimates peers;
+    KindEstimates kindEstimates;
     int cell;
     long classes;
     long[] abilities;
-    State state = State.GONE; // Until a list names it.
-    boolean down; // By operators.
-    double downAt = Double.NEGATIVE_INFINITY; // When they last set it down,
-    double backAt = Double.NEGATIVE_INFINITY; // and up.
+    State state = State.GONE; // Until a list contains it.
+    boolean down; // Set down by operators.
+    double downAt = Double.NEGATIVE_INFINITY; // When operators last set it down.
+    double upAt = Double.NEGATIVE_INFINITY; // When operators last set it up.
     double startedAt;
     double warmAt;
     int listRound;
@@ -48,16 +50,16 @@
     double reportAt = Double.NEGATIVE_INFINITY;
     double othersInReport;
     double othersMean;
-    ZoneLoad crowd;
+    ZoneLoad zoneLoad;
     double freeMemory;
     double memoryInReport;
-    double missed;
-    double missedAt;
+    double extraWait;
+    double extraWaitAt;
     double workRun;
     double timeRun;
     double fullUntil = Double.NEGATIVE_INFINITY;
     final OutlierState outlier = new OutlierState();
-    final SendLog coldLog = new SendLog();
+    final SendLog coldSends = new SendLog();
 
     WorkerView(long id, Settings settings) {
         this.id = id;
@@ -68,21 +70,24 @@
         return state == State.READY && !down;
     }
 
-    /** Lists are late: set down to be restarted, and not told of a start since, it counts as cold. */
+    /**
+     * When the worker became cold. Lists arrive late, so one that was set down, probably for a restart, and shows
+     * no start since counts as cold from when it was set up.
+     */
     double coldSince() {
-        return startedAt > downAt ? startedAt : Math.max(startedAt, backAt);
+        return startedAt > downAt ? startedAt : Math.max(startedAt, upAt);
     }
 
-    void waited(Attempt attempt, double now) {
+    void recordWait(Attempt attempt, double now) {
         double wait = attempt.startedAt - attempt.sentAt;
-        peers.waited(wait, attempt.queueWait, now);
-        missed = unseenWait(now) + WAIT_GAIN * (wait - attempt.wait);
-        missedAt = now;
+        kindEstimates.recordWait(wait, attempt.queueWait, now);
+        extraWait = extraWait(now) + WAIT_GAIN * (wait - attempt.expectedWait);
+        extraWaitAt = now;
     }
 
-    /** Seconds by which jobs start later than foreseen here: the queue that reports do not show. */
-    double unseenWait(double now) {
-        double unseen = missed / (1 + (now - missedAt) / REPORT_AGE);
+    /** Seconds by which jobs start later here than expected, due to a queue that reports do not show. */
+    double extraWait(double now) {
+        double unseen = extraWait / (1 + (now - extraWaitAt) / REPORT_HALF_LIFE);
         for (int i = 0; i < ownCount; i++) {
             if (Double.isNaN(own[i].startedAt) && !own[i].lost) {
                 unseen = Math.max(unseen, now - own[i].dueAt);
@@ -91,35 +96,35 @@
         return unseen;
     }
 
-    void ran(double hint, double took) {
-        workRun += hint - workRun / SPEED_MEMORY;
-        timeRun += took - timeRun / SPEED_MEMORY;
+    void recordRun(double hint, double took) {
+        workRun += hint - workRun / SPEED_MEMORY_JOBS;
+        timeRun += took - timeRun / SPEED_MEMORY_JOBS;
     }
 
-    /** The part of its capacity, and so of its speed, that it has at least: it rises from its start. */
-    double warmth(double now) {
+    /** The minimum fraction of its full capacity and speed, which rises from its start until it is warm. */
+    double warmupFactor(double now) {
         double age = Math.max(0, now - coldSince());
         return now >= warmAt ? 1 : settings.coldShare + (1 - settings.coldShare) * age / settings.coldFor;
     }
 
-    /** Work a second and slot: what was seen of this worker, with some seconds of its kind's mean. */
+    /** Work per second and slot, from this worker's observations mixed with its kind's mean. */
     double speed(double now) {
-        return warmth(now) * peers.speed(workRun, timeRun);
+        return warmupFactor(now) * kindEstimates.speed(workRun, timeRun);
     }
 
     /**
-     * Takes a report in.
+     * Updates the estimates from a load report.
      *
-     * @param ended the attempt whose end brought it, still counted here; null for one that came by itself
+     * @param ended the attempt whose end brought the report, still counted here; null for an independent report
      */
-    void take(LoadReport report, Attempt ended, double meanWork, double now) {
-        // What no worker can have is spoilt: kept as the most seen it would blind its kind for good.
-        if (!(report.freeSlots >= 0 && report.freeSlots <= MOST_TOLD) || report.queue > MOST_TOLD) {
+    void recordReport(LoadReport report, Attempt ended, double meanWork, double now) {
+        // Impossible figures are rejected: kept as a maximum, one would distort the kind's estimates for good.
+        if (!(report.freeSlots >= 0 && report.freeSlots <= MAX_REPORTED_JOBS) || report.queue > MAX_REPORTED_JOBS) {
             return;
         }
-        peers.slotsSeen = Math.max(peers.slotsSeen, report.freeSlots);
-        if (report.rate >= 0 && report.rate <= MOST_TOLD && now >= warmAt) {
-            peers.busy(report.freeSlots, report.rate * meanWork);
+        kindEstimates.maxFreeSlots = Math.max(kindEstimates.maxFreeSlots, report.freeSlots);
+        if (report.rate >= 0 && report.rate <= MAX_REPORTED_JOBS && now >= warmAt) {
+            kindEstimates.recordThroughput(report.freeSlots, report.rate * meanWork);
         }
         freeMemory = Double.isNaN(report.freeMemory) ? Double.POSITIVE_INFINITY : report.freeMemory;
         double inReport = 0;
@@ -133,52 +138,53 @@
                 inReport += own[i].job.slots;
                 memoryInReport += own[i].job.memory;
             } else if (own[i] != ended || !Double.isNaN(own[i].startedAt)) {
-                // One that ended without a start, such as one declined, never took a slot.
+                // An attempt that ended without a start, such as a declined one, never took a slot.
                 maybeInReport += own[i].job.slots;
             }
         }
         double queue = report.queue > 0 ? report.queue : 0;
-        peers.tellsQueue |= report.queue >= 0;
-        // Own jobs that the report may count or not: taken for siblings' too, they would fill the worker twice for
-        // as long as they run. Nothing would correct that where all else is refused, as no further report comes.
-        // So what the report leaves open stays as it was held before.
-        double most = Math.max(0, peers.slots() - report.freeSlots + queue - inReport);
+        kindEstimates.reportsQueue |= report.queue >= 0;
+        // The report may or may not count the most recent own jobs. Attributed to other dispatchers as well, they would
+        // be counted twice for as long as they run, and if everything else is refused no further report corrects
+        // that. So the previous estimate is kept within the bounds that the report leaves.
+        double most = Math.max(0, kindEstimates.slots() - report.freeSlots + queue - inReport);
         double least = Math.max(0, most - maybeInReport);
-        taken(Math.min(most, Math.max(least, others(now))), now);
+        recordOthers(Math.min(most, Math.max(least, otherSlots(now))), now);
     }
 
-    /** Siblings' jobs there, of which a report or an answer tells. */
-    void taken(double there, double now) {
+    /** Records the slots that other dispatchers' jobs take here, according to a report or an answer. */
+    void recordOthers(double there, double now) {
         if (now >= warmAt) {
-            crowd.reported(there / peers.slots(), now);
+            zoneLoad.update(there / kindEstimates.slots(), now);
         }
-        double before = crowdMean(now);
-        before += (othersMean - before) / (1 + (now - reportAt) / MEAN_AGE);
+        double before = zoneMeanSlots(now);
+        before += (othersMean - before) / (1 + (now - reportAt) / MEAN_HALF_LIFE);
         othersMean = before + OTHERS_GAIN * (there - before);
         othersInReport = there;
         reportAt = now;
     }
 
     /**
-     * Slots that siblings' jobs take on the mean of the crowd. Held full for ever a pool would get no
-     * job, so no report: the mean fades. Cold workers held as full as their crowd would stand idle.
+     * Slots that other dispatchers' jobs take here by the mean of the zone's workers of this kind. The mean fades:
+     * a pool believed full would otherwise get no job, hence send no report, and stay that way. It is 0 for cold
+     * workers, which would stand idle if assumed as loaded as the others.
      */
-    double crowdMean(double now) {
-        double age = (now - crowd.heardAt) / MEAN_AGE;
-        return now < warmAt ? 0 : crowd.load * peers.slots() / (1 + age * age);
+    double zoneMeanSlots(double now) {
+        double age = (now - zoneLoad.reportedAt) / MEAN_HALF_LIFE;
+        return now < warmAt ? 0 : zoneLoad.load * kindEstimates.slots() / (1 + age * age);
     }
 
-    /** Slots of the siblings' jobs here: the last report's, with age the mean of its crowd's. */
-    double others(double now) {
-        double mean = crowdMean(now);
+    /** Slots of other dispatchers' jobs here: by the last report, tending with its age to the zone's mean. */
+    double otherSlots(double now) {
+        double mean = zoneMeanSlots(now);
         double age = now - reportAt;
         return mean
-                + (othersMean - mean) / (1 + age / MEAN_AGE)
-                + (othersInReport - othersMean) / (1 + (age + REPORT_STALE) / REPORT_AGE);
+                + (othersMean - mean) / (1 + age / MEAN_HALF_LIFE)
+                + (othersInReport - othersMean) / (1 + (age + REPORT_STALE) / REPORT_HALF_LIFE);
     }
 
-    /** Work left of this dispatcher's jobs here. */
-    double ownRemaining(double now, double speed) {
+    /** Remaining work of this dispatcher's jobs here. */
+    double ownRemainingWork(double now, double speed) {
         double left = 0;
         for (int i = 0; i < ownCount; i++) {
             Attempt a = own[i];
@@ -186,11 +192,12 @@
                 continue;
             }
             double done = Double.isNaN(a.startedAt) ? 0 : speed * (now - a.startedAt);
-            // Nearly done for ever, the jobs of a worker grown slow would draw more to it.
-            double rest = Math.max(OVERDUE_LEFT * done, a.job.hint - done);
-            if (a.share > 0) {
-                // A heavy job with a light hint would fill the queue unseen: progress tells its length.
-                double time = (a.heardAt - a.startedAt) * (1 / a.share - 1) - (now - a.heardAt);
+            // Without a minimum, the overdue jobs of a slow worker would look nearly done and attract more jobs.
+            double rest = Math.max(OVERDUE_REMAINDER * done, a.job.hint - done);
+            if (a.progress > 0) {
+                // Progress shows the true length of a heavy job with a light hint, which would fill the queue
+                // unnoticed.
+                double time = (a.heardAt - a.startedAt) * (1 / a.progress - 1) - (now - a.heardAt);
                 rest = speed * Math.max(0, time);
             }
             left += a.job.slots * rest;
@@ -198,7 +205,7 @@
         return left;
     }
 
-    void forgetReport() {
+    void clearReport() {
         reportAt = Double.NEGATIVE_INFINITY;
         fullUntil = Double.NEGATIVE_INFINITY;
         outlier.clear();
--- a/src/main/java/laneflow/decision/package-info.java
+++ b/src/main/java/laneflow/decision/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The decision module: which endpoint a request goes to, whether it is repeated, and what is refused.
+ * The decision module: which endpoint a request is sent to, whether it is retried, and which requests are refused.
  *
- * <p>{@link laneflow.decision.Logic} makes all decisions; the other classes are the estimates and the
- * bookkeeping that it decides by. There is no I/O, no thread and no clock here: events come with their
- * instant, and actions go out by {@link laneflow.decision.Dispatch.Actions}. Instants and durations
- * are seconds; work is seconds on a standard core.
+ * <p>{@link laneflow.decision.Logic} makes all decisions; the other classes hold the estimates and the
+ * bookkeeping behind them. The package does no I/O, starts no threads and reads no clock: every event carries
+ * its time, and actions go out through {@link laneflow.decision.Dispatch.Actions}. Times and durations are in
+ * seconds; work is in seconds on a standard core.
  */
 package laneflow.decision;
--- a/src/test/java/laneflow/decision/PropertyTest.java
+++ b/src/test/java/laneflow/decision/PropertyTest.java
@@ -128,9 +128,9 @@
                 rig.actions.clear();
             }
             rig.pass(20);
-            assertTrue(logged(rig.logic, "taken") < 10 && logged(rig.logic, "further") < 10, "logs are pruned");
+            assertTrue(logged(rig.logic, "requestLog") < 10 && logged(rig.logic, "retryLog") < 10, "logs are pruned");
             assertEquals(0, size(rig.logic, "jobs"));
-            assertTrue(size(rig.logic, "crowds") <= settings.zones, "one crowd for each zone and kind");
+            assertTrue(size(rig.logic, "zoneLoads") <= settings.zones, "one load estimate for each zone and kind");
         }
     }
 }
