--- a/src/test/java/laneflow/decision/Checker.java
+++ b/src/test/java/laneflow/decision/Checker.java
@@ -10,9 +10,12 @@
 import laneflow.decision.Dispatch.Settings;
 import laneflow.decision.Dispatch.Worker;
 
-/** An independent reading of the four rules over what one dispatcher is told and does. */
+/**
+ * Checks one dispatcher's actions against the rules on draining, repeated effects, final answers and cold workers,
+ * and against the retry budget. It is independent of {@link Logic}.
+ */
 final class Checker {
-    /** Seconds of work of a request while no request of the day has had a hint. */
+    /** Assumed work in seconds of a request before any request had a hint. */
     private static final double UNHINTED_WORK = 0.5;
 
     private static final class Sent {
@@ -34,18 +37,18 @@
 
     private final Settings settings;
     private final Map<Long, Open> requests = new HashMap<>();
-    private final Map<Long, Double> toldToStop = new HashMap<>();
+    private final Map<Long, Double> stoppedAt = new HashMap<>();
     private final Map<Long, Worker> known = new HashMap<>();
     private final Map<Long, List<double[]>> coldSends = new HashMap<>();
     private final double[] capacity;
     private int hinted;
     private double hintSum;
-    private final List<Double> taken = new ArrayList<>();
-    private final List<Double> further = new ArrayList<>();
-    /** Set down by operators, and when. */
+    private final List<Double> arrivals = new ArrayList<>();
+    private final List<Double> retries = new ArrayList<>();
+    /** Workers set down by operators, with the time. */
     private final Map<Long, Double> down = new HashMap<>();
-    /** The last time that each was set down, and up again. */
-    private final Map<Long, double[]> back = new HashMap<>();
+    /** When each worker was last set down and set up again. */
+    private final Map<Long, double[]> setDownAndUpAt = new HashMap<>();
 
     private final Map<Long, Double> toClose = new HashMap<>();
     long sends;
@@ -66,10 +69,10 @@
         copy.cell = entry.cell;
         known.put(entry.id, copy);
         if (entry.state == Dispatch.State.READY) {
-            toldToStop.remove(entry.id);
+            stoppedAt.remove(entry.id);
         } else {
-            if (toldToStop.putIfAbsent(entry.id, now) == null && entry.state == Dispatch.State.DRAINING) {
-                mustClose(now, entry.id);
+            if (stoppedAt.putIfAbsent(entry.id, now) == null && entry.state == Dispatch.State.DRAINING) {
+                expectClose(now, entry.id);
             }
         }
     }
@@ -81,12 +84,12 @@
     void setUp(double now, long worker) {
         Double since = down.remove(worker);
         if (since != null) {
-            back.put(worker, new double[] {since, now});
+            setDownAndUpAt.put(worker, new double[] {since, now});
         }
     }
 
-    void asked(double now, Dispatch.Request request) {
-        taken.add(now);
+    void requested(double now, Dispatch.Request request) {
+        arrivals.add(now);
         Open open = new Open();
         open.type = settings.classes[request.jobClass];
         open.deadline = request.deadline;
@@ -104,10 +107,9 @@
         Open open = requests.get(id);
         Worker worker = known.get(workerId);
         if (open == null || open.over) {
-            fail("sent after the end, or unknown", now, id);
+            fail("sent after the final answer, or unknown", now, id);
         }
-        if (worker == null
-                || toldToStop.containsKey(workerId) && now > toldToStop.get(workerId) + settings.drainGrace) {
+        if (worker == null || stoppedAt.containsKey(workerId) && now > stoppedAt.get(workerId) + settings.drainGrace) {
             fail("sent to a draining, gone or unknown worker", now, workerId);
         }
         if (down.containsKey(workerId)) {
@@ -120,7 +122,7 @@
             fail("too many attempts", now, id);
         }
         if (!open.sends.isEmpty()) {
-            further(now, id);
+            checkRetryBudget(now, id);
         }
         for (Sent earlier : open.sends) {
             if (earlier.out && !settings.secondCopies) {
@@ -134,36 +136,36 @@
         sent.worker = worker;
         sent.at = now;
         open.sends.add(sent);
-        cold(now, worker, open);
+        checkColdBudget(now, worker, open);
     }
 
-    /** Kept at every further attempt, the budget is kept in every window. */
-    private void further(double now, long id) {
+    /** If the budget holds at every retry, it holds in every window. */
+    private void checkRetryBudget(double now, long id) {
         double since = now - settings.retryWindow;
-        further.add(now);
-        long made = further.stream().filter(at -> at > since).count();
-        long asked = taken.stream().filter(at -> at > since).count();
-        if (settings.retryWindow > 0 && made > settings.retryFree + settings.retryShare * asked) {
-            fail("a further attempt beyond the budget", now, id);
+        retries.add(now);
+        long made = retries.stream().filter(at -> at > since).count();
+        long requested = arrivals.stream().filter(at -> at > since).count();
+        if (settings.retryWindow > 0 && made > settings.retryFree + settings.retryShare * requested) {
+            fail("a retry beyond the retry budget", now, id);
         }
     }
 
-    /** The worker's connections are closed: what is idle there from now on needs a later word. */
+    /** The worker's idle connections were closed; those that become idle later need another close. */
     void closed(double now, long worker) {
         if (settings.closeOnDrainWithin == 0 && !down.containsKey(worker) || !known.containsKey(worker)) {
-            fail("a worker's connections closed unasked", now, worker);
+            fail("connections of a worker closed without a reason", now, worker);
         }
         toClose.remove(worker);
         closes++;
     }
 
-    private void mustClose(double now, long worker) {
-        if (settings.closeOnDrainWithin > 0 && toldToStop.containsKey(worker)) {
+    private void expectClose(double now, long worker) {
+        if (settings.closeOnDrainWithin > 0 && stoppedAt.containsKey(worker)) {
             toClose.put(worker, now);
         }
     }
 
-    /** Nothing is idle at a worker told to stop for longer than its time. */
+    /** Fails if idle connections to a stopped worker stayed open for longer than the settings allow. */
     void closedInTime(double now) {
         toClose.forEach((worker, at) -> {
             if (now > at + settings.closeOnDrainWithin) {
@@ -185,13 +187,14 @@
     }
 
     /**
-     * The operators' limit, reckoned with the true capacity: of n requests of mean work that the settings allow,
-     * more than n + 2 x root of n + 2 fell a cold worker. One without a hint counts as a mean one.
+     * The operators' limit by the true capacity: if the settings allow n requests of mean work, more than
+     * n + 2 x sqrt(n) + 2 overload a cold worker. A request without a hint counts as a mean one.
      */
-    private void cold(double now, Worker worker, Open request) {
-        double[] away = back.get(worker.id);
-        double since =
-                away == null || worker.startedAt > away[0] ? worker.startedAt : Math.max(worker.startedAt, away[1]);
+    private void checkColdBudget(double now, Worker worker, Open request) {
+        double[] downAndUp = setDownAndUpAt.get(worker.id);
+        double since = downAndUp == null || worker.startedAt > downAndUp[0]
+                ? worker.startedAt
+                : Math.max(worker.startedAt, downAndUp[1]);
         double age = now - since;
         if (since <= 0 || age >= settings.coldFor) {
             return;
@@ -206,7 +209,7 @@
         double share = settings.coldShare + (1 - settings.coldShare) * Math.max(0, age) / settings.coldFor;
         double allowed = settings.fallMultiple * share * capacity[worker.kind] * settings.fallWithin / mean;
         if (sum > (allowed + 2 * Math.sqrt(allowed) + 2) * mean) {
-            fail("a cold worker is sent more than fells it from one dispatcher alone", now, worker.id);
+            fail("one dispatcher alone sends a cold worker more than overloads it", now, worker.id);
         }
     }
 
@@ -226,14 +229,14 @@
                 break;
         }
         open.over |= over;
-        mustClose(now, sent.worker.id);
+        expectClose(now, sent.worker.id);
     }
 
     JobClass typeOf(long id) {
         return requests.get(id).type;
     }
 
-    /** An answer begun: its end, however it comes, is the request's. */
+    /** Whether a streamed answer has begun: the end of its attempt, whatever the outcome, ends the request. */
     boolean isStream(long id) {
         return requests.get(id).streams;
     }
@@ -252,7 +255,7 @@
             fail("a second answer", now, id);
         }
         if (open.streams && open.sends.stream().anyMatch(sent -> sent.out)) {
-            fail("an answer over a stream that runs", now, id);
+            fail("an answer while a stream is running", now, id);
         }
         if (now > open.deadline) {
             fail("an answer after the client gave up", now, id);
@@ -261,7 +264,7 @@
             boolean harmless =
                     open.type.effect == Effect.SAFE || open.type.effect == Effect.KEYED && open.type.group == Group.ALL;
             if (refusal && earlier.mayHaveRun && !harmless) {
-                fail("a refusal of what may have run", now, id);
+                fail("a refusal of a request that may have run", now, id);
             }
         }
         open.over = true;
--- a/src/test/java/laneflow/decision/ColdCase.java
+++ b/src/test/java/laneflow/decision/ColdCase.java
@@ -2,38 +2,38 @@
 
 import java.util.SplittableRandom;
 
-/** A fleet before cold workers, drawn from a seed: its size, zones, traffic, jobs, settings and faults. */
+/** A random fleet that faces cold workers: its size, zones, traffic, jobs, settings and faults, drawn from a seed. */
 final class ColdCase {
-    /** How schedulers lie to the zones; the first cold worker is in zone 0. */
+    /** How schedulers are distributed over the zones; the first cold worker is in zone 0. */
     enum Spread {
         EVENLY,
         ONE_ZONE,
         UNEVENLY
     }
 
-    /** How requests are spread over the schedulers. */
+    /** How requests are distributed over the schedulers. */
     enum Traffic {
         EVEN,
         UNEVEN,
         FEW
     }
 
-    /** What is told of a job's work beforehand. */
+    /** How well hints state the work of jobs. */
     enum Hints {
         EXACT,
         ROUGH,
         ABSENT
     }
 
-    /** Spread of the natural logarithm of a rough hint's error. */
+    /** Standard deviation of the natural logarithm of a rough hint's error. */
     private static final double ROUGH_SIGMA = 0.5;
 
     private static final double PARETO_ALPHA = 2.1;
-    /** Longest job of the distribution with a heavy tail, in shortest ones. */
+    /** Longest job of the heavy-tailed distribution, as a multiple of the shortest. */
     private static final double PARETO_LONGEST = 200;
-    /** More mean jobs than that within the time named are too many for a quick test. */
+    /** Maximum of mean jobs allowed within {@code fallWithin}, to keep the tests fast. */
     private static final double MOST_ALLOWED = 600;
-    /** Schedulers that have all the traffic, for {@link Traffic#FEW}. */
+    /** Number of schedulers that receive all traffic, for {@link Traffic#FEW}. */
     private static final int FEW = 5;
 
     private static final double BUSIEST = 50;
@@ -57,16 +57,16 @@
     final boolean heavyTail;
     final boolean manySlots;
     final boolean tellsStart;
-    /** Jobs that each scheduler had seen ended by a warm worker of the same kind. */
+    /** Jobs that each scheduler has seen completed by a warm worker of the same kind. */
     final int warmJobs;
 
-    final double newPart;
-    final double restartedPart;
+    final double newShare;
+    final double restartedShare;
     final double restartAt;
     final double restartWithin;
     final double listDelay;
-    final double neverPart;
-    final double fullPart;
+    final double silentShare;
+    final double fullShare;
     final double seconds;
     private final double[] weight;
     private final int[] zone;
@@ -75,7 +75,7 @@
         this(seed, null, null);
     }
 
-    /** With that traffic and those hints, where they are not null. */
+    /** Uses the given traffic and hints instead of random ones where they are not null. */
     ColdCase(long seed, Traffic withTraffic, Hints withHints) {
         this.seed = seed;
         SplittableRandom random = new SplittableRandom(seed);
@@ -101,14 +101,14 @@
         manySlots = random.nextInt(3) == 0;
         tellsStart = random.nextBoolean();
         warmJobs = new int[] {0, 3, 20, 100, 100}[random.nextInt(5)];
-        newPart = new double[] {0, 0, 0.2, 1}[random.nextInt(4)];
-        restartedPart = new double[] {0, 0, 0.1, 0.5, 1}[random.nextInt(5)];
+        newShare = new double[] {0, 0, 0.2, 1}[random.nextInt(4)];
+        restartedShare = new double[] {0, 0, 0.1, 0.5, 1}[random.nextInt(5)];
         restartAt = random.nextDouble(0.1, 3);
         restartWithin = random.nextBoolean() ? 0.3 : 2;
         listDelay = random.nextBoolean() ? 0 : 0.5;
-        neverPart = new double[] {0, 0.1, 1}[random.nextInt(3)];
-        fullPart = neverPart == 1 ? 0 : new double[] {0, 0.2, 0.8}[random.nextInt(3)];
-        // Warm it does not fall, and is sent what it is judged to have room for.
+        silentShare = new double[] {0, 0.1, 1}[random.nextInt(3)];
+        fullShare = silentShare == 1 ? 0 : new double[] {0, 0.2, 0.8}[random.nextInt(3)];
+        // A warm worker is not overloaded and gets what it is estimated to have room for.
         seconds = Math.min(coldFor, random.nextDouble(4, 8));
         weight = weights(random);
         zone = zoneNumbers(random);
@@ -142,20 +142,20 @@
         return zone[scheduler];
     }
 
-    /** Mean jobs that the settings allow one of the cold workers at that age. */
+    /** Mean jobs that the settings allow a cold worker of that age. */
     double allowedAt(double age) {
         double share = Math.min(1, coldShare + (1 - coldShare) * age / coldFor);
         return fallMultiple * cores * speed * share * fallWithin / meanWork;
     }
 
-    /** Requests a second: several times what this scheduler could use of the budget at most. */
+    /** Requests per second: several times the most that this scheduler could use of the budget. */
     double requestRate(int scheduler) {
         double allowed = allowedAt(seconds);
-        double fells = allowed + 2 * Math.sqrt(allowed) + 2;
-        return weight[scheduler] * 4 * workers * Math.max(2.5, 1.5 * fells / schedulers) / fallWithin;
+        double limit = allowed + 2 * Math.sqrt(allowed) + 2;
+        return weight[scheduler] * 4 * workers * Math.max(2.5, 1.5 * limit / schedulers) / fallWithin;
     }
 
-    /** Seconds of work on a standard core. */
+    /** Random work of a job, in seconds on a standard core. */
     double drawWork(SplittableRandom random) {
         double even = 1 - random.nextDouble();
         if (heavyTail) {
@@ -214,13 +214,13 @@
                 heavyTail ? " Pareto" : "",
                 manySlots ? " slots 1/2/4" : "",
                 warmJobs,
-                newPart,
-                restartedPart,
+                newShare,
+                restartedShare,
                 restartAt,
                 restartWithin,
                 listDelay,
-                neverPart,
-                fullPart,
+                silentShare,
+                fullShare,
                 allowedAt(0));
     }
 }
--- a/src/test/java/laneflow/decision/ColdFleet.java
+++ b/src/test/java/laneflow/decision/ColdFleet.java
@@ -16,13 +16,13 @@
 import laneflow.decision.Dispatch.Worker;
 
 /**
- * All schedulers of a fleet, each with its own {@link Logic}, before workers that start cold at one instant
- * while more is asked for than these may take. Records how much of what fells a cold worker it is sent.
+ * Simulates all schedulers of a fleet, each with its own {@link Logic}. Some workers start cold at the same time, and
+ * demand exceeds what they may take. Records the load of cold workers relative to their overload limit.
  */
 final class ColdFleet {
-    /** Seconds at which the cold workers start; warm ones are learned from before. */
+    /** Time in seconds at which the cold workers start; schedulers learn from warm ones before it. */
     private static final double START = 1000;
-    /** A class whose jobs may wait that long, so that only the cold budget limits what is sent. */
+    /** Aim in seconds of the jobs, so long that only the cold budget limits what is sent. */
     private static final double PATIENT = 1000;
     /** Seconds from a send to an answer 'full'. */
     private static final double FULL_AFTER = 0.005;
@@ -34,7 +34,7 @@
 
     private record Send(double at, double work) {}
 
-    /** One cold worker: what it was sent of late, and until when it is busy. */
+    /** One cold worker: the sends within the last {@code fallWithin} seconds, and until when it is busy. */
     private static final class ColdWorker {
         final Worker entry;
         final ArrayDeque<Send> sends = new ArrayDeque<>();
@@ -56,12 +56,12 @@
     private long lastRequest;
     private double now = START;
     int sends;
-    /** The greatest part of what fells a worker that any of them was sent within the time named. */
-    double greatest;
-    /** Seconds after the start at which that was, and the part of it that one job alone made up. */
-    double greatestAt;
+    /** The highest ratio of the work sent to a worker within {@code fallWithin} to its overload limit. */
+    double maxLoadRatio;
+    /** When the highest ratio occurred, in seconds after the start, and the largest job's fraction of that work. */
+    double maxLoadAt;
 
-    double greatestJob;
+    double largestJobShare;
 
     ColdFleet(ColdCase drawn) {
         this.drawn = drawn;
@@ -72,9 +72,9 @@
         }
     }
 
-    ColdFleet play() {
-        for (int me = 0; me < drawn.schedulers; me++) {
-            new Seat(me).open();
+    ColdFleet simulate() {
+        for (int index = 0; index < drawn.schedulers; index++) {
+            new Scheduler(index).open();
         }
         double end = START + drawn.seconds;
         while (!events.isEmpty() && events.peek().at <= end) {
@@ -89,7 +89,7 @@
         events.add(new Event(time, order++, what));
     }
 
-    /** Mean jobs that the settings allow a cold worker now. */
+    /** Mean jobs that the settings allow a cold worker of that age. */
     private double allowed(double age) {
         double share = Math.min(1, drawn.coldShare + (1 - drawn.coldShare) * age / drawn.coldFor);
         return drawn.fallMultiple * drawn.cores * drawn.speed * share * drawn.fallWithin / drawn.meanWork;
@@ -104,26 +104,27 @@
         }
         double allowed = allowed(now - START);
         double part = worker.sum / drawn.meanWork / (allowed + 2 * Math.sqrt(allowed) + 2);
-        if (part > greatest) {
-            greatest = part;
-            greatestAt = now - START;
-            greatestJob = worker.sends.stream().mapToDouble(Send::work).max().getAsDouble() / worker.sum;
+        if (part > maxLoadRatio) {
+            maxLoadRatio = part;
+            maxLoadAt = now - START;
+            largestJobShare =
+                    worker.sends.stream().mapToDouble(Send::work).max().getAsDouble() / worker.sum;
         }
     }
 
-    /** One scheduler's number with its traffic; its process may be replaced. */
-    private final class Seat {
-        final int me;
+    /** One scheduler with its index and traffic; its process may be replaced. */
+    private final class Scheduler {
+        final int index;
         private Process process;
         private final double rate;
 
-        Seat(int me) {
-            this.me = me;
-            rate = drawn.requestRate(me);
+        Scheduler(int index) {
+            this.index = index;
+            rate = drawn.requestRate(index);
         }
 
         void open() {
-            boolean isNew = random.nextDouble() < drawn.newPart;
+            boolean isNew = random.nextDouble() < drawn.newShare;
             if (isNew) {
                 double at = START + drawn.seconds * random.nextDouble() * 0.7;
                 at(at, () -> begin(new Process(this, now), true));
@@ -133,56 +134,56 @@
                 double told = START + drawn.listDelay * random.nextDouble();
                 at(told, () -> begin(process, false));
             }
-            if (!isNew && random.nextDouble() < drawn.restartedPart) {
+            if (!isNew && random.nextDouble() < drawn.restartedShare) {
                 double at = START + drawn.restartAt + drawn.restartWithin * random.nextDouble();
                 at(at, () -> begin(new Process(this, now), true));
             }
         }
 
         private void begin(Process next, boolean isFresh) {
-            boolean asksAlready = process != null && process.isAsked;
+            boolean wasRequesting = process != null && process.isRequesting;
             process = next;
-            next.toldOfCold(isFresh);
-            next.isAsked = true;
-            if (!asksAlready) {
-                ask();
+            next.listColdWorkers(isFresh);
+            next.isRequesting = true;
+            if (!wasRequesting) {
+                submit();
             }
         }
 
-        private void ask() {
+        private void submit() {
             if (rate > 0) {
-                process.ask();
-                at(now - Math.log(1 - random.nextDouble()) / rate, this::ask);
+                process.submit();
+                at(now - Math.log(1 - random.nextDouble()) / rate, this::submit);
             }
         }
     }
 
-    /** One process with its own module; what comes back to one that has been replaced is lost. */
+    /** One process with its own module; answers to a replaced process are lost. */
     private final class Process implements Dispatch.Actions {
-        private final Seat seat;
+        private final Scheduler scheduler;
         private final Settings settings;
         private final Logic logic;
-        /** Work and slots of the requests that were sent on. */
-        private final Map<Long, double[]> asked = new HashMap<>();
+        /** Work and slots of the requests that were sent. */
+        private final Map<Long, double[]> requests = new HashMap<>();
 
-        private boolean isAsked;
+        private boolean isRequesting;
         private boolean sent;
 
-        Process(Seat seat, double startsAt) {
-            this.seat = seat;
-            settings = settings(seat.me);
+        Process(Scheduler scheduler, double startsAt) {
+            this.scheduler = scheduler;
+            settings = settings(scheduler.index);
             logic = new Logic(settings, random.nextLong(), this);
             logic.start(startsAt);
             logic.list(startsAt, ListKind.CACHED, List.of());
         }
 
-        private Settings settings(int me) {
+        private Settings settings(int index) {
             Settings s = Rig.settings(Effect.SAFE);
             s.classes[0].aim = PATIENT;
             s.classes[0].deadline = 2 * PATIENT;
             s.zones = drawn.zones;
-            s.zone = drawn.zoneOf(me);
-            s.dispatcherIndex = me;
+            s.zone = drawn.zoneOf(index);
+            s.dispatcherIndex = index;
             s.dispatchers = drawn.schedulers;
             s.coldFor = drawn.coldFor;
             s.coldShare = drawn.coldShare;
@@ -192,7 +193,7 @@
             return s;
         }
 
-        /** Runs jobs one after another on a warm worker of the same kind, which then goes. */
+        /** Runs jobs one after another on a warm worker of the same kind, which is then removed. */
         void learn(int jobs) {
             double time = START - 400;
             logic.list(time, ListKind.CHANGES, List.of(Rig.worker(WARM_WORKER, settings.zone)));
@@ -225,21 +226,21 @@
             return r;
         }
 
-        void toldOfCold(boolean isWhole) {
+        void listColdWorkers(boolean isWhole) {
             List<Worker> entries = new ArrayList<>();
             cold.forEach(worker -> entries.add(worker.entry));
             logic.list(now, isWhole ? ListKind.WHOLE : ListKind.CHANGES, entries);
         }
 
-        void ask() {
+        void submit() {
             long id = ++lastRequest;
             double work = drawn.drawWork(random);
             int slots = drawn.drawSlots(random);
-            asked.put(id, new double[] {work, slots});
+            requests.put(id, new double[] {work, slots});
             sent = false;
             logic.request(now, request(id, work, slots, now));
             if (!sent) {
-                asked.remove(id);
+                requests.remove(id);
             }
         }
 
@@ -250,14 +251,14 @@
                 return;
             }
             ColdWorker worker = cold.get((int) (to - FIRST_COLD));
-            double[] job = asked.get(request);
+            double[] job = requests.get(request);
             double slots = job[1];
             arrived(worker, job[0] * slots);
             double fate = random.nextDouble();
-            if (fate < drawn.neverPart) {
+            if (fate < drawn.silentShare) {
                 return;
             }
-            if (fate < drawn.neverPart + drawn.fullPart) {
+            if (fate < drawn.silentShare + drawn.fullShare) {
                 at(now + FULL_AFTER, () -> ends(request, attempt, worker, Outcome.FULL));
                 return;
             }
@@ -273,7 +274,7 @@
         }
 
         private void ends(long request, int attempt, ColdWorker worker, Outcome outcome) {
-            if (seat.process == this) {
+            if (scheduler.process == this) {
                 double free = Math.max(0, drawn.cores - worker.slotsOut);
                 logic.outcome(now, request, attempt, worker.entry.id, outcome, outcome == Outcome.OK, Rig.free(free));
             }
--- a/src/test/java/laneflow/decision/EffectTest.java
+++ b/src/test/java/laneflow/decision/EffectTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** No effect twice: outcomes by effects, written out by hand. */
+/** No job takes effect twice: retries and final answers for every outcome and effect, written out by hand. */
 class EffectTest {
     private static final List<Outcome> NEVER_RAN = List.of(Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT);
 
@@ -37,13 +37,13 @@
     @ParameterizedTest
     @MethodSource("table")
     void retriesAndAnswersAsTheEffectAllows(Outcome outcome, Effect effect, boolean retries, String answerWhenAlone) {
-        Rig two = new Rig(Rig.settings(effect)).workers(0, 1, 2).ask(5);
-        two.pass(0.1).ends(5, 0, outcome);
+        Rig two = new Rig(Rig.settings(effect)).workers(0, 1, 2).submit(5);
+        two.advance(0.1).ends(5, 0, outcome);
         assertEquals(retries ? 2 : 1, two.sends(5).size());
         assertEquals(retries ? "" : "fail", two.answers(5));
 
-        Rig one = new Rig(Rig.settings(effect)).workers(0, 1).ask(5);
-        one.pass(0.1).ends(5, 0, outcome);
+        Rig one = new Rig(Rig.settings(effect)).workers(0, 1).submit(5);
+        one.advance(0.1).ends(5, 0, outcome);
         assertEquals(1, one.sends(5).size());
         assertEquals(answerWhenAlone, one.answers(5));
     }
@@ -53,24 +53,24 @@
     void answersAtTheLastAttemptAsTheEffectAllows(Outcome outcome, Effect effect, boolean retries, String answer) {
         Settings settings = Rig.settings(effect);
         settings.maxAttempts = 1;
-        Rig rig = new Rig(settings).workers(0, 1, 2).ask(5).pass(0.1).ends(5, 0, outcome);
+        Rig rig = new Rig(settings).workers(0, 1, 2).submit(5).advance(0.1).ends(5, 0, outcome);
         assertEquals(1, rig.sends(5).size());
         assertEquals(answer, rig.answers(5));
     }
 
     @Test
     void earlierAttemptThatMayHaveRunOutweighsLaterOnes() {
-        Rig rig = new Rig(Rig.settings(Effect.UNSAFE)).workers(0, 1, 2).ask(5);
-        rig.pass(0.1).ends(5, 0, Outcome.FULL).pass(0.1).ends(5, 1, Outcome.RESET);
+        Rig rig = new Rig(Rig.settings(Effect.UNSAFE)).workers(0, 1, 2).submit(5);
+        rig.advance(0.1).ends(5, 0, Outcome.FULL).advance(0.1).ends(5, 1, Outcome.RESET);
         assertEquals("fail", rig.answers(5));
     }
 
     @Test
     void keyedWindowCountsFromTheEarliestAttemptThatMayHaveRun() {
-        Rig rig = new Rig(Rig.settings(Effect.KEYED)).workers(0, 1, 2, 3).ask(5);
-        rig.pass(2).ends(5, 0, Outcome.ERROR);
+        Rig rig = new Rig(Rig.settings(Effect.KEYED)).workers(0, 1, 2, 3).submit(5);
+        rig.advance(2).ends(5, 0, Outcome.ERROR);
         assertEquals(2, rig.sends(5).size());
-        rig.pass(1.5).ends(5, 1, Outcome.FULL);
+        rig.advance(1.5).ends(5, 1, Outcome.FULL);
         assertEquals(2, rig.sends(5).size());
         assertEquals("fail", rig.answers(5));
     }
@@ -79,8 +79,8 @@
     void attemptsThatNeverRanDoNotOpenTheWindow() {
         Settings settings = Rig.settings(Effect.KEYED);
         settings.classes[0].aim = 8;
-        Rig rig = new Rig(settings).workers(0, 1, 2, 3).ask(5);
-        rig.pass(3.5).ends(5, 0, Outcome.FULL);
+        Rig rig = new Rig(settings).workers(0, 1, 2, 3).submit(5);
+        rig.advance(3.5).ends(5, 0, Outcome.FULL);
         assertEquals(2, rig.sends(5).size());
     }
 
@@ -89,11 +89,11 @@
         Settings settings = Rig.settings(Effect.KEYED);
         settings.zones = 2;
         settings.classes[0].group = Group.ZONE;
-        Rig rig = new Rig(settings).workers(0, 1).workers(1, 2).ask(5);
-        rig.pass(0.1).ends(5, 0, Outcome.ERROR);
+        Rig rig = new Rig(settings).workers(0, 1).workers(1, 2).submit(5);
+        rig.advance(0.1).ends(5, 0, Outcome.ERROR);
         assertEquals(1, rig.sends(5).size());
         assertEquals("fail", rig.answers(5));
-        rig.ask(6).pass(0.1);
+        rig.submit(6).advance(0.1);
         assertEquals(2, rig.sentTo(6));
         rig.ends(6, 0, Outcome.FULL);
         assertEquals("refuse", rig.answers(6));
@@ -111,12 +111,12 @@
             entries.add(worker);
         }
         rig.logic.list(rig.now, ListKind.CHANGES, entries);
-        rig.ask(5);
+        rig.submit(5);
         long first = rig.sentTo(5);
-        rig.pass(0.1).ends(5, 0, Outcome.TIMEOUT);
+        rig.advance(0.1).ends(5, 0, Outcome.TIMEOUT);
         assertEquals(2, rig.sends(5).size());
         assertEquals(first % 2, rig.sentTo(5) % 2);
-        rig.pass(0.1).ends(5, 1, Outcome.FULL);
+        rig.advance(0.1).ends(5, 1, Outcome.FULL);
         assertEquals("fail", rig.answers(5));
     }
 }
--- a/src/test/java/laneflow/decision/GuardTest.java
+++ b/src/test/java/laneflow/decision/GuardTest.java
@@ -17,28 +17,28 @@
 import laneflow.decision.Dispatch.State;
 import org.junit.jupiter.api.Test;
 
-/** The guards of the four rules, and the failures that incidents showed, each on the module alone. */
+/** Tests of single safeguards of the module, and of failures that incidents revealed. */
 class GuardTest {
 
     // ---- one final answer, in time ----
 
     @Test
     void unansweredRequestFailsBeforeItsClientGivesUp() {
-        Rig rig = new Rig(Rig.settings(Effect.UNSAFE)).workers(0, 1).ask(5).pass(9.99);
+        Rig rig = new Rig(Rig.settings(Effect.UNSAFE)).workers(0, 1).submit(5).advance(9.99);
         assertEquals("", rig.answers(5));
-        rig.pass(0.01);
+        rig.advance(0.01);
         assertEquals("fail", rig.answers(5));
         assertTrue(rig.all("fail", 5).get(0).at() < 110);
     }
 
     @Test
-    void safeRequestIsRefusedAtItsLastCall() {
-        Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1).ask(5).pass(10);
+    void safeRequestIsRefusedAtItsAnswerDeadline() {
+        Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1).submit(5).advance(10);
         assertEquals("refuse", rig.answers(5));
     }
 
     @Test
-    void lastCallIsGivenInDeadlineOrderAndOnlyOnce() {
+    void deadlinesAreAnsweredInOrderAndOnlyOnce() {
         Rig rig = new Rig(Rig.settings(Effect.UNSAFE)).workers(0, 1, 2, 3);
         for (long id = 1; id <= 6; id++) {
             Request r = rig.request(id);
@@ -46,7 +46,7 @@
             r.hint = 0.01;
             rig.logic.request(rig.now, r);
         }
-        rig.pass(11);
+        rig.advance(11);
         for (long id = 1; id <= 6; id++) {
             assertEquals("fail", rig.answers(id));
             assertTrue(rig.all("fail", id).get(0).at() < 110 - id);
@@ -55,9 +55,9 @@
 
     @Test
     void nothingFollowsTheFinalAnswer() {
-        Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1, 2).ask(5).pass(10);
+        Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1, 2).submit(5).advance(10);
         int sent = rig.sends(5).size();
-        rig.ends(5, 0, Outcome.FULL).pass(1);
+        rig.ends(5, 0, Outcome.FULL).advance(1);
         assertEquals(sent, rig.sends(5).size());
         assertEquals("refuse", rig.answers(5));
     }
@@ -66,21 +66,22 @@
     void nothingFollowsAnAnswerOrTheClientsLeaving() {
         Rig rig = new Rig(Rig.settings(Effect.SAFE))
                 .workers(0, 1, 2)
-                .ask(5)
-                .pass(0.1)
+                .submit(5)
+                .advance(0.1)
                 .ends(5, 0, Outcome.OK)
-                .pass(20);
+                .advance(20);
         assertEquals("", rig.answers(5));
-        rig.ask(6);
+        rig.submit(6);
         rig.logic.abandoned(rig.now, 6);
-        rig.pass(0.1).ends(6, 0, Outcome.FULL).pass(20);
+        rig.advance(0.1).ends(6, 0, Outcome.FULL).advance(20);
         assertEquals(1, rig.sends(6).size());
         assertEquals("", rig.answers(6));
     }
 
     @Test
     void outcomeInTheSameBatchAsTheDeadlineAddsNoSecondAnswer() {
-        Rig rig = new Rig(Rig.settings(Effect.UNSAFE)).workers(0, 1, 2).ask(5).pass(10);
+        Rig rig =
+                new Rig(Rig.settings(Effect.UNSAFE)).workers(0, 1, 2).submit(5).advance(10);
         rig.ends(5, 0, Outcome.TIMEOUT);
         assertEquals("fail", rig.answers(5));
     }
@@ -97,26 +98,26 @@
 
     @Test
     void noWorkersIsARefusal() {
-        assertEquals("refuse", new Rig(Rig.settings(Effect.UNSAFE)).ask(5).answers(5));
+        assertEquals("refuse", new Rig(Rig.settings(Effect.UNSAFE)).submit(5).answers(5));
     }
 
     @Test
     void lateOutcomesStillSettleOutstandingWork() {
-        Rig rig = new Rig(Rig.settings(Effect.UNSAFE)).workers(0, 1, 2).ask(5);
+        Rig rig = new Rig(Rig.settings(Effect.UNSAFE)).workers(0, 1, 2).submit(5);
         long first = rig.sentTo(5);
-        rig.pass(10);
+        rig.advance(10);
         rig.ends(5, 0, Outcome.TIMEOUT);
-        rig.ask(6);
-        rig.ask(7);
+        rig.submit(6);
+        rig.submit(7);
         assertNotEquals(rig.sentTo(6), rig.sentTo(7), "both idle workers are used once the late outcome is settled");
         assertTrue(rig.sentTo(6) == first || rig.sentTo(7) == first);
     }
 
     @Test
     void streamsHaveNoDeadline() {
-        Rig rig = new Rig(Rig.settings(Effect.UNSAFE)).workers(0, 1).ask(5);
+        Rig rig = new Rig(Rig.settings(Effect.UNSAFE)).workers(0, 1).submit(5);
         rig.logic.streaming(rig.now, 5, 0);
-        rig.pass(20);
+        rig.advance(20);
         assertEquals("", rig.answers(5));
     }
 
@@ -128,7 +129,7 @@
             Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1, 2);
             rig.logic.list(rig.now, ListKind.CHANGES, List.of(Rig.worker(1, 0, state, 0)));
             for (long id = 10; id < 14; id++) {
-                assertEquals(2, rig.ask(id).sentTo(id));
+                assertEquals(2, rig.submit(id).sentTo(id));
                 rig.ends(id, 0, Outcome.OK);
             }
         }
@@ -140,7 +141,7 @@
             Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1, 2);
             rig.logic.list(rig.now, kind, List.of(Rig.worker(2, 0)));
             for (long id = 10; id < 14; id++) {
-                assertEquals(2, rig.ask(id).sentTo(id));
+                assertEquals(2, rig.submit(id).sentTo(id));
                 rig.ends(id, 0, Outcome.OK);
             }
         }
@@ -150,17 +151,17 @@
     void failedListChangesNothing() {
         Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1);
         rig.logic.list(rig.now, ListKind.FAILED, List.of());
-        assertEquals(1, rig.ask(5).sentTo(5));
+        assertEquals(1, rig.submit(5).sentTo(5));
     }
 
     @Test
-    void listThatMustBeAskedIsAskedAtTheStartAndAgainAfterAFailure() {
+    void listIsSubscribedToAtTheStartAndAgainAfterAFailure() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.listNeedsSubscription = true;
         Rig rig = new Rig(settings);
         assertEquals(1, rig.all("watch", 0).size());
         rig.logic.list(rig.now, ListKind.FAILED, List.of());
-        rig.pass(5);
+        rig.advance(5);
         assertEquals(2, rig.all("watch", 0).size());
     }
 
@@ -168,15 +169,15 @@
     void workerThatReturnsIsUsedAgain() {
         Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1);
         rig.logic.list(rig.now, ListKind.CHANGES, List.of(Rig.worker(1, 0, State.GONE, 0)));
-        assertEquals("refuse", rig.ask(5).answers(5));
+        assertEquals("refuse", rig.submit(5).answers(5));
         rig.workers(0, 1);
-        assertEquals(1, rig.ask(6).sentTo(6));
+        assertEquals(1, rig.submit(6).sentTo(6));
     }
 
-    // ---- two processes of an upgrade ----
+    // ---- two processes during an upgrade ----
 
     @Test
-    void twoProcessesUnderOneNumberShareAColdWorkersBudget() {
+    void twoProcessesWithOneIndexShareAColdWorkersBudget() {
         double whole = coldSends(1);
         assertTrue(whole > 0);
         assertTrue(coldSends(0.5) > 0 && coldSends(0.5) <= whole / 2);
@@ -187,23 +188,23 @@
         Settings settings = Rig.settings(Effect.SAFE);
         Rig rig = new Rig(settings)
                 .workers(0, 1)
-                .ask(1)
+                .submit(1)
                 .ends(1, 0, Outcome.OK, Rig.free(4))
-                .pass(2);
+                .advance(2);
         rig.logic.list(rig.now, ListKind.CHANGES, List.of(Rig.worker(1, 0, State.READY, rig.now)));
         rig.logic.budgetShare(rig.now, part);
-        return rig.callsAtOnce(10, 300, 0.01);
+        return rig.submitBurst(10, 300, 0.01);
     }
 
     // ---- workers that operators set down ----
 
     @Test
     void workerSetDownGetsNothingWhateverListsSay() {
-        Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1, 2).ask(1);
+        Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1, 2).submit(1);
         long out = rig.sentTo(1);
         rig.logic.setDown(rig.now, out);
         rig.logic.setDown(rig.now, out);
-        // What is out there goes on, and its retry goes elsewhere.
+        // The outstanding attempt continues, and its retry goes to the other worker.
         rig.ends(1, 0, Outcome.FULL);
         assertEquals(3 - out, rig.sentTo(1));
         rig.ends(1, 1, Outcome.OK);
@@ -212,7 +213,7 @@
             rig.logic.list(rig.now, ListKind.WHOLE, List.of(Rig.worker(1, 0), Rig.worker(2, 0)));
             for (int i = 0; i < 10; i++) {
                 long id = rig.actions.size() + 100;
-                assertEquals(3 - out, rig.ask(id).sentTo(id), state.toString());
+                assertEquals(3 - out, rig.submit(id).sentTo(id), state.toString());
                 rig.ends(id, 0, Outcome.OK);
             }
         }
@@ -220,36 +221,36 @@
     }
 
     @Test
-    void allSetDownIsRefusedAtOnceAndAWorkerNotListedYetStaysOut() {
+    void workerSetDownBeforeItIsListedStaysOutUntilSetUp() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.coldShare = 1;
         Rig rig = new Rig(settings);
         rig.logic.setDown(rig.now, 1);
         rig.workers(0, 1);
-        assertEquals("refuse", rig.ask(5).answers(5));
+        assertEquals("refuse", rig.submit(5).answers(5));
         rig.logic.setUp(rig.now, 1);
-        assertEquals(1, rig.ask(6).sentTo(6));
+        assertEquals(1, rig.submit(6).sentTo(6));
     }
 
     @Test
     void workerSetUpGetsWorkAtOnceButNoMoreThanAColdOne() {
         Settings settings = Rig.settings(Effect.SAFE);
         Rig rig = new Rig(settings).workers(0, 1);
-        // Under suspicion when it went down: its restart has ended that.
-        rig.ask(1).ends(1, 0, Outcome.OK, Rig.free(4)).ask(2).ends(2, 0, Outcome.CONNECT_FAILED);
+        // Ejected when it was set down; setting it up clears that.
+        rig.submit(1).ends(1, 0, Outcome.OK, Rig.free(4)).submit(2).ends(2, 0, Outcome.CONNECT_FAILED);
         rig.logic.setDown(rig.now, 1);
-        rig.pass(3);
+        rig.advance(3);
         rig.logic.setUp(rig.now, 1);
-        int sent = rig.callsAtOnce(10, 40, 0.05);
+        int sent = rig.submitBurst(10, 40, 0.05);
         assertTrue(sent > 0);
-        assertTrue(sent * 0.05 <= Rig.fells(settings, settings.coldShare * 4, 0.05), "" + sent);
-        // Long warm: an equal share again.
+        assertTrue(sent * 0.05 <= Rig.overloadLimit(settings, settings.coldShare * 4, 0.05), "" + sent);
+        // Once warm, it has no budget any more.
         for (long id = 10; id < 40; id++) {
             if (rig.sends(id).size() > 0) {
                 rig.ends(id, 0, Outcome.OK, Rig.free(4));
             }
         }
-        rig.pass(settings.coldFor);
+        rig.advance(settings.coldFor);
         Request r = rig.request(99);
         rig.logic.request(rig.now, r);
         assertEquals(1, rig.sentTo(99));
@@ -271,7 +272,7 @@
                 rig.ends(id, 0, t < seconds / 2 ? Outcome.TIMEOUT : Outcome.OK);
             }
             id++;
-            rig.pass(0.01);
+            rig.advance(0.01);
         }
         return work;
     }
@@ -281,7 +282,7 @@
         for (int dispatchers : new int[] {1, 4, 137}) {
             Settings settings = Rig.settings(Effect.SAFE);
             settings.dispatchers = dispatchers;
-            double budget = Rig.fells(settings, settings.coldShare, 0.02);
+            double budget = Rig.overloadLimit(settings, settings.coldShare, 0.02);
             double sent = 0;
             for (settings.dispatcherIndex = 0; settings.dispatcherIndex < dispatchers; settings.dispatcherIndex++) {
                 sent += workToCold(settings, 0, 2);
@@ -299,7 +300,7 @@
         for (int i = 0; i < 2; i++) {
             Rig rig = new Rig(settings);
             rig.logic.list(rig.now, ListKind.CHANGES, List.of(Rig.worker(1, 0, State.READY, rig.now - 60 * i)));
-            sent[i] = rig.callsAtOnce(10, 50, 0.02);
+            sent[i] = rig.submitBurst(10, 50, 0.02);
         }
         assertEquals(40, sent[1]);
         assertTrue(sent[0] < 40 / 3, "to a cold one " + sent[0]);
@@ -310,36 +311,36 @@
         Settings settings = Rig.settings(Effect.SAFE);
         settings.dispatchers = 50;
         Rig rig = new Rig(settings).workers(0, 1);
-        assertEquals(1, rig.ask(5).sentTo(5));
+        assertEquals(1, rig.submit(5).sentTo(5));
         rig.logic.list(rig.now, ListKind.CHANGES, List.of(Rig.worker(1, 0, State.READY, rig.now)));
-        assertEquals("refuse", rig.ask(6).answers(6));
+        assertEquals("refuse", rig.submit(6).answers(6));
     }
 
     @Test
-    void startLearnedLateOrFromACachedListIsColdAllTheSame() {
+    void recentStartFromACachedListIsCold() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.dispatchers = 50;
         Rig rig = new Rig(settings);
         rig.logic.list(rig.now, ListKind.CACHED, List.of(Rig.worker(1, 0, State.READY, rig.now - 3)));
-        assertEquals("refuse", rig.ask(6).answers(6));
+        assertEquals("refuse", rig.submit(6).answers(6));
     }
 
-    // ---- the mechanism ----
+    // ---- placement ----
 
     @Test
-    void jobsStayHomeUntilThePoolIsFullThenCross() {
+    void jobsStayInTheHomeZoneUntilItIsFullThenCross() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.zones = 2;
         Rig rig = new Rig(settings).workers(0, 1).workers(1, 2);
-        assertEquals(1, rig.ask(5).sentTo(5));
-        rig.pass(0.1).ends(5, 0, Outcome.FULL);
-        assertEquals(2, rig.sentTo(5), "home answered 'full': the coin");
-        rig.ask(6);
-        assertEquals(2, rig.sentTo(6), "'full' is believed for a while");
+        assertEquals(1, rig.submit(5).sentTo(5));
+        rig.advance(0.1).ends(5, 0, Outcome.FULL);
+        assertEquals(2, rig.sentTo(5), "home answered 'full', the job crosses");
+        rig.submit(6);
+        assertEquals(2, rig.sentTo(6), "the worker counts as full for a while");
     }
 
     @Test
-    void theCoinNamesANeighbourWithRoomWhereTheOtherHasNone() {
+    void otherNeighbourIsTriedWhereTheFirstHasNoRoom() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.zones = 4;
         for (double toTheNext : new double[] {0, 1}) {
@@ -347,40 +348,44 @@
             Rig rig =
                     new Rig(settings).workers(0, 1).workers(1, 2).workers(2, 3).workers(3, 4);
             assertEquals(
-                    toTheNext == 1 ? 2 : 4, rig.ask(5).ends(5, 0, Outcome.FULL).sentTo(5));
+                    toTheNext == 1 ? 2 : 4,
+                    rig.submit(5).ends(5, 0, Outcome.FULL).sentTo(5));
             rig.ends(5, 1, Outcome.FULL);
-            assertEquals(toTheNext == 1 ? 4 : 2, rig.sentTo(5), "the coin's own has none, the other has");
+            assertEquals(toTheNext == 1 ? 4 : 2, rig.sentTo(5), "the first neighbour has no room, the other has");
             rig.ends(5, 2, Outcome.FULL);
-            assertEquals("refuse", rig.answers(5), "nobody goes round the ring");
+            assertEquals("refuse", rig.answers(5), "only the two neighbours are tried");
         }
     }
 
-    /** roster-thailand, a zone lost: its cheapest class, in a hurry, had 0.41 of its jobs served, half of 0.88 is due. */
+    /**
+     * Seen in roster-thailand with a zone lost: the urgent class of the lowest worth had 0.41 of its jobs served, where
+     * half of 0.88 is due.
+     */
     @Test
-    void aCheapJobInAHurryMayWaitForHalfTheTimeInWhichASlotComesFree() {
-        for (double pass : new double[] {0.22, 0.15}) {
+    void urgentLowWorthJobMayWaitHalfTheTimeUntilASlotIsFree() {
+        for (double delay : new double[] {0.22, 0.15}) {
             Settings settings = Rig.settings(Effect.SAFE);
-            JobClass cheap = settings.classes[0];
-            JobClass dear = Rig.settings(Effect.SAFE).classes[0];
-            settings.classes = new JobClass[] {cheap, dear};
+            JobClass lowWorth = settings.classes[0];
+            JobClass highWorth = Rig.settings(Effect.SAFE).classes[0];
+            settings.classes = new JobClass[] {lowWorth, highWorth};
             settings.tellsStart = true;
-            cheap.aim = 0.08;
-            cheap.worth = 1;
-            dear.worth = 10;
+            lowWorth.aim = 0.08;
+            lowWorth.worth = 1;
+            highWorth.worth = 10;
             Rig rig = new Rig(settings).workers(0, 1);
             for (long id = 1; id <= 40; id++) {
-                askDear(rig, id).starts(id, 0).pass(0.4).ends(id, 0, Outcome.OK, Rig.free(4));
+                submitHighWorth(rig, id).starts(id, 0).advance(0.4).ends(id, 0, Outcome.OK, Rig.free(4));
             }
             for (long id = 101; id <= 104; id++) {
-                askDear(rig, id).starts(id, 0);
+                submitHighWorth(rig, id).starts(id, 0);
             }
-            rig.pass(pass).askHinted(200, 0.1);
-            // A slot comes free each 0.1 s; four jobs of 0.4 s have 0.18 or 0.25 s left.
-            assertEquals(pass > 0.2 ? 1 : 0, rig.sentTo(200), "after " + pass);
+            rig.advance(delay).submitHinted(200, 0.1);
+            // A slot becomes free every 0.1 s; four jobs of 0.4 s have 0.18 or 0.25 s left.
+            assertEquals(delay > 0.2 ? 1 : 0, rig.sentTo(200), "after " + delay);
         }
     }
 
-    private static Rig askDear(Rig rig, long id) {
+    private static Rig submitHighWorth(Rig rig, long id) {
         Request request = rig.request(id);
         request.jobClass = 1;
         request.hint = 0.4;
@@ -388,120 +393,120 @@
         return rig;
     }
 
-    /** A worker whose last report is old and says that it is full, where reports may be asked for. */
-    private static Rig toldLongAgoThatAllIsTaken(boolean mayProbe) {
+    /** A worker whose last report is old and shows it full; probes are allowed if {@code mayProbe}. */
+    private static Rig staleReportOfAFullWorker(boolean mayProbe) {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.mayProbe = mayProbe;
         settings.classes[0].aim = 0.5;
         settings.classes[0].stretch = 1;
         Dispatch.LoadReport full = Rig.free(0);
         full.queue = 40;
-        Rig rig = new Rig(settings).workers(0, 1).ask(1).ends(1, 0, Outcome.OK, Rig.free(4));
+        Rig rig = new Rig(settings).workers(0, 1).submit(1).ends(1, 0, Outcome.OK, Rig.free(4));
         rig.logic.probed(rig.now, 1, 0.001, Outcome.OK, full);
-        return rig.pass(1);
+        return rig.advance(1);
     }
 
-    /** Idle endpoints were refused for seconds: with nobody sent there no answer brought a newer report. */
+    /** Jobs were refused for seconds beside idle endpoints: with nothing sent there, no answer brought a newer report. */
     @Test
-    void beforeAJobIsTurnedAwayTheWorkersUnheardOfLatelyAreAsked() {
-        Rig rig = toldLongAgoThatAllIsTaken(true).ask(2);
+    void workersWithStaleReportsAreProbedBeforeARefusal() {
+        Rig rig = staleReportOfAFullWorker(true).submit(2);
         assertEquals(1, rig.all("probe", 0).size());
         assertEquals("", rig.answers(2), "it waits for the report");
         rig.logic.probed(rig.now + 0.002, 1, 0.002, Outcome.OK, Rig.free(4));
-        assertEquals(1, rig.sentTo(2), "by now there is room");
+        assertEquals(1, rig.sentTo(2), "there is room by now");
     }
 
     @Test
-    void aJobWaitsForReportsOnceAndForNoLongerThanTheyTake() {
-        Rig rig = toldLongAgoThatAllIsTaken(true).ask(2);
-        rig.pass(0.011);
+    void jobWaitsForReportsOnceAndBriefly() {
+        Rig rig = staleReportOfAFullWorker(true).submit(2);
+        rig.advance(0.011);
         assertEquals("refuse", rig.answers(2), "no report has come");
         assertEquals(1, rig.all("probe", 0).size());
-        rig.ask(3);
-        assertEquals("refuse", rig.answers(3), "asked so lately, it is not asked again");
-        Rig none = toldLongAgoThatAllIsTaken(false).ask(2);
-        assertEquals("refuse", none.answers(2), "where no probes are allowed it is turned away at once");
+        rig.submit(3);
+        assertEquals("refuse", rig.answers(3), "a worker that was just probed is not probed again");
+        Rig none = staleReportOfAFullWorker(false).submit(2);
+        assertEquals("refuse", none.answers(2), "without probes it is refused at once");
     }
 
-    /** A client that leaves while its job waits for reports is not sent on when they come. */
+    /** A job whose client leaves while it waits for reports must not be sent when they arrive. */
     @Test
-    void aJobWhoseClientLeftWhileItWaitedForReportsIsNotSentOn() {
-        Rig rig = toldLongAgoThatAllIsTaken(true).ask(2);
+    void jobAbandonedWhileWaitingForReportsIsNotSent() {
+        Rig rig = staleReportOfAFullWorker(true).submit(2);
         rig.logic.abandoned(rig.now + 0.001, 2);
         rig.logic.probed(rig.now + 0.002, 1, 0.002, Outcome.OK, Rig.free(4));
-        rig.pass(1);
+        rig.advance(1);
         assertEquals(List.of(), rig.sends(2));
         assertEquals("", rig.answers(2));
     }
 
-    /** Short jobs whose answers came in drops of 10 ms made their workers look ten times slower than they were. */
+    /** Short jobs whose answers arrived in pieces, 10 ms apart, made their workers look ten times slower than they were. */
     @Test
-    void aWorkerHasDoneItsJobWhenTheAnswerBeginsToCome() {
+    void runTimeEndsWhenTheAnswerBegins() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.tellsStart = true;
         settings.classes[0].aim = 0.3;
         settings.classes[0].stretch = 1;
         Rig rig = new Rig(settings).workers(0, 1);
         for (long id = 1; id <= 40; id++) {
-            rig.askHinted(id, 0.05).starts(id, 0).pass(0.05);
+            rig.submitHinted(id, 0.05).starts(id, 0).advance(0.05);
             rig.logic.note(rig.now, id, 0, 1, Dispatch.Note.ANSWERING, 0);
-            rig.pass(1).ends(id, 0, Outcome.OK, Rig.free(1));
+            rig.advance(1).ends(id, 0, Outcome.OK, Rig.free(1));
         }
-        assertEquals(1, rig.askHinted(100, 0.05).sentTo(100), "it takes 0.05 s, not 1.05 s");
+        assertEquals(1, rig.submitHinted(100, 0.05).sentTo(100), "it takes 0.05 s, not 1.05 s");
     }
 
     @Test
-    void aSlotIsFreeOnceTheAnswerBeginsToCome() {
+    void slotIsFreeOnceTheAnswerBegins() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.tellsStart = true;
         settings.classes[0].aim = 0.3;
         settings.classes[0].stretch = 1;
-        Rig rig = new Rig(settings).workers(0, 1).ask(1).starts(1, 0);
-        assertEquals("refuse", rig.ask(2).answers(2), "its one slot is taken");
+        Rig rig = new Rig(settings).workers(0, 1).submit(1).starts(1, 0);
+        assertEquals("refuse", rig.submit(2).answers(2), "its one slot is taken");
         rig.logic.note(rig.now, 1, 0, 1, Dispatch.Note.ANSWERING, 0);
-        assertEquals(1, rig.ask(3).sentTo(3));
-        // Where workers tell of progress a line that comes in pieces may be such a word.
+        assertEquals(1, rig.submit(3).sentTo(3));
+        // Where workers report progress, the first bytes may belong to a progress line and end nothing.
         settings.progressInterval = 1;
-        Rig told = new Rig(settings).workers(0, 1).ask(1).starts(1, 0);
+        Rig told = new Rig(settings).workers(0, 1).submit(1).starts(1, 0);
         told.logic.note(told.now, 1, 0, 1, Dispatch.Note.ANSWERING, 0);
-        assertEquals("refuse", told.ask(2).answers(2));
+        assertEquals("refuse", told.submit(2).answers(2));
     }
 
     @Test
-    void slotsFollowFromWhatBusyWorkersServe() {
+    void slotsAreInferredFromTheServiceRate() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.classes[0].aim = 1;
         settings.classes[0].stretch = 0;
         Dispatch.LoadReport busy = Rig.free(0);
         busy.queue = 1;
-        Rig untold = new Rig(settings).workers(0, 1);
+        Rig withoutRate = new Rig(settings).workers(0, 1);
         Rig told = new Rig(settings).workers(0, 1);
-        untold.askHinted(5, 0.5).ends(5, 0, Outcome.OK, busy).pass(0.01);
+        withoutRate.submitHinted(5, 0.5).ends(5, 0, Outcome.OK, busy).advance(0.01);
         busy.rate = 8;
-        told.askHinted(5, 0.5).ends(5, 0, Outcome.OK, busy).pass(0.01);
-        assertEquals("refuse", untold.askHinted(6, 0.5).answers(6), "as if it had one slot and one job waited");
-        assertEquals(1, told.askHinted(6, 0.5).sentTo(6), "eight of half a second each: four slots");
+        told.submitHinted(5, 0.5).ends(5, 0, Outcome.OK, busy).advance(0.01);
+        assertEquals(
+                "refuse", withoutRate.submitHinted(6, 0.5).answers(6), "one slot is assumed, with one job waiting");
+        assertEquals(1, told.submitHinted(6, 0.5).sentTo(6), "eight jobs of half a second per second: four slots");
     }
 
     @Test
-    void coldWorkersOfABusyKindAreTrustedWithWhatItServes() {
+    void coldCapacityFollowsFromTheServiceRateOfTheKind() {
         int[] sent = new int[2];
         for (int i = 0; i < 2; i++) {
             Dispatch.LoadReport busy = Rig.free(0.5);
             busy.rate = i == 0 ? Double.NaN : 40;
             Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1);
-            rig.askHinted(5, 0.1).ends(5, 0, Outcome.OK, busy);
+            rig.submitHinted(5, 0.1).ends(5, 0, Outcome.OK, busy);
             rig.logic.list(rig.now, ListKind.WHOLE, List.of(Rig.worker(2, 0, State.READY, rig.now)));
-            sent[i] = rig.pass(5).callsAtOnce(10, 60, 0.1);
+            sent[i] = rig.advance(5).submitBurst(10, 60, 0.1);
         }
-        assertTrue(
-                sent[1] >= 2 * sent[0] && sent[0] > 0, sent[0] + " where only the most seen free is known, " + sent[1]);
-        Dispatch.LoadReport spoilt = Rig.free(1);
-        spoilt.rate = 1e18;
+        assertTrue(sent[1] >= 2 * sent[0] && sent[0] > 0, sent[0] + " where only free slots are known, " + sent[1]);
+        Dispatch.LoadReport invalid = Rig.free(1);
+        invalid.rate = 1e18;
         Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1);
-        rig.askHinted(5, 0.1).ends(5, 0, Outcome.OK, spoilt);
+        rig.submitHinted(5, 0.1).ends(5, 0, Outcome.OK, invalid);
         rig.logic.list(rig.now, ListKind.WHOLE, List.of(Rig.worker(2, 0, State.READY, rig.now)));
-        assertTrue(rig.pass(5).callsAtOnce(10, 60, 0.1) < sent[1], "a rate that no worker can have is passed over");
+        assertTrue(rig.advance(5).submitBurst(10, 60, 0.1) < sent[1], "an impossible rate is ignored");
     }
 
     @Test
@@ -510,72 +515,72 @@
         Request heavy = rig.request(5);
         heavy.hint = 2;
         rig.logic.request(rig.now, heavy);
-        rig.ask(6);
+        rig.submit(6);
         assertNotEquals(rig.sentTo(5), rig.sentTo(6));
-        rig.ask(7);
+        rig.submit(7);
         assertEquals(rig.sentTo(6), rig.sentTo(7));
     }
 
     @Test
-    void progressTellsHowMuchOfAJobIsLeft() {
+    void progressDeterminesTheRemainingWork() {
         Settings s = Rig.settings(Effect.SAFE);
         s.progressInterval = 1;
         for (int i = 0; i < 20; i++) {
             Rig rig = new Rig(s).workers(0, 1, 2);
-            rig.ask(1 + 10 * i).ask(2 + 10 * i);
+            rig.submit(1 + 10 * i).submit(2 + 10 * i);
             Rig.Action first = rig.sends(1 + 10 * i).get(0);
             Rig.Action second = rig.sends(2 + 10 * i).get(0);
             assertNotEquals(first.worker(), second.worker(), "least work first");
-            rig.starts(1 + 10 * i, 0).starts(2 + 10 * i, 0).pass(0.5);
+            rig.starts(1 + 10 * i, 0).starts(2 + 10 * i, 0).advance(0.5);
             rig.progress(1 + 10 * i, 0, 0.05).progress(2 + 10 * i, 0, 0.9);
-            rig.ask(3 + 10 * i);
+            rig.submit(3 + 10 * i);
             assertEquals(second.worker(), rig.sends(3 + 10 * i).get(0).worker());
         }
     }
 
     @Test
-    void overdueJobIsHeldToGoOn() {
+    void overdueJobIsAssumedToContinue() {
         Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1, 2);
-        rig.ask(1).starts(1, 0).pass(3);
-        rig.ask(2);
-        rig.ask(3);
+        rig.submit(1).starts(1, 0).advance(3);
+        rig.submit(2);
+        rig.submit(3);
         assertNotEquals(rig.sends(1).get(0).worker(), rig.sends(2).get(0).worker());
-        assertEquals(rig.sends(2).get(0).worker(), rig.sends(3).get(0).worker(), "the slow one draws less");
+        assertEquals(rig.sends(2).get(0).worker(), rig.sends(3).get(0).worker(), "the slow worker gets fewer jobs");
     }
 
     @Test
-    void waitsSeenScaleWaitsForeseen() {
-        Rig asForeseen = pairs(0).ask(100).starts(100, 0).ask(101);
-        assertEquals(1, asForeseen.sends(101).size(), "it starts when the first has ended, as foreseen");
-        Rig later = pairs(3).ask(100).starts(100, 0).ask(101);
-        assertEquals(0, later.sends(101).size(), "it starts 3 s later than foreseen, always");
+    void observedWaitsScaleExpectedWaits() {
+        Rig asForeseen = pairs(0).submit(100).starts(100, 0).submit(101);
+        assertEquals(1, asForeseen.sends(101).size(), "it starts when the first has ended, as expected");
+        Rig later = pairs(3).submit(100).starts(100, 0).submit(101);
+        assertEquals(0, later.sends(101).size(), "jobs always start 3 s later than expected");
     }
 
     @Test
-    void kindThatWasSlowToStartIsNotShutOutForEver() {
-        Rig rig = pairs(3).pass(600).ask(100).ask(101);
-        assertEquals(1, rig.sends(101).size(), "what was seen of waits is long ago");
+    void slowStartingKindIsUsedAgainAfterAWhile() {
+        Rig rig = pairs(3).advance(600).submit(100).submit(101);
+        assertEquals(1, rig.sends(101).size(), "the waits were observed long ago");
     }
 
-    /** After pairs of requests to one worker, of which the second started that much too late. */
+    /** The state after pairs of requests to one worker, the second of which started {@code late} seconds too late. */
     private static Rig pairs(double late) {
         Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1);
         for (int i = 1; i < 31 && (i == 1 || rig.sends(i - 1).size() == 1); i += 2) {
-            rig.ask(i).starts(i, 0).ask(i + 1).pass(1).ends(i, 0, Outcome.OK);
+            rig.submit(i).starts(i, 0).submit(i + 1).advance(1).ends(i, 0, Outcome.OK);
             if (rig.sends(i + 1).size() == 1) {
-                rig.pass(late).starts(i + 1, 0).pass(1).ends(i + 1, 0, Outcome.OK);
+                rig.advance(late).starts(i + 1, 0).advance(1).ends(i + 1, 0, Outcome.OK);
             }
-            rig.pass(3);
+            rig.advance(3);
         }
         return rig;
     }
 
     @Test
-    void progressBeforeAnyStartIsAStartAndNoMore() {
+    void firstProgressCountsAsAStart() {
         Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1, 2);
-        rig.ask(1).ask(2);
-        rig.progress(1, 0, 0.01).pass(0.1).starts(2, 0);
-        rig.ask(3);
+        rig.submit(1).submit(2);
+        rig.progress(1, 0, 0.01).advance(0.1).starts(2, 0);
+        rig.submit(3);
         assertEquals(rig.sends(1).get(0).worker(), rig.sends(3).get(0).worker(), "it began 0.1 s earlier");
     }
 
@@ -584,14 +589,14 @@
         Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1);
         int refused = 0;
         for (long id = 10; id < 30; id++) {
-            refused += rig.ask(id).answers(id).equals("refuse") ? 1 : 0;
+            refused += rig.submit(id).answers(id).equals("refuse") ? 1 : 0;
         }
         assertTrue(refused > 10, refused + " refused");
     }
 
-    /** Taken for a second of work it would be refused for ever, before the first hint and behind others' hints. */
+    /** Assumed to be a second of work, it would always be refused, both before the first hint and after heavy hints. */
     @Test
-    void jobWithoutAHintIsHeldToHaveAnAimThatCanBeKept() {
+    void jobWithoutAHintIsAssumedToFitItsAim() {
         Settings settings = Rig.settings(Effect.SAFE);
         JobClass quick = settings.classes[0];
         JobClass slow = Rig.settings(Effect.SAFE).classes[0];
@@ -600,36 +605,36 @@
             quick.aim = 0.2;
             quick.stretch = stretch;
             Rig rig = new Rig(settings).workers(0, 1);
-            assertEquals(1, rig.askHinted(1, Double.NaN).sentTo(1), "nothing is known");
-            rig.pass(0.1).ends(1, 0, Outcome.OK, Rig.free(4));
+            assertEquals(1, rig.submitHinted(1, Double.NaN).sentTo(1), "nothing is known");
+            rig.advance(0.1).ends(1, 0, Outcome.OK, Rig.free(4));
             Request heavy = rig.request(2);
             heavy.jobClass = 1;
             heavy.hint = 3;
             rig.logic.request(rig.now, heavy);
-            rig.pass(3).ends(2, 0, Outcome.OK, Rig.free(4));
-            assertEquals(1, rig.askHinted(3, Double.NaN).sentTo(3), "others are heavy, stretch " + stretch);
+            rig.advance(3).ends(2, 0, Outcome.OK, Rig.free(4));
+            assertEquals(1, rig.submitHinted(3, Double.NaN).sentTo(3), "other jobs are heavy, stretch " + stretch);
         }
     }
 
     @Test
-    void clientWhoWaitsLessThanTheAimIsRefusedEarlyWhereNobodyEndsItForHim() {
+    void clientWithADeadlineBeforeTheAimIsRefusedEarly() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.classes[0].aim = 8;
         Rig rig = new Rig(settings).workers(0, 1);
-        Request hurried = rig.request(1);
-        hurried.deadline = rig.now + 0.8;
-        rig.logic.request(rig.now, hurried);
+        Request urgent = rig.request(1);
+        urgent.deadline = rig.now + 0.8;
+        rig.logic.request(rig.now, urgent);
         assertEquals("refuse", rig.answers(1), "a second's work, and its client is gone in 0.8 s");
-        assertEquals(1, rig.ask(2).sentTo(2), "who waits gets it");
+        assertEquals(1, rig.submit(2).sentTo(2), "a client that waits longer is served");
     }
 
     @Test
-    void nearestRingZoneThatRunsTheClassIsHome() {
+    void nearestZoneThatRunsTheClassIsHome() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.zones = 5;
         settings.zone = 1;
         Rig rig = new Rig(settings).workers(3, 1).workers(0, 2);
-        assertEquals(2, rig.ask(5).sentTo(5));
+        assertEquals(2, rig.submit(5).sentTo(5));
     }
 
     @Test
@@ -638,39 +643,40 @@
             Settings s = Rig.settings(Effect.SAFE);
             JobClass heavy = new JobClass();
             heavy.aim = 10;
-            JobClass dear = new JobClass();
-            dear.worth = 10;
-            dear.aim = 10;
-            s.classes = new JobClass[] {s.classes[0], heavy, dear};
+            JobClass highWorth = new JobClass();
+            highWorth.worth = 10;
+            highWorth.aim = 10;
+            s.classes = new JobClass[] {s.classes[0], heavy, highWorth};
             Rig rig = new Rig(s).workers(0, 1);
-            rig.ask(1, 2);
+            rig.submit(1, 2);
             if (withHeavy) {
-                rig.ask(2, 1);
-                rig.pass(0.9).ends(1, 0, Outcome.OK).pass(0.1);
+                rig.submit(2, 1);
+                rig.advance(0.9).ends(1, 0, Outcome.OK).advance(0.1);
             }
-            rig.ask(3, 0);
-            assertEquals(withHeavy ? 1 : 0, rig.sends(3).size(), "its own share of patience is 0.7 s, it waits 1");
+            rig.submit(3, 0);
+            assertEquals(
+                    withHeavy ? 1 : 0, rig.sends(3).size(), "by its own worth it may wait 0.7 s, but it waits 1 s");
         }
     }
 
     @Test
-    void dearWorkWaitsLongerThanCheapWork() {
+    void highWorthWorkWaitsLongerThanLowWorthWork() {
         Settings settings = Rig.settings(Effect.SAFE);
-        JobClass dear = new JobClass();
-        dear.aim = settings.classes[0].aim;
-        dear.stretch = settings.classes[0].stretch;
-        dear.worth = 8;
-        settings.classes = new JobClass[] {settings.classes[0], dear};
+        JobClass highWorth = new JobClass();
+        highWorth.aim = settings.classes[0].aim;
+        highWorth.stretch = settings.classes[0].stretch;
+        highWorth.worth = 8;
+        settings.classes = new JobClass[] {settings.classes[0], highWorth};
         Rig rig = new Rig(settings).workers(0, 1);
         long id = 10;
-        while (rig.ask(id, 0).answers(id).isEmpty()) {
+        while (rig.submit(id, 0).answers(id).isEmpty()) {
             id++;
         }
-        assertEquals("", rig.ask(id + 1, 1).answers(id + 1));
+        assertEquals("", rig.submit(id + 1, 1).answers(id + 1));
     }
 
     @Test
-    void jobsThatRunAnywhereSpareTheKindAClassDependsOn() {
+    void untiedJobsAvoidTheKindAClassDependsOn() {
         Settings settings = Rig.settings(Effect.SAFE);
         JobClass tied = new JobClass();
         tied.kind = 1;
@@ -680,99 +686,104 @@
         Dispatch.Worker sole = Rig.worker(2, 0);
         sole.kind = 1;
         rig.logic.list(rig.now, ListKind.CHANGES, List.of(Rig.worker(1, 0), sole));
-        assertEquals(1, rig.ask(5, 0).sentTo(5));
-        assertEquals(1, rig.ask(6, 0).sentTo(6));
-        assertEquals(2, rig.ask(7, 1).sentTo(7));
+        assertEquals(1, rig.submit(5, 0).sentTo(5));
+        assertEquals(1, rig.submit(6, 0).sentTo(6));
+        assertEquals(2, rig.submit(7, 1).sentTo(7));
     }
 
-    // ---- failures that incidents showed ----
+    // ---- failures that incidents revealed ----
 
     @Test
-    void failingWorkerIsSuspectAndComesBack() {
+    void failingWorkerIsEjectedAndComesBack() {
         for (Outcome outcome : new Outcome[] {Outcome.CONNECT_FAILED, Outcome.ERROR}) {
-            Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1, 2).ask(5);
+            Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1, 2).submit(5);
             long bad = rig.sentTo(5);
-            rig.pass(0.01).ends(5, 0, outcome);
+            rig.advance(0.01).ends(5, 0, outcome);
             for (long id = 10; id < 15; id++) {
-                assertNotEquals(bad, rig.ask(id).sentTo(id));
+                assertNotEquals(bad, rig.submit(id).sentTo(id));
                 rig.ends(id, 0, Outcome.OK);
             }
-            rig.pass(10);
+            rig.advance(10);
             boolean back = false;
             for (long id = 20; id < 24; id++) {
-                back |= rig.ask(id).sentTo(id) == bad;
+                back |= rig.submit(id).sentTo(id) == bad;
             }
-            assertTrue(back, "a worker that is back must be found again");
+            assertTrue(back, "a recovered worker must be found again");
         }
     }
 
     @Test
-    void oneBrokenConnectionIsNoSickWorkerAndTwoInARowAre() {
+    void workerIsEjectedAfterTwoBrokenConnectionsInARow() {
         for (Outcome outcome : new Outcome[] {Outcome.RESET, Outcome.TIMEOUT}) {
             Rig rig = new Rig(Rig.settings(Effect.UNSAFE)).workers(0, 1);
-            rig.ask(5).pass(0.01).ends(5, 0, outcome).pass(0.01);
-            assertEquals(1, rig.ask(6).sentTo(6));
-            rig.pass(0.01).ends(6, 0, Outcome.OK).ask(7).pass(0.01).ends(7, 0, outcome);
-            assertEquals(1, rig.ask(8).sentTo(8));
+            rig.submit(5).advance(0.01).ends(5, 0, outcome).advance(0.01);
+            assertEquals(1, rig.submit(6).sentTo(6));
+            rig.advance(0.01).ends(6, 0, Outcome.OK).submit(7).advance(0.01).ends(7, 0, outcome);
+            assertEquals(1, rig.submit(8).sentTo(8));
             rig.ends(8, 0, outcome);
-            assertEquals("refuse", rig.ask(9).answers(9));
+            assertEquals("refuse", rig.submit(9).answers(9));
         }
     }
 
     @Test
-    void whatALaterJobHasOvertakenIsLostAndGoesElsewhereIfItMay() {
+    void overtakenJobIsLostAndRetriedElsewhereIfAllowed() {
         for (Effect effect : new Effect[] {Effect.SAFE, Effect.UNSAFE}) {
             Settings settings = Rig.settings(effect);
             settings.headOfLineBlocking = true;
             settings.tellsStart = true;
             settings.mayCancel = true;
             settings.connectTimeout = 0.3;
-            Rig rig = new Rig(settings).workers(0, 1).ask(5).pass(0.05).ask(6).starts(6, 0);
-            // Sent only just before: words on two connections may cross.
+            Rig rig = new Rig(settings)
+                    .workers(0, 1)
+                    .submit(5)
+                    .advance(0.05)
+                    .submit(6)
+                    .starts(6, 0);
+            // Sent only shortly before: messages on two connections may overtake each other.
             assertEquals(0, rig.all("cancel", 5).size());
-            rig.ends(6, 0, Outcome.OK).pass(0.3).ask(7).starts(7, 0);
+            rig.ends(6, 0, Outcome.OK).advance(0.3).submit(7).starts(7, 0);
             assertEquals(effect == Effect.SAFE ? 1 : 0, rig.all("cancel", 5).size());
             if (effect == Effect.SAFE) {
                 rig.workers(0, 2);
                 rig.ends(5, 0, Outcome.CANCELLED);
                 assertEquals(2, rig.sends(5).get(1).worker());
             }
-            // Unheard for seconds, it must not make its worker look blocked for so long.
-            rig.ends(7, 0, Outcome.OK).pass(3).ask(8);
+            // The silent job must not make its worker look blocked for seconds.
+            rig.ends(7, 0, Outcome.OK).advance(3).submit(8);
             assertNotEquals(0, rig.sentTo(8));
         }
     }
 
     @Test
-    void suspectWorkerIsTriedWithOneJobAtATime() {
-        Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1).ask(5);
-        rig.pass(0.01).ends(5, 0, Outcome.CONNECT_FAILED).pass(10);
-        assertEquals(1, rig.ask(6).sentTo(6));
-        assertEquals("refuse", rig.ask(7).answers(7));
+    void ejectedWorkerIsTriedWithOneJobAtATime() {
+        Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1).submit(5);
+        rig.advance(0.01).ends(5, 0, Outcome.CONNECT_FAILED).advance(10);
+        assertEquals(1, rig.submit(6).sentTo(6));
+        assertEquals("refuse", rig.submit(7).answers(7));
         rig.ends(6, 0, Outcome.OK);
-        assertEquals(1, rig.ask(8).sentTo(8));
-        assertEquals(1, rig.ask(9).sentTo(9));
+        assertEquals(1, rig.submit(8).sentTo(8));
+        assertEquals(1, rig.submit(9).sentTo(9));
     }
 
     @Test
-    void silentWorkerDrawsNoMoreJobs() {
+    void silentWorkerGetsNoMoreJobs() {
         for (boolean tellsStart : new boolean[] {true, false}) {
             Settings settings = Rig.settings(Effect.UNSAFE);
             settings.tellsStart = tellsStart;
-            Rig rig = new Rig(settings).workers(0, 1, 2).ask(5).pass(6);
+            Rig rig = new Rig(settings).workers(0, 1, 2).submit(5).advance(6);
             long silent = rig.sends(5).get(0).worker();
             for (long id = 6; id < 16; id++) {
-                assertNotEquals(silent, rig.ask(id).sends(id).get(0).worker());
+                assertNotEquals(silent, rig.submit(id).sends(id).get(0).worker());
                 if (tellsStart) {
                     rig.starts(id, 0);
                 }
-                rig.pass(0.5).ends(id, 0, Outcome.OK);
+                rig.advance(0.5).ends(id, 0, Outcome.OK);
             }
         }
     }
 
     @Test
-    void workerWithoutAReportCountsAsTheMeanOfItsCrowdNotAsEmpty() {
+    void workerWithoutAReportIsAssumedAsLoadedAsItsZone() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.zones = 2;
         Rig rig = new Rig(settings).workers(0, 1, 2, 3).workers(1, 4);
@@ -785,10 +796,10 @@
         for (int i = 0; i < 40; i++) {
             rig.logic.probed(rig.now, 1, 0, Outcome.OK, full);
         }
-        assertEquals(4, rig.ask(50).sentTo(50), "worker 3 is as full as those that report");
+        assertEquals(4, rig.submit(50).sentTo(50), "worker 3 is assumed as full as those that report");
     }
 
-    /** One worker at home that answers 'full', one elsewhere of which the list says what it holds. */
+    /** One worker at home that answers 'full', and one in another zone whose load follows from its listed weight. */
     private static Rig blockedAtHome(double weightElsewhere) {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.zones = 2;
@@ -799,39 +810,39 @@
         Dispatch.Worker elsewhere = Rig.worker(2, 1);
         elsewhere.weight = weightElsewhere;
         rig.logic.list(rig.now, ListKind.CHANGES, List.of(home, elsewhere));
-        return rig.ask(5).ends(5, 0, Outcome.FULL);
+        return rig.submit(5).ends(5, 0, Outcome.FULL);
     }
 
     @Test
-    void blockedJobsDoNotFleeToAZoneThatTheListShowsFull() {
-        assertEquals("refuse", blockedAtHome(0.4).answers(5), "nine requests a core are held there");
-        assertEquals(2, blockedAtHome(4).sentTo(5), "idle by its weight");
+    void blockedJobsDoNotCrossToAZoneThatTheListShowsFull() {
+        assertEquals("refuse", blockedAtHome(0.4).answers(5), "its weight shows nine requests per core");
+        assertEquals(2, blockedAtHome(4).sentTo(5), "its weight shows it idle");
         Rig rig = blockedAtHome(0);
         Dispatch.Worker elsewhere = Rig.worker(2, 1);
         elsewhere.weight = 4;
         rig.logic.list(rig.now, ListKind.CHANGES, List.of(elsewhere));
-        assertEquals(2, rig.ask(6).sentTo(6), "a weight of nothing before has not spoilt the mean");
+        assertEquals(2, rig.submit(6).sentTo(6), "an earlier weight of 0 has not corrupted the mean");
     }
 
     @Test
-    void fullIsTheOnlyWordOfAQueueWhereReportsTellNone() {
+    void fullImpliesAQueueWhereReportsStateNone() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.classes[0].aim = 0.5;
         settings.classes[0].stretch = 1;
         Rig rig = new Rig(settings).workers(0, 1);
         rig.logic.probed(rig.now, 1, 0, Outcome.OK, Rig.free(1));
-        rig.ask(5).ends(5, 0, Outcome.FULL).pass(0.4);
-        assertEquals("refuse", rig.ask(6).answers(6), "its waiting room was taken a moment ago");
+        rig.submit(5).ends(5, 0, Outcome.FULL).advance(0.4);
+        assertEquals("refuse", rig.submit(6).answers(6), "its queue was full a moment ago");
         Rig told = new Rig(settings).workers(0, 1);
         Dispatch.LoadReport idle = Rig.free(1);
         idle.queue = 0;
         told.logic.probed(told.now, 1, 0, Outcome.OK, idle);
-        told.ask(5).ends(5, 0, Outcome.FULL).pass(0.4);
-        assertEquals(1, told.ask(6).sentTo(6), "the report tells of the queue");
+        told.submit(5).ends(5, 0, Outcome.FULL).advance(0.4);
+        assertEquals(1, told.submit(6).sentTo(6), "the report states the queue");
     }
 
     @Test
-    void coldWorkerIsNotHeldAsFullAsItsCrowd() {
+    void coldWorkerIsNotAssumedAsLoadedAsItsZone() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.fallWithin = 9;
         Rig rig = new Rig(settings).workers(0, 1, 2);
@@ -841,29 +852,29 @@
         for (int i = 0; i < 40; i++) {
             rig.logic.probed(rig.now, 1 + i % 2, 0, Outcome.OK, full);
         }
-        assertEquals("refuse", rig.ask(50).answers(50), "both are full");
+        assertEquals("refuse", rig.submit(50).answers(50), "both are full");
         rig.logic.list(rig.now, ListKind.CHANGES, List.of(Rig.worker(3, 0, State.READY, rig.now)));
-        assertEquals(3, rig.askHinted(51, 0.2).sentTo(51), "it began empty");
+        assertEquals(3, rig.submitHinted(51, 0.2).sentTo(51), "a cold worker starts empty");
     }
 
-    /** On days of replacements jobs on cold workers took 1 / (their part of a warm one's capacity) times as long. */
+    /** On days with replacements, jobs on cold workers took longer by the inverse of their fraction of a warm capacity. */
     @Test
-    void coldWorkerIsHeldToRunAsMuchSlowerAsItIsCold() {
+    void coldWorkerIsAssumedSlowerByItsWarmupFactor() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.coldShare = 0.2;
         Rig cold = new Rig(settings);
         cold.logic.list(cold.now, ListKind.CHANGES, List.of(Rig.worker(1, 0, State.READY, cold.now)));
-        assertEquals("refuse", cold.ask(1).answers(1), "a second's work runs for five there, and has 3.6");
-        assertEquals(1, cold.askHinted(2, 0.2).sentTo(2), "a light job is in time");
-        cold.ends(2, 0, Outcome.OK, Rig.free(4)).pass(5);
-        assertEquals(1, cold.ask(3).sentTo(3), "with 0.4 of its capacity a heavy one is");
+        assertEquals("refuse", cold.submit(1).answers(1), "1 s of work takes 5 s there, and 3.6 s are left");
+        assertEquals(1, cold.submitHinted(2, 0.2).sentTo(2), "a light job is in time");
+        cold.ends(2, 0, Outcome.OK, Rig.free(4)).advance(5);
+        assertEquals(1, cold.submit(3).sentTo(3), "with 0.4 of its capacity a heavy job is in time");
         Rig both = new Rig(settings).workers(0, 2);
         both.logic.list(both.now, ListKind.CHANGES, List.of(Rig.worker(1, 0, State.READY, both.now)));
-        both.askHinted(1, 0.2).ends(1, 0, Outcome.OK, Rig.free(4));
+        both.submitHinted(1, 0.2).ends(1, 0, Outcome.OK, Rig.free(4));
         for (long id = 2; id < 6; id++) {
-            assertEquals(2, both.askHinted(id, 0.2).sentTo(id), "four slots on a warm one are the sooner");
+            assertEquals(2, both.submitHinted(id, 0.2).sentTo(id), "a slot of a warm worker is faster");
         }
-        assertEquals(1, both.askHinted(6, 0.2).sentTo(6));
+        assertEquals(1, both.submitHinted(6, 0.2).sentTo(6));
     }
 
     @Test
@@ -874,19 +885,19 @@
         Rig rig = new Rig(settings).workers(0, 1);
         rig.logic.probed(rig.now, 1, 0, Outcome.OK, Rig.free(1));
         for (long id = 5; id < 45; id++) {
-            rig.ask(id).pass(1).ends(id, 0, Outcome.OK, Rig.free(0));
+            rig.submit(id).advance(1).ends(id, 0, Outcome.OK, Rig.free(0));
         }
-        assertEquals(1, rig.ask(50).sentTo(50), "its one slot was taken by what came from here");
+        assertEquals(1, rig.submit(50).sentTo(50), "its one slot was taken by own jobs only");
     }
 
     @Test
-    void jobWaitsForTheReportsItAsksForWhereOnlyProbesTell() {
+    void jobWaitsForTheProbesItSends() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.reports = ReportSource.PROBES;
         settings.mayProbe = true;
         long[] ids = new long[30];
         java.util.Arrays.setAll(ids, i -> i + 1);
-        Rig rig = new Rig(settings).workers(0, ids).ask(50);
+        Rig rig = new Rig(settings).workers(0, ids).submit(50);
         List<Rig.Action> asked = List.copyOf(rig.all("probe", 0));
         assertEquals(0, rig.sends(50).size(), "reports first");
         for (int i = 0; i < asked.size(); i++) {
@@ -894,16 +905,16 @@
             rig.logic.probed(rig.now, asked.get(i).worker(), 0, Outcome.OK, Rig.free(2));
         }
         assertEquals(1, rig.sends(50).size(), "all have answered");
-        rig.ask(51).pass(0.02);
-        assertEquals(1, rig.sends(51).size(), "nobody answers: it does not wait for ever");
-        rig.ask(52);
+        rig.submit(51).advance(0.02);
+        assertEquals(1, rig.sends(51).size(), "without any answer it is sent after a while");
+        rig.submit(52);
         rig.logic.abandoned(rig.now, 52);
-        rig.pass(1);
+        rig.advance(1);
         assertEquals(0, rig.sends(52).size(), "its client has left");
     }
 
     @Test
-    void zoneIsLeftAloneAfterFailedConnectsInARowAndTriedByOneJob() {
+    void zoneIsEjectedAfterFailedConnectsAndTriedByOneJob() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.zones = 2;
         long[] dead = new long[40];
@@ -911,7 +922,7 @@
         Rig rig = new Rig(settings).workers(0, dead).workers(1, 100);
         int failed = 0;
         for (long id = 200; id < 210; id++) {
-            rig.ask(id);
+            rig.submit(id);
             for (int n = 0; n < rig.sends(id).size(); n++) {
                 if (rig.sends(id).get(n).worker() < 100) {
                     rig.ends(id, n, Outcome.CONNECT_FAILED);
@@ -922,11 +933,11 @@
             }
         }
         assertEquals(3, failed, "forty dead workers cost three attempts");
-        rig.pass(1).ask(300).ask(301);
+        rig.advance(1).submit(300).submit(301);
         assertTrue(rig.sentTo(300) < 100, "one job tries the zone");
         assertEquals(100, rig.sentTo(301));
-        rig.starts(300, 0).ask(302);
-        assertTrue(rig.sentTo(302) < 100, "a sign of life clears it");
+        rig.starts(300, 0).submit(302);
+        assertTrue(rig.sentTo(302) < 100, "a start note ends the ejection");
     }
 
     @Test
@@ -939,9 +950,9 @@
         for (int i = 0; i < 60; i++) {
             rig.logic.probed(rig.now, 1, 0, Outcome.OK, Rig.free(1));
         }
-        assertEquals(1, rig.ask(5).sentTo(5), "a slot is free by a fresh report");
-        rig.ends(5, 0, Outcome.OK).pass(3);
-        assertEquals("refuse", rig.ask(6).answers(6), "three of four taken, but who knows what came since");
+        assertEquals(1, rig.submit(5).sentTo(5), "a slot is free by a fresh report");
+        rig.ends(5, 0, Outcome.OK).advance(3);
+        assertEquals("refuse", rig.submit(6).answers(6), "three of four slots were taken, and more may be by now");
     }
 
     @Test
@@ -955,21 +966,21 @@
         for (int i = 0; i < 40; i++) {
             rig.logic.probed(rig.now, 1, 0, Outcome.OK, full);
         }
-        assertEquals("refuse", rig.pass(2).ask(49).answers(49), "an old report still stands");
-        assertEquals("refuse", rig.ask(50).answers(50), "two slots and six in the queue are the siblings'");
-        rig.pass(60);
-        assertEquals(1, rig.ask(51).sentTo(51), "nothing was heard for a minute: one job tries it");
+        assertEquals("refuse", rig.advance(2).submit(49).answers(49), "an old report still stands");
+        assertEquals("refuse", rig.submit(50).answers(50), "others have two slots and six jobs in the queue");
+        rig.advance(60);
+        assertEquals(1, rig.submit(51).sentTo(51), "after a minute without news one job tries it");
     }
 
     @Test
-    void runningJobIsNotTakenForALateStartWhereStartsAreNotTold() {
+    void runningJobIsNotTakenForALateStartWhereStartsAreNotReported() {
         for (boolean tellsStart : new boolean[] {true, false}) {
             Settings settings = Rig.settings(Effect.SAFE);
             settings.classes[0].aim = 0;
             settings.classes[0].stretch = 1.7;
             settings.tellsStart = tellsStart;
-            Rig rig = new Rig(settings).workers(0, 1).ask(5).ends(5, 0, Outcome.OK, Rig.free(4));
-            rig.ask(6).pass(0.9).ask(7);
+            Rig rig = new Rig(settings).workers(0, 1).submit(5).ends(5, 0, Outcome.OK, Rig.free(4));
+            rig.submit(6).advance(0.9).submit(7);
             assertEquals(tellsStart ? 0 : 1, rig.sends(7).size(), "three slots are free, as far as is known");
         }
     }
@@ -980,7 +991,7 @@
             Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1);
             Dispatch.LoadReport report = Rig.free(4);
             report.freeMemory = free;
-            rig.ask(5).ends(5, 0, Outcome.OK, report);
+            rig.submit(5).ends(5, 0, Outcome.OK, report);
             Request request = rig.request(6);
             request.memory = 1;
             rig.logic.request(rig.now, request);
@@ -989,17 +1000,17 @@
     }
 
     @Test
-    void attemptLeftOverIsCancelledWhenTheRequestEnds() {
+    void outstandingAttemptIsCancelledWhenTheRequestEnds() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.mayCancel = true;
-        Rig rig = new Rig(settings).workers(0, 1, 2).ask(5).pass(11);
+        Rig rig = new Rig(settings).workers(0, 1, 2).submit(5).advance(11);
         assertEquals("refuse", rig.answers(5));
         assertEquals(1, rig.all("cancel", 5).size());
         assertEquals(0, rig.all("cancel", 5).get(0).value());
     }
 
     @Test
-    void heavyJobWaitsNoLongerThanItsClassCanBear() {
+    void heavyJobWaitsNoLongerThanItsClassAllows() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.classes[0].aim = 0.5;
         settings.classes[0].stretch = 3;
@@ -1009,7 +1020,7 @@
             Request light = rig.request(id);
             light.hint = 0.1;
             rig.logic.request(rig.now, light);
-            rig.ends(id, 0, Outcome.OK).pass(0.01);
+            rig.ends(id, 0, Outcome.OK).advance(0.01);
         }
         Request first = rig.request(40);
         first.hint = 4;
@@ -1018,32 +1029,32 @@
         heavy.hint = 5;
         heavy.deadline = rig.now + 30;
         rig.logic.request(rig.now, heavy);
-        assertEquals("refuse", rig.answers(41), "its own aim would bear a wait of 9 s");
+        assertEquals("refuse", rig.answers(41), "its own aim would allow a wait of 9 s");
     }
 
     @Test
-    void fullIsBelievedForAWhile() {
+    void workerCountsAsFullForAWhileAfterAnsweringFull() {
         Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1);
-        rig.ask(5).ends(5, 0, Outcome.FULL).pass(0.2);
-        assertEquals("refuse", rig.ask(6).answers(6));
-        assertEquals(1, rig.pass(0.2).ask(7).sentTo(7));
+        rig.submit(5).ends(5, 0, Outcome.FULL).advance(0.2);
+        assertEquals("refuse", rig.submit(6).answers(6));
+        assertEquals(1, rig.advance(0.2).submit(7).sentTo(7));
     }
 
     @Test
-    void jobNobodyCanEndInTimeTakesAFreeSlotWhereLateHasWorth() {
+    void lateJobTakesAFreeSlotWhereLateAnswersHaveWorth() {
         for (double lateWorth : new double[] {0, 0.3}) {
             Settings settings = Rig.settings(Effect.SAFE);
             settings.classes[0].aim = 0.1;
             settings.classes[0].stretch = 0.5;
             settings.classes[0].lateWorth = lateWorth;
-            Rig rig = new Rig(settings).workers(0, 1).ask(5).ask(6);
+            Rig rig = new Rig(settings).workers(0, 1).submit(5).submit(6);
             assertEquals(lateWorth > 0 ? 1 : 0, rig.sends(5).size());
             assertEquals("refuse", rig.answers(6), "no slot is free for the second");
         }
     }
 
     @Test
-    void lateJobOfATiedClassForgivesASmallWaitOnItsKind() {
+    void lateJobOfATiedClassAcceptsAShortWaitOnItsKind() {
         for (int kind : new int[] {-1, 1}) {
             Settings settings = Rig.settings(Effect.SAFE);
             settings.tellsStart = true;
@@ -1055,41 +1066,46 @@
             Dispatch.Worker worker = Rig.worker(1, 0);
             worker.kind = 1;
             rig.logic.list(rig.now, ListKind.CHANGES, List.of(worker));
-            rig.ask(5).pass(0.05).starts(5, 0).pass(0.95).ends(5, 0, Outcome.OK).ask(6);
+            rig.submit(5)
+                    .advance(0.05)
+                    .starts(5, 0)
+                    .advance(0.95)
+                    .ends(5, 0, Outcome.OK)
+                    .submit(6);
             assertEquals(kind < 0 ? 0 : 1, rig.sends(6).size(), "the first one's start note came late");
         }
     }
 
     @Test
-    void patientCheapWorkLeavesRoomForDearWorkInAHurry() {
+    void patientLowWorthWorkLeavesRoomForUrgentHighWorthWork() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.classes[0].aim = 20;
         settings.classes[0].worth = 7;
-        JobClass dear = new JobClass();
-        dear.aim = 1.5;
-        dear.worth = 8;
-        settings.classes = new JobClass[] {settings.classes[0], dear};
+        JobClass highWorth = new JobClass();
+        highWorth.aim = 1.5;
+        highWorth.worth = 8;
+        settings.classes = new JobClass[] {settings.classes[0], highWorth};
         Rig rig = new Rig(settings).workers(0, 1);
-        Request hurried = rig.request(1);
-        hurried.jobClass = 1;
-        hurried.hint = 0.1;
-        rig.logic.request(rig.now, hurried);
-        rig.pass(0.1).ends(1, 0, Outcome.OK);
+        Request urgent = rig.request(1);
+        urgent.jobClass = 1;
+        urgent.hint = 0.1;
+        rig.logic.request(rig.now, urgent);
+        rig.advance(0.1).ends(1, 0, Outcome.OK);
         int taken = 0;
         for (long id = 10; id < 30; id++) {
-            taken += rig.ask(id).sends(id).size();
+            taken += rig.submit(id).sends(id).size();
         }
-        assertTrue(taken >= 1 && taken <= 3, taken + " taken: their own aim would bear 18");
+        assertTrue(taken >= 1 && taken <= 3, taken + " taken, their own aim would allow 18");
     }
 
     @Test
-    void classWithoutAChanceDoesNotShutOthersOut() {
+    void classThatCannotBeInTimeDoesNotBlockOthers() {
         Settings settings = Rig.settings(Effect.SAFE);
-        JobClass hopeless = new JobClass();
-        hopeless.aim = 0.1;
-        hopeless.worth = 8;
-        settings.classes = new JobClass[] {settings.classes[0], hopeless};
-        Rig rig = new Rig(settings).workers(0, 1).ask(1, 1).ask(2, 0);
+        JobClass tooLate = new JobClass();
+        tooLate.aim = 0.1;
+        tooLate.worth = 8;
+        settings.classes = new JobClass[] {settings.classes[0], tooLate};
+        Rig rig = new Rig(settings).workers(0, 1).submit(1, 1).submit(2, 0);
         assertEquals(1, rig.sends(2).size());
     }
 
@@ -1097,17 +1113,17 @@
     void jobOverdueToStartShowsTheWait() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.tellsStart = true;
-        Rig busy = new Rig(settings).workers(0, 1).ask(5);
+        Rig busy = new Rig(settings).workers(0, 1).submit(5);
         busy.ends(5, 0, Outcome.OK, Rig.free(4));
-        busy.ask(6).ask(7).starts(6, 0).pass(0.9);
-        int before = busy.ask(8).sends(8).size();
-        busy.pass(2);
+        busy.submit(6).submit(7).starts(6, 0).advance(0.9);
+        int before = busy.submit(8).sends(8).size();
+        busy.advance(2);
         assertEquals(1, before, "a free slot at first");
-        assertEquals("refuse", busy.ask(9).answers(9), "7 waits for 2.9 s in a slot thought free");
+        assertEquals("refuse", busy.submit(9).answers(9), "7 has waited 2.9 s for a slot assumed free");
     }
 
     @Test
-    void flappingListDoesNotLetAColdBudgetBeSpentTwice() {
+    void flappingListDoesNotLetAColdBudgetBeUsedTwice() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.dispatchers = 1;
         settings.coldShare = 0.9;
@@ -1123,34 +1139,34 @@
             }
             rig.logic.list(rig.now, ListKind.WHOLE, List.of());
         }
-        // 0.9 x (n + 2 roots of n + 2) x 0.5 = 3.6 mean jobs, n being 3 x 0.9 x 0.5 cores x 2 s.
+        // 0.9 x (n + 2 x sqrt(n) + 2) x 0.5 = 3.6 mean jobs, where n = 3 x 0.9 x 0.5 cores x 2 s.
         assertEquals(3, sent);
     }
 
-    // ---- probes, and calls that make no sense ----
+    // ---- probes and invalid calls ----
 
     @Test
-    void workersAreProbedOnlyWhereReportsComeFromProbesAndMayBeAsked() {
+    void workersAreProbedOnlyWhereConfiguredAndAllowed() {
         for (boolean may : new boolean[] {false, true}) {
             Settings settings = Rig.settings(Effect.SAFE);
             settings.reports = ReportSource.PROBES;
             settings.mayProbe = may;
-            Rig rig = new Rig(settings).workers(0, 1).ask(1).pass(5);
+            Rig rig = new Rig(settings).workers(0, 1).submit(1).advance(5);
             assertEquals(may, !rig.all("probe", 0).isEmpty());
         }
     }
 
     @Test
-    void probesFollowFromOwnTrafficNotFromTheFleet() {
+    void probesFollowOwnTrafficNotTheFleetSize() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.reports = ReportSource.PROBES;
         settings.mayProbe = true;
         long[] ids = new long[300];
         java.util.Arrays.setAll(ids, i -> i + 1);
-        Rig rig = new Rig(settings).workers(0, ids).pass(100);
+        Rig rig = new Rig(settings).workers(0, ids).advance(100);
         assertEquals(0, rig.all("probe", 0).size());
         for (long id = 1000; id < 1020; id++) {
-            rig.ask(id).pass(0.1);
+            rig.submit(id).advance(0.1);
         }
         int probes = rig.all("probe", 0).size();
         assertTrue(probes >= 20 && probes <= 200, "probes " + probes);
@@ -1161,7 +1177,7 @@
 
     @Test
     void misuseIsIgnoredOrRefused() {
-        Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1).ask(5).ask(5);
+        Rig rig = new Rig(Rig.settings(Effect.SAFE)).workers(0, 1).submit(5).submit(5);
         assertEquals(1, rig.sends(5).size());
         rig.logic.outcome(rig.now, 77, 0, 1, Outcome.OK, true, null);
         rig.logic.outcome(rig.now, 5, 3, 1, Outcome.OK, true, null);
@@ -1195,10 +1211,10 @@
         }
     }
 
-    // ---- rules that only some deployments state ----
+    // ---- rules that only some deployments set ----
 
-    /** Further attempts are rationed over two seconds. */
-    private static Settings rationed(double free, double share) {
+    /** Settings with a retry budget over two seconds. */
+    private static Settings withRetryBudget(double free, double share) {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.retryFree = free;
         settings.retryShare = share;
@@ -1206,51 +1222,51 @@
         return settings;
     }
 
-    /** caribe-booking, quiet day at 0.76 s: two further attempts where four requests taken allowed 1.2. */
+    /** Seen in caribe-booking, quiet day, at 0.76 s: two retries where four accepted requests allowed 1.2. */
     @Test
-    void furtherAttemptsStayWithinTheirBudget() {
-        Settings settings = rationed(1, 0.05);
+    void retriesStayWithinTheirBudget() {
+        Settings settings = withRetryBudget(1, 0.05);
         Rig rig = new Rig(settings).workers(0, 1, 2, 3, 4, 5, 6, 7, 8);
-        rig.ask(1).ask(2).pass(0.1).ends(1, 0, Outcome.CONNECT_FAILED).ends(2, 0, Outcome.CONNECT_FAILED);
+        rig.submit(1).submit(2).advance(0.1).ends(1, 0, Outcome.CONNECT_FAILED).ends(2, 0, Outcome.CONNECT_FAILED);
         assertEquals(2, rig.sends(1).size());
         assertEquals(1, rig.sends(2).size());
         assertEquals("refuse", rig.answers(2));
         assertEquals(rig.now, rig.all("refuse", 2).get(0).at());
-        rig.pass(2.01).ask(3).pass(0.1).ends(3, 0, Outcome.FULL);
+        rig.advance(2.01).submit(3).advance(0.1).ends(3, 0, Outcome.FULL);
         assertEquals(2, rig.sends(3).size());
     }
 
     @Test
-    void requestsTakenEarnFurtherAttempts() {
-        Settings settings = rationed(0, 0.25);
+    void acceptedRequestsEarnRetries() {
+        Settings settings = withRetryBudget(0, 0.25);
         Rig rig = new Rig(settings).workers(0, 1, 2, 3, 4, 5, 6, 7, 8);
         for (long id = 1; id <= 7; id++) {
-            rig.ask(id);
+            rig.submit(id);
         }
-        rig.pass(0.1).ends(1, 0, Outcome.ERROR).ends(2, 0, Outcome.ERROR);
+        rig.advance(0.1).ends(1, 0, Outcome.ERROR).ends(2, 0, Outcome.ERROR);
         assertEquals(2, rig.sends(1).size());
         assertEquals(1, rig.sends(2).size());
     }
 
-    /** Two requests, one before and one behind a change: each keeps the budget that it came under. */
+    /** Of two requests, one before and one after a change of settings, each keeps the budget it arrived under. */
     @Test
-    void aRequestKeepsTheBudgetThatItCameUnder() {
-        Settings settings = rationed(0, 0);
+    void requestKeepsTheRetryBudgetItArrivedUnder() {
+        Settings settings = withRetryBudget(0, 0);
         Rig rig = new Rig(settings).workers(0, 1, 2, 3, 4, 5, 6, 7, 8);
-        rig.ask(1);
+        rig.submit(1);
         settings.retryFree = 10;
         rig.logic.settingsChanged();
-        rig.ask(2).pass(0.1).ends(1, 0, Outcome.ERROR).ends(2, 0, Outcome.ERROR);
+        rig.submit(2).advance(0.1).ends(1, 0, Outcome.ERROR).ends(2, 0, Outcome.ERROR);
         assertEquals(1, rig.sends(1).size());
         assertEquals(2, rig.sends(2).size());
     }
 
-    /** tas-tiles-prod, rules-3 at 7.2 s: a request of an unsafe class was sent again after 'full'. */
+    /** Seen in tas-tiles-prod, rules-3, at 7.2 s: a request of an unsafe class was retried after an answer 'full'. */
     @Test
-    void fullIsNoProofWhereWorkersShedWhatTheyHadBegun() {
+    void fullProvesNothingWhereWorkersShedStartedJobs() {
         Settings settings = Rig.settings(Effect.UNSAFE);
         settings.fullMayHaveRun = true;
-        Rig rig = new Rig(settings).workers(0, 1, 2).ask(5).pass(0.1).ends(5, 0, Outcome.FULL);
+        Rig rig = new Rig(settings).workers(0, 1, 2).submit(5).advance(0.1).ends(5, 0, Outcome.FULL);
         assertEquals(1, rig.sends(5).size());
         assertEquals("fail", rig.answers(5));
 
@@ -1258,42 +1274,50 @@
         keyed.fullMayHaveRun = true;
         keyed.zones = 2;
         keyed.classes[0].group = Dispatch.Group.ZONE;
-        Rig zone = new Rig(keyed).workers(0, 1).workers(1, 2).ask(5).pass(0.1).ends(5, 0, Outcome.FULL);
+        Rig zone = new Rig(keyed)
+                .workers(0, 1)
+                .workers(1, 2)
+                .submit(5)
+                .advance(0.1)
+                .ends(5, 0, Outcome.FULL);
         assertEquals(1, zone.sends(5).size());
         assertEquals("fail", zone.answers(5));
     }
 
-    /** karachi-main, rough-1 at 13.3 s: an idle connection still open 0.62 s after the notice. */
+    /** Seen in karachi-main, rough-1, at 13.3 s: an idle connection was still open 0.62 s after the drain notice. */
     @Test
     void idleConnectionsAreClosedOnDrains() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.closeOnDrainWithin = 0.3;
-        Rig rig = new Rig(settings).workers(0, 1).ask(5).pass(0.1);
+        Rig rig = new Rig(settings).workers(0, 1).submit(5).advance(0.1);
         assertEquals(0, rig.all("close", 0).size());
         rig.logic.list(rig.now, ListKind.CHANGES, List.of(Rig.worker(1, 0, State.DRAINING, 0)));
         assertEquals(1, rig.all("close", 0).size());
         assertEquals(1, rig.all("close", 0).get(0).worker());
-        rig.pass(0.29);
+        rig.advance(0.29);
         assertEquals(2, rig.all("close", 0).size());
-        rig.pass(0.5).ends(5, 0, Outcome.OK);
+        rig.advance(0.5).ends(5, 0, Outcome.OK);
         assertEquals(3, rig.all("close", 0).size());
-        rig.pass(0.29);
+        rig.advance(0.29);
         assertEquals(4, rig.all("close", 0).size());
     }
 
-    /** caribe-booking, overload at 30.8 s: a cold worker sent 2.1 times what it could do, 1.5 allowed. */
+    /** Seen in caribe-booking, overload, at 30.8 s: a cold worker got 2.1 times its capacity, where 1.5 times is allowed. */
     @Test
-    void firstProgressNoteIsNotReadAsTheStart() {
-        assertTrue(coldSendsAfterRunsOf(1.5, true) * 1.5 <= Rig.fells(Rig.settings(Effect.SAFE), 0.5 * 4, 1.5));
+    void firstProgressNoteIsNotTakenForTheStart() {
+        assertTrue(coldSendsAfterRunsOf(1.5, true) * 1.5 <= Rig.overloadLimit(Rig.settings(Effect.SAFE), 0.5 * 4, 1.5));
     }
 
-    /** karachi-main, he99a4d at 16.2 s: a cold worker sent 4.1 times what it could do, 2.5 allowed. */
+    /** Seen in karachi-main, he99a4d, at 16.2 s: a cold worker got 4.1 times its capacity, where 2.5 times is allowed. */
     @Test
-    void speedIsLearnedWhereNoStartIsTold() {
-        assertTrue(coldSendsAfterRunsOf(3, false) * 3 <= Rig.fells(Rig.settings(Effect.SAFE), 0.5 * 4, 3));
+    void speedIsLearnedWhereStartsAreNotReported() {
+        assertTrue(coldSendsAfterRunsOf(3, false) * 3 <= Rig.overloadLimit(Rig.settings(Effect.SAFE), 0.5 * 4, 3));
     }
 
-    /** caribe-booking, h27b656 at 24.4 s: light hints alone fit the parts, true work was 2.5 times theirs. */
+    /**
+     * Seen in caribe-booking, h27b656, at 24.4 s: only jobs with light hints fitted into the parts of a cold budget, and
+     * their true work was 2.5 times their hints.
+     */
     @Test
     void lightHintsCountAsMeanJobsOnColdWorkers() {
         Settings settings = Rig.settings(Effect.SAFE);
@@ -1301,28 +1325,28 @@
         settings.classes[0].deadline = 100;
         Rig rig = new Rig(settings).workers(0, 1);
         for (long id = 1; id <= 20; id++) {
-            rig.ask(id).pass(1).ends(id, 0, Outcome.OK, Rig.free(4));
+            rig.submit(id).advance(1).ends(id, 0, Outcome.OK, Rig.free(4));
         }
         rig.logic.list(
                 rig.now,
                 ListKind.CHANGES,
                 List.of(Rig.worker(1, 0, State.GONE, 0), Rig.worker(2, 0, State.READY, rig.now - 10)));
-        int sent = rig.callsAtOnce(101, 141, 0.01);
+        int sent = rig.submitBurst(101, 141, 0.01);
         assertTrue(sent > 0 && sent < 40, "sent " + sent);
     }
 
-    /** All dispatchers, spread over the zones by number, ask at once: the sum of their sends stays within the limit. */
+    /** Dispatchers spread over the zones by index all send at once: the sum of their sends stays within the limit. */
     @Test
     void partsOfAColdBudgetAddUpToLessThanTheLimit() {
         for (int dispatchers : new int[] {1, 2, 4, 40, 200}) {
             int sent = 0;
-            for (int me = 0; me < dispatchers; me++) {
+            for (int index = 0; index < dispatchers; index++) {
                 Settings settings = Rig.settings(Effect.SAFE);
                 settings.classes[0].aim = 500;
                 settings.classes[0].deadline = 1000;
                 settings.zones = 4;
-                settings.zone = me % 4;
-                settings.dispatcherIndex = me;
+                settings.zone = index % 4;
+                settings.dispatcherIndex = index;
                 settings.dispatchers = dispatchers;
                 settings.fallWithin = 20;
                 settings.coldFor = 1000;
@@ -1330,24 +1354,24 @@
                 Rig rig = new Rig(settings);
                 rig.logic.list(rig.now, ListKind.CHANGES, List.of(Rig.worker(9, 1, State.READY, rig.now)));
                 for (long id = 1; id <= 30; id++) {
-                    sent += rig.ask(id).sends(id).size();
+                    sent += rig.submit(id).sends(id).size();
                 }
             }
             Settings settings = Rig.settings(Effect.SAFE);
             settings.fallWithin = 20;
-            double most = Rig.fells(settings, 0.5 * Logic.UNKNOWN_CAPACITY, 1);
+            double most = Rig.overloadLimit(settings, 0.5 * Logic.UNKNOWN_CAPACITY, 1);
             String told = dispatchers + " dispatchers sent " + sent + " of " + most;
             assertTrue(sent > 0 && sent <= 0.6 * most, told);
-            assertTrue(dispatchers > 40 || sent > 0.25 * most, "no wider a reserve than needed: " + told);
+            assertTrue(dispatchers > 40 || sent > 0.25 * most, "the unused reserve is too large: " + told);
         }
     }
 
     /**
-     * While a worker warms up its budget grows. Cut anew at each instant, parts of two sizes overlapped in one
-     * span, and all together sent more than the budget.
+     * A worker's budget grows while it warms up. When it was divided anew at every instant, parts of two sizes
+     * overlapped within one window, and all dispatchers together sent more than the budget.
      */
     @Test
-    void partsOfAColdBudgetThatGrowsAddUpToItAndNoMore() {
+    void partsOfAGrowingColdBudgetAddUpToNoMoreThanIt() {
         int dispatchers = 40;
         Settings settings = Rig.settings(Effect.SAFE);
         settings.classes[0].aim = 500;
@@ -1359,17 +1383,17 @@
         settings.fallWithin = 20;
         List<Double> sentAt = new ArrayList<>();
         double start = 0;
-        for (int me = 0; me < dispatchers; me++) {
-            settings.dispatcherIndex = me;
-            Rig rig = new Rig(settings).pass(2 * settings.fallWithin);
+        for (int index = 0; index < dispatchers; index++) {
+            settings.dispatcherIndex = index;
+            Rig rig = new Rig(settings).advance(2 * settings.fallWithin);
             start = rig.now;
             rig.logic.list(rig.now, ListKind.CHANGES, List.of(Rig.worker(9, 0, State.READY, start)));
             for (long id = 1; id <= 2000; id++) {
-                rig.ask(id);
+                rig.submit(id);
                 if (!rig.sends(id).isEmpty()) {
                     sentAt.add(rig.now);
                 }
-                rig.pass(0.05);
+                rig.advance(0.05);
             }
         }
         double used = 0;
@@ -1379,33 +1403,33 @@
             long sent = sentAt.stream()
                     .filter(at -> at > until - settings.fallWithin && at <= until)
                     .count();
-            double warmth = settings.coldShare + (1 - settings.coldShare) * (end - start) / settings.coldFor;
-            double limit = Rig.fells(settings, warmth * Logic.UNKNOWN_CAPACITY, 1);
+            double warmupFactor = settings.coldShare + (1 - settings.coldShare) * (end - start) / settings.coldFor;
+            double limit = Rig.overloadLimit(settings, warmupFactor * Logic.UNKNOWN_CAPACITY, 1);
             assertTrue(sent <= 0.9 * limit, sent + " of " + limit + " after " + (end - start));
             used += sent / limit;
             spans++;
         }
-        assertTrue(used / spans > 0.6, "no wider a reserve than needed: " + used / spans);
+        assertTrue(used / spans > 0.6, "the unused reserve is too large: " + used / spans);
     }
 
-    /** Three failed connects in a row made a zone suspect, also the only one, and idle workers were refused. */
+    /** Three failed connects in a row ejected even the only zone, and jobs were refused beside idle workers. */
     @Test
-    void whereThereIsOneZoneItsLivingWorkersAreFoundBehindDeadOnes() {
-        int deadMost = 3;
+    void inASingleZoneLiveWorkersAreFoundDespiteDeadOnes() {
+        int lastDeadWorker = 3;
         Settings settings = Rig.settings(Effect.SAFE);
         settings.maxAttempts = 5;
         for (int warmUp = 0; warmUp < 50; warmUp++) {
             Rig rig = new Rig(settings).workers(0, 1, 2, 3, 4, 5, 6);
-            // Other numbers of jobs before, other draws of the worker.
+            // The number of earlier jobs changes the random choice of workers.
             for (long id = 100; id < 100 + warmUp; id++) {
-                rig.ask(id).pass(0.01).ends(id, 0, Outcome.OK, Rig.free(2));
+                rig.submit(id).advance(0.01).ends(id, 0, Outcome.OK, Rig.free(2));
             }
             for (long id = 1; id <= 6; id++) {
-                rig.ask(id);
+                rig.submit(id);
                 int attempt = 0;
                 while (rig.sends(id).size() > attempt
-                        && rig.sends(id).get(attempt).worker() <= deadMost) {
-                    rig.pass(0.001).ends(id, attempt, Outcome.CONNECT_FAILED);
+                        && rig.sends(id).get(attempt).worker() <= lastDeadWorker) {
+                    rig.advance(0.001).ends(id, attempt, Outcome.CONNECT_FAILED);
                     attempt++;
                 }
                 assertTrue(rig.sends(id).size() > attempt, "job " + id + " behind " + warmUp + " others");
@@ -1414,7 +1438,7 @@
         }
     }
 
-    /** Jobs of 1 sent at once to a cold worker of four cores, after others that each took so long. */
+    /** Number of 1 s jobs sent at once to a cold worker of four cores, after jobs that each took {@code took}. */
     private static int coldSendsAfterRunsOf(double took, boolean progress) {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.classes[0].aim = 50;
@@ -1423,11 +1447,11 @@
         settings.coldShare = 0.5;
         Rig rig = new Rig(settings).workers(0, 1);
         for (long id = 1; id <= 20; id++) {
-            rig.ask(id).pass(1);
+            rig.submit(id).advance(1);
             if (progress) {
                 rig.progress(id, 0, 1 / took);
             }
-            rig.pass(took - 1).ends(id, 0, Outcome.OK, Rig.free(4));
+            rig.advance(took - 1).ends(id, 0, Outcome.OK, Rig.free(4));
         }
         rig.logic.list(
                 rig.now,
@@ -1443,40 +1467,40 @@
         return sent;
     }
 
-    /** id15f66: 57% of caribe's attempts ended as 'full', all dispatchers choosing by the same old reports. */
+    /** Seen in id15f66: 57% of caribe's attempts were answered 'full', as all dispatchers chose by the same old reports. */
     @Test
-    void wherePoolsAnswerFullOwnWorkDecides() {
+    void ownWorkDecidesWhereWorkersOftenAnswerFull() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.maxAttempts = 1;
         Rig rig = new Rig(settings).workers(0, 1, 2);
-        rig.ask(1).ask(2).pass(0.1).ends(1, 0, Outcome.OK, Rig.free(4)).ends(2, 0, Outcome.OK, Rig.free(4));
+        rig.submit(1).submit(2).advance(0.1).ends(1, 0, Outcome.OK, Rig.free(4)).ends(2, 0, Outcome.OK, Rig.free(4));
         int toBusy = 0;
         for (long id = 11; id <= 90; id++) {
-            rig.ask(id).pass(0.05);
+            rig.submit(id).advance(0.05);
             toBusy += id > 50 && rig.sentTo(id) == 2 ? 1 : 0;
             Dispatch.LoadReport report = Rig.free(rig.sentTo(id) == 1 ? 4 : 0);
             report.queue = rig.sentTo(id) == 1 ? 0 : 2;
-            rig.ends(id, 0, Outcome.FULL, report).pass(0.3);
+            rig.ends(id, 0, Outcome.FULL, report).advance(0.3);
         }
-        assertTrue(toBusy > 12, "sent by own work alone " + toBusy);
+        assertTrue(toBusy > 12, "sent by own work alone: " + toBusy);
     }
 
     @Test
-    void refusalSaysWhenToComeBack() {
+    void refusalStatesRetryAfter() {
         Settings settings = Rig.settings(Effect.SAFE);
         settings.retryAfter = true;
         settings.maxRetryAfter = 2;
         settings.maxAttempts = 1;
-        Rig empty = new Rig(settings).ask(4);
+        Rig empty = new Rig(settings).submit(4);
         assertEquals(2, empty.all("refuse", 4).get(0).value());
-        Rig rig = new Rig(settings).workers(0, 1).ask(5).pass(0.1).ends(5, 0, Outcome.FULL);
+        Rig rig = new Rig(settings).workers(0, 1).submit(5).advance(0.1).ends(5, 0, Outcome.FULL);
         double after = rig.all("refuse", 5).get(0).value();
         assertEquals(rig.now, rig.all("refuse", 5).get(0).at());
-        assertEquals(0.15 * (0.9 * (2 + 2) - 0.1), after, 0.01, "all full: after a part of the time left");
-        Rig room = new Rig(settings).workers(0, 1, 2).ask(7).pass(0.1).ends(7, 0, Outcome.FULL);
+        assertEquals(0.15 * (0.9 * (2 + 2) - 0.1), after, 0.01, "all full: after a fraction of the time left");
+        Rig room = new Rig(settings).workers(0, 1, 2).submit(7).advance(0.1).ends(7, 0, Outcome.FULL);
         assertEquals(settings.tick, room.all("refuse", 7).get(0).value(), 1e-9, "one has room");
         settings.retryAfter = false;
-        rig.pass(1).ask(6).ends(6, 0, Outcome.FULL);
+        rig.advance(1).submit(6).ends(6, 0, Outcome.FULL);
         assertEquals(0, rig.all("refuse", 6).get(0).value());
     }
 }
--- a/src/test/java/laneflow/decision/PropertyTest.java
+++ b/src/test/java/laneflow/decision/PropertyTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Long random days of legal events, failures and list changes, under settings of every sort, with {@link Checker}. */
+/** Long runs of random legal events, failures and list changes under random settings, checked by {@link Checker}. */
 class PropertyTest {
     private static final double LENGTH = 60;
 
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void streamsAndClosedConnectionsAreAmongTheDays() {
+    void randomDaysIncludeStreamsAndClosedConnections() {
         int streams = 0;
         long closes = 0;
         for (long seed = 1; seed < 25; seed++) {
@@ -48,32 +48,32 @@
     }
 
     @Test
-    void stateIsGivenBackWhenWorkersAndRequestsAreGone() throws ReflectiveOperationException {
-        // Past its start, when a cold worker's budget is still smaller.
-        Rig rig = new Rig(Rig.settings(Dispatch.Effect.SAFE)).pass(2);
+    void stateIsReleasedWhenWorkersAndRequestsAreGone() throws ReflectiveOperationException {
+        // Lets the time after the dispatcher's start pass, in which cold budgets are smaller.
+        Rig rig = new Rig(Rig.settings(Dispatch.Effect.SAFE)).advance(2);
         for (long i = 1; i <= 3000; i++) {
             rig.logic.list(
                     rig.now,
                     Dispatch.ListKind.CHANGES,
                     List.of(Rig.worker(i, 0, Dispatch.State.READY, i % 2 == 0 ? rig.now - 15 : 0)));
-            rig.ask(i).pass(0.5);
+            rig.submit(i).advance(0.5);
             if (i % 3 > 0) {
                 rig.ends(i, 0, i % 3 == 1 ? Dispatch.Outcome.OK : Dispatch.Outcome.FULL);
             }
             rig.logic.list(rig.now, Dispatch.ListKind.CHANGES, List.of(Rig.worker(i, 0, Dispatch.State.GONE, 0)));
             rig.actions.clear();
             if (i % 3 == 0) {
-                rig.pass(11);
+                rig.advance(11);
                 rig.logic.outcome(rig.now, i, 0, i, Dispatch.Outcome.TIMEOUT, true, null);
             }
         }
-        rig.pass(30);
+        rig.advance(30);
         rig.logic.list(rig.now, Dispatch.ListKind.CHANGES, List.of());
         assertEquals(0, size(rig.logic, "views"));
         assertEquals(0, size(rig.logic, "jobs"));
     }
 
-    private static int logged(Logic logic, String field) throws ReflectiveOperationException {
+    private static int logSize(Logic logic, String field) throws ReflectiveOperationException {
         java.lang.reflect.Field retries = Logic.class.getDeclaredField("retries");
         retries.setAccessible(true);
         java.lang.reflect.Field f = RetryPolicy.class.getDeclaredField(field);
@@ -95,15 +95,15 @@
         assertTrue(day.mostTimers < 20, "most timers at once " + day.mostTimers);
     }
 
-    /** Hundreds of workers, several quiet dispatchers and a busy one: what each does follows from its own traffic. */
+    /** With hundreds of workers, one busy and several quiet dispatchers, actions and state must depend on own traffic only. */
     @ParameterizedTest
     @ValueSource(ints = {200, 600})
     void actionsAndStateFollowOwnTrafficNotTheFleet(int fleet) throws ReflectiveOperationException {
-        for (int me = 0; me < 5; me++) {
+        for (int index = 0; index < 5; index++) {
             Dispatch.Settings settings = Rig.settings(Dispatch.Effect.SAFE);
             settings.zones = 2;
             settings.dispatchers = 300;
-            settings.dispatcherIndex = me;
+            settings.dispatcherIndex = index;
             settings.reports = Dispatch.ReportSource.PROBES;
             settings.mayProbe = true;
             settings.tellsStart = true;
@@ -114,9 +114,9 @@
                         Dispatch.ListKind.CHANGES,
                         List.of(Rig.worker(id, (int) (id % 2), Dispatch.State.READY, id % 10 == 0 ? rig.now - 1 : 0)));
             }
-            int requests = me == 0 ? 3000 : 30;
+            int requests = index == 0 ? 3000 : 30;
             for (long id = 1000; id < 1000 + requests; id++) {
-                rig.ask(id).pass(0.01);
+                rig.submit(id).advance(0.01);
                 for (int n = 0; n < rig.sends(id).size(); n++) {
                     rig.ends(id, n, n == 0 && id % 9 == 0 ? Dispatch.Outcome.FULL : Dispatch.Outcome.OK, Rig.free(2));
                 }
@@ -127,8 +127,8 @@
                 assertEquals(1, rig.sends(id).size() - (id % 9 == 0 ? 1 : 0), "each request is served once");
                 rig.actions.clear();
             }
-            rig.pass(20);
-            assertTrue(logged(rig.logic, "requestLog") < 10 && logged(rig.logic, "retryLog") < 10, "logs are pruned");
+            rig.advance(20);
+            assertTrue(logSize(rig.logic, "requestLog") < 10 && logSize(rig.logic, "retryLog") < 10, "logs are pruned");
             assertEquals(0, size(rig.logic, "jobs"));
             assertTrue(size(rig.logic, "zoneLoads") <= settings.zones, "one load estimate for each zone and kind");
         }
--- a/src/test/java/laneflow/decision/RandomDay.java
+++ b/src/test/java/laneflow/decision/RandomDay.java
@@ -17,7 +17,7 @@
 import laneflow.decision.Dispatch.State;
 import laneflow.decision.Dispatch.Worker;
 
-/** Random settings, and random legal events answered by what the module does; no model of real workers. */
+/** Drives the module with random settings and random legal events; it does not model real workers. */
 final class RandomDay implements Dispatch.Actions {
     private record Event(double at, long order, Runnable what) {}
 
@@ -34,7 +34,7 @@
     private long ids = 1;
     private double now = 10;
     private int timers;
-    private boolean hintless;
+    private boolean withoutHints;
     final Checker checker;
     final StringBuilder trace = new StringBuilder();
     int mostTimers;
@@ -94,17 +94,17 @@
             c.lateWorth = random.nextBoolean() ? 0 : 0.3;
             c.kind = random.nextInt(4) == 0 ? random.nextInt(kinds) : -1;
             c.stream = random.nextInt(4) == 0;
-            hintless |= i == 0 && random.nextInt(4) == 0;
+            withoutHints |= i == 0 && random.nextInt(4) == 0;
             settings.classes[i] = c;
         }
     }
 
     void run(double length) {
         logic.start(now);
-        whole(ListKind.CACHED);
+        fullList(ListKind.CACHED);
         double end = now + length;
         arrivals(end);
-        troubles(end);
+        listEvents(end);
         while (!events.isEmpty() && events.peek().at <= end + 15) {
             Event event = events.poll();
             now = Math.max(now, event.at);
@@ -124,10 +124,10 @@
         }
     }
 
-    private void troubles(double end) {
+    private void listEvents(double end) {
         if (now < end) {
             change();
-            at(now + 1.5 * random.nextDouble(), () -> troubles(end));
+            at(now + 1.5 * random.nextDouble(), () -> listEvents(end));
         }
     }
 
@@ -136,11 +136,11 @@
         r.id = ids++;
         r.jobClass = random.nextInt(settings.classes.length);
         r.deadline = now + settings.classes[r.jobClass].deadline * (0.2 + 0.8 * random.nextDouble());
-        r.hint = hintless || random.nextInt(5) == 0 ? Double.NaN : 0.05 + random.nextDouble();
+        r.hint = withoutHints || random.nextInt(5) == 0 ? Double.NaN : 0.05 + random.nextDouble();
         r.slots = 1 + random.nextInt(2);
         r.memory = random.nextDouble();
         hints.put(r.id, r.hint > 0 ? r.hint : 0.5);
-        checker.asked(now, r);
+        checker.requested(now, r);
         logic.request(now, r);
         if (random.nextInt(60) == 0 && !checker.isOver(r.id)) {
             checker.left(r.id);
@@ -161,7 +161,7 @@
         } else if (what == 0) {
             logic.list(now, ListKind.FAILED, List.of());
         } else if (what == 1) {
-            whole(ListKind.WHOLE);
+            fullList(ListKind.WHOLE);
         } else {
             w.state = what < 4 ? State.values()[random.nextInt(3)] : State.READY;
             if (what == 4 && w.startedAt < now - 1) {
@@ -172,8 +172,8 @@
         }
     }
 
-    /** A whole list leaves out what is gone. */
-    private void whole(ListKind kind) {
+    /** Sends a full list, which omits workers that are gone. */
+    private void fullList(ListKind kind) {
         List<Worker> there = new ArrayList<>();
         for (Worker w : workers) {
             checker.listed(now, w);
@@ -220,7 +220,7 @@
         checker.sent(now, id, worker);
         int attempt = attempts.merge(id, 1, Integer::sum) - 1;
         if (attempt != number) {
-            throw new AssertionError("attempt " + attempt + " is told as " + number);
+            throw new AssertionError("attempt " + attempt + " is numbered " + number);
         }
         out.add(new long[] {id, attempt});
         double took = random.nextInt(6) == 0 ? 30 : 0.01 + hints.get(id) * (0.7 + 0.6 * random.nextDouble());
--- a/src/test/java/laneflow/decision/RefusalReasonTest.java
+++ b/src/test/java/laneflow/decision/RefusalReasonTest.java
@@ -12,7 +12,7 @@
 import laneflow.decision.Refusal.Reason;
 import org.junit.jupiter.api.Test;
 
-/** That a request which is turned away is told with the check that it did not pass. */
+/** A refused request is reported with the check that it did not pass. */
 class RefusalReasonTest {
     private static Settings shortAim() {
         Settings settings = Rig.settings(Effect.SAFE);
@@ -26,15 +26,15 @@
     }
 
     @Test
-    void nobodyRunsTheClass() {
-        assertEquals(Reason.NO_ENDPOINT, reason(new Rig(shortAim()).ask(5), 5));
+    void noEndpointRunsTheClass() {
+        assertEquals(Reason.NO_ENDPOINT, reason(new Rig(shortAim()).submit(5), 5));
     }
 
     @Test
     void ownRequestsFillTheSlotsKnown() {
         Rig rig = new Rig(shortAim()).workers(0, 1);
         rig.logic.probed(rig.now, 1, 0, Outcome.OK, Rig.free(1));
-        rig.ask(5).ask(6);
+        rig.submit(5).submit(6);
         assertEquals(Reason.OWN_LOAD, reason(rig, 6));
         Refusal told = rig.refusals.get(6L);
         assertEquals(1, told.worker());
@@ -51,65 +51,67 @@
         for (int i = 0; i < 40; i++) {
             rig.logic.probed(rig.now, 1, 0, Outcome.OK, Rig.free(0));
         }
-        assertEquals(Reason.OTHERS_LOAD, reason(rig.ask(5), 5));
+        assertEquals(Reason.OTHERS_LOAD, reason(rig.submit(5), 5));
         assertTrue(rig.refusals.get(5L).otherSlots() > 1, rig.refusals.toString());
     }
 
     @Test
     void noEndpointCouldEndItInTime() {
-        Rig rig = new Rig(shortAim()).workers(0, 1).askHinted(5, 3);
+        Rig rig = new Rig(shortAim()).workers(0, 1).submitHinted(5, 3);
         assertEquals(Reason.TOO_LONG, reason(rig, 5));
     }
 
     @Test
-    void startsAreLateForNoReasonThatIsKnown() {
+    void startsAreLaterThanTheLoadExplains() {
         Settings settings = shortAim();
         settings.tellsStart = true;
         Rig rig = new Rig(settings).workers(0, 1);
         rig.logic.probed(rig.now, 1, 0, Outcome.OK, Rig.free(4));
-        rig.ask(5).pass(1.5).ask(6);
+        rig.submit(5).advance(1.5).submit(6);
         assertEquals(Reason.LATE_STARTS, reason(rig, 6));
     }
 
     @Test
-    void anEndpointHasJustDeclined() {
+    void endpointHasJustDeclined() {
         Rig rig = new Rig(shortAim())
                 .workers(0, 1)
-                .ask(5)
+                .submit(5)
                 .ends(5, 0, Outcome.FULL)
-                .ask(6);
+                .submit(6);
         assertEquals(Reason.TRIED, reason(rig, 5));
         assertEquals(Reason.DECLINED, reason(rig, 6));
     }
 
     @Test
-    void anEndpointThatFailedIsLeftAlone() {
+    void failedEndpointIsEjected() {
         Rig rig = new Rig(shortAim())
                 .workers(0, 1)
-                .ask(5)
+                .submit(5)
                 .ends(5, 0, Outcome.ERROR)
-                .ask(6);
+                .submit(6);
         assertEquals(Reason.OUTLIER, reason(rig, 6));
     }
 
     @Test
-    void aColdEndpointHasHadItsShare() {
+    void slowStartBudgetIsUsedUp() {
         Rig rig = new Rig(Rig.settings(Effect.SAFE));
         rig.logic.list(rig.now, ListKind.WHOLE, List.of(Rig.worker(1, 0, State.READY, rig.now)));
         rig.logic.probed(rig.now, 1, 0, Outcome.OK, Rig.free(40));
-        rig.callsAtOnce(10, 400, 0.1);
+        rig.submitBurst(10, 400, 0.1);
         assertEquals(Reason.SLOW_START, reason(rig, 399));
     }
 
     @Test
     void whatMayHaveRunIsNotSentAgain() {
-        Rig rig = new Rig(Rig.settings(Effect.UNSAFE)).workers(0, 1, 2).ask(5).ends(5, 0, Outcome.ERROR);
+        Rig rig =
+                new Rig(Rig.settings(Effect.UNSAFE)).workers(0, 1, 2).submit(5).ends(5, 0, Outcome.ERROR);
         assertEquals(Reason.NO_RETRY, reason(rig, 5));
     }
 
     @Test
-    void theClientGivesUp() {
+    void clientDeadlineIsReached() {
         assertEquals(
-                Reason.DEADLINE, reason(new Rig(shortAim()).workers(0, 1).ask(5).pass(10), 5));
+                Reason.DEADLINE,
+                reason(new Rig(shortAim()).workers(0, 1).submit(5).advance(10), 5));
     }
 }
--- a/src/test/java/laneflow/decision/Rig.java
+++ b/src/test/java/laneflow/decision/Rig.java
@@ -15,9 +15,9 @@
 import laneflow.decision.Dispatch.State;
 import laneflow.decision.Dispatch.Worker;
 
-/** A module with its actions written down, and short words for the events that tests need. */
+/** A test harness around the module that records its actions and offers shorthand methods for events. */
 final class Rig implements Dispatch.Actions {
-    /** One action as it was asked for. */
+    /** One recorded action. */
     record Action(String what, double at, long request, long worker, double value) {}
 
     private record Timer(double at, long order, long token) {}
@@ -43,7 +43,7 @@
         logic.list(now, ListKind.CACHED, List.of());
     }
 
-    /** One zone and one class of that effect, reports in answers, generous limits. */
+    /** Settings with one zone, one class of that effect, reports in answers and generous limits. */
     static Settings settings(Effect effect) {
         Settings s = new Settings();
         JobClass c = new JobClass();
@@ -65,8 +65,8 @@
         return s;
     }
 
-    /** Work within {@code fallWithin} that fells a cold worker which has so many cores now. */
-    static double fells(Settings settings, double cores, double meanWork) {
+    /** Work within {@code fallWithin} above which a cold worker with that many cores at present is overloaded. */
+    static double overloadLimit(Settings settings, double cores, double meanWork) {
         double allowed = settings.fallMultiple * cores * settings.fallWithin / meanWork;
         return (allowed + 2 * Math.sqrt(allowed) + 2) * meanWork;
     }
@@ -103,29 +103,29 @@
         return r;
     }
 
-    Rig ask(long id) {
+    Rig submit(long id) {
         logic.request(now, request(id));
         return this;
     }
 
-    /** A job of that cost hint. */
-    Rig askHinted(long id, double hint) {
+    /** Submits a job with that cost hint. */
+    Rig submitHinted(long id, double hint) {
         Request r = request(id);
         r.hint = hint;
         logic.request(now, r);
         return this;
     }
 
-    /** Asks at once for jobs of these numbers, the last one left out, and that cost hint; how many calls went out. */
-    int callsAtOnce(long from, long to, double hint) {
+    /** Submits jobs {@code from} to {@code to} (exclusive) with that cost hint at once; returns the number of sends. */
+    int submitBurst(long from, long to, double hint) {
         int sent = 0;
         for (long id = from; id < to; id++) {
-            sent += askHinted(id, hint).sends(id).size();
+            sent += submitHinted(id, hint).sends(id).size();
         }
         return sent;
     }
 
-    Rig ask(long id, int jobClass) {
+    Rig submit(long id, int jobClass) {
         Request r = request(id);
         r.jobClass = jobClass;
         logic.request(now, r);
@@ -157,8 +157,8 @@
         return report;
     }
 
-    /** Lets time pass, with the timers that run out on the way. */
-    Rig pass(double seconds) {
+    /** Advances the clock and fires the timers that expire on the way. */
+    Rig advance(double seconds) {
         double until = now + seconds;
         while (!timers.isEmpty() && timers.peek().at <= until) {
             Timer timer = timers.poll();
--- a/src/test/java/laneflow/decision/RunTimeTest.java
+++ b/src/test/java/laneflow/decision/RunTimeTest.java
@@ -10,26 +10,26 @@
 import laneflow.decision.Dispatch.State;
 import org.junit.jupiter.api.Test;
 
-/** How long jobs are held to have run where their starts are not told. */
+/** Estimated running times of jobs whose starts are not reported. */
 class RunTimeTest {
     private static final double HINT = 0.2;
 
-    /** What a cold endpoint is sent at once where reports told of others' jobs, and the own ones took so long each. */
+    /** Number of jobs a cold endpoint gets at once after reports of {@code told} free slots and jobs that took {@code took}. */
     private static int coldSends(double told, double took) {
         Settings settings = Rig.settings(Effect.SAFE);
         Rig rig = new Rig(settings).workers(0, 1);
         rig.logic.probed(rig.now, 1, 0, Outcome.OK, Rig.free(2));
         for (long id = 10; id < 40; id++) {
             rig.logic.probed(rig.now, 1, 0, Outcome.OK, Rig.free(told));
-            rig.askHinted(id, HINT).pass(took).ends(id, 0, Outcome.OK);
+            rig.submitHinted(id, HINT).advance(took).ends(id, 0, Outcome.OK);
         }
         rig.logic.list(rig.now, ListKind.WHOLE, List.of(Rig.worker(2, 0, State.READY, rig.now)));
-        return rig.callsAtOnce(100, 200, HINT);
+        return rig.submitBurst(100, 200, HINT);
     }
 
     @Test
-    void aJobThatEndedSoonerThanForeseenDidNotRunInNoTime() {
+    void jobThatEndedEarlierThanExpectedDidNotRunInNoTime() {
         int sent = coldSends(2, HINT);
-        assertEquals(sent, coldSends(0, HINT), "a wait was foreseen and none was there");
+        assertEquals(sent, coldSends(0, HINT), "a wait was expected but did not occur");
     }
 }
--- a/src/test/java/laneflow/decision/SharesTest.java
+++ b/src/test/java/laneflow/decision/SharesTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What one dispatcher takes for beyond a tenant's share, against requests that come by chance at known rates. */
+/** Which requests one dispatcher counts as beyond a tenant's share, for random arrivals at known rates. */
 class SharesTest {
     private static final double OVER = 0.1;
     private static final double SECONDS = 120;
@@ -33,7 +33,7 @@
         return settings;
     }
 
-    /** Requests within the share a second, of each tenant, where they come at these rates. */
+    /** Requests per second within the share, for each tenant, given arrivals at these rates. */
     private static double[] within(Settings settings, double... rates) {
         Shares shares = new Shares(settings);
         Random random = new Random(5);
@@ -55,7 +55,7 @@
 
     @ParameterizedTest
     @CsvSource({"1, 20", "10, 20", "100, 200", "100, 40"})
-    void whoAsksForTenTimesHasItsShareAndTakesNobodyElses(int dispatchers, double quota) {
+    void tenantSendingTenTimesItsShareGetsItAndNoOneElses(int dispatchers, double quota) {
         double even = quota / dispatchers;
         double[] within = within(settings(dispatchers, quota, quota), 10 * even, 0.9 * even);
         assertEquals(even, within[0], 0.15 * even + 5 / SECONDS);
@@ -63,12 +63,12 @@
     }
 
     @Test
-    void oneThatHasMostOfTheQuotaIsHeldToItAsWell() {
+    void tenantWithMostOfTheQuotaIsLimitedToo() {
         assertEquals(8, within(settings(10, 80, 20), 80, 2)[0], 1);
     }
 
     @Test
-    void aBusyDispatcherTakesNobodyForGreedy() {
+    void busyDispatcherLimitsNoTenantWithinItsQuota() {
         double[] within = within(settings(20, 40, 100, 60), 3 * 2 * 0.9, 3 * 5 * 0.9, 3 * 3 * 0.9);
         assertEquals(3 * 2 * 0.9, within[0], 0.6);
         assertEquals(3 * 5 * 0.9, within[1], 1.2);
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void twoGreedyOnesOfThreeDoNotHideEachOther() {
+    void twoExcessiveTenantsOfFourDoNotHideEachOther() {
         double[] within = within(settings(10, 50, 50, 50, 50), 50, 50, 4, 4);
         assertEquals(5, within[0], 0.8);
         assertEquals(5, within[1], 0.8);
@@ -84,13 +84,13 @@
     }
 
     @Test
-    void requestsThatComeByChanceAtTheQuotaAreSeldomBeyondIt() {
+    void randomArrivalsAtTheQuotaSeldomExceedIt() {
         double[] within = within(settings(10, 50, 50), 4.5, 4.5);
         assertTrue(within[0] > 0.97 * 4.5 - 0.3 && within[1] > 0.97 * 4.5 - 0.3, within[0] + " " + within[1]);
     }
 
     @Test
-    void whereNothingIsPricedOrKnownNothingIsBeyondAShare() {
+    void nothingExceedsAShareWhereNoneIsConfigured() {
         Settings free = settings(10, 1, 1);
         free.overShareWorth = 1;
         Settings bare = settings(10);
@@ -109,17 +109,17 @@
     }
 
     @Test
-    void inOneInstantATenantHasTheDepthOfItsShareAndNoMore() {
+    void burstIsLimitedToTheBucketDepth() {
         Shares shares = new Shares(settings(10, 50, 50));
         int within = 0;
         for (int i = 0; i < 100; i++) {
             within += shares.worth(0, 7) == 1 ? 1 : 0;
         }
-        // 2 s of 5 a second, and 3 x root of 10.
+        // 2 s of 5 requests per second, and 3 x sqrt(10).
         assertEquals(19, within);
     }
 
-    /** Whatever comes: the answer is one of two, and what is let through is what the widest share allows. */
+    /** For any arrivals the worth is one of two values, and no more is within the shares than the widest ones allow. */
     @Property(tries = 200, seed = "7", edgeCases = EdgeCasesMode.NONE)
     void neverMoreThanTheWidestShare(
             @ForAll @IntRange(min = 1, max = 100) int dispatchers,
--- a/src/test/java/laneflow/decision/UnseenSlotTest.java
+++ b/src/test/java/laneflow/decision/UnseenSlotTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An endpoint has four slots, and each of its reports counts the job that brought it, so that no more than three are
- * ever told free. With three long jobs there, short ones are refused for as long as these run, beside an idle slot.
+ * An endpoint has four slots, and each of its reports counts the job that brought it, so at most three are ever reported
+ * free. While three long jobs run there, short ones are refused although a slot is idle.
  */
 class UnseenSlotTest {
     @Test
@@ -19,17 +19,17 @@
         settings.classes[0].aim = 1;
         settings.classes[0].deadline = 120;
         Rig rig = new Rig(settings).workers(0, 1);
-        rig.askHinted(10, 0.005).starts(10, 0).pass(0.005).ends(10, 0, Outcome.OK, Rig.free(3));
+        rig.submitHinted(10, 0.005).starts(10, 0).advance(0.005).ends(10, 0, Outcome.OK, Rig.free(3));
         for (long id = 1; id <= 3; id++) {
-            rig.pass(1).askHinted(id, 100).starts(id, 0);
+            rig.advance(1).submitHinted(id, 100).starts(id, 0);
         }
         int refused = 0;
         for (long id = 20; id < 220; id++) {
-            rig.pass(0.1).askHinted(id, 0.005);
+            rig.advance(0.1).submitHinted(id, 0.005);
             if (rig.sends(id).isEmpty()) {
                 refused++;
             } else {
-                rig.starts(id, 0).pass(0.005).ends(id, 0, Outcome.OK, Rig.free(0));
+                rig.starts(id, 0).advance(0.005).ends(id, 0, Outcome.OK, Rig.free(0));
             }
         }
         assertTrue(refused <= 10, refused + " of 200 short jobs refused in 20 s beside an idle slot");
