--- a/src/main/java/laneflow/decision/Dispatch.java
+++ b/src/main/java/laneflow/decision/Dispatch.java
@@ -133,8 +133,8 @@
     }
 
     /**
-     * A dispatcher's configuration. Defaults are the conservative choice for an absent key. Not every field is
-     * used: {@link Logic} reads neither {@code secondCopies} nor {@code drainGrace}.
+     * A dispatcher's configuration. Defaults are the conservative choice for an absent key.
+     * {@link Logic} reads neither {@code secondCopies} nor {@code drainGrace}.
      */
     final class Settings {
         public int zone;
@@ -164,9 +164,13 @@
         public boolean headOfLineBlocking;
 
         public double drainGrace;
+        /** Fraction of its capacity that a worker has at its start; it has all of it after {@code coldFor} seconds. */
         public double coldShare = 1;
+
         public double coldFor;
+        /** Work within {@code fallWithin} seconds that overloads a cold worker, as a multiple of its capacity. */
         public double fallMultiple = 1;
+
         public double fallWithin;
         /** The outcome {@link Outcome#FULL} proves nothing: a worker may shed work that it had begun. */
         public boolean fullMayHaveRun;
--- a/src/main/java/laneflow/decision/KindEstimates.java
+++ b/src/main/java/laneflow/decision/KindEstimates.java
@@ -47,14 +47,14 @@
         assumed -= assumed / WorkerView.SPEED_MEMORY_JOBS;
     }
 
-    void recordWait(double wait, double foreseen, double now) {
+    void recordWait(double wait, double expected, double now) {
         meanObservedWait += Logic.WAIT_MEAN_GAIN * (wait - meanObservedWait);
-        meanExpectedWait += Logic.WAIT_MEAN_GAIN * (foreseen - meanExpectedWait);
+        meanExpectedWait += Logic.WAIT_MEAN_GAIN * (expected - meanExpectedWait);
         waitedAt = now;
     }
 
     void recordThroughput(double free, double served) {
-        double gain = meanWorkRate > 0 ? WorkerView.OTHERS_GAIN : 1;
+        double gain = meanWorkRate > 0 ? WorkerView.MEAN_GAIN : 1;
         meanFreeSlots += gain * (free - meanFreeSlots);
         meanWorkRate += gain * (served - meanWorkRate);
     }
--- a/src/main/java/laneflow/decision/Logic.java
+++ b/src/main/java/laneflow/decision/Logic.java
@@ -34,8 +34,8 @@
     /** Assumed minimum of queued jobs per slot of a worker that answers 'full'. */
     private static final double FULL_QUEUE_PER_SLOT = 1;
 
-    private static final double PROBE_INTERVAL =
-            0.5; // Seconds after a report or probe during which a worker is not probed.
+    /** Seconds after a report or probe during which a worker is not probed. */
+    private static final double PROBE_INTERVAL = 0.5;
     /** Longest time in seconds that a job waits for reports: about a probe's round trip and some ticks. */
     private static final double REPORT_WAIT = 0.01;
 
@@ -461,19 +461,20 @@
      * yield. A job may wait as long as others of equal worth, or light jobs would starve.
      */
     private double maxWait(Job job, double left, double slotTime) {
-        double timeLeft = left;
+        double longestWait = left;
         double most = left;
         for (int i = 0; i < meanSlack.length; i++) {
             JobClass other = settings.classes[i];
             double worth = other.worth;
             if (worth == job.worth && other != job.type && meanSlack[i] < Double.POSITIVE_INFINITY) {
-                timeLeft = Math.max(timeLeft, meanSlack[i]);
+                longestWait = Math.max(longestWait, meanSlack[i]);
             }
             if (worth >= job.worth && job.type.kind < 0) {
                 most = Math.min(most, worth > job.worth ? meanSlack[i] : OWN_SLACK_FACTOR * meanSlack[i]);
             }
         }
-        return Math.min(most, Math.max(waitShare(job) * timeLeft, Math.min(timeLeft, SLOT_WAIT_SHARE * slotTime)));
+        return Math.min(
+                most, Math.max(waitShare(job) * longestWait, Math.min(longestWait, SLOT_WAIT_SHARE * slotTime)));
     }
 
     /** Jobs that can't be in time even if started at once don't count: no wait of others is short enough for them. */
@@ -642,7 +643,7 @@
 
     private void recordOutcome(WorkerView view, Outcome outcome) {
         Pool pool = pools[view.zone];
-        pool.fullShare += WorkerView.OTHERS_GAIN * ((outcome == Outcome.FULL ? 1 : 0) - pool.fullShare);
+        pool.fullShare += WorkerView.MEAN_GAIN * ((outcome == Outcome.FULL ? 1 : 0) - pool.fullShare);
         if (outcome == Outcome.OK || outcome == Outcome.FULL) {
             view.fullUntil = outcome == Outcome.FULL ? now + view.kindEstimates.fullSeconds() : view.fullUntil;
             if (outcome == Outcome.FULL && !view.kindEstimates.reportsQueue) {
@@ -862,9 +863,10 @@
         attempt.job.outstanding--;
         WorkerView view = attempt.view;
         view.remove(attempt);
-        boolean told = !Double.isNaN(attempt.startedAt);
-        if (outcome == Outcome.OK && (told || !settings.tellsStart) && now >= view.warmAt) {
-            double took = told ? Math.min(now, attempt.answeredAt) - attempt.startedAt : times.runTime(attempt, now);
+        boolean startReported = !Double.isNaN(attempt.startedAt);
+        if (outcome == Outcome.OK && (startReported || !settings.tellsStart) && now >= view.warmAt) {
+            double took =
+                    startReported ? Math.min(now, attempt.answeredAt) - attempt.startedAt : times.runTime(attempt, now);
             view.kindEstimates.recordRun(attempt.job.hint, took);
             view.recordRun(attempt.job.hint, took);
         }
--- a/src/main/java/laneflow/decision/TimeEstimates.java
+++ b/src/main/java/laneflow/decision/TimeEstimates.java
@@ -47,7 +47,7 @@
      */
     double runTime(Attempt attempt, double now) {
         double elapsed = Math.min(now, attempt.answeredAt) - attempt.sentAt;
-        double foreseenRun = attempt.job.hint / attempt.view.speed(now);
-        return Math.min(elapsed, Math.max(elapsed - attempt.expectedWait, foreseenRun));
+        double expectedRun = attempt.job.hint / attempt.view.speed(now);
+        return Math.min(elapsed, Math.max(elapsed - attempt.expectedWait, expectedRun));
     }
 }
--- a/src/main/java/laneflow/decision/WorkerView.java
+++ b/src/main/java/laneflow/decision/WorkerView.java
@@ -13,17 +13,18 @@
     /** Seconds after which a load report has lost half its weight and its free memory is no longer used. */
     static final double REPORT_HALF_LIFE = 1;
     /** Seconds added to a report's age, as it was taken before it arrived. */
-    static final double REPORT_STALE = 0.5;
+    static final double REPORT_EXTRA_AGE = 0.5;
 
-    static final double MAX_REPORTED_JOBS =
-            4096; // Largest credible number of slots or waiting jobs, or jobs per second.
+    /** Largest credible number of slots, waiting jobs, or jobs per second in a report. */
+    static final double MAX_REPORTED_JOBS = 4096;
     /** Seconds that a report may take to arrive: it may or may not count jobs sent more recently than that. */
     static final double REPORT_LAG = 0.2;
 
-    static final double OTHERS_GAIN = 0.1; // Weight of a new value in a moving average.
+    static final double MEAN_GAIN = 0.1; // Weight of a new value in a moving average.
     static final double WAIT_GAIN = 0.25; // Weight of one late start in the extra wait.
-    static final double OVERDUE_REMAINDER =
-            0.5; // Minimum remaining work as a fraction of the work done: long jobs tend to go on.
+    /** Minimum remaining work of a job as a fraction of the work done: overdue jobs tend to go on. */
+    static final double OVERDUE_REMAINDER = 0.5;
+
     /** Jobs after which an observation has lost about two thirds of its weight in a learned speed. */
     static final double SPEED_MEMORY_JOBS = 20;
 
@@ -159,7 +160,7 @@
         }
         double before = zoneMeanSlots(now);
         before += (othersMean - before) / (1 + (now - reportAt) / MEAN_HALF_LIFE);
-        othersMean = before + OTHERS_GAIN * (there - before);
+        othersMean = before + MEAN_GAIN * (there - before);
         othersInReport = there;
         reportAt = now;
     }
@@ -180,7 +181,7 @@
         double age = now - reportAt;
         return mean
                 + (othersMean - mean) / (1 + age / MEAN_HALF_LIFE)
-                + (othersInReport - othersMean) / (1 + (age + REPORT_STALE) / REPORT_HALF_LIFE);
+                + (othersInReport - othersMean) / (1 + (age + REPORT_EXTRA_AGE) / REPORT_HALF_LIFE);
     }
 
     /** Remaining work of this dispatcher's jobs here. */
--- a/src/main/java/laneflow/decision/ZoneLoad.java
+++ b/src/main/java/laneflow/decision/ZoneLoad.java
@@ -9,7 +9,7 @@
 
     void update(double slotsTaken, double now) {
         boolean first = reportedAt == Double.NEGATIVE_INFINITY;
-        load = first ? slotsTaken : load + WorkerView.OTHERS_GAIN * (slotsTaken - load);
+        load = first ? slotsTaken : load + WorkerView.MEAN_GAIN * (slotsTaken - load);
         reportedAt = now;
     }
 }
--- a/src/test/java/laneflow/decision/ColdFleet.java
+++ b/src/test/java/laneflow/decision/ColdFleet.java
@@ -23,7 +23,7 @@
     /** Time in seconds at which the cold workers start; schedulers learn from warm ones before it. */
     private static final double START = 1000;
     /** Aim in seconds of the jobs, so long that only the cold budget limits what is sent. */
-    private static final double PATIENT = 1000;
+    private static final double LONG_AIM = 1000;
     /** Seconds from a send to an answer 'full'. */
     private static final double FULL_AFTER = 0.005;
 
@@ -131,8 +131,8 @@
             } else {
                 process = new Process(this, START - 500);
                 process.learn(drawn.warmJobs);
-                double told = START + drawn.listDelay * random.nextDouble();
-                at(told, () -> begin(process, false));
+                double listedAt = START + drawn.listDelay * random.nextDouble();
+                at(listedAt, () -> begin(process, false));
             }
             if (!isNew && random.nextDouble() < drawn.restartedShare) {
                 double at = START + drawn.restartAt + drawn.restartWithin * random.nextDouble();
@@ -179,8 +179,8 @@
 
         private Settings settings(int index) {
             Settings s = Rig.settings(Effect.SAFE);
-            s.classes[0].aim = PATIENT;
-            s.classes[0].deadline = 2 * PATIENT;
+            s.classes[0].aim = LONG_AIM;
+            s.classes[0].deadline = 2 * LONG_AIM;
             s.zones = drawn.zones;
             s.zone = drawn.zoneOf(index);
             s.dispatcherIndex = index;
@@ -220,7 +220,7 @@
         private Request request(long id, double work, int slots, double at) {
             Request r = new Request();
             r.id = id;
-            r.deadline = at + 2 * PATIENT;
+            r.deadline = at + 2 * LONG_AIM;
             r.hint = drawn.hint(work, random);
             r.slots = slots;
             return r;
--- a/src/test/java/laneflow/decision/GuardTest.java
+++ b/src/test/java/laneflow/decision/GuardTest.java
@@ -465,11 +465,11 @@
         assertEquals("refuse", rig.submit(2).answers(2), "its one slot is taken");
         rig.logic.note(rig.now, 1, 0, 1, Dispatch.Note.ANSWERING, 0);
         assertEquals(1, rig.submit(3).sentTo(3));
-        // Where workers report progress, the first bytes may belong to a progress line and end nothing.
+        // Where workers report progress, the first bytes may be a progress line and do not end the job.
         settings.progressInterval = 1;
-        Rig told = new Rig(settings).workers(0, 1).submit(1).starts(1, 0);
-        told.logic.note(told.now, 1, 0, 1, Dispatch.Note.ANSWERING, 0);
-        assertEquals("refuse", told.submit(2).answers(2));
+        Rig withProgress = new Rig(settings).workers(0, 1).submit(1).starts(1, 0);
+        withProgress.logic.note(withProgress.now, 1, 0, 1, Dispatch.Note.ANSWERING, 0);
+        assertEquals("refuse", withProgress.submit(2).answers(2));
     }
 
     @Test
@@ -480,13 +480,13 @@
         Dispatch.LoadReport busy = Rig.free(0);
         busy.queue = 1;
         Rig withoutRate = new Rig(settings).workers(0, 1);
-        Rig told = new Rig(settings).workers(0, 1);
+        Rig withRate = new Rig(settings).workers(0, 1);
         withoutRate.submitHinted(5, 0.5).ends(5, 0, Outcome.OK, busy).advance(0.01);
         busy.rate = 8;
-        told.submitHinted(5, 0.5).ends(5, 0, Outcome.OK, busy).advance(0.01);
+        withRate.submitHinted(5, 0.5).ends(5, 0, Outcome.OK, busy).advance(0.01);
         assertEquals(
                 "refuse", withoutRate.submitHinted(6, 0.5).answers(6), "one slot is assumed, with one job waiting");
-        assertEquals(1, told.submitHinted(6, 0.5).sentTo(6), "eight jobs of half a second per second: four slots");
+        assertEquals(1, withRate.submitHinted(6, 0.5).sentTo(6), "eight jobs of half a second per second: four slots");
     }
 
     @Test
@@ -550,8 +550,8 @@
 
     @Test
     void observedWaitsScaleExpectedWaits() {
-        Rig asForeseen = pairs(0).submit(100).starts(100, 0).submit(101);
-        assertEquals(1, asForeseen.sends(101).size(), "it starts when the first has ended, as expected");
+        Rig asExpected = pairs(0).submit(100).starts(100, 0).submit(101);
+        assertEquals(1, asExpected.sends(101).size(), "it starts when the first has ended, as expected");
         Rig later = pairs(3).submit(100).starts(100, 0).submit(101);
         assertEquals(0, later.sends(101).size(), "jobs always start 3 s later than expected");
     }
@@ -833,12 +833,12 @@
         rig.logic.probed(rig.now, 1, 0, Outcome.OK, Rig.free(1));
         rig.submit(5).ends(5, 0, Outcome.FULL).advance(0.4);
         assertEquals("refuse", rig.submit(6).answers(6), "its queue was full a moment ago");
-        Rig told = new Rig(settings).workers(0, 1);
+        Rig withQueue = new Rig(settings).workers(0, 1);
         Dispatch.LoadReport idle = Rig.free(1);
         idle.queue = 0;
-        told.logic.probed(told.now, 1, 0, Outcome.OK, idle);
-        told.submit(5).ends(5, 0, Outcome.FULL).advance(0.4);
-        assertEquals(1, told.submit(6).sentTo(6), "the report states the queue");
+        withQueue.logic.probed(withQueue.now, 1, 0, Outcome.OK, idle);
+        withQueue.submit(5).ends(5, 0, Outcome.FULL).advance(0.4);
+        assertEquals(1, withQueue.submit(6).sentTo(6), "the report states the queue");
     }
 
     @Test
@@ -1360,9 +1360,9 @@
             Settings settings = Rig.settings(Effect.SAFE);
             settings.fallWithin = 20;
             double most = Rig.overloadLimit(settings, 0.5 * Logic.UNKNOWN_CAPACITY, 1);
-            String told = dispatchers + " dispatchers sent " + sent + " of " + most;
-            assertTrue(sent > 0 && sent <= 0.6 * most, told);
-            assertTrue(dispatchers > 40 || sent > 0.25 * most, "the unused reserve is too large: " + told);
+            String message = dispatchers + " dispatchers sent " + sent + " of " + most;
+            assertTrue(sent > 0 && sent <= 0.6 * most, message);
+            assertTrue(dispatchers > 40 || sent > 0.25 * most, "the unused reserve is too large: " + message);
         }
     }
 
--- a/src/test/java/laneflow/decision/RefusalReasonTest.java
+++ b/src/test/java/laneflow/decision/RefusalReasonTest.java
@@ -36,12 +36,12 @@
         rig.logic.probed(rig.now, 1, 0, Outcome.OK, Rig.free(1));
         rig.submit(5).submit(6);
         assertEquals(Reason.OWN_LOAD, reason(rig, 6));
-        Refusal told = rig.refusals.get(6L);
-        assertEquals(1, told.worker());
-        assertEquals(1, told.ownSlots());
-        assertEquals(1, told.slots());
-        assertEquals(0, told.reportAge());
-        assertTrue(told.foreseenWait() > told.mostWait(), told.toString());
+        Refusal refusal = rig.refusals.get(6L);
+        assertEquals(1, refusal.worker());
+        assertEquals(1, refusal.ownSlots());
+        assertEquals(1, refusal.slots());
+        assertEquals(0, refusal.reportAge());
+        assertTrue(refusal.foreseenWait() > refusal.mostWait(), refusal.toString());
     }
 
     @Test
--- a/src/test/java/laneflow/decision/SlowStartFleetTest.java
+++ b/src/test/java/laneflow/decision/SlowStartFleetTest.java
@@ -80,14 +80,14 @@
 
     private static void assertNoneOver(List<Result> results) {
         List<Result> over = results.stream().filter(one -> one.maxLoadRatio > 1).toList();
-        StringBuilder told = new StringBuilder();
-        over.forEach(one -> told.append('\n')
+        StringBuilder message = new StringBuilder();
+        over.forEach(one -> message.append('\n')
                 .append(one.maxLoadRatio)
                 .append(" at ")
                 .append(one.at)
                 .append(": ")
                 .append(one.drawn));
-        assertTrue(over.isEmpty(), over.size() + " of " + results.size() + " go over:" + told);
+        assertTrue(over.isEmpty(), over.size() + " of " + results.size() + " go over:" + message);
     }
 
     @Test
