--- a/src/main/java/laneflow/decision/Job.java
+++ b/src/main/java/laneflow/decision/Job.java
@@ -54,7 +54,7 @@
     int attempts;
     int outstanding;
 
-    Job open(Request request, Settings settings, Shares shares, double now, double deadline, double work) {
+    Job open(Request request, Settings settings, TenantShares shares, double now, double deadline, double work) {
         id = request.id;
         type = settings.classes[request.jobClass];
         classBit = 1L << request.jobClass;
--- a/src/main/java/laneflow/decision/Logic.java
+++ b/src/main/java/laneflow/decision/Logic.java
@@ -76,7 +76,7 @@
     private int listRound;
     private boolean resubscribePending;
     private double highestWorth;
-    private final Shares shares;
+    private final TenantShares shares;
     private final double[] meanSlack; // Mean time that each class's jobs can wait and still be in time.
     private double now = Double.NEGATIVE_INFINITY;
 
@@ -99,7 +99,7 @@
         outliers = new OutlierDetection(settings, random);
         pools = new Pool[settings.zones + 1];
         Arrays.setAll(pools, zone -> new Pool(random.nextInt()));
-        shares = new Shares(settings);
+        shares = new TenantShares(settings);
         meanSlack = new double[settings.classes.length];
         Arrays.fill(meanSlack, Double.POSITIVE_INFINITY);
         settingsChanged();
--- a/src/main/java/laneflow/decision/Shares.java
+++ b/src/main/java/laneflow/decision/TenantShares.java
@@ -14,7 +14,7 @@
  * share's rate, and its depth is the count that random arrivals may reach in {@link #BURST_SECONDS}. Requests
  * beyond the share take nothing from it.
  */
-final class Shares {
+final class TenantShares {
     /** Time constant in seconds of a tenant's rate: by then a request has lost about two thirds of its weight. */
     private static final double RATE_MEMORY = 10;
     /** Seconds' worth of its share that a tenant may use at once. */
@@ -40,7 +40,7 @@
     private double orderedAt = Double.NEGATIVE_INFINITY;
     private double firstAt = Double.NaN;
 
-    Shares(Settings settings) {
+    TenantShares(Settings settings) {
         // Nothing is counted if excess requests keep their full worth, or if there is only one tenant.
         boolean priced = settings.overShareWorth < 1 && settings.tenants.length > 1;
         tenants = priced ? settings.tenants : new Tenant[0];
--- a/src/test/java/laneflow/decision/PropertyTest.java
+++ b/src/test/java/laneflow/decision/PropertyTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Long runs of random legal events, failures and list changes under random settings, checked by {@link Checker}. */
+/** Long runs of random legal events, failures and list changes under random settings, checked by {@link RuleChecker}. */
 class PropertyTest {
     private static final double LENGTH = 60;
 
--- a/src/test/java/laneflow/decision/RandomDay.java
+++ b/src/test/java/laneflow/decision/RandomDay.java
@@ -35,7 +35,7 @@
     private double now = 10;
     private int timers;
     private boolean withoutHints;
-    final Checker checker;
+    final RuleChecker checker;
     final StringBuilder trace = new StringBuilder();
     int mostTimers;
     int streams;
@@ -68,7 +68,7 @@
         classes(kinds);
         double[] capacity = new double[kinds];
         java.util.Arrays.fill(capacity, 4);
-        checker = new Checker(settings, capacity);
+        checker = new RuleChecker(settings, capacity);
         int n = random.nextInt(8) == 0 ? 1 : 2 + random.nextInt(15);
         for (int i = 0; i < n; i++) {
             Worker w = Rig.worker(1000 + i, random.nextInt(settings.zones));
--- a/src/test/java/laneflow/decision/Checker.java
+++ b/src/test/java/laneflow/decision/RuleChecker.java
@@ -14,7 +14,7 @@
  * Checks one dispatcher's actions against the rules on draining, repeated effects, final answers and cold workers,
  * and against the retry budget. It is independent of {@link Logic}.
  */
-final class Checker {
+final class RuleChecker {
     /** Assumed work in seconds of a request before any request had a hint. */
     private static final double UNHINTED_WORK = 0.5;
 
@@ -54,7 +54,7 @@
     long sends;
     long closes;
 
-    Checker(Settings settings, double[] capacityByKind) {
+    RuleChecker(Settings settings, double[] capacityByKind) {
         this.settings = settings;
         this.capacity = capacityByKind;
     }
--- a/src/test/java/laneflow/decision/SharesTest.java
+++ b/src/test/java/laneflow/decision/TenantSharesTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Which requests one dispatcher counts as beyond a tenant's share, for random arrivals at known rates. */
-class SharesTest {
+class TenantSharesTest {
     private static final double OVER = 0.1;
     private static final double SECONDS = 120;
 
@@ -35,7 +35,7 @@
 
     /** Requests per second within the share, for each tenant, given arrivals at these rates. */
     private static double[] within(Settings settings, double... rates) {
-        Shares shares = new Shares(settings);
+        TenantShares shares = new TenantShares(settings);
         Random random = new Random(5);
         double[] within = new double[rates.length];
         double all = 0;
@@ -96,12 +96,12 @@
         Settings bare = settings(10);
         Settings quotaless = settings(10, 0, 1);
         for (Settings settings : new Settings[] {free, bare, quotaless, settings(10, 1)}) {
-            Shares shares = new Shares(settings);
+            TenantShares shares = new TenantShares(settings);
             for (int i = 0; i < 1000; i++) {
                 assertEquals(1, shares.worth(0, 1));
             }
         }
-        Shares shares = new Shares(settings(10, 1, 1));
+        TenantShares shares = new TenantShares(settings(10, 1, 1));
         for (int i = 0; i < 1000; i++) {
             assertEquals(1, shares.worth(-1, 1));
             assertEquals(1, shares.worth(2, 1));
@@ -110,7 +110,7 @@
 
     @Test
     void burstIsLimitedToTheBucketDepth() {
-        Shares shares = new Shares(settings(10, 50, 50));
+        TenantShares shares = new TenantShares(settings(10, 50, 50));
         int within = 0;
         for (int i = 0; i < 100; i++) {
             within += shares.worth(0, 7) == 1 ? 1 : 0;
@@ -128,7 +128,7 @@
             @ForAll long seed) {
         double[] quotas = new double[tenants];
         java.util.Arrays.fill(quotas, quota);
-        Shares shares = new Shares(settings(dispatchers, quotas));
+        TenantShares shares = new TenantShares(settings(dispatchers, quotas));
         Random random = new Random(seed);
         double now = 3;
         int within = 0;
