--- a/src/main/java/laneflow/core/Scheduler.java
+++ b/src/main/java/laneflow/core/Scheduler.java
@@ -115,7 +115,7 @@
 
     /** Sets the share of the scheduler's work that this process does; the rest is still with its predecessor. */
     public void setShare(double share) {
-        dispatch(() -> module.share(now(), share));
+        dispatch(() -> module.budgetShare(now(), share));
     }
 
     /** Allows sending to an endpoint that was set down; a ban by the policy stays. */
@@ -223,7 +223,7 @@
      * the epoch of the requests that arrive from now on ({@link Request#epoch}).
      */
     public int settingsChanged() {
-        dispatch(module::retuned);
+        dispatch(module::settingsChanged);
         return ++epoch;
     }
 
@@ -442,7 +442,7 @@
         return !request.mayHaveRun()
                 || type.effect == Effect.SAFE
                 || type.effect == Effect.KEYED
-                        && clock.currentMicros() < request.firstMayHaveRunAt() + (long) (type.window * 1e6);
+                        && clock.currentMicros() < request.firstMayHaveRunAt() + (long) (type.dedupWindow * 1e6);
     }
 
     /** The endpoint has started the job. */
@@ -679,7 +679,7 @@
         }
 
         @Override
-        public void turnedAway(long id, Refusal refusal) {
+        public void explainRefusal(long id, Refusal refusal) {
             counters.add("turned_away." + refusal.reason().name().toLowerCase(Locale.ROOT));
             Request request = requests.get(id);
             if (LOG.isDebugEnabled() && request != null) {
--- a/src/test/java/laneflow/core/FleetRules.java
+++ b/src/test/java/laneflow/core/FleetRules.java
@@ -90,7 +90,7 @@
     private static boolean mayRepeat(JobClass type, SentAttempt earlier, SentAttempt later, long now) {
         return type.effect == Effect.SAFE
                 || type.effect == Effect.KEYED
-                        && now <= earlier.sentAt + (long) (type.window * 1e6) + SLACK_MICROS
+                        && now <= earlier.sentAt + (long) (type.dedupWindow * 1e6) + SLACK_MICROS
                         && (type.group == Group.ALL
                                 || (type.group == Group.ZONE
                                         ? earlier.worker.entry.zone == later.worker.entry.zone
--- a/src/test/java/laneflow/core/SchedulerTest.java
+++ b/src/test/java/laneflow/core/SchedulerTest.java
@@ -56,7 +56,7 @@
             JobClass type = settings.classes[effect.ordinal()] = new JobClass();
             type.effect = effect;
             type.group = Group.ALL;
-            type.window = 10;
+            type.dedupWindow = 10;
             type.stretch = 2;
         }
         settings.maxAttempts = 5;
@@ -574,7 +574,7 @@
             other.scheduler.start(other, List.of(entry("a", State.READY), second));
             other.submit(KEYED);
             other.scheduler.ended(other.attempts.get(0), Outcome.FULL, null, null);
-            other.scheduler.settings().classes[KEYED].window = 1;
+            other.scheduler.settings().classes[KEYED].dedupWindow = 1;
             other.advance(999_000);
             assertTrue(other.scheduler.maySend(other.attempts.get(1)));
             other.advance(1_000);
