--- a/src/main/java/laneflow/assembly/FleetSubsystem.java
+++ b/src/main/java/laneflow/assembly/FleetSubsystem.java
@@ -24,7 +24,7 @@
 import laneflow.maintenance.MaintenancePart;
 import laneflow.maintenance.decision.WindowLedger;
 import laneflow.membership.Members;
-import laneflow.membership.decision.Facts;
+import laneflow.membership.decision.MemberMetadata;
 import laneflow.net.Loop;
 import laneflow.net.Threads;
 import laneflow.policy.PolicyPart;
@@ -173,14 +173,14 @@
     private Members members(Setup setup, ExecutorService reading, long seed) throws IOException, InterruptedException {
         Config config = setup.config();
         Scheduler scheduler = core.scheduler();
-        return new Members(new Members.Given(
+        return new Members(new Members.Dependencies(
                 control,
                 core.loop(),
                 fleet,
                 setup.members(),
                 counters,
                 config.zones.isEmpty() ? "" : config.zones.get(config.settings.zone),
-                () -> new Members.Standing(
+                () -> new Members.RequestStatus(
                         policy == null ? -1 : policy.number(),
                         condition(),
                         scheduler.open() / (double) config.sockets,
@@ -196,11 +196,11 @@
         return String.join("\n", lines) + "\n";
     }
 
-    private Facts.Condition condition() {
+    private MemberMetadata.Condition condition() {
         if (policy != null && !policy.isReady() && !draining) {
-            return Facts.Condition.FENCED;
+            return MemberMetadata.Condition.FENCED;
         }
-        return draining || !core.front().isReady() ? Facts.Condition.DRAINING : Facts.Condition.READY;
+        return draining || !core.front().isReady() ? MemberMetadata.Condition.DRAINING : MemberMetadata.Condition.READY;
     }
 
     private static long served(Scheduler scheduler) {
@@ -230,7 +230,7 @@
         }
         if (members != null) {
             // The last, so that a life begins only where the former one of this place has ended.
-            members.begin();
+            members.join();
             if (capacity != null) {
                 control.call(capacity::begin);
             }
@@ -294,7 +294,7 @@
             control.later(tasks::drain);
         }
         if (members != null) {
-            members.changed();
+            members.statusChanged();
         }
     }
 
--- a/src/main/java/laneflow/capacity/CapacityPart.java
+++ b/src/main/java/laneflow/capacity/CapacityPart.java
@@ -17,7 +17,7 @@
 import laneflow.decision.Dispatch.State;
 import laneflow.fleet.Fleet;
 import laneflow.membership.Members;
-import laneflow.membership.decision.Update.Full;
+import laneflow.membership.decision.Update.MemberRecord;
 import laneflow.net.Loop;
 
 /**
@@ -25,7 +25,7 @@
  * with the view's datagrams, what others told comes to the module as reports of their age. On the control
  * thread; what the scheduler hears comes, and reports go, as messages between the two loops.
  */
-public final class CapacityPart implements Capacity.Out, Members.Cargo, Scheduler.Ear {
+public final class CapacityPart implements Capacity.Out, Members.PayloadHandler, Scheduler.Ear {
     private static final String PATH = "/capacity";
     private static final long LISTS_EVERY = 500_000;
     private static final long MILLI = 1000;
@@ -81,7 +81,7 @@
     /** News goes out from now on. On the control thread. */
     public void begin() {
         traffic.later(() -> scheduler.listen(this));
-        members.carry(this);
+        members.setPayloadHandler(this);
         fleet.serve(PATH, (verb, path, body, answer) -> {
             if (verb.equals("GET") && path.equals(PATH)) {
                 answer.say(200, "application/json", "", report() + "\n");
@@ -102,13 +102,13 @@
         if (!capacity.hasNews()) {
             return;
         }
-        List<Full> live = members.live();
+        List<MemberRecord> live = members.liveMembers();
         for (int i = 0; i < config.fanout && !live.isEmpty(); i++) {
-            Full to = live.get(random.nextInt(live.size()));
+            MemberRecord to = live.get(random.nextInt(live.size()));
             for (int k = 0; k < TRIES && i % 2 == 0 && zoneOf(to) != zone; k++) {
                 to = live.get(random.nextInt(live.size()));
             }
-            members.carry(to.life().name(), null);
+            members.sendPayload(to.instance().name(), null);
         }
     }
 
@@ -143,8 +143,8 @@
         listed.putAll(now);
     }
 
-    private int zoneOf(Full member) {
-        return zones.indexOf(member.facts().zone());
+    private int zoneOf(MemberRecord member) {
+        return zones.indexOf(member.metadata().zone());
     }
 
     // ---- from the scheduler ----
@@ -164,16 +164,16 @@
     // ---- from and to the others ----
 
     @Override
-    public byte[] fill(Full to, int room) {
+    public byte[] nextPayload(MemberRecord to, int room) {
         return capacity.tell(loop.micros(), zoneOf(to), room);
     }
 
     @Override
-    public void take(Full from, byte[] bytes) {
-        int teller = number(from.life().name());
-        names.put(teller, from.life().name());
+    public void payloadReceived(MemberRecord from, byte[] bytes) {
+        int teller = number(from.instance().name());
+        names.put(teller, from.instance().name());
         counters.add("capacity.received");
-        capacity.heard(loop.micros(), teller, zoneOf(from), bytes, members.room());
+        capacity.heard(loop.micros(), teller, zoneOf(from), bytes, members.maxPayloadBytes());
     }
 
     @Override
@@ -187,7 +187,7 @@
     @Override
     public void send(int to, byte[] bytes) {
         // Not from amid the view's own turn.
-        loop.deadlines().at(loop.micros(), () -> members.carry(names.getOrDefault(to, ""), bytes));
+        loop.deadlines().at(loop.micros(), () -> members.sendPayload(names.getOrDefault(to, ""), bytes));
     }
 
     @Override
--- a/src/main/java/laneflow/lab/measure/ControlStorm.java
+++ b/src/main/java/laneflow/lab/measure/ControlStorm.java
@@ -9,23 +9,23 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import laneflow.membership.decision.Facts;
-import laneflow.membership.decision.Life;
+import laneflow.membership.decision.MemberInstance;
+import laneflow.membership.decision.MemberMetadata;
 import laneflow.membership.decision.Message;
 import laneflow.membership.decision.Message.Kind;
+import laneflow.membership.decision.MessageCodec;
 import laneflow.membership.decision.Seal;
 import laneflow.membership.decision.State;
 import laneflow.membership.decision.Swim;
 import laneflow.membership.decision.Times;
 import laneflow.membership.decision.Update;
-import laneflow.membership.decision.Update.Full;
-import laneflow.membership.decision.Wire;
+import laneflow.membership.decision.Update.MemberRecord;
 
 /**
  * A member, by the same protocol as all, that at times tells of thousands of others that nobody can reach:
  * each is news, is told on, probed, suspected and buried. What that costs whoever hears it is measured.
  */
-final class ControlStorm implements Swim.Out, AutoCloseable {
+final class ControlStorm implements Swim.Environment, AutoCloseable {
     private static final int OTHERS = 5000;
     private static final int RECORDS = 2;
     private static final int WAIT_MS = 1;
@@ -34,7 +34,7 @@
     private final DatagramSocket socket;
     private final InetSocketAddress to;
     private final Seal seal;
-    private final Wire wire = new Wire(Seal.MOST - Seal.AROUND);
+    private final MessageCodec wire = new MessageCodec(Seal.MAX_DATAGRAM_BYTES - Seal.OVERHEAD_BYTES);
     private final SplittableRandom random;
     private final Swim swim;
     private final Thread thread;
@@ -52,7 +52,7 @@
         socket.setSoTimeout(WAIT_MS);
         random = new SplittableRandom(seed);
         seal = new Seal(List.of(key), (int) seed);
-        Life life = Life.of(
+        MemberInstance life = MemberInstance.of(
                 "storm",
                 System.currentTimeMillis(),
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), socket.getLocalPort()));
@@ -75,8 +75,8 @@
         return sent;
     }
 
-    private static Facts facts() {
-        return new Facts("z", "", null, 0, Facts.Condition.READY, 0, 0, false);
+    private static MemberMetadata facts() {
+        return new MemberMetadata("z", "", null, 0, MemberMetadata.Condition.READY, 0, 0, false);
     }
 
     private static long now() {
@@ -84,16 +84,16 @@
     }
 
     private void run() {
-        byte[] bytes = new byte[Seal.MOST];
+        byte[] bytes = new byte[Seal.MAX_DATAGRAM_BYTES];
         DatagramPacket packet = new DatagramPacket(bytes, bytes.length);
         double owed = 0;
         long last = now();
         while (!over) {
             packet.setLength(bytes.length);
-            if (comes(packet) && seal.isWhole(bytes, packet.getLength())) {
+            if (comes(packet) && seal.isAuthentic(bytes, packet.getLength())) {
                 heard(packet);
             }
-            if (swim.next() <= now()) {
+            if (swim.nextTick() <= now()) {
                 swim.tick(now());
             }
             long passed = Math.min(now() - last, WAIT_MS * TURNS_A_SECOND);
@@ -120,10 +120,10 @@
 
     private void heard(DatagramPacket packet) {
         try {
-            swim.heard(
+            swim.receive(
                     now(),
                     (InetSocketAddress) packet.getSocketAddress(),
-                    wire.read(packet.getData(), Seal.AROUND, packet.getLength() - Seal.AROUND));
+                    wire.read(packet.getData(), Seal.OVERHEAD_BYTES, packet.getLength() - Seal.OVERHEAD_BYTES));
         } catch (IOException e) {
             over = true;
         }
@@ -133,15 +133,16 @@
         List<Update> some = new ArrayList<>();
         for (int i = 0; i < RECORDS; i++) {
             int one = random.nextInt(OTHERS);
-            Life life = Life.of("made-up-" + one, one, new InetSocketAddress(to.getAddress(), 1 + one));
-            some.add(new Full(life, told++, State.ALIVE, facts()));
+            MemberInstance life =
+                    MemberInstance.of("made-up-" + one, one, new InetSocketAddress(to.getAddress(), 1 + one));
+            some.add(new MemberRecord(life, told++, State.ALIVE, facts()));
         }
-        return new Message(Kind.NEWS, swim.self().life().id(), 0, 0, 0, null, some);
+        return new Message(Kind.GOSSIP, swim.self().instance().id(), 0, 0, 0, null, some);
     }
 
     @Override
     public void send(InetSocketAddress whom, Message message) {
-        byte[] datagram = seal.close(wire.write(message));
+        byte[] datagram = seal.wrap(wire.write(message));
         try {
             socket.send(new DatagramPacket(datagram, datagram.length, whom));
         } catch (IOException e) {
@@ -151,12 +152,12 @@
     }
 
     @Override
-    public boolean sendAll(String name, List<Full> records) {
+    public boolean sendRecords(String name, List<MemberRecord> records) {
         return false;
     }
 
     @Override
-    public void changed(Full before, Full now) {
+    public void memberChanged(MemberRecord before, MemberRecord now) {
         // Its own view matters to nobody.
     }
 
--- a/src/main/java/laneflow/lab/measure/FleetMeasure.java
+++ b/src/main/java/laneflow/lab/measure/FleetMeasure.java
@@ -155,7 +155,7 @@
                         && flaps == 0
                         && settled == events
                         && found == cuts
-                        && most <= Seal.MOST
+                        && most <= Seal.MAX_DATAGRAM_BYTES
                 ? 0
                 : 1;
     }
@@ -381,7 +381,7 @@
                 int one = 3 + random.nextInt(size - 3);
                 long[] at = {world.now()};
                 world.watch((by, before, now) -> {
-                    if (now.state() == State.DEAD && world.place(now.life()) == one) {
+                    if (now.state() == State.DEAD && world.place(now.instance()) == one) {
                         long ms = (world.now() - at[0]) / 1000;
                         if (size == 200) {
                             seen.recordValue(ms);
--- a/src/main/java/laneflow/lab/world/MemberWorld.java
+++ b/src/main/java/laneflow/lab/world/MemberWorld.java
@@ -12,15 +12,15 @@
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
 import java.util.function.IntPredicate;
-import laneflow.membership.decision.Facts;
-import laneflow.membership.decision.Life;
+import laneflow.membership.decision.MemberInstance;
+import laneflow.membership.decision.MemberMetadata;
 import laneflow.membership.decision.Message;
+import laneflow.membership.decision.MessageCodec;
 import laneflow.membership.decision.Seal;
 import laneflow.membership.decision.State;
 import laneflow.membership.decision.Swim;
 import laneflow.membership.decision.Times;
 import laneflow.membership.decision.Update;
-import laneflow.membership.decision.Wire;
 
 /**
  * A fleet in virtual time: the members' own classes, and a network in memory that loses, delays, doubles and
@@ -35,7 +35,7 @@
     /** Something to happen; a wake-up where there is no message. */
     private record Event(long at, long order, int to, int life, InetSocketAddress from, Message message) {}
 
-    private final class Node implements Swim.Out {
+    private final class Node implements Swim.Environment {
         private final int number;
         private final int life;
         private final Swim swim;
@@ -48,7 +48,7 @@
             this.number = number;
             this.life = life;
             swim = new Swim(
-                    Life.of(name, FIRST_GENERATION + clockWrong + now / 1000 + life, address(number)),
+                    MemberInstance.of(name, FIRST_GENERATION + clockWrong + now / 1000 + life, address(number)),
                     facts(number),
                     seeds,
                     times,
@@ -64,12 +64,12 @@
         }
 
         @Override
-        public boolean sendAll(String name, List<Update.Full> records) {
+        public boolean sendRecords(String name, List<Update.MemberRecord> records) {
             return false;
         }
 
         @Override
-        public void changed(Update.Full before, Update.Full after) {
+        public void memberChanged(Update.MemberRecord before, Update.MemberRecord after) {
             changes.changed(number, before, after);
         }
 
@@ -81,11 +81,11 @@
 
     /** Told of each change of a member's view. */
     public interface Changes {
-        void changed(int by, Update.Full before, Update.Full now);
+        void changed(int by, Update.MemberRecord before, Update.MemberRecord now);
     }
 
     private final Times times;
-    private final Wire wire = new Wire(Seal.MOST - Seal.AROUND);
+    private final MessageCodec wire = new MessageCodec(Seal.MAX_DATAGRAM_BYTES - Seal.OVERHEAD_BYTES);
     private final SplittableRandom random;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
@@ -128,8 +128,8 @@
         }
     }
 
-    private static Facts facts(int number) {
-        return new Facts("zone-" + number % 3, "1.0", null, 7, Facts.Condition.READY, 3, 5, false);
+    private static MemberMetadata facts(int number) {
+        return new MemberMetadata("zone-" + number % 3, "1.0", null, 7, MemberMetadata.Condition.READY, 3, 5, false);
     }
 
     public InetSocketAddress address(int i) {
@@ -178,7 +178,7 @@
         Node node = nodes[i];
         node.swim.leave(now);
         wake(node);
-        run(now + 4 * times.gossip());
+        run(now + 4 * times.gossipInterval());
         nodes[i] = null;
     }
 
@@ -199,14 +199,14 @@
         }
         while (!node.buffer.isEmpty()) {
             Event one = node.buffer.poll();
-            node.swim.heard(now, one.from, one.message);
+            node.swim.receive(now, one.from, one.message);
         }
         node.swim.tick(now);
         wake(node);
     }
 
-    public void tell(int i, Facts facts) {
-        nodes[i].swim.tell(now, facts);
+    public void tell(int i, MemberMetadata facts) {
+        nodes[i].swim.updateMetadata(now, facts);
         wake(nodes[i]);
     }
 
@@ -245,19 +245,19 @@
     }
 
     /** Whose place that is. */
-    public int place(Life life) {
-        return at.get(life.at());
+    public int place(MemberInstance life) {
+        return at.get(life.address());
     }
 
     /** Puts a datagram's content in, as if it came from that address. */
     public void inject(int to, InetSocketAddress from, Message message) {
-        nodes[to].swim.heard(now, from, message);
+        nodes[to].swim.receive(now, from, message);
         wake(nodes[to]);
     }
 
     private void transmit(int from, InetSocketAddress to, Message message) {
         sent++;
-        int size = wire.applyAsInt(message) + Seal.AROUND;
+        int size = wire.maxSize(message) + Seal.OVERHEAD_BYTES;
         bytes += size;
         most = Math.max(most, size);
         Integer target = at.get(to);
@@ -274,7 +274,7 @@
     // ---- running ----
 
     private void wake(Node node) {
-        long next = Math.max(now, node.swim.next());
+        long next = Math.max(now, node.swim.nextTick());
         if (next < node.wakeAt || node.wakeAt <= now) {
             node.wakeAt = next;
             events.add(new Event(next, order++, node.number, node.life, null, null));
@@ -320,7 +320,7 @@
             if (node.stalled) {
                 return;
             }
-            if (node.swim.next() <= now) {
+            if (node.swim.nextTick() <= now) {
                 node.swim.tick(now);
             }
         } else if (node.stalled) {
@@ -329,8 +329,8 @@
             }
             return;
         } else {
-            node.swim.heard(now, event.from, event.message);
-            if (node.swim.early() <= now) {
+            node.swim.receive(now, event.from, event.message);
+            if (node.swim.earliestTick() <= now) {
                 // As a process does: it is awake anyway.
                 node.swim.tick(now);
             }
@@ -369,7 +369,7 @@
         }
         for (Node node : nodes) {
             if (node != null && !node.stalled) {
-                for (Update.Full one : node.swim.others()) {
+                for (Update.MemberRecord one : node.swim.others()) {
                     if (one.state() == State.SUSPECT) {
                         return false;
                     }
--- a/src/main/java/laneflow/membership/Members.java
+++ b/src/main/java/laneflow/membership/Members.java
@@ -22,17 +22,17 @@
 import laneflow.core.Deadlines.Deadline;
 import laneflow.fleet.Fleet;
 import laneflow.fleet.Peer;
-import laneflow.membership.decision.Facts;
-import laneflow.membership.decision.Life;
+import laneflow.membership.decision.MemberInstance;
+import laneflow.membership.decision.MemberMetadata;
 import laneflow.membership.decision.Message;
 import laneflow.membership.decision.Message.Kind;
+import laneflow.membership.decision.MessageCodec;
 import laneflow.membership.decision.Replays;
 import laneflow.membership.decision.Seal;
 import laneflow.membership.decision.Swim;
 import laneflow.membership.decision.Times;
 import laneflow.membership.decision.Update;
-import laneflow.membership.decision.Update.Full;
-import laneflow.membership.decision.Wire;
+import laneflow.membership.decision.Update.MemberRecord;
 import laneflow.net.Datagrams;
 import laneflow.net.Loop;
 import org.slf4j.Logger;
@@ -43,7 +43,7 @@
  * them, the loop's clock, and what it tells of itself. On the control thread. The view informs; nothing that
  * must be true rests on it.
  */
-public final class Members implements Swim.Out {
+public final class Members implements Swim.Environment {
     private static final Logger LOG = LoggerFactory.getLogger(Members.class);
     private static final String BULK = "members";
     private static final int RECORDS_A_PIECE = 24;
@@ -55,11 +55,11 @@
     private static final double MICROS = 1e6;
     private static final long MICROS_A_MS = 1000;
 
-    private final Given given;
+    private final Dependencies given;
     private final Loop loop;
     private final MembersConfig config;
     private final Counters counters;
-    private final Wire wire = new Wire(Seal.MOST - Seal.AROUND);
+    private final MessageCodec wire = new MessageCodec(Seal.MAX_DATAGRAM_BYTES - Seal.OVERHEAD_BYTES);
     private final Replays replays = new Replays();
     private final Deadline due;
     private final Deadline facts;
@@ -75,7 +75,7 @@
     private Swim swim;
     private Datagrams datagrams;
     /** As the traffic's thread has last said. */
-    private volatile Standing standing;
+    private volatile RequestStatus standing;
 
     private long servedBefore;
     private long factsAt;
@@ -84,93 +84,93 @@
     private long turns;
     private boolean over;
     /** Null where nothing goes along. */
-    private Cargo cargo;
+    private PayloadHandler cargo;
 
     private long toldTwiceAt = Long.MIN_VALUE / 2;
 
     /**
      * What the assembly gives it.
      *
-     * @param loop of the control thread
-     * @param traffic of the thread that takes requests
-     * @param standing how it stands with requests; asked on the traffic's thread
-     * @param reading a thread that reads files
+     * @param controlLoop of the control thread
+     * @param trafficLoop of the thread that takes requests
+     * @param requestStatus how it stands with requests; asked on the traffic's thread
+     * @param fileReader a thread that reads files
      */
-    public record Given(
-            Loop loop,
-            Loop traffic,
+    public record Dependencies(
+            Loop controlLoop,
+            Loop trafficLoop,
             Fleet fleet,
             MembersConfig config,
             Counters counters,
             String zone,
-            Supplier<Standing> standing,
-            Executor reading,
+            Supplier<RequestStatus> requestStatus,
+            Executor fileReader,
             long seed) {}
 
     /**
      * How a scheduler stands with requests at one instant.
      *
-     * @param policy the number of the policy in force, -1 where none is decided together
+     * @param policyVersion the number of the policy in force, -1 where none is decided together
      * @param condition whether clients may come
      * @param load share of the requests that may be open
      * @param served requests answered so far
      */
-    public record Standing(long policy, Facts.Condition condition, double load, long served) {}
+    public record RequestStatus(long policyVersion, MemberMetadata.Condition condition, double load, long served) {}
 
     /** What goes along with the view's datagrams for others than the view; on the loop. */
-    public interface Cargo {
+    public interface PayloadHandler {
         /** Bytes for that member, as many at most, or null. */
-        byte[] fill(Full to, int room);
+        byte[] nextPayload(MemberRecord to, int room);
 
         /** Bytes of that member; nothing may be sent from there. */
-        void take(Full from, byte[] bytes);
+        void payloadReceived(MemberRecord from, byte[] bytes);
     }
 
     /** Takes that along from now on. */
-    public void carry(Cargo what) {
+    public void setPayloadHandler(PayloadHandler what) {
         cargo = what;
     }
 
-    /** The live members that are known, this one left out; empty before {@link #begin}. */
-    public List<Full> live() {
-        List<Full> all = swim == null || over ? new ArrayList<>() : new ArrayList<>(swim.others());
+    /** The live members that are known, this one left out; empty before {@link #join}. */
+    public List<MemberRecord> liveMembers() {
+        List<MemberRecord> all = swim == null || over ? new ArrayList<>() : new ArrayList<>(swim.others());
         all.removeIf(one -> !one.state().isLive());
         return all;
     }
 
     /** Sends that member these bytes, or, where null, a datagram with what is for it. */
-    public void carry(String name, byte[] bytes) {
+    public void sendPayload(String name, byte[] bytes) {
         if (swim != null && !over) {
-            swim.carry(name, bytes);
+            swim.sendPayload(name, bytes);
         }
     }
 
     /** Bytes that go along in a datagram that holds nothing else. */
-    public int room() {
-        return wire.room(Kind.NEWS) - wire.applyAsInt(new Update.Extra(new byte[0]));
+    public int maxPayloadBytes() {
+        return wire.room(Kind.GOSSIP) - wire.applyAsInt(new Update.Payload(new byte[0]));
     }
 
     @Override
-    public byte[] extra(Full to, int room) {
-        return cargo == null ? null : cargo.fill(to, room);
+    public byte[] nextPayload(MemberRecord to, int room) {
+        return cargo == null ? null : cargo.nextPayload(to, room);
     }
 
     @Override
-    public void extra(Full from, byte[] bytes) {
+    public void payloadReceived(MemberRecord from, byte[] bytes) {
         if (cargo != null) {
-            cargo.take(from, bytes);
+            cargo.payloadReceived(from, bytes);
         }
     }
 
     /** Reads the keys and begins; off the loop. */
-    public Members(Given given) throws IOException, InterruptedException {
+    public Members(Dependencies given) throws IOException, InterruptedException {
         this.given = given;
-        loop = given.loop();
+        loop = given.controlLoop();
         config = given.config();
         counters = given.counters();
         times = new Times(config.period);
-        zone = cut(given.zone(), Facts.MOST_ZONE);
-        build = cut(given.fleet().self().build(), Facts.MOST_BUILD);
+        zone = cut(given.zone(), MemberMetadata.MAX_ZONE_BYTES);
+        build = cut(given.fleet().self().build(), MemberMetadata.MAX_BUILD_BYTES);
         InetSocketAddress listens =
                 Loop.address(given.fleet().address(given.fleet().self().name()));
         link = listens.getAddress().isAnyLocalAddress() ? null : listens;
@@ -188,7 +188,7 @@
                 all.add(line.strip());
             }
         }
-        String unfit = Seal.unfit(all);
+        String unfit = Seal.invalidKeys(all);
         if (unfit != null) {
             throw new IOException(file + ": " + unfit);
         }
@@ -196,14 +196,14 @@
     }
 
     /** Becomes a member; fails with the socket's word where the address is taken. Off the loop. */
-    public void begin() throws IOException, InterruptedException {
-        Datagrams opened = loop.datagrams(config.listen, Seal.MOST, this::take);
-        Standing[] first = new Standing[1];
-        given.traffic().call(() -> first[0] = given.standing().get());
+    public void join() throws IOException, InterruptedException {
+        Datagrams opened = loop.datagrams(config.listen, Seal.MAX_DATAGRAM_BYTES, this::take);
+        RequestStatus[] first = new RequestStatus[1];
+        given.trafficLoop().call(() -> first[0] = given.requestStatus().get());
         standing = first[0];
         loop.call(() -> {
             datagrams = opened;
-            Life life = Life.of(
+            MemberInstance life = MemberInstance.of(
                     given.fleet().self().name(),
                     System.currentTimeMillis(),
                     config.advertise.getPort() == 0 ? opened.address() : config.advertise);
@@ -234,7 +234,7 @@
         counters.add("members.received");
         Message message = read(from, bytes, length);
         if (message != null) {
-            swim.heard(loop.micros(), from, message);
+            swim.receive(loop.micros(), from, message);
             arm();
         }
         spent(began);
@@ -242,7 +242,7 @@
 
     /** Null where it is nobody's that is heard; nothing has been made of it then but a count. */
     private Message read(InetSocketAddress from, byte[] bytes, int length) {
-        if (length > Seal.MOST) {
+        if (length > Seal.MAX_DATAGRAM_BYTES) {
             counters.add("members.oversized");
             return null;
         }
@@ -250,19 +250,20 @@
             counters.add("members.foreign");
             return null;
         }
-        if (!seal.isWhole(bytes, length)) {
+        if (!seal.isAuthentic(bytes, length)) {
             counters.add("members.unsealed");
             return null;
         }
         Message message;
         try {
-            message = wire.read(bytes, Seal.AROUND, length - Seal.AROUND);
+            message = wire.read(bytes, Seal.OVERHEAD_BYTES, length - Seal.OVERHEAD_BYTES);
         } catch (IOException e) {
             // Sealed, and yet no message: of a build that we don't know.
             counters.add("members.spoilt");
             return null;
         }
-        if (swim.knows(message.from()) && !replays.isFresh(message.from(), Seal.number(bytes))) {
+        if (swim.isLiveInstance(message.senderId())
+                && !replays.isFresh(message.senderId(), Seal.sequenceNumber(bytes))) {
             counters.add("members.replayed");
             return null;
         }
@@ -270,7 +271,7 @@
     }
 
     private boolean isHeard(InetSocketAddress from) {
-        if (swim.isKnown(from)) {
+        if (swim.isKnownAddress(from)) {
             return true;
         }
         for (AddressRange range : config.allowed) {
@@ -283,7 +284,7 @@
 
     @Override
     public void send(InetSocketAddress to, Message message) {
-        byte[] datagram = seal.close(wire.write(message));
+        byte[] datagram = seal.wrap(wire.write(message));
         counters.add("members.sent");
         counters.set("members.bytes", counters.get("members.bytes") + datagram.length);
         counters.set("members.datagram_most", Math.max(datagram.length, counters.get("members.datagram_most")));
@@ -293,7 +294,7 @@
     }
 
     @Override
-    public boolean sendAll(String name, List<Full> records) {
+    public boolean sendRecords(String name, List<MemberRecord> records) {
         Peer peer = given.fleet().any(name);
         if (peer == null) {
             return false;
@@ -302,8 +303,8 @@
         for (int i = 0; i < records.size(); i += RECORDS_A_PIECE) {
             List<Update> some = new ArrayList<>(records.subList(i, Math.min(records.size(), i + RECORDS_A_PIECE)));
             pieces.add(Base64.getEncoder()
-                    .encodeToString(
-                            wire.write(new Message(Kind.NEWS, swim.self().life().id(), 0, 0, 0, null, some))));
+                    .encodeToString(wire.write(
+                            new Message(Kind.GOSSIP, swim.self().instance().id(), 0, 0, 0, null, some))));
         }
         JsonObject all = new JsonObject();
         all.addProperty("t", BULK);
@@ -317,13 +318,13 @@
         for (JsonElement piece : message.getAsJsonArray("pieces")) {
             byte[] bytes = Base64.getDecoder().decode(piece.getAsString());
             try {
-                List<Full> records = new ArrayList<>();
+                List<MemberRecord> records = new ArrayList<>();
                 for (Update update : wire.read(bytes, 0, bytes.length).updates()) {
-                    if (update instanceof Full full) {
+                    if (update instanceof MemberRecord full) {
                         records.add(full);
                     }
                 }
-                swim.heardAll(loop.micros(), from.name(), records);
+                swim.receiveRecords(loop.micros(), from.name(), records);
             } catch (IOException e) {
                 counters.add("members.spoilt");
             }
@@ -338,7 +339,7 @@
             return;
         }
         long began = System.nanoTime();
-        if (swim.early() <= loop.micros()) {
+        if (swim.earliestTick() <= loop.micros()) {
             swim.tick(loop.micros());
         }
         arm();
@@ -346,7 +347,7 @@
     }
 
     private void arm() {
-        loop.deadlines().set(due, swim.early(), Math.max(loop.micros(), swim.next()));
+        loop.deadlines().set(due, swim.earliestTick(), Math.max(loop.micros(), swim.nextTick()));
     }
 
     private void spent(long began) {
@@ -360,7 +361,7 @@
 
     private void facts() {
         loop.deadlines().set(facts, loop.micros() + FACTS_EVERY, loop.micros() + FACTS_LATEST);
-        swim.tell(loop.micros(), told(standing));
+        swim.updateMetadata(loop.micros(), told(standing));
         arm();
         ask();
     }
@@ -371,11 +372,11 @@
      */
     private void ask() {
         try {
-            given.traffic().later(() -> {
-                Standing before = standing;
-                Standing now = given.standing().get();
+            given.trafficLoop().later(() -> {
+                RequestStatus before = standing;
+                RequestStatus now = given.requestStatus().get();
                 standing = now;
-                if (now.policy() != before.policy() || now.condition() != before.condition()) {
+                if (now.policyVersion() != before.policyVersion() || now.condition() != before.condition()) {
                     tell(now);
                 }
             });
@@ -384,11 +385,11 @@
         }
     }
 
-    private void tell(Standing now) {
+    private void tell(RequestStatus now) {
         try {
             loop.later(() -> {
                 if (swim != null && !over) {
-                    swim.tell(loop.micros(), told(now));
+                    swim.updateMetadata(loop.micros(), told(now));
                     arm();
                 }
             });
@@ -398,23 +399,23 @@
     }
 
     /** To be told without delay: whether clients may come has changed. On the traffic's thread. */
-    public void changed() {
-        tell(given.standing().get());
+    public void statusChanged() {
+        tell(given.requestStatus().get());
     }
 
-    private Facts told(Standing standing) {
+    private MemberMetadata told(RequestStatus standing) {
         long now = loop.micros();
         double rate = factsAt == 0 ? 0 : (standing.served() - servedBefore) * MICROS / Math.max(1, now - factsAt);
         servedBefore = standing.served();
         factsAt = now;
-        return new Facts(
+        return new MemberMetadata(
                 zone,
                 build,
                 link,
-                standing.policy(),
+                standing.policyVersion(),
                 standing.condition(),
-                Facts.loadStep(standing.load()),
-                Facts.rateStep(rate),
+                MemberMetadata.toLoadStep(standing.load()),
+                MemberMetadata.toRateStep(rate),
                 false);
     }
 
@@ -428,14 +429,14 @@
     private void lookForKeys() {
         loop.deadlines().set(keys, loop.micros() + KEYS_EVERY * 3 / 4, loop.micros() + KEYS_EVERY);
         try {
-            given.reading().execute(() -> {
+            given.fileReader().execute(() -> {
                 try {
                     FileTime changed = Files.getLastModifiedTime(config.keyFile);
                     if (!changed.equals(keysRead)) {
                         keysRead = changed;
                         List<String> read = readKeys(config.keyFile);
                         loop.later(() -> {
-                            seal.keys(read);
+                            seal.setKeys(read);
                             LOG.info("members: {} keys were read again", read.size());
                         });
                     }
@@ -451,20 +452,21 @@
     // ---- what becomes of it ----
 
     @Override
-    public void changed(Full before, Full now) {
-        boolean sameLife = before != null && before.life().id() == now.life().id();
+    public void memberChanged(MemberRecord before, MemberRecord now) {
+        boolean sameLife =
+                before != null && before.instance().id() == now.instance().id();
         if (before != null && !sameLife) {
-            replays.forget(before.life().id());
+            replays.forget(before.instance().id());
         }
         if (!now.state().isLive()) {
-            replays.forget(now.life().id());
+            replays.forget(now.instance().id());
         }
         if (!sameLife || before.state() != now.state()) {
             counters.add("members.to_" + now.state().name().toLowerCase(Locale.ROOT));
             LOG.info(
                     "member {} life={} {} to {} ns={}",
-                    now.life().name(),
-                    now.life().generation(),
+                    now.instance().name(),
+                    now.instance().generation(),
                     sameLife ? before.state() : "NEW",
                     now.state(),
                     System.nanoTime());
@@ -479,13 +481,13 @@
             toldTwiceAt = loop.micros();
             LOG.error(
                     "members: a name is taken twice; the elder process keeps it. This one is {}",
-                    swim == null ? "" : swim.self().life());
+                    swim == null ? "" : swim.self().instance());
         }
     }
 
     /** What the view has on that scheduler, in a word; empty: nothing. */
     public String standing(String name) {
-        Full one = swim == null ? null : swim.other(name);
+        MemberRecord one = swim == null ? null : swim.other(name);
         return one == null ? "" : one.state().name().toLowerCase(java.util.Locale.ROOT);
     }
 
@@ -495,29 +497,29 @@
         JsonObject all = new JsonObject();
         all.add("self", member(swim.self()));
         JsonArray members = new JsonArray();
-        List<Full> others = new ArrayList<>(swim.others());
-        others.sort(Comparator.comparing(one -> one.life().name()));
+        List<MemberRecord> others = new ArrayList<>(swim.others());
+        others.sort(Comparator.comparing(one -> one.instance().name()));
         others.forEach(one -> members.add(member(one)));
         all.add("members", members);
         all.addProperty("live", swim.size());
         all.addProperty("digest", Integer.toHexString(swim.digest()));
         all.addProperty("settled", swim.isSettled(loop.micros()));
-        all.addProperty("name_taken", swim.isOutcast());
-        all.addProperty("slowed", swim.score());
+        all.addProperty("name_taken", swim.isNameTaken());
+        all.addProperty("slowed", swim.healthScore());
         all.addProperty("turn_us", turns == 0 ? 0 : spentNs / 1000.0 / turns);
         all.addProperty("turn_most_us", longestNs / 1000.0);
         return all;
     }
 
-    private JsonObject member(Full one) {
-        Facts facts = one.facts();
+    private JsonObject member(MemberRecord one) {
+        MemberMetadata facts = one.metadata();
         JsonObject all = new JsonObject();
-        all.addProperty("name", one.life().name());
+        all.addProperty("name", one.instance().name());
         all.addProperty("state", one.state().name().toLowerCase(java.util.Locale.ROOT));
         all.addProperty("zone", facts.zone());
-        all.addProperty("generation", one.life().generation());
+        all.addProperty("generation", one.instance().generation());
         all.addProperty("incarnation", one.incarnation());
-        all.addProperty("at", text(one.life().at()));
+        all.addProperty("at", text(one.instance().address()));
         all.addProperty("link", facts.link() == null ? "" : text(facts.link()));
         all.addProperty("build", facts.build());
         all.addProperty("policy", facts.policy());
@@ -525,7 +527,7 @@
         all.addProperty("load_sixteenths", facts.load());
         all.addProperty("rate_below", facts.rate() == 0 ? 0 : 1L << facts.rate());
         all.addProperty("late", facts.late());
-        long changed = swim.changedAt(one.life().name());
+        long changed = swim.stateChangedAt(one.instance().name());
         if (changed >= 0) {
             // The loop's clock began with the wall's.
             all.addProperty("changed_ms", changed / MICROS_A_MS);
@@ -551,7 +553,7 @@
             arm();
             loop.deadlines().cancel(facts);
             loop.deadlines().cancel(keys);
-            loop.deadlines().at(loop.micros() + LEAVE_ROUNDS * times.gossip(), () -> {
+            loop.deadlines().at(loop.micros() + LEAVE_ROUNDS * times.gossipInterval(), () -> {
                 over = true;
                 loop.deadlines().cancel(due);
                 datagrams.close();
--- a/src/main/java/laneflow/membership/decision/Comparison.java
+++ b/src/main/java/laneflow/membership/decision/Comparison.java
@@ -4,9 +4,9 @@
 import java.util.Comparator;
 import java.util.List;
 import laneflow.membership.decision.Message.Kind;
-import laneflow.membership.decision.Swim.Out;
+import laneflow.membership.decision.Swim.Environment;
 import laneflow.membership.decision.Swim.Sizes;
-import laneflow.membership.decision.Update.Full;
+import laneflow.membership.decision.Update.MemberRecord;
 import laneflow.membership.decision.View.Entry;
 
 /**
@@ -22,7 +22,7 @@
     private final Times times;
     private final Sizes sizes;
     private final Member self;
-    private final Out out;
+    private final Environment out;
     private final long begunAt;
     private long askedAt;
     /** The part of the view that the next question begins with. */
@@ -30,14 +30,14 @@
 
     private int agreeing;
 
-    Comparison(View view, Times times, Sizes sizes, Member self, Out out, long now) {
+    Comparison(View view, Times times, Sizes sizes, Member self, Environment out, long now) {
         this.view = view;
         this.times = times;
         this.sizes = sizes;
         this.self = self;
         this.out = out;
         begunAt = now;
-        askedAt = now - times.sync();
+        askedAt = now - times.syncInterval();
     }
 
     /** How many digests in a row were this member's own. */
@@ -52,10 +52,10 @@
 
     /** A member's message: the next question goes on behind the records that it brings. */
     void heard(Message message) {
-        if (message.kind() == Kind.NEWS
+        if (message.kind() == Kind.GOSSIP
                 && message.updates().size() > 1
-                && message.updates().get(message.updates().size() - 1) instanceof Full last) {
-            cursor = View.bucket(last.life().name());
+                && message.updates().get(message.updates().size() - 1) instanceof MemberRecord last) {
+            cursor = View.bucket(last.instance().name());
         }
     }
 
@@ -66,7 +66,7 @@
             return;
         }
         agreeing = 0;
-        if (now - askedAt >= times.sync()) {
+        if (now - askedAt >= times.syncInterval()) {
             askedAt = now;
             out.count("syncs");
             // Who is young knows little, and is told much at once.
@@ -75,7 +75,7 @@
                     sender.at(),
                     new Message(
                             Kind.SYNC,
-                            self.self().life().id(),
+                            self.self().instance().id(),
                             view.digest(),
                             cursor,
                             known,
@@ -89,10 +89,10 @@
      * few gets much at once, others a little: while much changes all parts differ all the time.
      */
     void records(Entry to, Message asked) {
-        int[] theirs = asked.buckets();
+        int[] theirs = asked.bucketDigests();
         int[] own = view.buckets();
-        List<Full> all = new ArrayList<>();
-        int ours = View.bucket(self.self().life().name());
+        List<MemberRecord> all = new ArrayList<>();
+        int ours = View.bucket(self.self().instance().name());
         if (own[ours] != theirs[ours]) {
             all.add(self.self());
         }
@@ -102,26 +102,26 @@
                 all.add(one.full());
             }
         }
-        if (all.isEmpty() || out.sendAll(to.life().name(), all)) {
+        if (all.isEmpty() || out.sendRecords(to.life().name(), all)) {
             return;
         }
         int first = Math.floorMod(asked.seq(), View.BUCKETS);
         all.sort(Comparator.comparingInt(
-                one -> Math.floorMod(View.bucket(one.life().name()) - first, View.BUCKETS)));
+                one -> Math.floorMod(View.bucket(one.instance().name()) - first, View.BUCKETS)));
         long missing = Math.max(0, self.size() - asked.target());
         pieces(to, all, (int) Math.min(PIECES_AT_FIRST, PIECES + missing));
     }
 
-    private void pieces(Entry to, List<Full> all, int most) {
+    private void pieces(Entry to, List<MemberRecord> all, int most) {
         int taken = 0;
         for (int piece = 0; piece < most && taken < all.size(); piece++) {
             List<Update> some = new ArrayList<>();
-            int room = sizes.room(Kind.NEWS);
+            int room = sizes.room(Kind.GOSSIP);
             while (taken < all.size() && sizes.applyAsInt(all.get(taken)) <= room) {
                 room -= sizes.applyAsInt(all.get(taken));
                 some.add(all.get(taken++));
             }
-            self.reply(to.at(), Kind.NEWS, 0, 0, some);
+            self.reply(to.at(), Kind.GOSSIP, 0, 0, some);
         }
     }
 }
--- a/src/main/java/laneflow/membership/decision/Judgement.java
+++ b/src/main/java/laneflow/membership/decision/Judgement.java
@@ -6,9 +6,9 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import laneflow.membership.decision.Message.Kind;
-import laneflow.membership.decision.Swim.Out;
+import laneflow.membership.decision.Swim.Environment;
 import laneflow.membership.decision.Update.Claim;
-import laneflow.membership.decision.Update.Full;
+import laneflow.membership.decision.Update.MemberRecord;
 import laneflow.membership.decision.View.Entry;
 
 /**
@@ -39,12 +39,12 @@
     private final SplittableRandom random;
     private final Member self;
     private final Probing probing;
-    private final Out out;
+    private final Environment out;
     private final PriorityQueue<Alarm> alarms = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
     /** Whom others were asked to reach for the last time before a burial, by the number of the asking. */
     private final Map<Integer, Entry> lastCalls = new Recent<>(MOST_CALLED);
 
-    Judgement(View view, Times times, SplittableRandom random, Member self, Probing probing, Out out) {
+    Judgement(View view, Times times, SplittableRandom random, Member self, Probing probing, Environment out) {
         this.view = view;
         this.times = times;
         this.random = random;
@@ -81,29 +81,29 @@
 
     /** A claim about another, from a member. */
     void claimed(Claim claim, Entry sender, long now) {
-        Entry entry = view.life(claim.id());
+        Entry entry = view.life(claim.instanceId());
         if (entry == null || !entry.state.isLive() || claim.incarnation() < entry.record.incarnation()) {
             return;
         }
         if (claim.state() == State.LEFT && sender == entry) {
             end(entry, State.LEFT, now);
         } else {
-            entry.leaving |= claim.state() == State.LEFT && claim.by() == claim.id();
-            suspect(entry, claim.incarnation(), claim.by(), now);
+            entry.leaving |= claim.state() == State.LEFT && claim.accuserId() == claim.instanceId();
+            suspect(entry, claim.incarnation(), claim.accuserId(), now);
         }
     }
 
     /** All that is known of another, from a member, or from itself where the sender is null. */
-    void told(Full news, Entry sender, long now) {
-        Entry entry = view.name(news.life().name());
-        if (entry != null && entry.life().id() == news.life().id()) {
+    void told(MemberRecord news, Entry sender, long now) {
+        Entry entry = view.name(news.instance().name());
+        if (entry != null && entry.life().id() == news.instance().id()) {
             sameLife(entry, news, sender, now);
         } else if (news.state().isLive()
                 && (entry == null ? view.live().size() < MOST_MEMBERS : supersedes(news, entry))) {
-            Full before = entry == null ? null : entry.full();
+            MemberRecord before = entry == null ? null : entry.full();
             Entry added = view.add(news, now);
-            out.changed(before, added.full());
-            self.spread(news.life().name(), added.record, now);
+            out.memberChanged(before, added.full());
+            self.spread(news.instance().name(), added.record, now);
             if (news.state() == State.SUSPECT) {
                 suspect(
                         added,
@@ -115,13 +115,13 @@
     }
 
     /** Which of two lives of one name counts. */
-    private boolean supersedes(Full news, Entry known) {
-        long generation = news.life().generation();
+    private boolean supersedes(MemberRecord news, Entry known) {
+        long generation = news.instance().generation();
         long former = known.life().generation();
         if (generation <= known.buried) {
             return false;
         }
-        if (!known.state.isLive() || news.life().at().equals(known.at())) {
+        if (!known.state.isLive() || news.instance().address().equals(known.at())) {
             return generation > former;
         }
         // Two that live: the elder keeps the name, whoever hears of them, in whatever order.
@@ -129,20 +129,20 @@
         return generation < former;
     }
 
-    private void sameLife(Entry entry, Full news, Entry sender, long now) {
+    private void sameLife(Entry entry, MemberRecord news, Entry sender, long now) {
         if (!entry.state.isLive()) {
             if (news.state().isLive() && entry.state == State.DEAD && now - entry.toldAt >= times.period()) {
                 // Somebody holds it live: it is to hear that it was buried, and to begin anew.
                 entry.toldAt = now;
                 Claim claim = new Claim(
-                        news.life().id(),
+                        news.instance().id(),
                         news.incarnation(),
                         State.DEAD,
-                        self.self().life().id());
-                self.spread(news.life().name(), claim, now);
+                        self.self().instance().id());
+                self.spread(news.instance().name(), claim, now);
                 // From others it is a suspicion only, which it would refute and stay buried here: behind a
                 // cut one that was alone found its 31 others one by one, for up to 12 s.
-                self.reply(entry.at(), Kind.NEWS, 0, 0, List.of(claim));
+                self.reply(entry.at(), Kind.GOSSIP, 0, 0, List.of(claim));
             }
             return;
         }
@@ -150,7 +150,7 @@
             return;
         }
         if (news.incarnation() > entry.record.incarnation()) {
-            Full before = entry.full();
+            MemberRecord before = entry.full();
             view.heard(entry, news);
             boolean cleared =
                     entry.state == State.SUSPECT && news.state() == State.ALIVE && news.incarnation() > entry.suspected;
@@ -158,8 +158,8 @@
                 view.turn(entry, State.ALIVE, now);
                 out.count("cleared");
             }
-            self.spread(news.life().name(), entry.record, now);
-            out.changed(before, entry.full());
+            self.spread(news.instance().name(), entry.record, now);
+            out.memberChanged(before, entry.full());
         }
         if (news.state() != State.ALIVE) {
             entry.leaving |= news.state() == State.LEFT;
@@ -175,18 +175,18 @@
 
     /** This member has found it silent. */
     void silent(Entry entry, long now) {
-        suspect(entry, entry.record.incarnation(), self.self().life().id(), now);
+        suspect(entry, entry.record.incarnation(), self.self().instance().id(), now);
     }
 
     /** That one found it silent; by enough of those, or in time, it is buried here. */
     private void suspect(Entry entry, int incarnation, long by, long now) {
         boolean first = entry.state == State.ALIVE;
         if (first) {
-            Full before = entry.full();
+            MemberRecord before = entry.full();
             view.turn(entry, State.SUSPECT, now);
             entry.suspected = incarnation;
             entry.suspectedAt = now;
-            out.changed(before, entry.full());
+            out.memberChanged(before, entry.full());
             out.count("suspected");
         } else if (!entry.leaving && (entry.by.size() > Times.CONFIRMATIONS || entry.by.contains(by))) {
             return;
@@ -194,11 +194,11 @@
         entry.suspected = Math.max(entry.suspected, incarnation);
         boolean added = entry.by.size() <= Times.CONFIRMATIONS && entry.accused(by);
         long span = entry.leaving
-                ? LEAVING_PERIODS * times.probe(0, probing.roundTrip())
-                : times.suspicion(self.size(), entry.by.size() - 1, probing.roundTrip());
+                ? LEAVING_PERIODS * times.probeTimeout(0, probing.roundTrip())
+                : times.suspicionTimeout(self.size(), entry.by.size() - 1, probing.roundTrip());
         // One that is slow itself blames late, unless others have found the same.
         boolean alone =
-                entry.by.size() == 1 && entry.by.contains(self.self().life().id());
+                entry.by.size() == 1 && entry.by.contains(self.self().instance().id());
         // Never behind the present: that would look as if this member had stood still.
         int slowed = alone ? Math.min(MOST_SLOWED, probing.score()) : 0;
         long deadline = Math.max(now, entry.suspectedAt + span * (1 + slowed));
@@ -217,7 +217,7 @@
         entry.deadline = deadline;
         alarms.add(new Alarm(deadline, entry, deadline, false));
         for (int i = 1; i <= LAST_CALLS; i++) {
-            long at = deadline - i * times.probe(0, probing.roundTrip()) * LAST_CALL_PART / LAST_CALL_OF;
+            long at = deadline - i * times.probeTimeout(0, probing.roundTrip()) * LAST_CALL_PART / LAST_CALL_OF;
             alarms.add(new Alarm(Math.max(now, at), entry, deadline, true));
         }
     }
@@ -246,7 +246,7 @@
     /** Another may have reached one that was called for the last time: it gets longer to say so itself. */
     void acked(Message message, long now) {
         Entry called = lastCalls.remove(message.seq());
-        long least = times.least(self.size(), probing.roundTrip());
+        long least = times.minSuspicionTimeout(self.size(), probing.roundTrip());
         if (called != null
                 && called.life().id() == message.target()
                 && called.state == State.SUSPECT
@@ -256,9 +256,9 @@
     }
 
     private void end(Entry entry, State how, long now) {
-        Full before = entry.full();
+        MemberRecord before = entry.full();
         view.turn(entry, how, now);
-        out.changed(before, entry.full());
+        out.memberChanged(before, entry.full());
         out.count(how == State.DEAD ? "buried" : "left");
         self.spread(
                 entry.life().name(),
@@ -268,7 +268,7 @@
                         how,
                         how == State.LEFT
                                 ? entry.life().id()
-                                : self.self().life().id()),
+                                : self.self().instance().id()),
                 now);
         while (view.buried().size() > MOST_BURIED) {
             view.forget(view.buried().get(0));
--- a/src/main/java/laneflow/membership/decision/Member.java
+++ b/src/main/java/laneflow/membership/decision/Member.java
@@ -3,12 +3,12 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import laneflow.membership.decision.Message.Kind;
-import laneflow.membership.decision.Update.Full;
+import laneflow.membership.decision.Update.MemberRecord;
 import laneflow.membership.decision.View.Entry;
 
 /** What {@link Swim} is to its parts: this member's own word, and its ways to speak. */
 interface Member {
-    Full self();
+    MemberRecord self();
 
     /** How many members are live, this one among them. */
     int size();
--- a/src/main/java/laneflow/membership/decision/Life.java
+++ b/src/main/java/laneflow/membership/decision/MemberInstance.java
@@ -10,18 +10,18 @@
  * One life of a member: a process that was started, or that found itself buried and begins anew. Of one name
  * only one life counts.
  *
- * @param name of the scheduler, up to {@link #MOST_NAME} bytes
+ * @param name of the scheduler, up to {@link #MAX_NAME_BYTES} bytes
  * @param generation grows from one life of a name to the next, at first Unix milliseconds of the start
- * @param at where its datagrams come from and go to
+ * @param address where its datagrams come from and go to
  * @param id the life in eight bytes
  */
-public record Life(String name, long generation, InetSocketAddress at, long id) {
+public record MemberInstance(String name, long generation, InetSocketAddress address, long id) {
     /** Bytes of UTF-8. */
-    public static final int MOST_NAME = 64;
+    public static final int MAX_NAME_BYTES = 64;
     /** No clock says more; what does is no generation. */
-    public static final long MOST_GENERATION = 1L << 53;
+    public static final long MAX_GENERATION = 1L << 53;
 
-    public static Life of(String name, long generation, InetSocketAddress at) {
+    public static MemberInstance of(String name, long generation, InetSocketAddress at) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             digest.update(ByteBuffer.allocate(Long.BYTES).putLong(generation).array());
@@ -31,15 +31,15 @@
             byte[] hash = digest.digest(name.getBytes(StandardCharsets.UTF_8));
             long id = ByteBuffer.wrap(hash).getLong();
             // Nothing is nobody's.
-            return new Life(name, generation, at, id == 0 ? 1 : id);
+            return new MemberInstance(name, generation, at, id == 0 ? 1 : id);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every Java has SHA-256", e);
         }
     }
 
     /** The next life of the same process. */
-    Life next(long atLeast) {
-        return of(name, Math.max(generation + 1, atLeast), at);
+    MemberInstance next(long atLeast) {
+        return of(name, Math.max(generation + 1, atLeast), address);
     }
 
     @Override
--- a/src/main/java/laneflow/membership/decision/Facts.java
+++ b/src/main/java/laneflow/membership/decision/MemberMetadata.java
@@ -5,8 +5,8 @@
 /**
  * What a member tells of itself, for people and for reports; no decision rests on it.
  *
- * @param zone of the scheduler, cut off behind {@link #MOST_ZONE} bytes; empty: none
- * @param build cut off behind {@link #MOST_BUILD} bytes
+ * @param zone of the scheduler, cut off behind {@link #MAX_ZONE_BYTES} bytes; empty: none
+ * @param build cut off behind {@link #MAX_BUILD_BYTES} bytes
  * @param link where the fleet's link and operators come, or null
  * @param policy the number of the policy in force there, -1 where none is decided together
  * @param condition whether clients may come
@@ -14,7 +14,7 @@
  * @param rate requests served a second: n stands for under 2 to the n
  * @param late true while its loop runs late
  */
-public record Facts(
+public record MemberMetadata(
         String zone,
         String build,
         InetSocketAddress link,
@@ -23,8 +23,8 @@
         int load,
         int rate,
         boolean late) {
-    public static final int MOST_ZONE = 32;
-    public static final int MOST_BUILD = 16;
+    public static final int MAX_ZONE_BYTES = 32;
+    public static final int MAX_BUILD_BYTES = 16;
     private static final int MOST_STEP = 15;
 
     /** Whether clients may come: yes, it drains, or it may not decide. */
@@ -35,16 +35,16 @@
     }
 
     /** A share from 0 to 1 as a step. */
-    public static int loadStep(double share) {
+    public static int toLoadStep(double share) {
         return (int) Math.max(0, Math.min(MOST_STEP, Math.floor(share * (MOST_STEP + 1))));
     }
 
     /** Requests a second as a step. */
-    public static int rateStep(double perSecond) {
+    public static int toRateStep(double perSecond) {
         return Math.min(MOST_STEP * 2, Long.SIZE - Long.numberOfLeadingZeros((long) Math.max(0, perSecond)));
     }
 
-    Facts late(boolean now) {
-        return now == late ? this : new Facts(zone, build, link, policy, condition, load, rate, now);
+    MemberMetadata withLate(boolean now) {
+        return now == late ? this : new MemberMetadata(zone, build, link, policy, condition, load, rate, now);
     }
 }
--- a/src/main/java/laneflow/membership/decision/Wire.java
+++ b/src/main/java/laneflow/membership/decision/MessageCodec.java
@@ -6,11 +6,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import laneflow.membership.decision.Facts.Condition;
+import laneflow.membership.decision.MemberMetadata.Condition;
 import laneflow.membership.decision.Message.Kind;
 import laneflow.membership.decision.Update.Claim;
-import laneflow.membership.decision.Update.Extra;
-import laneflow.membership.decision.Update.Full;
+import laneflow.membership.decision.Update.MemberRecord;
+import laneflow.membership.decision.Update.Payload;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePackException;
@@ -20,7 +20,7 @@
  * The form of datagrams: MessagePack values one behind the other. Sizes are counted, not tried: news is
  * chosen by what fits. What goes around it (version, key, code of authenticity) is {@link Seal}'s.
  */
-public final class Wire implements Swim.Sizes {
+public final class MessageCodec implements Swim.Sizes {
     private static final int FULL = 1;
     private static final int CLAIM = 2;
     private static final int EXTRA = 3;
@@ -33,7 +33,7 @@
     private static final int BUCKET_BYTES = View.BUCKETS * Integer.BYTES + BYTES_HEAD;
     private static final int HEAD = SMALL + LONG + INT + INT + LONG;
     private static final int CLAIM_BYTES = SMALL + LONG + INT + SMALL + LONG;
-    /** Bytes around those of an {@link Extra}. */
+    /** Bytes around those of an {@link Payload}. */
     static final int EXTRA_HEAD = SMALL + BYTES_HEAD;
 
     private static final int MOST_UPDATES = 32;
@@ -43,7 +43,7 @@
     private final int most;
 
     /** @param most bytes of a datagram's content */
-    public Wire(int most) {
+    public MessageCodec(int most) {
         this.most = most;
     }
 
@@ -54,12 +54,12 @@
 
     @Override
     public int applyAsInt(Update update) {
-        if (update instanceof Full full) {
-            Facts facts = full.facts();
+        if (update instanceof MemberRecord full) {
+            MemberMetadata facts = full.metadata();
             return SMALL
-                    + text(full.life().name())
+                    + text(full.instance().name())
                     + LONG
-                    + place(full.life().at())
+                    + place(full.instance().address())
                     + INT
                     + SMALL
                     + text(facts.zone())
@@ -68,12 +68,12 @@
                     + LONG
                     + INT;
         }
-        return update instanceof Extra extra ? EXTRA_HEAD + extra.bytes().length : CLAIM_BYTES;
+        return update instanceof Payload extra ? EXTRA_HEAD + extra.bytes().length : CLAIM_BYTES;
     }
 
     /** The most bytes that a message may take. */
-    public int applyAsInt(Message message) {
-        int all = HEAD + (message.buckets() == null ? 0 : BUCKET_BYTES);
+    public int maxSize(Message message) {
+        int all = HEAD + (message.bucketDigests() == null ? 0 : BUCKET_BYTES);
         for (Update update : message.updates()) {
             all += applyAsInt(update);
         }
@@ -93,13 +93,13 @@
     public byte[] write(Message message) {
         try (MessageBufferPacker to = MessagePack.newDefaultBufferPacker()) {
             to.packInt(message.kind().ordinal());
-            to.packLong(message.from());
+            to.packLong(message.senderId());
             to.packInt(message.digest());
             to.packInt(message.seq());
             to.packLong(message.target());
-            if (message.buckets() != null) {
-                to.packBinaryHeader(message.buckets().length * Integer.BYTES);
-                for (int bucket : message.buckets()) {
+            if (message.bucketDigests() != null) {
+                to.packBinaryHeader(message.bucketDigests().length * Integer.BYTES);
+                for (int bucket : message.bucketDigests()) {
                     to.addPayload(new byte[] {
                         (byte) (bucket >> 24), (byte) (bucket >> 16), (byte) (bucket >> 8), (byte) bucket
                     });
@@ -117,20 +117,22 @@
     private static void write(Update update, MessageBufferPacker to) throws IOException {
         if (update instanceof Claim claim) {
             to.packInt(CLAIM)
-                    .packLong(claim.id())
+                    .packLong(claim.instanceId())
                     .packInt(claim.incarnation())
                     .packInt(claim.state().ordinal())
-                    .packLong(claim.by());
+                    .packLong(claim.accuserId());
             return;
         }
-        if (update instanceof Extra extra) {
+        if (update instanceof Payload extra) {
             to.packInt(EXTRA).packBinaryHeader(extra.bytes().length).addPayload(extra.bytes());
             return;
         }
-        Full full = (Full) update;
-        Facts facts = full.facts();
-        to.packInt(FULL).packString(full.life().name()).packLong(full.life().generation());
-        write(full.life().at(), to);
+        MemberRecord full = (MemberRecord) update;
+        MemberMetadata facts = full.metadata();
+        to.packInt(FULL)
+                .packString(full.instance().name())
+                .packLong(full.instance().generation());
+        write(full.instance().address(), to);
         to.packInt(full.incarnation())
                 .packInt(full.state().ordinal())
                 .packString(facts.zone())
@@ -203,15 +205,15 @@
         }
         if (form == EXTRA) {
             int length = from.unpackBinaryHeader();
-            if (length > Seal.MOST) {
+            if (length > Seal.MAX_DATAGRAM_BYTES) {
                 throw new IOException("an extra of " + length + " bytes");
             }
-            return new Extra(from.readPayload(length));
+            return new Payload(from.readPayload(length));
         }
         if (form != FULL) {
             throw new IOException("no form of news: " + form);
         }
-        String name = text(from, Life.MOST_NAME);
+        String name = text(from, MemberInstance.MAX_NAME_BYTES);
         long generation = from.unpackLong();
         InetSocketAddress at = place(from);
         if (at == null || name.isEmpty()) {
@@ -219,19 +221,19 @@
         }
         int incarnation = natural(from);
         State state = state(from);
-        String zone = text(from, Facts.MOST_ZONE);
-        String build = text(from, Facts.MOST_BUILD);
+        String zone = text(from, MemberMetadata.MAX_ZONE_BYTES);
+        String build = text(from, MemberMetadata.MAX_BUILD_BYTES);
         InetSocketAddress link = place(from);
         long policy = from.unpackLong();
         int packed = natural(from);
         boolean late = packed % 2 == 1;
         Condition condition = Condition.values()[packed / 2 % CONDITIONS];
         int steps = packed / 2 / CONDITIONS;
-        return new Full(
-                Life.of(name, generation, at),
+        return new MemberRecord(
+                MemberInstance.of(name, generation, at),
                 incarnation,
                 state,
-                new Facts(
+                new MemberMetadata(
                         zone, build, link, policy, condition, steps >> STEP_BITS, steps & (1 << STEP_BITS) - 1, late));
     }
 
--- a/src/main/java/laneflow/membership/decision/Probing.java
+++ b/src/main/java/laneflow/membership/decision/Probing.java
@@ -93,7 +93,7 @@
 
     /** From then on a period may begin, if the member is awake. */
     long early() {
-        return isAnswered() && favours.isEmpty() ? nextPeriod - times.leeway() : next();
+        return isAnswered() && favours.isEmpty() ? nextPeriod - times.wakeTolerance() : next();
     }
 
     private boolean isAnswered() {
@@ -101,7 +101,7 @@
     }
 
     long next() {
-        long next = isAnswered() ? nextPeriod + times.leeway() : nextPeriod;
+        long next = isAnswered() ? nextPeriod + times.wakeTolerance() : nextPeriod;
         if (waits()) {
             next = Math.min(next, again ? othersAt : againAt);
         }
@@ -135,7 +135,7 @@
                 }
             }
         }
-        if (now < (isAnswered() ? nextPeriod - times.leeway() : nextPeriod)) {
+        if (now < (isAnswered() ? nextPeriod - times.wakeTolerance() : nextPeriod)) {
             return false;
         }
         period(now);
@@ -151,11 +151,11 @@
 
     private void period(long now) {
         ended(now);
-        nextPeriod = now + times.probe(score, roundTrip);
+        nextPeriod = now + times.probeTimeout(score, roundTrip);
         again = false;
         asked = false;
-        othersAt = now + times.direct(score, roundTrip);
-        againAt = now + times.direct(score, roundTrip) / 2;
+        othersAt = now + times.directProbeTimeout(score, roundTrip);
+        againAt = now + times.directProbeTimeout(score, roundTrip) / 2;
         // One that is cut off with few takes longer for each, and would need minutes for all the others.
         for (int i = 0; i < 1 + PROBES_MORE * score; i++) {
             Entry target = nextInTurn();
@@ -261,7 +261,9 @@
             return;
         }
         int number = self.number();
-        favours.put(number, new Favour(asker.at(), message.seq(), message.target(), now + times.direct(0, roundTrip)));
+        favours.put(
+                number,
+                new Favour(asker.at(), message.seq(), message.target(), now + times.directProbeTimeout(0, roundTrip)));
         self.send(target, Kind.PING, number, message.target(), List.of());
         favours(now);
     }
--- a/src/main/java/laneflow/membership/decision/Seal.java
+++ b/src/main/java/laneflow/membership/decision/Seal.java
@@ -17,13 +17,13 @@
  */
 public final class Seal {
     /** Bytes of any datagram. */
-    public static final int MOST = 256;
+    public static final int MAX_DATAGRAM_BYTES = 256;
     /** Bytes around the content. */
-    public static final int AROUND = 22;
+    public static final int OVERHEAD_BYTES = 22;
 
     private static final byte VERSION = 1;
     private static final int MAC = 16;
-    private static final int BEFORE = AROUND - MAC;
+    private static final int BEFORE = OVERHEAD_BYTES - MAC;
     private static final String ALGORITHM = "HmacSHA256";
     private static final int LEAST_KEY = 16;
     private static final int MOST_KEYS = 2;
@@ -36,11 +36,11 @@
     /** Seals by the first of these keys. */
     public Seal(List<String> texts, int firstNumber) {
         number = firstNumber;
-        keys(texts);
+        setKeys(texts);
     }
 
     /** Why these can't be keys; null if they can. */
-    public static String unfit(List<String> texts) {
+    public static String invalidKeys(List<String> texts) {
         if (texts.isEmpty() || texts.size() > MOST_KEYS) {
             return "holds " + texts.size() + " keys: one, or two while they are changed";
         }
@@ -53,8 +53,8 @@
     }
 
     /** Goes by these from now on. */
-    public void keys(List<String> texts) {
-        String unfit = unfit(texts);
+    public void setKeys(List<String> texts) {
+        String unfit = invalidKeys(texts);
         if (unfit != null) {
             throw new IllegalArgumentException(unfit);
         }
@@ -72,24 +72,24 @@
     }
 
     /** A datagram with that content. */
-    public byte[] close(byte[] content) {
+    public byte[] wrap(byte[] content) {
         Key key = keys.get(0);
-        byte[] all = new byte[AROUND + content.length];
+        byte[] all = new byte[OVERHEAD_BYTES + content.length];
         ByteBuffer to = ByteBuffer.wrap(all).put(VERSION).put(key.mark).putInt(++number);
-        System.arraycopy(content, 0, all, AROUND, content.length);
+        System.arraycopy(content, 0, all, OVERHEAD_BYTES, content.length);
         to.put(code(key, all, all.length), 0, MAC);
         return all;
     }
 
     private static byte[] code(Key key, byte[] all, int length) {
         key.mac.update(all, 0, BEFORE);
-        key.mac.update(all, AROUND, length - AROUND);
+        key.mac.update(all, OVERHEAD_BYTES, length - OVERHEAD_BYTES);
         return key.mac.doFinal();
     }
 
-    /** True if it was sealed by one of the keys; the content is behind the first {@link #AROUND} bytes. */
-    public boolean isWhole(byte[] all, int length) {
-        if (length <= AROUND || length > MOST || all[0] != VERSION) {
+    /** True if it was sealed by one of the keys; the content is behind the first {@link #OVERHEAD_BYTES} bytes. */
+    public boolean isAuthentic(byte[] all, int length) {
+        if (length <= OVERHEAD_BYTES || length > MAX_DATAGRAM_BYTES || all[0] != VERSION) {
             return false;
         }
         byte[] shown = new byte[MAC];
@@ -108,7 +108,7 @@
     }
 
     /** The number of a datagram that is whole. */
-    public static int number(byte[] all) {
+    public static int sequenceNumber(byte[] all) {
         return ByteBuffer.wrap(all).getInt(2);
     }
 }
--- a/src/main/java/laneflow/membership/decision/Swim.java
+++ b/src/main/java/laneflow/membership/decision/Swim.java
@@ -9,8 +9,8 @@
 import java.util.function.ToIntFunction;
 import laneflow.membership.decision.Message.Kind;
 import laneflow.membership.decision.Update.Claim;
-import laneflow.membership.decision.Update.Extra;
-import laneflow.membership.decision.Update.Full;
+import laneflow.membership.decision.Update.MemberRecord;
+import laneflow.membership.decision.Update.Payload;
 import laneflow.membership.decision.View.Entry;
 
 /**
@@ -26,22 +26,22 @@
  */
 public final class Swim {
     /** What it may do; called amid its methods, which must not be called from there. */
-    public interface Out {
+    public interface Environment {
         void send(InetSocketAddress to, Message message);
 
         /** Sends records over a connection to that member, all at once; false where there is none. */
-        boolean sendAll(String name, List<Full> records);
+        boolean sendRecords(String name, List<MemberRecord> records);
 
         /** A member is known, or has another state or other words; null: of no life before. */
-        void changed(Full before, Full now);
+        void memberChanged(MemberRecord before, MemberRecord now);
 
         /** Bytes for others than the view that are to go along to that member, or null. */
-        default byte[] extra(Full to, int room) {
+        default byte[] nextPayload(MemberRecord to, int room) {
             return null;
         }
 
         /** Such bytes from a member. */
-        default void extra(Full from, byte[] bytes) {}
+        default void payloadReceived(MemberRecord from, byte[] bytes) {}
 
         /** Counts an event of that name. */
         void count(String what);
@@ -59,7 +59,7 @@
     private static final long FACTS_PERIODS = 8;
     private static final long SETTLED_PERIODS = 4;
 
-    private final Out out;
+    private final Environment out;
     private final Sizes sizes;
     private final Times times;
     private final List<InetSocketAddress> seeds;
@@ -69,7 +69,7 @@
     private final Probing probing;
     private final Judgement judgement;
     private final Comparison comparison;
-    private Full self;
+    private MemberRecord self;
     private boolean outcast;
     private boolean left;
     private int seq;
@@ -80,7 +80,7 @@
     private long changedAt;
     private long factsAt = Long.MIN_VALUE / 2;
     private long bornAt;
-    private Facts wanted;
+    private MemberMetadata wanted;
     /** The message that is being heard holds a suspicion of this member that it has cleared before. */
     private boolean remind;
 
@@ -95,22 +95,22 @@
      * @param seeds where others may be; its own address among them is passed over
      */
     public Swim(
-            Life life,
-            Facts facts,
+            MemberInstance life,
+            MemberMetadata facts,
             List<InetSocketAddress> seeds,
             Times times,
             Sizes sizes,
             long seed,
             long now,
-            Out out) {
+            Environment out) {
         this.out = out;
         this.sizes = sizes;
         this.times = times;
         this.seeds = new ArrayList<>(seeds);
-        this.seeds.remove(life.at());
+        this.seeds.remove(life.address());
         random = new SplittableRandom(seed);
         seq = random.nextInt();
-        self = new Full(life, 0, State.ALIVE, facts);
+        self = new MemberRecord(life, 0, State.ALIVE, facts);
         wanted = facts;
         view.count(self);
         nextSeek = now;
@@ -126,7 +126,7 @@
     /** As its parts know it. */
     private final class Own implements Member {
         @Override
-        public Full self() {
+        public MemberRecord self() {
             return self;
         }
 
@@ -163,13 +163,13 @@
     // ---- reading ----
 
     /** This member, as it tells itself. */
-    public Full self() {
+    public MemberRecord self() {
         return self;
     }
 
     /** All others that are known, those included that are gone, each with its state. */
-    public List<Full> others() {
-        List<Full> all = new ArrayList<>();
+    public List<MemberRecord> others() {
+        List<MemberRecord> all = new ArrayList<>();
         view.live().forEach(one -> all.add(one.full()));
         view.buried().forEach(one -> all.add(one.full()));
         return all;
@@ -181,25 +181,25 @@
     }
 
     /** The other of that name, or null. */
-    public Full other(String name) {
+    public MemberRecord other(String name) {
         Entry entry = view.name(name);
         return entry == null ? null : entry.full();
     }
 
     /** When the other of that name got its present state, by the clock of the calls; -1: nobody's name. */
-    public long changedAt(String name) {
+    public long stateChangedAt(String name) {
         Entry entry = view.name(name);
         return entry == null ? -1 : entry.changedAt;
     }
 
     /** True if that is the present life of a live member. */
-    public boolean knows(long life) {
+    public boolean isLiveInstance(long life) {
         Entry entry = view.life(life);
         return entry != null && entry.state.isLive();
     }
 
     /** True where datagrams from that address can be a member's. */
-    public boolean isKnown(InetSocketAddress at) {
+    public boolean isKnownAddress(InetSocketAddress at) {
         return view.isKnown(at) || seeds.contains(at);
     }
 
@@ -209,12 +209,12 @@
     }
 
     /** True while another holds this member's name at another address: nobody takes this one in. */
-    public boolean isOutcast() {
+    public boolean isNameTaken() {
         return outcast;
     }
 
     /** How much slower than its period it goes, 0 to 8: as slow as it has found itself to be. */
-    public int score() {
+    public int healthScore() {
         return probing.score();
     }
 
@@ -235,12 +235,12 @@
     // ---- time ----
 
     /** The instant by which {@link #tick} is to be called. */
-    public long next() {
+    public long nextTick() {
         return left ? nextGossip : Math.min(Math.min(probing.next(), judgement.next()), Math.min(nextGossip, nextSeek));
     }
 
     /** From then on {@link #tick} may be called if the member is awake: that spares it a wake. */
-    public long early() {
+    public long earliestTick() {
         return left
                 ? nextGossip
                 : Math.min(Math.min(probing.early(), judgement.next()), Math.min(nextGossip, nextSeek));
@@ -248,8 +248,8 @@
 
     /** Does what is due. */
     public void tick(long now) {
-        long behind = now - next();
-        if (behind > times.late() && !left) {
+        long behind = now - nextTick();
+        if (behind > times.stallThreshold() && !left) {
             stoodStill(now, behind);
         }
         if (!left) {
@@ -278,8 +278,8 @@
     /** Looks for one of those that are missing. */
     private void seek(long now) {
         boolean alone = view.live().isEmpty();
-        nextSeek = now + (alone ? times.period() : times.seek());
-        askedAt.values().removeIf(at -> now - at > times.seek());
+        nextSeek = now + (alone ? times.period() : times.reconnectInterval());
+        askedAt.values().removeIf(at -> now - at > times.reconnectInterval());
         List<InetSocketAddress> missing = new ArrayList<>(seeds);
         for (Entry one : view.live()) {
             missing.remove(one.at());
@@ -303,16 +303,16 @@
     private void ask(InetSocketAddress at, long now) {
         Long before = askedAt.get(at);
         if (before != null && now - before < times.period() / 2
-                || at.equals(self.life().at())) {
+                || at.equals(self.instance().address())) {
             return;
         }
         askedAt.put(at, now);
         if (nextSeek == Long.MAX_VALUE) {
             // Where whom it asked is forgotten again.
-            nextSeek = now + times.seek();
+            nextSeek = now + times.reconnectInterval();
         }
         strangers.put(++seq, at);
-        reply(at, Kind.WHO, seq, 0, List.of(self));
+        reply(at, Kind.IDENTIFY, seq, 0, List.of(self));
     }
 
     private void tellBuried(Entry entry, long now, boolean asks) {
@@ -324,17 +324,17 @@
                 entry.life().id(),
                 entry.record.incarnation(),
                 State.DEAD,
-                self.life().id());
+                self.instance().id());
         if (asks) {
             strangers.put(++seq, entry.at());
-            reply(entry.at(), Kind.WHO, seq, 0, List.of(self, claim));
+            reply(entry.at(), Kind.IDENTIFY, seq, 0, List.of(self, claim));
         } else {
-            reply(entry.at(), Kind.NEWS, seq, 0, List.of(claim));
+            reply(entry.at(), Kind.GOSSIP, seq, 0, List.of(claim));
         }
     }
 
     private void gossip(long now) {
-        nextGossip = news.isEmpty() ? Long.MAX_VALUE : now + times.gossip();
+        nextGossip = news.isEmpty() ? Long.MAX_VALUE : now + times.gossipInterval();
         List<Entry> to = new ArrayList<>();
         for (int i = Times.fanout(news.size()); i > 0 && !news.isEmpty(); i--) {
             Entry one = view.any(random, each -> !to.contains(each));
@@ -342,7 +342,7 @@
                 break;
             }
             to.add(one);
-            send(one, Kind.NEWS, 0, 0, List.of());
+            send(one, Kind.GOSSIP, 0, 0, List.of());
         }
         if (view.live().isEmpty()) {
             // Nobody to tell: whoever comes asks for all of it.
@@ -353,14 +353,14 @@
     // ---- this member's own word ----
 
     /** What it is to tell of itself from now on; small changes wait a little, so that they stay few. */
-    public void tell(long now, Facts facts) {
+    public void updateMetadata(long now, MemberMetadata facts) {
         wanted = facts;
         facts(now);
     }
 
     private void facts(long now) {
-        Facts facts = wanted.late(now < lateUntil);
-        Facts before = self.facts();
+        MemberMetadata facts = wanted.withLate(now < lateUntil);
+        MemberMetadata before = self.metadata();
         if (facts.equals(before) || left) {
             return;
         }
@@ -369,31 +369,31 @@
                 || facts.late() != before.late();
         if (urgent || now - factsAt >= FACTS_PERIODS * times.period()) {
             factsAt = now;
-            say(self.life(), self.incarnation() + 1, facts, now);
+            say(self.instance(), self.incarnation() + 1, facts, now);
         }
     }
 
-    private void say(Life life, int incarnation, Facts facts, long now) {
+    private void say(MemberInstance life, int incarnation, MemberMetadata facts, long now) {
         view.count(self);
         boolean over = incarnation >= MOST_INCARNATION;
-        self = new Full(over ? life.next(0) : life, over ? 0 : incarnation, State.ALIVE, facts);
+        self = new MemberRecord(over ? life.next(0) : life, over ? 0 : incarnation, State.ALIVE, facts);
         view.count(self);
-        spread(self.life().name(), self, now);
+        spread(self.instance().name(), self, now);
     }
 
     /** Goes: says so to some, who tell it on. To be followed by a few more calls of {@link #tick}. */
     public void leave(long now) {
         left = true;
         view.count(self);
-        self = self.with(State.LEFT);
+        self = self.withState(State.LEFT);
         view.count(self);
         spread(
-                self.life().name(),
+                self.instance().name(),
                 new Claim(
-                        self.life().id(),
+                        self.instance().id(),
                         self.incarnation(),
                         State.LEFT,
-                        self.life().id()),
+                        self.instance().id()),
                 now);
         gossip(now);
     }
@@ -403,21 +403,21 @@
         changedAt = now;
         comparison.disturbed();
         if (nextSeek == Long.MAX_VALUE) {
-            nextSeek = now + times.seek();
+            nextSeek = now + times.reconnectInterval();
         }
         if (nextGossip == Long.MAX_VALUE) {
-            nextGossip = now + times.gossip();
+            nextGossip = now + times.gossipInterval();
         }
     }
 
     // ---- hearing ----
 
     /** A datagram's content, from that address. */
-    public void heard(long now, InetSocketAddress from, Message message) {
-        if (left || message.from() == self.life().id()) {
+    public void receive(long now, InetSocketAddress from, Message message) {
+        if (left || message.senderId() == self.instance().id()) {
             return;
         }
-        Entry sender = view.life(message.from());
+        Entry sender = view.life(message.senderId());
         if (sender == null || !sender.state.isLive()) {
             sender = stranger(now, from, message, sender);
             if (sender == null) {
@@ -442,7 +442,8 @@
      */
     private Entry stranger(long now, InetSocketAddress from, Message message, Entry buried) {
         for (Update update : message.updates()) {
-            if (update instanceof Claim claim && claim.id() == self.life().id()) {
+            if (update instanceof Claim claim
+                    && claim.instanceId() == self.instance().id()) {
                 aboutSelf(claim.state(), claim.incarnation(), now);
             }
         }
@@ -453,34 +454,34 @@
         boolean answered = message.kind() == Kind.ACK && from.equals(strangers.get(message.seq()));
         if (answered
                 && !message.updates().isEmpty()
-                && message.updates().get(0) instanceof Full own
-                && own.life().id() == message.from()
-                && own.life().at().equals(from)) {
+                && message.updates().get(0) instanceof MemberRecord own
+                && own.instance().id() == message.senderId()
+                && own.instance().address().equals(from)) {
             strangers.remove(message.seq());
             accept(own, null, now);
-            Entry known = view.life(message.from());
-            Full holder = own.life().name().equals(self.life().name())
+            Entry known = view.life(message.senderId());
+            MemberRecord holder = own.instance().name().equals(self.instance().name())
                     ? self
-                    : other(own.life().name());
+                    : other(own.instance().name());
             if (known == null && holder != null) {
                 // Another holds the name: it is told who.
-                reply(from, Kind.NEWS, 0, 0, List.of(holder));
+                reply(from, Kind.GOSSIP, 0, 0, List.of(holder));
             }
             return known;
         }
-        if (outcast && message.kind() == Kind.NEWS) {
+        if (outcast && message.kind() == Kind.GOSSIP) {
             return null;
         }
-        if (message.kind() == Kind.NEWS
+        if (message.kind() == Kind.GOSSIP
                 && message.updates().size() == 1
-                && message.updates().get(0) instanceof Full holder
-                && holder.life().name().equals(self.life().name())) {
+                && message.updates().get(0) instanceof MemberRecord holder
+                && holder.instance().name().equals(self.instance().name())) {
             sameName(holder, now);
             return null;
         }
         out.count("strangers");
-        if (message.kind() == Kind.WHO || message.kind() == Kind.PING) {
-            reply(from, Kind.ACK, message.seq(), self.life().id(), List.of(self));
+        if (message.kind() == Kind.IDENTIFY || message.kind() == Kind.PING) {
+            reply(from, Kind.ACK, message.seq(), self.instance().id(), List.of(self));
         }
         ask(from, now);
         return null;
@@ -490,11 +491,17 @@
         switch (message.kind()) {
             case PING -> {
                 // Whoever pings this very life takes it for a member.
-                outcast &= message.target() != self.life().id();
-                boolean meant = message.target() == self.life().id() || message.target() == 0;
-                send(sender, Kind.ACK, message.seq(), self.life().id(), meant && !remind ? List.of() : List.of(self));
+                outcast &= message.target() != self.instance().id();
+                boolean meant = message.target() == self.instance().id() || message.target() == 0;
+                send(
+                        sender,
+                        Kind.ACK,
+                        message.seq(),
+                        self.instance().id(),
+                        meant && !remind ? List.of() : List.of(self));
             }
-            case WHO -> send(sender, Kind.ACK, message.seq(), self.life().id(), List.of(self));
+            case IDENTIFY ->
+                send(sender, Kind.ACK, message.seq(), self.instance().id(), List.of(self));
             case ACK -> {
                 strangers.remove(message.seq());
                 if (!probing.acked(message, sender, now)) {
@@ -506,32 +513,32 @@
             case SYNC -> comparison.records(sender, message);
             default -> {
                 if (remind) {
-                    send(sender, Kind.NEWS, 0, 0, List.of(self));
+                    send(sender, Kind.GOSSIP, 0, 0, List.of(self));
                 }
             }
         }
     }
 
     /** All of it from a member, over a connection. */
-    public void heardAll(long now, String name, List<Full> records) {
+    public void receiveRecords(long now, String name, List<MemberRecord> records) {
         Entry sender = view.name(name);
         if (left || sender == null || !sender.state.isLive()) {
             out.count("strangers");
             return;
         }
-        for (Full record : records) {
+        for (MemberRecord record : records) {
             accept(record, sender, now);
         }
     }
 
-    /** Sends a live member those bytes, or null: what {@link Out#extra} has for it. */
-    public void carry(String name, byte[] bytes) {
+    /** Sends a live member those bytes, or null: what {@link Environment#nextPayload} has for it. */
+    public void sendPayload(String name, byte[] bytes) {
         Entry entry = view.name(name);
         if (entry != null && entry.state.isLive() && !left) {
             if (bytes == null) {
-                send(entry, Kind.NEWS, 0, 0, List.of());
+                send(entry, Kind.GOSSIP, 0, 0, List.of());
             } else {
-                reply(entry.at(), Kind.NEWS, 0, 0, List.of(new Extra(bytes)));
+                reply(entry.at(), Kind.GOSSIP, 0, 0, List.of(new Payload(bytes)));
             }
         }
     }
@@ -539,19 +546,19 @@
     // ---- what news does ----
 
     private void accept(Update update, Entry sender, long now) {
-        if (update instanceof Extra extra) {
+        if (update instanceof Payload extra) {
             if (sender != null) {
-                out.extra(sender.full(), extra.bytes());
+                out.payloadReceived(sender.full(), extra.bytes());
             }
             return;
         }
-        if (update instanceof Full full) {
-            if (full.life().generation() < 0
-                    || full.life().generation() > Life.MOST_GENERATION
+        if (update instanceof MemberRecord full) {
+            if (full.instance().generation() < 0
+                    || full.instance().generation() > MemberInstance.MAX_GENERATION
                     || full.incarnation() < 0) {
                 out.count("spoilt");
-            } else if (full.life().name().equals(self.life().name())) {
-                if (full.life().id() == self.life().id()) {
+            } else if (full.instance().name().equals(self.instance().name())) {
+                if (full.instance().id() == self.instance().id()) {
                     aboutSelf(full.state(), full.incarnation(), now);
                 } else if (full.state().isLive()) {
                     sameName(full, now);
@@ -562,7 +569,7 @@
             return;
         }
         Claim claim = (Claim) update;
-        if (claim.id() == self.life().id()) {
+        if (claim.instanceId() == self.instance().id()) {
             aboutSelf(claim.state(), claim.incarnation(), now);
         } else {
             judgement.claimed(claim, sender, now);
@@ -583,7 +590,7 @@
         if (claimed == State.SUSPECT) {
             probing.slower(1);
             out.count("refuted");
-            say(self.life(), Math.min(incarnation, MOST_INCARNATION - 1) + 1, self.facts(), now);
+            say(self.instance(), Math.min(incarnation, MOST_INCARNATION - 1) + 1, self.metadata(), now);
         } else {
             // Somebody has buried this life: it is over for good, and another begins.
             rebirth(0, now);
@@ -596,23 +603,23 @@
         }
         bornAt = now;
         out.count("reborn");
-        say(self.life().next(atLeast), 0, self.facts(), now);
+        say(self.instance().next(atLeast), 0, self.metadata(), now);
         nextSeek = now;
     }
 
     /** Another life goes by this member's name. */
-    private void sameName(Full other, long now) {
-        long generation = other.life().generation();
-        if (other.life().at().equals(self.life().at())) {
+    private void sameName(MemberRecord other, long now) {
+        long generation = other.instance().generation();
+        if (other.instance().address().equals(self.instance().address())) {
             // An earlier life of this very place, whatever its clock said.
-            if (generation >= self.life().generation()) {
+            if (generation >= self.instance().generation()) {
                 rebirth(generation + 1, now);
             }
         } else if (other.state().isLive()) {
             if (!outcast) {
                 out.count("name_taken_twice");
             }
-            outcast = generation < self.life().generation();
+            outcast = generation < self.instance().generation();
         }
     }
 
@@ -633,18 +640,18 @@
             room -= sizes.applyAsInt(one);
         }
         int known = updates.size();
-        news.fill(updates, room, Times.repeats(size()), sizes);
+        news.fill(updates, room, Times.gossipRepeats(size()), sizes);
         for (Update one : updates.subList(known, updates.size())) {
             room -= sizes.applyAsInt(one);
         }
-        byte[] extra = out.extra(to.full(), room - Wire.EXTRA_HEAD);
+        byte[] extra = out.nextPayload(to.full(), room - MessageCodec.EXTRA_HEAD);
         if (extra != null) {
-            updates.add(new Extra(extra));
+            updates.add(new Payload(extra));
         }
         reply(to.at(), kind, number, target, updates);
     }
 
     private void reply(InetSocketAddress to, Kind kind, int number, long target, List<Update> updates) {
-        out.send(to, new Message(kind, self.life().id(), view.digest(), number, target, null, updates));
+        out.send(to, new Message(kind, self.instance().id(), view.digest(), number, target, null, updates));
     }
 }
--- a/src/main/java/laneflow/membership/decision/Times.java
+++ b/src/main/java/laneflow/membership/decision/Times.java
@@ -29,7 +29,7 @@
     private static final long ROUND_TRIPS_TO_CLEAR = 3;
 
     /** Between two rounds of news. */
-    public long gossip() {
+    public long gossipInterval() {
         return period / GOSSIPS_A_PERIOD;
     }
 
@@ -38,12 +38,12 @@
      *
      * @param roundTrip microseconds that answers have taken of late
      */
-    public long direct(int score, long roundTrip) {
-        return (long) (probe(score, roundTrip) * DIRECT_PART);
+    public long directProbeTimeout(int score, long roundTrip) {
+        return (long) (probeTimeout(score, roundTrip) * DIRECT_PART);
     }
 
     /** How long a probe may take in all: a direct answer, then one by others. */
-    public long probe(int score, long roundTrip) {
+    public long probeTimeout(int score, long roundTrip) {
         return Math.max(period * (1 + score), ROUND_TRIPS_A_PROBE * roundTrip);
     }
 
@@ -53,23 +53,23 @@
     }
 
     /** Rounds in which news reaches all of so many members, as a rule. */
-    public static int rounds(int members) {
+    public static int gossipRounds(int members) {
         return (int) Math.ceil(Math.log(members + 1.0) / Math.log(2));
     }
 
     /** How often one sends the same news. */
-    public static int repeats(int members) {
+    public static int gossipRepeats(int members) {
         return REPEATS * (int) Math.ceil(Math.log10(members + 1.0));
     }
 
     /** The shortest suspicion: time to be heard of, to say otherwise, and for that to be heard of. */
-    public long least(int members, long roundTrip) {
-        return LEAST_PERIODS * period + 2 * gossip() * rounds(members) + ROUND_TRIPS_TO_CLEAR * roundTrip;
+    public long minSuspicionTimeout(int members, long roundTrip) {
+        return LEAST_PERIODS * period + 2 * gossipInterval() * gossipRounds(members) + ROUND_TRIPS_TO_CLEAR * roundTrip;
     }
 
     /** How long one is suspected whom that many others have found silent as well. */
-    public long suspicion(int members, int confirmed, long roundTrip) {
-        long least = least(members, roundTrip);
+    public long suspicionTimeout(int members, int confirmed, long roundTrip) {
+        long least = minSuspicionTimeout(members, roundTrip);
         long longest = LONGEST_TO_LEAST * least;
         int needed = Math.max(1, Math.min(CONFIRMATIONS, members - 2));
         double part = Math.min(1, Math.log(confirmed + 1.0) / Math.log(needed + 1.0));
@@ -77,22 +77,22 @@
     }
 
     /** A period may begin so much sooner or later, with what wakes the member, where all have answered. */
-    public long leeway() {
+    public long wakeTolerance() {
         return period / PARTS_OF_LEEWAY;
     }
 
     /** Between two tries to find one again that was buried, or is in the file and not known. */
-    public long seek() {
+    public long reconnectInterval() {
         return 2 * period;
     }
 
     /** Between two comparisons of whole views. */
-    public long sync() {
+    public long syncInterval() {
         return 2 * period;
     }
 
     /** One that wakes up so late has stood still. */
-    public long late() {
+    public long stallThreshold() {
         return period / 2;
     }
 }
--- a/src/main/java/laneflow/membership/decision/View.java
+++ b/src/main/java/laneflow/membership/decision/View.java
@@ -22,7 +22,7 @@
 
     /** One name. */
     static final class Entry {
-        Update.Full record;
+        Update.MemberRecord record;
         State state;
         /** Lives of this name up to this generation have been buried here. */
         long buried;
@@ -50,17 +50,17 @@
             return by.add(life);
         }
 
-        Life life() {
-            return record.life();
+        MemberInstance life() {
+            return record.instance();
         }
 
         InetSocketAddress at() {
-            return record.life().at();
+            return record.instance().address();
         }
 
         /** As others may be told. */
-        Update.Full full() {
-            return record.with(state);
+        Update.MemberRecord full() {
+            return record.withState(state);
         }
     }
 
@@ -109,28 +109,28 @@
         return Math.floorMod(name.hashCode(), BUCKETS);
     }
 
-    private static int mark(Update.Full record) {
-        return (int) (new SplittableRandom(record.life().id() + record.incarnation()).nextLong() >>> 32);
+    private static int mark(Update.MemberRecord record) {
+        return (int) (new SplittableRandom(record.instance().id() + record.incarnation()).nextLong() >>> 32);
     }
 
     /** Counts a record in or out: once in, it is in; twice, it is out again. */
-    void count(Update.Full record) {
+    void count(Update.MemberRecord record) {
         int mark = mark(record);
         digest ^= mark;
-        buckets[bucket(record.life().name())] ^= mark;
+        buckets[bucket(record.instance().name())] ^= mark;
     }
 
     /** A name that was not there, or another life of one that was; alive. */
-    Entry add(Update.Full record, long now) {
-        Entry entry = names.computeIfAbsent(record.life().name(), name -> new Entry());
+    Entry add(Update.MemberRecord record, long now) {
+        Entry entry = names.computeIfAbsent(record.instance().name(), name -> new Entry());
         if (entry.record != null) {
             if (!entry.state.isLive()) {
                 entry.buried = Math.max(entry.buried, entry.life().generation());
             }
             forgetLife(entry);
         }
-        entry.record = record.with(State.ALIVE);
-        lives.put(record.life().id(), entry);
+        entry.record = record.withState(State.ALIVE);
+        lives.put(record.instance().id(), entry);
         places.merge(entry.at(), 1, Integer::sum);
         enter(entry);
         turn(entry, State.ALIVE, now);
@@ -164,9 +164,9 @@
     }
 
     /** A newer word of a live one. */
-    void heard(Entry entry, Update.Full record) {
+    void heard(Entry entry, Update.MemberRecord record) {
         count(entry.record);
-        entry.record = record.with(State.ALIVE);
+        entry.record = record.withState(State.ALIVE);
         count(entry.record);
     }
 
--- a/src/test/java/laneflow/membership/decision/WireTest.java
+++ b/src/test/java/laneflow/membership/decision/MessageCodecTest.java
@@ -13,13 +13,14 @@
 import java.util.Random;
 import laneflow.membership.decision.Message.Kind;
 import laneflow.membership.decision.Update.Claim;
-import laneflow.membership.decision.Update.Full;
+import laneflow.membership.decision.Update.MemberRecord;
 import org.junit.jupiter.api.Test;
 
 /** Datagrams: their sizes, what seals them, and what is made of those that are no datagrams. */
-class WireTest {
-    private static final Wire WIRE = new Wire(Seal.MOST - Seal.AROUND);
-    private static final Facts NOTHING_TOLD = new Facts("", "", null, -1, Facts.Condition.READY, 0, 0, false);
+class MessageCodecTest {
+    private static final MessageCodec WIRE = new MessageCodec(Seal.MAX_DATAGRAM_BYTES - Seal.OVERHEAD_BYTES);
+    private static final MemberMetadata NOTHING_TOLD =
+            new MemberMetadata("", "", null, -1, MemberMetadata.Condition.READY, 0, 0, false);
     private static final List<String> ONE = List.of("a-key-of-some-length");
     private static final List<String> TWO = List.of("another-key-of-such");
 
@@ -30,17 +31,18 @@
         return new InetSocketAddress(InetAddress.getByAddress(address), port);
     }
 
-    private static Full largest() throws IOException {
-        return new Full(
-                Life.of("n".repeat(Life.MOST_NAME), Life.MOST_GENERATION, at(16, 65535)),
+    private static MemberRecord largest() throws IOException {
+        return new MemberRecord(
+                MemberInstance.of(
+                        "n".repeat(MemberInstance.MAX_NAME_BYTES), MemberInstance.MAX_GENERATION, at(16, 65535)),
                 Integer.MAX_VALUE,
                 State.SUSPECT,
-                new Facts(
-                        "z".repeat(Facts.MOST_ZONE),
-                        "b".repeat(Facts.MOST_BUILD),
+                new MemberMetadata(
+                        "z".repeat(MemberMetadata.MAX_ZONE_BYTES),
+                        "b".repeat(MemberMetadata.MAX_BUILD_BYTES),
                         at(16, 65534),
                         Long.MAX_VALUE,
-                        Facts.Condition.FENCED,
+                        MemberMetadata.Condition.FENCED,
                         15,
                         30,
                         true));
@@ -49,29 +51,30 @@
     @Test
     void whatIsWrittenIsReadAndTheLargestRecordFits() throws Exception {
         List<Update> updates = new ArrayList<>(List.of(new Claim(Long.MIN_VALUE, 7, State.LEFT, 3)));
-        for (Update update : List.of(largest(), new Full(Life.of("n1", 5, at(4, 9)), 0, State.ALIVE, NOTHING_TOLD))) {
+        for (Update update : List.of(
+                largest(), new MemberRecord(MemberInstance.of("n1", 5, at(4, 9)), 0, State.ALIVE, NOTHING_TOLD))) {
             Message message = new Message(Kind.PING, -5, -6, Integer.MIN_VALUE, 8, null, List.of(update));
             byte[] bytes = WIRE.write(message);
             assertEquals(message, WIRE.read(bytes, 0, bytes.length));
-            assertTrue(bytes.length <= WIRE.applyAsInt(message), bytes.length + " bytes");
-            assertTrue(bytes.length + Seal.AROUND <= Seal.MOST, bytes.length + " bytes");
+            assertTrue(bytes.length <= WIRE.maxSize(message), bytes.length + " bytes");
+            assertTrue(bytes.length + Seal.OVERHEAD_BYTES <= Seal.MAX_DATAGRAM_BYTES, bytes.length + " bytes");
             updates.add(update);
         }
         int[] buckets = new Random(1).ints(View.BUCKETS).toArray();
         Message sync = new Message(Kind.SYNC, 1, 2, 3, 4, buckets, List.of());
         byte[] bytes = WIRE.write(sync);
-        assertTrue(bytes.length + Seal.AROUND <= Seal.MOST, bytes.length + " bytes");
+        assertTrue(bytes.length + Seal.OVERHEAD_BYTES <= Seal.MAX_DATAGRAM_BYTES, bytes.length + " bytes");
         Message read = WIRE.read(bytes, 0, bytes.length);
-        org.junit.jupiter.api.Assertions.assertArrayEquals(buckets, read.buckets());
+        org.junit.jupiter.api.Assertions.assertArrayEquals(buckets, read.bucketDigests());
         // Over the link there is no such bound.
-        Message all = new Message(Kind.NEWS, 1, 2, 3, 4, null, updates);
+        Message all = new Message(Kind.GOSSIP, 1, 2, 3, 4, null, updates);
         assertEquals(all, WIRE.read(WIRE.write(all), 0, WIRE.write(all).length));
     }
 
     @Test
     void garbageIsNoMessageAndNothingWorse() throws Exception {
         Random random = new Random(7);
-        byte[] sound = WIRE.write(new Message(Kind.NEWS, 9, 9, 9, 9, null, List.of(largest())));
+        byte[] sound = WIRE.write(new Message(Kind.GOSSIP, 9, 9, 9, 9, null, List.of(largest())));
         int read = 0;
         for (int i = 0; i < 50_000; i++) {
             byte[] bytes = random.nextBoolean() ? sound.clone() : new byte[random.nextInt(240)];
@@ -97,24 +100,24 @@
     @Test
     void aSealHoldsForItsKeysAlone() {
         Seal one = new Seal(ONE, 41);
-        byte[] all = one.close(new byte[] {1, 2, 3});
-        assertTrue(one.isWhole(all, all.length));
-        assertEquals(42, Seal.number(all));
-        assertFalse(new Seal(TWO, 0).isWhole(all, all.length));
+        byte[] all = one.wrap(new byte[] {1, 2, 3});
+        assertTrue(one.isAuthentic(all, all.length));
+        assertEquals(42, Seal.sequenceNumber(all));
+        assertFalse(new Seal(TWO, 0).isAuthentic(all, all.length));
         for (int bit = 0; bit < all.length * 8; bit++) {
             byte[] spoilt = all.clone();
             spoilt[bit / 8] ^= 1 << bit % 8;
-            assertFalse(one.isWhole(spoilt, spoilt.length), "bit " + bit);
+            assertFalse(one.isAuthentic(spoilt, spoilt.length), "bit " + bit);
         }
-        assertFalse(one.isWhole(all, all.length - 1));
-        assertFalse(one.isWhole(new byte[Seal.MOST + 1], Seal.MOST + 1));
+        assertFalse(one.isAuthentic(all, all.length - 1));
+        assertFalse(one.isAuthentic(new byte[Seal.MAX_DATAGRAM_BYTES + 1], Seal.MAX_DATAGRAM_BYTES + 1));
         // In turn: either order of two keys opens what the other seals.
         Seal both = new Seal(List.of(ONE.get(0), TWO.get(0)), 0);
         Seal turned = new Seal(List.of(TWO.get(0), ONE.get(0)), 0);
-        byte[] byTurned = turned.close(new byte[] {9});
-        assertTrue(both.isWhole(byTurned, byTurned.length));
-        assertTrue(turned.isWhole(all, all.length));
-        assertFalse(one.isWhole(byTurned, byTurned.length));
+        byte[] byTurned = turned.wrap(new byte[] {9});
+        assertTrue(both.isAuthentic(byTurned, byTurned.length));
+        assertTrue(turned.isAuthentic(all, all.length));
+        assertFalse(one.isAuthentic(byTurned, byTurned.length));
         for (List<String> wrong : List.of(List.<String>of(), List.of("short"), List.of("has a space in its midst"))) {
             assertThrows(IllegalArgumentException.class, () -> new Seal(wrong, 0));
         }
--- a/src/test/java/laneflow/membership/decision/SwimDaysTest.java
+++ b/src/test/java/laneflow/membership/decision/SwimDaysTest.java
@@ -23,7 +23,7 @@
     private MemberWorld world(int members, long seed) {
         MemberWorld world = new MemberWorld(members, new Times(PERIOD), seed);
         world.watch((by, before, now) -> {
-            if (before != null && before.life().id() == now.life().id()) {
+            if (before != null && before.instance().id() == now.instance().id()) {
                 if (now.incarnation() < before.incarnation()) {
                     broken.add("an incarnation fell: " + before + " to " + now);
                 }
@@ -31,8 +31,8 @@
                     broken.add("one came back without a new life: " + now);
                 }
             } else if (before != null
-                    && now.life().at().equals(before.life().at())
-                    && now.life().generation() <= before.life().generation()) {
+                    && now.instance().address().equals(before.instance().address())
+                    && now.instance().generation() <= before.instance().generation()) {
                 broken.add("an earlier life followed a later one: " + before + " to " + now);
             }
         });
@@ -75,7 +75,7 @@
         world.leave(members - 1);
         long left = world.runUntil(() -> world.agree(i -> true), 10 * SECOND, PERIOD / 10);
         assertTrue(left >= 0 && left < 3 * SECOND / 2, "a leave takes " + left);
-        assertTrue(world.most() <= Seal.MOST, world.most() + " bytes");
+        assertTrue(world.most() <= Seal.MAX_DATAGRAM_BYTES, world.most() + " bytes");
         assertEquals(List.of(), broken);
     }
 
@@ -233,16 +233,16 @@
         world.runUntil(() -> world.agree(i -> true), 10 * SECOND, PERIOD / 5);
         world.startAs(5, "n1", 0, 1, 2);
         world.pass(10 * SECOND);
-        assertTrue(world.swim(5).isOutcast(), "the younger is told");
+        assertTrue(world.swim(5).isNameTaken(), "the younger is told");
         assertTrue(world.agree(i -> i != 5), "the others go on as they were");
         for (int i : new int[] {0, 2, 3, 4}) {
-            assertEquals(world.address(1), world.swim(i).other("n1").life().at());
+            assertEquals(world.address(1), world.swim(i).other("n1").instance().address());
         }
         // When the elder is gone the name is free.
         world.crash(1);
         settles(world, 20, "the younger has the name");
-        assertEquals(world.address(5), world.swim(0).other("n1").life().at());
-        assertTrue(world.runUntil(() -> !world.swim(5).isOutcast(), 10 * SECOND, PERIOD) >= 0, "and is told so");
+        assertEquals(world.address(5), world.swim(0).other("n1").instance().address());
+        assertTrue(world.runUntil(() -> !world.swim(5).isNameTaken(), 10 * SECOND, PERIOD) >= 0, "and is told so");
     }
 
     @Test
@@ -264,18 +264,22 @@
     @Test
     void oneMessageBuriesNobodyAndHighNumbersAreNoTrap() {
         MemberWorld world = begun(world(8, 7));
-        Update.Full victim = world.swim(0).other("n5");
+        Update.MemberRecord victim = world.swim(0).other("n5");
         int[] buried = {0};
         world.watch((by, before, now) -> buried[0] += now.state().isLive() ? 0 : 1);
         for (State claimed : new State[] {State.SUSPECT, State.DEAD, State.LEFT}) {
             for (int incarnation : new int[] {0, victim.incarnation() + 1, Integer.MAX_VALUE}) {
                 List<Update> claims = new ArrayList<>();
-                claims.add(new Update.Claim(victim.life().id(), incarnation, claimed, 42));
-                claims.add(new Update.Full(victim.life(), incarnation, claimed, victim.facts()));
-                claims.add(new Update.Full(
-                        Life.of("n5", Long.MAX_VALUE, victim.life().at()), 0, State.ALIVE, victim.facts()));
-                long from = world.swim(1).self().life().id();
-                world.inject(2, world.address(1), new Message(Message.Kind.NEWS, from, 0, 0, 0, null, claims));
+                claims.add(new Update.Claim(victim.instance().id(), incarnation, claimed, 42));
+                claims.add(new Update.MemberRecord(victim.instance(), incarnation, claimed, victim.metadata()));
+                claims.add(new Update.MemberRecord(
+                        MemberInstance.of(
+                                "n5", Long.MAX_VALUE, victim.instance().address()),
+                        0,
+                        State.ALIVE,
+                        victim.metadata()));
+                long from = world.swim(1).self().instance().id();
+                world.inject(2, world.address(1), new Message(Message.Kind.GOSSIP, from, 0, 0, 0, null, claims));
                 world.pass(6 * SECOND);
                 assertTrue(world.swim(2).other("n5").state().isLive(), claimed + " " + incarnation);
             }
--- a/src/test/java/laneflow/membership/decision/SwimOrdersTest.java
+++ b/src/test/java/laneflow/membership/decision/SwimOrdersTest.java
@@ -60,7 +60,7 @@
         MemberWorld world = new MemberWorld(3, new Times(PERIOD), 17 + played);
         world.watch((by, before, now) -> {
             if (before != null
-                    && before.life().id() == now.life().id()
+                    && before.instance().id() == now.instance().id()
                     && (now.incarnation() < before.incarnation()
                             || !before.state().isLive() && now.state().isLive())) {
                 broken.add(order + ": " + before + " to " + now);
