--- a/src/main/java/laneflow/membership/Members.java
+++ b/src/main/java/laneflow/membership/Members.java
@@ -27,7 +27,7 @@
 import laneflow.membership.decision.Message;
 import laneflow.membership.decision.Message.Kind;
 import laneflow.membership.decision.MessageCodec;
-import laneflow.membership.decision.Replays;
+import laneflow.membership.decision.ReplayFilter;
 import laneflow.membership.decision.Seal;
 import laneflow.membership.decision.Swim;
 import laneflow.membership.decision.Times;
@@ -39,62 +39,62 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The view that this scheduler keeps of the others: datagrams in and out, checked before anything is made of
- * them, the loop's clock, and what it tells of itself. On the control thread. The view informs; nothing that
- * must be true rests on it.
+ * Runs the membership protocol on the control thread. It sends datagrams, validates received ones before they are
+ * used, schedules ticks, and publishes this scheduler's metadata. The view is advisory: no correctness property
+ * may depend on it.
  */
 public final class Members implements Swim.Environment {
     private static final Logger LOG = LoggerFactory.getLogger(Members.class);
-    private static final String BULK = "members";
-    private static final int RECORDS_A_PIECE = 24;
-    private static final long FACTS_EVERY = 1_000_000;
-    private static final long FACTS_LATEST = 1_500_000;
-    private static final long KEYS_EVERY = 2_000_000;
+    private static final String RECORDS_MESSAGE_TYPE = "members";
+    private static final int RECORDS_PER_PIECE = 24;
+    private static final long METADATA_INTERVAL_US = 1_000_000;
+    private static final long METADATA_MAX_INTERVAL_US = 1_500_000;
+    private static final long KEY_CHECK_INTERVAL_US = 2_000_000;
     private static final int LEAVE_ROUNDS = 3;
-    private static final long TOLD_AGAIN = 60_000_000;
-    private static final double MICROS = 1e6;
-    private static final long MICROS_A_MS = 1000;
+    private static final long NAME_CONFLICT_LOG_INTERVAL_US = 60_000_000;
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final long MICROS_PER_MS = 1000;
 
-    private final Dependencies given;
+    private final Dependencies dependencies;
     private final Loop loop;
     private final MembersConfig config;
     private final Counters counters;
-    private final MessageCodec wire = new MessageCodec(Seal.MAX_DATAGRAM_BYTES - Seal.OVERHEAD_BYTES);
-    private final Replays replays = new Replays();
-    private final Deadline due;
-    private final Deadline facts;
-    private final Deadline keys;
+    private final MessageCodec codec = new MessageCodec(Seal.MAX_DATAGRAM_BYTES - Seal.OVERHEAD_BYTES);
+    private final ReplayFilter replayFilter = new ReplayFilter();
+    private final Deadline tickDeadline;
+    private final Deadline metadataDeadline;
+    private final Deadline keyCheckDeadline;
     private final Times times;
     private final String zone;
     private final String build;
-    /** Where others and operators come, or null where that is no address of one machine. */
-    private final InetSocketAddress link;
+    /** Address for fleet links and operators, or null if the listen address is a wildcard. */
+    private final InetSocketAddress linkAddress;
 
     private Seal seal;
-    private FileTime keysRead;
+    private FileTime keyFileModifiedAt;
     private Swim swim;
     private Datagrams datagrams;
-    /** As the traffic's thread has last said. */
-    private volatile RequestStatus standing;
+    /** Last status published by the traffic thread. */
+    private volatile RequestStatus requestStatus;
 
-    private long servedBefore;
-    private long factsAt;
-    private long spentNs;
-    private long longestNs;
+    private long servedAtLastRate;
+    private long lastRateAt;
+    private long totalTurnNs;
+    private long longestTurnNs;
     private long turns;
-    private boolean over;
-    /** Null where nothing goes along. */
-    private PayloadHandler cargo;
+    private boolean closed;
+    /** Null if no application data is piggybacked. */
+    private PayloadHandler payloadHandler;
 
-    private long toldTwiceAt = Long.MIN_VALUE / 2;
+    private long nameConflictLoggedAt = Long.MIN_VALUE / 2;
 
     /**
-     * What the assembly gives it.
+     * Collaborators and settings.
      *
-     * @param controlLoop of the control thread
-     * @param trafficLoop of the thread that takes requests
-     * @param requestStatus how it stands with requests; asked on the traffic's thread
-     * @param fileReader a thread that reads files
+     * @param controlLoop event loop of the control thread
+     * @param trafficLoop event loop of the thread that handles requests
+     * @param requestStatus supplies the current status; called on the traffic thread
+     * @param fileReader executor for blocking file reads
      */
     public record Dependencies(
             Loop controlLoop,
@@ -108,77 +108,77 @@
             long seed) {}
 
     /**
-     * How a scheduler stands with requests at one instant.
+     * Snapshot of how a scheduler serves requests.
      *
-     * @param policyVersion the number of the policy in force, -1 where none is decided together
-     * @param condition whether clients may come
-     * @param load share of the requests that may be open
-     * @param served requests answered so far
+     * @param policyVersion number of the policy in force, -1 if the fleet decides on none
+     * @param condition whether it takes requests of clients
+     * @param load open requests as a share of the limit
+     * @param served number of requests served since the start
      */
     public record RequestStatus(long policyVersion, MemberMetadata.Condition condition, double load, long served) {}
 
-    /** What goes along with the view's datagrams for others than the view; on the loop. */
+    /** Supplies and consumes application data piggybacked on datagrams; called on the control loop. */
     public interface PayloadHandler {
-        /** Bytes for that member, as many at most, or null. */
+        /** Data for a member, at most that many bytes, or null. */
         byte[] nextPayload(MemberRecord to, int room);
 
-        /** Bytes of that member; nothing may be sent from there. */
+        /** Handles data from a member. Must not send anything. */
         void payloadReceived(MemberRecord from, byte[] bytes);
     }
 
-    /** Takes that along from now on. */
-    public void setPayloadHandler(PayloadHandler what) {
-        cargo = what;
+    /** Sets the handler of application data. */
+    public void setPayloadHandler(PayloadHandler handler) {
+        payloadHandler = handler;
     }
 
-    /** The live members that are known, this one left out; empty before {@link #join}. */
+    /** Records of the other live members; empty before {@link #join} and after {@link #leave}. */
     public List<MemberRecord> liveMembers() {
-        List<MemberRecord> all = swim == null || over ? new ArrayList<>() : new ArrayList<>(swim.others());
-        all.removeIf(one -> !one.state().isLive());
+        List<MemberRecord> all = swim == null || closed ? new ArrayList<>() : new ArrayList<>(swim.others());
+        all.removeIf(member -> !member.state().isLive());
         return all;
     }
 
-    /** Sends that member these bytes, or, where null, a datagram with what is for it. */
+    /** Sends data to a member; if null, whatever the payload handler supplies. */
     public void sendPayload(String name, byte[] bytes) {
-        if (swim != null && !over) {
+        if (swim != null && !closed) {
             swim.sendPayload(name, bytes);
         }
     }
 
-    /** Bytes that go along in a datagram that holds nothing else. */
+    /** Limit on application data in a datagram without other updates. */
     public int maxPayloadBytes() {
-        return wire.room(Kind.GOSSIP) - wire.applyAsInt(new Update.Payload(new byte[0]));
+        return codec.maxUpdateBytes(Kind.GOSSIP) - codec.applyAsInt(new Update.Payload(new byte[0]));
     }
 
     @Override
     public byte[] nextPayload(MemberRecord to, int room) {
-        return cargo == null ? null : cargo.nextPayload(to, room);
+        return payloadHandler == null ? null : payloadHandler.nextPayload(to, room);
     }
 
     @Override
     public void payloadReceived(MemberRecord from, byte[] bytes) {
-        if (cargo != null) {
-            cargo.payloadReceived(from, bytes);
+        if (payloadHandler != null) {
+            payloadHandler.payloadReceived(from, bytes);
         }
     }
 
-    /** Reads the keys and begins; off the loop. */
-    public Members(Dependencies given) throws IOException, InterruptedException {
-        this.given = given;
-        loop = given.controlLoop();
-        config = given.config();
-        counters = given.counters();
+    /** Reads the keys. Must not be called on the control loop. */
+    public Members(Dependencies dependencies) throws IOException, InterruptedException {
+        this.dependencies = dependencies;
+        loop = dependencies.controlLoop();
+        config = dependencies.config();
+        counters = dependencies.counters();
         times = new Times(config.period);
-        zone = cut(given.zone(), MemberMetadata.MAX_ZONE_BYTES);
-        build = cut(given.fleet().self().build(), MemberMetadata.MAX_BUILD_BYTES);
-        InetSocketAddress listens =
-                Loop.address(given.fleet().address(given.fleet().self().name()));
-        link = listens.getAddress().isAnyLocalAddress() ? null : listens;
-        due = loop.deadlines().create(this::due);
-        facts = loop.deadlines().create(this::facts);
-        keys = loop.deadlines().create(this::lookForKeys);
-        keysRead = Files.getLastModifiedTime(config.keyFile);
-        seal = new Seal(readKeys(config.keyFile), (int) given.seed());
+        zone = truncate(dependencies.zone(), MemberMetadata.MAX_ZONE_BYTES);
+        build = truncate(dependencies.fleet().self().build(), MemberMetadata.MAX_BUILD_BYTES);
+        InetSocketAddress listenAddress = Loop.address(
+                dependencies.fleet().address(dependencies.fleet().self().name()));
+        linkAddress = listenAddress.getAddress().isAnyLocalAddress() ? null : listenAddress;
+        tickDeadline = loop.deadlines().create(this::tick);
+        metadataDeadline = loop.deadlines().create(this::refreshMetadata);
+        keyCheckDeadline = loop.deadlines().create(this::checkKeyFile);
+        keyFileModifiedAt = Files.getLastModifiedTime(config.keyFile);
+        seal = new Seal(readKeys(config.keyFile), (int) dependencies.seed());
     }
 
     private static List<String> readKeys(Path file) throws IOException {
@@ -188,65 +188,75 @@
                 all.add(line.strip());
             }
         }
-        String unfit = Seal.invalidKeys(all);
-        if (unfit != null) {
-            throw new IOException(file + ": " + unfit);
+        String invalid = Seal.invalidKeys(all);
+        if (invalid != null) {
+            throw new IOException(file + ": " + invalid);
         }
         return all;
     }
 
-    /** Becomes a member; fails with the socket's word where the address is taken. Off the loop. */
+    /** Opens the socket and joins the fleet. Must not be called on the control loop. */
     public void join() throws IOException, InterruptedException {
-        Datagrams opened = loop.datagrams(config.listen, Seal.MAX_DATAGRAM_BYTES, this::take);
-        RequestStatus[] first = new RequestStatus[1];
-        given.trafficLoop().call(() -> first[0] = given.requestStatus().get());
-        standing = first[0];
+        Datagrams opened = loop.datagrams(config.listen, Seal.MAX_DATAGRAM_BYTES, this::receive);
+        RequestStatus[] initialStatus = new RequestStatus[1];
+        dependencies
+                .trafficLoop()
+                .call(() -> initialStatus[0] = dependencies.requestStatus().get());
+        requestStatus = initialStatus[0];
         loop.call(() -> {
             datagrams = opened;
-            MemberInstance life = MemberInstance.of(
-                    given.fleet().self().name(),
+            MemberInstance instance = MemberInstance.of(
+                    dependencies.fleet().self().name(),
                     System.currentTimeMillis(),
                     config.advertise.getPort() == 0 ? opened.address() : config.advertise);
-            swim = new Swim(life, told(first[0]), config.seeds, times, wire, given.seed(), loop.micros(), this);
-            given.fleet().handle(BULK, this::bulk);
-            given.fleet().serve("/fleet", (verb, path, body, answer) -> {
+            swim = new Swim(
+                    instance,
+                    toMetadata(initialStatus[0]),
+                    config.seeds,
+                    times,
+                    codec,
+                    dependencies.seed(),
+                    loop.micros(),
+                    this);
+            dependencies.fleet().handle(RECORDS_MESSAGE_TYPE, this::receiveRecords);
+            dependencies.fleet().serve("/fleet", (verb, path, body, answer) -> {
                 if (verb.equals("GET") && path.equals("/fleet")) {
                     answer.say(200, "application/json", "", report() + "\n");
                 } else {
                     answer.say(verb.equals("GET") ? 404 : 405, "text/plain", "", "known is GET /fleet\n");
                 }
             });
-            given.fleet().describe(this::standing);
-            LOG.info("members: {} at {}", life, opened.address());
-            loop.deadlines().set(facts, loop.micros() + FACTS_EVERY);
-            loop.deadlines().set(keys, loop.micros() + KEYS_EVERY);
-            due();
+            dependencies.fleet().describe(this::memberState);
+            LOG.info("members: {} at {}", instance, opened.address());
+            loop.deadlines().set(metadataDeadline, loop.micros() + METADATA_INTERVAL_US);
+            loop.deadlines().set(keyCheckDeadline, loop.micros() + KEY_CHECK_INTERVAL_US);
+            tick();
         });
     }
 
     // ---- datagrams ----
 
-    private void take(InetSocketAddress from, byte[] bytes, int length) {
-        if (swim == null || over) {
+    private void receive(InetSocketAddress from, byte[] bytes, int length) {
+        if (swim == null || closed) {
             return;
         }
-        long began = System.nanoTime();
+        long startedNs = System.nanoTime();
         counters.add("members.received");
-        Message message = read(from, bytes, length);
+        Message message = decode(from, bytes, length);
         if (message != null) {
             swim.receive(loop.micros(), from, message);
-            arm();
+            scheduleTick();
         }
-        spent(began);
+        recordTurn(startedNs);
     }
 
-    /** Null where it is nobody's that is heard; nothing has been made of it then but a count. */
-    private Message read(InetSocketAddress from, byte[] bytes, int length) {
+    /** Validates and decodes a datagram. Returns null, after counting the reason, if it is rejected. */
+    private Message decode(InetSocketAddress from, byte[] bytes, int length) {
         if (length > Seal.MAX_DATAGRAM_BYTES) {
             counters.add("members.oversized");
             return null;
         }
-        if (!isHeard(from)) {
+        if (!isAllowedSender(from)) {
             counters.add("members.foreign");
             return null;
         }
@@ -256,21 +266,21 @@
         }
         Message message;
         try {
-            message = wire.read(bytes, Seal.OVERHEAD_BYTES, length - Seal.OVERHEAD_BYTES);
+            message = codec.read(bytes, Seal.OVERHEAD_BYTES, length - Seal.OVERHEAD_BYTES);
         } catch (IOException e) {
-            // Sealed, and yet no message: of a build that we don't know.
+            // Authentic but malformed: sent by an incompatible build.
             counters.add("members.spoilt");
             return null;
         }
         if (swim.isLiveInstance(message.senderId())
-                && !replays.isFresh(message.senderId(), Seal.sequenceNumber(bytes))) {
+                && !replayFilter.registerIfNew(message.senderId(), Seal.sequenceNumber(bytes))) {
             counters.add("members.replayed");
             return null;
         }
         return message;
     }
 
-    private boolean isHeard(InetSocketAddress from) {
+    private boolean isAllowedSender(InetSocketAddress from) {
         if (swim.isKnownAddress(from)) {
             return true;
         }
@@ -284,7 +294,7 @@
 
     @Override
     public void send(InetSocketAddress to, Message message) {
-        byte[] datagram = seal.wrap(wire.write(message));
+        byte[] datagram = seal.wrap(codec.write(message));
         counters.add("members.sent");
         counters.set("members.bytes", counters.get("members.bytes") + datagram.length);
         counters.set("members.datagram_most", Math.max(datagram.length, counters.get("members.datagram_most")));
@@ -295,31 +305,31 @@
 
     @Override
     public boolean sendRecords(String name, List<MemberRecord> records) {
-        Peer peer = given.fleet().any(name);
+        Peer peer = dependencies.fleet().any(name);
         if (peer == null) {
             return false;
         }
         JsonArray pieces = new JsonArray();
-        for (int i = 0; i < records.size(); i += RECORDS_A_PIECE) {
-            List<Update> some = new ArrayList<>(records.subList(i, Math.min(records.size(), i + RECORDS_A_PIECE)));
+        for (int i = 0; i < records.size(); i += RECORDS_PER_PIECE) {
+            List<Update> chunk = new ArrayList<>(records.subList(i, Math.min(records.size(), i + RECORDS_PER_PIECE)));
             pieces.add(Base64.getEncoder()
-                    .encodeToString(wire.write(
-                            new Message(Kind.GOSSIP, swim.self().instance().id(), 0, 0, 0, null, some))));
+                    .encodeToString(codec.write(
+                            new Message(Kind.GOSSIP, swim.self().instance().id(), 0, 0, 0, null, chunk))));
         }
-        JsonObject all = new JsonObject();
-        all.addProperty("t", BULK);
-        all.add("pieces", pieces);
+        JsonObject message = new JsonObject();
+        message.addProperty("t", RECORDS_MESSAGE_TYPE);
+        message.add("pieces", pieces);
         counters.add("members.bulks");
-        return peer.send(all);
+        return peer.send(message);
     }
 
-    /** Records from a member over the link. */
-    private void bulk(Peer from, JsonObject message) {
+    /** Handles records that a member sent over its link. */
+    private void receiveRecords(Peer from, JsonObject message) {
         for (JsonElement piece : message.getAsJsonArray("pieces")) {
             byte[] bytes = Base64.getDecoder().decode(piece.getAsString());
             try {
                 List<MemberRecord> records = new ArrayList<>();
-                for (Update update : wire.read(bytes, 0, bytes.length).updates()) {
+                for (Update update : codec.read(bytes, 0, bytes.length).updates()) {
                     if (update instanceof MemberRecord full) {
                         records.add(full);
                     }
@@ -329,111 +339,119 @@
                 counters.add("members.spoilt");
             }
         }
-        arm();
+        scheduleTick();
     }
 
-    // ---- time ----
+    // ---- ticks ----
 
-    private void due() {
-        if (over) {
+    private void tick() {
+        if (closed) {
             return;
         }
-        long began = System.nanoTime();
+        long startedNs = System.nanoTime();
         if (swim.earliestTick() <= loop.micros()) {
             swim.tick(loop.micros());
         }
-        arm();
-        spent(began);
+        scheduleTick();
+        recordTurn(startedNs);
     }
 
-    private void arm() {
-        loop.deadlines().set(due, swim.earliestTick(), Math.max(loop.micros(), swim.nextTick()));
+    private void scheduleTick() {
+        loop.deadlines().set(tickDeadline, swim.earliestTick(), Math.max(loop.micros(), swim.nextTick()));
     }
 
-    private void spent(long began) {
-        long took = System.nanoTime() - began;
-        spentNs += took;
-        longestNs = Math.max(longestNs, took);
+    private void recordTurn(long startedNs) {
+        long turnNs = System.nanoTime() - startedNs;
+        totalTurnNs += turnNs;
+        longestTurnNs = Math.max(longestTurnNs, turnNs);
         turns++;
     }
 
-    // ---- what it tells of itself ----
+    // ---- metadata ----
 
-    private void facts() {
-        loop.deadlines().set(facts, loop.micros() + FACTS_EVERY, loop.micros() + FACTS_LATEST);
-        swim.updateMetadata(loop.micros(), told(standing));
-        arm();
-        ask();
+    private void refreshMetadata() {
+        loop.deadlines()
+                .set(metadataDeadline, loop.micros() + METADATA_INTERVAL_US, loop.micros() + METADATA_MAX_INTERVAL_US);
+        swim.updateMetadata(loop.micros(), toMetadata(requestStatus));
+        scheduleTick();
+        pollRequestStatus();
     }
 
     /**
-     * What only the traffic's thread may read is published there as a whole, for the next time: only what
-     * must not wait wakes this thread for it.
+     * Has the traffic thread take a snapshot of the request status for the next refresh. Only a change of the
+     * policy or condition, which must not wait, wakes the control thread.
      */
-    private void ask() {
+    private void pollRequestStatus() {
         try {
-            given.trafficLoop().later(() -> {
-                RequestStatus before = standing;
-                RequestStatus now = given.requestStatus().get();
-                standing = now;
-                if (now.policyVersion() != before.policyVersion() || now.condition() != before.condition()) {
-                    tell(now);
+            dependencies.trafficLoop().later(() -> {
+                RequestStatus previous = requestStatus;
+                RequestStatus current = dependencies.requestStatus().get();
+                requestStatus = current;
+                if (current.policyVersion() != previous.policyVersion()
+                        || current.condition() != previous.condition()) {
+                    publish(current);
                 }
             });
         } catch (RejectedExecutionException e) {
-            LOG.debug("nobody takes requests any more");
+            LOG.debug("traffic loop has stopped, request status not refreshed");
         }
     }
 
-    private void tell(RequestStatus now) {
+    private void publish(RequestStatus status) {
         try {
             loop.later(() -> {
-                if (swim != null && !over) {
-                    swim.updateMetadata(loop.micros(), told(now));
-                    arm();
+                if (swim != null && !closed) {
+                    swim.updateMetadata(loop.micros(), toMetadata(status));
+                    scheduleTick();
                 }
             });
         } catch (RejectedExecutionException e) {
-            LOG.debug("the control thread has ended");
+            LOG.debug("control loop has stopped, metadata not published");
         }
     }
 
-    /** To be told without delay: whether clients may come has changed. On the traffic's thread. */
+    /** Publishes a change of the condition without delay. Called on the traffic thread. */
     public void statusChanged() {
-        tell(given.requestStatus().get());
+        publish(dependencies.requestStatus().get());
     }
 
-    private MemberMetadata told(RequestStatus standing) {
+    private MemberMetadata toMetadata(RequestStatus status) {
         long now = loop.micros();
-        double rate = factsAt == 0 ? 0 : (standing.served() - servedBefore) * MICROS / Math.max(1, now - factsAt);
-        servedBefore = standing.served();
-        factsAt = now;
+        double rate = lastRateAt == 0
+                ? 0
+                : (status.served() - servedAtLastRate) * MICROS_PER_SECOND / Math.max(1, now - lastRateAt);
+        servedAtLastRate = status.served();
+        lastRateAt = now;
         return new MemberMetadata(
                 zone,
                 build,
-                link,
-                standing.policyVersion(),
-                standing.condition(),
-                MemberMetadata.toLoadStep(standing.load()),
+                linkAddress,
+                status.policyVersion(),
+                status.condition(),
+                MemberMetadata.toLoadStep(status.load()),
                 MemberMetadata.toRateStep(rate),
                 false);
     }
 
-    private static String cut(String text, int most) {
-        String plain = text.replaceAll("[^ -~]", "?");
-        return plain.length() > most ? plain.substring(0, most) : plain;
+    private static String truncate(String text, int maxLength) {
+        String ascii = text.replaceAll("[^ -~]", "?");
+        return ascii.length() > maxLength ? ascii.substring(0, maxLength) : ascii;
     }
 
     // ---- keys ----
 
-    private void lookForKeys() {
-        loop.deadlines().set(keys, loop.micros() + KEYS_EVERY * 3 / 4, loop.micros() + KEYS_EVERY);
+    private void checkKeyFile() {
+        loop.deadlines()
+                .set(
+                        keyCheckDeadline,
+                        loop.micros() + KEY_CHECK_INTERVAL_US * 3 / 4,
+                        loop.micros() + KEY_CHECK_INTERVAL_US);
         try {
-            given.fileReader().execute(() -> {
+            dependencies.fileReader().execute(() -> {
                 try {
                     FileTime changed = Files.getLastModifiedTime(config.keyFile);
-                    if (!changed.equals(keysRead)) {
-                        keysRead = changed;
+                    if (!changed.equals(keyFileModifiedAt)) {
+                        keyFileModifiedAt = changed;
                         List<String> read = readKeys(config.keyFile);
                         loop.later(() -> {
                             seal.setKeys(read);
@@ -441,125 +459,125 @@
                         });
                     }
                 } catch (IOException | RejectedExecutionException e) {
-                    LOG.warn("members: the keys stay as they were: {}", e.getMessage());
+                    LOG.warn("members: the key file is not applied, the keys are unchanged: {}", e.getMessage());
                 }
             });
         } catch (RejectedExecutionException e) {
-            LOG.debug("the process ends", e);
+            LOG.debug("file reader has stopped, key file not checked", e);
         }
     }
 
-    // ---- what becomes of it ----
+    // ---- changes of the view ----
 
     @Override
-    public void memberChanged(MemberRecord before, MemberRecord now) {
-        boolean sameLife =
-                before != null && before.instance().id() == now.instance().id();
-        if (before != null && !sameLife) {
-            replays.forget(before.instance().id());
+    public void memberChanged(MemberRecord previous, MemberRecord current) {
+        boolean sameInstance = previous != null
+                && previous.instance().id() == current.instance().id();
+        if (previous != null && !sameInstance) {
+            replayFilter.forget(previous.instance().id());
         }
-        if (!now.state().isLive()) {
-            replays.forget(now.instance().id());
+        if (!current.state().isLive()) {
+            replayFilter.forget(current.instance().id());
         }
-        if (!sameLife || before.state() != now.state()) {
-            counters.add("members.to_" + now.state().name().toLowerCase(Locale.ROOT));
+        if (!sameInstance || previous.state() != current.state()) {
+            counters.add("members.to_" + current.state().name().toLowerCase(Locale.ROOT));
             LOG.info(
                     "member {} life={} {} to {} ns={}",
-                    now.instance().name(),
-                    now.instance().generation(),
-                    sameLife ? before.state() : "NEW",
-                    now.state(),
+                    current.instance().name(),
+                    current.instance().generation(),
+                    sameInstance ? previous.state() : "NEW",
+                    current.state(),
                     System.nanoTime());
         }
         counters.set("members.live", swim == null ? 1 : swim.size());
     }
 
     @Override
-    public void count(String what) {
-        counters.add("members." + what);
-        if (what.equals("name_taken_twice") && loop.micros() - toldTwiceAt > TOLD_AGAIN) {
-            toldTwiceAt = loop.micros();
+    public void count(String event) {
+        counters.add("members." + event);
+        if (event.equals("name_taken_twice") && loop.micros() - nameConflictLoggedAt > NAME_CONFLICT_LOG_INTERVAL_US) {
+            nameConflictLoggedAt = loop.micros();
             LOG.error(
-                    "members: a name is taken twice; the elder process keeps it. This one is {}",
+                    "members: two processes use the same name, the older one keeps it; this one is {}",
                     swim == null ? "" : swim.self().instance());
         }
     }
 
-    /** What the view has on that scheduler, in a word; empty: nothing. */
-    public String standing(String name) {
-        MemberRecord one = swim == null ? null : swim.other(name);
-        return one == null ? "" : one.state().name().toLowerCase(java.util.Locale.ROOT);
+    /** State of a scheduler in the view in lower case; empty if it is unknown. */
+    public String memberState(String name) {
+        MemberRecord member = swim == null ? null : swim.other(name);
+        return member == null ? "" : member.state().name().toLowerCase(java.util.Locale.ROOT);
     }
 
     // ---- reports ----
 
     private JsonObject report() {
         JsonObject all = new JsonObject();
-        all.add("self", member(swim.self()));
+        all.add("self", memberReport(swim.self()));
         JsonArray members = new JsonArray();
         List<MemberRecord> others = new ArrayList<>(swim.others());
         others.sort(Comparator.comparing(one -> one.instance().name()));
-        others.forEach(one -> members.add(member(one)));
+        others.forEach(one -> members.add(memberReport(one)));
         all.add("members", members);
         all.addProperty("live", swim.size());
         all.addProperty("digest", Integer.toHexString(swim.digest()));
         all.addProperty("settled", swim.isSettled(loop.micros()));
         all.addProperty("name_taken", swim.isNameTaken());
         all.addProperty("slowed", swim.healthScore());
-        all.addProperty("turn_us", turns == 0 ? 0 : spentNs / 1000.0 / turns);
-        all.addProperty("turn_most_us", longestNs / 1000.0);
+        all.addProperty("turn_us", turns == 0 ? 0 : totalTurnNs / 1000.0 / turns);
+        all.addProperty("turn_most_us", longestTurnNs / 1000.0);
         return all;
     }
 
-    private JsonObject member(MemberRecord one) {
-        MemberMetadata facts = one.metadata();
+    private JsonObject memberReport(MemberRecord member) {
+        MemberMetadata metadata = member.metadata();
         JsonObject all = new JsonObject();
-        all.addProperty("name", one.instance().name());
-        all.addProperty("state", one.state().name().toLowerCase(java.util.Locale.ROOT));
-        all.addProperty("zone", facts.zone());
-        all.addProperty("generation", one.instance().generation());
-        all.addProperty("incarnation", one.incarnation());
-        all.addProperty("at", text(one.instance().address()));
-        all.addProperty("link", facts.link() == null ? "" : text(facts.link()));
-        all.addProperty("build", facts.build());
-        all.addProperty("policy", facts.policy());
-        all.addProperty("condition", facts.condition().name().toLowerCase(java.util.Locale.ROOT));
-        all.addProperty("load_sixteenths", facts.load());
-        all.addProperty("rate_below", facts.rate() == 0 ? 0 : 1L << facts.rate());
-        all.addProperty("late", facts.late());
-        long changed = swim.stateChangedAt(one.instance().name());
-        if (changed >= 0) {
-            // The loop's clock began with the wall's.
-            all.addProperty("changed_ms", changed / MICROS_A_MS);
+        all.addProperty("name", member.instance().name());
+        all.addProperty("state", member.state().name().toLowerCase(java.util.Locale.ROOT));
+        all.addProperty("zone", metadata.zone());
+        all.addProperty("generation", member.instance().generation());
+        all.addProperty("incarnation", member.incarnation());
+        all.addProperty("at", formatAddress(member.instance().address()));
+        all.addProperty("link", metadata.link() == null ? "" : formatAddress(metadata.link()));
+        all.addProperty("build", metadata.build());
+        all.addProperty("policy", metadata.policy());
+        all.addProperty("condition", metadata.condition().name().toLowerCase(java.util.Locale.ROOT));
+        all.addProperty("load_sixteenths", metadata.load());
+        all.addProperty("rate_below", metadata.rate() == 0 ? 0 : 1L << metadata.rate());
+        all.addProperty("late", metadata.late());
+        long stateChangedAt = swim.stateChangedAt(member.instance().name());
+        if (stateChangedAt >= 0) {
+            // The loop's clock was set to wall-clock time at its start.
+            all.addProperty("changed_ms", stateChangedAt / MICROS_PER_MS);
         }
         return all;
     }
 
-    private static String text(InetSocketAddress at) {
+    private static String formatAddress(InetSocketAddress at) {
         String host = at.getAddress().getHostAddress();
         return (host.contains(":") ? "[" + host + "]" : host) + ":" + at.getPort();
     }
 
-    // ---- the end ----
+    // ---- leaving ----
 
-    /** Says that it leaves, a few times, and is a member no more; off the loop. */
+    /** Announces its departure for a few gossip rounds, then closes. Must not be called on the control loop. */
     public void leave() throws InterruptedException {
         if (swim == null) {
             return;
         }
-        CountDownLatch said = new CountDownLatch(1);
+        CountDownLatch left = new CountDownLatch(1);
         loop.call(() -> {
             swim.leave(loop.micros());
-            arm();
-            loop.deadlines().cancel(facts);
-            loop.deadlines().cancel(keys);
+            scheduleTick();
+            loop.deadlines().cancel(metadataDeadline);
+            loop.deadlines().cancel(keyCheckDeadline);
             loop.deadlines().at(loop.micros() + LEAVE_ROUNDS * times.gossipInterval(), () -> {
-                over = true;
-                loop.deadlines().cancel(due);
+                closed = true;
+                loop.deadlines().cancel(tickDeadline);
                 datagrams.close();
-                said.countDown();
+                left.countDown();
             });
         });
-        said.await();
+        left.await();
     }
 }
--- a/src/main/java/laneflow/membership/MembersConfig.java
+++ b/src/main/java/laneflow/membership/MembersConfig.java
@@ -8,19 +8,19 @@
 import laneflow.config.Table;
 import laneflow.fleet.FleetConfig;
 
-/** What the operators set for the view that schedulers keep of each other: the table {@code [members]}. */
+/** Membership settings: the operators' table {@code [members]}. */
 public final class MembersConfig {
-    /** Where datagrams come in. */
+    /** Address on which datagrams are received. */
     public final InetSocketAddress listen;
-    /** Where others send them; the same unless something in between has an address of its own. */
+    /** Address to which others send them; differs from {@link #listen} behind an address translation. */
     public final InetSocketAddress advertise;
-    /** Where others may be when this one starts. */
+    /** Addresses of members to contact at the start. */
     public final List<InetSocketAddress> seeds;
-    /** Whose datagrams are read besides those of the seeds, and of members that are known. */
+    /** Further source addresses that are accepted, besides seeds and known members. */
     public final List<AddressRange> allowed;
 
     public final Path keyFile;
-    /** Microseconds between two probes. */
+    /** Probe period in microseconds. */
     public final long period;
 
     private MembersConfig(Table from, FleetConfig fleet) {
@@ -28,10 +28,10 @@
             from.wrong("", "needs the table [fleet], which gives this scheduler its name");
         }
         listen = FleetConfig.address(from, "listen", from.text("listen"));
-        String other = from.text("advertise", null);
-        advertise = other == null ? listen : FleetConfig.address(from, "advertise", other);
-        if (advertise != null && other == null && advertise.getAddress().isAnyLocalAddress()) {
-            from.wrong("advertise", "is missing: nobody can send to " + listen);
+        String advertised = from.text("advertise", null);
+        advertise = advertised == null ? listen : FleetConfig.address(from, "advertise", advertised);
+        if (advertise != null && advertised == null && advertise.getAddress().isAnyLocalAddress()) {
+            from.wrong("advertise", "is missing: other members cannot send to " + listen);
         }
         seeds = new ArrayList<>();
         for (String seed : from.texts("seeds")) {
@@ -58,9 +58,9 @@
     }
 
     /**
-     * Reads the table; what is wrong becomes findings of the table's.
+     * Reads the table and reports invalid settings to it.
      *
-     * @param fleet the link between schedulers, or null where there is none
+     * @param fleet settings of the links between schedulers, or null if there are none
      */
     public static MembersConfig read(Table from, FleetConfig fleet) {
         return new MembersConfig(from, fleet);
--- a/src/main/java/laneflow/membership/decision/Comparison.java
+++ b/src/main/java/laneflow/membership/decision/Comparison.java
@@ -5,123 +5,124 @@
 import java.util.List;
 import laneflow.membership.decision.Message.Kind;
 import laneflow.membership.decision.Swim.Environment;
-import laneflow.membership.decision.Swim.Sizes;
+import laneflow.membership.decision.Swim.MessageSizes;
 import laneflow.membership.decision.Update.MemberRecord;
 import laneflow.membership.decision.View.Entry;
 
 /**
- * Whole views compared: each datagram shows a digest of its sender's; where two differ, one asks the other
- * with the digests of all parts, and gets what is in those that differ.
+ * Anti-entropy between views. Every datagram carries the digest of its sender's view. A receiver with another
+ * digest sends a SYNC with its digest of each bucket, and gets the records of the buckets that differ.
  */
 final class Comparison {
-    private static final int PIECES = 8;
-    private static final int PIECES_AT_FIRST = 64;
-    private static final long YOUNG_PERIODS = 60;
+    private static final int BASE_DATAGRAMS = 8;
+    private static final int MAX_DATAGRAMS = 64;
+    private static final long NEWCOMER_PERIODS = 60;
 
     private final View view;
     private final Times times;
-    private final Sizes sizes;
-    private final Member self;
-    private final Environment out;
-    private final long begunAt;
-    private long askedAt;
-    /** The part of the view that the next question begins with. */
-    private int cursor;
+    private final MessageSizes sizes;
+    private final LocalMember self;
+    private final Environment environment;
+    private final long startedAt;
+    private long syncSentAt;
+    /** The bucket that the answer to the next SYNC starts with. */
+    private int nextBucket;
 
-    private int agreeing;
+    private int matchingDigests;
 
-    Comparison(View view, Times times, Sizes sizes, Member self, Environment out, long now) {
+    Comparison(View view, Times times, MessageSizes sizes, LocalMember self, Environment environment, long now) {
         this.view = view;
         this.times = times;
         this.sizes = sizes;
         this.self = self;
-        this.out = out;
-        begunAt = now;
-        askedAt = now - times.syncInterval();
+        this.environment = environment;
+        startedAt = now;
+        syncSentAt = now - times.syncInterval();
     }
 
-    /** How many digests in a row were this member's own. */
-    int agreeing() {
-        return agreeing;
+    /** Number of digests received in a row that equalled this member's own. */
+    int matchingDigests() {
+        return matchingDigests;
     }
 
-    /** This view has changed. */
-    void disturbed() {
-        agreeing = 0;
+    /** Restarts the count of matching digests after a change of this view. */
+    void viewChanged() {
+        matchingDigests = 0;
     }
 
-    /** A member's message: the next question goes on behind the records that it brings. */
-    void heard(Message message) {
+    /** Lets the next SYNC start at the bucket of the last record that a message brings. */
+    void advanceNextBucket(Message message) {
         if (message.kind() == Kind.GOSSIP
                 && message.updates().size() > 1
                 && message.updates().get(message.updates().size() - 1) instanceof MemberRecord last) {
-            cursor = View.bucket(last.instance().name());
+            nextBucket = View.bucketOf(last.instance().name());
         }
     }
 
-    /** A member's digest. */
-    void compare(long now, Entry sender, int digest) {
+    /** Compares a member's digest with this view's own, and sends a SYNC if they differ and one is due. */
+    void compareDigest(long now, Entry sender, int digest) {
         if (digest == view.digest()) {
-            agreeing++;
+            matchingDigests++;
             return;
         }
-        agreeing = 0;
-        if (now - askedAt >= times.syncInterval()) {
-            askedAt = now;
-            out.count("syncs");
-            // Who is young knows little, and is told much at once.
-            int known = now - begunAt < YOUNG_PERIODS * times.period() ? 0 : self.size();
-            out.send(
-                    sender.at(),
+        matchingDigests = 0;
+        if (now - syncSentAt >= times.syncInterval()) {
+            syncSentAt = now;
+            environment.count("syncs");
+            // 0 marks a newcomer, which knows few members and is sent many records at once.
+            int known = now - startedAt < NEWCOMER_PERIODS * times.period() ? 0 : self.size();
+            environment.send(
+                    sender.address(),
                     new Message(
                             Kind.SYNC,
                             self.self().instance().id(),
                             view.digest(),
-                            cursor,
+                            nextBucket,
                             known,
-                            view.buckets(),
+                            view.bucketDigests(),
                             List.of()));
         }
     }
 
     /**
-     * What is in the parts that differ, beginning with the part that the other asks for. Somebody who knows
-     * few gets much at once, others a little: while much changes all parts differ all the time.
+     * Answers a SYNC with the records of the buckets that differ, starting at the bucket asked for. The fewer
+     * members the requester knows, the more datagrams it gets. Others get few, because all buckets differ all
+     * the time while many members change.
      */
-    void records(Entry to, Message asked) {
-        int[] theirs = asked.bucketDigests();
-        int[] own = view.buckets();
-        List<MemberRecord> all = new ArrayList<>();
-        int ours = View.bucket(self.self().instance().name());
-        if (own[ours] != theirs[ours]) {
-            all.add(self.self());
+    void sendDifferences(Entry to, Message sync) {
+        int[] theirs = sync.bucketDigests();
+        int[] own = view.bucketDigests();
+        List<MemberRecord> differing = new ArrayList<>();
+        int selfBucket = View.bucketOf(self.self().instance().name());
+        if (own[selfBucket] != theirs[selfBucket]) {
+            differing.add(self.self());
         }
-        for (Entry one : view.live()) {
-            int bucket = View.bucket(one.life().name());
-            if (own[bucket] != theirs[bucket] && one != to) {
-                all.add(one.full());
+        for (Entry entry : view.live()) {
+            int bucket = View.bucketOf(entry.instance().name());
+            if (own[bucket] != theirs[bucket] && entry != to) {
+                differing.add(entry.toRecord());
             }
         }
-        if (all.isEmpty() || out.sendRecords(to.life().name(), all)) {
+        if (differing.isEmpty() || environment.sendRecords(to.instance().name(), differing)) {
             return;
         }
-        int first = Math.floorMod(asked.seq(), View.BUCKETS);
-        all.sort(Comparator.comparingInt(
-                one -> Math.floorMod(View.bucket(one.instance().name()) - first, View.BUCKETS)));
-        long missing = Math.max(0, self.size() - asked.target());
-        pieces(to, all, (int) Math.min(PIECES_AT_FIRST, PIECES + missing));
+        int first = Math.floorMod(sync.seq(), View.BUCKET_COUNT);
+        differing.sort(Comparator.comparingInt(
+                entry -> Math.floorMod(View.bucketOf(entry.instance().name()) - first, View.BUCKET_COUNT)));
+        long missing = Math.max(0, self.size() - sync.target());
+        sendInDatagrams(to, differing, (int) Math.min(MAX_DATAGRAMS, BASE_DATAGRAMS + missing));
     }
 
-    private void pieces(Entry to, List<MemberRecord> all, int most) {
-        int taken = 0;
-        for (int piece = 0; piece < most && taken < all.size(); piece++) {
-            List<Update> some = new ArrayList<>();
-            int room = sizes.room(Kind.GOSSIP);
-            while (taken < all.size() && sizes.applyAsInt(all.get(taken)) <= room) {
-                room -= sizes.applyAsInt(all.get(taken));
-                some.add(all.get(taken++));
+    private void sendInDatagrams(Entry to, List<MemberRecord> records, int maxDatagrams) {
+        int sent = 0;
+        for (int datagram = 0; datagram < maxDatagrams && sent < records.size(); datagram++) {
+            List<Update> updates = new ArrayList<>();
+            int room = sizes.maxUpdateBytes(Kind.GOSSIP);
+            while (sent < records.size() && sizes.applyAsInt(records.get(sent)) <= room) {
+                room -= sizes.applyAsInt(records.get(sent));
+                updates.add(records.get(sent++));
             }
-            self.reply(to.at(), Kind.GOSSIP, 0, 0, some);
+            self.sendTo(to.address(), Kind.GOSSIP, 0, 0, updates);
         }
     }
 }
--- a/src/main/java/laneflow/membership/decision/Judgement.java
+++ b/src/main/java/laneflow/membership/decision/Judgement.java
@@ -12,266 +12,286 @@
 import laneflow.membership.decision.View.Entry;
 
 /**
- * What one member makes of news of others: which life of a name counts, who is suspected and for how long,
- * and when it buries somebody, which it does by its own suspicion only.
+ * Applies gossip about other members to the view: which instance holds a name, which members are suspected and
+ * for how long, and when one is declared dead. Only this member's own suspicion timer declares a member dead.
  */
 final class Judgement {
-    private static final int MOST_MEMBERS = 10_000;
-    private static final int MOST_BURIED = 1024;
-    private static final int MOST_CALLED = 64;
-    /** Before a burial it asks so often, three quarters of a probe apart. */
-    private static final int LAST_CALLS = 2;
+    private static final int MAX_MEMBERS = 10_000;
+    private static final int MAX_ENDED = 1024;
+    private static final int MAX_PENDING_FINAL_PROBES = 64;
+    /** Last probes before a member is declared dead, three quarters of a probe timeout apart. */
+    private static final int FINAL_PROBES = 2;
 
-    private static final int LAST_CALL_PART = 3;
-    private static final int LAST_CALL_OF = 4;
-    /** So many shortest suspicions one can last whom others go on reaching. */
-    private static final int MOST_SUSPICIONS = 8;
+    private static final int FINAL_PROBE_SPACING_NUMERATOR = 3;
+    private static final int FINAL_PROBE_SPACING_DENOMINATOR = 4;
+    /** Limit on a suspicion that helpers' acks prolong, as a multiple of the minimum timeout. */
+    private static final int MAX_SUSPICION_FACTOR = 8;
 
-    private static final long LEAVING_PERIODS = 2;
-    /** A slow member's own suspicions last longer by so many times at most: it may be cut off, and right. */
-    private static final int MOST_SLOWED = 3;
+    private static final long LEAVE_PROBE_TIMEOUTS = 2;
+    /** Limit on how far the health score prolongs suspicions: a slow member may be cut off, and right. */
+    private static final int MAX_HEALTH_EXTENSION = 3;
 
-    /** Something at an instant, void once the entry has another deadline; a last call goes before an end. */
-    private record Alarm(long at, Entry entry, long deadline, boolean lastCall) {}
+    /** Fires for a final probe or at the end of a suspicion. Void once the entry has another deadline. */
+    private record SuspicionTimer(long fireAt, Entry entry, long deadline, boolean finalProbe) {}
 
     private final View view;
     private final Times times;
     private final SplittableRandom random;
-    private final Member self;
-    private final Probing probing;
-    private final Environment out;
-    private final PriorityQueue<Alarm> alarms = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
-    /** Whom others were asked to reach for the last time before a burial, by the number of the asking. */
-    private final Map<Integer, Entry> lastCalls = new Recent<>(MOST_CALLED);
+    private final LocalMember self;
+    private final FailureDetector failureDetector;
+    private final Environment environment;
+    private final PriorityQueue<SuspicionTimer> timers =
+            new PriorityQueue<>((a, b) -> Long.compare(a.fireAt, b.fireAt));
+    /** Members that helpers were asked to probe before they are declared dead, by sequence number. */
+    private final Map<Integer, Entry> pendingFinalProbes = new RecentPings<>(MAX_PENDING_FINAL_PROBES);
 
-    Judgement(View view, Times times, SplittableRandom random, Member self, Probing probing, Environment out) {
+    Judgement(
+            View view,
+            Times times,
+            SplittableRandom random,
+            LocalMember self,
+            FailureDetector failureDetector,
+            Environment environment) {
         this.view = view;
         this.times = times;
         this.random = random;
         this.self = self;
-        this.probing = probing;
-        this.out = out;
+        this.failureDetector = failureDetector;
+        this.environment = environment;
     }
 
-    long next() {
-        return alarms.isEmpty() ? Long.MAX_VALUE : alarms.peek().at;
+    long nextTick() {
+        return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().fireAt;
     }
 
     void tick(long now) {
-        while (!alarms.isEmpty() && alarms.peek().at <= now) {
-            ring(alarms.poll(), now);
+        while (!timers.isEmpty() && timers.peek().fireAt <= now) {
+            fire(timers.poll(), now);
         }
     }
 
-    /** So long nothing could be heard: suspicions last so much longer. */
-    void stoodStill(long behind) {
-        List<Alarm> all = new ArrayList<>(alarms);
-        List<Alarm> moved = new ArrayList<>();
-        alarms.clear();
-        for (Alarm alarm : all) {
-            if (alarm.entry.deadline == alarm.deadline) {
-                moved.add(new Alarm(alarm.at + behind, alarm.entry, alarm.deadline + behind, alarm.lastCall));
+    /** Prolongs all suspicions by the time in which this member could not receive. */
+    void handleStall(long stalledFor) {
+        List<SuspicionTimer> all = new ArrayList<>(timers);
+        List<SuspicionTimer> moved = new ArrayList<>();
+        timers.clear();
+        for (SuspicionTimer timer : all) {
+            if (timer.entry.deadline == timer.deadline) {
+                moved.add(new SuspicionTimer(
+                        timer.fireAt + stalledFor, timer.entry, timer.deadline + stalledFor, timer.finalProbe));
             }
         }
-        moved.forEach(alarm -> alarm.entry.deadline = alarm.deadline);
-        alarms.addAll(moved);
+        moved.forEach(timer -> timer.entry.deadline = timer.deadline);
+        timers.addAll(moved);
     }
 
-    // ---- news ----
+    // ---- gossip ----
 
-    /** A claim about another, from a member. */
-    void claimed(Claim claim, Entry sender, long now) {
-        Entry entry = view.life(claim.instanceId());
+    /** Applies a member's claim about another. */
+    void applyClaim(Claim claim, Entry sender, long now) {
+        Entry entry = view.findByInstanceId(claim.instanceId());
         if (entry == null || !entry.state.isLive() || claim.incarnation() < entry.record.incarnation()) {
             return;
         }
         if (claim.state() == State.LEFT && sender == entry) {
-            end(entry, State.LEFT, now);
+            endInstance(entry, State.LEFT, now);
         } else {
-            entry.leaving |= claim.state() == State.LEFT && claim.accuserId() == claim.instanceId();
+            entry.leaveReported |= claim.state() == State.LEFT && claim.accuserId() == claim.instanceId();
             suspect(entry, claim.incarnation(), claim.accuserId(), now);
         }
     }
 
-    /** All that is known of another, from a member, or from itself where the sender is null. */
-    void told(MemberRecord news, Entry sender, long now) {
-        Entry entry = view.name(news.instance().name());
-        if (entry != null && entry.life().id() == news.instance().id()) {
-            sameLife(entry, news, sender, now);
-        } else if (news.state().isLive()
-                && (entry == null ? view.live().size() < MOST_MEMBERS : supersedes(news, entry))) {
-            MemberRecord before = entry == null ? null : entry.full();
-            Entry added = view.add(news, now);
-            out.memberChanged(before, added.full());
-            self.spread(news.instance().name(), added.record, now);
-            if (news.state() == State.SUSPECT) {
+    /** Applies a record of another member, received from the sender, or from that member if that is null. */
+    void applyRecord(MemberRecord update, Entry sender, long now) {
+        Entry entry = view.findByName(update.instance().name());
+        if (entry != null && entry.instance().id() == update.instance().id()) {
+            applySameInstance(entry, update, sender, now);
+        } else if (update.state().isLive()
+                && (entry == null ? view.live().size() < MAX_MEMBERS : supersedes(update, entry))) {
+            MemberRecord before = entry == null ? null : entry.toRecord();
+            Entry added = view.add(update, now);
+            environment.memberChanged(before, added.toRecord());
+            self.enqueueGossip(update.instance().name(), added.record, now);
+            if (update.state() == State.SUSPECT) {
                 suspect(
                         added,
-                        news.incarnation(),
-                        sender == null ? 0 : sender.life().id(),
+                        update.incarnation(),
+                        sender == null ? 0 : sender.instance().id(),
                         now);
             }
         }
     }
 
-    /** Which of two lives of one name counts. */
-    private boolean supersedes(MemberRecord news, Entry known) {
-        long generation = news.instance().generation();
-        long former = known.life().generation();
-        if (generation <= known.buried) {
+    /** Whether a record's instance replaces the known instance of the same name. */
+    private boolean supersedes(MemberRecord update, Entry known) {
+        long generation = update.instance().generation();
+        long knownGeneration = known.instance().generation();
+        if (generation <= known.lastEndedGeneration) {
             return false;
         }
-        if (!known.state.isLive() || news.instance().address().equals(known.at())) {
-            return generation > former;
+        if (!known.state.isLive() || update.instance().address().equals(known.address())) {
+            return generation > knownGeneration;
         }
-        // Two that live: the elder keeps the name, whoever hears of them, in whatever order.
-        out.count("name_taken_twice");
-        return generation < former;
+        // Of two live instances the older keeps the name, in whatever order they become known.
+        environment.count("name_taken_twice");
+        return generation < knownGeneration;
     }
 
-    private void sameLife(Entry entry, MemberRecord news, Entry sender, long now) {
+    private void applySameInstance(Entry entry, MemberRecord update, Entry sender, long now) {
         if (!entry.state.isLive()) {
-            if (news.state().isLive() && entry.state == State.DEAD && now - entry.toldAt >= times.period()) {
-                // Somebody holds it live: it is to hear that it was buried, and to begin anew.
-                entry.toldAt = now;
+            if (update.state().isLive() && entry.state == State.DEAD && now - entry.deathNotifiedAt >= times.period()) {
+                // The sender takes it for live: tell it that it was declared dead, so that it restarts.
+                entry.deathNotifiedAt = now;
                 Claim claim = new Claim(
-                        news.instance().id(),
-                        news.incarnation(),
+                        update.instance().id(),
+                        update.incarnation(),
                         State.DEAD,
                         self.self().instance().id());
-                self.spread(news.instance().name(), claim, now);
-                // From others it is a suspicion only, which it would refute and stay buried here: behind a
-                // cut one that was alone found its 31 others one by one, for up to 12 s.
-                self.reply(entry.at(), Kind.GOSSIP, 0, 0, List.of(claim));
+                self.enqueueGossip(update.instance().name(), claim, now);
+                // Relayed by others this claim is only a suspicion, which it would refute while it stays dead
+                // here. After a partition a lone member then found its 31 peers one by one, for up to 12 s.
+                self.sendTo(entry.address(), Kind.GOSSIP, 0, 0, List.of(claim));
             }
             return;
         }
-        if (news.incarnation() < entry.record.incarnation()) {
+        if (update.incarnation() < entry.record.incarnation()) {
             return;
         }
-        if (news.incarnation() > entry.record.incarnation()) {
-            MemberRecord before = entry.full();
-            view.heard(entry, news);
-            boolean cleared =
-                    entry.state == State.SUSPECT && news.state() == State.ALIVE && news.incarnation() > entry.suspected;
+        if (update.incarnation() > entry.record.incarnation()) {
+            MemberRecord before = entry.toRecord();
+            view.updateRecord(entry, update);
+            boolean cleared = entry.state == State.SUSPECT
+                    && update.state() == State.ALIVE
+                    && update.incarnation() > entry.suspectedIncarnation;
             if (cleared) {
-                view.turn(entry, State.ALIVE, now);
-                out.count("cleared");
+                view.setState(entry, State.ALIVE, now);
+                environment.count("cleared");
             }
-            self.spread(news.instance().name(), entry.record, now);
-            out.memberChanged(before, entry.full());
+            self.enqueueGossip(update.instance().name(), entry.record, now);
+            environment.memberChanged(before, entry.toRecord());
         }
-        if (news.state() != State.ALIVE) {
-            entry.leaving |= news.state() == State.LEFT;
+        if (update.state() != State.ALIVE) {
+            entry.leaveReported |= update.state() == State.LEFT;
             suspect(
                     entry,
-                    news.incarnation(),
-                    sender == null ? 0 : sender.life().id(),
+                    update.incarnation(),
+                    sender == null ? 0 : sender.instance().id(),
                     now);
         }
     }
 
     // ---- suspicions ----
 
-    /** This member has found it silent. */
-    void silent(Entry entry, long now) {
+    /** Suspects a member that has not answered this one's probes. */
+    void unresponsive(Entry entry, long now) {
         suspect(entry, entry.record.incarnation(), self.self().instance().id(), now);
     }
 
-    /** That one found it silent; by enough of those, or in time, it is buried here. */
-    private void suspect(Entry entry, int incarnation, long by, long now) {
-        boolean first = entry.state == State.ALIVE;
-        if (first) {
-            MemberRecord before = entry.full();
-            view.turn(entry, State.SUSPECT, now);
-            entry.suspected = incarnation;
+    /** Records an accusation. The more members accuse, the sooner the suspicion ends. */
+    private void suspect(Entry entry, int incarnation, long accuserId, long now) {
+        boolean newlySuspected = entry.state == State.ALIVE;
+        if (newlySuspected) {
+            MemberRecord before = entry.toRecord();
+            view.setState(entry, State.SUSPECT, now);
+            entry.suspectedIncarnation = incarnation;
             entry.suspectedAt = now;
-            out.memberChanged(before, entry.full());
-            out.count("suspected");
-        } else if (!entry.leaving && (entry.by.size() > Times.CONFIRMATIONS || entry.by.contains(by))) {
+            environment.memberChanged(before, entry.toRecord());
+            environment.count("suspected");
+        } else if (!entry.leaveReported
+                && (entry.accusers.size() > Times.CONFIRMATIONS || entry.accusers.contains(accuserId))) {
             return;
         }
-        entry.suspected = Math.max(entry.suspected, incarnation);
-        boolean added = entry.by.size() <= Times.CONFIRMATIONS && entry.accused(by);
-        long span = entry.leaving
-                ? LEAVING_PERIODS * times.probeTimeout(0, probing.roundTrip())
-                : times.suspicionTimeout(self.size(), entry.by.size() - 1, probing.roundTrip());
-        // One that is slow itself blames late, unless others have found the same.
-        boolean alone =
-                entry.by.size() == 1 && entry.by.contains(self.self().instance().id());
-        // Never behind the present: that would look as if this member had stood still.
-        int slowed = alone ? Math.min(MOST_SLOWED, probing.score()) : 0;
-        long deadline = Math.max(now, entry.suspectedAt + span * (1 + slowed));
-        if (first || deadline < entry.deadline) {
-            alarm(entry, deadline, now);
+        entry.suspectedIncarnation = Math.max(entry.suspectedIncarnation, incarnation);
+        boolean added = entry.accusers.size() <= Times.CONFIRMATIONS && entry.addAccuser(accuserId);
+        long timeout = entry.leaveReported
+                ? LEAVE_PROBE_TIMEOUTS * times.probeTimeout(0, failureDetector.roundTrip())
+                : times.suspicionTimeout(self.size(), entry.accusers.size() - 1, failureDetector.roundTrip());
+        // While this member is slow its own accusation alone takes longer to end (Lifeguard).
+        boolean onlyOwnAccusation = entry.accusers.size() == 1
+                && entry.accusers.contains(self.self().instance().id());
+        int extension = onlyOwnAccusation ? Math.min(MAX_HEALTH_EXTENSION, failureDetector.score()) : 0;
+        // Not in the past, which would look like a stall of this member.
+        long deadline = Math.max(now, entry.suspectedAt + timeout * (1 + extension));
+        if (newlySuspected || deadline < entry.deadline) {
+            scheduleTimers(entry, deadline, now);
         }
         if (added) {
-            self.spread(
-                    entry.life().name(),
-                    new Claim(entry.life().id(), entry.suspected, entry.leaving ? State.LEFT : State.SUSPECT, by),
+            self.enqueueGossip(
+                    entry.instance().name(),
+                    new Claim(
+                            entry.instance().id(),
+                            entry.suspectedIncarnation,
+                            entry.leaveReported ? State.LEFT : State.SUSPECT,
+                            accuserId),
                     now);
         }
     }
 
-    private void alarm(Entry entry, long deadline, long now) {
+    private void scheduleTimers(Entry entry, long deadline, long now) {
         entry.deadline = deadline;
-        alarms.add(new Alarm(deadline, entry, deadline, false));
-        for (int i = 1; i <= LAST_CALLS; i++) {
-            long at = deadline - i * times.probeTimeout(0, probing.roundTrip()) * LAST_CALL_PART / LAST_CALL_OF;
-            alarms.add(new Alarm(Math.max(now, at), entry, deadline, true));
+        timers.add(new SuspicionTimer(deadline, entry, deadline, false));
+        for (int i = 1; i <= FINAL_PROBES; i++) {
+            long at = deadline
+                    - i
+                            * times.probeTimeout(0, failureDetector.roundTrip())
+                            * FINAL_PROBE_SPACING_NUMERATOR
+                            / FINAL_PROBE_SPACING_DENOMINATOR;
+            timers.add(new SuspicionTimer(Math.max(now, at), entry, deadline, true));
         }
     }
 
-    private void ring(Alarm alarm, long now) {
-        Entry entry = alarm.entry;
-        if (entry.state != State.SUSPECT || entry.deadline != alarm.deadline) {
+    private void fire(SuspicionTimer timer, long now) {
+        Entry entry = timer.entry;
+        if (entry.state != State.SUSPECT || entry.deadline != timer.deadline) {
             return;
         }
-        if (!alarm.lastCall) {
-            end(entry, entry.leaving ? State.LEFT : State.DEAD, now);
+        if (!timer.finalProbe) {
+            endInstance(entry, entry.leaveReported ? State.LEFT : State.DEAD, now);
             return;
         }
-        // News of it may have passed this member by: it asks itself, before it buries on others' word.
-        self.send(entry, Kind.PING, self.number(), entry.life().id(), List.of());
-        for (int i = 0; i < Times.HELPERS; i++) {
-            Entry helper = view.any(random, each -> each != entry && each.state == State.ALIVE);
+        // Probe directly too: this member may have missed a refutation of the others' accusations.
+        self.sendWithGossip(
+                entry, Kind.PING, self.nextSequence(), entry.instance().id(), List.of());
+        for (int i = 0; i < Times.INDIRECT_PROBE_HELPERS; i++) {
+            Entry helper = view.pickRandom(random, each -> each != entry && each.state == State.ALIVE);
             if (helper != null) {
-                int number = self.number();
-                lastCalls.put(number, entry);
-                self.send(helper, Kind.PING_REQ, number, entry.life().id(), List.of());
+                int sequence = self.nextSequence();
+                pendingFinalProbes.put(sequence, entry);
+                self.sendWithGossip(
+                        helper, Kind.PING_REQ, sequence, entry.instance().id(), List.of());
             }
         }
     }
 
-    /** Another may have reached one that was called for the last time: it gets longer to say so itself. */
-    void acked(Message message, long now) {
-        Entry called = lastCalls.remove(message.seq());
-        long least = times.minSuspicionTimeout(self.size(), probing.roundTrip());
-        if (called != null
-                && called.life().id() == message.target()
-                && called.state == State.SUSPECT
-                && called.deadline - called.suspectedAt < MOST_SUSPICIONS * least) {
-            alarm(called, called.deadline + least / 2, now);
+    /** Prolongs the suspicion of a member that a helper has reached, so that it can refute it. */
+    void ackReceived(Message message, long now) {
+        Entry probed = pendingFinalProbes.remove(message.seq());
+        long minTimeout = times.minSuspicionTimeout(self.size(), failureDetector.roundTrip());
+        if (probed != null
+                && probed.instance().id() == message.target()
+                && probed.state == State.SUSPECT
+                && probed.deadline - probed.suspectedAt < MAX_SUSPICION_FACTOR * minTimeout) {
+            scheduleTimers(probed, probed.deadline + minTimeout / 2, now);
         }
     }
 
-    private void end(Entry entry, State how, long now) {
-        MemberRecord before = entry.full();
-        view.turn(entry, how, now);
-        out.memberChanged(before, entry.full());
-        out.count(how == State.DEAD ? "buried" : "left");
-        self.spread(
-                entry.life().name(),
+    private void endInstance(Entry entry, State finalState, long now) {
+        MemberRecord before = entry.toRecord();
+        view.setState(entry, finalState, now);
+        environment.memberChanged(before, entry.toRecord());
+        environment.count(finalState == State.DEAD ? "buried" : "left");
+        self.enqueueGossip(
+                entry.instance().name(),
                 new Claim(
-                        entry.life().id(),
+                        entry.instance().id(),
                         entry.record.incarnation(),
-                        how,
-                        how == State.LEFT
-                                ? entry.life().id()
+                        finalState,
+                        finalState == State.LEFT
+                                ? entry.instance().id()
                                 : self.self().instance().id()),
                 now);
-        while (view.buried().size() > MOST_BURIED) {
-            view.forget(view.buried().get(0));
+        while (view.ended().size() > MAX_ENDED) {
+            view.removeEnded(view.ended().get(0));
         }
     }
 }
--- a/src/main/java/laneflow/membership/decision/MemberInstance.java
+++ b/src/main/java/laneflow/membership/decision/MemberInstance.java
@@ -7,39 +7,39 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * One life of a member: a process that was started, or that found itself buried and begins anew. Of one name
- * only one life counts.
+ * One instance of a member: a process from its start, or from when it learned that it had been declared dead and
+ * started over. Only one instance at a time holds a name.
  *
  * @param name of the scheduler, up to {@link #MAX_NAME_BYTES} bytes
- * @param generation grows from one life of a name to the next, at first Unix milliseconds of the start
- * @param address where its datagrams come from and go to
- * @param id the life in eight bytes
+ * @param generation increases with each instance of a name; initially the start time in Unix milliseconds
+ * @param address source and destination of its datagrams
+ * @param id hash of the other components
  */
 public record MemberInstance(String name, long generation, InetSocketAddress address, long id) {
-    /** Bytes of UTF-8. */
+    /** Limit on the name's length in UTF-8. */
     public static final int MAX_NAME_BYTES = 64;
-    /** No clock says more; what does is no generation. */
+    /** Larger values come from no clock and are rejected. */
     public static final long MAX_GENERATION = 1L << 53;
 
-    public static MemberInstance of(String name, long generation, InetSocketAddress at) {
+    public static MemberInstance of(String name, long generation, InetSocketAddress address) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             digest.update(ByteBuffer.allocate(Long.BYTES).putLong(generation).array());
-            digest.update(at.getAddress().getAddress());
-            digest.update((byte) at.getPort());
-            digest.update((byte) (at.getPort() >> Byte.SIZE));
+            digest.update(address.getAddress().getAddress());
+            digest.update((byte) address.getPort());
+            digest.update((byte) (address.getPort() >> Byte.SIZE));
             byte[] hash = digest.digest(name.getBytes(StandardCharsets.UTF_8));
             long id = ByteBuffer.wrap(hash).getLong();
-            // Nothing is nobody's.
-            return new MemberInstance(name, generation, at, id == 0 ? 1 : id);
+            // 0 stands for no instance.
+            return new MemberInstance(name, generation, address, id == 0 ? 1 : id);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new IllegalStateException("required algorithm is missing: SHA-256", e);
         }
     }
 
-    /** The next life of the same process. */
-    MemberInstance next(long atLeast) {
-        return of(name, Math.max(generation + 1, atLeast), address);
+    /** The next instance of the same process. */
+    MemberInstance nextInstance(long minGeneration) {
+        return of(name, Math.max(generation + 1, minGeneration), address);
     }
 
     @Override
--- a/src/main/java/laneflow/membership/decision/MessageCodec.java
+++ b/src/main/java/laneflow/membership/decision/MessageCodec.java
@@ -17,79 +17,81 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * The form of datagrams: MessagePack values one behind the other. Sizes are counted, not tried: news is
- * chosen by what fits. What goes around it (version, key, code of authenticity) is {@link Seal}'s.
+ * Encodes messages as a sequence of MessagePack values. Sizes are upper bounds computed without encoding, so that
+ * updates can be chosen by size. {@link Seal} adds the version, key and message authentication code.
  */
-public final class MessageCodec implements Swim.Sizes {
-    private static final int FULL = 1;
+public final class MessageCodec implements Swim.MessageSizes {
+    private static final int MEMBER_RECORD = 1;
     private static final int CLAIM = 2;
-    private static final int EXTRA = 3;
-    private static final int LONG = 9;
-    private static final int INT = 5;
-    private static final int BYTES_HEAD = 2;
-    private static final int PORT = 3;
-    private static final int SMALL = 1;
-    private static final int FIXED_TEXT = 32;
-    private static final int BUCKET_BYTES = View.BUCKETS * Integer.BYTES + BYTES_HEAD;
-    private static final int HEAD = SMALL + LONG + INT + INT + LONG;
-    private static final int CLAIM_BYTES = SMALL + LONG + INT + SMALL + LONG;
-    /** Bytes around those of an {@link Payload}. */
-    static final int EXTRA_HEAD = SMALL + BYTES_HEAD;
+    private static final int PAYLOAD = 3;
+    private static final int LONG_BYTES = 9;
+    private static final int INT_BYTES = 5;
+    private static final int BINARY_HEADER_BYTES = 2;
+    private static final int PORT_BYTES = 3;
+    private static final int SMALL_VALUE_BYTES = 1;
+    private static final int FIXSTR_LIMIT = 32;
+    private static final int BUCKET_BYTES = View.BUCKET_COUNT * Integer.BYTES + BINARY_HEADER_BYTES;
+    private static final int HEADER_BYTES = SMALL_VALUE_BYTES + LONG_BYTES + INT_BYTES + INT_BYTES + LONG_BYTES;
+    private static final int CLAIM_BYTES = SMALL_VALUE_BYTES + LONG_BYTES + INT_BYTES + SMALL_VALUE_BYTES + LONG_BYTES;
+    /** Bytes that a {@link Payload} takes in addition to its content. */
+    static final int PAYLOAD_HEADER_BYTES = SMALL_VALUE_BYTES + BINARY_HEADER_BYTES;
 
-    private static final int MOST_UPDATES = 32;
-    private static final int CONDITIONS = Condition.values().length;
+    private static final int MAX_UPDATES = 32;
+    private static final int CONDITION_COUNT = Condition.values().length;
     private static final int STEP_BITS = 5;
 
-    private final int most;
+    private final int maxContentBytes;
 
-    /** @param most bytes of a datagram's content */
-    public MessageCodec(int most) {
-        this.most = most;
+    /** @param maxContentBytes limit on the content of a datagram */
+    public MessageCodec(int maxContentBytes) {
+        this.maxContentBytes = maxContentBytes;
     }
 
     @Override
-    public int room(Kind kind) {
-        return most - HEAD - (kind == Kind.SYNC ? BUCKET_BYTES : 0);
+    public int maxUpdateBytes(Kind kind) {
+        return maxContentBytes - HEADER_BYTES - (kind == Kind.SYNC ? BUCKET_BYTES : 0);
     }
 
     @Override
     public int applyAsInt(Update update) {
-        if (update instanceof MemberRecord full) {
-            MemberMetadata facts = full.metadata();
-            return SMALL
-                    + text(full.instance().name())
-                    + LONG
-                    + place(full.instance().address())
-                    + INT
-                    + SMALL
-                    + text(facts.zone())
-                    + text(facts.build())
-                    + place(facts.link())
-                    + LONG
-                    + INT;
+        if (update instanceof MemberRecord memberRecord) {
+            MemberMetadata metadata = memberRecord.metadata();
+            return SMALL_VALUE_BYTES
+                    + textSize(memberRecord.instance().name())
+                    + LONG_BYTES
+                    + addressSize(memberRecord.instance().address())
+                    + INT_BYTES
+                    + SMALL_VALUE_BYTES
+                    + textSize(metadata.zone())
+                    + textSize(metadata.build())
+                    + addressSize(metadata.link())
+                    + LONG_BYTES
+                    + INT_BYTES;
         }
-        return update instanceof Payload extra ? EXTRA_HEAD + extra.bytes().length : CLAIM_BYTES;
+        return update instanceof Payload payload ? PAYLOAD_HEADER_BYTES + payload.bytes().length : CLAIM_BYTES;
     }
 
-    /** The most bytes that a message may take. */
+    /** Upper bound of the encoded size of a message. */
     public int maxSize(Message message) {
-        int all = HEAD + (message.bucketDigests() == null ? 0 : BUCKET_BYTES);
+        int size = HEADER_BYTES + (message.bucketDigests() == null ? 0 : BUCKET_BYTES);
         for (Update update : message.updates()) {
-            all += applyAsInt(update);
+            size += applyAsInt(update);
         }
-        return all;
+        return size;
     }
 
-    private static int text(String text) {
+    private static int textSize(String text) {
         int bytes = text.getBytes(StandardCharsets.UTF_8).length;
-        return bytes + (bytes < FIXED_TEXT ? SMALL : BYTES_HEAD);
+        return bytes + (bytes < FIXSTR_LIMIT ? SMALL_VALUE_BYTES : BINARY_HEADER_BYTES);
     }
 
-    private static int place(InetSocketAddress at) {
-        return at == null ? SMALL : BYTES_HEAD + at.getAddress().getAddress().length + PORT;
+    private static int addressSize(InetSocketAddress address) {
+        return address == null
+                ? SMALL_VALUE_BYTES
+                : BINARY_HEADER_BYTES + address.getAddress().getAddress().length + PORT_BYTES;
     }
 
-    /** A message's bytes. */
+    /** Encodes a message. */
     public byte[] write(Message message) {
         try (MessageBufferPacker to = MessagePack.newDefaultBufferPacker()) {
             to.packInt(message.kind().ordinal());
@@ -106,15 +108,15 @@
                 }
             }
             for (Update update : message.updates()) {
-                write(update, to);
+                writeUpdate(update, to);
             }
             return to.toByteArray();
         } catch (IOException e) {
-            throw new IllegalStateException("writing to memory does not fail", e);
+            throw new IllegalStateException("encoding to memory failed", e);
         }
     }
 
-    private static void write(Update update, MessageBufferPacker to) throws IOException {
+    private static void writeUpdate(Update update, MessageBufferPacker to) throws IOException {
         if (update instanceof Claim claim) {
             to.packInt(CLAIM)
                     .packLong(claim.instanceId())
@@ -123,151 +125,158 @@
                     .packLong(claim.accuserId());
             return;
         }
-        if (update instanceof Payload extra) {
-            to.packInt(EXTRA).packBinaryHeader(extra.bytes().length).addPayload(extra.bytes());
+        if (update instanceof Payload payload) {
+            to.packInt(PAYLOAD).packBinaryHeader(payload.bytes().length).addPayload(payload.bytes());
             return;
         }
-        MemberRecord full = (MemberRecord) update;
-        MemberMetadata facts = full.metadata();
-        to.packInt(FULL)
-                .packString(full.instance().name())
-                .packLong(full.instance().generation());
-        write(full.instance().address(), to);
-        to.packInt(full.incarnation())
-                .packInt(full.state().ordinal())
-                .packString(facts.zone())
-                .packString(facts.build());
-        write(facts.link(), to);
-        to.packLong(facts.policy());
-        int packed = facts.load() << STEP_BITS | facts.rate();
-        to.packInt((packed * CONDITIONS + facts.condition().ordinal()) * 2 + (facts.late() ? 1 : 0));
+        MemberRecord memberRecord = (MemberRecord) update;
+        MemberMetadata metadata = memberRecord.metadata();
+        to.packInt(MEMBER_RECORD)
+                .packString(memberRecord.instance().name())
+                .packLong(memberRecord.instance().generation());
+        writeAddress(memberRecord.instance().address(), to);
+        to.packInt(memberRecord.incarnation())
+                .packInt(memberRecord.state().ordinal())
+                .packString(metadata.zone())
+                .packString(metadata.build());
+        writeAddress(metadata.link(), to);
+        to.packLong(metadata.policy());
+        int packed = metadata.load() << STEP_BITS | metadata.rate();
+        to.packInt((packed * CONDITION_COUNT + metadata.condition().ordinal()) * 2 + (metadata.late() ? 1 : 0));
     }
 
-    private static void write(InetSocketAddress at, MessageBufferPacker to) throws IOException {
-        if (at == null) {
+    private static void writeAddress(InetSocketAddress socketAddress, MessageBufferPacker to) throws IOException {
+        if (socketAddress == null) {
             to.packNil();
             return;
         }
-        byte[] address = at.getAddress().getAddress();
+        byte[] address = socketAddress.getAddress().getAddress();
         to.packBinaryHeader(address.length).addPayload(address);
-        to.packInt(at.getPort());
+        to.packInt(socketAddress.getPort());
     }
 
     /**
-     * Reads a message.
+     * Decodes a message.
      *
-     * @throws IOException if it is none
+     * @throws IOException if the bytes are not a valid message
      */
     public Message read(byte[] bytes, int offset, int length) throws IOException {
         try (MessageUnpacker from = MessagePack.newDefaultUnpacker(bytes, offset, length)) {
             int kind = from.unpackInt();
             if (kind < 0 || kind >= Kind.values().length) {
-                throw new IOException("no kind of message: " + kind);
+                throw new IOException("unknown message kind: " + kind);
             }
-            long sender = from.unpackLong();
+            long senderId = from.unpackLong();
             int digest = from.unpackInt();
             int seq = from.unpackInt();
             long target = from.unpackLong();
-            int[] buckets = null;
+            int[] bucketDigests = null;
             if (Kind.values()[kind] == Kind.SYNC) {
-                buckets = buckets(from);
+                bucketDigests = readBucketDigests(from);
             }
             List<Update> updates = new ArrayList<>();
             while (from.hasNext()) {
-                if (updates.size() >= MOST_UPDATES) {
-                    throw new IOException("too much news");
+                if (updates.size() >= MAX_UPDATES) {
+                    throw new IOException("too many updates in a message");
                 }
-                updates.add(update(from));
+                updates.add(readUpdate(from));
             }
-            return new Message(Kind.values()[kind], sender, digest, seq, target, buckets, updates);
+            return new Message(Kind.values()[kind], senderId, digest, seq, target, bucketDigests, updates);
         } catch (MessagePackException | IllegalArgumentException e) {
-            throw new IOException("no message: " + e.getMessage(), e);
+            throw new IOException("malformed message: " + e.getMessage(), e);
         }
     }
 
-    private static int[] buckets(MessageUnpacker from) throws IOException {
+    private static int[] readBucketDigests(MessageUnpacker from) throws IOException {
         int length = from.unpackBinaryHeader();
-        if (length != View.BUCKETS * Integer.BYTES) {
-            throw new IOException("digests of " + length + " bytes");
+        if (length != View.BUCKET_COUNT * Integer.BYTES) {
+            throw new IOException("bucket digests with an invalid length of " + length + " bytes");
         }
         byte[] all = from.readPayload(length);
-        int[] buckets = new int[View.BUCKETS];
+        int[] buckets = new int[View.BUCKET_COUNT];
         for (int i = 0; i < all.length; i++) {
             buckets[i / Integer.BYTES] = buckets[i / Integer.BYTES] << Byte.SIZE | all[i] & 0xff;
         }
         return buckets;
     }
 
-    private static Update update(MessageUnpacker from) throws IOException {
-        int form = from.unpackInt();
-        if (form == CLAIM) {
-            return new Claim(from.unpackLong(), natural(from), state(from), from.unpackLong());
+    private static Update readUpdate(MessageUnpacker from) throws IOException {
+        int type = from.unpackInt();
+        if (type == CLAIM) {
+            return new Claim(from.unpackLong(), readNonNegativeInt(from), readState(from), from.unpackLong());
         }
-        if (form == EXTRA) {
+        if (type == PAYLOAD) {
             int length = from.unpackBinaryHeader();
             if (length > Seal.MAX_DATAGRAM_BYTES) {
-                throw new IOException("an extra of " + length + " bytes");
+                throw new IOException("payload too long: " + length + " bytes");
             }
             return new Payload(from.readPayload(length));
         }
-        if (form != FULL) {
-            throw new IOException("no form of news: " + form);
+        if (type != MEMBER_RECORD) {
+            throw new IOException("unknown update type: " + type);
         }
-        String name = text(from, MemberInstance.MAX_NAME_BYTES);
+        String name = readText(from, MemberInstance.MAX_NAME_BYTES);
         long generation = from.unpackLong();
-        InetSocketAddress at = place(from);
-        if (at == null || name.isEmpty()) {
-            throw new IOException("a member without a name or an address");
+        InetSocketAddress address = readAddress(from);
+        if (address == null || name.isEmpty()) {
+            throw new IOException("member record without a name or an address");
         }
-        int incarnation = natural(from);
-        State state = state(from);
-        String zone = text(from, MemberMetadata.MAX_ZONE_BYTES);
-        String build = text(from, MemberMetadata.MAX_BUILD_BYTES);
-        InetSocketAddress link = place(from);
-        long policy = from.unpackLong();
-        int packed = natural(from);
-        boolean late = packed % 2 == 1;
-        Condition condition = Condition.values()[packed / 2 % CONDITIONS];
-        int steps = packed / 2 / CONDITIONS;
+        int incarnation = readNonNegativeInt(from);
+        State state = readState(from);
+        String zone = readText(from, MemberMetadata.MAX_ZONE_BYTES);
+        String build = readText(from, MemberMetadata.MAX_BUILD_BYTES);
+        InetSocketAddress linkAddress = readAddress(from);
+        long policyVersion = from.unpackLong();
+        int packed = readNonNegativeInt(from);
+        boolean loopLate = packed % 2 == 1;
+        Condition condition = Condition.values()[packed / 2 % CONDITION_COUNT];
+        int packedSteps = packed / 2 / CONDITION_COUNT;
         return new MemberRecord(
-                MemberInstance.of(name, generation, at),
+                MemberInstance.of(name, generation, address),
                 incarnation,
                 state,
                 new MemberMetadata(
-                        zone, build, link, policy, condition, steps >> STEP_BITS, steps & (1 << STEP_BITS) - 1, late));
+                        zone,
+                        build,
+                        linkAddress,
+                        policyVersion,
+                        condition,
+                        packedSteps >> STEP_BITS,
+                        packedSteps & (1 << STEP_BITS) - 1,
+                        loopLate));
     }
 
-    private static int natural(MessageUnpacker from) throws IOException {
+    private static int readNonNegativeInt(MessageUnpacker from) throws IOException {
         int value = from.unpackInt();
         if (value < 0) {
-            throw new IOException("a count under nothing");
+            throw new IOException("negative count");
         }
         return value;
     }
 
-    private static State state(MessageUnpacker from) throws IOException {
+    private static State readState(MessageUnpacker from) throws IOException {
         int state = from.unpackInt();
         if (state < 0 || state >= State.values().length) {
-            throw new IOException("no state: " + state);
+            throw new IOException("unknown member state: " + state);
         }
         return State.values()[state];
     }
 
-    private static String text(MessageUnpacker from, int most) throws IOException {
+    private static String readText(MessageUnpacker from, int maxBytes) throws IOException {
         int length = from.unpackRawStringHeader();
-        if (length > most) {
-            throw new IOException("a text of " + length + " bytes");
+        if (length > maxBytes) {
+            throw new IOException("text too long: " + length + " bytes");
         }
         return new String(from.readPayload(length), StandardCharsets.UTF_8);
     }
 
-    private static InetSocketAddress place(MessageUnpacker from) throws IOException {
+    private static InetSocketAddress readAddress(MessageUnpacker from) throws IOException {
         if (from.tryUnpackNil()) {
             return null;
         }
         int length = from.unpackBinaryHeader();
         if (length != 4 && length != 16) {
-            throw new IOException("an address of " + length + " bytes");
+            throw new IOException("IP address with an invalid length of " + length + " bytes");
         }
         byte[] address = from.readPayload(length);
         return new InetSocketAddress(InetAddress.getByAddress(address), from.unpackInt());
--- a/src/main/java/laneflow/membership/decision/Seal.java
+++ b/src/main/java/laneflow/membership/decision/Seal.java
@@ -11,95 +11,97 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * What goes around a datagram's content: version, key, a number that no datagram of the same life has twice,
- * and a code of authenticity (HMAC-SHA256 of the JDK, its first 16 bytes) over all the rest. Two keys may be
- * known at a time, so that a fleet can go from one to the other: the first seals, either opens.
+ * Authenticates datagrams. The header holds the version, a key fingerprint and a sequence number unique to the
+ * sending instance; a message authentication code over header and content follows (HMAC-SHA256 truncated to 16
+ * bytes). Two keys may be configured for rotation: the first signs, both verify.
  */
 public final class Seal {
-    /** Bytes of any datagram. */
+    /** Limit on the size of a datagram. */
     public static final int MAX_DATAGRAM_BYTES = 256;
-    /** Bytes around the content. */
+    /** Bytes of the header and the code before the content. */
     public static final int OVERHEAD_BYTES = 22;
 
     private static final byte VERSION = 1;
-    private static final int MAC = 16;
-    private static final int BEFORE = OVERHEAD_BYTES - MAC;
+    private static final int MAC_BYTES = 16;
+    private static final int HEADER_BYTES = OVERHEAD_BYTES - MAC_BYTES;
     private static final String ALGORITHM = "HmacSHA256";
-    private static final int LEAST_KEY = 16;
-    private static final int MOST_KEYS = 2;
+    private static final int MIN_KEY_CHARS = 16;
+    private static final int MAX_KEYS = 2;
 
-    private record Key(byte mark, Mac mac) {}
+    private record Key(byte fingerprint, Mac mac) {}
 
     private final List<Key> keys = new ArrayList<>();
-    private int number;
+    private int lastSequenceNumber;
 
-    /** Seals by the first of these keys. */
-    public Seal(List<String> texts, int firstNumber) {
-        number = firstNumber;
-        setKeys(texts);
+    /** Signs with the first of these keys. */
+    public Seal(List<String> keyTexts, int initialSequenceNumber) {
+        lastSequenceNumber = initialSequenceNumber;
+        setKeys(keyTexts);
     }
 
-    /** Why these can't be keys; null if they can. */
-    public static String invalidKeys(List<String> texts) {
-        if (texts.isEmpty() || texts.size() > MOST_KEYS) {
-            return "holds " + texts.size() + " keys: one, or two while they are changed";
+    /** Describes why the keys are invalid; null if they are valid. */
+    public static String invalidKeys(List<String> keyTexts) {
+        if (keyTexts.isEmpty() || keyTexts.size() > MAX_KEYS) {
+            return "has " + keyTexts.size() + " keys; expected one, or two during a key rotation";
         }
-        for (String text : texts) {
-            if (!text.matches("[!-~]{" + LEAST_KEY + ",}")) {
-                return "holds a key that is shorter than " + LEAST_KEY + " visible characters, or has others";
+        for (String text : keyTexts) {
+            if (!text.matches("[!-~]{" + MIN_KEY_CHARS + ",}")) {
+                return "has a key shorter than " + MIN_KEY_CHARS
+                        + " characters or with other than visible ASCII characters";
             }
         }
         return null;
     }
 
-    /** Goes by these from now on. */
-    public void setKeys(List<String> texts) {
-        String unfit = invalidKeys(texts);
-        if (unfit != null) {
-            throw new IllegalArgumentException(unfit);
+    /** Replaces the keys. */
+    public void setKeys(List<String> keyTexts) {
+        String invalid = invalidKeys(keyTexts);
+        if (invalid != null) {
+            throw new IllegalArgumentException(invalid);
         }
         keys.clear();
-        for (String text : texts) {
+        for (String text : keyTexts) {
             byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
             try {
                 Mac mac = Mac.getInstance(ALGORITHM);
                 mac.init(new SecretKeySpec(bytes, ALGORITHM));
                 keys.add(new Key(MessageDigest.getInstance("SHA-256").digest(bytes)[0], mac));
             } catch (NoSuchAlgorithmException | InvalidKeyException e) {
-                throw new IllegalStateException("every Java has " + ALGORITHM, e);
+                throw new IllegalStateException("required algorithm is missing: " + ALGORITHM, e);
             }
         }
     }
 
-    /** A datagram with that content. */
+    /** Returns a signed datagram with this content. */
     public byte[] wrap(byte[] content) {
         Key key = keys.get(0);
-        byte[] all = new byte[OVERHEAD_BYTES + content.length];
-        ByteBuffer to = ByteBuffer.wrap(all).put(VERSION).put(key.mark).putInt(++number);
-        System.arraycopy(content, 0, all, OVERHEAD_BYTES, content.length);
-        to.put(code(key, all, all.length), 0, MAC);
-        return all;
+        byte[] datagram = new byte[OVERHEAD_BYTES + content.length];
+        ByteBuffer buffer =
+                ByteBuffer.wrap(datagram).put(VERSION).put(key.fingerprint).putInt(++lastSequenceNumber);
+        System.arraycopy(content, 0, datagram, OVERHEAD_BYTES, content.length);
+        buffer.put(computeMac(key, datagram, datagram.length), 0, MAC_BYTES);
+        return datagram;
     }
 
-    private static byte[] code(Key key, byte[] all, int length) {
-        key.mac.update(all, 0, BEFORE);
-        key.mac.update(all, OVERHEAD_BYTES, length - OVERHEAD_BYTES);
+    private static byte[] computeMac(Key key, byte[] datagram, int length) {
+        key.mac.update(datagram, 0, HEADER_BYTES);
+        key.mac.update(datagram, OVERHEAD_BYTES, length - OVERHEAD_BYTES);
         return key.mac.doFinal();
     }
 
-    /** True if it was sealed by one of the keys; the content is behind the first {@link #OVERHEAD_BYTES} bytes. */
-    public boolean isAuthentic(byte[] all, int length) {
-        if (length <= OVERHEAD_BYTES || length > MAX_DATAGRAM_BYTES || all[0] != VERSION) {
+    /** Whether one of the keys signed the datagram; its content follows {@link #OVERHEAD_BYTES} bytes. */
+    public boolean isAuthentic(byte[] datagram, int length) {
+        if (length <= OVERHEAD_BYTES || length > MAX_DATAGRAM_BYTES || datagram[0] != VERSION) {
             return false;
         }
-        byte[] shown = new byte[MAC];
-        System.arraycopy(all, BEFORE, shown, 0, MAC);
+        byte[] receivedMac = new byte[MAC_BYTES];
+        System.arraycopy(datagram, HEADER_BYTES, receivedMac, 0, MAC_BYTES);
         for (Key key : keys) {
-            if (key.mark == all[1]) {
-                byte[] code = code(key, all, length);
-                byte[] first = new byte[MAC];
-                System.arraycopy(code, 0, first, 0, MAC);
-                if (MessageDigest.isEqual(first, shown)) {
+            if (key.fingerprint == datagram[1]) {
+                byte[] fullMac = computeMac(key, datagram, length);
+                byte[] expectedMac = new byte[MAC_BYTES];
+                System.arraycopy(fullMac, 0, expectedMac, 0, MAC_BYTES);
+                if (MessageDigest.isEqual(expectedMac, receivedMac)) {
                     return true;
                 }
             }
@@ -107,8 +109,8 @@
         return false;
     }
 
-    /** The number of a datagram that is whole. */
-    public static int sequenceNumber(byte[] all) {
-        return ByteBuffer.wrap(all).getInt(2);
+    /** The sequence number of an authentic datagram. */
+    public static int sequenceNumber(byte[] datagram) {
+        return ByteBuffer.wrap(datagram).getInt(2);
     }
 }
--- a/src/main/java/laneflow/membership/decision/State.java
+++ b/src/main/java/laneflow/membership/decision/State.java
@@ -1,17 +1,17 @@
 package laneflow.membership.decision;
 
-/** Where a member stands in somebody's view. */
+/** State of a member in another member's view. */
 public enum State {
-    /** It answers, or has said so. */
+    /** It answers probes, or has refuted a suspicion. */
     ALIVE,
-    /** Somebody has not been answered by it; it may still say that it lives. */
+    /** It has not answered a probe, and may still refute the suspicion. */
     SUSPECT,
-    /** It did not say so in time. This life is over for good. */
+    /** It did not refute the suspicion in time. This instance never comes back. */
     DEAD,
-    /** It has said that it goes. */
+    /** It has announced that it leaves. */
     LEFT;
 
-    /** True where it counts as a member. */
+    /** Whether it counts as a member. */
     public boolean isLive() {
         return this == ALIVE || this == SUSPECT;
     }
--- a/src/main/java/laneflow/membership/decision/Swim.java
+++ b/src/main/java/laneflow/membership/decision/Swim.java
@@ -14,117 +14,117 @@
 import laneflow.membership.decision.View.Entry;
 
 /**
- * One member's part in SWIM: it probes the others in turn, has some probe in its place where one does not
- * answer, suspects whom nobody reaches, buries whom nobody clears in time, says of itself that it lives where
- * it hears of a suspicion, and tells on what it hears. Lifeguard's three parts are here too: one that is slow
- * itself waits longer, suspicions end sooner the more have found the same, and the suspected is told at once.
+ * One member's side of SWIM. It probes the others in turn, asks helpers for an indirect probe of a member that
+ * does not answer, suspects members that nobody reaches, declares them dead unless they refute the suspicion in
+ * time, refutes suspicions of itself, and gossips updates. It includes the three extensions of Lifeguard: a slow
+ * member waits longer, a suspicion with more accusers ends sooner, and a suspected member is told at once.
  *
- * <p>Beyond the papers: each buries by its own suspicion only, whatever others claim; one that was buried
- * comes back as another life; those that were buried, and those of the file, are looked for as long as they
- * are missing; views are compared by digests and their parts exchanged. No I/O, no clock: microseconds of any
- * origin come with each call. Not thread-safe.
+ * <p>It differs from the papers as follows. A member declares others dead only after its own suspicion timeout,
+ * whatever others claim. A member that was declared dead comes back as a new instance. Dead members and missing
+ * seeds are contacted until they are back. Views are compared by digest, and the buckets that differ are
+ * exchanged. No I/O and no clock: the caller passes the time in microseconds of any origin. Not thread-safe.
  */
 public final class Swim {
-    /** What it may do; called amid its methods, which must not be called from there. */
+    /** Sends messages and reports changes for a member. Implementations must not call back into {@link Swim}. */
     public interface Environment {
         void send(InetSocketAddress to, Message message);
 
-        /** Sends records over a connection to that member, all at once; false where there is none. */
+        /** Sends all records over a connection to the member. Returns false if there is no connection. */
         boolean sendRecords(String name, List<MemberRecord> records);
 
-        /** A member is known, or has another state or other words; null: of no life before. */
+        /** Called if a member is new, with null as its former record, or its state or record has changed. */
         void memberChanged(MemberRecord before, MemberRecord now);
 
-        /** Bytes for others than the view that are to go along to that member, or null. */
+        /** Application data to piggyback on a datagram to the member, at most that many bytes, or null. */
         default byte[] nextPayload(MemberRecord to, int room) {
             return null;
         }
 
-        /** Such bytes from a member. */
+        /** Called with application data from a member. */
         default void payloadReceived(MemberRecord from, byte[] bytes) {}
 
-        /** Counts an event of that name. */
-        void count(String what);
+        /** Counts an event by its name. */
+        void count(String event);
     }
 
-    /** Room for news in a datagram of each kind, and the bytes that a piece of news takes there. */
-    public interface Sizes extends ToIntFunction<Update> {
-        int room(Kind kind);
+    /** The size of an update, and the bytes left for updates in a datagram of each kind. */
+    public interface MessageSizes extends ToIntFunction<Update> {
+        int maxUpdateBytes(Kind kind);
     }
 
-    private static final int MOST_ASKED = 64;
-    private static final int MOST_INCARNATION = 1 << 30;
-    private static final int QUIET = 16;
-    private static final long LATE_TOLD_PERIODS = 40;
-    private static final long FACTS_PERIODS = 8;
-    private static final long SETTLED_PERIODS = 4;
+    private static final int MAX_PENDING_IDENTIFY = 64;
+    private static final int MAX_INCARNATION = 1 << 30;
+    private static final int SETTLED_MATCHING_DIGESTS = 16;
+    private static final long LATE_REPORT_PERIODS = 40;
+    private static final long METADATA_INTERVAL_PERIODS = 8;
+    private static final long SETTLED_QUIET_PERIODS = 4;
 
-    private final Environment out;
-    private final Sizes sizes;
+    private final Environment environment;
+    private final MessageSizes sizes;
     private final Times times;
     private final List<InetSocketAddress> seeds;
     private final SplittableRandom random;
     private final View view = new View();
-    private final News news = new News();
-    private final Probing probing;
+    private final GossipQueue gossipQueue = new GossipQueue();
+    private final FailureDetector failureDetector;
     private final Judgement judgement;
     private final Comparison comparison;
     private MemberRecord self;
-    private boolean outcast;
+    private boolean nameTaken;
     private boolean left;
     private int seq;
 
     private long nextGossip = Long.MAX_VALUE;
-    private long nextSeek;
-    private long lateUntil = Long.MIN_VALUE;
-    private long changedAt;
-    private long factsAt = Long.MIN_VALUE / 2;
-    private long bornAt;
-    private MemberMetadata wanted;
-    /** The message that is being heard holds a suspicion of this member that it has cleared before. */
-    private boolean remind;
+    private long nextReconnect;
+    private long reportLateUntil = Long.MIN_VALUE;
+    private long lastChangeAt;
+    private long metadataPublishedAt = Long.MIN_VALUE / 2;
+    private long instanceStartedAt;
+    private MemberMetadata latestMetadata;
+    /** Whether the current message holds a suspicion of this member that it has already refuted. */
+    private boolean resendSelfRecord;
 
-    /** Those that were asked who they are: address by number of the ping. */
-    private final Map<Integer, InetSocketAddress> strangers = new Recent<>(MOST_ASKED);
+    /** Addresses that were sent an IDENTIFY, by sequence number. */
+    private final Map<Integer, InetSocketAddress> pendingIdentify = new RecentPings<>(MAX_PENDING_IDENTIFY);
 
-    private final Map<InetSocketAddress, Long> askedAt = new HashMap<>();
+    private final Map<InetSocketAddress, Long> identifySentAt = new HashMap<>();
 
     /**
-     * One that knows nobody yet.
+     * Creates a member that knows no others yet.
      *
-     * @param seeds where others may be; its own address among them is passed over
+     * @param seeds addresses of possible members; its own address is ignored
      */
     public Swim(
-            MemberInstance life,
-            MemberMetadata facts,
+            MemberInstance instance,
+            MemberMetadata metadata,
             List<InetSocketAddress> seeds,
             Times times,
-            Sizes sizes,
+            MessageSizes sizes,
             long seed,
             long now,
-            Environment out) {
-        this.out = out;
+            Environment environment) {
+        this.environment = environment;
         this.sizes = sizes;
         this.times = times;
         this.seeds = new ArrayList<>(seeds);
-        this.seeds.remove(life.address());
+        this.seeds.remove(instance.address());
         random = new SplittableRandom(seed);
         seq = random.nextInt();
-        self = new MemberRecord(life, 0, State.ALIVE, facts);
-        wanted = facts;
-        view.count(self);
-        nextSeek = now;
-        changedAt = now;
-        bornAt = now;
-        news.add(life.name(), self);
-        Member own = new Own();
-        probing = new Probing(view, times, random, own, this::silent, now);
-        judgement = new Judgement(view, times, random, own, probing, out);
-        comparison = new Comparison(view, times, sizes, own, out, now);
-    }
-
-    /** As its parts know it. */
-    private final class Own implements Member {
+        self = new MemberRecord(instance, 0, State.ALIVE, metadata);
+        latestMetadata = metadata;
+        view.toggleInDigest(self);
+        nextReconnect = now;
+        lastChangeAt = now;
+        instanceStartedAt = now;
+        gossipQueue.add(instance.name(), self);
+        LocalMember local = new LocalMemberAdapter();
+        failureDetector = new FailureDetector(view, times, random, local, this::unresponsive, now);
+        judgement = new Judgement(view, times, random, local, failureDetector, environment);
+        comparison = new Comparison(view, times, sizes, local, environment, now);
+    }
+
+    /** Gives the parts access to this member. */
+    private final class LocalMemberAdapter implements LocalMember {
         @Override
         public MemberRecord self() {
             return self;
@@ -136,258 +136,266 @@
         }
 
         @Override
-        public int number() {
+        public int nextSequence() {
             return ++seq;
         }
 
         @Override
-        public void send(Entry to, Kind kind, int number, long target, List<Update> before) {
-            Swim.this.send(to, kind, number, target, before);
+        public void sendWithGossip(Entry to, Kind kind, int sequence, long target, List<Update> firstUpdates) {
+            Swim.this.sendWithGossip(to, kind, sequence, target, firstUpdates);
         }
 
         @Override
-        public void reply(InetSocketAddress to, Kind kind, int number, long target, List<Update> updates) {
-            Swim.this.reply(to, kind, number, target, updates);
+        public void sendTo(InetSocketAddress to, Kind kind, int sequence, long target, List<Update> updates) {
+            Swim.this.sendTo(to, kind, sequence, target, updates);
         }
 
         @Override
-        public void spread(String name, Update update, long now) {
-            Swim.this.spread(name, update, now);
+        public void enqueueGossip(String name, Update update, long now) {
+            Swim.this.enqueueGossip(name, update, now);
         }
     }
 
-    private void silent(Entry entry, long now) {
-        judgement.silent(entry, now);
+    private void unresponsive(Entry entry, long now) {
+        judgement.unresponsive(entry, now);
     }
 
-    // ---- reading ----
+    // ---- queries ----
 
-    /** This member, as it tells itself. */
+    /** This member's own record. */
     public MemberRecord self() {
         return self;
     }
 
-    /** All others that are known, those included that are gone, each with its state. */
+    /** Records of all other known members, including those that are dead or have left. */
     public List<MemberRecord> others() {
         List<MemberRecord> all = new ArrayList<>();
-        view.live().forEach(one -> all.add(one.full()));
-        view.buried().forEach(one -> all.add(one.full()));
+        view.live().forEach(entry -> all.add(entry.toRecord()));
+        view.ended().forEach(entry -> all.add(entry.toRecord()));
         return all;
     }
 
-    /** How many members are live, this one among them. */
+    /** Number of live members, including this one. */
     public int size() {
         return view.live().size() + 1;
     }
 
-    /** The other of that name, or null. */
+    /** Record of the other member of that name, or null. */
     public MemberRecord other(String name) {
-        Entry entry = view.name(name);
-        return entry == null ? null : entry.full();
+        Entry entry = view.findByName(name);
+        return entry == null ? null : entry.toRecord();
     }
 
-    /** When the other of that name got its present state, by the clock of the calls; -1: nobody's name. */
+    /** When the other member of that name entered its state, by the caller's clock; -1 if it is unknown. */
     public long stateChangedAt(String name) {
-        Entry entry = view.name(name);
-        return entry == null ? -1 : entry.changedAt;
+        Entry entry = view.findByName(name);
+        return entry == null ? -1 : entry.stateChangedAt;
     }
 
-    /** True if that is the present life of a live member. */
-    public boolean isLiveInstance(long life) {
-        Entry entry = view.life(life);
+    /** Whether this is the current instance of a live member. */
+    public boolean isLiveInstance(long instanceId) {
+        Entry entry = view.findByInstanceId(instanceId);
         return entry != null && entry.state.isLive();
     }
 
-    /** True where datagrams from that address can be a member's. */
-    public boolean isKnownAddress(InetSocketAddress at) {
-        return view.isKnown(at) || seeds.contains(at);
+    /** Whether the address belongs to a known member or a seed. */
+    public boolean isKnownAddress(InetSocketAddress address) {
+        return view.isKnownAddress(address) || seeds.contains(address);
     }
 
-    /** Of all live members, each with its newest word: the same in two views that agree. */
+    /** Digest of the records of all live members, equal in views that agree. */
     public int digest() {
         return view.digest();
     }
 
-    /** True while another holds this member's name at another address: nobody takes this one in. */
+    /** Whether another address holds this member's name, so that no member accepts this one. */
     public boolean isNameTaken() {
-        return outcast;
+        return nameTaken;
     }
 
-    /** How much slower than its period it goes, 0 to 8: as slow as it has found itself to be. */
+    /** Lifeguard's local health score: 0 is healthy, 8 the slowest. */
     public int healthScore() {
-        return probing.score();
+        return failureDetector.score();
     }
 
-    /** True where nothing has changed for a while, nobody is suspected, and others show the same digest. */
+    /** Whether nothing changed for a while, no member is suspected, and the others have the same digest. */
     public boolean isSettled(long now) {
-        boolean quiet = news.isEmpty() && now - changedAt > SETTLED_PERIODS * times.period();
-        if (!quiet || left || outcast) {
+        boolean quiet = gossipQueue.isEmpty() && now - lastChangeAt > SETTLED_QUIET_PERIODS * times.period();
+        if (!quiet || left || nameTaken) {
             return false;
         }
-        for (Entry one : view.live()) {
-            if (one.state != State.ALIVE) {
+        for (Entry entry : view.live()) {
+            if (entry.state != State.ALIVE) {
                 return false;
             }
         }
-        return comparison.agreeing() >= Math.min(QUIET, 2 * view.live().size());
+        return comparison.matchingDigests()
+                >= Math.min(SETTLED_MATCHING_DIGESTS, 2 * view.live().size());
     }
 
     // ---- time ----
 
-    /** The instant by which {@link #tick} is to be called. */
+    /** The time by which {@link #tick} must be called. */
     public long nextTick() {
-        return left ? nextGossip : Math.min(Math.min(probing.next(), judgement.next()), Math.min(nextGossip, nextSeek));
+        return left
+                ? nextGossip
+                : Math.min(
+                        Math.min(failureDetector.nextTick(), judgement.nextTick()),
+                        Math.min(nextGossip, nextReconnect));
     }
 
-    /** From then on {@link #tick} may be called if the member is awake: that spares it a wake. */
+    /** The time from which {@link #tick} may be called if the thread is awake anyway, to save a wake-up. */
     public long earliestTick() {
         return left
                 ? nextGossip
-                : Math.min(Math.min(probing.early(), judgement.next()), Math.min(nextGossip, nextSeek));
+                : Math.min(
+                        Math.min(failureDetector.earliestTick(), judgement.nextTick()),
+                        Math.min(nextGossip, nextReconnect));
     }
 
     /** Does what is due. */
     public void tick(long now) {
-        long behind = now - nextTick();
-        if (behind > times.stallThreshold() && !left) {
-            stoodStill(now, behind);
+        long overdue = now - nextTick();
+        if (overdue > times.stallThreshold() && !left) {
+            handleStall(now, overdue);
         }
         if (!left) {
             judgement.tick(now);
-            if (probing.tick(now)) {
-                facts(now);
+            if (failureDetector.tick(now)) {
+                publishMetadata(now);
             }
-            if (now >= nextSeek) {
-                seek(now);
+            if (now >= nextReconnect) {
+                reconnect(now);
             }
         }
         if (now >= nextGossip) {
-            gossip(now);
+            sendGossip(now);
         }
     }
 
-    /** What others have said meanwhile waits to be read: nobody is blamed for that time. */
-    private void stoodStill(long now, long behind) {
-        out.count("late");
-        lateUntil = now + LATE_TOLD_PERIODS * times.period();
-        probing.stoodStill(now);
-        judgement.stoodStill(behind);
-        facts(now);
+    /** Handles a stall. Acks may be waiting unread, so no member is accused for that time. */
+    private void handleStall(long now, long stalledFor) {
+        environment.count("late");
+        reportLateUntil = now + LATE_REPORT_PERIODS * times.period();
+        failureDetector.handleStall(now);
+        judgement.handleStall(stalledFor);
+        publishMetadata(now);
     }
 
-    /** Looks for one of those that are missing. */
-    private void seek(long now) {
+    /** Contacts a random missing seed or dead member. */
+    private void reconnect(long now) {
         boolean alone = view.live().isEmpty();
-        nextSeek = now + (alone ? times.period() : times.reconnectInterval());
-        askedAt.values().removeIf(at -> now - at > times.reconnectInterval());
+        nextReconnect = now + (alone ? times.period() : times.reconnectInterval());
+        identifySentAt.values().removeIf(at -> now - at > times.reconnectInterval());
         List<InetSocketAddress> missing = new ArrayList<>(seeds);
-        for (Entry one : view.live()) {
-            missing.remove(one.at());
+        for (Entry entry : view.live()) {
+            missing.remove(entry.address());
         }
-        List<Entry> dead = new ArrayList<>(view.buried());
-        dead.removeIf(one -> one.state == State.LEFT);
+        List<Entry> dead = new ArrayList<>(view.ended());
+        dead.removeIf(entry -> entry.state == State.LEFT);
         if (missing.isEmpty() && dead.isEmpty()) {
-            // Until something changes.
-            nextSeek = Long.MAX_VALUE;
+            // No more attempts until something changes.
+            nextReconnect = Long.MAX_VALUE;
             return;
         }
         int pick = random.nextInt(missing.size() + dead.size());
         if (pick < missing.size()) {
-            ask(missing.get(pick), now);
+            identify(missing.get(pick), now);
         } else {
-            tellBuried(dead.get(pick - missing.size()), now, true);
+            notifyDead(dead.get(pick - missing.size()), now, true);
         }
     }
 
-    /** Asks whoever is there who it is. */
-    private void ask(InetSocketAddress at, long now) {
-        Long before = askedAt.get(at);
-        if (before != null && now - before < times.period() / 2
-                || at.equals(self.instance().address())) {
+    /** Asks the process at an address for its record. */
+    private void identify(InetSocketAddress address, long now) {
+        Long previouslySentAt = identifySentAt.get(address);
+        if (previouslySentAt != null && now - previouslySentAt < times.period() / 2
+                || address.equals(self.instance().address())) {
             return;
         }
-        askedAt.put(at, now);
-        if (nextSeek == Long.MAX_VALUE) {
-            // Where whom it asked is forgotten again.
-            nextSeek = now + times.reconnectInterval();
+        identifySentAt.put(address, now);
+        if (nextReconnect == Long.MAX_VALUE) {
+            // That run also removes old entries of identifySentAt.
+            nextReconnect = now + times.reconnectInterval();
         }
-        strangers.put(++seq, at);
-        reply(at, Kind.IDENTIFY, seq, 0, List.of(self));
+        pendingIdentify.put(++seq, address);
+        sendTo(address, Kind.IDENTIFY, seq, 0, List.of(self));
     }
 
-    private void tellBuried(Entry entry, long now, boolean asks) {
-        if (now - entry.toldAt < times.period()) {
+    private void notifyDead(Entry entry, long now, boolean identify) {
+        if (now - entry.deathNotifiedAt < times.period()) {
             return;
         }
-        entry.toldAt = now;
+        entry.deathNotifiedAt = now;
         Claim claim = new Claim(
-                entry.life().id(),
+                entry.instance().id(),
                 entry.record.incarnation(),
                 State.DEAD,
                 self.instance().id());
-        if (asks) {
-            strangers.put(++seq, entry.at());
-            reply(entry.at(), Kind.IDENTIFY, seq, 0, List.of(self, claim));
+        if (identify) {
+            pendingIdentify.put(++seq, entry.address());
+            sendTo(entry.address(), Kind.IDENTIFY, seq, 0, List.of(self, claim));
         } else {
-            reply(entry.at(), Kind.GOSSIP, seq, 0, List.of(claim));
+            sendTo(entry.address(), Kind.GOSSIP, seq, 0, List.of(claim));
         }
     }
 
-    private void gossip(long now) {
-        nextGossip = news.isEmpty() ? Long.MAX_VALUE : now + times.gossipInterval();
-        List<Entry> to = new ArrayList<>();
-        for (int i = Times.fanout(news.size()); i > 0 && !news.isEmpty(); i--) {
-            Entry one = view.any(random, each -> !to.contains(each));
-            if (one == null) {
+    private void sendGossip(long now) {
+        nextGossip = gossipQueue.isEmpty() ? Long.MAX_VALUE : now + times.gossipInterval();
+        List<Entry> targets = new ArrayList<>();
+        for (int i = Times.fanout(gossipQueue.size()); i > 0 && !gossipQueue.isEmpty(); i--) {
+            Entry target = view.pickRandom(random, each -> !targets.contains(each));
+            if (target == null) {
                 break;
             }
-            to.add(one);
-            send(one, Kind.GOSSIP, 0, 0, List.of());
+            targets.add(target);
+            sendWithGossip(target, Kind.GOSSIP, 0, 0, List.of());
         }
         if (view.live().isEmpty()) {
-            // Nobody to tell: whoever comes asks for all of it.
+            // No receivers; a new member asks for the whole view.
             nextGossip = Long.MAX_VALUE;
         }
     }
 
-    // ---- this member's own word ----
+    // ---- this member's own record ----
 
-    /** What it is to tell of itself from now on; small changes wait a little, so that they stay few. */
-    public void updateMetadata(long now, MemberMetadata facts) {
-        wanted = facts;
-        facts(now);
+    /** Sets the metadata to publish. Minor changes are delayed to limit the number of updates. */
+    public void updateMetadata(long now, MemberMetadata metadata) {
+        latestMetadata = metadata;
+        publishMetadata(now);
     }
 
-    private void facts(long now) {
-        MemberMetadata facts = wanted.withLate(now < lateUntil);
-        MemberMetadata before = self.metadata();
-        if (facts.equals(before) || left) {
+    private void publishMetadata(long now) {
+        MemberMetadata metadata = latestMetadata.withLate(now < reportLateUntil);
+        MemberMetadata published = self.metadata();
+        if (metadata.equals(published) || left) {
             return;
         }
-        boolean urgent = facts.condition() != before.condition()
-                || facts.policy() != before.policy()
-                || facts.late() != before.late();
-        if (urgent || now - factsAt >= FACTS_PERIODS * times.period()) {
-            factsAt = now;
-            say(self.instance(), self.incarnation() + 1, facts, now);
+        boolean urgent = metadata.condition() != published.condition()
+                || metadata.policy() != published.policy()
+                || metadata.late() != published.late();
+        if (urgent || now - metadataPublishedAt >= METADATA_INTERVAL_PERIODS * times.period()) {
+            metadataPublishedAt = now;
+            publishSelf(self.instance(), self.incarnation() + 1, metadata, now);
         }
     }
 
-    private void say(MemberInstance life, int incarnation, MemberMetadata facts, long now) {
-        view.count(self);
-        boolean over = incarnation >= MOST_INCARNATION;
-        self = new MemberRecord(over ? life.next(0) : life, over ? 0 : incarnation, State.ALIVE, facts);
-        view.count(self);
-        spread(self.instance().name(), self, now);
+    private void publishSelf(MemberInstance instance, int incarnation, MemberMetadata metadata, long now) {
+        view.toggleInDigest(self);
+        boolean exhausted = incarnation >= MAX_INCARNATION;
+        self = new MemberRecord(
+                exhausted ? instance.nextInstance(0) : instance, exhausted ? 0 : incarnation, State.ALIVE, metadata);
+        view.toggleInDigest(self);
+        enqueueGossip(self.instance().name(), self, now);
     }
 
-    /** Goes: says so to some, who tell it on. To be followed by a few more calls of {@link #tick}. */
+    /** Announces that it leaves. A few more calls of {@link #tick} must follow to spread that. */
     public void leave(long now) {
         left = true;
-        view.count(self);
+        view.toggleInDigest(self);
         self = self.withState(State.LEFT);
-        view.count(self);
-        spread(
+        view.toggleInDigest(self);
+        enqueueGossip(
                 self.instance().name(),
                 new Claim(
                         self.instance().id(),
@@ -395,263 +403,264 @@
                         State.LEFT,
                         self.instance().id()),
                 now);
-        gossip(now);
+        sendGossip(now);
     }
 
-    private void spread(String name, Update update, long now) {
-        news.add(name, update);
-        changedAt = now;
-        comparison.disturbed();
-        if (nextSeek == Long.MAX_VALUE) {
-            nextSeek = now + times.reconnectInterval();
+    private void enqueueGossip(String name, Update update, long now) {
+        gossipQueue.add(name, update);
+        lastChangeAt = now;
+        comparison.viewChanged();
+        if (nextReconnect == Long.MAX_VALUE) {
+            nextReconnect = now + times.reconnectInterval();
         }
         if (nextGossip == Long.MAX_VALUE) {
             nextGossip = now + times.gossipInterval();
         }
     }
 
-    // ---- hearing ----
+    // ---- receiving ----
 
-    /** A datagram's content, from that address. */
+    /** Handles a message received from an address. */
     public void receive(long now, InetSocketAddress from, Message message) {
         if (left || message.senderId() == self.instance().id()) {
             return;
         }
-        Entry sender = view.life(message.senderId());
+        Entry sender = view.findByInstanceId(message.senderId());
         if (sender == null || !sender.state.isLive()) {
-            sender = stranger(now, from, message, sender);
+            sender = receiveFromUnknown(now, from, message, sender);
             if (sender == null) {
                 return;
             }
-        } else if (!from.equals(sender.at())) {
-            out.count("other_address");
+        } else if (!from.equals(sender.address())) {
+            environment.count("other_address");
             return;
         }
-        remind = false;
+        resendSelfRecord = false;
         for (Update update : message.updates()) {
-            accept(update, sender, now);
+            applyUpdate(update, sender, now);
         }
-        comparison.heard(message);
-        answer(now, sender, message);
-        comparison.compare(now, sender, message.digest());
+        comparison.advanceNextBucket(message);
+        respond(now, sender, message);
+        comparison.compareDigest(now, sender, message.digest());
     }
 
     /**
-     * One that is not known, or was buried. What it claims of others counts for nothing, until it has
-     * answered what it was asked: a datagram that was recorded can't.
+     * Handles a message from a sender that is unknown or has ended. Its updates about others are ignored until it
+     * has acked an IDENTIFY, which a replayed datagram cannot do.
      */
-    private Entry stranger(long now, InetSocketAddress from, Message message, Entry buried) {
+    private Entry receiveFromUnknown(long now, InetSocketAddress from, Message message, Entry ended) {
         for (Update update : message.updates()) {
             if (update instanceof Claim claim
                     && claim.instanceId() == self.instance().id()) {
-                aboutSelf(claim.state(), claim.incarnation(), now);
+                handleClaimAboutSelf(claim.state(), claim.incarnation(), now);
             }
         }
-        if (buried != null) {
-            tellBuried(buried, now, false);
+        if (ended != null) {
+            notifyDead(ended, now, false);
             return null;
         }
-        boolean answered = message.kind() == Kind.ACK && from.equals(strangers.get(message.seq()));
+        boolean answered = message.kind() == Kind.ACK && from.equals(pendingIdentify.get(message.seq()));
         if (answered
                 && !message.updates().isEmpty()
-                && message.updates().get(0) instanceof MemberRecord own
-                && own.instance().id() == message.senderId()
-                && own.instance().address().equals(from)) {
-            strangers.remove(message.seq());
-            accept(own, null, now);
-            Entry known = view.life(message.senderId());
-            MemberRecord holder = own.instance().name().equals(self.instance().name())
-                    ? self
-                    : other(own.instance().name());
+                && message.updates().get(0) instanceof MemberRecord senderRecord
+                && senderRecord.instance().id() == message.senderId()
+                && senderRecord.instance().address().equals(from)) {
+            pendingIdentify.remove(message.seq());
+            applyUpdate(senderRecord, null, now);
+            Entry known = view.findByInstanceId(message.senderId());
+            MemberRecord holder =
+                    senderRecord.instance().name().equals(self.instance().name())
+                            ? self
+                            : other(senderRecord.instance().name());
             if (known == null && holder != null) {
-                // Another holds the name: it is told who.
-                reply(from, Kind.GOSSIP, 0, 0, List.of(holder));
+                // Another instance holds the name: tell the sender which.
+                sendTo(from, Kind.GOSSIP, 0, 0, List.of(holder));
             }
             return known;
         }
-        if (outcast && message.kind() == Kind.GOSSIP) {
+        if (nameTaken && message.kind() == Kind.GOSSIP) {
             return null;
         }
         if (message.kind() == Kind.GOSSIP
                 && message.updates().size() == 1
                 && message.updates().get(0) instanceof MemberRecord holder
                 && holder.instance().name().equals(self.instance().name())) {
-            sameName(holder, now);
+            handleNameConflict(holder, now);
             return null;
         }
-        out.count("strangers");
+        environment.count("strangers");
         if (message.kind() == Kind.IDENTIFY || message.kind() == Kind.PING) {
-            reply(from, Kind.ACK, message.seq(), self.instance().id(), List.of(self));
+            sendTo(from, Kind.ACK, message.seq(), self.instance().id(), List.of(self));
         }
-        ask(from, now);
+        identify(from, now);
         return null;
     }
 
-    private void answer(long now, Entry sender, Message message) {
+    private void respond(long now, Entry sender, Message message) {
         switch (message.kind()) {
             case PING -> {
-                // Whoever pings this very life takes it for a member.
-                outcast &= message.target() != self.instance().id();
-                boolean meant = message.target() == self.instance().id() || message.target() == 0;
-                send(
+                // A ping to this very instance shows that the sender accepts it as a member.
+                nameTaken &= message.target() != self.instance().id();
+                boolean addressed = message.target() == self.instance().id() || message.target() == 0;
+                sendWithGossip(
                         sender,
                         Kind.ACK,
                         message.seq(),
                         self.instance().id(),
-                        meant && !remind ? List.of() : List.of(self));
+                        addressed && !resendSelfRecord ? List.of() : List.of(self));
             }
             case IDENTIFY ->
-                send(sender, Kind.ACK, message.seq(), self.instance().id(), List.of(self));
+                sendWithGossip(sender, Kind.ACK, message.seq(), self.instance().id(), List.of(self));
             case ACK -> {
-                strangers.remove(message.seq());
-                if (!probing.acked(message, sender, now)) {
-                    judgement.acked(message, now);
+                pendingIdentify.remove(message.seq());
+                if (!failureDetector.ackReceived(message, sender, now)) {
+                    judgement.ackReceived(message, now);
                 }
             }
-            case NACK -> probing.nacked(message.seq());
-            case PING_REQ -> probing.favour(sender, message, now);
-            case SYNC -> comparison.records(sender, message);
+            case NACK -> failureDetector.nackReceived(message.seq());
+            case PING_REQ -> failureDetector.startIndirectProbe(sender, message, now);
+            case SYNC -> comparison.sendDifferences(sender, message);
             default -> {
-                if (remind) {
-                    send(sender, Kind.GOSSIP, 0, 0, List.of(self));
+                if (resendSelfRecord) {
+                    sendWithGossip(sender, Kind.GOSSIP, 0, 0, List.of(self));
                 }
             }
         }
     }
 
-    /** All of it from a member, over a connection. */
+    /** Handles records that a member sent over a connection. */
     public void receiveRecords(long now, String name, List<MemberRecord> records) {
-        Entry sender = view.name(name);
+        Entry sender = view.findByName(name);
         if (left || sender == null || !sender.state.isLive()) {
-            out.count("strangers");
+            environment.count("strangers");
             return;
         }
         for (MemberRecord record : records) {
-            accept(record, sender, now);
+            applyUpdate(record, sender, now);
         }
     }
 
-    /** Sends a live member those bytes, or null: what {@link Environment#nextPayload} has for it. */
+    /** Sends application data to a live member; if null, whatever {@link Environment#nextPayload} returns. */
     public void sendPayload(String name, byte[] bytes) {
-        Entry entry = view.name(name);
+        Entry entry = view.findByName(name);
         if (entry != null && entry.state.isLive() && !left) {
             if (bytes == null) {
-                send(entry, Kind.GOSSIP, 0, 0, List.of());
+                sendWithGossip(entry, Kind.GOSSIP, 0, 0, List.of());
             } else {
-                reply(entry.at(), Kind.GOSSIP, 0, 0, List.of(new Payload(bytes)));
+                sendTo(entry.address(), Kind.GOSSIP, 0, 0, List.of(new Payload(bytes)));
             }
         }
     }
 
-    // ---- what news does ----
+    // ---- applying updates ----
 
-    private void accept(Update update, Entry sender, long now) {
-        if (update instanceof Payload extra) {
+    private void applyUpdate(Update update, Entry sender, long now) {
+        if (update instanceof Payload payload) {
             if (sender != null) {
-                out.payloadReceived(sender.full(), extra.bytes());
+                environment.payloadReceived(sender.toRecord(), payload.bytes());
             }
             return;
         }
-        if (update instanceof MemberRecord full) {
-            if (full.instance().generation() < 0
-                    || full.instance().generation() > MemberInstance.MAX_GENERATION
-                    || full.incarnation() < 0) {
-                out.count("spoilt");
-            } else if (full.instance().name().equals(self.instance().name())) {
-                if (full.instance().id() == self.instance().id()) {
-                    aboutSelf(full.state(), full.incarnation(), now);
-                } else if (full.state().isLive()) {
-                    sameName(full, now);
+        if (update instanceof MemberRecord memberRecord) {
+            if (memberRecord.instance().generation() < 0
+                    || memberRecord.instance().generation() > MemberInstance.MAX_GENERATION
+                    || memberRecord.incarnation() < 0) {
+                environment.count("spoilt");
+            } else if (memberRecord.instance().name().equals(self.instance().name())) {
+                if (memberRecord.instance().id() == self.instance().id()) {
+                    handleClaimAboutSelf(memberRecord.state(), memberRecord.incarnation(), now);
+                } else if (memberRecord.state().isLive()) {
+                    handleNameConflict(memberRecord, now);
                 }
             } else {
-                judgement.told(full, sender, now);
+                judgement.applyRecord(memberRecord, sender, now);
             }
             return;
         }
         Claim claim = (Claim) update;
         if (claim.instanceId() == self.instance().id()) {
-            aboutSelf(claim.state(), claim.incarnation(), now);
+            handleClaimAboutSelf(claim.state(), claim.incarnation(), now);
         } else {
-            judgement.claimed(claim, sender, now);
+            judgement.applyClaim(claim, sender, now);
         }
     }
 
-    // ---- what others say of this one ----
+    // ---- claims about this member ----
 
-    private void aboutSelf(State claimed, int incarnation, long now) {
+    private void handleClaimAboutSelf(State claimed, int incarnation, long now) {
         if (claimed == State.ALIVE || left) {
             return;
         }
         if (incarnation < self.incarnation() && claimed != State.DEAD) {
-            // Cleared long ago: whoever claims it has not heard of that.
-            remind = true;
+            // Already refuted; the sender does not know that yet.
+            resendSelfRecord = true;
             return;
         }
         if (claimed == State.SUSPECT) {
-            probing.slower(1);
-            out.count("refuted");
-            say(self.instance(), Math.min(incarnation, MOST_INCARNATION - 1) + 1, self.metadata(), now);
+            failureDetector.adjustHealthScore(1);
+            environment.count("refuted");
+            publishSelf(self.instance(), Math.min(incarnation, MAX_INCARNATION - 1) + 1, self.metadata(), now);
         } else {
-            // Somebody has buried this life: it is over for good, and another begins.
-            rebirth(0, now);
+            // A member has declared this instance dead, which is final: start a new one.
+            startNewInstance(0, now);
         }
     }
 
-    private void rebirth(long atLeast, long now) {
-        if (now - bornAt < times.period()) {
+    private void startNewInstance(long minGeneration, long now) {
+        if (now - instanceStartedAt < times.period()) {
             return;
         }
-        bornAt = now;
-        out.count("reborn");
-        say(self.instance().next(atLeast), 0, self.metadata(), now);
-        nextSeek = now;
+        instanceStartedAt = now;
+        environment.count("reborn");
+        publishSelf(self.instance().nextInstance(minGeneration), 0, self.metadata(), now);
+        nextReconnect = now;
     }
 
-    /** Another life goes by this member's name. */
-    private void sameName(MemberRecord other, long now) {
-        long generation = other.instance().generation();
-        if (other.instance().address().equals(self.instance().address())) {
-            // An earlier life of this very place, whatever its clock said.
+    /** Handles another instance that uses this member's name. */
+    private void handleNameConflict(MemberRecord rival, long now) {
+        long generation = rival.instance().generation();
+        if (rival.instance().address().equals(self.instance().address())) {
+            // An earlier instance at this address, even if its clock was ahead.
             if (generation >= self.instance().generation()) {
-                rebirth(generation + 1, now);
+                startNewInstance(generation + 1, now);
             }
-        } else if (other.state().isLive()) {
-            if (!outcast) {
-                out.count("name_taken_twice");
+        } else if (rival.state().isLive()) {
+            if (!nameTaken) {
+                environment.count("name_taken_twice");
             }
-            outcast = generation < self.instance().generation();
+            nameTaken = generation < self.instance().generation();
         }
     }
 
     // ---- sending ----
 
-    /** To a member, with as much news as fits; the suspected hears of it first. */
-    private void send(Entry to, Kind kind, int number, long target, List<Update> before) {
-        List<Update> updates = new ArrayList<>(before);
+    /** Sends a message with as much gossip as fits. A suspected member is told of its suspicion first. */
+    private void sendWithGossip(Entry to, Kind kind, int sequence, long target, List<Update> firstUpdates) {
+        List<Update> updates = new ArrayList<>(firstUpdates);
         if (to.state == State.SUSPECT) {
             updates.add(new Claim(
-                    to.life().id(),
-                    to.suspected,
+                    to.instance().id(),
+                    to.suspectedIncarnation,
                     State.SUSPECT,
-                    to.by.isEmpty() ? 0 : to.by.iterator().next()));
+                    to.accusers.isEmpty() ? 0 : to.accusers.iterator().next()));
         }
-        int room = sizes.room(kind);
-        for (Update one : updates) {
-            room -= sizes.applyAsInt(one);
+        int room = sizes.maxUpdateBytes(kind);
+        for (Update update : updates) {
+            room -= sizes.applyAsInt(update);
         }
-        int known = updates.size();
-        news.fill(updates, room, Times.gossipRepeats(size()), sizes);
-        for (Update one : updates.subList(known, updates.size())) {
-            room -= sizes.applyAsInt(one);
+        int fixedCount = updates.size();
+        gossipQueue.fill(updates, room, Times.gossipRepeats(size()), sizes);
+        for (Update update : updates.subList(fixedCount, updates.size())) {
+            room -= sizes.applyAsInt(update);
         }
-        byte[] extra = out.nextPayload(to.full(), room - MessageCodec.EXTRA_HEAD);
-        if (extra != null) {
-            updates.add(new Payload(extra));
+        byte[] payload = environment.nextPayload(to.toRecord(), room - MessageCodec.PAYLOAD_HEADER_BYTES);
+        if (payload != null) {
+            updates.add(new Payload(payload));
         }
-        reply(to.at(), kind, number, target, updates);
+        sendTo(to.address(), kind, sequence, target, updates);
     }
 
-    private void reply(InetSocketAddress to, Kind kind, int number, long target, List<Update> updates) {
-        out.send(to, new Message(kind, self.instance().id(), view.digest(), number, target, null, updates));
+    private void sendTo(InetSocketAddress to, Kind kind, int sequence, long target, List<Update> updates) {
+        environment.send(to, new Message(kind, self.instance().id(), view.digest(), sequence, target, null, updates));
     }
 }
--- a/src/main/java/laneflow/membership/decision/Times.java
+++ b/src/main/java/laneflow/membership/decision/Times.java
@@ -1,97 +1,99 @@
 package laneflow.membership.decision;
 
 /**
- * The timings, all from one period and the number of members. They are those of SWIM with Lifeguard's
- * (Das, Gupta, Motivala, DSN 2002; Dadgar, Phillips, Currey, DSN-W 2018); docs/fleet-view.md has them all.
+ * Protocol timings, derived from the probe period and the number of members. They follow SWIM with Lifeguard
+ * (Das, Gupta, Motivala, DSN 2002; Dadgar, Phillips, Currey, DSN-W 2018); docs/fleet-view.md lists them all.
  *
- * @param period microseconds between two probes of a member that is well
+ * @param period microseconds between two probes of a healthy member
  */
 public record Times(long period) {
-    /** Most that a member slows itself down by. */
-    static final int MOST_SCORE = 8;
-    /** Members asked to probe in one's place. */
-    static final int HELPERS = 3;
-    /** Members that news goes to at a time. */
-    private static final int FANOUT = 3;
+    /** Limit of the local health score. */
+    static final int MAX_HEALTH_SCORE = 8;
+    /** Members asked for an indirect probe. */
+    static final int INDIRECT_PROBE_HELPERS = 3;
+    /** Members that gossip goes to per round while little is queued. */
+    private static final int BASE_FANOUT = 3;
 
-    private static final int MOST_FANOUT = 12;
-    private static final int NEWS_A_MEMBER_MORE = 16;
-    /** Suspicions of others that shorten one's own to the least. */
+    private static final int MAX_FANOUT = 12;
+    private static final int UPDATES_PER_EXTRA_TARGET = 16;
+    /** Accusations by others that shorten a suspicion to the minimum. */
     static final int CONFIRMATIONS = 3;
 
-    private static final int GOSSIPS_A_PERIOD = 5;
-    private static final int REPEATS = 3;
-    private static final int PARTS_OF_LEEWAY = 8;
-    private static final int LONGEST_TO_LEAST = 3;
-    private static final double DIRECT_PART = 0.4;
-    private static final long LEAST_PERIODS = 3;
-    private static final long ROUND_TRIPS_A_PROBE = 3;
-    private static final long ROUND_TRIPS_TO_CLEAR = 3;
+    private static final int GOSSIP_ROUNDS_PER_PERIOD = 5;
+    private static final int REPEAT_FACTOR = 3;
+    private static final int WAKE_TOLERANCE_DIVISOR = 8;
+    private static final int MAX_TO_MIN_SUSPICION = 3;
+    private static final double DIRECT_PROBE_SHARE = 0.4;
+    private static final long MIN_SUSPICION_PERIODS = 3;
+    private static final long ROUND_TRIPS_PER_PROBE = 3;
+    private static final long ROUND_TRIPS_TO_REFUTE = 3;
 
-    /** Between two rounds of news. */
+    /** Time between two gossip rounds. */
     public long gossipInterval() {
-        return period / GOSSIPS_A_PERIOD;
+        return period / GOSSIP_ROUNDS_PER_PERIOD;
     }
 
     /**
-     * How long a direct probe may take before others are asked.
+     * Time after which a direct probe without an ack is made indirectly.
      *
-     * @param roundTrip microseconds that answers have taken of late
+     * @param roundTrip smoothed round trip in microseconds
      */
-    public long directProbeTimeout(int score, long roundTrip) {
-        return (long) (probeTimeout(score, roundTrip) * DIRECT_PART);
+    public long directProbeTimeout(int healthScore, long roundTrip) {
+        return (long) (probeTimeout(healthScore, roundTrip) * DIRECT_PROBE_SHARE);
     }
 
-    /** How long a probe may take in all: a direct answer, then one by others. */
-    public long probeTimeout(int score, long roundTrip) {
-        return Math.max(period * (1 + score), ROUND_TRIPS_A_PROBE * roundTrip);
+    /** Total time for a probe, direct and then indirect. */
+    public long probeTimeout(int healthScore, long roundTrip) {
+        return Math.max(period * (1 + healthScore), ROUND_TRIPS_PER_PROBE * roundTrip);
     }
 
-    /** Members that news goes to in a round: more of them while there is much news, as when halves heal. */
-    static int fanout(int news) {
-        return Math.min(MOST_FANOUT, FANOUT + news / NEWS_A_MEMBER_MORE);
+    /** Members that gossip goes to per round: more while much is queued, as after a partition heals. */
+    static int fanout(int queuedUpdates) {
+        return Math.min(MAX_FANOUT, BASE_FANOUT + queuedUpdates / UPDATES_PER_EXTRA_TARGET);
     }
 
-    /** Rounds in which news reaches all of so many members, as a rule. */
+    /** Rounds in which an update normally reaches all members. */
     public static int gossipRounds(int members) {
         return (int) Math.ceil(Math.log(members + 1.0) / Math.log(2));
     }
 
-    /** How often one sends the same news. */
+    /** How often a member sends the same update. */
     public static int gossipRepeats(int members) {
-        return REPEATS * (int) Math.ceil(Math.log10(members + 1.0));
+        return REPEAT_FACTOR * (int) Math.ceil(Math.log10(members + 1.0));
     }
 
-    /** The shortest suspicion: time to be heard of, to say otherwise, and for that to be heard of. */
+    /** The minimum suspicion timeout: time for the suspicion and then its refutation to spread. */
     public long minSuspicionTimeout(int members, long roundTrip) {
-        return LEAST_PERIODS * period + 2 * gossipInterval() * gossipRounds(members) + ROUND_TRIPS_TO_CLEAR * roundTrip;
+        return MIN_SUSPICION_PERIODS * period
+                + 2 * gossipInterval() * gossipRounds(members)
+                + ROUND_TRIPS_TO_REFUTE * roundTrip;
     }
 
-    /** How long one is suspected whom that many others have found silent as well. */
-    public long suspicionTimeout(int members, int confirmed, long roundTrip) {
-        long least = minSuspicionTimeout(members, roundTrip);
-        long longest = LONGEST_TO_LEAST * least;
+    /** The suspicion timeout, which falls from three times the minimum to the minimum with confirmations. */
+    public long suspicionTimeout(int members, int confirmations, long roundTrip) {
+        long shortest = minSuspicionTimeout(members, roundTrip);
+        long longest = MAX_TO_MIN_SUSPICION * shortest;
         int needed = Math.max(1, Math.min(CONFIRMATIONS, members - 2));
-        double part = Math.min(1, Math.log(confirmed + 1.0) / Math.log(needed + 1.0));
-        return longest - (long) ((longest - least) * part);
+        double progress = Math.min(1, Math.log(confirmations + 1.0) / Math.log(needed + 1.0));
+        return longest - (long) ((longest - shortest) * progress);
     }
 
-    /** A period may begin so much sooner or later, with what wakes the member, where all have answered. */
+    /** How far the start of a period may move to share a wake-up if all probes were answered. */
     public long wakeTolerance() {
-        return period / PARTS_OF_LEEWAY;
+        return period / WAKE_TOLERANCE_DIVISOR;
     }
 
-    /** Between two tries to find one again that was buried, or is in the file and not known. */
+    /** Time between two attempts to reach a dead member or a seed that is not a member. */
     public long reconnectInterval() {
         return 2 * period;
     }
 
-    /** Between two comparisons of whole views. */
+    /** Minimum time between two SYNCs. */
     public long syncInterval() {
         return 2 * period;
     }
 
-    /** One that wakes up so late has stood still. */
+    /** A member whose tick is overdue by more than this has stalled. */
     public long stallThreshold() {
         return period / 2;
     }
--- a/src/main/java/laneflow/membership/decision/Update.java
+++ b/src/main/java/laneflow/membership/decision/Update.java
@@ -1,12 +1,12 @@
 package laneflow.membership.decision;
 
-/** News of one member, as datagrams carry it. */
+/** An update about one member, as carried in datagrams. */
 public sealed interface Update {
     /**
-     * All that is known of a member, by its own word.
+     * The full record of a member, as published by itself.
      *
-     * @param incarnation counts what it has said of itself in this life
-     * @param state where it stands with whoever sends this
+     * @param incarnation version of the record within this instance
+     * @param state of the member in the sender's view
      */
     record MemberRecord(MemberInstance instance, int incarnation, State state, MemberMetadata metadata)
             implements Update {
@@ -15,16 +15,16 @@
         }
     }
 
-    /** Bytes that go along for others than the view. */
+    /** Application data piggybacked on a datagram. */
     record Payload(byte[] bytes) implements Update {}
 
     /**
-     * A claim about a life that the hearer may know.
+     * A claim about an instance that the receiver may know.
      *
-     * @param instanceId the instance
-     * @param incarnation the newest that whoever claims it has heard of
-     * @param state any but ALIVE: that is said by the member itself, in full
-     * @param accuserId the instance of the member that found it out
+     * @param instanceId the instance that the claim is about
+     * @param incarnation the latest that the accuser knows
+     * @param state any but ALIVE, which a member states itself in a full record
+     * @param accuserId instance id of the member that found the state
      */
     record Claim(long instanceId, int incarnation, State state, long accuserId) implements Update {}
 }
--- a/src/main/java/laneflow/membership/decision/View.java
+++ b/src/main/java/laneflow/membership/decision/View.java
@@ -12,191 +12,193 @@
 import org.agrona.collections.Long2ObjectHashMap;
 
 /**
- * All members as one of them sees them, itself aside. Holds which life of a name counts and what is known of
- * it; knows no time and sends nothing. Digests are over the live ones, life and incarnation: two views with
- * the same digest hold the same members with the same words of theirs.
+ * One member's view of the others: the current instance of each name and what is known of it. It has no clock and
+ * sends nothing. Digests cover the instance and incarnation of live members, so that views with equal digests
+ * hold the same members with the same records.
  */
 final class View {
-    /** Parts that are compared one by one; their digests fit into one datagram. */
-    static final int BUCKETS = 46;
+    /** Number of buckets that are compared separately; the digests of all fit into one datagram. */
+    static final int BUCKET_COUNT = 46;
 
-    /** One name. */
+    /** What is known of one name. */
     static final class Entry {
         Update.MemberRecord record;
         State state;
-        /** Lives of this name up to this generation have been buried here. */
-        long buried;
-        /** The incarnation that is suspected; only a higher one clears it. */
-        int suspected;
-        /** Who found it silent, while it is suspected. */
-        Set<Long> by = Set.of();
+        /** Instances of this name up to this generation have ended. */
+        long lastEndedGeneration;
+        /** The suspected incarnation; only a higher one refutes the suspicion. */
+        int suspectedIncarnation;
+        /** Instance ids of the members that accuse it while it is suspected. */
+        Set<Long> accusers = Set.of();
 
         long suspectedAt;
         long deadline;
-        /** It is said to have left: it ends as that. */
-        boolean leaving;
+        /** It is reported to have left, and will end as LEFT instead of DEAD. */
+        boolean leaveReported;
 
-        long changedAt;
-        /** When it was last told that it is buried. */
-        long toldAt = Long.MIN_VALUE / 2;
+        long stateChangedAt;
+        /** When it was last notified that it was declared dead. */
+        long deathNotifiedAt = Long.MIN_VALUE / 2;
 
-        private int place = -1;
+        private int liveIndex = -1;
 
-        /** That one found it silent as well; true if that is news. */
-        boolean accused(long life) {
-            if (by.isEmpty()) {
-                by = new HashSet<>();
+        /** Adds an accuser. Returns true if it is new. */
+        boolean addAccuser(long instanceId) {
+            if (accusers.isEmpty()) {
+                accusers = new HashSet<>();
             }
-            return by.add(life);
+            return accusers.add(instanceId);
         }
 
-        MemberInstance life() {
+        MemberInstance instance() {
             return record.instance();
         }
 
-        InetSocketAddress at() {
+        InetSocketAddress address() {
             return record.instance().address();
         }
 
-        /** As others may be told. */
-        Update.MemberRecord full() {
+        /** The record with the state in this view, as gossiped to others. */
+        Update.MemberRecord toRecord() {
             return record.withState(state);
         }
     }
 
-    private final Map<String, Entry> names = new HashMap<>();
-    private final Long2ObjectHashMap<Entry> lives = new Long2ObjectHashMap<>();
-    /** How many known lives there are at each address. */
-    private final Map<InetSocketAddress, Integer> places = new HashMap<>();
+    private final Map<String, Entry> byName = new HashMap<>();
+    private final Long2ObjectHashMap<Entry> byInstanceId = new Long2ObjectHashMap<>();
+    /** Number of known instances at each address. */
+    private final Map<InetSocketAddress, Integer> addressCounts = new HashMap<>();
 
     private final List<Entry> live = new ArrayList<>();
-    private final List<Entry> buried = new ArrayList<>();
-    private final int[] buckets = new int[BUCKETS];
+    private final List<Entry> ended = new ArrayList<>();
+    private final int[] bucketDigests = new int[BUCKET_COUNT];
     private int digest;
 
-    Entry name(String name) {
-        return names.get(name);
+    Entry findByName(String name) {
+        return byName.get(name);
     }
 
-    /** The name whose present life that is, or null. */
-    Entry life(long id) {
-        return lives.get(id);
+    /** The entry whose current instance has this id, or null. */
+    Entry findByInstanceId(long id) {
+        return byInstanceId.get(id);
     }
 
-    /** Live ones, in no order. */
+    /** Live members in no particular order. */
     List<Entry> live() {
         return live;
     }
 
-    /** Dead ones and those that left, the oldest first. */
-    List<Entry> buried() {
-        return buried;
+    /** Members that are dead or have left, the oldest first. */
+    List<Entry> ended() {
+        return ended;
     }
 
-    boolean isKnown(InetSocketAddress at) {
-        return places.containsKey(at);
+    boolean isKnownAddress(InetSocketAddress address) {
+        return addressCounts.containsKey(address);
     }
 
     int digest() {
         return digest;
     }
 
-    int[] buckets() {
-        return buckets.clone();
+    int[] bucketDigests() {
+        return bucketDigests.clone();
     }
 
-    static int bucket(String name) {
-        return Math.floorMod(name.hashCode(), BUCKETS);
+    static int bucketOf(String name) {
+        return Math.floorMod(name.hashCode(), BUCKET_COUNT);
     }
 
-    private static int mark(Update.MemberRecord record) {
+    private static int recordHash(Update.MemberRecord record) {
         return (int) (new SplittableRandom(record.instance().id() + record.incarnation()).nextLong() >>> 32);
     }
 
-    /** Counts a record in or out: once in, it is in; twice, it is out again. */
-    void count(Update.MemberRecord record) {
-        int mark = mark(record);
-        digest ^= mark;
-        buckets[bucket(record.instance().name())] ^= mark;
+    /** Adds a record to the digests, or removes it if it was added before (XOR). */
+    void toggleInDigest(Update.MemberRecord record) {
+        int hash = recordHash(record);
+        digest ^= hash;
+        bucketDigests[bucketOf(record.instance().name())] ^= hash;
     }
 
-    /** A name that was not there, or another life of one that was; alive. */
+    /** Adds a new name, or a new instance of a known name, as alive. */
     Entry add(Update.MemberRecord record, long now) {
-        Entry entry = names.computeIfAbsent(record.instance().name(), name -> new Entry());
+        Entry entry = byName.computeIfAbsent(record.instance().name(), name -> new Entry());
         if (entry.record != null) {
             if (!entry.state.isLive()) {
-                entry.buried = Math.max(entry.buried, entry.life().generation());
+                entry.lastEndedGeneration =
+                        Math.max(entry.lastEndedGeneration, entry.instance().generation());
             }
-            forgetLife(entry);
+            removeInstance(entry);
         }
         entry.record = record.withState(State.ALIVE);
-        lives.put(record.instance().id(), entry);
-        places.merge(entry.at(), 1, Integer::sum);
-        enter(entry);
-        turn(entry, State.ALIVE, now);
+        byInstanceId.put(record.instance().id(), entry);
+        addressCounts.merge(entry.address(), 1, Integer::sum);
+        addToLive(entry);
+        setState(entry, State.ALIVE, now);
         return entry;
     }
 
-    private void forgetLife(Entry entry) {
-        lives.remove(entry.life().id());
-        places.computeIfPresent(entry.at(), (at, count) -> count == 1 ? null : count - 1);
-        leave(entry);
+    private void removeInstance(Entry entry) {
+        byInstanceId.remove(entry.instance().id());
+        addressCounts.computeIfPresent(entry.address(), (address, count) -> count == 1 ? null : count - 1);
+        removeFromList(entry);
     }
 
-    private void enter(Entry entry) {
-        entry.place = live.size();
+    private void addToLive(Entry entry) {
+        entry.liveIndex = live.size();
         live.add(entry);
-        count(entry.record);
+        toggleInDigest(entry.record);
     }
 
-    private void leave(Entry entry) {
-        if (entry.place < 0) {
-            buried.remove(entry);
+    private void removeFromList(Entry entry) {
+        if (entry.liveIndex < 0) {
+            ended.remove(entry);
             return;
         }
-        count(entry.record);
+        toggleInDigest(entry.record);
         Entry last = live.remove(live.size() - 1);
         if (last != entry) {
-            live.set(entry.place, last);
-            last.place = entry.place;
+            live.set(entry.liveIndex, last);
+            last.liveIndex = entry.liveIndex;
         }
-        entry.place = -1;
+        entry.liveIndex = -1;
     }
 
-    /** A newer word of a live one. */
-    void heard(Entry entry, Update.MemberRecord record) {
-        count(entry.record);
+    /** Replaces the record of a live member by a later one. */
+    void updateRecord(Entry entry, Update.MemberRecord record) {
+        toggleInDigest(entry.record);
         entry.record = record.withState(State.ALIVE);
-        count(entry.record);
+        toggleInDigest(entry.record);
     }
 
-    /** Another state of the same life. */
-    void turn(Entry entry, State state, long now) {
+    /** Changes the state of the current instance. */
+    void setState(Entry entry, State state, long now) {
         entry.state = state;
-        entry.changedAt = now;
+        entry.stateChangedAt = now;
         if (state != State.SUSPECT) {
-            entry.by = Set.of();
-            entry.leaving = false;
+            entry.accusers = Set.of();
+            entry.leaveReported = false;
         }
-        if (!state.isLive() && entry.place >= 0) {
-            leave(entry);
-            buried.add(entry);
-            entry.buried = Math.max(entry.buried, entry.life().generation());
+        if (!state.isLive() && entry.liveIndex >= 0) {
+            removeFromList(entry);
+            ended.add(entry);
+            entry.lastEndedGeneration =
+                    Math.max(entry.lastEndedGeneration, entry.instance().generation());
         }
     }
 
-    /** Forgets a buried one for good. */
-    void forget(Entry entry) {
-        names.remove(entry.life().name());
-        forgetLife(entry);
+    /** Removes an ended member completely. */
+    void removeEnded(Entry entry) {
+        byName.remove(entry.instance().name());
+        removeInstance(entry);
     }
 
-    /** One of the live ones by chance, or null if none of some tries is fit. */
-    Entry any(SplittableRandom random, Predicate<Entry> fit) {
+    /** A random live member that passes the filter, or null if a limited number of tries finds none. */
+    Entry pickRandom(SplittableRandom random, Predicate<Entry> filter) {
         for (int i = 0; i < live.size() + 2 && i < 32 && !live.isEmpty(); i++) {
-            Entry one = live.get(random.nextInt(live.size()));
-            if (fit.test(one)) {
-                return one;
+            Entry candidate = live.get(random.nextInt(live.size()));
+            if (filter.test(candidate)) {
+                return candidate;
             }
         }
         return null;
--- a/src/main/java/laneflow/membership/decision/package-info.java
+++ b/src/main/java/laneflow/membership/decision/package-info.java
@@ -1,5 +1,5 @@
 /**
  * The membership protocol: SWIM (Das, Gupta, Motivala, 2002) with the extensions of Lifeguard (Dadgar,
- * Phillips, Currey, 2018). Without I/O, threads or a clock of its own.
+ * Phillips, Currey, 2018). It has no I/O, threads or clock.
  */
 package laneflow.membership.decision;
--- a/src/main/java/laneflow/membership/package-info.java
+++ b/src/main/java/laneflow/membership/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Membership of the fleet, over authenticated UDP datagrams. The protocol is in {@link
+ * Fleet membership over authenticated UDP datagrams. The protocol is in {@link
  * laneflow.membership.decision}.
  */
 package laneflow.membership;
--- a/src/test/java/laneflow/membership/MembersConfigTest.java
+++ b/src/test/java/laneflow/membership/MembersConfigTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The operators' file on the view of the fleet. */
+/** The table [members] of the operators' file. */
 class MembersConfigTest {
     private static final String FLEET = "[fleet]\nlisten = \"127.0.0.1:0\"\n";
 
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void itIsReadAndOffWithoutItsTable() throws Exception {
+    void settingsAreReadAndOffWithoutTheirTable() throws Exception {
         MembersConfig read = read(FLEET + "[members]\nlisten = \"0.0.0.0:9501\"\nadvertise = \"10.1.0.5:9501\"\n"
                 + "seeds = [\"10.1.0.6:9501\", \"[::1]:9501\"]\nallowed = [\"10.1.0.0/16\"]\nkey_file = \"k\"\n");
         assertEquals(new InetSocketAddress("10.1.0.5", 9501), read.advertise);
@@ -38,8 +38,8 @@
     }
 
     @Test
-    void whatIsWrongIsToldWithItsPlace() {
-        String said = assertThrows(
+    void everyInvalidSettingIsReported() {
+        String message = assertThrows(
                         ConfigException.class,
                         () -> read("[members]\nlisten = \"0.0.0.0:9501\"\n"
                                 + "seeds = [\"celje\"]\nallowed = [\"10.1.0.0\"]\nperiod_ms = 5\nkeys = 1\n"))
@@ -52,7 +52,7 @@
                 "key_file: is missing",
                 "5 is not between 20 and 60000",
                 "keys: is unknown")) {
-            assertTrue(said.contains(part), part + " in " + said);
+            assertTrue(message.contains(part), part + " in " + message);
         }
     }
 }
--- a/src/test/java/laneflow/membership/MembersStoryTest.java
+++ b/src/test/java/laneflow/membership/MembersStoryTest.java
@@ -20,28 +20,28 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The view of the fleet over real processes, with faults between them. */
+/** Fleet membership between real scheduler processes, with faults injected into their network paths. */
 @Timeout(300)
 class MembersStoryTest {
-    private static final String FILE = "zones = [\"z\"]\n[classes.check]\n[endpoints.till]\ndial = \"127.0.0.1:1\"\n";
-    private static final String POLICY = "[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\n";
+    private static final String CONFIG = "zones = [\"z\"]\n[classes.check]\n[endpoints.till]\ndial = \"127.0.0.1:1\"\n";
+    private static final String POLICY_CONFIG = "[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\n";
 
     @TempDir
     private Path folder;
 
     private Rig rig;
 
-    private void fleet(int members, int voters, String file, int... seeds) throws IOException {
-        fleet(100, members, voters, file, seeds);
+    private void createFleet(int members, int voters, String file, int... seeds) throws IOException {
+        createFleet(100, members, voters, file, seeds);
     }
 
-    private void fleet(int periodMs, int members, int voters, String file, int[] seeds) throws IOException {
+    private void createFleet(int periodMs, int members, int voters, String file, int[] seeds) throws IOException {
         rig = new Rig(folder, members, voters, 5, file);
         rig.members(5, periodMs, seeds);
     }
 
     @AfterEach
-    void end() throws Exception {
+    void closeRig() throws Exception {
         rig.close();
     }
 
@@ -53,28 +53,28 @@
         return Arrays.stream(rig.all()).filter(i -> i >= from && i < to).toArray();
     }
 
-    private void seen(int by, int whom, String state) throws IOException, InterruptedException {
+    private void awaitState(int observer, int member, String state) throws IOException, InterruptedException {
         rig.await(
-                Rig.name(by) + " sees " + Rig.name(whom) + " " + state,
-                () -> rig.standing(by, whom).equals(state));
+                Rig.name(observer) + " sees " + Rig.name(member) + " " + state,
+                () -> rig.standing(observer, member).equals(state));
     }
 
-    private long count(String name, int... of) throws IOException, InterruptedException {
-        long all = 0;
-        for (int i : of) {
-            all += rig.counter(i, name);
+    private long sumCounters(String name, int... members) throws IOException, InterruptedException {
+        long sum = 0;
+        for (int i : members) {
+            sum += rig.counter(i, name);
         }
-        return all;
+        return sum;
     }
 
-    private long generation(int by, int whom) throws IOException, InterruptedException {
-        JsonObject member = rig.member(by, whom);
+    private long generation(int observer, int index) throws IOException, InterruptedException {
+        JsonObject member = rig.member(observer, index);
         return member == null ? -1 : member.get("generation").getAsLong();
     }
 
     @Test
-    void tenComeThroughOneSeedHalfGoAtOnceAndAllComeBack() throws Exception {
-        fleet(10, 1, FILE, 0);
+    void tenMembersJoinThroughOneSeedAndHalfCrashAndRejoin() throws Exception {
+        createFleet(10, 1, CONFIG, 0);
         startAll();
         rig.awaitSettled(10, rig.all());
         String[] at = new String[10];
@@ -83,8 +83,8 @@
                 0,
                 CliRun.of("fleet", "wait", "--members", "10", "--settled", "--at", String.join(",", at))
                         .code());
-        // A loop that is late for a moment is news, and the view is settled again once it has been told on.
-        rig.await("both are shown as settled", () -> {
+        // A briefly late loop changes the metadata, which unsettles the view until that has spread.
+        rig.await("both schedulers report a settled view", () -> {
             CliRun shown = CliRun.of("fleet", "show", "--at", at[3] + "," + at[4]);
             return shown.code() == 0
                     && shown.text().contains("n4 sees 10 live, settled")
@@ -94,28 +94,28 @@
                 3,
                 CliRun.of("fleet", "wait", "--members", "11", "--wait-ms", "200", "--at", at[0])
                         .code());
-        // Half of them at one moment, the seed among them.
+        // Half of the members crash at once, including the seed.
         for (int i = 0; i < 5; i++) {
             rig.kill(i);
         }
         rig.awaitSettled(5, range(5, 10));
-        // One that starts while its seed is down is alone until the seed is there.
+        // A member that starts while its seed is down stays alone until the seed is back.
         rig.start(1);
-        rig.await("it stands", () -> rig.fleet(1).get("live").getAsInt() == 1);
+        rig.await("the member runs alone", () -> rig.fleet(1).get("live").getAsInt() == 1);
         long former = generation(5, 0);
         for (int i : new int[] {0, 2, 3, 4}) {
             rig.start(i);
         }
         rig.awaitSettled(10, rig.all());
-        assertNotEquals(former, generation(5, 0), "it is another life");
-        // One after the other: each says that it goes, and is seen as gone at once.
+        assertNotEquals(former, generation(5, 0), "the seed has a new instance");
+        // Graceful stops one after the other: each announces that it leaves and is seen as LEFT.
         for (int i = 6; i < 9; i++) {
             assertEquals(143, rig.end(i));
-            seen(5, i, "left");
+            awaitState(5, i, "left");
             rig.start(i);
             rig.awaitSettled(10, rig.all());
         }
-        // All anew, in another order.
+        // All crash, and restart in another order.
         for (int i : rig.all()) {
             rig.kill(i);
         }
@@ -123,22 +123,22 @@
             rig.start(i);
         }
         rig.awaitSettled(10, rig.all());
-        assertEquals(0, count("members.name_taken_twice", rig.all()));
+        assertEquals(0, sumCounters("members.name_taken_twice", rig.all()));
     }
 
     @Test
-    void cutsShorterAndLongerThanABurialHeal() throws Exception {
-        fleet(6, 1, FILE, 0, 3);
+    void partitionsShorterAndLongerThanTheSuspicionTimeoutHeal() throws Exception {
+        createFleet(6, 1, CONFIG, 0, 3);
         startAll();
         rig.awaitSettled(6, rig.all());
-        long lives = generation(0, 4);
-        // Long enough for suspicion, not for a burial.
+        long generationBefore = generation(0, 4);
+        // Long enough to be suspected, but not to be declared dead.
         rig.partAll(java.util.List.of(4));
-        seen(0, 4, "suspect");
+        awaitState(0, 4, "suspect");
         rig.heal();
         rig.awaitSettled(6, rig.all());
-        assertEquals(lives, generation(0, 4), "it has not been buried");
-        // Halves, each with a member that goes and one that comes back.
+        assertEquals(generationBefore, generation(0, 4), "the member was not declared dead");
+        // Two halves; during the partition a member crashes in each, and one of them restarts.
         rig.partAll(java.util.List.of(0, 1, 2));
         rig.awaitSettled(3, 0, 1, 2);
         rig.awaitSettled(3, 3, 4, 5);
@@ -149,32 +149,32 @@
         rig.awaitSettled(3, 3, 4, 5);
         rig.heal();
         rig.awaitSettled(5, 0, 2, 3, 4, 5);
-        // Three parts, one of them a lone member.
+        // Three partitions, one with a single member.
         rig.partAll(java.util.List.of(0, 2));
         rig.partAll(java.util.List.of(5));
         rig.awaitSettled(2, 0, 2);
         rig.awaitSettled(2, 3, 4);
-        rig.await("it is alone", () -> rig.fleet(5).get("live").getAsInt() == 1);
+        rig.await("the member is alone", () -> rig.fleet(5).get("live").getAsInt() == 1);
         rig.heal();
         rig.awaitSettled(5, 0, 2, 3, 4, 5);
-        seen(0, 1, "dead");
+        awaitState(0, 1, "dead");
     }
 
     @Test
-    void lossDoublesDelaysAndPathsThatAreCutOneWay() throws Exception {
-        fleet(250, 6, 1, FILE, new int[] {0, 1});
+    void packetLossDuplicationDelaysAndOneWayCuts() throws Exception {
+        createFleet(250, 6, 1, CONFIG, new int[] {0, 1});
         startAll();
         rig.awaitSettled(6, rig.all());
-        // One path, one way: others reach it, nobody is buried.
+        // A single path cut in one direction: indirect probes succeed, so nobody is declared dead.
         rig.cut(2, 3);
         rig.disturb(0.3, 0.1, 300);
         rig.cut(2, 3);
-        long sent = count("members.sent", rig.all());
-        rig.await("much was sent", () -> count("members.sent", rig.all()) > sent + 400);
-        assertEquals(0, count("members.buried", rig.all()));
+        long sent = sumCounters("members.sent", rig.all());
+        rig.await("more than 400 datagrams were sent", () -> sumCounters("members.sent", rig.all()) > sent + 400);
+        assertEquals(0, sumCounters("members.buried", rig.all()));
         rig.heal();
         rig.awaitSettled(6, rig.all());
-        // One that hears and can't speak; one that speaks and can't hear.
+        // One member can only receive, another can only send.
         for (int i : rig.all()) {
             if (i != 4) {
                 rig.cut(4, i);
@@ -186,52 +186,52 @@
         rig.awaitSettled(4, 0, 1, 2, 3);
         rig.heal();
         rig.awaitSettled(6, rig.all());
-        // A leave that nobody hears is a death.
+        // A member whose leave message is lost is declared dead.
         rig.partAll(java.util.List.of(5));
         rig.end(5);
-        seen(0, 5, "dead");
+        awaitState(0, 5, "dead");
         rig.heal();
         rig.awaitSettled(5, 0, 1, 2, 3, 4);
     }
 
     @Test
-    void whoeverStandsStillIsSuspectedFirstAndBlamesNobodyWhenItWakes() throws Exception {
-        fleet(5, 1, FILE, 0, 1);
+    void aStalledMemberIsSuspectedAndAccusesNobodyAfterwards() throws Exception {
+        createFleet(5, 1, CONFIG, 0, 1);
         startAll();
         rig.awaitSettled(5, rig.all());
-        long life = generation(0, 3);
+        long generation = generation(0, 3);
         rig.stall(3);
-        seen(0, 3, "suspect");
+        awaitState(0, 3, "suspect");
         rig.wake(3);
         rig.awaitSettled(5, rig.all());
-        assertEquals(life, generation(0, 3));
-        long buried = count("members.buried", 3);
-        // A flapping member: longer than suspicion, more than once.
+        assertEquals(generation, generation(0, 3));
+        long buried = sumCounters("members.buried", 3);
+        // A flapping member that stalls repeatedly for longer than the suspicion timeout.
         for (int round = 0; round < 3; round++) {
             rig.stall(3);
-            seen(0, 3, "dead");
+            awaitState(0, 3, "dead");
             rig.wake(3);
             rig.awaitSettled(5, rig.all());
-            assertTrue(generation(0, 3) > life, "another life each time");
-            life = generation(0, 3);
+            assertTrue(generation(0, 3) > generation, "a new instance each time");
+            generation = generation(0, 3);
         }
-        assertEquals(buried, count("members.buried", 3), "it buries nobody");
-        assertTrue(count("members.late", 3) >= 3, "it knows that it stood still");
+        assertEquals(buried, sumCounters("members.buried", 3), "it declares nobody dead");
+        assertTrue(sumCounters("members.late", 3) >= 3, "it detects its stalls");
     }
 
     @Test
-    void whatIsNotAMembersChangesNothingAndKeysAreChangedInTurn() throws Exception {
-        fleet(4, 1, FILE, 0, 1);
+    void foreignDatagramsAreRejectedAndKeysRotate() throws Exception {
+        createFleet(4, 1, CONFIG, 0, 1);
         Path other = Files.writeString(folder.resolve("other.key"), "a-key-of-another-fleet\n");
         rig.keyFile(3, other);
         startAll();
         rig.awaitSettled(3, 0, 1, 2);
-        rig.await("its datagrams are counted", () -> rig.counter(0, "members.unsealed") > 0);
+        rig.await("datagrams with a foreign key are counted", () -> rig.counter(0, "members.unsealed") > 0);
         assertEquals(1, rig.fleet(3).get("live").getAsInt());
         int known = rig.fleet(0).getAsJsonArray("members").size();
         Random random = new Random(3);
         try (DatagramSocket foreign = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-            // Garbage, a datagram that is too long, and a true one from where nobody lives.
+            // Random bytes, oversized datagrams, and an authentic one from an unknown address.
             for (int length : new int[] {1, 21, 22, 23, 256, 257, 1400}) {
                 byte[] bytes = new byte[length];
                 random.nextBytes(bytes);
@@ -242,9 +242,9 @@
             foreign.send(
                     new DatagramPacket(heard, heard.length, InetAddress.getLoopbackAddress(), rig.memberSocket(0)));
             rig.await(
-                    "all are counted",
+                    "all rejected datagrams are counted",
                     () -> rig.counter(0, "members.oversized") >= 2 && rig.counter(0, "members.unsealed") >= 5);
-            // The same again from where it came, and spoilt by one bit.
+            // An authentic datagram replayed from its true source, and the same with one bit flipped.
             long replayed = rig.counter(0, "members.replayed");
             long unsealed = rig.counter(0, "members.unsealed");
             byte[] again = rig.lastDatagram(1, 0);
@@ -254,14 +254,14 @@
             spoilt[spoilt.length - 1] ^= 1;
             rig.inject(1, 0, spoilt);
             rig.await(
-                    "they are counted",
+                    "the replayed and the corrupted datagram are counted",
                     () -> rig.counter(0, "members.replayed") > replayed
                             && rig.counter(0, "members.unsealed") > unsealed);
         }
-        assertEquals(0, count("members.buried", 0, 1, 2));
+        assertEquals(0, sumCounters("members.buried", 0, 1, 2));
         rig.awaitSettled(3, 0, 1, 2);
         assertEquals(known, rig.fleet(0).getAsJsonArray("members").size());
-        // A new key comes in, is gone over to, and the old one goes: nobody is lost on the way.
+        // Key rotation: add the new key, sign with it, remove the old key. No member is lost.
         rig.kill(3);
         String first = "the-key-of-this-fleet-1\n";
         String second = "the-key-of-this-fleet-2\n";
@@ -270,7 +270,7 @@
             for (int i = 0; i < 3; i++) {
                 int one = i;
                 rig.await(
-                        "it has read them",
+                        "the scheduler has read the new keys",
                         () -> rig.log(one).endsWith("keys were read again\n")
                                 || rig.log(one).lastIndexOf("keys were read again") > 0
                                         && rig.log(one).split("keys were read again", -1).length - 1
@@ -279,7 +279,7 @@
                                                         + 1);
             }
         }
-        assertEquals(0, count("members.buried", 0, 1, 2));
+        assertEquals(0, sumCounters("members.buried", 0, 1, 2));
         rig.awaitSettled(3, 0, 1, 2);
         rig.keyFile(3, rig.keyFile());
         rig.start(3);
@@ -287,14 +287,14 @@
     }
 
     @Test
-    void aChangeOfPolicyShowsWhomItWaitsForAndTheViewShowsThePolicy() throws Exception {
-        fleet(5, 3, FILE + POLICY, 0, 1);
+    void aPolicyChangeNamesPendingMembersAndTheViewShowsThePolicy() throws Exception {
+        createFleet(5, 3, CONFIG + POLICY_CONFIG, 0, 1);
         startAll();
         rig.awaitDeciding(0, rig.all());
         rig.awaitSettled(5, rig.all());
         rig.proposeUntilTaken(0, "one", "{\"bans\":[{\"name\":\"x\"}]}");
         rig.awaitDeciding(1, rig.all());
-        rig.await("all are seen to decide by it", () -> {
+        rig.await("the view shows the new policy and a ready condition for all members", () -> {
             for (var one : rig.fleet(4).getAsJsonArray("members")) {
                 JsonObject member = one.getAsJsonObject();
                 if (member.get("policy").getAsLong() != 1
@@ -304,14 +304,14 @@
             }
             return true;
         });
-        // One that stands still holds a change up for its lease: it is named, with what the view has on it.
+        // A stalled member delays a change by its lease, and is named with its state in the view.
         int leader = rig.leader();
         int still = 4;
         rig.stall(still);
-        seen(leader, still, "suspect");
+        awaitState(leader, still, "suspect");
         rig.proposeUntilTaken(leader, "two", "{\"bans\":[{\"name\":\"y\"}]}");
         boolean[] named = {false};
-        rig.await("it takes hold", () -> {
+        rig.await("the change takes effect", () -> {
             JsonObject leads = rig.policy(leader).getAsJsonObject("leads");
             named[0] |= leads != null
                     && leads.has("waits_for")
@@ -319,22 +319,22 @@
                     && leads.get("waits_for").toString().contains("(suspect)");
             return rig.decides(leader, 2);
         });
-        // Cut off from the voters, and not from datagrams, one is seen as fenced.
+        // A member that loses its links to the voters, but not its datagrams, is seen as fenced.
         rig.wake(still);
         rig.awaitDeciding(2, rig.all());
         rig.cutLinks(4);
-        rig.await("it is seen as fenced", () -> {
+        rig.await("the member is seen as fenced", () -> {
             JsonObject member = rig.member(0, 4);
             return member != null && member.get("condition").getAsString().equals("fenced");
         });
         rig.heal();
         rig.awaitDeciding(2, rig.all());
         rig.awaitSettled(5, rig.all());
-        // Whoever has a link gets what it lacks over that, all at once.
+        // A member that has a link receives all missing records over it.
         rig.kill(4);
         rig.start(4);
         rig.awaitDeciding(2, 4);
         rig.awaitSettled(5, rig.all());
-        assertTrue(count("members.bulks", rig.all()) > 0);
+        assertTrue(sumCounters("members.bulks", rig.all()) > 0);
     }
 }
--- a/src/test/java/laneflow/membership/decision/MessageCodecTest.java
+++ b/src/test/java/laneflow/membership/decision/MessageCodecTest.java
@@ -16,31 +16,31 @@
 import laneflow.membership.decision.Update.MemberRecord;
 import org.junit.jupiter.api.Test;
 
-/** Datagrams: their sizes, what seals them, and what is made of those that are no datagrams. */
+/** Datagrams: encoding and sizes, authentication, replay detection, and malformed input. */
 class MessageCodecTest {
-    private static final MessageCodec WIRE = new MessageCodec(Seal.MAX_DATAGRAM_BYTES - Seal.OVERHEAD_BYTES);
-    private static final MemberMetadata NOTHING_TOLD =
+    private static final MessageCodec CODEC = new MessageCodec(Seal.MAX_DATAGRAM_BYTES - Seal.OVERHEAD_BYTES);
+    private static final MemberMetadata EMPTY_METADATA =
             new MemberMetadata("", "", null, -1, MemberMetadata.Condition.READY, 0, 0, false);
-    private static final List<String> ONE = List.of("a-key-of-some-length");
-    private static final List<String> TWO = List.of("another-key-of-such");
+    private static final List<String> FIRST_KEY = List.of("a-key-of-some-length");
+    private static final List<String> SECOND_KEY = List.of("another-key-of-such");
 
-    private static InetSocketAddress at(int bytes, int port) throws IOException {
-        byte[] address = new byte[bytes];
-        address[0] = 32;
-        address[bytes - 1] = 1;
-        return new InetSocketAddress(InetAddress.getByAddress(address), port);
+    private static InetSocketAddress address(int length, int port) throws IOException {
+        byte[] bytes = new byte[length];
+        bytes[0] = 32;
+        bytes[length - 1] = 1;
+        return new InetSocketAddress(InetAddress.getByAddress(bytes), port);
     }
 
-    private static MemberRecord largest() throws IOException {
+    private static MemberRecord largestRecord() throws IOException {
         return new MemberRecord(
                 MemberInstance.of(
-                        "n".repeat(MemberInstance.MAX_NAME_BYTES), MemberInstance.MAX_GENERATION, at(16, 65535)),
+                        "n".repeat(MemberInstance.MAX_NAME_BYTES), MemberInstance.MAX_GENERATION, address(16, 65535)),
                 Integer.MAX_VALUE,
                 State.SUSPECT,
                 new MemberMetadata(
                         "z".repeat(MemberMetadata.MAX_ZONE_BYTES),
                         "b".repeat(MemberMetadata.MAX_BUILD_BYTES),
-                        at(16, 65534),
+                        address(16, 65534),
                         Long.MAX_VALUE,
                         MemberMetadata.Condition.FENCED,
                         15,
@@ -49,36 +49,37 @@
     }
 
     @Test
-    void whatIsWrittenIsReadAndTheLargestRecordFits() throws Exception {
+    void messagesRoundTripAndTheLargestRecordFits() throws Exception {
         List<Update> updates = new ArrayList<>(List.of(new Claim(Long.MIN_VALUE, 7, State.LEFT, 3)));
         for (Update update : List.of(
-                largest(), new MemberRecord(MemberInstance.of("n1", 5, at(4, 9)), 0, State.ALIVE, NOTHING_TOLD))) {
+                largestRecord(),
+                new MemberRecord(MemberInstance.of("n1", 5, address(4, 9)), 0, State.ALIVE, EMPTY_METADATA))) {
             Message message = new Message(Kind.PING, -5, -6, Integer.MIN_VALUE, 8, null, List.of(update));
-            byte[] bytes = WIRE.write(message);
-            assertEquals(message, WIRE.read(bytes, 0, bytes.length));
-            assertTrue(bytes.length <= WIRE.maxSize(message), bytes.length + " bytes");
+            byte[] bytes = CODEC.write(message);
+            assertEquals(message, CODEC.read(bytes, 0, bytes.length));
+            assertTrue(bytes.length <= CODEC.maxSize(message), bytes.length + " bytes");
             assertTrue(bytes.length + Seal.OVERHEAD_BYTES <= Seal.MAX_DATAGRAM_BYTES, bytes.length + " bytes");
             updates.add(update);
         }
-        int[] buckets = new Random(1).ints(View.BUCKETS).toArray();
+        int[] buckets = new Random(1).ints(View.BUCKET_COUNT).toArray();
         Message sync = new Message(Kind.SYNC, 1, 2, 3, 4, buckets, List.of());
-        byte[] bytes = WIRE.write(sync);
+        byte[] bytes = CODEC.write(sync);
         assertTrue(bytes.length + Seal.OVERHEAD_BYTES <= Seal.MAX_DATAGRAM_BYTES, bytes.length + " bytes");
-        Message read = WIRE.read(bytes, 0, bytes.length);
+        Message read = CODEC.read(bytes, 0, bytes.length);
         org.junit.jupiter.api.Assertions.assertArrayEquals(buckets, read.bucketDigests());
-        // Over the link there is no such bound.
+        // The datagram size limit does not apply to records sent over a link.
         Message all = new Message(Kind.GOSSIP, 1, 2, 3, 4, null, updates);
-        assertEquals(all, WIRE.read(WIRE.write(all), 0, WIRE.write(all).length));
+        assertEquals(all, CODEC.read(CODEC.write(all), 0, CODEC.write(all).length));
     }
 
     @Test
-    void garbageIsNoMessageAndNothingWorse() throws Exception {
+    void malformedInputOnlyThrowsIOException() throws Exception {
         Random random = new Random(7);
-        byte[] sound = WIRE.write(new Message(Kind.GOSSIP, 9, 9, 9, 9, null, List.of(largest())));
+        byte[] valid = CODEC.write(new Message(Kind.GOSSIP, 9, 9, 9, 9, null, List.of(largestRecord())));
         int read = 0;
         for (int i = 0; i < 50_000; i++) {
-            byte[] bytes = random.nextBoolean() ? sound.clone() : new byte[random.nextInt(240)];
-            if (bytes.length == sound.length) {
+            byte[] bytes = random.nextBoolean() ? valid.clone() : new byte[random.nextInt(240)];
+            if (bytes.length == valid.length) {
                 for (int k = 0; k < 3; k++) {
                     bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
                 }
@@ -86,56 +87,56 @@
                 random.nextBytes(bytes);
             }
             try {
-                WIRE.read(bytes, 0, bytes.length);
+                CODEC.read(bytes, 0, bytes.length);
                 read++;
             } catch (IOException e) {
                 assertTrue(e.getMessage() != null);
             }
         }
         assertTrue(read < 50_000);
-        assertThrows(IOException.class, () -> WIRE.read(new byte[0], 0, 0));
-        assertThrows(IOException.class, () -> WIRE.read(sound, 0, sound.length - 1));
+        assertThrows(IOException.class, () -> CODEC.read(new byte[0], 0, 0));
+        assertThrows(IOException.class, () -> CODEC.read(valid, 0, valid.length - 1));
     }
 
     @Test
-    void aSealHoldsForItsKeysAlone() {
-        Seal one = new Seal(ONE, 41);
-        byte[] all = one.wrap(new byte[] {1, 2, 3});
-        assertTrue(one.isAuthentic(all, all.length));
-        assertEquals(42, Seal.sequenceNumber(all));
-        assertFalse(new Seal(TWO, 0).isAuthentic(all, all.length));
-        for (int bit = 0; bit < all.length * 8; bit++) {
-            byte[] spoilt = all.clone();
-            spoilt[bit / 8] ^= 1 << bit % 8;
-            assertFalse(one.isAuthentic(spoilt, spoilt.length), "bit " + bit);
+    void onlyTheSigningKeyVerifiesADatagram() {
+        Seal one = new Seal(FIRST_KEY, 41);
+        byte[] datagram = one.wrap(new byte[] {1, 2, 3});
+        assertTrue(one.isAuthentic(datagram, datagram.length));
+        assertEquals(42, Seal.sequenceNumber(datagram));
+        assertFalse(new Seal(SECOND_KEY, 0).isAuthentic(datagram, datagram.length));
+        for (int bit = 0; bit < datagram.length * 8; bit++) {
+            byte[] corrupted = datagram.clone();
+            corrupted[bit / 8] ^= 1 << bit % 8;
+            assertFalse(one.isAuthentic(corrupted, corrupted.length), "bit " + bit);
         }
-        assertFalse(one.isAuthentic(all, all.length - 1));
+        assertFalse(one.isAuthentic(datagram, datagram.length - 1));
         assertFalse(one.isAuthentic(new byte[Seal.MAX_DATAGRAM_BYTES + 1], Seal.MAX_DATAGRAM_BYTES + 1));
-        // In turn: either order of two keys opens what the other seals.
-        Seal both = new Seal(List.of(ONE.get(0), TWO.get(0)), 0);
-        Seal turned = new Seal(List.of(TWO.get(0), ONE.get(0)), 0);
-        byte[] byTurned = turned.wrap(new byte[] {9});
-        assertTrue(both.isAuthentic(byTurned, byTurned.length));
-        assertTrue(turned.isAuthentic(all, all.length));
-        assertFalse(one.isAuthentic(byTurned, byTurned.length));
+        // Key rotation: either order of two keys verifies what the other signed.
+        Seal both = new Seal(List.of(FIRST_KEY.get(0), SECOND_KEY.get(0)), 0);
+        Seal reversed = new Seal(List.of(SECOND_KEY.get(0), FIRST_KEY.get(0)), 0);
+        byte[] sealedByReversed = reversed.wrap(new byte[] {9});
+        assertTrue(both.isAuthentic(sealedByReversed, sealedByReversed.length));
+        assertTrue(reversed.isAuthentic(datagram, datagram.length));
+        assertFalse(one.isAuthentic(sealedByReversed, sealedByReversed.length));
         for (List<String> wrong : List.of(List.<String>of(), List.of("short"), List.of("has a space in its midst"))) {
             assertThrows(IllegalArgumentException.class, () -> new Seal(wrong, 0));
         }
     }
 
     @Test
-    void aNumberIsFreshOnceInAnyOrder() {
-        Replays replays = new Replays();
+    void eachSequenceNumberIsNewOnceInAnyOrder() {
+        ReplayFilter filter = new ReplayFilter();
         int start = Integer.MAX_VALUE - 5;
         for (int i : new int[] {0, 3, 1, 2, 9, 1000, 30}) {
-            assertTrue(replays.isFresh(1, start + i), "number " + i);
-            assertFalse(replays.isFresh(1, start + i), "number " + i);
+            assertTrue(filter.registerIfNew(1, start + i), "number " + i);
+            assertFalse(filter.registerIfNew(1, start + i), "number " + i);
         }
-        assertTrue(replays.isFresh(1, start + 900), "late, and within the window");
-        assertTrue(replays.isFresh(1, start + 5000));
-        assertFalse(replays.isFresh(1, start + 901), "older than the window");
-        assertTrue(replays.isFresh(2, start), "another life has numbers of its own");
-        replays.forget(1);
-        assertTrue(replays.isFresh(1, start));
+        assertTrue(filter.registerIfNew(1, start + 900), "out of order, within the window");
+        assertTrue(filter.registerIfNew(1, start + 5000));
+        assertFalse(filter.registerIfNew(1, start + 901), "older than the window");
+        assertTrue(filter.registerIfNew(2, start), "each instance has its own numbers");
+        filter.forget(1);
+        assertTrue(filter.registerIfNew(1, start));
     }
 }
