--- a/src/test/java/laneflow/membership/decision/SwimDaysTest.java
+++ b/src/test/java/laneflow/membership/decision/SwimDaysTest.java
@@ -12,134 +12,134 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Fleets in virtual time: what is promised of how they settle, and days of all that can befall them. */
+/** Fleets in virtual time: bounds on convergence, false deaths and traffic, and random sequences of faults. */
 @Timeout(300)
 class SwimDaysTest {
     private static final long PERIOD = 250_000;
     private static final long SECOND = 1_000_000;
 
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
 
-    private MemberWorld world(int members, long seed) {
+    private MemberWorld newWorld(int members, long seed) {
         MemberWorld world = new MemberWorld(members, new Times(PERIOD), seed);
         world.watch((by, before, now) -> {
             if (before != null && before.instance().id() == now.instance().id()) {
                 if (now.incarnation() < before.incarnation()) {
-                    broken.add("an incarnation fell: " + before + " to " + now);
+                    violations.add("incarnation decreased: " + before + " to " + now);
                 }
                 if (!before.state().isLive() && now.state().isLive()) {
-                    broken.add("one came back without a new life: " + now);
+                    violations.add("an ended instance came back: " + now);
                 }
             } else if (before != null
                     && now.instance().address().equals(before.instance().address())
                     && now.instance().generation() <= before.instance().generation()) {
-                broken.add("an earlier life followed a later one: " + before + " to " + now);
+                violations.add("an earlier instance replaced a later one: " + before + " to " + now);
             }
         });
         return world;
     }
 
-    private static MemberWorld begun(MemberWorld world) {
+    private static MemberWorld started(MemberWorld world) {
         for (int i = 0; i < world.size(); i++) {
             world.start(i, 0, 1, 2);
         }
-        settles(world, 20, "they begin");
-        // News is told on for a while behind that.
+        awaitSettled(world, 20, "initial start");
+        // Gossip goes on for a while after that.
         world.pass(10 * SECOND);
         return world;
     }
 
-    private static long settles(MemberWorld world, int withinS, String why) {
+    private static long awaitSettled(MemberWorld world, int withinS, String step) {
         long took = world.runUntil(world::isSettled, withinS * SECOND, PERIOD / 5);
-        assertTrue(took >= 0, why + ": not settled in " + withinS + " s");
+        assertTrue(took >= 0, step + ": not settled in " + withinS + " s");
         return took;
     }
 
     @ParameterizedTest
     @CsvSource({"3, 1", "12, 2", "200, 3"})
-    void whoeverCrashesIsSeenByAllAndWhoeverComesBackToo(int members, long seed) {
-        MemberWorld world = begun(world(members, seed));
+    void crashesLeavesAndRejoinsAreDetectedByAll(int members, long seed) {
+        MemberWorld world = started(newWorld(members, seed));
         long bytes = world.bytes();
         world.pass(10 * SECOND);
         double idle = (world.bytes() - bytes) / 10.0 / members;
-        assertTrue(idle < 1000, idle + " bytes a second in idle");
+        assertTrue(idle < 1000, idle + " bytes per second when idle");
         for (int round = 0; round < 5; round++) {
             int one = 1 + round % (members - 1);
             world.crash(one);
             long seen = world.runUntil(() -> world.agree(i -> true), 10 * SECOND, PERIOD / 10);
-            assertTrue(seen >= 0 && seen < 4 * SECOND, "crash seen after " + seen);
+            assertTrue(seen >= 0 && seen < 4 * SECOND, "crash detected after " + seen);
             world.start(one, 0, 1, 2);
-            settles(world, 12, "one came back");
+            awaitSettled(world, 12, "member restarted");
             world.pass(SECOND);
         }
         world.leave(members - 1);
         long left = world.runUntil(() -> world.agree(i -> true), 10 * SECOND, PERIOD / 10);
         assertTrue(left >= 0 && left < 3 * SECOND / 2, "a leave takes " + left);
         assertTrue(world.most() <= Seal.MAX_DATAGRAM_BYTES, world.most() + " bytes");
-        assertEquals(List.of(), broken);
+        assertEquals(List.of(), violations);
     }
 
     @Test
-    void idleCostsTheSameInASmallAndALargeFleet() {
+    void idleTrafficPerMemberIsIndependentOfTheFleetSize() {
         double[] cost = new double[2];
         for (int k = 0; k < 2; k++) {
-            MemberWorld world = begun(world(k == 0 ? 12 : 400, 5));
+            MemberWorld world = started(newWorld(k == 0 ? 12 : 400, 5));
             world.pass(20 * SECOND);
             long bytes = world.bytes();
             int digest = world.swim(0).digest();
             world.pass(10 * SECOND);
             cost[k] = (world.bytes() - bytes) / 10.0 / world.size();
             assertTrue(world.isSettled());
-            assertEquals(digest, world.swim(0).digest(), "nothing moves while nothing changes");
+            assertEquals(digest, world.swim(0).digest(), "the digest is stable while nothing changes");
         }
         assertTrue(cost[1] < cost[0] * 1.05, cost[0] + " and " + cost[1]);
     }
 
     @ParameterizedTest
     @CsvSource({"12, 1", "60, 2", "200, 3"})
-    void halvesThatBuriedEachOtherFindEachOther(int members, long seed) {
-        MemberWorld world = begun(world(members, seed));
+    void halvesThatDeclaredEachOtherDeadMergeAgain(int members, long seed) {
+        MemberWorld world = started(newWorld(members, seed));
         int half = members / 2;
         world.cut((from, to) -> from < half != to < half);
-        long parted = world.runUntil(
+        long splitAfter = world.runUntil(
                 () -> world.agree(i -> i < half) && world.agree(i -> i >= half), 20 * SECOND, PERIOD / 5);
-        assertTrue(parted >= 0, "each half settles by itself");
-        // One goes and another is started anew meanwhile, on either side.
+        assertTrue(splitAfter >= 0, "each half settles on its own");
+        // During the partition a member crashes on each side, and one of them restarts.
         world.crash(1);
         world.crash(half + 1);
         world.start(half + 1, half, half + 2);
         world.pass(15 * SECOND);
         world.cut((from, to) -> false);
-        long found = world.runUntil(() -> world.agree(i -> true), 20 * SECOND, PERIOD / 5);
-        assertTrue(found >= 0 && found < 5 * SECOND, "found again after " + found);
-        assertEquals(List.of(), broken);
+        long mergedAfter = world.runUntil(() -> world.agree(i -> true), 20 * SECOND, PERIOD / 5);
+        assertTrue(mergedAfter >= 0 && mergedAfter < 5 * SECOND, "found again after " + mergedAfter);
+        assertEquals(List.of(), violations);
     }
 
-    /** Cut off with few one probes members that can't answer, and must not take minutes for all of them. */
+    /** A member cut off with few others probes many that cannot answer, which must not take minutes. */
     @ParameterizedTest
     @CsvSource({"6, 1, 20", "32, 1, 35", "32, 3, 20", "200, 3, 40"})
-    void aSmallPartThatIsCutOffSettlesToo(int members, int part, int withinS) {
-        MemberWorld world = begun(world(members, 3));
+    void aSmallPartitionSettles(int members, int part, int withinS) {
+        MemberWorld world = started(newWorld(members, 3));
         int first = members - part;
         world.cut((from, to) -> from < first != to < first);
-        long parted = world.runUntil(
+        long splitAfter = world.runUntil(
                 () -> world.agree(i -> i < first) && world.agree(i -> i >= first), withinS * SECOND, PERIOD / 5);
-        assertTrue(parted >= 0, "not settled in " + withinS + " s");
+        assertTrue(splitAfter >= 0, "not settled in " + withinS + " s");
         world.cut((from, to) -> false);
-        long found = world.runUntil(() -> world.agree(i -> true), 20 * SECOND, PERIOD / 5);
-        assertTrue(found >= 0 && found < 5 * SECOND, "found again after " + found);
-        assertEquals(List.of(), broken);
+        long mergedAfter = world.runUntil(() -> world.agree(i -> true), 20 * SECOND, PERIOD / 5);
+        assertTrue(mergedAfter >= 0 && mergedAfter < 5 * SECOND, "found again after " + mergedAfter);
+        assertEquals(List.of(), violations);
     }
 
     @ParameterizedTest
     @CsvSource({"12, 1", "60, 2", "200, 3"})
-    void halfTheFleetAtOnceAndAllOfItAnew(int members, long seed) {
-        MemberWorld world = begun(world(members, seed));
+    void halfTheFleetCrashesAndAllRestart(int members, long seed) {
+        MemberWorld world = started(newWorld(members, seed));
         for (int i = members / 2; i < members; i++) {
             world.crash(i);
         }
         long seen = world.runUntil(() -> world.agree(i -> true), 20 * SECOND, PERIOD / 5);
-        assertTrue(seen >= 0 && seen < 10 * SECOND, "half of them: " + seen);
+        assertTrue(seen >= 0 && seen < 10 * SECOND, "crash of half the members detected after " + seen);
         for (int i = 0; i < members; i++) {
             world.crash(i);
         }
@@ -148,125 +148,129 @@
             world.start(i, 0, 1, 2);
             world.pass(3000);
         }
-        settles(world, 20, "all anew, in another order");
-        assertEquals(List.of(), broken);
+        awaitSettled(world, 20, "all restarted in another order");
+        assertEquals(List.of(), violations);
     }
 
     @Test
-    void nobodyIsBuriedUnderLossWhileSomeStandStillForLessThanSuspicionTakes() {
-        MemberWorld world = begun(world(200, 8));
-        int[] buried = {0};
-        world.watch((by, before, now) -> buried[0] += now.state() == State.DEAD ? 1 : 0);
+    void packetLossAndShortStallsCauseNoFalseDeaths() {
+        MemberWorld world = started(newWorld(200, 8));
+        int[] deaths = {0};
+        world.watch((by, before, now) -> deaths[0] += now.state() == State.DEAD ? 1 : 0);
         world.network(0.2, 0.05, 200, 1000);
         SplittableRandom random = new SplittableRandom(8);
         for (int round = 0; round < 15; round++) {
-            List<Integer> still = new ArrayList<>();
+            List<Integer> stalled = new ArrayList<>();
             for (int i = 0; i < 200; i++) {
                 if (random.nextDouble() < 0.05) {
                     world.stall(i);
-                    still.add(i);
+                    stalled.add(i);
                 }
             }
             world.pass(SECOND / 2);
-            still.forEach(world::resume);
+            stalled.forEach(world::resume);
             world.pass(SECOND / 2);
         }
-        assertEquals(0, buried[0]);
+        assertEquals(0, deaths[0]);
         world.network(0, 0, 200, 300);
-        settles(world, 10, "the network is well again");
+        awaitSettled(world, 10, "the network has recovered");
     }
 
     @Test
-    void delaysOfThreeHundredMsWithLossAreStood() {
-        MemberWorld world = begun(world(20, 9));
-        int[] buried = {0};
-        world.watch((by, before, now) -> buried[0] += now.state() == State.DEAD ? 1 : 0);
+    void delaysOfThreeHundredMsWithLossCauseNoFalseDeaths() {
+        MemberWorld world = started(newWorld(20, 9));
+        int[] deaths = {0};
+        world.watch((by, before, now) -> deaths[0] += now.state() == State.DEAD ? 1 : 0);
         world.network(0.3, 0.1, 0, 300_000);
         world.pass(30 * SECOND);
-        assertEquals(0, buried[0]);
+        assertEquals(0, deaths[0]);
         world.network(0, 0, 200, 300);
-        settles(world, 10, "the network is well again");
+        awaitSettled(world, 10, "the network has recovered");
     }
 
     @Test
-    void oneThatHearsAndCantSpeakAndOneThatSpeaksAndCantHearAreBothSeenAsGone() {
-        MemberWorld world = begun(world(8, 4));
+    void membersThatOnlyReceiveOrOnlySendAreDeclaredDead() {
+        MemberWorld world = started(newWorld(8, 4));
         world.cut((from, to) -> from == 3 || to == 5);
         long agreed = world.runUntil(() -> world.agree(i -> i != 3 && i != 5), 30 * SECOND, PERIOD / 5);
-        assertTrue(agreed >= 0, "the others agree on who is left");
+        assertTrue(agreed >= 0, "the others agree on the remaining members");
         world.pass(10 * SECOND);
-        assertTrue(world.agree(i -> i != 3 && i != 5), "and stay so");
+        assertTrue(world.agree(i -> i != 3 && i != 5), "the others still agree");
         world.cut((from, to) -> false);
-        settles(world, 10, "healed");
-        assertEquals(List.of(), broken);
+        awaitSettled(world, 10, "the cut has healed");
+        assertEquals(List.of(), violations);
     }
 
     @Test
-    void aPathThatIsCutOneWayOnlyCostsNobodyHisPlace() {
-        MemberWorld world = begun(world(6, 4));
-        int[] buried = {0};
-        world.watch((by, before, now) -> buried[0] += now.state() == State.DEAD ? 1 : 0);
+    void aSingleOneWayCutCausesNoDeath() {
+        MemberWorld world = started(newWorld(6, 4));
+        int[] deaths = {0};
+        world.watch((by, before, now) -> deaths[0] += now.state() == State.DEAD ? 1 : 0);
         world.cut((from, to) -> from == 1 && to == 2);
         world.pass(30 * SECOND);
-        assertEquals(0, buried[0]);
+        assertEquals(0, deaths[0]);
         assertTrue(world.agree(i -> true));
     }
 
     @Test
-    void aFlappingMemberNeverComesBackInTheSameLife() {
-        MemberWorld world = begun(world(10, 6));
+    void aFlappingMemberReturnsOnlyAsANewInstance() {
+        MemberWorld world = started(newWorld(10, 6));
         for (int round = 0; round < 8; round++) {
             world.stall(4);
             world.pass(round % 2 == 0 ? SECOND / 3 : 6 * SECOND);
             world.resume(4);
             world.pass(SECOND);
         }
-        settles(world, 10, "it runs again");
-        assertTrue(world.count(4, "reborn") >= 4, "each burial costs it a life");
-        assertEquals(List.of(), broken);
+        awaitSettled(world, 10, "the member runs again");
+        assertTrue(world.count(4, "reborn") >= 4, "each death leads to a new instance");
+        assertEquals(List.of(), violations);
     }
 
     @Test
-    void aNameThatIsTakenTwiceStaysTheElders() {
-        MemberWorld world = begun(world(6, 2));
+    void theOlderInstanceKeepsADuplicateName() {
+        MemberWorld world = started(newWorld(6, 2));
         world.crash(5);
         world.runUntil(() -> world.agree(i -> true), 10 * SECOND, PERIOD / 5);
         world.startAs(5, "n1", 0, 1, 2);
         world.pass(10 * SECOND);
-        assertTrue(world.swim(5).isNameTaken(), "the younger is told");
-        assertTrue(world.agree(i -> i != 5), "the others go on as they were");
+        assertTrue(world.swim(5).isNameTaken(), "the younger instance knows that its name is taken");
+        assertTrue(world.agree(i -> i != 5), "the others keep their view");
         for (int i : new int[] {0, 2, 3, 4}) {
             assertEquals(world.address(1), world.swim(i).other("n1").instance().address());
         }
-        // When the elder is gone the name is free.
+        // The name is free once the older instance is gone.
         world.crash(1);
-        settles(world, 20, "the younger has the name");
+        awaitSettled(world, 20, "the younger instance has taken the name");
         assertEquals(world.address(5), world.swim(0).other("n1").instance().address());
-        assertTrue(world.runUntil(() -> !world.swim(5).isNameTaken(), 10 * SECOND, PERIOD) >= 0, "and is told so");
+        assertTrue(
+                world.runUntil(() -> !world.swim(5).isNameTaken(), 10 * SECOND, PERIOD) >= 0,
+                "the younger instance knows that it holds the name");
     }
 
     @Test
-    void anAddressCanHaveAnotherNameAndAClockMayGoBack() {
-        MemberWorld world = begun(world(6, 3));
+    void anAddressMayChangeItsNameAndAClockMayGoBack() {
+        MemberWorld world = started(newWorld(6, 3));
         world.crash(4);
         world.startAs(4, "other", 0, 1);
-        settles(world, 20, "another name at the same place");
+        awaitSettled(world, 20, "another name at the same address");
         assertEquals(State.DEAD, world.swim(0).other("n4").state());
-        // Started anew by a clock that is a day behind, it is a later life all the same.
+        // A restart with a clock a day behind must still count as a later instance.
         world.crash(3);
         world.startWithClock(3, -86_400_000, 0, 1);
-        settles(world, 20, "a clock that went back");
+        awaitSettled(world, 20, "restart with a clock set back");
         assertEquals(
                 List.of(),
-                broken.stream().filter(text -> !text.contains("earlier life")).toList());
+                violations.stream()
+                        .filter(text -> !text.contains("earlier instance"))
+                        .toList());
     }
 
     @Test
-    void oneMessageBuriesNobodyAndHighNumbersAreNoTrap() {
-        MemberWorld world = begun(world(8, 7));
+    void aSingleMessageCausesNoDeathAndHighNumbersAreHarmless() {
+        MemberWorld world = started(newWorld(8, 7));
         Update.MemberRecord victim = world.swim(0).other("n5");
-        int[] buried = {0};
-        world.watch((by, before, now) -> buried[0] += now.state().isLive() ? 0 : 1);
+        int[] deaths = {0};
+        world.watch((by, before, now) -> deaths[0] += now.state().isLive() ? 0 : 1);
         for (State claimed : new State[] {State.SUSPECT, State.DEAD, State.LEFT}) {
             for (int incarnation : new int[] {0, victim.incarnation() + 1, Integer.MAX_VALUE}) {
                 List<Update> claims = new ArrayList<>();
@@ -284,15 +288,15 @@
                 assertTrue(world.swim(2).other("n5").state().isLive(), claimed + " " + incarnation);
             }
         }
-        settles(world, 10, "all of it is cleared");
-        assertEquals(0, buried[0]);
+        awaitSettled(world, 10, "the false claims are refuted");
+        assertEquals(0, deaths[0]);
         assertTrue(world.swim(5).self().incarnation() < 1 << 30);
     }
 
     @ParameterizedTest
     @CsvSource({"40, 11, 12", "40, 12, 12", "200, 13, 6", "500, 14, 2"})
-    void randomDaysEndSettled(int members, long seed, int events) {
-        MemberWorld world = begun(world(members, seed));
+    void randomFaultSequencesEndSettled(int members, long seed, int events) {
+        MemberWorld world = started(newWorld(members, seed));
         SplittableRandom random = new SplittableRandom(seed);
         for (int n = 0; n < events; n++) {
             int one = 3 + random.nextInt(members - 3);
@@ -331,9 +335,9 @@
                 world.start(i, 0, 1, 2);
             }
         }
-        settles(world, 30, "the day is over");
+        awaitSettled(world, 30, "all faults are over");
         world.pass(20 * SECOND);
-        assertTrue(world.isSettled(), "and it holds still");
-        assertEquals(List.of(), broken);
+        assertTrue(world.isSettled(), "the views stay settled");
+        assertEquals(List.of(), violations);
     }
 }
--- a/src/test/java/laneflow/membership/decision/SwimOrdersTest.java
+++ b/src/test/java/laneflow/membership/decision/SwimOrdersTest.java
@@ -10,18 +10,18 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Every order of a few events on three members: however they come, those that hear each other agree in the end,
- * no incarnation falls, and nobody who was buried comes back in the same life.
+ * Runs every sequence of four events on three members in virtual time. After each the views must converge, no
+ * incarnation may have decreased, and no dead instance may have come back.
  */
 @Timeout(300)
 class SwimOrdersTest {
     private static final long PERIOD = 250_000;
     private static final long SECOND = 1_000_000;
-    /** Apart by less and by more than it takes to bury somebody. */
+    /** Time between events: shorter and longer than it takes to declare a member dead. */
     private static final long[] GAPS = {PERIOD / 2, 9 * PERIOD};
 
     private interface Event {
-        void on(MemberWorld world);
+        void applyTo(MemberWorld world);
     }
 
     private static void crash(MemberWorld world, int i) {
@@ -53,17 +53,17 @@
                 }
             });
 
-    private int played;
-    private final List<String> broken = new ArrayList<>();
+    private int runs;
+    private final List<String> violations = new ArrayList<>();
 
-    private void play(List<Integer> order, long gap) {
-        MemberWorld world = new MemberWorld(3, new Times(PERIOD), 17 + played);
+    private void runOrder(List<Integer> order, long gap) {
+        MemberWorld world = new MemberWorld(3, new Times(PERIOD), 17 + runs);
         world.watch((by, before, now) -> {
             if (before != null
                     && before.instance().id() == now.instance().id()
                     && (now.incarnation() < before.incarnation()
                             || !before.state().isLive() && now.state().isLive())) {
-                broken.add(order + ": " + before + " to " + now);
+                violations.add(order + ": " + before + " to " + now);
             }
         });
         for (int i = 0; i < 3; i++) {
@@ -71,7 +71,7 @@
         }
         world.pass(4 * SECOND);
         for (int event : order) {
-            EVENTS.get(event).on(world);
+            EVENTS.get(event).applyTo(world);
             world.pass(gap);
         }
         world.resume(1);
@@ -81,27 +81,27 @@
         long took = world.runUntil(world::isSettled, 30 * SECOND, PERIOD);
         assertTrue(took >= 0, order + " apart by " + gap + " does not settle");
         assertEquals(3, world.swim(0).size(), order + " apart by " + gap);
-        played++;
+        runs++;
     }
 
-    private void all(List<Integer> before, int left, long gap) {
-        if (left == 0) {
-            play(before, gap);
+    private void runAllOrders(List<Integer> prefix, int remaining, long gap) {
+        if (remaining == 0) {
+            runOrder(prefix, gap);
             return;
         }
         for (int event = 0; event < EVENTS.size(); event++) {
-            List<Integer> next = new ArrayList<>(before);
+            List<Integer> next = new ArrayList<>(prefix);
             next.add(event);
-            all(next, left - 1, gap);
+            runAllOrders(next, remaining - 1, gap);
         }
     }
 
     @Test
-    void howeverEventsComeThoseWhoHearEachOtherAgreeInTheEnd() {
+    void viewsConvergeForEveryOrderOfEvents() {
         for (long gap : GAPS) {
-            all(List.of(), 4, gap);
+            runAllOrders(List.of(), 4, gap);
         }
-        assertEquals(2 * 9 * 9 * 9 * 9, played);
-        assertEquals(List.of(), broken);
+        assertEquals(2 * 9 * 9 * 9 * 9, runs);
+        assertEquals(List.of(), violations);
     }
 }
