--- a/src/main/java/laneflow/membership/Members.java
+++ b/src/main/java/laneflow/membership/Members.java
@@ -330,8 +330,8 @@
             try {
                 List<MemberRecord> records = new ArrayList<>();
                 for (Update update : codec.read(bytes, 0, bytes.length).updates()) {
-                    if (update instanceof MemberRecord full) {
-                        records.add(full);
+                    if (update instanceof MemberRecord memberRecord) {
+                        records.add(memberRecord);
                     }
                 }
                 swim.receiveRecords(loop.micros(), from.name(), records);
--- a/src/main/java/laneflow/membership/decision/MemberMetadata.java
+++ b/src/main/java/laneflow/membership/decision/MemberMetadata.java
@@ -39,7 +39,7 @@
         return (int) Math.max(0, Math.min(MAX_STEP, Math.floor(share * (MAX_STEP + 1))));
     }
 
-    /** Converts requests per second to a power of two that they stay under. */
+    /** Converts requests per second to the exponent of the power of two that they stay under. */
     public static int toRateStep(double perSecond) {
         return Math.min(MAX_STEP * 2, Long.SIZE - Long.numberOfLeadingZeros((long) Math.max(0, perSecond)));
     }
