--- a/src/test/java/laneflow/membership/MembersStoryTest.java
+++ b/src/test/java/laneflow/membership/MembersStoryTest.java
@@ -205,7 +205,7 @@
         rig.wake(3);
         rig.awaitSettled(5, rig.all());
         assertEquals(generation, generation(0, 3));
-        long buried = sumCounters("members.buried", 3);
+        long deathsBefore = sumCounters("members.buried", 3);
         // A flapping member that stalls repeatedly for longer than the suspicion timeout.
         for (int round = 0; round < 3; round++) {
             rig.stall(3);
@@ -215,7 +215,7 @@
             assertTrue(generation(0, 3) > generation, "a new instance each time");
             generation = generation(0, 3);
         }
-        assertEquals(buried, sumCounters("members.buried", 3), "it declares nobody dead");
+        assertEquals(deathsBefore, sumCounters("members.buried", 3), "it declares nobody dead");
         assertTrue(sumCounters("members.late", 3) >= 3, "it detects its stalls");
     }
 
@@ -238,9 +238,9 @@
                 bytes[0] = 1;
                 foreign.send(new DatagramPacket(bytes, length, InetAddress.getLoopbackAddress(), rig.memberSocket(0)));
             }
-            byte[] heard = rig.lastDatagram(1, 0);
-            foreign.send(
-                    new DatagramPacket(heard, heard.length, InetAddress.getLoopbackAddress(), rig.memberSocket(0)));
+            byte[] authentic = rig.lastDatagram(1, 0);
+            foreign.send(new DatagramPacket(
+                    authentic, authentic.length, InetAddress.getLoopbackAddress(), rig.memberSocket(0)));
             rig.await(
                     "all rejected datagrams are counted",
                     () -> rig.counter(0, "members.oversized") >= 2 && rig.counter(0, "members.unsealed") >= 5);
@@ -250,9 +250,9 @@
             byte[] again = rig.lastDatagram(1, 0);
             rig.inject(1, 0, again);
             rig.inject(1, 0, again);
-            byte[] spoilt = again.clone();
-            spoilt[spoilt.length - 1] ^= 1;
-            rig.inject(1, 0, spoilt);
+            byte[] corrupted = again.clone();
+            corrupted[corrupted.length - 1] ^= 1;
+            rig.inject(1, 0, corrupted);
             rig.await(
                     "the replayed and the corrupted datagram are counted",
                     () -> rig.counter(0, "members.replayed") > replayed
@@ -306,21 +306,21 @@
         });
         // A stalled member delays a change by its lease, and is named with its state in the view.
         int leader = rig.leader();
-        int still = 4;
-        rig.stall(still);
-        awaitState(leader, still, "suspect");
+        int stalled = 4;
+        rig.stall(stalled);
+        awaitState(leader, stalled, "suspect");
         rig.proposeUntilTaken(leader, "two", "{\"bans\":[{\"name\":\"y\"}]}");
-        boolean[] named = {false};
+        boolean[] namedAsPending = {false};
         rig.await("the change takes effect", () -> {
             JsonObject leads = rig.policy(leader).getAsJsonObject("leads");
-            named[0] |= leads != null
+            namedAsPending[0] |= leads != null
                     && leads.has("waits_for")
                     && leads.get("waits_for").toString().contains("n5#")
                     && leads.get("waits_for").toString().contains("(suspect)");
             return rig.decides(leader, 2);
         });
         // A member that loses its links to the voters, but not its datagrams, is seen as fenced.
-        rig.wake(still);
+        rig.wake(stalled);
         rig.awaitDeciding(2, rig.all());
         rig.cutLinks(4);
         rig.await("the member is seen as fenced", () -> {
