--- a/src/main/java/laneflow/assembly/FleetSubsystem.java
+++ b/src/main/java/laneflow/assembly/FleetSubsystem.java
@@ -32,7 +32,7 @@
 import laneflow.task.Hooks;
 import laneflow.task.Recovery;
 import laneflow.task.Tasks;
-import laneflow.task.decision.Table;
+import laneflow.task.decision.TaskTable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -133,12 +133,12 @@
                         random.nextLong(),
                         clockRate,
                         core.upgrade(),
-                        Map.of(Table.NAME, new Table(), WindowLedger.NAME, new WindowLedger()),
+                        Map.of(TaskTable.NAME, new TaskTable(), WindowLedger.NAME, new WindowLedger()),
                         List.of(tasks, windows)));
         maintenance = windows == null ? null : maintenance(setup, windows);
         hooks = setup.tasks() == null
                 ? null
-                : new Hooks(loop, tasks, counters, fleet.self().who(), setup.tasks().hooks);
+                : new Hooks(loop, tasks, counters, fleet.self().id(), setup.tasks().hooks);
         recovery = setup.tasks() == null || setup.tasks().stores == null
                 ? null
                 : new Recovery(loop, tasks, scheduler.counters(), durability.jobs(), setup.tasks(), config.name);
@@ -183,7 +183,7 @@
                 () -> new Members.RequestStatus(
                         policy == null ? -1 : policy.number(),
                         condition(),
-                        scheduler.open() / (double) config.sockets,
+                        scheduler.openRequests() / (double) config.sockets,
                         served(scheduler)),
                 reading,
                 seed));
@@ -205,8 +205,8 @@
 
     private static long served(Scheduler scheduler) {
         long all = 0;
-        for (long[] row : scheduler.tallies()) {
-            all += row[Scheduler.TAKEN] - row[Scheduler.FAILED] - row[Scheduler.REFUSED];
+        for (long[] row : scheduler.countsByClass()) {
+            all += row[Scheduler.ACCEPTED] - row[Scheduler.FAILED] - row[Scheduler.REFUSED];
         }
         return all;
     }
--- a/src/main/java/laneflow/membership/Members.java
+++ b/src/main/java/laneflow/membership/Members.java
@@ -226,7 +226,7 @@
                     answer.say(verb.equals("GET") ? 404 : 405, "text/plain", "", "known is GET /fleet\n");
                 }
             });
-            dependencies.fleet().describe(this::memberState);
+            dependencies.fleet().setDescriber(this::memberState);
             LOG.info("members: {} at {}", instance, opened.address());
             loop.deadlines().set(metadataDeadline, loop.micros() + METADATA_INTERVAL_US);
             loop.deadlines().set(keyCheckDeadline, loop.micros() + KEY_CHECK_INTERVAL_US);
@@ -305,7 +305,7 @@
 
     @Override
     public boolean sendRecords(String name, List<MemberRecord> records) {
-        Peer peer = dependencies.fleet().any(name);
+        Peer peer = dependencies.fleet().anyPeer(name);
         if (peer == null) {
             return false;
         }
--- a/src/test/java/laneflow/transcripts/FleetTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/FleetTranscriptsTest.java
@@ -41,7 +41,7 @@
                             && MEMBER_LINE.matcher(text).results().count() % 3 == 0;
                 },
                 () -> run[0].text());
-        transcript.said(
+        transcript.message(
                 "laneflow fleet show --at " + addresses,
                 "exit code " + run[0].code(),
                 INSTANT.matcher(stableText(run[0])).replaceAll("<instant>"));
