--- a/src/main/java/laneflow/membership/decision/Update.java
+++ b/src/main/java/laneflow/membership/decision/Update.java
@@ -1,29 +1,30 @@
 package laneflow.membership.decision;
 
-/** News of one member, as datagrams carry it. */
+/** An update about one member, as carried in datagrams. */
 public sealed interface Update {
     /**
-     * All that is known of a member, by its own word.
+     * The full record of a member, as published by itself.
      *
-     * @param incarnation counts what it has said of itself in this life
-     * @param state where it stands with whoever sends this
+     * @param incarnation version of the record within this instance
+     * @param state of the member in the sender's view
      */
-    record Full(Life life, int incarnation, State state, Facts facts) implements Update {
-        Full with(State other) {
-            return other == state ? this : new Full(life, incarnation, other, facts);
+    record MemberRecord(MemberInstance instance, int incarnation, State state, MemberMetadata metadata)
+            implements Update {
+        MemberRecord withState(State other) {
+            return other == state ? this : new MemberRecord(instance, incarnation, other, metadata);
         }
     }
 
-    /** Bytes that go along for others than the view. */
-    record Extra(byte[] bytes) implements Update {}
+    /** Application data piggybacked on a datagram. */
+    record Payload(byte[] bytes) implements Update {}
 
     /**
-     * A claim about a life that the hearer may know.
+     * A claim about an instance that the receiver may know.
      *
-     * @param id the life
-     * @param incarnation the newest that whoever claims it has heard of
-     * @param state any but ALIVE: that is said by the member itself, in full
-     * @param by the life of the member that found it out
+     * @param instanceId the instance that the claim is about
+     * @param incarnation the latest that the accuser knows
+     * @param state any but ALIVE, which a member states itself in a full record
+     * @param accuserId instance id of the member that found the state
      */
-    record Claim(long id, int incarnation, State state, long by) implements Update {}
+    record Claim(long instanceId, int incarnation, State state, long accuserId) implements Update {}
 }
