--- a/src/main/java/laneflow/fleet/Fleet.java
+++ b/src/main/java/laneflow/fleet/Fleet.java
@@ -23,42 +23,43 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The link between schedulers: lines of JSON over long HTTP exchanges, one a pair that has something to say
- * to each other. Who dials keeps the link up, with waits that grow and are drawn by chance; who is dialled
- * answers on it. Each end first says who it is and which versions of the messages it knows; the highest that
- * both know holds. Messages of a type, and fields, that this build does not know are passed over.
+ * Links between schedulers: lines of JSON over long-lived HTTP exchanges, one per pair of schedulers that
+ * exchange messages. The dialling end keeps the link up, with exponential backoff and jitter; the dialled end
+ * answers on it. Each end first sends a hello with its identity and the versions of the messages that it
+ * supports; the highest version common to both is used. Messages of unknown types, and unknown fields, are
+ * ignored.
  *
- * <p>Nothing is kept for a link that is down, and what a peer does not read ends its link: whatever rests on
- * messages says things again. On the loop's thread.
+ * <p>Messages for a link that is down are not queued, and a peer that doesn't read loses its link: users of
+ * messages must send again. On the loop's thread.
  */
 public final class Fleet {
-    /** Versions of the messages that this build speaks. */
+    /** The versions of the messages that this build supports. */
     public static final int OLDEST_VERSION = 1;
 
     public static final int NEWEST_VERSION = 1;
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
     private static final String PATH = "/fleet/link";
-    private static final int MOST_LINE = 1 << 20;
-    private static final long FIRST_BACKOFF = 10_000;
-    private static final int SIGNS_A_SILENCE = 3;
-    private static final int MOST_DOUBLINGS = 16;
-    private static final int MOST_EARLY = 32;
+    private static final int MAX_LINE_BYTES = 1 << 20;
+    private static final long FIRST_BACKOFF_MICROS = 10_000;
+    private static final int HEARTBEATS_PER_SILENCE_TIMEOUT = 3;
+    private static final int MAX_BACKOFF_DOUBLINGS = 16;
+    private static final int MAX_MESSAGES_BEFORE_HELLO = 32;
 
-    /** What is done with a message. */
+    /** Handles a message from a peer. */
     public interface MessageHandler {
-        void take(Peer from, JsonObject message);
+        void receive(Peer from, JsonObject message);
     }
 
-    /** Answers an ordinary request, once. */
+    /** Handles an ordinary HTTP request; answers it exactly once. */
     public interface RequestHandler {
-        void asked(String verb, String path, byte[] body, StreamPort.Answer answer);
+        void answer(String verb, String path, byte[] body, StreamPort.Answer answer);
     }
 
     /**
-     * Who this process is.
+     * The identity of this process.
      *
-     * @param instance unlike that of any other process of this name
-     * @param build for reports
+     * @param instance distinguishes the process from all others that run or have run under the name
+     * @param build version of the software, for reports
      */
     public record Self(String name, String instance, String build) {
         public String id() {
@@ -74,18 +75,18 @@
     private final SplittableRandom random;
     private final StreamPort port;
     private final Map<String, MessageHandler> handlers = new HashMap<>();
-    private final Map<String, RequestHandler> paths = new LinkedHashMap<>();
+    private final Map<String, RequestHandler> requestHandlers = new LinkedHashMap<>();
     private final Map<String, Dialled> dialled = new LinkedHashMap<>();
     private final List<Link> accepted = new ArrayList<>();
-    private final List<Consumer<Peer>> up = new ArrayList<>();
-    private final List<Consumer<Peer>> down = new ArrayList<>();
+    private final List<Consumer<Peer>> upListeners = new ArrayList<>();
+    private final List<Consumer<Peer>> downListeners = new ArrayList<>();
     private UnaryOperator<String> describer = name -> "";
-    /** One for all links, so that a process that has nothing to say wakes once for all of them. */
-    private final Deadline signs;
+    /** Shared by all links, so that an idle process wakes up once for all of them. */
+    private final Deadline heartbeat;
 
-    private boolean over;
+    private boolean closed;
 
-    /** @param token that all schedulers show each other, or null */
+    /** @param token shared by all schedulers for authentication, or null */
     public Fleet(Loop loop, FleetConfig config, Self self, String token, Counters counters, long seed) {
         this.loop = loop;
         this.config = config;
@@ -93,40 +94,40 @@
         this.token = token;
         this.counters = counters;
         random = new SplittableRandom(seed);
-        signs = loop.deadlines().create(this::signs);
-        port = new StreamPort(loop, PATH, token, config.silence, MOST_LINE, new Host());
+        heartbeat = loop.deadlines().create(this::sendHeartbeats);
+        port = new StreamPort(loop, PATH, token, config.silenceTimeout, MAX_LINE_BYTES, new Host());
     }
 
     public Self self() {
         return self;
     }
 
-    /** Lets others come. */
+    /** Opens the port for links and requests. */
     public void listen() throws IOException {
-        port.listen(Loop.address(config.listen), config.mostLinks);
+        port.listen(Loop.address(config.listen), config.maxLinks);
     }
 
     public StreamPort port() {
         return port;
     }
 
-    /** Messages whose field {@code t} is that go to the handler. */
+    /** Registers the handler of messages whose field {@code t} has this value. */
     public void handle(String type, MessageHandler handler) {
         handlers.put(type, handler);
     }
 
-    /** Ordinary requests whose path begins so go there. */
-    public void serve(String prefix, RequestHandler asked) {
-        paths.put(prefix, asked);
+    /** Registers the handler of requests whose path begins with the prefix. */
+    public void serve(String prefix, RequestHandler requestHandler) {
+        requestHandlers.put(prefix, requestHandler);
     }
 
-    /** Told of every link that has come up or gone down. */
+    /** Adds listeners that are called when a link has come up or gone down. */
     public void onLinkChange(Consumer<Peer> whenUp, Consumer<Peer> whenDown) {
-        up.add(whenUp);
-        down.add(whenDown);
+        upListeners.add(whenUp);
+        downListeners.add(whenDown);
     }
 
-    /** Keeps a link to that peer of the file from now on. */
+    /** Dials a configured peer and keeps a link to it from now on. */
     public void dial(String name) {
         if (!name.equals(self.name()) && !dialled.containsKey(name)) {
             Dialled to = new Dialled(name, config.peers.get(name));
@@ -135,13 +136,13 @@
         }
     }
 
-    /** The peer that is dialled by that name, where its link is up, or null. */
+    /** The dialled peer of that name if its link is up, else null. */
     public Peer peer(String name) {
         Dialled to = dialled.get(name);
         return to == null || !to.isUp() ? null : to;
     }
 
-    /** A link to the scheduler of that name, whoever began it, or null. */
+    /** A link to the scheduler of that name, whichever end dialled, or null. */
     public Peer anyPeer(String name) {
         Peer to = peer(name);
         for (int i = 0; to == null && i < accepted.size(); i++) {
@@ -150,69 +151,70 @@
         return to;
     }
 
-    /** Tells what else is known of a scheduler, in a word, or empty. */
-    public void setDescriber(UnaryOperator<String> by) {
-        describer = by;
+    /** Sets the source of short descriptions of schedulers; it returns empty for one that it doesn't know. */
+    public void setDescriber(UnaryOperator<String> source) {
+        describer = source;
     }
 
-    /** What else is known of that scheduler here, in a word, or empty. */
+    /** A short description of the scheduler of that name, or empty. */
     public String description(String name) {
         return describer.apply(name);
     }
 
-    /** The process of that name and life that has dialled this one, or null. */
-    public Peer acceptedPeer(String who) {
+    /** The process with that id that has dialled this one, or null. */
+    public Peer acceptedPeer(String id) {
         for (Link link : accepted) {
-            if (link.isUp() && link.id().equals(who)) {
+            if (link.isUp() && link.id().equals(id)) {
                 return link;
             }
         }
         return null;
     }
 
-    /** The names of those that a link is kept to. */
+    /** Names of the peers that this process dials. */
     public List<String> dialledNames() {
         return List.copyOf(dialled.keySet());
     }
 
-    /** Where the file says that a peer is, or null. */
+    /** The configured address of a scheduler, or null. */
     public String address(String name) {
         return name.equals(self.name()) ? config.listen : config.peers.get(name);
     }
 
-    /** Ends all links; nothing more is told. */
+    /** Ends all links and sends nothing more. */
     public void close() {
-        over = true;
-        loop.deadlines().cancel(signs);
-        dialled.values().forEach(one -> one.end("this process ends"));
-        new ArrayList<>(accepted).forEach(one -> one.end("this process ends"));
+        closed = true;
+        loop.deadlines().cancel(heartbeat);
+        dialled.values().forEach(link -> link.end("this process is shutting down"));
+        new ArrayList<>(accepted).forEach(link -> link.end("this process is shutting down"));
     }
 
     /**
-     * Signs of life, so that silence means something. A link that has said nothing for half of the time gets
-     * its sign with the others, and so they come to have theirs together.
+     * Sends heartbeats, so that the other end can tell an idle link from a dead one. A link that has been idle
+     * for half of the interval gets its heartbeat early, together with the others: in time the heartbeats of
+     * all links coincide.
      */
-    private void signs() {
+    private void sendHeartbeats() {
         long now = loop.micros();
-        long every = config.silence / SIGNS_A_SILENCE;
+        long interval = config.silenceTimeout / HEARTBEATS_PER_SILENCE_TIMEOUT;
         long next = Long.MAX_VALUE;
         List<Link> all = new ArrayList<>(accepted);
         all.addAll(dialled.values());
         for (Link link : all) {
-            if (link.open && now - link.saidAt >= every / 2) {
-                link.put(link.signOfLife());
+            if (link.open && now - link.sentAt >= interval / 2) {
+                link.writeLine(link.heartbeatLine());
             }
-            next = link.open ? Math.min(next, link.saidAt + every) : next;
+            next = link.open ? Math.min(next, link.sentAt + interval) : next;
         }
-        if (next < Long.MAX_VALUE && !over) {
-            loop.deadlines().set(signs, Math.max(now + 1, next - every / 6), Math.max(now + 1, next));
+        if (next < Long.MAX_VALUE && !closed) {
+            loop.deadlines().set(heartbeat, Math.max(now + 1, next - interval / 6), Math.max(now + 1, next));
         }
     }
 
-    /** A link has come up: it is to have its signs, too. */
-    private void sign() {
-        if (!signs.isSet() && !over) {
-            loop.deadlines().set(signs, loop.micros() + config.silence / SIGNS_A_SILENCE);
+    /** Starts the heartbeat timer, for a link that has come up. */
+    private void scheduleHeartbeat() {
+        if (!heartbeat.isSet() && !closed) {
+            loop.deadlines().set(heartbeat, loop.micros() + config.silenceTimeout / HEARTBEATS_PER_SILENCE_TIMEOUT);
         }
     }
 
@@ -227,34 +229,34 @@
         return hello;
     }
 
-    /** One end of a link, whoever began it. */
+    /** This end of a link, whichever end dialled. */
     private abstract class Link implements Peer, LineStream.Reader {
         private String name = "";
         private String instance = "";
         private int version;
-        private boolean said;
-        private int early;
-        /** When it last sent something, which is a sign of life whatever it is. */
-        private long saidAt;
+        private boolean helloSent;
+        private int messagesBeforeHello;
+        /** When this end last sent a line; any line serves as a heartbeat. */
+        private long sentAt;
 
-        /** True while lines can go out. */
+        /** True while lines can be sent. */
         private boolean open;
 
-        String signOfLife() {
+        String heartbeatLine() {
             return "";
         }
 
-        /** It says again who it is: it has not heard that this end knows. */
-        abstract void metAgain();
+        /** The peer has repeated its hello: it has not received this end's hello yet. */
+        abstract void onRepeatedHello();
 
         abstract boolean write(String line);
 
-        boolean put(String line) {
-            saidAt = loop.micros();
+        boolean writeLine(String line) {
+            sentAt = loop.micros();
             return write(line);
         }
 
-        abstract void shut();
+        abstract void closeStream();
 
         boolean isUp() {
             return version > 0;
@@ -277,17 +279,17 @@
 
         @Override
         public boolean send(JsonObject message) {
-            if (!isUp() || over) {
+            if (!isUp() || closed) {
                 return false;
             }
             counters.add("fleet.sent");
-            return put(message.toString());
+            return writeLine(message.toString());
         }
 
-        void greet() {
-            if (!said) {
-                said = true;
-                put(hello().toString());
+        void sendHello() {
+            if (!helloSent) {
+                helloSent = true;
+                writeLine(hello().toString());
             }
         }
 
@@ -299,76 +301,75 @@
                         .getAsJsonObject();
             } catch (JsonParseException | IllegalStateException e) {
                 counters.add("fleet.garbled");
-                end("a line that is no JSON object");
+                end("a line is not a JSON object");
                 return;
             }
             try {
-                take(message);
+                receive(message);
             } catch (IllegalStateException
                     | NullPointerException
                     | NumberFormatException
                     | UnsupportedOperationException
                     | ClassCastException
                     | IndexOutOfBoundsException e) {
-                // A field is missing or of another form: whoever sent it is of no build that we know.
+                // A field is missing or malformed: the sender is not a known build.
                 counters.add("fleet.garbled");
-                LOG.warn("fleet: {} sent what can't be read: {}", name.isEmpty() ? "a peer" : name, e.toString());
+                LOG.warn("fleet: malformed message from {}: {}", name.isEmpty() ? "unknown peer" : name, e.toString());
             }
         }
 
-        private void take(JsonObject message) {
+        private void receive(JsonObject message) {
             JsonElement type = message.get("t");
             String kind = type == null || !type.isJsonPrimitive() ? "" : type.getAsString();
             counters.add("fleet.received");
             if (!isUp()) {
-                // Where words are lost or overtake each other, the first one heard need not be the first
-                // one said.
+                // Messages may be lost or reordered, so the first one received need not be the hello.
                 if (kind.equals("hello")) {
-                    met(message);
-                } else if (++early > MOST_EARLY) {
-                    end("it did not say who it is");
+                    onHello(message);
+                } else if (++messagesBeforeHello > MAX_MESSAGES_BEFORE_HELLO) {
+                    end("no hello received");
                 }
                 return;
             }
             if (kind.equals("hello")) {
-                metAgain();
+                onRepeatedHello();
                 return;
             }
             MessageHandler handler = handlers.get(kind);
             if (handler == null) {
                 counters.add("fleet.unknown");
             } else {
-                handler.take(this, message);
+                handler.receive(this, message);
             }
         }
 
-        private void met(JsonObject hello) {
+        private void onHello(JsonObject hello) {
             int highest = Math.min(hello.get("to").getAsInt(), NEWEST_VERSION);
             if (highest < Math.max(hello.get("from").getAsInt(), OLDEST_VERSION)) {
                 counters.add("fleet.other_version");
-                end("it speaks versions " + hello.get("from") + " to " + hello.get("to") + ", this build "
+                end("it supports versions " + hello.get("from") + " to " + hello.get("to") + ", this build "
                         + OLDEST_VERSION + " to " + NEWEST_VERSION);
                 return;
             }
             name = hello.get("name").getAsString();
             instance = hello.get("life").getAsString();
-            greet();
+            sendHello();
             version = highest;
-            up.forEach(one -> one.accept(this));
+            upListeners.forEach(listener -> listener.accept(this));
         }
 
-        /** It is over, whoever ended it. */
+        /** Ends the link, whichever end caused it. */
         void end(String why) {
-            boolean was = isUp();
+            boolean wasUp = isUp();
             open = false;
             version = 0;
-            said = false;
-            early = 0;
-            shut();
-            if (was) {
+            helloSent = false;
+            messagesBeforeHello = 0;
+            closeStream();
+            if (wasUp) {
                 counters.add("fleet.links_lost");
-                LOG.info("fleet: the link with {} ended: {}", name, why);
-                down.forEach(one -> one.accept(this));
+                LOG.info("fleet: link to {} ended: {}", name, why);
+                downListeners.forEach(listener -> listener.accept(this));
             }
         }
 
@@ -378,20 +379,20 @@
         }
     }
 
-    /** A link that this process keeps up. */
+    /** A link that this process dials. */
     private final class Dialled extends Link {
-        private final String wanted;
+        private final String expectedName;
         private final String address;
         private LineStream stream;
         private int failures;
 
-        private Dialled(String wanted, String address) {
-            this.wanted = wanted;
+        private Dialled(String expectedName, String address) {
+            this.expectedName = expectedName;
             this.address = address;
         }
 
         private void begin() {
-            if (over || stream != null) {
+            if (closed || stream != null) {
                 return;
             }
             counters.add("fleet.dials");
@@ -400,38 +401,38 @@
                     address,
                     PATH,
                     token == null ? "" : "Authorization: Bearer " + token + "\r\n",
-                    config.silence,
-                    config.silence,
-                    MOST_LINE,
+                    config.silenceTimeout,
+                    config.silenceTimeout,
+                    MAX_LINE_BYTES,
                     this);
         }
 
         @Override
         public void up() {
             super.open = true;
-            greet();
-            sign();
+            sendHello();
+            scheduleHeartbeat();
         }
 
         @Override
-        String signOfLife() {
+        String heartbeatLine() {
             return isUp() ? "" : hello().toString();
         }
 
         @Override
         public void line(byte[] text) {
             super.line(text);
-            if (isUp() && !name().equals(wanted)) {
-                LOG.error("fleet: at {} is {}, the file says {}", address, name(), wanted);
-                end("it is another");
+            if (isUp() && !name().equals(expectedName)) {
+                LOG.error("fleet: the scheduler at {} is {}, configured as {}", address, name(), expectedName);
+                end("unexpected name");
             } else if (isUp()) {
                 failures = 0;
             }
         }
 
         @Override
-        void metAgain() {
-            // An answer to a word that was said twice.
+        void onRepeatedHello() {
+            // The answer to a hello that was sent twice.
         }
 
         @Override
@@ -440,39 +441,40 @@
         }
 
         @Override
-        void shut() {
+        void closeStream() {
             if (stream == null) {
                 return;
             }
             stream.close();
             stream = null;
-            if (!over) {
-                long most = Math.min(config.longestBackoff, FIRST_BACKOFF << Math.min(failures++, MOST_DOUBLINGS));
-                loop.deadlines().at(loop.micros() + 1 + random.nextLong(most), this::begin);
+            if (!closed) {
+                long backoff = Math.min(
+                        config.maxBackoff, FIRST_BACKOFF_MICROS << Math.min(failures++, MAX_BACKOFF_DOUBLINGS));
+                loop.deadlines().at(loop.micros() + 1 + random.nextLong(backoff), this::begin);
             }
         }
     }
 
-    /** A link that another keeps up. */
+    /** A link that the other end has dialled. */
     private final class Accepted extends Link {
         private final StreamPort.Stream stream;
 
         private Accepted(StreamPort.Stream stream) {
             this.stream = stream;
-            super.saidAt = loop.micros();
+            super.sentAt = loop.micros();
             super.open = true;
             accepted.add(this);
-            sign();
+            scheduleHeartbeat();
         }
 
         @Override
-        void metAgain() {
-            put(hello().toString());
+        void onRepeatedHello() {
+            writeLine(hello().toString());
         }
 
         @Override
         public void up() {
-            // Whoever dials speaks first.
+            // The dialling end sends its hello first.
         }
 
         @Override
@@ -481,7 +483,7 @@
         }
 
         @Override
-        void shut() {
+        void closeStream() {
             accepted.remove(this);
             stream.close();
         }
@@ -495,13 +497,17 @@
 
         @Override
         public void asked(String verb, String path, byte[] body, StreamPort.Answer answer) {
-            for (Map.Entry<String, RequestHandler> one : paths.entrySet()) {
-                if (path.startsWith(one.getKey())) {
-                    one.getValue().asked(verb, path, body, answer);
+            for (Map.Entry<String, RequestHandler> entry : requestHandlers.entrySet()) {
+                if (path.startsWith(entry.getKey())) {
+                    entry.getValue().answer(verb, path, body, answer);
                     return;
                 }
             }
-            answer.say(404, "text/plain", "", "known are " + String.join(", ", paths.keySet()) + "\n");
+            answer.say(
+                    404,
+                    "text/plain",
+                    "",
+                    "unknown path; known paths: " + String.join(", ", requestHandlers.keySet()) + "\n");
         }
     }
 }
--- a/src/main/java/laneflow/fleet/FleetConfig.java
+++ b/src/main/java/laneflow/fleet/FleetConfig.java
@@ -7,24 +7,24 @@
 import laneflow.config.Table;
 import laneflow.net.Loop;
 
-/** What the operators set for the link between schedulers: the table {@code [fleet]}. */
+/** Operator settings for the links between schedulers: the table {@code [fleet]}. */
 public final class FleetConfig {
     private static final String NAME = "[A-Za-z0-9_.-]{1,64}";
 
-    /** This scheduler's name, the same over restarts and unlike all others'. */
+    /** This scheduler's name: unique in the fleet and unchanged by restarts. */
     public final String name;
-    /** Where others reach it; also where operators ask and order. */
+    /** Address for links from other schedulers and for requests of operators. */
     public final String listen;
-    /** Where the token is read from that all schedulers show each other, or null. */
+    /** File with the token that schedulers authenticate with, or null. */
     public final Path tokenFile;
-    /** Names and addresses of schedulers that links may be kept to. */
+    /** Addresses of the schedulers that may be dialled, by name. */
     public final Map<String, String> peers = new LinkedHashMap<>();
-    /** Microseconds without a byte after which a link counts as dead. */
-    public final long silence;
-    /** Microseconds between two tries of a link, at most. */
-    public final long longestBackoff;
-    /** Connections that others may keep to this one. */
-    public final int mostLinks;
+    /** Microseconds without a byte received after which a link counts as dead. */
+    public final long silenceTimeout;
+    /** Upper bound of the backoff before a link is dialled again, in microseconds. */
+    public final long maxBackoff;
+    /** Limit on the connections that other schedulers keep to this one. */
+    public final int maxLinks;
 
     private FleetConfig(Table from, String ownName) {
         name = from.text("name", ownName);
@@ -35,21 +35,21 @@
         address(from, "listen", listen);
         String token = from.text("token_file", null);
         tokenFile = token == null ? null : Path.of(token);
-        silence = from.whole("silence_ms", 3000, 50, 3_600_000) * 1000;
-        longestBackoff = from.whole("longest_backoff_ms", 500, 10, 3_600_000) * 1000;
-        mostLinks = (int) from.whole("most_links", 1024, 8, 1 << 16);
-        Table named = from.table("peers");
-        if (named != null) {
-            for (String peer : named.keys()) {
-                String at = named.text(peer);
-                address(named, peer, at);
-                peers.put(peer, at);
+        silenceTimeout = from.whole("silence_ms", 3000, 50, 3_600_000) * 1000;
+        maxBackoff = from.whole("longest_backoff_ms", 500, 10, 3_600_000) * 1000;
+        maxLinks = (int) from.whole("most_links", 1024, 8, 1 << 16);
+        Table peerTable = from.table("peers");
+        if (peerTable != null) {
+            for (String peer : peerTable.keys()) {
+                String address = peerTable.text(peer);
+                address(peerTable, peer, address);
+                peers.put(peer, address);
             }
         }
         from.close();
     }
 
-    /** An address of the table; null where it is missing, or none: that is a finding. */
+    /** Parses an address in the table. Returns null if it is missing, or invalid and reported as a finding. */
     public static InetSocketAddress address(Table from, String key, String text) {
         try {
             return text == null || text.isEmpty() ? null : Loop.address(text);
@@ -60,9 +60,9 @@
     }
 
     /**
-     * Reads the table; what is wrong becomes findings of the table's.
+     * Reads the table; errors are reported as findings on it.
      *
-     * @param ownName the scheduler's name where the table has none
+     * @param ownName the scheduler's name if the table has none
      */
     public static FleetConfig read(Table from, String ownName) {
         return new FleetConfig(from, ownName);
--- a/src/main/java/laneflow/fleet/Peer.java
+++ b/src/main/java/laneflow/fleet/Peer.java
@@ -3,24 +3,24 @@
 import com.google.gson.JsonObject;
 
 /**
- * Another scheduler at the end of a link that is up. Two processes of one name, as amid an upgrade or where
- * one has been started anew, are two peers: they differ in their lives.
+ * Another scheduler at the other end of a link that is up. Two processes with the same name, as during an
+ * upgrade or after a restart, are two peers with different instances.
  */
 public interface Peer {
-    /** The name that its operators gave it. */
+    /** The configured name of the scheduler. */
     String name();
 
-    /** The life of the process: unlike that of any other process of this name. */
+    /** Identifies the process among all those that run or have run under its name. */
     String instance();
 
-    /** Name and life. */
+    /** Name and instance. */
     default String id() {
         return name() + "#" + instance();
     }
 
-    /** The version of the messages that both ends know. */
+    /** The negotiated version of the messages. */
     int version();
 
-    /** Sends a message; false if the link can't take it, and then it ends. */
+    /** Sends a message. Returns false if the link can't take it; the link then ends. */
     boolean send(JsonObject message);
 }
--- a/src/main/java/laneflow/fleet/package-info.java
+++ b/src/main/java/laneflow/fleet/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Links between schedulers: lines of JSON over long HTTP exchanges, kept up with growing waits, and
- * ended when nothing is heard in time. Messages may be lost when a link ends; whoever needs an answer
- * asks again.
+ * Links between schedulers: lines of JSON over long-lived HTTP exchanges, redialled with increasing backoff
+ * and closed when nothing is received in time. Messages may be lost when a link ends; callers that need an
+ * answer must ask again.
  */
 package laneflow.fleet;
