--- a/src/main/java/laneflow/task/Hooks.java
+++ b/src/main/java/laneflow/task/Hooks.java
@@ -17,153 +17,156 @@
 import laneflow.task.decision.TaskHolder.Action;
 
 /**
- * Addresses that the fleet calls once a period, whoever does it: a task each, placed over the live
- * schedulers. A call carries its task's token and how long it may take; it is written in one piece right
- * behind a look at the clock, and its connection is closed when its time is over. On the loop's thread, but
- * for the calls, which block on threads of their own.
+ * Addresses that the fleet calls once per period. Each hook is a task placed on one of the live schedulers.
+ * A call carries its task's token and the time left for it; it is written in one piece directly after a check
+ * of the clock, and its connection is closed at its deadline. Runs on the loop's thread, except for the calls,
+ * which block threads of their own.
  */
 public final class Hooks {
-    private static final String TASK = "hook/";
-    /** A thread for each call under way, and one that comes back from it. */
-    private static final int THREADS_A_HOOK = 2;
+    private static final String TASK_PREFIX = "hook/";
+    /** One for the call in progress and one that may still be returning from the previous call. */
+    private static final int THREADS_PER_HOOK = 2;
 
-    private static final int SOON = 20_000;
+    private static final int RETRY_MICROS = 20_000;
 
     private final Loop loop;
     private final Tasks tasks;
     private final Counters counters;
     private final String self;
-    /** One that hangs holds up no other's. */
+    /** Has enough threads that a hanging call delays no other hook. */
     private final ExecutorService threads;
 
-    private final List<One> all = new ArrayList<>();
+    private final List<Caller> callers = new ArrayList<>();
 
-    /** @param self this process, for the receiver's log */
+    /** @param self id of this process, sent in each call for the receiver's log */
     public Hooks(Loop loop, Tasks tasks, Counters counters, String self, List<Hook> hooks) {
         this.loop = loop;
         this.tasks = tasks;
         this.counters = counters;
         this.self = self;
-        threads = Threads.atMost(Math.max(1, THREADS_A_HOOK * hooks.size()), "hook");
-        hooks.forEach(hook -> all.add(new One(hook)));
-        tasks.onGrant(() -> all.forEach(One::look));
+        threads = Threads.atMost(Math.max(1, THREADS_PER_HOOK * hooks.size()), "hook");
+        hooks.forEach(hook -> callers.add(new Caller(hook)));
+        tasks.onGrant(() -> callers.forEach(Caller::update));
     }
 
-    /** On the loop: from now on this process takes part. */
+    /** Makes this process a candidate for all hooks. On the loop's thread. */
     public void begin() {
-        all.forEach(one -> tasks.addCandidacy(TASK + one.hook.name(), true));
+        callers.forEach(caller -> tasks.addCandidacy(TASK_PREFIX + caller.hook.name(), true));
     }
 
-    private final class One {
+    /** Makes the calls of one hook while this process holds its task. */
+    private final class Caller {
         private final Hook hook;
         private final Deadline due = loop.deadlines().create(this::run);
         private boolean held;
-        private boolean busy;
+        private boolean calling;
 
-        private One(Hook hook) {
+        private Caller(Hook hook) {
             this.hook = hook;
         }
 
-        private void look() {
-            boolean now = tasks.holds(TASK + hook.name());
-            if (now && !held && !busy) {
+        /** Called after each grant: starts the calls if this process has gained the task. */
+        private void update() {
+            boolean now = tasks.holds(TASK_PREFIX + hook.name());
+            if (now && !held && !calling) {
                 loop.deadlines().set(due, loop.micros());
             }
             held = now;
         }
 
         private void run() {
-            if (busy) {
+            if (calling) {
                 return;
             }
-            Action act = held ? tasks.begin(TASK + hook.name(), hook.most(), hook.need()) : null;
-            if (act == null) {
-                // Its lease is about to be renewed, or lost: then the next word says so.
-                if (tasks.holds(TASK + hook.name())) {
-                    loop.deadlines().set(due, loop.micros() + Math.min(SOON, hook.every()));
+            Action action = held ? tasks.begin(TASK_PREFIX + hook.name(), hook.timeout(), hook.lateSafety()) : null;
+            if (action == null) {
+                // The lease is about to be renewed, or was lost and the next grant will tell.
+                if (tasks.holds(TASK_PREFIX + hook.name())) {
+                    loop.deadlines().set(due, loop.micros() + Math.min(RETRY_MICROS, hook.period()));
                 } else {
                     held = false;
                 }
                 return;
             }
-            busy = true;
-            long again = loop.micros() + hook.every();
+            calling = true;
+            long nextCall = loop.micros() + hook.period();
             try {
                 threads.execute(() -> {
-                    String failed = call(act);
+                    String failure = call(action);
                     try {
-                        loop.later(() -> over(act, failed, again));
+                        loop.later(() -> finish(action, failure, nextCall));
                     } catch (RejectedExecutionException e) {
-                        // The loop has ended, and with it what the call was for.
+                        // The loop has ended: nobody is left to take the result.
                         counters.add("task.calls_unheard");
                     }
                 });
             } catch (RejectedExecutionException e) {
-                over(act, "no thread", again);
+                finish(action, "no thread available", nextCall);
             }
         }
 
-        private void over(Action act, String failed, long again) {
-            busy = false;
-            tasks.end(act);
-            counters.add(failed == null ? "task.calls" : "task.calls_failed");
-            loop.deadlines().set(due, Math.max(loop.micros(), again));
+        private void finish(Action action, String failure, long nextCall) {
+            calling = false;
+            tasks.end(action);
+            counters.add(failure == null ? "task.calls" : "task.calls_failed");
+            loop.deadlines().set(due, Math.max(loop.micros(), nextCall));
         }
 
-        /** Null where it was answered with success, else why not. Closed by the act's end, whatever comes. */
-        private String call(Action act) {
+        /** Returns null on success, else the reason of the failure. Ends by the action's deadline in any case. */
+        private String call(Action action) {
             try (Socket socket = new Socket()) {
                 socket.setTcpNoDelay(true);
-                InetSocketAddress to = Loop.address(hook.at());
-                long left = left(act);
+                InetSocketAddress to = Loop.address(hook.address());
+                long left = millisLeft(action);
                 if (left <= 0) {
-                    return "its time was over before it began";
+                    return "deadline passed before the connect";
                 }
                 socket.connect(to, (int) left);
-                left = left(act);
-                byte[] head = ("POST " + hook.path() + " HTTP/1.1\r\nHost: " + hook.at()
+                left = millisLeft(action);
+                byte[] head = ("POST " + hook.path() + " HTTP/1.1\r\nHost: " + hook.address()
                                 + "\r\nContent-Length: 0"
-                                + "\r\nConnection: close\r\nTask: " + act.task() + "\r\nTask-Token: " + act.token()
+                                + "\r\nConnection: close\r\nTask: " + action.task() + "\r\nTask-Token: "
+                                + action.token()
                                 + "\r\nTask-Holder: " + self + "\r\nTask-Ends-Ms: " + left + "\r\n\r\n")
                         .getBytes(StandardCharsets.US_ASCII);
-                // Nothing stands between this look at the clock and the bytes; a process that is stopped
-                // here all the same is why each hook says what a late call does.
-                if (left(act) <= 0) {
-                    return "its time was over before it was written";
+                // Nothing runs between this check and the write, but the process may still be suspended here:
+                // that is why each hook declares what makes a late call safe.
+                if (millisLeft(action) <= 0) {
+                    return "deadline passed before the request was written";
                 }
                 socket.getOutputStream().write(head);
-                return answer(socket, act);
+                return readResponse(socket, action);
             } catch (IOException e) {
                 return e.toString();
             }
         }
 
-        private String answer(Socket socket, Action act) throws IOException {
+        private String readResponse(Socket socket, Action action) throws IOException {
             InputStream in = socket.getInputStream();
             byte[] status = new byte[16];
-            int had = 0;
-            while (had < status.length) {
-                long left = left(act);
+            int filled = 0;
+            while (filled < status.length) {
+                long left = millisLeft(action);
                 if (left <= 0) {
-                    return "cut off";
+                    return "deadline passed before the response";
                 }
                 socket.setSoTimeout((int) left);
-                int read = in.read(status, had, status.length - had);
+                int read = in.read(status, filled, status.length - filled);
                 if (read < 0) {
                     break;
                 }
-                had += read;
+                filled += read;
             }
-            String line = new String(status, 0, had, StandardCharsets.US_ASCII);
-            return line.startsWith("HTTP/1.1 2") ? null : "answered '" + line.strip() + "'";
+            String line = new String(status, 0, filled, StandardCharsets.US_ASCII);
+            return line.startsWith("HTTP/1.1 2") ? null : "response '" + line.strip() + "'";
         }
 
-        private long left(Action act) {
-            return (act.endsBy() - tasks.now()) / 1000;
+        private long millisLeft(Action action) {
+            return (action.endsBy() - tasks.now()) / 1000;
         }
     }
 
-    /** No further call begins. */
+    /** Starts no further calls. */
     public void close() {
         threads.shutdown();
     }
--- a/src/main/java/laneflow/task/Recovery.java
+++ b/src/main/java/laneflow/task/Recovery.java
@@ -36,23 +36,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Recovery of durable jobs whose scheduler is gone: a task for each store in the folder that all schedulers
- * share. Who holds it and finds the store without a process for long enough makes it its own by renaming its
- * folder under the own store's, holding its lock. A store has one place, so it has one owner: of any number
- * that try, whatever their leases say, one rename succeeds. Then its jobs are taken over, in batches: on disk
- * here first, gone there then; what both have is known by its number. One that dies amid it leaves what it
- * had taken within its own folder, and whoever recovers that recovers both.
+ * Recovery of the durable jobs of dead schedulers: a task for each store in the directory that all schedulers
+ * share. A holder that finds the store without a process for long enough adopts it: it takes the store's lock
+ * and moves the store's directory into that of its own store. A store exists at one path only, so it has one
+ * owner: of any number of processes that try, whatever their leases, one rename succeeds. Its jobs are then
+ * taken over in batches: written to this process's store first, removed from the adopted one after; a job
+ * found in both is recognised by its number. If the adopter dies in between, what it has adopted lies within
+ * its own store's directory, and whoever recovers that store recovers both.
  *
- * <p>A process that stands still has its store's lock: its jobs stay its own for as long as it may wake.
+ * <p>A suspended process still has its store's lock: it keeps its jobs for as long as it may resume.
  */
 public final class Recovery {
     private static final Logger LOG = LoggerFactory.getLogger(Recovery.class);
-    private static final String TASK = "recover/";
+    private static final String TASK_PREFIX = "recover/";
     private static final String ADOPTED = "adopted";
-    private static final int BATCH = 128;
-    private static final int LOOK_MS = 250;
-    private static final int ANSWER_S = 10;
-    private static final int ACT_PARTS = 3;
+    private static final int BATCH_SIZE = 128;
+    private static final int POLL_MS = 250;
+    private static final int LOOP_TIMEOUT_S = 10;
+    private static final int ADOPTIONS_PER_LEASE = 3;
 
     private final Loop loop;
     private final Tasks tasks;
@@ -60,15 +61,16 @@
     private final DurableJobs jobs;
     private final Path stores;
     private final String self;
-    private final long afterNs;
+    private final long adoptAfterNs;
     private final Thread thread;
-    /** Names of stores that this process may take over now, as the loop saw it last. */
+    /** Names of the stores whose tasks this process holds, as of the latest grant. */
     private volatile Set<String> held = Set.of();
 
     private volatile boolean closed;
-    private final Set<String> wanted = new HashSet<>();
-    /** Since when a store has had no process; on the thread of recovery. */
-    private final Map<String, Long> freeSince = new HashMap<>();
+    /** Names of the stores for whose tasks this process is a candidate. */
+    private final Set<String> candidacies = new HashSet<>();
+    /** When each store was first seen without a process; on the recovery thread. */
+    private final Map<String, Long> unlockedSince = new HashMap<>();
 
     public Recovery(Loop loop, Tasks tasks, Counters counters, DurableJobs jobs, TaskConfig config, String self) {
         this.loop = loop;
@@ -77,20 +79,20 @@
         this.jobs = jobs;
         this.self = self;
         stores = config.stores;
-        afterNs = config.after * 1000;
+        adoptAfterNs = config.adoptAfter * 1000;
         thread = Threads.daemon(this::run, "recovery");
-        tasks.onGrant(this::look);
+        tasks.onGrant(this::updateHeld);
     }
 
-    /** Takes part from now on, behind this process's own recovery. */
+    /** Starts; to be called after this process has recovered its own store. */
     public void begin() {
         thread.start();
     }
 
-    private void look() {
+    private void updateHeld() {
         Set<String> now = new HashSet<>();
-        wanted.forEach(name -> {
-            if (tasks.holds(TASK + name)) {
+        candidacies.forEach(name -> {
+            if (tasks.holds(TASK_PREFIX + name)) {
                 now.add(name);
             }
         });
@@ -103,36 +105,36 @@
         while (!closed) {
             try {
                 takeOverAll(stores.resolve(self).resolve(ADOPTED));
-                List<String> names = names();
-                ask(then -> {
-                    want(names);
+                List<String> names = storeNames();
+                callOnLoop(then -> {
+                    updateCandidacies(names);
                     then.complete(true);
                 });
-                freeSince.keySet().retainAll(held);
+                unlockedSince.keySet().retainAll(held);
                 for (String name : held) {
                     adopt(name);
                 }
-                Thread.sleep(LOOK_MS);
+                Thread.sleep(POLL_MS);
             } catch (IOException | UncheckedIOException | TimeoutException e) {
-                LOG.warn("recovery: {}; it is tried again", e.toString());
+                LOG.warn("recovery: failed, will be retried: {}", e.toString());
             } catch (InterruptedException | RejectedExecutionException e) {
                 return;
             }
         }
     }
 
-    /** Has the loop do it, and waits for what it says. */
-    private <T> T ask(Consumer<CompletableFuture<T>> what) throws InterruptedException, TimeoutException {
-        CompletableFuture<T> answer = new CompletableFuture<>();
-        loop.later(() -> what.accept(answer));
+    /** Runs the call on the loop and waits for its result. */
+    private <T> T callOnLoop(Consumer<CompletableFuture<T>> call) throws InterruptedException, TimeoutException {
+        CompletableFuture<T> reply = new CompletableFuture<>();
+        loop.later(() -> call.accept(reply));
         try {
-            return answer.get(ANSWER_S, TimeUnit.SECONDS);
+            return reply.get(LOOP_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (ExecutionException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private List<String> names() throws IOException {
+    private List<String> storeNames() throws IOException {
         List<String> names = new ArrayList<>();
         try (Stream<Path> all = Files.list(stores)) {
             all.filter(Files::isDirectory)
@@ -143,22 +145,22 @@
         return names;
     }
 
-    private void want(List<String> names) {
-        for (String gone : new ArrayList<>(wanted)) {
+    private void updateCandidacies(List<String> names) {
+        for (String gone : new ArrayList<>(candidacies)) {
             if (!names.contains(gone)) {
-                wanted.remove(gone);
-                tasks.removeCandidacy(TASK + gone);
+                candidacies.remove(gone);
+                tasks.removeCandidacy(TASK_PREFIX + gone);
             }
         }
         for (String name : names) {
-            if (wanted.add(name)) {
-                tasks.addCandidacy(TASK + name, true);
+            if (candidacies.add(name)) {
+                tasks.addCandidacy(TASK_PREFIX + name, true);
             }
         }
-        look();
+        updateHeld();
     }
 
-    /** Makes a store its own that has had no process for long enough. */
+    /** Adopts a store if it has had no process for long enough. */
     private void adopt(String name) throws IOException, InterruptedException, TimeoutException {
         Path from = stores.resolve(name);
         if (!Files.exists(from.resolve("lock"))) {
@@ -166,40 +168,39 @@
         }
         try (FileChannel lock = FileChannel.open(from.resolve("lock"), StandardOpenOption.WRITE)) {
             if (!FolderLock.take(lock)) {
-                freeSince.remove(name);
+                unlockedSince.remove(name);
                 return;
             }
             long now = System.nanoTime();
-            if (now - freeSince.computeIfAbsent(name, first -> now) < afterNs) {
+            if (now - unlockedSince.computeIfAbsent(name, first -> now) < adoptAfterNs) {
                 return;
             }
-            Action act = ask(then ->
-                    then.complete(tasks.begin(TASK + name, tasks.lease() / ACT_PARTS, LateSafety.TOKEN_CHECKED)));
-            if (act == null) {
+            Action action = callOnLoop(then -> then.complete(
+                    tasks.begin(TASK_PREFIX + name, tasks.lease() / ADOPTIONS_PER_LEASE, LateSafety.TOKEN_CHECKED)));
+            if (action == null) {
                 return;
             }
             try {
-                Path to = stores.resolve(self).resolve(ADOPTED).resolve(name + "." + act.token());
+                Path to = stores.resolve(self).resolve(ADOPTED).resolve(name + "." + action.token());
                 Files.createDirectories(to.getParent());
-                if (tasks.now() < act.endsBy()) {
-                    // Behind its lease too it would be the only one: the store is at one place, under one
-                    // lock.
+                if (tasks.now() < action.endsBy()) {
+                    // The rename is exclusive even after the lease: the store has one path and one lock.
                     Files.move(from, to, StandardCopyOption.ATOMIC_MOVE);
                     counters.add("task.stores_adopted");
                     LOG.info(
-                            "recovery: {} has had no process for {} ms and is taken over by token {}",
+                            "recovery: {} has had no process for {} ms and is adopted with token {}",
                             name,
-                            (now - freeSince.get(name)) / 1_000_000,
-                            act.token());
+                            (now - unlockedSince.get(name)) / 1_000_000,
+                            action.token());
                 }
             } finally {
-                loop.later(() -> tasks.end(act));
+                loop.later(() -> tasks.end(action));
             }
         }
-        freeSince.remove(name);
+        unlockedSince.remove(name);
     }
 
-    /** Takes over the jobs of all stores there, and of those that they had taken in turn. */
+    /** Takes over the jobs of all adopted stores, and of the stores that these had adopted in turn. */
     private void takeOverAll(Path adopted) throws IOException, InterruptedException, TimeoutException {
         if (!Files.isDirectory(adopted)) {
             return;
@@ -208,22 +209,22 @@
         try (Stream<Path> found = Files.list(adopted)) {
             all = found.filter(Files::isDirectory).sorted().toList();
         }
-        for (Path one : all) {
-            if (takeOver(one)) {
-                takeOverAll(one.resolve(ADOPTED));
-                remove(one);
+        for (Path dir : all) {
+            if (takeOver(dir)) {
+                takeOverAll(dir.resolve(ADOPTED));
+                remove(dir);
             }
         }
     }
 
-    /** True once nothing is left there. */
+    /** Takes over the jobs of one store. True if none are left there. */
     private boolean takeOver(Path dir) throws IOException, InterruptedException, TimeoutException {
         int taken = 0;
         try (Store store = Store.open(dir, StoreMaintenance.NO_LIMIT)) {
             List<JobRow> rows = new ArrayList<>();
             store.read(true, rows::add);
-            for (int from = 0; from < rows.size(); from += BATCH) {
-                List<JobRow> batch = rows.subList(from, Math.min(rows.size(), from + BATCH));
+            for (int from = 0; from < rows.size(); from += BATCH_SIZE) {
+                List<JobRow> batch = rows.subList(from, Math.min(rows.size(), from + BATCH_SIZE));
                 Map<Long, byte[]> results = new HashMap<>();
                 for (JobRow row : batch) {
                     byte[] result = store.result(row.id());
@@ -231,16 +232,16 @@
                         results.put(row.id(), result);
                     }
                 }
-                List<Long> here = ask(then -> jobs.takeOver(batch, results, then::complete));
-                StoreMaintenance.drop(store, here);
-                taken += here.size();
-                if (here.size() < batch.size()) {
-                    // The own store is full, or fails: the rest stays where it is.
+                List<Long> stored = callOnLoop(then -> jobs.takeOver(batch, results, then::complete));
+                StoreMaintenance.drop(store, stored);
+                taken += stored.size();
+                if (stored.size() < batch.size()) {
+                    // This process's own store is full or has failed: the rest stays in the adopted one.
                     return false;
                 }
             }
         }
-        LOG.info("recovery: {} jobs of {} were taken over", taken, dir.getFileName());
+        LOG.info("recovery: took over {} jobs of {}", taken, dir.getFileName());
         return true;
     }
 
@@ -252,7 +253,7 @@
         }
     }
 
-    /** Nothing further is taken over. On any thread. */
+    /** Stops taking over. On any thread. */
     public void close() {
         closed = true;
         thread.interrupt();
--- a/src/main/java/laneflow/task/TaskWords.java
+++ b/src/main/java/laneflow/task/TaskCodec.java
@@ -12,60 +12,61 @@
 import laneflow.task.decision.TaskGrant;
 import laneflow.task.decision.TaskRenewal;
 
-/** What holders and their leader say to each other, as it rides on renewals and grants. */
-final class TaskWords {
-    private TaskWords() {}
+/** JSON form of task renewals and task grants, which are carried in the renewals and grants of policy. */
+final class TaskCodec {
+    private TaskCodec() {}
 
-    static JsonObject said(TaskRenewal said) {
+    static JsonObject renewal(TaskRenewal renewal) {
         JsonObject all = new JsonObject();
-        all.addProperty("term", said.heardTerm());
-        all.addProperty("seq", said.heardSeq());
-        all.addProperty("known", said.knownTerm());
-        all.addProperty("v", said.knownVersion());
-        all.addProperty("wants", said.wants());
-        if (said.all() != null) {
-            all.add("line", array(said.all().line()));
-            all.add("spread", array(said.all().spread()));
+        all.addProperty("term", renewal.heardTerm());
+        all.addProperty("seq", renewal.heardSeq());
+        all.addProperty("known", renewal.knownTerm());
+        all.addProperty("v", renewal.knownVersion());
+        all.addProperty("wants", renewal.candidacyDigest());
+        if (renewal.candidacy() != null) {
+            all.add("line", array(renewal.candidacy().rotating()));
+            all.add("spread", array(renewal.candidacy().placed()));
         }
-        if (said.draining()) {
+        if (renewal.draining()) {
             all.addProperty("drains", true);
         }
-        if (!said.gives().isEmpty()) {
-            all.add("gives", tokens(said.gives()));
+        if (!renewal.givenUp().isEmpty()) {
+            all.add("gives", tokens(renewal.givenUp()));
         }
         return all;
     }
 
-    static TaskRenewal said(JsonObject from) {
-        Candidacy all = from.has("line") ? new Candidacy(texts(from.get("line")), texts(from.get("spread"))) : null;
+    static TaskRenewal renewal(JsonObject from) {
+        Candidacy candidacy =
+                from.has("line") ? new Candidacy(strings(from.get("line")), strings(from.get("spread"))) : null;
         return new TaskRenewal(
                 from.get("term").getAsInt(),
                 from.get("seq").getAsLong(),
                 from.get("known").getAsInt(),
                 from.get("v").getAsLong(),
                 from.get("wants").getAsString(),
-                all,
+                candidacy,
                 from.has("drains"),
                 from.has("gives") ? tokens(from.getAsJsonObject("gives")) : Map.of());
     }
 
-    static JsonObject word(TaskGrant word) {
+    static JsonObject grant(TaskGrant grant) {
         JsonObject all = new JsonObject();
-        all.addProperty("term", word.term());
-        all.addProperty("seq", word.seq());
-        all.addProperty("now", word.leaderNow());
-        all.addProperty("until", word.until());
-        all.addProperty("v", word.version());
-        if (word.holds() != null) {
-            all.add("holds", tokens(word.holds()));
+        all.addProperty("term", grant.term());
+        all.addProperty("seq", grant.seq());
+        all.addProperty("now", grant.leaderNow());
+        all.addProperty("until", grant.expiresAt());
+        all.addProperty("v", grant.version());
+        if (grant.holds() != null) {
+            all.add("holds", tokens(grant.holds()));
         }
-        if (word.wantsMissing()) {
+        if (grant.candidacyMissing()) {
             all.addProperty("missing", true);
         }
         return all;
     }
 
-    static TaskGrant word(JsonObject from) {
+    static TaskGrant grant(JsonObject from) {
         return new TaskGrant(
                 from.get("term").getAsInt(),
                 from.get("seq").getAsLong(),
@@ -84,19 +85,20 @@
 
     private static SortedMap<String, Long> tokens(JsonObject from) {
         SortedMap<String, Long> all = new TreeMap<>();
-        from.entrySet().forEach(one -> all.put(one.getKey(), one.getValue().getAsLong()));
+        from.entrySet()
+                .forEach(entry -> all.put(entry.getKey(), entry.getValue().getAsLong()));
         return all;
     }
 
-    static JsonArray array(Iterable<String> texts) {
+    static JsonArray array(Iterable<String> strings) {
         JsonArray all = new JsonArray();
-        texts.forEach(all::add);
+        strings.forEach(all::add);
         return all;
     }
 
-    private static Set<String> texts(JsonElement from) {
+    private static Set<String> strings(JsonElement from) {
         Set<String> all = new LinkedHashSet<>();
-        from.getAsJsonArray().forEach(one -> all.add(one.getAsString()));
+        from.getAsJsonArray().forEach(element -> all.add(element.getAsString()));
         return all;
     }
 }
--- a/src/main/java/laneflow/task/TaskConfig.java
+++ b/src/main/java/laneflow/task/TaskConfig.java
@@ -8,76 +8,79 @@
 import laneflow.policy.PolicyConfig;
 import laneflow.task.decision.TaskHolder.LateSafety;
 
-/** What the operators set for tasks that the fleet does once: the table {@code [tasks]}. */
+/** Operator settings for fleet-wide tasks: the table {@code [tasks]}. */
 public final class TaskConfig {
     private static final String NAME = "[A-Za-z0-9_.-]{1,64}";
 
     /**
-     * An address that the fleet calls from time to time, once and not once a scheduler.
+     * An address that the fleet calls periodically, from one scheduler at a time.
      *
-     * @param every microseconds from one call to the next
-     * @param most microseconds after which a call is cut off
-     * @param need what makes a call harmless that comes behind its lease
+     * @param period microseconds from one call to the next
+     * @param timeout microseconds after which a call is cut off
+     * @param lateSafety what makes a call safe that takes effect after its lease has ended
      */
-    public record Hook(String name, String at, String path, long every, long most, LateSafety need) {}
+    public record Hook(String name, String address, String path, long period, long timeout, LateSafety lateSafety) {}
 
     public final List<Hook> hooks = new ArrayList<>();
-    /** Where the stores of all schedulers' durable jobs lie, by their names; null: adopted by hand. */
+    /**
+     * Directory with the job stores of all schedulers, named after the schedulers; null if stores are only
+     * adopted by the operator.
+     */
     public final Path stores;
-    /** Microseconds for which a store must have had no process before another takes its jobs over. */
-    public final long after;
+    /** Microseconds for which a store must have had no process before another scheduler adopts it. */
+    public final long adoptAfter;
 
     private TaskConfig(Table from, PolicyConfig policy) {
         if (policy == null) {
-            from.wrong("", "needs the table [policy], whose voters give tasks out");
+            from.wrong("", "needs the table [policy], whose voters assign tasks");
         }
         long lease = policy == null ? Long.MAX_VALUE : policy.lease;
         String folder = from.text("stores", null);
         stores = folder == null ? null : Path.of(folder);
-        after = from.whole("adopt_after_ms", 60_000, 100, 86_400_000) * 1000;
-        from.tables("hooks").forEach((name, one) -> {
+        adoptAfter = from.whole("adopt_after_ms", 60_000, 100, 86_400_000) * 1000;
+        from.tables("hooks").forEach((name, table) -> {
             if (!name.matches(NAME)) {
-                one.wrong("", "'" + name + "' is no name: up to 64 letters, digits, '_', '.' and '-'");
+                table.wrong("", "'" + name + "' is not a valid name: up to 64 letters, digits, '_', '.' and '-'");
             }
-            String at = one.text("at");
+            String address = table.text("at");
             try {
-                Loop.address(at);
+                Loop.address(address);
             } catch (IllegalArgumentException e) {
-                one.wrong("at", e.getMessage());
+                table.wrong("at", e.getMessage());
             }
-            String path = one.text("path", "/");
+            String path = table.text("path", "/");
             if (!path.matches("/[!-~]*")) {
-                one.wrong("path", "'" + path + "' is no path: it begins with '/' and has no blanks");
+                table.wrong("path", "'" + path + "' is not a valid path: it must begin with '/' and contain no spaces");
             }
-            long every = one.whole("every_ms", 1000, 10, 86_400_000) * 1000;
-            long most = one.whole("most_ms", 250, 1, 600_000) * 1000;
-            if (most > lease / 2) {
-                one.wrong(
+            long period = table.whole("every_ms", 1000, 10, 86_400_000) * 1000;
+            long timeout = table.whole("most_ms", 250, 1, 600_000) * 1000;
+            if (timeout > lease / 2) {
+                table.wrong(
                         "most_ms",
-                        "is more than half of [policy] lease_ms: a call must be over within its"
-                                + " lease, and a renewed one has that much left for sure");
+                        "is more than half of [policy] lease_ms: a call must end within its"
+                                + " lease, and a renewed lease is certain to have that much time left");
             }
-            String late = one.word("late_calls", "", "checked", "harmless");
+            String late = table.word("late_calls", "", "checked", "harmless");
             if (late.isEmpty()) {
-                one.wrong(
+                table.wrong(
                         "late_calls",
-                        "must say what becomes of a call that comes behind its lease, as of a"
-                                + " process that stood still: 'checked', its receiver turns down a Task-Token"
-                                + " below the highest it has seen; or 'harmless', twice is as good as once");
+                        "must say what makes a call safe that arrives after its lease, e.g. from a"
+                                + " process that was suspended: 'checked', its receiver rejects a Task-Token"
+                                + " below the highest it has seen; or 'harmless', two calls are as good as one");
             }
-            one.close();
+            table.close();
             hooks.add(new Hook(
                     name,
-                    at,
+                    address,
                     path,
-                    every,
-                    most,
+                    period,
+                    timeout,
                     late.equals("checked") ? LateSafety.TOKEN_CHECKED : LateSafety.IDEMPOTENT));
         });
         from.close();
     }
 
-    /** Reads the table; what is wrong becomes findings of the table's. */
+    /** Reads the table; errors are reported as findings on it. */
     public static TaskConfig read(Table from, PolicyConfig policy) {
         return new TaskConfig(from, policy);
     }
--- a/src/main/java/laneflow/task/Tasks.java
+++ b/src/main/java/laneflow/task/Tasks.java
@@ -23,114 +23,124 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tasks that the fleet does once, at one scheduler: what this process holds, by {@link TaskHolder}, and while it
- * leads the voters, who holds what, by {@link TaskLeader}. Both ride on policy's renewals and grants. On the
- * loop's thread.
+ * Fleet-wide tasks, each performed by one scheduler at a time: the tasks that this process holds, in
+ * {@link TaskHolder}, and while it leads the voters, the assignment of all tasks, in {@link TaskLeader}. Both
+ * exchange their messages inside policy's renewals and grants. On the loop's thread.
  *
- * <p>Whoever does a task asks for an {@link Action} for each thing that it does outside, tells how long that
- * takes at most, and cuts it off by then; and says what makes an act harmless that comes behind its lease.
- * There is no way to ask whether a task is held and then to act on the answer.
+ * <p>Whoever performs a task begins an {@link Action} for each external effect, with the longest time that it
+ * takes, cuts it off by then, and states what makes it safe should it take effect after its lease. There is
+ * no way to check whether a task is held and then to act on the result.
  */
 public final class Tasks implements RenewalExtension {
     private static final Logger LOG = LoggerFactory.getLogger(Tasks.class);
     private static final int TURN_LEASES = 30;
-    private static final int QUIET_PARTS = 2;
+    private static final int SILENCES_PER_LEASE = 2;
 
     private final Loop loop;
     private final Fleet fleet;
     private final Counters counters;
-    private final TaskHolder hold = new TaskHolder();
-    private final Set<String> line = new TreeSet<>();
-    private final Set<String> spread = new TreeSet<>();
-    private final List<Runnable> watchers = new ArrayList<>();
-    private final Deadline look;
-    private Carriage by;
-    private Candidacy wants = Candidacy.NONE;
+    private final TaskHolder taskHolder = new TaskHolder();
+    private final Set<String> rotatingTasks = new TreeSet<>();
+    private final Set<String> placedTasks = new TreeSet<>();
+    private final List<Runnable> listeners = new ArrayList<>();
+    private final Deadline nextCheck;
+    private Carriage carriage;
+    private Candidacy candidacy = Candidacy.NONE;
     private String digest = Candidacy.NONE.digest();
-    private boolean everWanted;
+    private boolean everCandidate;
     private boolean draining;
-    /** Null where this process does not lead. */
-    private TaskLeader lead;
+    /** Null while this process does not lead the voters. */
+    private TaskLeader taskLeader;
 
     public Tasks(Loop loop, Fleet fleet, Counters counters) {
         this.loop = loop;
         this.fleet = fleet;
         this.counters = counters;
-        look = loop.deadlines().create(this::step);
-        fleet.serve("/tasks", (verb, path, body, answer) -> answer.say(200, "application/json", "", report() + "\n"));
+        nextCheck = loop.deadlines().create(this::step);
+        fleet.serve(
+                "/tasks", (verb, path, body, response) -> response.say(200, "application/json", "", report() + "\n"));
     }
 
-    /** The clock that acts are timed by, read now; on any thread. */
+    /** Current time of the clock that times actions. On any thread. */
     public long now() {
-        return by.now();
+        return carriage.now();
     }
 
-    /** Microseconds of a lease. */
+    /** Length of a lease in microseconds. */
     public long lease() {
-        return by.lease();
+        return carriage.lease();
     }
 
-    // ---- for those who do tasks ----
+    // ---- for code that performs tasks ----
 
-    /** This process wants to do that task: in its turn, or where it is placed. */
+    /**
+     * Makes this process a candidate for a task.
+     *
+     * @param placed true if the task is placed by hashing, false if it rotates among its candidates
+     */
     public void addCandidacy(String task, boolean placed) {
-        if ((placed ? spread : line).add(task)) {
-            wanted();
+        if ((placed ? placedTasks : rotatingTasks).add(task)) {
+            candidacyChanged();
         }
     }
 
-    /** It wants to do that task no more. */
+    /** This process is no longer a candidate for the task. */
     public void removeCandidacy(String task) {
-        if (line.remove(task) | spread.remove(task)) {
-            wanted();
+        if (rotatingTasks.remove(task) | placedTasks.remove(task)) {
+            candidacyChanged();
         }
     }
 
-    private void wanted() {
-        wants = new Candidacy(new LinkedHashSet<>(line), new LinkedHashSet<>(spread));
-        digest = wants.digest();
-        everWanted = true;
-        by.renewNow();
+    private void candidacyChanged() {
+        candidacy = new Candidacy(new LinkedHashSet<>(rotatingTasks), new LinkedHashSet<>(placedTasks));
+        digest = candidacy.digest();
+        everCandidate = true;
+        carriage.renewNow();
     }
 
-    /** Told whenever the leader has said anything on what is held here. */
-    public void onGrant(Runnable whenTold) {
-        watchers.add(whenTold);
+    /** Adds a listener that is called after each grant from the leader. */
+    public void onGrant(Runnable listener) {
+        listeners.add(listener);
     }
 
     public boolean holds(String task) {
-        return hold.token(task, now()) >= 0;
+        return taskHolder.token(task, now()) >= 0;
     }
 
-    /** Begins an act, or null: not now. What begins is ended by {@link #end}, whatever comes of it. */
-    public Action begin(String task, long most, LateSafety need) {
-        Action act = hold.begin(task, now(), most, need);
-        counters.add(act == null ? "task.not_now" : "task.acts");
-        return act;
+    /**
+     * Begins an action; null if it may not begin now. Every action that begins must be passed to {@link #end},
+     * whatever its outcome.
+     *
+     * @param timeout microseconds after which the action is cut off
+     */
+    public Action begin(String task, long timeout, LateSafety lateSafety) {
+        Action action = taskHolder.begin(task, now(), timeout, lateSafety);
+        counters.add(action == null ? "task.not_now" : "task.acts");
+        return action;
     }
 
-    /** Nothing of it goes on. */
-    public void end(Action act) {
-        if (now() > act.endsBy()) {
+    /** The action is finished or was cut off: no part of it runs any more. */
+    public void end(Action action) {
+        if (now() > action.endsBy()) {
             counters.add("task.acts_late");
         }
-        hold.end(act);
+        taskHolder.end(action);
     }
 
-    /** Another is to have it. */
+    /** Gives up a task so that it is assigned to another process. */
     public void giveUp(String task) {
         counters.add("task.given_up");
-        hold.giveUp(task);
-        by.renewNow();
+        taskHolder.giveUp(task);
+        carriage.renewNow();
     }
 
-    /** This process ends: others take over. */
+    /** This process shuts down: other processes take its tasks over. */
     public void drain() {
         draining = true;
-        by.renewNow();
+        carriage.renewNow();
     }
 
-    // ---- as a rider: at a scheduler ----
+    // ---- renewal extension: at a scheduler ----
 
     @Override
     public String part() {
@@ -138,95 +148,97 @@
     }
 
     @Override
-    public void ride(Carriage carriage) {
-        by = carriage;
+    public void ride(Carriage provided) {
+        carriage = provided;
     }
 
     @Override
     public JsonElement says() {
-        return everWanted ? TaskWords.said(hold.says(wants, digest, draining)) : null;
+        return everCandidate ? TaskCodec.renewal(taskHolder.renewal(candidacy, digest, draining)) : null;
     }
 
     @Override
-    public void told(JsonElement word, long sentAt, long heardAt) {
-        Set<String> before = hold.holds().keySet();
-        if (!hold.take(TaskWords.word(word.getAsJsonObject()), sentAt, heardAt)) {
+    public void told(JsonElement grant, long sentAt, long heardAt) {
+        Set<String> before = taskHolder.holds().keySet();
+        if (!taskHolder.apply(TaskCodec.grant(grant.getAsJsonObject()), sentAt, heardAt)) {
             counters.add("task.old_words");
             return;
         }
-        if (!before.equals(hold.holds().keySet())) {
-            LOG.info("tasks: holds {}", hold.holds());
-            by.renewNow();
+        if (!before.equals(taskHolder.holds().keySet())) {
+            LOG.info("tasks: now holds {}", taskHolder.holds());
+            carriage.renewNow();
         }
-        watchers.forEach(Runnable::run);
+        listeners.forEach(Runnable::run);
     }
 
-    // ---- as a rider: at the leader ----
+    // ---- renewal extension: at the leader ----
 
     @Override
     public void leads(int term) {
-        lead = new TaskLeader(term, now(), new TaskLeader.Times(lease(), lease() / QUIET_PARTS, TURN_LEASES * lease()));
+        taskLeader = new TaskLeader(
+                term, now(), new TaskLeader.Times(lease(), lease() / SILENCES_PER_LEASE, TURN_LEASES * lease()));
     }
 
     @Override
     public void leadsNoMore() {
-        lead = null;
-        loop.deadlines().cancel(look);
+        taskLeader = null;
+        loop.deadlines().cancel(nextCheck);
     }
 
     @Override
     public void confirmed(long submittedAt, Object part) {
-        if (lead != null) {
-            lead.confirmed(submittedAt, (TaskTable.View) part);
+        if (taskLeader != null) {
+            taskLeader.confirmed(submittedAt, (TaskTable.View) part);
             step();
         }
     }
 
     @Override
-    public void heard(String who, JsonElement said) {
-        if (lead != null && said.isJsonObject()) {
-            lead.heard(now(), who, TaskWords.said(said.getAsJsonObject()));
+    public void heard(String process, JsonElement renewal) {
+        if (taskLeader != null && renewal.isJsonObject()) {
+            taskLeader.receive(now(), process, TaskCodec.renewal(renewal.getAsJsonObject()));
             step();
         }
     }
 
     @Override
-    public JsonElement word(String who, boolean unasked) {
-        laneflow.task.decision.TaskGrant word = lead == null ? null : lead.word(now(), who, unasked);
-        return word == null ? null : TaskWords.word(word);
+    public JsonElement word(String process, boolean unasked) {
+        laneflow.task.decision.TaskGrant grant = taskLeader == null ? null : taskLeader.grant(now(), process, unasked);
+        return grant == null ? null : TaskCodec.grant(grant);
     }
 
     @Override
-    public void left(String who) {
-        if (lead != null) {
-            lead.left(who);
+    public void left(String process) {
+        if (taskLeader != null) {
+            taskLeader.leave(process);
             step();
         }
     }
 
     private void step() {
-        if (lead == null) {
+        if (taskLeader == null) {
             return;
         }
-        TaskLeader of = lead;
-        TaskLeader.Step step = of.step(now());
+        TaskLeader current = taskLeader;
+        TaskLeader.Step step = current.step(now());
         for (JsonObject op : step.ops()) {
             counters.add("task.logged");
-            long asked = now();
-            by.replicate(op, answer -> {
+            long startedAt = now();
+            carriage.replicate(op, answer -> {
                 if (answer != null && answer.has("error")) {
-                    LOG.warn("tasks: {}", answer.get("error").getAsString());
+                    LOG.warn(
+                            "tasks: operation rejected: {}", answer.get("error").getAsString());
                 }
-                of.answered(now());
+                current.opsAnswered(now());
                 LOG.info(
-                        "tasks: {} is {} after {} ms",
+                        "tasks: {} {} after {} ms",
                         op,
-                        answer == null ? "not known to be in the log" : "in the log",
-                        (now() - asked) / 1000);
+                        answer == null ? "may not have been logged" : "was logged",
+                        (now() - startedAt) / 1000);
             });
         }
-        loop.deadlines().set(look, loop.micros() + Math.max(1, of.nextLook(now()) - now()));
-        step.tell().forEach(by::tell);
+        loop.deadlines().set(nextCheck, loop.micros() + Math.max(1, current.nextCheck(now()) - now()));
+        step.tell().forEach(carriage::tell);
     }
 
     // ---- reports ----
@@ -234,26 +246,26 @@
     private JsonObject report() {
         JsonObject all = new JsonObject();
         all.addProperty("scheduler", fleet.self().name());
-        all.addProperty("leader", by.leader());
-        JsonObject own = new JsonObject();
-        long left = hold.stop() - now();
-        hold.holds().forEach((task, token) -> own.addProperty(task, token));
-        all.add("holds", own);
-        all.addProperty("lease_ms", hold.holds().isEmpty() || left < 0 ? 0 : left / 1000);
-        all.add("wants", TaskWords.array(line));
-        all.add("placed", TaskWords.array(spread));
-        if (lead != null) {
+        all.addProperty("leader", carriage.leader());
+        JsonObject held = new JsonObject();
+        long left = taskHolder.leaseEnd() - now();
+        taskHolder.holds().forEach((task, token) -> held.addProperty(task, token));
+        all.add("holds", held);
+        all.addProperty("lease_ms", taskHolder.holds().isEmpty() || left < 0 ? 0 : left / 1000);
+        all.add("wants", TaskCodec.array(rotatingTasks));
+        all.add("placed", TaskCodec.array(placedTasks));
+        if (taskLeader != null) {
             JsonArray tasks = new JsonArray();
-            lead.standings(now()).forEach(one -> {
+            taskLeader.statuses(now()).forEach(status -> {
                 JsonObject task = new JsonObject();
-                task.addProperty("task", one.task().name());
-                task.addProperty("kind", one.task().spread() ? "placed" : "in turns");
-                task.addProperty("holder", one.granted() ? one.task().holder() : "");
-                task.addProperty("token", one.task().token());
-                task.addProperty("acts_ms", one.acts() / 1000);
-                task.add("line", TaskWords.array(one.task().line()));
-                if (!one.why().isEmpty()) {
-                    task.addProperty("why", one.why());
+                task.addProperty("task", status.task().name());
+                task.addProperty("kind", status.task().placed() ? "placed" : "in turns");
+                task.addProperty("holder", status.granted() ? status.task().holder() : "");
+                task.addProperty("token", status.task().token());
+                task.addProperty("acts_ms", status.leaseLeft() / 1000);
+                task.add("line", TaskCodec.array(status.task().candidates()));
+                if (!status.reason().isEmpty()) {
+                    task.addProperty("why", status.reason());
                 }
                 tasks.add(task);
             });
--- a/src/main/java/laneflow/task/decision/Candidacy.java
+++ b/src/main/java/laneflow/task/decision/Candidacy.java
@@ -6,25 +6,25 @@
 import laneflow.config.Canonical;
 
 /**
- * What one process wants to do for the fleet.
+ * The tasks for which one process is a candidate.
  *
- * @param line tasks that go round among those that want them, in order of want
- * @param spread tasks that are placed so that all live processes carry about the same
+ * @param rotating tasks that rotate among their candidates, in the order in which these applied
+ * @param placed tasks that are distributed evenly over the live candidates
  */
-public record Candidacy(Set<String> line, Set<String> spread) {
+public record Candidacy(Set<String> rotating, Set<String> placed) {
     public static final Candidacy NONE = new Candidacy(Set.of(), Set.of());
     private static final int DIGEST = 16;
 
     public boolean isNothing() {
-        return line.isEmpty() && spread.isEmpty();
+        return rotating.isEmpty() && placed.isEmpty();
     }
 
-    /** The same for the same wants, whatever order they were said in. */
+    /** Digest of both sets, whatever their iteration order. */
     public String digest() {
         JsonArray all = new JsonArray();
-        new TreeSet<>(line).forEach(all::add);
-        all.add(line.size());
-        new TreeSet<>(spread).forEach(all::add);
+        new TreeSet<>(rotating).forEach(all::add);
+        all.add(rotating.size());
+        new TreeSet<>(placed).forEach(all::add);
         return Canonical.digest(all).substring(0, DIGEST);
     }
 }
--- a/src/main/java/laneflow/task/decision/TaskHolder.java
+++ b/src/main/java/laneflow/task/decision/TaskHolder.java
@@ -10,36 +10,37 @@
 import laneflow.policy.decision.LeaderClock;
 
 /**
- * A holder's side of leased tasks: what it holds by which token, and whether an act may begin now. An act
- * begins only if it is over, by this process's clock with its bound, before the lease ends, and whoever
- * carries it out cuts it off by then. A word that takes a task away is acknowledged only once no act on that
- * task runs any more: what the leader hears is that nothing goes on which it has not allowed.
+ * A holder's side of leased tasks: which tasks it holds with which tokens, and whether an action may begin
+ * now. An action begins only if it ends before the lease does, by this process's clock with its error bound,
+ * and whoever carries it out cuts it off by then. A grant that withdraws a task is acknowledged only once no
+ * action on that task runs any more: an acknowledgement tells the leader that nothing runs which the grant
+ * does not allow.
  *
- * <p>A lease is read in one instant and an act has its effect in a later one. A process that is stopped
- * between the two acts behind its lease, and no clock of its own can prevent that: {@link LateSafety} says what an
- * act must bring so that it does no harm. No I/O; instants are microseconds; not thread-safe.
+ * <p>The lease is checked at one instant and an action takes effect at a later one. A process that is
+ * suspended in between may act after its lease has ended, and its own clock can't prevent that:
+ * {@link LateSafety} says what makes such a late action safe. No I/O; instants are microseconds; not thread-safe.
  */
 public final class TaskHolder {
     private static final long NEVER = Long.MIN_VALUE;
 
-    /** What keeps an act that comes behind its lease from doing harm; there is no other kind. */
+    /** What makes an action safe that takes effect after its lease has ended. Every action needs one of these. */
     public enum LateSafety {
-        /** Whoever it has its effect at checks the token, as {@link FencingTokenCheck} does. */
+        /** The receiver of the action checks the token, as {@link FencingTokenCheck} does. */
         TOKEN_CHECKED,
-        /** Twice at once is as good as once, as of a probe: the operator has said so. */
+        /** Two concurrent runs are as good as one, as for a probe; the operator has declared this. */
         IDEMPOTENT
     }
 
     /**
-     * An act that has begun.
+     * An action that has begun.
      *
-     * @param endsBy it is cut off by then, by this process's clock
+     * @param endsBy when it is cut off, by this process's clock
      */
-    public record Action(String task, long token, long endsBy, LateSafety need) {}
+    public record Action(String task, long token, long endsBy, LateSafety lateSafety) {}
 
     private final LeaderClock clock = new LeaderClock();
     private final List<Action> running = new ArrayList<>();
-    /** The latest token of each task that it has given up, for as long as it is told to hold it. */
+    /** Tokens that this process has given up, by task, for as long as the leader still grants them. */
     private final Map<String, Long> given = new HashMap<>();
 
     private SortedMap<String, Long> holds = Collections.emptySortedMap();
@@ -47,84 +48,84 @@
     private long seq;
     private int knownTerm = -1;
     private long version = -1;
-    private int obeyedTerm = -1;
-    private long obeyedSeq;
-    private long stop = NEVER;
-    private boolean wantsMissing;
+    private int ackedTerm = -1;
+    private long ackedSeq;
+    private long leaseEnd = NEVER;
+    private boolean candidacyMissing;
 
     /**
-     * Takes a leader's word; false if it is older than one taken already or says too little, and changes
-     * nothing.
+     * Applies a grant. Returns false and changes nothing if the grant is older than one applied before, or
+     * lacks information that is needed to apply it.
      *
-     * @param sentAt when the word that it answers went out, or a negative number: it answers none
+     * @param sentAt when the renewal that the grant answers was sent; negative if it answers none
      */
-    public boolean take(TaskGrant word, long sentAt, long heardAt) {
-        if (word.term() < term
-                || word.term() == term && word.seq() <= seq
-                || sentAt < 0 && (word.term() > term || !clock.isKnown())
-                || word.holds() == null && (word.term() != knownTerm || word.version() != version)) {
+    public boolean apply(TaskGrant grant, long sentAt, long heardAt) {
+        if (grant.term() < term
+                || grant.term() == term && grant.seq() <= seq
+                || sentAt < 0 && (grant.term() > term || !clock.isKnown())
+                || grant.holds() == null && (grant.term() != knownTerm || grant.version() != version)) {
             return false;
         }
-        if (word.term() > term) {
-            term = word.term();
+        if (grant.term() > term) {
+            term = grant.term();
             clock.forget();
         }
-        seq = word.seq();
-        clock.stamp(word.leaderNow(), sentAt, heardAt);
-        if (word.holds() != null) {
-            holds = Collections.unmodifiableSortedMap(new TreeMap<>(word.holds()));
-            knownTerm = word.term();
-            version = word.version();
+        seq = grant.seq();
+        clock.stamp(grant.leaderNow(), sentAt, heardAt);
+        if (grant.holds() != null) {
+            holds = Collections.unmodifiableSortedMap(new TreeMap<>(grant.holds()));
+            knownTerm = grant.term();
+            version = grant.version();
             given.entrySet().removeIf(one -> !one.getValue().equals(holds.get(one.getKey())));
         }
-        wantsMissing = word.wantsMissing();
-        stop = word.until() == 0 ? NEVER : clock.noLaterThan(word.until());
-        obey();
+        candidacyMissing = grant.candidacyMissing();
+        leaseEnd = grant.expiresAt() == 0 ? NEVER : clock.noLaterThan(grant.expiresAt());
+        updateAck();
         return true;
     }
 
-    /** What it has taken counts as obeyed once no act runs that it would not allow. */
-    private void obey() {
+    /** Acknowledges the latest applied grant if no action runs that it does not allow. */
+    private void updateAck() {
         boolean allowed = running.stream().allMatch(act -> act.token() == holds.getOrDefault(act.task(), -1L));
         if (allowed) {
-            obeyedTerm = term;
-            obeyedSeq = seq;
+            ackedTerm = term;
+            ackedSeq = seq;
         }
     }
 
     /** The token by which it holds a task at this instant, or -1. */
     public long token(String task, long now) {
         Long token = holds.get(task);
-        return token == null || now >= stop || token.equals(given.get(task)) ? -1 : token;
+        return token == null || now >= leaseEnd || token.equals(given.get(task)) ? -1 : token;
     }
 
     /**
-     * Begins an act on a task, or null: it may not begin now.
+     * Begins an action on a task; null if it may not begin now.
      *
-     * @param most microseconds after which it is cut off
+     * @param timeout microseconds after which the action is cut off
      */
-    public Action begin(String task, long now, long most, LateSafety need) {
+    public Action begin(String task, long now, long timeout, LateSafety lateSafety) {
         long token = token(task, now);
-        if (token < 0 || now + most > stop) {
+        if (token < 0 || now + timeout > leaseEnd) {
             return null;
         }
-        Action act = new Action(task, token, now + most, need);
+        Action act = new Action(task, token, now + timeout, lateSafety);
         running.add(act);
         return act;
     }
 
-    /** May its next step be taken at this instant: it holds the task still, and its time is not over. */
-    public boolean mayGoOn(Action act, long now) {
+    /** True if the action may take its next step: its time is not over and the task is still held. */
+    public boolean mayContinue(Action act, long now) {
         return now < act.endsBy() && token(act.task(), now) == act.token();
     }
 
-    /** It is over, or was cut off: nothing of it goes on. */
+    /** The action is finished or was cut off: no part of it runs any more. */
     public void end(Action act) {
         running.remove(act);
-        obey();
+        updateAck();
     }
 
-    /** This one acts by that token no more, and says so once no act by it runs. */
+    /** Gives up a task's current token. A renewal reports this once no action under the token runs. */
     public void giveUp(String task) {
         Long token = holds.get(task);
         if (token != null) {
@@ -132,21 +133,21 @@
         }
     }
 
-    /** The tasks that it holds by the leader's last word, whether or not its time is over. */
+    /** Tokens of the tasks in the latest grant, whether or not its lease has ended. */
     public SortedMap<String, Long> holds() {
         return holds;
     }
 
-    /** From then on it may act on nothing, by its clock; in the past where it has no lease. */
-    public long stop() {
-        return stop;
+    /** When the lease ends, by this process's clock; in the past if there is none. */
+    public long leaseEnd() {
+        return leaseEnd;
     }
 
-    /** What goes to the leader next. */
-    public TaskRenewal says(Candidacy wants, String digest, boolean draining) {
+    /** The next renewal to send to the leader. */
+    public TaskRenewal renewal(Candidacy candidacy, String digest, boolean draining) {
         Map<String, Long> gives = new TreeMap<>(given);
         running.forEach(act -> gives.remove(act.task(), act.token()));
         return new TaskRenewal(
-                obeyedTerm, obeyedSeq, knownTerm, version, digest, wantsMissing ? wants : null, draining, gives);
+                ackedTerm, ackedSeq, knownTerm, version, digest, candidacyMissing ? candidacy : null, draining, gives);
     }
 }
--- a/src/main/java/laneflow/task/decision/TaskLeader.java
+++ b/src/main/java/laneflow/task/decision/TaskLeader.java
@@ -19,97 +19,100 @@
 import laneflow.task.decision.TaskTable.View;
 
 /**
- * What the leader of one term knows of those who hold tasks, and what follows: until when each may act on
- * what, whom a task is taken from, and who gets it next. It lets nobody have a task while a former holder may
- * still act on it: for each process it keeps every word that may still arrive or be obeyed, and for those
- * that former leaders may have spoken to, the time that such a word can last. A holder goes on under a new
- * leader by the token that it has; only what changes hands waits. Times and bounds are those of
- * {@link laneflow.policy.decision.Lead}. No I/O, no clock of its own.
+ * What the leader of one term knows of the processes that hold tasks, and what follows from it: until when
+ * each may act on which task, which task is withdrawn from its holder, and who gets it next. It assigns no
+ * task while a former holder may still act on it: for each process it keeps every grant that may still arrive or
+ * be in use, and for processes that may have grants of former leaders, the time for which such a grant can
+ * last. A holder keeps its token under a new leader; only tasks that change hands wait. Times and bounds are
+ * those of {@link laneflow.policy.decision.Lead}. Performs no I/O and reads no clock.
  */
 public final class TaskLeader {
-    private static final long SLACK = 5_000;
+    private static final long SLACK_MICROS = 5_000;
+    /** Leases without a renewal after which a process is forgotten. */
     private static final int FORGET_AFTER = 10;
-    private static final int PASSED_BY = 5;
-    private static final int LOOKS_A_LEASE = 4;
-    private static final int MOST_MOVES = 256;
-    private static final int MOST_SENT = 64;
-    private static final double DEAF_AFTER = 0.6;
-    /** No word lasts longer, in leases, behind the latest one that its process is known to have heard. */
-    private static final double LASTS_HEARD = 1.15;
+
+    private static final int GIVE_UP_COOLDOWN_LEASES = 5;
+    private static final int CHECKS_PER_LEASE = 4;
+    private static final int MAX_ASSIGNMENTS_PER_STEP = 256;
+    private static final int MAX_UNACKED_GRANTS = 64;
+    private static final double UNREACHABLE_AFTER_LEASES = 0.6;
+    /** How long a grant lasts at most, counted from the latest grant that its process has acknowledged. */
+    private static final double MAX_LEASES_AFTER_ACK = 1.15;
 
     /**
-     * The times it works by, in microseconds.
+     * Durations in microseconds.
      *
-     * @param lease how long a word lasts behind a majority's confirmation
-     * @param quiet a process not heard of for so long gets nothing new
-     * @param turn how long one may hold a task of the line while others wait for it
+     * @param lease how long a grant lasts after a majority's confirmation
+     * @param silence a process not heard from for this long is assigned nothing new
+     * @param turn how long a process may hold a rotating task while other candidates wait for it
      */
-    public record Times(long lease, long quiet, long turn) {}
+    public record Times(long lease, long silence, long turn) {}
 
-    /** What is to be put into the voters' log, and who is to be told at once. */
+    /** Operations to replicate in the voters' log, and processes to send a grant to at once. */
     public record Step(List<JsonObject> ops, Set<String> tell) {}
 
-    private record Given(long seq, long until, SortedMap<String, Long> holds) {}
+    /** A grant that may still arrive or be in use. */
+    private record OutstandingGrant(long seq, long expiresAt, SortedMap<String, Long> tokens) {}
 
     private record Sent(long seq, long at) {}
 
     private static final class Holder {
-        private final List<Given> given = new ArrayList<>();
-        private SortedMap<String, Long> holds = Collections.emptySortedMap();
-        private TaskRenewal said;
+        private final List<OutstandingGrant> outstanding = new ArrayList<>();
+        private SortedMap<String, Long> tokens = Collections.emptySortedMap();
+        private TaskRenewal renewal;
         private long heardAt;
-        /**
-         * When it last said that it obeys a later word than before: one that hears nothing says so no more.
-         */
-        private long obeyedAt;
+        /** When it last acknowledged a later grant than before. Stops advancing if grants don't reach it. */
+        private long ackedAt;
 
-        private long obeyedSeq;
-        /** When the word was given that it obeys; what was lost on the way to it prolongs nothing. */
-        private long obeyedGivenAt;
+        private long ackedSeq;
+        /** When the acknowledged grant was sent; grants that are lost on the way don't prolong the lease. */
+        private long ackedSentAt;
 
         private final ArrayDeque<Sent> sent = new ArrayDeque<>();
         private long seq;
         private long version;
-        private boolean obeys;
+        private boolean ackedThisTerm;
     }
 
     private final int term;
     private final long electedAt;
     private final Times times;
-    private final long formerUntil;
+    /** When every grant of a former leader has expired. */
+    private final long formerGrantsEnd;
+
     private final Map<String, Holder> holders = new TreeMap<>();
-    /** Tokens that this leader grants no more; only a new assignment gives the task again. */
+    /** Tokens that this leader no longer grants; only a new assignment grants the task again. */
     private final Map<String, Long> withdrawn = new HashMap<>();
 
-    private final Map<String, String> why = new HashMap<>();
+    private final Map<String, String> reasons = new HashMap<>();
     private final Map<String, Long> since = new HashMap<>();
-    private final Map<String, Long> passedBy = new HashMap<>();
+    private final Map<String, Long> cooldownEnds = new HashMap<>();
     private final Set<String> departed = new HashSet<>();
     private Set<String> liveBefore = Set.of();
     private long liveSince;
     private View view;
-    private Map<String, SortedMap<String, Long>> held = Map.of();
-    /** Those that hold other tasks than they were told last. */
-    private final Set<String> news = new TreeSet<>();
+    private Map<String, SortedMap<String, Long>> tokensByProcess = Map.of();
+    /** Processes whose set of tasks has changed since they were last notified. */
+    private final Set<String> changedProcesses = new TreeSet<>();
 
     private long confirmedAt;
-    private boolean asked;
-    private long answeredAt = Long.MAX_VALUE;
+    private boolean opsPending;
+    private long opsAnsweredAt = Long.MAX_VALUE;
 
-    /** @param electedAt an instant behind the election */
+    /** @param electedAt an instant after the election */
     public TaskLeader(int term, long electedAt, Times times) {
         this.term = term;
         this.electedAt = electedAt;
         this.times = times;
-        formerUntil = electedAt + (long) (times.lease() * (1 + 2 * LeaderClock.DRIFT)) + SLACK;
+        formerGrantsEnd = electedAt + (long) (times.lease() * (1 + 2 * LeaderClock.DRIFT)) + SLACK_MICROS;
     }
 
     /** A majority has confirmed this leader, at an instant not before the submission, with that table. */
     public void confirmed(long submittedAt, View now) {
         confirmedAt = Math.max(confirmedAt, submittedAt);
-        if (submittedAt >= answeredAt) {
-            asked = false;
-            answeredAt = Long.MAX_VALUE;
+        if (submittedAt >= opsAnsweredAt) {
+            opsPending = false;
+            opsAnsweredAt = Long.MAX_VALUE;
         }
         if (view != null && now.version() <= view.version()) {
             return;
@@ -119,12 +122,12 @@
                 .entrySet()
                 .removeIf(one -> now.tasks().containsKey(one.getKey())
                         && now.tasks().get(one.getKey()).token() > one.getValue());
-        why.keySet().retainAll(withdrawn.keySet());
+        reasons.keySet().retainAll(withdrawn.keySet());
         since.keySet().retainAll(now.tasks().keySet());
-        index();
+        updateTokens();
     }
 
-    private void index() {
+    private void updateTokens() {
         Map<String, SortedMap<String, Long>> all = new HashMap<>();
         for (Task task : view.tasks().values()) {
             if (isGranted(task)) {
@@ -132,10 +135,10 @@
             }
         }
         Set<String> either = new TreeSet<>(all.keySet());
-        either.addAll(held.keySet());
-        either.removeIf(who -> Objects.equals(all.get(who), held.get(who)));
-        news.addAll(either);
-        held = all;
+        either.addAll(tokensByProcess.keySet());
+        either.removeIf(process -> Objects.equals(all.get(process), tokensByProcess.get(process)));
+        changedProcesses.addAll(either);
+        tokensByProcess = all;
     }
 
     private boolean isGranted(Task task) {
@@ -144,130 +147,138 @@
                 && withdrawn.getOrDefault(task.name(), 0L) < task.token();
     }
 
-    /** What was asked of the voters is in the log, or is not known to be. */
-    public void answered(long now) {
-        answeredAt = now;
+    /** The submitted operations are in the log, or are not known to be. */
+    public void opsAnswered(long now) {
+        opsAnsweredAt = now;
     }
 
-    /** A process's word; its answer is {@link #word}. */
-    public void heard(long now, String who, TaskRenewal said) {
-        if (departed.contains(who)) {
+    /** Takes a process's renewal; {@link #grant} answers it. */
+    public void receive(long now, String process, TaskRenewal renewal) {
+        if (departed.contains(process)) {
             return;
         }
-        Holder holder = holders.computeIfAbsent(who, name -> new Holder());
-        if (holder.said == null) {
-            holder.obeyedAt = now;
-            holder.obeyedGivenAt = now;
+        Holder holder = holders.computeIfAbsent(process, name -> new Holder());
+        if (holder.renewal == null) {
+            holder.ackedAt = now;
+            holder.ackedSentAt = now;
         }
         holder.heardAt = now;
-        holder.said = said;
-        if (said.heardTerm() == term) {
-            holder.obeys = true;
-            if (said.heardSeq() > holder.obeyedSeq) {
-                holder.obeyedSeq = said.heardSeq();
-                holder.obeyedAt = now;
+        holder.renewal = renewal;
+        if (renewal.heardTerm() == term) {
+            holder.ackedThisTerm = true;
+            if (renewal.heardSeq() > holder.ackedSeq) {
+                holder.ackedSeq = renewal.heardSeq();
+                holder.ackedAt = now;
             }
-            holder.given.removeIf(one -> one.seq() < said.heardSeq());
-            while (!holder.sent.isEmpty() && holder.sent.peek().seq() <= said.heardSeq()) {
-                holder.obeyedGivenAt = holder.sent.poll().at();
+            holder.outstanding.removeIf(grant -> grant.seq() < renewal.heardSeq());
+            while (!holder.sent.isEmpty() && holder.sent.peek().seq() <= renewal.heardSeq()) {
+                holder.ackedSentAt = holder.sent.poll().at();
             }
         }
     }
 
-    /** A process ends in order: it has said that it acts no more. */
-    public void left(String who) {
-        holders.remove(who);
-        departed.add(who);
+    /** A process shuts down and has said that it no longer acts on any task. */
+    public void leave(String process) {
+        holders.remove(process);
+        departed.add(process);
         if (view != null) {
-            index();
+            updateTokens();
         }
     }
 
-    /** What a process is told now, or null: nothing is known yet. The whole of what it holds where asked. */
-    public TaskGrant word(long now, String who, boolean whole) {
-        Holder holder = holders.get(who);
+    /**
+     * The next grant to a process; null before its first renewal or the first confirmation.
+     *
+     * @param full true to include the process's tokens even if it knows them
+     */
+    public TaskGrant grant(long now, String process, boolean full) {
+        Holder holder = holders.get(process);
         if (view == null || holder == null) {
             return null;
         }
-        SortedMap<String, Long> holds = held.getOrDefault(who, Collections.emptySortedMap());
-        if (!holds.equals(holder.holds) || holder.version == 0) {
-            holder.holds = holds;
+        SortedMap<String, Long> tokens = tokensByProcess.getOrDefault(process, Collections.emptySortedMap());
+        if (!tokens.equals(holder.tokens) || holder.version == 0) {
+            holder.tokens = tokens;
             holder.version++;
         }
-        long until = Math.min(confirmedAt + times.lease(), holder.obeyedGivenAt + (long) (times.lease() * LASTS_HEARD));
-        until = until > now && !holds.isEmpty() ? until : 0;
+        long expiresAt = Math.min(
+                confirmedAt + times.lease(), holder.ackedSentAt + (long) (times.lease() * MAX_LEASES_AFTER_ACK));
+        expiresAt = expiresAt > now && !tokens.isEmpty() ? expiresAt : 0;
         holder.seq++;
         holder.sent.add(new Sent(holder.seq, now));
-        if (holder.sent.size() > MOST_SENT) {
+        if (holder.sent.size() > MAX_UNACKED_GRANTS) {
             holder.sent.poll();
         }
-        holder.given.add(new Given(holder.seq, until, holds));
-        Given last = holder.given.get(holder.given.size() - 1);
-        holder.given.removeIf(one -> one != last && one.until() <= now);
-        boolean known = !whole && holder.said.knownTerm() == term && holder.said.knownVersion() == holder.version;
+        holder.outstanding.add(new OutstandingGrant(holder.seq, expiresAt, tokens));
+        OutstandingGrant last = holder.outstanding.get(holder.outstanding.size() - 1);
+        holder.outstanding.removeIf(grant -> grant != last && grant.expiresAt() <= now);
+        boolean known = !full && holder.renewal.knownTerm() == term && holder.renewal.knownVersion() == holder.version;
         return new TaskGrant(
                 term,
                 holder.seq,
                 now,
-                until,
+                expiresAt,
                 holder.version,
-                known ? null : holder.holds,
-                !holder.said.wants().equals(view.wants().get(who))
-                        && holder.said.all() == null
-                        && !holder.said.wants().equals(Candidacy.NONE.digest()));
+                known ? null : holder.tokens,
+                !holder.renewal.candidacyDigest().equals(view.candidacyDigests().get(process))
+                        && holder.renewal.candidacy() == null
+                        && !holder.renewal.candidacyDigest().equals(Candidacy.NONE.digest()));
     }
 
-    // ---- what follows ----
+    // ---- decisions ----
 
-    /** Until when anybody may act on a task by this leader's words; 0: nobody may. */
-    private long mayAct(String task) {
+    /** When this leader's last outstanding grant of a task expires; 0 if there is none. */
+    private long lastExpiry(String task) {
         long latest = 0;
         for (Holder holder : holders.values()) {
-            for (Given one : holder.given) {
-                if (one.until() > latest && one.holds().containsKey(task)) {
-                    latest = one.until();
+            for (OutstandingGrant grant : holder.outstanding) {
+                if (grant.expiresAt() > latest && grant.tokens().containsKey(task)) {
+                    latest = grant.expiresAt();
                 }
             }
         }
         return latest;
     }
 
-    /** True if nobody may act on it any more, by the words of any leader. */
-    private boolean isOver(long now, Task task) {
+    /** True if no process may act on the task any more, under a grant of this or any former leader. */
+    private boolean isFree(long now, Task task) {
         Holder holder = holders.get(task.holder());
-        boolean given = holder != null && task.token() == holder.said.gives().getOrDefault(task.name(), -1L);
-        boolean ended = departed.contains(task.holder()) || given;
-        boolean known = now >= formerUntil || ended || task.token() > 0 && holder != null && holder.obeys;
-        return known && (ended || mayAct(task.name()) <= now);
+        boolean givenUp =
+                holder != null && task.token() == holder.renewal.givenUp().getOrDefault(task.name(), -1L);
+        boolean ended = departed.contains(task.holder()) || givenUp;
+        boolean known = now >= formerGrantsEnd || ended || task.token() > 0 && holder != null && holder.ackedThisTerm;
+        return known && (ended || lastExpiry(task.name()) <= now);
     }
 
     private boolean isLive(long now, Holder holder) {
-        return !isAway(now, holder) && !holder.said.draining();
+        return !isUnreachable(now, holder) && !holder.renewal.draining();
     }
 
-    /** It is not heard of, or it hears nothing. */
-    private boolean isAway(long now, Holder holder) {
-        return now - holder.heardAt >= times.quiet() || !hears(now, holder);
+    /** True if no renewals arrive from the process, or no grants arrive there. */
+    private boolean isUnreachable(long now, Holder holder) {
+        return now - holder.heardAt >= times.silence() || !receivesGrants(now, holder);
     }
 
     /**
-     * An act that it may not begin any more holds its word back for a while; longer than that, it is deaf.
+     * An action that is no longer allowed delays the acknowledgement until it ends. A delay beyond that means
+     * that grants don't arrive.
      */
-    private boolean hears(long now, Holder holder) {
-        return now - holder.obeyedAt < times.lease() * DEAF_AFTER;
+    private boolean receivesGrants(long now, Holder holder) {
+        return now - holder.ackedAt < times.lease() * UNREACHABLE_AFTER_LEASES;
     }
 
-    /** What is to be done now; to be asked after every event, and at {@link #nextLook}. */
+    /** What to do now; to be called after every event and at {@link #nextCheck}. */
     public Step step(long now) {
         Step nothing = new Step(List.of(), Set.of());
         if (view == null || now >= confirmedAt + times.lease()) {
             return nothing;
         }
-        // Whoever leaves holds nothing that this leader has granted; what former ones have is waited out.
+        // A process that leaves has no outstanding grant of this leader; grants of former leaders are
+        // waited out.
         Set<String> live = new TreeSet<>();
-        holders.forEach((who, holder) -> {
+        holders.forEach((process, holder) -> {
             if (isLive(now, holder)) {
-                live.add(who);
+                live.add(process);
             }
         });
         if (!live.equals(liveBefore)) {
@@ -275,139 +286,144 @@
             liveSince = now;
         }
         withdraw(now, live);
-        Set<String> tell = new TreeSet<>(news);
+        Set<String> tell = new TreeSet<>(changedProcesses);
         tell.retainAll(holders.keySet());
-        news.clear();
-        if (asked) {
+        changedProcesses.clear();
+        if (opsPending) {
             return new Step(List.of(), tell);
         }
-        List<JsonObject> ops = new ArrayList<>(wants(now));
-        List<Assignment> moves = moves(now, live);
-        if (!moves.isEmpty()) {
-            ops.add(TaskTable.assign(moves));
+        List<JsonObject> ops = new ArrayList<>(candidacyOps(now));
+        List<Assignment> assignments = assignments(now, live);
+        if (!assignments.isEmpty()) {
+            ops.add(TaskTable.assign(assignments));
         }
-        asked = !ops.isEmpty();
+        opsPending = !ops.isEmpty();
         return new Step(ops, tell);
     }
 
-    private List<JsonObject> wants(long now) {
+    private List<JsonObject> candidacyOps(long now) {
         List<JsonObject> ops = new ArrayList<>();
-        holders.forEach((who, holder) -> {
-            Candidacy all = holder.said.all();
-            if (all != null && !all.digest().equals(view.wants().get(who)) && isLive(now, holder)) {
-                ops.add(TaskTable.want(who, all));
+        holders.forEach((process, holder) -> {
+            Candidacy candidacy = holder.renewal.candidacy();
+            if (candidacy != null
+                    && !candidacy.digest().equals(view.candidacyDigests().get(process))
+                    && isLive(now, holder)) {
+                ops.add(TaskTable.setCandidacy(process, candidacy));
             }
         });
-        for (String who : view.wants().keySet()) {
-            Holder holder = holders.get(who);
+        for (String process : view.candidacyDigests().keySet()) {
+            Holder holder = holders.get(process);
             long heardAt = holder == null ? electedAt : holder.heardAt;
-            if (departed.contains(who) || now - heardAt > FORGET_AFTER * times.lease()) {
-                ops.add(TaskTable.gone(who));
+            if (departed.contains(process) || now - heardAt > FORGET_AFTER * times.lease()) {
+                ops.add(TaskTable.removeProcess(process));
             }
         }
         holders.values()
                 .removeIf(holder -> now - holder.heardAt > FORGET_AFTER * times.lease()
-                        && holder.given.stream().allMatch(one -> one.until() <= now));
+                        && holder.outstanding.stream().allMatch(grant -> grant.expiresAt() <= now));
         return ops;
     }
 
-    /** Stops granting what is to change hands. */
+    /** Stops granting the tasks that are to change hands. */
     private void withdraw(long now, Set<String> live) {
         boolean changed = false;
-        TaskPlacement spread = spread(live);
-        boolean settled = now - liveSince >= times.lease() && now >= formerUntil;
+        TaskPlacement placement = placement(live);
+        boolean settled = now - liveSince >= times.lease() && now >= formerGrantsEnd;
         for (Task task : view.tasks().values()) {
             if (!isGranted(task)) {
                 continue;
             }
             String reason = reason(now, task, live);
             if (reason == null
-                    && task.spread()
+                    && task.placed()
                     && settled
-                    && spread.isOver(task.holder())
-                    && spread.hasRoom(candidates(now, task, live))) {
-                spread.sheds(task.holder());
-                reason = "carried more than its share";
+                    && placement.isOverloaded(task.holder())
+                    && placement.hasRoom(eligible(now, task, live))) {
+                placement.removeTask(task.holder());
+                reason = "was over its share of tasks";
             }
             if (reason != null) {
                 withdrawn.put(task.name(), task.token());
-                why.put(task.name(), reason);
+                reasons.put(task.name(), reason);
                 changed = true;
             }
         }
         if (changed) {
-            index();
+            updateTokens();
         }
     }
 
     private String reason(long now, Task task, Set<String> live) {
         Holder holder = holders.get(task.holder());
         long from = since.computeIfAbsent(task.name() + "\n" + task.token(), name -> now);
-        if (holder == null || isAway(now, holder)) {
-            // Its words last until they are over; nobody else gets the task sooner.
-            return isOver(now, task) ? "was not heard of for a lease" : null;
+        if (holder == null || isUnreachable(now, holder)) {
+            // Its grants stay valid until they expire; the task is not reassigned before.
+            return isFree(now, task) ? "was not heard from for a lease" : null;
         }
-        if (task.token() == holder.said.gives().getOrDefault(task.name(), -1L)) {
-            passedBy.put(task.name() + "\n" + task.holder(), now + PASSED_BY * times.lease());
+        if (task.token() == holder.renewal.givenUp().getOrDefault(task.name(), -1L)) {
+            cooldownEnds.put(task.name() + "\n" + task.holder(), now + GIVE_UP_COOLDOWN_LEASES * times.lease());
             return "gave it up";
         }
-        if (holder.said.draining()) {
-            return "drains";
+        if (holder.renewal.draining()) {
+            return "is draining";
         }
-        if (!task.line().contains(task.holder())) {
-            return "wants it no more";
+        if (!task.candidates().contains(task.holder())) {
+            return "is no longer a candidate";
         }
-        boolean waited = task.line().stream().anyMatch(who -> live.contains(who) && !who.equals(task.holder()));
-        return !task.spread() && waited && now - from >= times.turn() ? "its turn was over" : null;
+        boolean awaited = task.candidates().stream()
+                .anyMatch(process -> live.contains(process) && !process.equals(task.holder()));
+        return !task.placed() && awaited && now - from >= times.turn() ? "finished its turn" : null;
     }
 
-    private TaskPlacement spread(Set<String> live) {
+    private TaskPlacement placement(Set<String> live) {
         int all = 0;
         for (Task task : view.tasks().values()) {
-            all += task.spread() && !task.line().isEmpty() ? 1 : 0;
+            all += task.placed() && !task.candidates().isEmpty() ? 1 : 0;
         }
-        TaskPlacement spread = new TaskPlacement(live, all);
+        TaskPlacement placement = new TaskPlacement(live, all);
         for (Task task : view.tasks().values()) {
-            if (task.spread() && isGranted(task)) {
-                spread.holds(task.holder());
+            if (task.placed() && isGranted(task)) {
+                placement.addTask(task.holder());
             }
         }
-        return spread;
+        return placement;
     }
 
-    /** Those that may get a task, in order of want; who has just given it up only where there is no other. */
-    private List<String> candidates(long now, Task task, Set<String> live) {
-        List<String> all = new ArrayList<>(task.line());
+    /** Live candidates of a task in order; one that has just given it up is left out unless it is the only one. */
+    private List<String> eligible(long now, Task task, Set<String> live) {
+        List<String> all = new ArrayList<>(task.candidates());
         all.retainAll(live);
-        List<String> fresh = new ArrayList<>(all);
-        fresh.removeIf(who -> passedBy.getOrDefault(task.name() + "\n" + who, 0L) > now);
-        return fresh.isEmpty() ? all : fresh;
+        List<String> preferred = new ArrayList<>(all);
+        preferred.removeIf(process -> cooldownEnds.getOrDefault(task.name() + "\n" + process, 0L) > now);
+        return preferred.isEmpty() ? all : preferred;
     }
 
-    private List<Assignment> moves(long now, Set<String> live) {
-        TaskPlacement spread = spread(live);
-        passedBy.values().removeIf(until -> until <= now);
-        List<Assignment> moves = new ArrayList<>();
+    private List<Assignment> assignments(long now, Set<String> live) {
+        TaskPlacement placement = placement(live);
+        cooldownEnds.values().removeIf(end -> end <= now);
+        List<Assignment> assignments = new ArrayList<>();
         for (Task task : view.tasks().values()) {
-            if (moves.size() >= MOST_MOVES || isGranted(task) || !isOver(now, task)) {
+            if (assignments.size() >= MAX_ASSIGNMENTS_PER_STEP || isGranted(task) || !isFree(now, task)) {
                 continue;
             }
-            List<String> among = candidates(now, task, live);
-            String to = task.spread() ? spread.place(task.name(), among) : among.isEmpty() ? null : among.get(0);
-            if (to != null) {
-                moves.add(new Assignment(task.name(), task.token(), to));
+            List<String> eligible = eligible(now, task, live);
+            String process = task.placed()
+                    ? placement.place(task.name(), eligible)
+                    : eligible.isEmpty() ? null : eligible.get(0);
+            if (process != null) {
+                assignments.add(new Assignment(task.name(), task.token(), process));
             }
         }
-        return moves;
+        return assignments;
     }
 
-    /** When to look again though nothing happens. */
-    public long nextLook(long now) {
-        long next = now + times.lease() / LOOKS_A_LEASE;
-        next = formerUntil > now ? Math.min(next, formerUntil) : next;
+    /** When to call {@link #step} again if no event occurs before. */
+    public long nextCheck(long now) {
+        long next = now + times.lease() / CHECKS_PER_LEASE;
+        next = formerGrantsEnd > now ? Math.min(next, formerGrantsEnd) : next;
         for (Holder holder : holders.values()) {
-            for (Given one : holder.given) {
-                next = one.until() > now ? Math.min(next, one.until()) : next;
+            for (OutstandingGrant grant : holder.outstanding) {
+                next = grant.expiresAt() > now ? Math.min(next, grant.expiresAt()) : next;
             }
         }
         return Math.max(next, now + 1000);
@@ -420,30 +436,31 @@
     // ---- reports ----
 
     /**
-     * A task as its leader sees it.
+     * The state of a task as the leader sees it.
      *
-     * @param acts until when its holder may act, microseconds from now; 0: it may not
-     * @param why it was taken from its last holder, or is held by nobody; empty where it is held
+     * @param leaseLeft microseconds for which its holder may still act; 0 if it may not
+     * @param reason why it was withdrawn from its last holder or has none; empty while it is held
      */
-    public record Standing(Task task, boolean granted, long acts, String why) {}
+    public record TaskStatus(Task task, boolean granted, long leaseLeft, String reason) {}
 
-    /** All tasks, by name. */
-    public List<Standing> standings(long now) {
-        List<Standing> all = new ArrayList<>();
+    /** The state of all tasks, by name. */
+    public List<TaskStatus> statuses(long now) {
+        List<TaskStatus> all = new ArrayList<>();
         if (view != null) {
             for (Task task : view.tasks().values()) {
                 boolean granted = isGranted(task);
                 String reason = granted
                         ? ""
                         : task.token() == 0
-                                ? "nobody has held it yet"
-                                : task.holder() + " " + why.getOrDefault(task.name(), "has left");
-                if (!granted && candidates(now, task, liveBefore).isEmpty()) {
-                    reason += "; nobody that is live wants it";
-                } else if (!granted && !isOver(now, task)) {
-                    reason += "; it may act on it still";
+                                ? "not assigned yet"
+                                : task.holder() + " " + reasons.getOrDefault(task.name(), "has left");
+                if (!granted && eligible(now, task, liveBefore).isEmpty()) {
+                    reason += "; no live candidate";
+                } else if (!granted && !isFree(now, task)) {
+                    reason += "; its lease has not ended yet";
                 }
-                all.add(new Standing(task, granted, granted ? Math.max(0, mayAct(task.name()) - now) : 0, reason));
+                all.add(new TaskStatus(
+                        task, granted, granted ? Math.max(0, lastExpiry(task.name()) - now) : 0, reason));
             }
         }
         return all;
--- a/src/main/java/laneflow/task/decision/TaskPlacement.java
+++ b/src/main/java/laneflow/task/decision/TaskPlacement.java
@@ -9,14 +9,15 @@
 import java.util.Map;
 
 /**
- * Where spread tasks go: by rendezvous hashing (Thaler and Ravishankar, 1998) each task ranks the processes
- * in an order of its own, and goes to the first that has room; room is bounded at 1.3 of even, as consistent
- * hashing with bounded loads does it (Mirrokni, Thorup, Zadimoghaddam, 2018). A task stays where it is for as
- * long as its holder keeps within the bound: who comes or goes moves no more than it must.
+ * Placement of tasks by rendezvous hashing (Thaler and Ravishankar, 1998): each task ranks the processes in
+ * an order of its own and goes to the first one with room. Room is bounded at 1.3 times the even share, as in
+ * consistent hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam, 2018). A task stays where it is as
+ * long as its holder is within the bound, so that a process that joins or leaves moves as few tasks as
+ * possible.
  */
 public final class TaskPlacement {
-    /** The most that one carries, in shares of even. */
-    public static final double BOUND = 1.3;
+    /** The largest load of one process, as a multiple of the even share. */
+    public static final double MAX_LOAD_FACTOR = 1.3;
 
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
@@ -24,20 +25,20 @@
     private static final long MIX_2 = 0x94d049bb133111ebL;
 
     private final Map<String, Integer> loads = new HashMap<>();
-    private final int most;
+    private final int maxLoad;
 
-    /** @param live those that can take tasks
-     * @param tasks all that are to be placed on them */
+    /** @param live processes that can take tasks
+     * @param tasks number of tasks to place on them */
     public TaskPlacement(Collection<String> live, int tasks) {
-        live.forEach(who -> loads.put(who, 0));
+        live.forEach(process -> loads.put(process, 0));
         double even = live.isEmpty() ? 0 : (double) tasks / live.size();
-        most = Math.max((int) Math.ceil(even), (int) Math.floor(BOUND * even));
+        maxLoad = Math.max((int) Math.ceil(even), (int) Math.floor(MAX_LOAD_FACTOR * even));
     }
 
-    /** How high a task ranks a process: by its name, so that its next life ranks as it did. */
-    static long rank(String task, String who) {
-        int life = who.lastIndexOf('#');
-        String name = life < 0 ? who : who.substring(0, life);
+    /** A task's hash for a process. Uses the name without the instance, so that a restart keeps the ranking. */
+    static long rank(String task, String process) {
+        int separator = process.lastIndexOf('#');
+        String name = separator < 0 ? process : process.substring(0, separator);
         long hash = FNV_OFFSET;
         for (byte one : (task + "\n" + name).getBytes(StandardCharsets.UTF_8)) {
             hash = (hash ^ one) * FNV_PRIME;
@@ -47,38 +48,41 @@
         return hash ^ hash >>> 31;
     }
 
-    /** A task is there already. */
-    void holds(String who) {
-        loads.computeIfPresent(who, (name, load) -> load + 1);
+    /** Counts a task that the process already holds. */
+    void addTask(String process) {
+        loads.computeIfPresent(process, (name, load) -> load + 1);
     }
 
-    boolean isOver(String who) {
-        return loads.getOrDefault(who, 0) > most;
+    boolean isOverloaded(String process) {
+        return loads.getOrDefault(process, 0) > maxLoad;
     }
 
-    /** One of its tasks goes. */
-    void sheds(String who) {
-        loads.merge(who, -1, Integer::sum);
+    /** Discounts a task that is taken from the process. */
+    void removeTask(String process) {
+        loads.merge(process, -1, Integer::sum);
     }
 
-    boolean hasRoom(Collection<String> among) {
-        return among.stream().anyMatch(who -> loads.getOrDefault(who, Integer.MAX_VALUE) < most);
+    boolean hasRoom(Collection<String> candidates) {
+        return candidates.stream().anyMatch(process -> loads.getOrDefault(process, Integer.MAX_VALUE) < maxLoad);
     }
 
-    /** The one of these that gets a task: the highest in rank with room, else the least loaded; or null. */
-    String place(String task, Collection<String> among) {
-        List<String> ranked = new ArrayList<>(among);
-        ranked.removeIf(who -> !loads.containsKey(who));
-        ranked.sort(Comparator.comparingLong((String who) -> rank(task, who))
+    /**
+     * Picks the candidate that gets the task and counts the task there: the highest ranked one with room,
+     * else the least loaded one, else null.
+     */
+    String place(String task, Collection<String> candidates) {
+        List<String> ranked = new ArrayList<>(candidates);
+        ranked.removeIf(process -> !loads.containsKey(process));
+        ranked.sort(Comparator.comparingLong((String process) -> rank(task, process))
                 .reversed()
                 .thenComparing(Comparator.naturalOrder()));
         String best = null;
-        for (String who : ranked) {
-            if (loads.get(who) < most) {
-                best = who;
+        for (String process : ranked) {
+            if (loads.get(process) < maxLoad) {
+                best = process;
                 break;
             }
-            best = best == null || loads.get(who) < loads.get(best) ? who : best;
+            best = best == null || loads.get(process) < loads.get(best) ? process : best;
         }
         if (best != null) {
             loads.merge(best, 1, Integer::sum);
--- a/src/main/java/laneflow/task/decision/TaskTable.java
+++ b/src/main/java/laneflow/task/decision/TaskTable.java
@@ -13,94 +13,93 @@
 import laneflow.policy.decision.Ledger;
 
 /**
- * The fleet's tasks as the voters know them, a state machine in their log: who holds which task, by which
- * token, and who wants it, in order. Each assignment draws the next token of one counter, so tokens only
- * rise, over all tasks and for ever. Until when a holder may act is not here: that is the leader's memory,
- * and
- * no renewal is written. An assignment names the token that it follows, so that one asked for twice, or by a
- * leader that is none any more, changes nothing. Not thread-safe; no I/O, no clock.
+ * The fleet's tasks as a state machine replicated in the voters' log: the holder and fencing token of each
+ * task, and its candidates in order. Every assignment takes the next token of one counter, so tokens only
+ * ever rise, across all tasks. The ends of leases are not kept here: they are in the leader's memory, and no
+ * renewal is logged. An assignment names the token that it replaces, so one that is submitted twice, or by a
+ * deposed leader, has no effect. Not thread-safe; performs no I/O and reads no clock.
  */
 public final class TaskTable implements Ledger.Part {
-    /** By this name it stands in the ledger. */
+    /** Name of this part of the ledger. */
     public static final String NAME = "tasks";
 
-    public static final int MOST_TASKS = 4096;
-    /** Over all tasks together. */
-    public static final int MOST_WANTS = 65_536;
-    /** The longest note, in characters. */
-    public static final int MOST_NOTE = 16 * 1024;
+    public static final int MAX_TASKS = 4096;
+    /** Total number of candidates over all tasks. */
+    public static final int MAX_CANDIDATES = 65_536;
+    /** In characters. */
+    public static final int MAX_NOTE_LENGTH = 16 * 1024;
 
-    private static final String TASK = "[A-Za-z0-9_.:/-]{1,128}";
+    private static final String TASK_NAME = "[A-Za-z0-9_.:/-]{1,128}";
 
     private final SortedMap<String, Task> tasks = new TreeMap<>();
-    /** By process: the digest of what it wants. */
-    private final SortedMap<String, String> wants = new TreeMap<>();
+    /** Digest of each process's candidacy, by process. */
+    private final SortedMap<String, String> candidacyDigests = new TreeMap<>();
 
-    private long tokens;
+    private long lastToken;
     private long version;
-    private int wanted;
+    private int candidateCount;
     private View view;
 
     /**
      * One task.
      *
-     * @param spread true if it is placed by rendezvous among those that want it, false if they stand in line
-     * @param holder the process that held it last, or empty before the first
-     * @param token by which; 0 before the first
-     * @param line the processes that want it; whoever gets it goes to the end
-     * @param note what a holder has left for the next one, or empty
+     * @param placed true if it is placed by rendezvous hashing, false if it rotates among its candidates
+     * @param holder the current or last holder; empty before the first assignment
+     * @param token that holder's token; 0 before the first assignment
+     * @param candidates processes that may be assigned the task; an assigned one moves to the end
+     * @param note text that a holder has left for its successor, or empty
      */
-    public record Task(String name, boolean spread, String holder, long token, List<String> line, String note) {}
+    public record Task(String name, boolean placed, String holder, long token, List<String> candidates, String note) {}
 
     /**
-     * The table at one moment; never changed.
+     * An immutable snapshot of the table.
      *
-     * @param version counts operations
-     * @param wants by process: the digest of what it wants
+     * @param version number of operations applied
+     * @param candidacyDigests digest of each process's candidacy, by process
      */
-    public record View(long version, SortedMap<String, Task> tasks, SortedMap<String, String> wants) {}
+    public record View(long version, SortedMap<String, Task> tasks, SortedMap<String, String> candidacyDigests) {}
 
-    /** One that is to get a task whose token is that one still. */
-    public record Assignment(String task, long after, String to) {}
+    /** Assigns a task to a process if the task's token is still the given one. */
+    public record Assignment(String task, long previousToken, String process) {}
 
     public TaskTable() {
-        look();
+        refreshView();
     }
 
     // ---- operations ----
 
-    /** What a process wants, all of it: it replaces what it wanted before. */
-    public static JsonObject want(String who, Candidacy all) {
+    /** Sets a process's candidacy, replacing its previous one. */
+    public static JsonObject setCandidacy(String process, Candidacy candidacy) {
         JsonObject op = op("want");
-        op.addProperty("who", who);
-        op.add("line", array(all.line()));
-        op.add("spread", array(all.spread()));
+        op.addProperty("who", process);
+        op.add("line", array(candidacy.rotating()));
+        op.add("spread", array(candidacy.placed()));
         return op;
     }
 
-    /** Tasks are given to these. Only a leader that knows that the former holders act no more asks for it. */
-    public static JsonObject assign(List<Assignment> moves) {
+    /** Assigns tasks. Submitted only by a leader that knows that the previous holders no longer act on them. */
+    public static JsonObject assign(List<Assignment> assignments) {
         JsonObject op = op("assign");
         JsonArray all = new JsonArray();
-        for (Assignment move : moves) {
-            JsonArray one = new JsonArray();
-            one.add(move.task());
-            one.add(move.after());
-            one.add(move.to());
-            all.add(one);
+        for (Assignment assignment : assignments) {
+            JsonArray fields = new JsonArray();
+            fields.add(assignment.task());
+            fields.add(assignment.previousToken());
+            fields.add(assignment.process());
+            all.add(fields);
         }
         op.add("moves", all);
         return op;
     }
 
-    /** A process has ended: it wants nothing any more. */
-    public static JsonObject gone(String who) {
+    /** Removes the candidacy of a process that has ended. */
+    public static JsonObject removeProcess(String process) {
         JsonObject op = op("gone");
-        op.addProperty("who", who);
+        op.addProperty("who", process);
         return op;
     }
 
-    /** What a holder leaves for the next one; turned down unless it holds the task by that token. */
+    /** Stores a holder's note for its successor; rejected unless the token is the task's latest. */
     public static JsonObject note(String task, long token, String text) {
         JsonObject op = op("note");
         op.addProperty("task", task);
@@ -122,89 +121,91 @@
         return all;
     }
 
-    private static Set<String> texts(JsonElement from) {
+    private static Set<String> strings(JsonElement from) {
         Set<String> all = new LinkedHashSet<>();
-        from.getAsJsonArray().forEach(one -> all.add(one.getAsString()));
+        from.getAsJsonArray().forEach(element -> all.add(element.getAsString()));
         return all;
     }
 
-    /** True if a task can be named so. */
+    /** True if this is a valid name of a task. */
     public static boolean isName(String name) {
-        return name.matches(TASK);
+        return name.matches(TASK_NAME);
     }
 
     @Override
     public JsonObject run(JsonObject op) {
         JsonObject answer = new JsonObject();
-        String wrong = switch (op.get("op").getAsString()) {
-            case "want" -> want(op);
+        String error = switch (op.get("op").getAsString()) {
+            case "want" -> setCandidacy(op);
             case "assign" -> assign(op, answer);
             case "gone" -> {
-                replace(op.get("who").getAsString(), Candidacy.NONE);
+                replaceCandidacy(op.get("who").getAsString(), Candidacy.NONE);
                 yield null;
             }
             case "note" -> note(op);
-            default -> "is no operation on tasks";
+            default -> "unknown operation on tasks";
         };
-        if (wrong != null) {
-            answer.addProperty("error", wrong);
+        if (error != null) {
+            answer.addProperty("error", error);
         }
         version++;
-        look();
+        refreshView();
         return answer;
     }
 
-    private String want(JsonObject op) {
-        Candidacy all = new Candidacy(texts(op.get("line")), texts(op.get("spread")));
-        Set<String> named = new LinkedHashSet<>(all.line());
-        named.addAll(all.spread());
+    private String setCandidacy(JsonObject op) {
+        Candidacy candidacy = new Candidacy(strings(op.get("line")), strings(op.get("spread")));
+        Set<String> named = new LinkedHashSet<>(candidacy.rotating());
+        named.addAll(candidacy.placed());
         long unknown = named.stream().filter(name -> !tasks.containsKey(name)).count();
         if (named.stream().anyMatch(name -> !isName(name))) {
-            return "a task is named by up to 128 letters, digits, '_', '.', ':', '/' and '-'";
+            return "a task name has 1 to 128 characters: letters, digits, '_', '.', ':', '/' and '-'";
         }
-        if (tasks.size() + unknown > MOST_TASKS || wanted + named.size() > MOST_WANTS) {
-            return "there are " + tasks.size() + " tasks, wanted " + wanted + " times: the most are " + MOST_TASKS
-                    + " and " + MOST_WANTS;
+        if (tasks.size() + unknown > MAX_TASKS || candidateCount + named.size() > MAX_CANDIDATES) {
+            return "there are " + tasks.size() + " tasks and " + candidateCount + " candidates, the limits are "
+                    + MAX_TASKS + " and " + MAX_CANDIDATES;
         }
-        replace(op.get("who").getAsString(), all);
+        replaceCandidacy(op.get("who").getAsString(), candidacy);
         return null;
     }
 
-    private void replace(String who, Candidacy all) {
+    private void replaceCandidacy(String process, Candidacy candidacy) {
         for (Task task : new ArrayList<>(tasks.values())) {
-            boolean wants = all.line().contains(task.name()) || all.spread().contains(task.name());
-            if (!wants && task.line().contains(who)) {
-                List<String> line = new ArrayList<>(task.line());
-                line.remove(who);
-                wanted--;
-                keep(new Task(task.name(), task.spread(), task.holder(), task.token(), List.copyOf(line), task.note()));
+            boolean applies = candidacy.rotating().contains(task.name())
+                    || candidacy.placed().contains(task.name());
+            if (!applies && task.candidates().contains(process)) {
+                List<String> candidates = new ArrayList<>(task.candidates());
+                candidates.remove(process);
+                candidateCount--;
+                storeOrRemove(new Task(
+                        task.name(), task.placed(), task.holder(), task.token(), List.copyOf(candidates), task.note()));
             }
         }
-        all.line().forEach(name -> join(name, false, who));
-        all.spread().forEach(name -> join(name, true, who));
-        if (all.isNothing()) {
-            wants.remove(who);
+        candidacy.rotating().forEach(name -> addCandidate(name, false, process));
+        candidacy.placed().forEach(name -> addCandidate(name, true, process));
+        if (candidacy.isNothing()) {
+            candidacyDigests.remove(process);
         } else {
-            wants.put(who, all.digest());
+            candidacyDigests.put(process, candidacy.digest());
         }
     }
 
-    private void join(String name, boolean spread, String who) {
+    private void addCandidate(String name, boolean placed, String process) {
         Task task = tasks.get(name);
         if (task == null) {
-            task = new Task(name, spread, "", 0, List.of(), "");
+            task = new Task(name, placed, "", 0, List.of(), "");
         }
-        List<String> line = new ArrayList<>(task.line());
-        if (!line.contains(who)) {
-            line.add(who);
-            wanted++;
+        List<String> candidates = new ArrayList<>(task.candidates());
+        if (!candidates.contains(process)) {
+            candidates.add(process);
+            candidateCount++;
         }
-        tasks.put(name, new Task(name, spread, task.holder(), task.token(), List.copyOf(line), task.note()));
+        tasks.put(name, new Task(name, placed, task.holder(), task.token(), List.copyOf(candidates), task.note()));
     }
 
-    /** A task that nobody wants and that holds no note goes: tokens rise without it. */
-    private void keep(Task task) {
-        if (task.line().isEmpty() && task.note().isEmpty()) {
+    /** Removes a task without candidates and note; its later tokens still rise, as the counter is shared. */
+    private void storeOrRemove(Task task) {
+        if (task.candidates().isEmpty() && task.note().isEmpty()) {
             tasks.remove(task.name());
         } else {
             tasks.put(task.name(), task);
@@ -212,24 +213,30 @@
     }
 
     private String assign(JsonObject op, JsonObject answer) {
-        int done = 0;
-        for (JsonElement one : op.getAsJsonArray("moves")) {
-            JsonArray move = one.getAsJsonArray();
-            Task task = tasks.get(move.get(0).getAsString());
-            String to = move.get(2).getAsString();
+        int assigned = 0;
+        for (JsonElement element : op.getAsJsonArray("moves")) {
+            JsonArray fields = element.getAsJsonArray();
+            Task task = tasks.get(fields.get(0).getAsString());
+            String process = fields.get(2).getAsString();
             if (task != null
-                    && task.token() == move.get(1).getAsLong()
-                    && task.line().contains(to)) {
-                List<String> line = new ArrayList<>(task.line());
-                line.remove(to);
-                line.add(to);
+                    && task.token() == fields.get(1).getAsLong()
+                    && task.candidates().contains(process)) {
+                List<String> candidates = new ArrayList<>(task.candidates());
+                candidates.remove(process);
+                candidates.add(process);
                 tasks.put(
                         task.name(),
-                        new Task(task.name(), task.spread(), to, ++tokens, List.copyOf(line), task.note()));
-                done++;
+                        new Task(
+                                task.name(),
+                                task.placed(),
+                                process,
+                                ++lastToken,
+                                List.copyOf(candidates),
+                                task.note()));
+                assigned++;
             }
         }
-        answer.addProperty("done", done);
+        answer.addProperty("done", assigned);
         return null;
     }
 
@@ -237,21 +244,21 @@
         Task task = tasks.get(op.get("task").getAsString());
         String text = op.get("text").getAsString();
         if (task == null || task.token() != op.get("token").getAsLong()) {
-            return "token " + op.get("token") + " is not the latest of '"
-                    + op.get("task").getAsString() + "'" + (task == null ? "" : ", that is " + task.token());
+            return "token " + op.get("token") + " is not the latest token of task '"
+                    + op.get("task").getAsString() + "'" + (task == null ? "" : ", which is " + task.token());
         }
-        if (text.length() > MOST_NOTE) {
-            return "a note has at most " + MOST_NOTE + " characters";
+        if (text.length() > MAX_NOTE_LENGTH) {
+            return "a note is limited to " + MAX_NOTE_LENGTH + " characters";
         }
-        keep(new Task(task.name(), task.spread(), task.holder(), task.token(), task.line(), text));
+        storeOrRemove(new Task(task.name(), task.placed(), task.holder(), task.token(), task.candidates(), text));
         return null;
     }
 
-    private void look() {
+    private void refreshView() {
         view = new View(
                 version,
                 Collections.unmodifiableSortedMap(new TreeMap<>(tasks)),
-                Collections.unmodifiableSortedMap(new TreeMap<>(wants)));
+                Collections.unmodifiableSortedMap(new TreeMap<>(candidacyDigests)));
     }
 
     // ---- reading ----
@@ -266,20 +273,20 @@
         JsonObject all = new JsonObject();
         JsonArray list = new JsonArray();
         for (Task task : tasks.values()) {
-            JsonObject one = new JsonObject();
-            one.addProperty("name", task.name());
-            one.addProperty("spread", task.spread());
-            one.addProperty("holder", task.holder());
-            one.addProperty("token", task.token());
-            one.add("line", array(task.line()));
-            one.addProperty("note", task.note());
-            list.add(one);
+            JsonObject fields = new JsonObject();
+            fields.addProperty("name", task.name());
+            fields.addProperty("spread", task.placed());
+            fields.addProperty("holder", task.holder());
+            fields.addProperty("token", task.token());
+            fields.add("line", array(task.candidates()));
+            fields.addProperty("note", task.note());
+            list.add(fields);
         }
         all.add("tasks", list);
         JsonObject digests = new JsonObject();
-        wants.forEach(digests::addProperty);
+        candidacyDigests.forEach(digests::addProperty);
         all.add("wants", digests);
-        all.addProperty("tokens", tokens);
+        all.addProperty("tokens", lastToken);
         all.addProperty("version", version);
         return all;
     }
@@ -287,31 +294,32 @@
     @Override
     public void restore(JsonObject from) {
         tasks.clear();
-        wants.clear();
-        wanted = 0;
-        tokens = 0;
+        candidacyDigests.clear();
+        candidateCount = 0;
+        lastToken = 0;
         version = 0;
         if (from != null) {
-            for (JsonElement each : from.getAsJsonArray("tasks")) {
-                JsonObject one = each.getAsJsonObject();
-                List<String> line = List.copyOf(texts(one.get("line")));
-                wanted += line.size();
+            for (JsonElement element : from.getAsJsonArray("tasks")) {
+                JsonObject fields = element.getAsJsonObject();
+                List<String> candidates = List.copyOf(strings(fields.get("line")));
+                candidateCount += candidates.size();
                 tasks.put(
-                        one.get("name").getAsString(),
+                        fields.get("name").getAsString(),
                         new Task(
-                                one.get("name").getAsString(),
-                                one.get("spread").getAsBoolean(),
-                                one.get("holder").getAsString(),
-                                one.get("token").getAsLong(),
-                                line,
-                                one.get("note").getAsString()));
+                                fields.get("name").getAsString(),
+                                fields.get("spread").getAsBoolean(),
+                                fields.get("holder").getAsString(),
+                                fields.get("token").getAsLong(),
+                                candidates,
+                                fields.get("note").getAsString()));
             }
             from.getAsJsonObject("wants")
                     .entrySet()
-                    .forEach(one -> wants.put(one.getKey(), one.getValue().getAsString()));
-            tokens = from.get("tokens").getAsLong();
+                    .forEach(entry -> candidacyDigests.put(
+                            entry.getKey(), entry.getValue().getAsString()));
+            lastToken = from.get("tokens").getAsLong();
             version = from.get("version").getAsLong();
         }
-        look();
+        refreshView();
     }
 }
--- a/src/main/java/laneflow/task/decision/package-info.java
+++ b/src/main/java/laneflow/task/decision/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decisions on leased tasks: assignment and balance at the leader, and when a holder must stop acting.
- * Without I/O, threads or a clock of its own.
+ * Decisions about leased tasks: assignment and balancing at the leader, and the time at which a holder must
+ * stop acting. Performs no I/O, starts no threads and reads no clock.
  */
 package laneflow.task.decision;
--- a/src/test/java/laneflow/task/RecoveryStoryTest.java
+++ b/src/test/java/laneflow/task/RecoveryStoryTest.java
@@ -24,9 +24,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Durable jobs of schedulers that die, taken over by others: all of them run, and none twice. The endpoints are
- * banned by policy until the faults are over, so that no attempt is made before: one whose lease is on disk when
- * its scheduler dies may have run, and a job that must not be repeated then ends as unknown.
+ * Durable jobs of dead schedulers are taken over by others: each runs, and none twice. All endpoints are banned
+ * by policy until the faults are over, so that no attempt is made before: an attempt whose lease is on disk when
+ * its scheduler dies may have run, and a job that must not be repeated would then end as unknown.
  */
 class RecoveryStoryTest {
     private static final int JOBS = 40;
@@ -62,7 +62,7 @@
         rig.proposeUntilTaken(0, "no-attempts", BANNED);
         rig.awaitDeciding(1, rig.all());
         for (int i = 0; i < JOBS; i++) {
-            handIn(3, i);
+            submit(3, i);
         }
     }
 
@@ -71,7 +71,7 @@
         rig.close();
     }
 
-    private void handIn(int at, int job) throws IOException, InterruptedException {
+    private void submit(int at, int job) throws IOException, InterruptedException {
         HttpResponse<String> answer = client.send(
                 HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + rig.clientPort(at) + "/post"))
                         .header("Req-Id", "j" + job)
@@ -87,7 +87,7 @@
         return !Files.exists(stores.resolve(name));
     }
 
-    /** Whose folder another's store lies in now, or -1. */
+    /** The scheduler that has adopted the store of that name, or -1. */
     private int adopter(String name) throws IOException {
         for (int i = 0; i < rig.size(); i++) {
             Path adopted = stores.resolve(Rig.name(i)).resolve("adopted");
@@ -114,16 +114,16 @@
                     new HashSet<>(runs(ran)).size() + " of " + JOBS + " jobs have run; " + counters(schedulers), e);
         }
         List<String> runs = runs(ran);
-        assertEquals(JOBS, runs.size(), "some ran twice: " + runs);
+        assertEquals(JOBS, runs.size(), "not each job ran once: " + runs);
         assertTrue(
                 runs.containsAll(IntStream.range(0, JOBS).mapToObj(i -> "j" + i).toList()), runs.toString());
     }
 
-    /** What has become of the jobs, as these schedulers count it. */
+    /** The counters of jobs at these schedulers. */
     private String counters(int... schedulers) throws IOException, InterruptedException {
-        StringBuilder counted = new StringBuilder();
+        StringBuilder text = new StringBuilder();
         for (int i : schedulers) {
-            counted.append(Rig.name(i));
+            text.append(Rig.name(i));
             for (String name : List.of(
                     "durable.open",
                     "durable.taken_over",
@@ -131,11 +131,11 @@
                     "durable.unknown",
                     "durable.failed",
                     "lease.given")) {
-                counted.append(' ').append(name).append('=').append(rig.counter(i, name));
+                text.append(' ').append(name).append('=').append(rig.counter(i, name));
             }
-            counted.append("; ");
+            text.append("; ");
         }
-        return counted.toString();
+        return text.toString();
     }
 
     private static List<String> runs(Path ran) throws IOException {
@@ -146,32 +146,32 @@
     }
 
     @Test
-    void jobsOfADeadSchedulerAreTakenOverByOneAndRunOnce() throws Exception {
+    void jobsOfADeadSchedulerAreTakenOverAndRunOnce() throws Exception {
         rig.kill(3);
-        rig.await("its store has another place", () -> isAdopted(Rig.name(3)));
+        rig.await("its store is adopted", () -> isAdopted(Rig.name(3)));
         allRanOnce(rig.without(Set.of(3)));
     }
 
     @Test
-    void anAdopterThatDiesAmidItIsRecoveredWithWhatItHadTaken() throws Exception {
+    void anAdopterThatDiesIsRecoveredWithTheStoreItAdopted() throws Exception {
         rig.kill(3);
-        int[] by = {-1};
-        rig.await("somebody has taken it over", () -> {
-            by[0] = adopter(Rig.name(3));
-            return by[0] >= 0 || isAdopted(Rig.name(3));
+        int[] adopter = {-1};
+        rig.await("a scheduler has adopted its store", () -> {
+            adopter[0] = adopter(Rig.name(3));
+            return adopter[0] >= 0 || isAdopted(Rig.name(3));
         });
-        int killed = by[0] >= 0 ? by[0] : 0;
+        int killed = adopter[0] >= 0 ? adopter[0] : 0;
         rig.kill(killed);
-        rig.await("the adopter's store has another place", () -> isAdopted(Rig.name(killed)));
+        rig.await("the adopter's store is adopted", () -> isAdopted(Rig.name(killed)));
         allRanOnce(rig.without(Set.of(3, killed)));
     }
 
     @Test
-    void oneThatStandsStillKeepsItsJobs() throws Exception {
+    void aSuspendedSchedulerKeepsItsJobs() throws Exception {
         rig.stall(3);
         int leader = rig.leader();
         rig.await(
-                "another may take it over, and its store is held",
+                "another scheduler holds the recovery task of its store",
                 () -> rig.ask(leader, "/tasks", null)
                         .body()
                         .contains("\"task\":\"recover/n4\",\"kind\":\"placed\",\"holder\"" + ":\"n"));
--- a/src/test/java/laneflow/task/TaskFaultsStoryTest.java
+++ b/src/test/java/laneflow/task/TaskFaultsStoryTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Acts that hang, come late or are made by a clock that is wrong, as their receiver sees them. */
+/** Calls that hang, arrive late or are made under a wrong clock, as seen by their receiver. */
 class TaskFaultsStoryTest {
     private static final int TASKS = 6;
     private static final long CUT_OFF_NS = 500_000_000;
@@ -37,7 +37,7 @@
     @TempDir
     Path folder;
 
-    /** Tasks whose receiver checks tokens, called for at that port. */
+    /** Configures hooks whose receiver at that port checks tokens. */
     private static String checked(int port) {
         StringBuilder all = new StringBuilder(TaskMeasure.file(port, 0));
         for (int i = 0; i < TASKS; i++) {
@@ -50,20 +50,21 @@
         return call.holder().substring(0, call.holder().indexOf('#'));
     }
 
-    /** From now on each of these has called, and all tasks are called for. */
-    private static void called(Rig rig, StandInReceiver receiver, int by) throws IOException, InterruptedException {
+    /** Waits until all hooks have been called again, by at least this many processes. */
+    private static void awaitCalls(Rig rig, StandInReceiver receiver, int callers)
+            throws IOException, InterruptedException {
         long from = System.nanoTime();
-        rig.await("all tasks are called for by " + by, () -> {
+        rig.await("all hooks are called, by " + callers, () -> {
             List<Call> since = receiver.calls().stream()
                     .filter(call -> call.beganNs() > from && call.accepted())
                     .toList();
             return since.stream().map(Call::task).distinct().count() >= TASKS
-                    && since.stream().map(Call::holder).distinct().count() >= by;
+                    && since.stream().map(Call::holder).distinct().count() >= callers;
         });
     }
 
     @Test
-    void anActThatHangsIsCutOffAndHarmsNoOther() throws Exception {
+    void aHangingCallIsCutOffAndDelaysNoOther() throws Exception {
         try (StandInReceiver receiver = new StandInReceiver(Crew.port(), 5);
                 Rig rig = new Rig(
                         folder,
@@ -73,10 +74,10 @@
                         checked(receiver.port()) + TaskMeasure.hook("hang", receiver.port(), "/hang", 200, true))) {
             rig.startAll();
             rig.awaitDeciding(0, rig.all());
-            called(rig, receiver, 3);
+            awaitCalls(rig, receiver, 3);
             long from = System.nanoTime();
             String[] holder = {""};
-            rig.await("it hangs three times at one holder, and every other task goes on meanwhile", () -> {
+            rig.await("it hangs three times at one holder while all other hooks are called", () -> {
                 List<Call> since = receiver.calls().stream()
                         .filter(call -> call.beganNs() > from)
                         .toList();
@@ -108,7 +109,7 @@
             others.remove("hook/hang");
             assertTrue(!others.isEmpty(), all.toString());
             rig.await(
-                    "its holder calls for its others too",
+                    "its holder calls its other hooks too",
                     () -> others.stream()
                             .allMatch(task -> receiver.calls().stream()
                                     .anyMatch(call -> call.task().equals(task)
@@ -118,18 +119,21 @@
         }
     }
 
-    /** Not promised then: that no two act at once. Held still: nobody who checks takes the elder's call. */
+    /**
+     * With a clock that drifts beyond its bound, two holders may act at once; a receiver that checks tokens still
+     * accepts no call of the earlier holder.
+     */
     @Test
-    void aClockBeyondItsBoundIsStoppedByWhoChecksTokens() throws Exception {
+    void lateCallsOfAClockBeyondItsBoundAreRejectedByTheReceiver() throws Exception {
         try (StandInReceiver receiver = new StandInReceiver(Crew.port(), 0);
                 Rig rig = new Rig(folder, 4, 3, 7, checked(receiver.port()))) {
             rig.option(3, "-Dlaneflow.lab.clock_rate=0.4");
             rig.startAll();
             rig.awaitDeciding(0, rig.all());
-            called(rig, receiver, 4);
+            awaitCalls(rig, receiver, 4);
             rig.partAll(List.of(3));
             rig.await(
-                    "it calls behind its lease and is turned down",
+                    "it calls after its lease and is rejected",
                     () -> receiver.calls().stream()
                             .anyMatch(call -> !call.accepted() && name(call).equals(Rig.name(3))));
             TaskHistory history = new TaskHistory(receiver.calls());
@@ -140,7 +144,7 @@
     }
 
     @Test
-    void twoProcessesOfOneUpgradeAreTwoHolders() throws Exception {
+    void oldAndNewProcessOfAnUpgradeAreSeparateHolders() throws Exception {
         try (StandInReceiver receiver = new StandInReceiver(Crew.port(), 5);
                 Rig rig = new Rig(folder, 3, 1, 7, checked(receiver.port()))) {
             rig.start(0);
@@ -149,51 +153,51 @@
             try (Platform platform =
                     new Platform(folder, folder.resolve("n3.log"), Map.of(), "serve", "--config", file.toString())) {
                 Started former = platform.launch();
-                called(rig, receiver, 3);
-                Set<String> lives = new HashSet<>();
+                awaitCalls(rig, receiver, 3);
+                Set<String> formerIds = new HashSet<>();
                 receiver.calls().stream()
                         .filter(call -> name(call).equals("n3"))
-                        .forEach(call -> lives.add(call.holder()));
+                        .forEach(call -> formerIds.add(call.holder()));
                 Started next = platform.launch();
-                called(rig, receiver, 4);
-                assertEquals(1, lives.size());
+                awaitCalls(rig, receiver, 4);
+                assertEquals(1, formerIds.size());
                 former.handle().destroy();
                 former.ended();
                 long ended = System.nanoTime();
-                called(rig, receiver, 3);
+                awaitCalls(rig, receiver, 3);
                 assertTrue(receiver.calls().stream()
-                        .noneMatch(call -> lives.contains(call.holder()) && call.beganNs() > ended));
+                        .noneMatch(call -> formerIds.contains(call.holder()) && call.beganNs() > ended));
                 assertTrue(next.handle().isAlive());
             }
             assertEquals(List.of(), new TaskHistory(receiver.calls()).check());
         }
     }
 
-    /** A way to the receiver on which calls of one process can be held up, even behind its death. */
-    private static final class Held implements AutoCloseable {
+    /** A proxy to the receiver that can delay the calls of one scheduler, even beyond its death. */
+    private static final class DelayingProxy implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(Crew.port(), 64, InetAddress.getLoopbackAddress());
         private final int target;
-        private volatile String of = "#";
-        private volatile String head = "";
+        private volatile String delayedName = "#";
+        private volatile String delayedHead = "";
         private final CountDownLatch released = new CountDownLatch(1);
 
-        private Held(int target) throws IOException {
+        private DelayingProxy(int target) throws IOException {
             this.target = target;
-            Threads.daemon(this::accept, "held").start();
+            Threads.daemon(this::accept, "delaying-proxy").start();
         }
 
         private void accept() {
             while (!server.isClosed()) {
                 try {
                     Socket from = server.accept();
-                    Threads.daemon(() -> pass(from), "held").start();
+                    Threads.daemon(() -> forward(from), "delaying-proxy").start();
                 } catch (IOException e) {
                     return;
                 }
             }
         }
 
-        private void pass(Socket from) {
+        private void forward(Socket from) {
             try (from;
                     Socket to = new Socket(InetAddress.getLoopbackAddress(), target)) {
                 StringBuilder text = new StringBuilder();
@@ -201,14 +205,14 @@
                 while (text.indexOf("\r\n\r\n") < 0) {
                     text.append((char) in.read());
                 }
-                if (text.indexOf("Task-Holder: " + of) >= 0) {
-                    head = text.toString();
+                if (text.indexOf("Task-Holder: " + delayedName) >= 0) {
+                    delayedHead = text.toString();
                     released.await();
                 }
                 to.getOutputStream().write(text.toString().getBytes(StandardCharsets.US_ASCII));
                 from.getOutputStream().write(to.getInputStream().readAllBytes());
             } catch (IOException e) {
-                // Whoever called has gone.
+                // The caller has closed the connection.
                 return;
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -223,32 +227,32 @@
     }
 
     @Test
-    void aCallOfAFormerLifeThatIsStillOnItsWayIsTurnedDown() throws Exception {
+    void aDelayedCallOfAnEarlierInstanceIsRejected() throws Exception {
         try (StandInReceiver receiver = new StandInReceiver(Crew.port(), 5);
-                Held way = new Held(receiver.port());
-                Rig rig = new Rig(folder, 3, 3, 7, checked(way.server.getLocalPort()))) {
+                DelayingProxy proxy = new DelayingProxy(receiver.port());
+                Rig rig = new Rig(folder, 3, 3, 7, checked(proxy.server.getLocalPort()))) {
             rig.startAll();
             rig.awaitDeciding(0, rig.all());
-            called(rig, receiver, 3);
+            awaitCalls(rig, receiver, 3);
             int killed = (Math.max(0, rig.leader()) + 1) % 3;
-            way.of = Rig.name(killed) + "#";
-            rig.await("a call of its is on its way", () -> !way.head.isEmpty());
+            proxy.delayedName = Rig.name(killed) + "#";
+            rig.await("one of its calls is delayed", () -> !proxy.delayedHead.isEmpty());
             rig.kill(killed);
-            way.of = "#";
+            proxy.delayedName = "#";
             rig.start(killed);
             rig.awaitDeciding(0, killed);
-            String task = field(way.head, "Task");
-            long token = Long.parseLong(field(way.head, "Task-Token"));
+            String task = field(proxy.delayedHead, "Task");
+            long token = Long.parseLong(field(proxy.delayedHead, "Task-Token"));
             rig.await(
-                    "a later token has called for that task",
+                    "a call with a later token has arrived",
                     () -> receiver.calls().stream()
                             .anyMatch(call -> call.task().equals(task) && call.token() > token && call.accepted()));
-            way.released.countDown();
+            proxy.released.countDown();
             rig.await(
-                    "the old one is turned down",
+                    "the delayed call is rejected",
                     () -> receiver.calls().stream()
                             .anyMatch(call -> call.task().equals(task) && call.token() == token && !call.accepted()));
-            called(rig, receiver, 3);
+            awaitCalls(rig, receiver, 3);
             assertEquals(List.of(), new TaskHistory(receiver.calls()).check());
         }
     }
--- a/src/test/java/laneflow/task/TaskStoryTest.java
+++ b/src/test/java/laneflow/task/TaskStoryTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Schedulers as processes that call for the fleet, with faults between; each ends with a look at all calls. */
+/** Scheduler processes that call hooks, with faults injected; each test ends with a check of all calls. */
 class TaskStoryTest {
     private static final int TASKS = 6;
 
@@ -37,7 +37,7 @@
         rig = new Rig(folder, 3, 3, 7, TaskMeasure.file(receiver.port(), TASKS));
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
-        called("all tasks are called for by all three", 3, Set.of());
+        awaitCalls("all hooks are called, by all three schedulers", 3, Set.of());
     }
 
     @AfterEach
@@ -51,15 +51,15 @@
         }
     }
 
-    /** From now on all tasks are called for, by so many, and by none of these. */
-    private void called(String what, int by, Set<String> but) throws IOException, InterruptedException {
+    /** Waits until all hooks have been called again, by at least this many schedulers apart from the excluded ones. */
+    private void awaitCalls(String what, int callers, Set<String> excluded) throws IOException, InterruptedException {
         long from = System.nanoTime();
         rig.await(what, () -> {
             List<StandInReceiver.Call> since = receiver.calls().stream()
-                    .filter(call -> call.beganNs() > from && call.accepted() && !but.contains(name(call)))
+                    .filter(call -> call.beganNs() > from && call.accepted() && !excluded.contains(name(call)))
                     .toList();
             return since.stream().map(StandInReceiver.Call::task).distinct().count() == TASKS
-                    && since.stream().map(TaskStoryTest::name).distinct().count() >= by;
+                    && since.stream().map(TaskStoryTest::name).distinct().count() >= callers;
         });
     }
 
@@ -71,80 +71,80 @@
         return JsonParser.parseString(rig.ask(i, "/tasks", null).body()).getAsJsonObject();
     }
 
-    private int other(int but) {
-        return (but + 1) % 3;
+    private int other(int scheduler) {
+        return (scheduler + 1) % 3;
     }
 
     @Test
-    void whoIsKilledIsReplacedAndComesBackAsAnother() throws Exception {
+    void aKilledSchedulerIsReplacedAndRejoinsAfterRestart() throws Exception {
         int killed = other(rig.leader());
         rig.kill(killed);
-        called("others call for what it held", 2, Set.of(Rig.name(killed)));
+        awaitCalls("others make its calls", 2, Set.of(Rig.name(killed)));
         rig.start(killed);
-        called("it gets its share again", 3, Set.of());
+        awaitCalls("it gets its share of the hooks again", 3, Set.of());
     }
 
     @Test
-    void whoStandsStillForLongerThanItsLeaseActsNoMoreWhenItWakes() throws Exception {
-        int stopped = other(rig.leader());
-        rig.stall(stopped);
-        called("others call for what it held", 2, Set.of(Rig.name(stopped)));
-        rig.wake(stopped);
-        called("it gets its share again", 3, Set.of());
+    void aSchedulerSuspendedBeyondItsLeaseMakesNoLateCalls() throws Exception {
+        int suspended = other(rig.leader());
+        rig.stall(suspended);
+        awaitCalls("others make its calls", 2, Set.of(Rig.name(suspended)));
+        rig.wake(suspended);
+        awaitCalls("it gets its share of the hooks again", 3, Set.of());
     }
 
     @Test
-    void theLeaderIsKilledAndTheOthersKeepWhatTheyHold() throws Exception {
+    void othersKeepTheirTasksWhenTheLeaderIsKilled() throws Exception {
         int leader = rig.leader();
-        int keeps = other(leader);
-        JsonObject held = tasks(keeps).getAsJsonObject("holds");
+        int follower = other(leader);
+        JsonObject held = tasks(follower).getAsJsonObject("holds");
         assertTrue(held.size() > 0);
         rig.kill(leader);
-        called("others call for what it held", 2, Set.of(Rig.name(leader)));
-        JsonObject now = tasks(keeps).getAsJsonObject("holds");
+        awaitCalls("others make its calls", 2, Set.of(Rig.name(leader)));
+        JsonObject now = tasks(follower).getAsJsonObject("holds");
         int kept = 0;
         for (String task : held.keySet()) {
             kept += held.get(task).equals(now.get(task)) ? 1 : 0;
         }
-        assertEquals(held.size(), kept, held + " and then " + now);
+        assertEquals(held.size(), kept, held + ", then " + now);
     }
 
     @Test
-    void withoutAMajorityNobodyActsAndBehindItEverythingGoesOn() throws Exception {
+    void callsStopWithoutAMajorityAndResumeWithIt() throws Exception {
         int leader = rig.leader();
         rig.stall(other(leader));
         rig.stall(other(other(leader)));
         rig.await(
-                "the leader has no leave to act",
+                "the leader's lease has ended",
                 () -> tasks(leader).get("lease_ms").getAsLong() == 0);
         long from = System.nanoTime();
         rig.wake(other(leader));
         rig.wake(other(other(leader)));
-        called("all tasks are called for again", 1, Set.of());
+        awaitCalls("all hooks are called again", 1, Set.of());
         assertTrue(receiver.calls().stream().anyMatch(call -> call.beganNs() > from));
     }
 
     @Test
-    void whoIsCutOffIsReplacedAndWhoEndsInOrderHandsOver() throws Exception {
-        int lone = other(rig.leader());
-        rig.partAll(List.of(lone));
-        called("others call for what it held", 2, Set.of(Rig.name(lone)));
+    void aPartitionedSchedulerIsReplacedAndAStoppedOneHandsOver() throws Exception {
+        int partitioned = other(rig.leader());
+        rig.partAll(List.of(partitioned));
+        awaitCalls("others make its calls", 2, Set.of(Rig.name(partitioned)));
         rig.heal();
-        called("it gets its share again", 3, Set.of());
-        int ends = other(rig.leader());
-        rig.end(ends);
-        called("others call for what it held", 2, Set.of(Rig.name(ends)));
+        awaitCalls("it gets its share of the hooks again", 3, Set.of());
+        int stopping = other(rig.leader());
+        rig.end(stopping);
+        awaitCalls("others make its calls", 2, Set.of(Rig.name(stopping)));
     }
 
     @Test
-    void operatorsSeeWhoHoldsWhatAndWhoWaits() throws Exception {
+    void operatorsSeeHoldersAndCandidates() throws Exception {
         String addresses = rig.fleetAddress(0) + "," + rig.fleetAddress(1) + "," + rig.fleetAddress(2);
         rig.await(
-                "the leader tells of all tasks",
+                "the leader reports all tasks",
                 () -> tasks(rig.leader()).getAsJsonArray("tasks").size() == TASKS);
-        for (JsonElement one : tasks(rig.leader()).getAsJsonArray("tasks")) {
-            assertTrue(one.getAsJsonObject().get("token").getAsLong() > 0);
-            assertEquals(3, one.getAsJsonObject().getAsJsonArray("line").size());
+        for (JsonElement task : tasks(rig.leader()).getAsJsonArray("tasks")) {
+            assertTrue(task.getAsJsonObject().get("token").getAsLong() > 0);
+            assertEquals(3, task.getAsJsonObject().getAsJsonArray("line").size());
         }
         CliRun run = CliRun.of("task", "show", "--at", addresses);
         assertEquals(0, run.code(), run.text());
