--- a/src/main/java/laneflow/capacity/CapacityConfig.java
+++ b/src/main/java/laneflow/capacity/CapacityConfig.java
@@ -3,26 +3,26 @@
 import laneflow.config.Table;
 import laneflow.membership.MembersConfig;
 
-/** What the operators set for free capacity told among schedulers: the table {@code [capacity]}. */
+/** Configuration of capacity gossip: the table {@code [capacity]}. */
 public final class CapacityConfig {
-    /** Microseconds between two rounds in which news is told. */
-    public final long round;
-    /** Schedulers that are told in a round. */
+    /** Interval between gossip rounds. */
+    public final long roundMicros;
+    /** Schedulers contacted per round. */
     public final int fanout;
 
     private CapacityConfig(Table from, MembersConfig members) {
         if (members == null) {
-            from.wrong("", "needs the table [members]: news goes with the view's datagrams");
+            from.wrong("", "needs the table [members]: capacity reports are sent with the membership datagrams");
         }
-        round = from.whole("round_ms", 100, 20, 60_000) * 1000;
+        roundMicros = from.whole("round_ms", 100, 20, 60_000) * 1000;
         fanout = (int) from.whole("fanout", 2, 1, 8);
         from.close();
     }
 
     /**
-     * Reads the table; what is wrong becomes findings of the table's.
+     * Reads the table; errors are reported as findings of the table.
      *
-     * @param members the view of the fleet, or null where there is none
+     * @param members configuration of the membership, or null if there is none
      */
     public static CapacityConfig read(Table from, MembersConfig members) {
         return new CapacityConfig(from, members);
--- a/src/main/java/laneflow/capacity/CapacitySubsystem.java
+++ b/src/main/java/laneflow/capacity/CapacitySubsystem.java
@@ -21,16 +21,16 @@
 import laneflow.net.Loop;
 
 /**
- * Free capacity told among schedulers, in a process: what the scheduler's own calls come back with goes along
- * with the view's datagrams, what others told comes to the module as reports of their age. On the control
- * thread; what the scheduler hears comes, and reports go, as messages between the two loops.
+ * Capacity gossip in a scheduler process. Load reports from the scheduler's own attempts are sent with the
+ * membership datagrams; peer reports are delivered to the decision module with their age. Runs on the control
+ * thread and exchanges messages with the traffic loop.
  */
 public final class CapacitySubsystem implements CapacityGossip.Callbacks, Members.Cargo, Scheduler.AttemptListener {
     private static final String PATH = "/capacity";
-    private static final long LISTS_EVERY = 500_000;
-    private static final long MILLI = 1000;
-    /** Tries to draw one of the same zone. */
-    private static final int TRIES = 8;
+    private static final long LIST_INTERVAL_MICROS = 500_000;
+    private static final long MICROS_PER_MILLI = 1000;
+    /** Draws made to find a member in the same zone. */
+    private static final int SAME_ZONE_TRIES = 8;
 
     private final Loop loop;
     private final Loop traffic;
@@ -43,14 +43,14 @@
     private final int zone;
     private final SplittableRandom random;
     private final CapacityGossip capacity;
-    /** Names of the endpoints that are listed as ready. */
+    /** Names of the endpoints listed as ready, by id. */
     private final Map<Long, String> listed = new HashMap<>();
-    /** Names by the numbers that news calls schedulers by. */
+    /** Names of the schedulers that have sent a message, by number. */
     private final Map<Integer, String> names = new HashMap<>();
 
-    private long listedAt = Long.MIN_VALUE / 2;
+    private long lastListedAt = Long.MIN_VALUE / 2;
 
-    /** @param zones in the order of the settings */
+    /** @param zones in the order of the configuration */
     public CapacitySubsystem(
             Loop loop,
             Loop traffic,
@@ -71,66 +71,70 @@
         this.zones = List.copyOf(zones);
         zone = scheduler.settings().zone;
         random = new SplittableRandom(seed);
-        capacity = new CapacityGossip(number(fleet.self().name()), zone, LoadEstimator.SELECTIVE, this);
+        capacity = new CapacityGossip(schedulerNumber(fleet.self().name()), zone, LoadEstimator.SELECTIVE, this);
     }
 
-    private static int number(String name) {
+    private static int schedulerNumber(String name) {
         return (int) Endpoint.stableId(name) & 0xffff;
     }
 
-    /** News goes out from now on. On the control thread. */
+    /** Starts to send and receive. On the control thread. */
     public void begin() {
         traffic.later(() -> scheduler.setAttemptListener(this));
         members.carry(this);
         fleet.serve(PATH, (verb, path, body, answer) -> {
             if (verb.equals("GET") && path.equals(PATH)) {
-                answer.say(200, "application/json", "", report() + "\n");
+                answer.say(200, "application/json", "", status() + "\n");
             } else {
                 answer.say(verb.equals("GET") ? 404 : 405, "text/plain", "", "known is GET " + PATH + "\n");
             }
         });
-        round();
+        sendRound();
     }
 
-    private void round() {
+    private void sendRound() {
         long now = loop.micros();
-        loop.deadlines().at(now + config.round, this::round);
-        if (now - listedAt >= LISTS_EVERY) {
-            listedAt = now;
-            traffic.later(this::look);
+        loop.deadlines().at(now + config.roundMicros, this::sendRound);
+        if (now - lastListedAt >= LIST_INTERVAL_MICROS) {
+            lastListedAt = now;
+            traffic.later(this::collectReady);
         }
-        if (!capacity.hasNews()) {
+        if (!capacity.hasDataToSend()) {
             return;
         }
         List<Full> live = members.live();
         for (int i = 0; i < config.fanout && !live.isEmpty(); i++) {
             Full to = live.get(random.nextInt(live.size()));
-            for (int k = 0; k < TRIES && i % 2 == 0 && zoneOf(to) != zone; k++) {
+            for (int k = 0; k < SAME_ZONE_TRIES && i % 2 == 0 && zoneOf(to) != zone; k++) {
                 to = live.get(random.nextInt(live.size()));
             }
             members.carry(to.life().name(), null);
         }
     }
 
-    /** One that is ready, as the lists have it. */
-    private record Ready(long id, String name, int zone, int kind, long bornMs) {}
+    /** An endpoint that is ready by the endpoint lists. */
+    private record ReadyEndpoint(long id, String name, int zone, int kind, long bornMs) {}
 
-    /** On the traffic's thread. */
-    private void look() {
-        List<Ready> ready = new ArrayList<>();
+    /** Runs on the traffic thread. */
+    private void collectReady() {
+        List<ReadyEndpoint> ready = new ArrayList<>();
         scheduler.endpoints().forEach(endpoint -> {
             if (endpoint.state() == State.READY && !scheduler.isDown(endpoint)) {
-                ready.add(new Ready(
-                        endpoint.id, endpoint.name, endpoint.zone, endpoint.kind, endpoint.startedAt / MILLI));
+                ready.add(new ReadyEndpoint(
+                        endpoint.id,
+                        endpoint.name,
+                        endpoint.zone,
+                        endpoint.kind,
+                        endpoint.startedAt / MICROS_PER_MILLI));
             }
         });
-        loop.later(() -> lists(ready));
+        loop.later(() -> updateEndpoints(ready));
     }
 
-    /** What drains or is gone is not told of, and not heard of. */
-    private void lists(List<Ready> ready) {
+    /** Endpoints that drain or are gone are removed: their reports are neither sent nor accepted. */
+    private void updateEndpoints(List<ReadyEndpoint> ready) {
         Map<Long, String> now = new HashMap<>();
-        for (Ready one : ready) {
+        for (ReadyEndpoint one : ready) {
             now.put(one.id, one.name);
             capacity.addEndpoint(one.id, one.zone, one.kind, "", one.bornMs);
         }
@@ -147,7 +151,7 @@
         return zones.indexOf(member.facts().zone());
     }
 
-    // ---- from the scheduler ----
+    // ---- attempts of the scheduler ----
 
     @Override
     public void sent(Endpoint endpoint) {
@@ -161,7 +165,7 @@
         loop.later(() -> capacity.attemptEnded(loop.micros(), endpoint.id, !outcome.neverRan, free, queue));
     }
 
-    // ---- from and to the others ----
+    // ---- messages of peers ----
 
     @Override
     public byte[] fill(Full to, int room) {
@@ -170,10 +174,10 @@
 
     @Override
     public void take(Full from, byte[] bytes) {
-        int teller = number(from.life().name());
-        names.put(teller, from.life().name());
+        int sender = schedulerNumber(from.life().name());
+        names.put(sender, from.life().name());
         counters.add("capacity.received");
-        capacity.receive(loop.micros(), teller, zoneOf(from), bytes, members.room());
+        capacity.receive(loop.micros(), sender, zoneOf(from), bytes, members.room());
     }
 
     @Override
@@ -186,7 +190,7 @@
 
     @Override
     public void send(int to, byte[] bytes) {
-        // Not from amid the view's own turn.
+        // Deferred: membership must not be re-entered while it delivers a message.
         loop.deadlines().at(loop.micros(), () -> members.carry(names.getOrDefault(to, ""), bytes));
     }
 
@@ -195,33 +199,34 @@
         counters.add("capacity." + what);
     }
 
-    // ---- reports ----
+    // ---- status ----
 
-    private JsonObject report() {
+    private JsonObject status() {
         long now = loop.micros();
         JsonObject all = new JsonObject();
         all.addProperty("known_share", capacity.knownShare());
         all.addProperty("overshoot", capacity.overshoot());
-        JsonObject sums = new JsonObject();
+        JsonObject zoneStatus = new JsonObject();
         for (int i = 0; i < zones.size(); i++) {
-            CapacityGossip.Sum sum = capacity.ofZone(now, i);
+            CapacityGossip.FreeSlots estimate = capacity.freeSlotsInZone(now, i);
             JsonObject one = new JsonObject();
-            one.addProperty("endpoints", sum.endpoints());
-            one.addProperty("heard_of", sum.heardOf());
-            one.addProperty("free", sum.free());
-            one.addProperty("error", sum.error());
-            sums.add(zones.get(i), one);
+            one.addProperty("endpoints", estimate.endpoints());
+            one.addProperty("heard_of", estimate.reported());
+            one.addProperty("free", estimate.free());
+            one.addProperty("error", estimate.error());
+            zoneStatus.add(zones.get(i), one);
         }
-        all.add("zones", sums);
+        all.add("zones", zoneStatus);
         JsonObject endpoints = new JsonObject();
         listed.forEach((id, name) -> {
-            CapacityReport news = capacity.latestReport(id);
-            if (news != null) {
+            CapacityReport latest = capacity.latestReport(id);
+            if (latest != null) {
                 JsonObject one = new JsonObject();
-                one.addProperty("free", news.freeSlots());
-                one.addProperty("queue", news.queued());
-                one.addProperty("age_ms", (now - news.observedAt()) / MILLI);
-                one.addProperty("own", news.source() == number(fleet.self().name()));
+                one.addProperty("free", latest.freeSlots());
+                one.addProperty("queue", latest.queued());
+                one.addProperty("age_ms", (now - latest.observedAt()) / MICROS_PER_MILLI);
+                one.addProperty(
+                        "own", latest.source() == schedulerNumber(fleet.self().name()));
                 endpoints.add(name, one);
             }
         });
--- a/src/main/java/laneflow/capacity/decision/CapacityGossip.java
+++ b/src/main/java/laneflow/capacity/decision/CapacityGossip.java
@@ -8,422 +8,482 @@
 import laneflow.decision.Dispatch.LoadReport;
 
 /**
- * What one scheduler makes of news of free capacity: it hears from its own calls and from other schedulers
- * how endpoints stand, tells it on, and hands what others told to the module as a report of its own, put
- * right for its age, for who told it, for own calls and for those of others that are under way. Where it
- * hands nothing the module decides as it would without; a report only says how full an endpoint is, so what
- * drains, is banned, cold or suspected stays so. No I/O, no clock: microseconds of any origin that never go
- * back come with each call. Not thread-safe.
+ * Spreads and applies reports of endpoints' free capacity at one scheduler. It takes load reports from the
+ * scheduler's own attempts and from peers, passes them on, and delivers peer reports to the decision module as
+ * if they were own load reports, corrected for age, source reliability, and the own and peer attempts in
+ * flight.
+ *
+ * Without a delivered report the decision module decides as it would without gossip. A report only says how
+ * full an endpoint is: a draining, banned, cold or suspect endpoint stays so. This class does no I/O and reads
+ * no clock: each call passes a monotonic time in microseconds, of any origin. Not thread-safe.
  */
 public final class CapacityGossip {
-    /** What it may do; not to be called back from there. */
+    /** Effects that the caller carries out. Implementations must not call back into this object. */
     public interface Callbacks {
-        /** The module is to take this as a report of that endpoint, of so many seconds ago. */
+        /** Delivers a load report of the endpoint to the decision module; {@code age} is in seconds. */
         void report(long endpoint, double age, LoadReport report);
 
-        /** Bytes for that scheduler, besides those that {@link #buildMessage} gives. */
+        /** Sends a message to the scheduler, in addition to those from {@link #buildMessage}. */
         void send(int scheduler, byte[] bytes);
 
-        /** Counts an event of that name. */
+        /** Increments the named counter. */
         void count(String what);
     }
 
-    /** How many slots are free, and by how many that may be wrong, as none is known exactly. */
-    public record Sum(int endpoints, int heardOf, double free, double error) {}
+    /**
+     * Estimated free slots of a set of endpoints.
+     *
+     * @param endpoints listed endpoints in the set
+     * @param reported those with at least one report
+     * @param free expected number of free slots
+     * @param error bound of the estimate's error, in slots
+     */
+    public record FreeSlots(int endpoints, int reported, double free, double error) {}
 
-    /** Microseconds between two rounds in which news is told. */
+    /** Default interval between gossip rounds. */
     public static final long ROUND_MICROS = 100_000;
-    /** Datagrams that one who asks for all gets at once, from each whom it asks. */
-    static final int AT_ONCE = 16;
-    /** How often one asks for all: of some endpoints nobody may have heard. */
-    private static final int MOST_ASKS = 64;
-    /** Of these in a round. */
-    private static final int ANSWERS_A_ROUND = 4;
-
-    private static final int REPEATS = 4;
-    /** The newest news that says anything of how well a source does. */
-    private static final long COMPARED_WITHIN = 500_000;
-
-    private static final long OVERSHOOT_WITHIN = 1_000_000;
+    /** Datagrams sent in answer to one request for the full table. */
+    static final int MAX_ANSWER_DATAGRAMS = 16;
+    /**
+     * Requests for the full table that a scheduler makes at most: for some endpoints no peer may have a
+     * report.
+     */
+    private static final int MAX_FULL_REQUESTS = 64;
+    /** Requests for the full table that a scheduler answers per round. */
+    private static final int MAX_ANSWERS_PER_ROUND = 4;
+
+    private static final int TRANSMISSIONS_PER_REPORT = 4;
+    /** Reports further apart in time than this are not compared to judge a source. */
+    private static final long MAX_COMPARISON_GAP_MICROS = 500_000;
+
+    private static final long OVERSHOOT_PERIOD_MICROS = 1_000_000;
     private static final double OVERSHOOT_GAIN = 0.02;
-    private static final double MEAN_GAIN = 0.05;
-    private static final long REPORT_LAG = 200_000;
-    private static final double MICROS = 1e6;
-    private static final double STALE = 0.5;
-    private static final long SHARES_HOLD = 300_000;
-    private static final long STAMP = 1000;
-    private static final long MOST_UNDER_WAY = 20_000_000;
-
-    /** How full endpoints of one sort in one zone are, in parts of their slots. */
-    private static final class Crowd {
+    private static final double GROUP_LOAD_GAIN = 0.05;
+    private static final long REPORT_LAG_MICROS = 200_000;
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final double OWN_REPORT_AGE_OFFSET = 0.5;
+    private static final long PREFERENCE_TTL_MICROS = 300_000;
+    private static final long STAMP_UNIT_MICROS = 1000;
+    private static final long MAX_TRANSIT_MICROS = 20_000_000;
+
+    /** Mean load of the endpoints of one kind and zone, as a fraction of their slots. */
+    private static final class GroupLoad {
         private double load;
-        private boolean begun;
+        private boolean initialized;
 
-        private void heard(double part) {
-            load += (begun ? MEAN_GAIN : 1) * (part - load);
-            begun = true;
+        private void observe(double fraction) {
+            load += (initialized ? GROUP_LOAD_GAIN : 1) * (fraction - load);
+            initialized = true;
         }
     }
 
     private final int self;
     private final int zone;
-    private final LoadEstimator weighing;
-    private final Callbacks out;
-    private final CapacityTable picture = new CapacityTable();
-    private final SourceReliability trust = new SourceReliability();
+    private final LoadEstimator estimator;
+    private final Callbacks callbacks;
+    private final CapacityTable table = new CapacityTable();
+    private final SourceReliability reliability = new SourceReliability();
     private final Demand demand = new Demand();
-    private final Map<Integer, Size> sizes = new HashMap<>();
-    private final Map<Integer, Integer> ready = new HashMap<>();
-    private final Map<Long, Crowd> crowds = new HashMap<>();
-    private final Map<Integer, Delays> delays = new HashMap<>();
+    private final Map<Integer, SlotCount> slotCounts = new HashMap<>();
+    private final Map<Integer, Integer> readyByZone = new HashMap<>();
+    private final Map<Long, GroupLoad> groupLoads = new HashMap<>();
+    private final Map<Integer, TransitDelay> transitDelays = new HashMap<>();
     private final LoadReport report = new LoadReport();
     private double overshoot;
-    private long answeredAt = Long.MIN_VALUE / 2;
-    private int answers;
-    private int part;
-    private int asks = MOST_ASKS;
+    private long answerRoundStart = Long.MIN_VALUE / 2;
+    private int answersInRound;
+    private int nextPart;
+    private int requestsLeft = MAX_FULL_REQUESTS;
 
-    /** @param self a number drawn from this scheduler's name, 16 bits, as all know it */
-    public CapacityGossip(int self, int zone, LoadEstimator weighing, Callbacks out) {
+    /** @param self 16-bit number derived from this scheduler's name, the same at all schedulers */
+    public CapacityGossip(int self, int zone, LoadEstimator estimator, Callbacks callbacks) {
         this.self = self & 0xffff;
         this.zone = zone;
-        this.weighing = weighing;
-        this.out = out;
-        part = self & 0xff;
+        this.estimator = estimator;
+        this.callbacks = callbacks;
+        nextPart = self & 0xff;
     }
 
-    // ---- what the scheduler sees ----
+    // ---- local events ----
 
     /**
-     * An endpoint is listed as ready, or with another life.
+     * Adds an endpoint that is listed as ready, or replaces it after a restart or a change of zone.
      *
-     * @param sort the same for endpoints that are alike
-     * @param block a rack, or what else its room is summed by besides its zone; may be empty
-     * @param bornMs when it last started, Unix milliseconds; 0: long ago
+     * @param kind the same for endpoints of equal size
+     * @param block further unit by which free slots can be summed, such as a rack; may be empty
+     * @param bornMs start time in Unix milliseconds; 0: long ago
      */
-    public void addEndpoint(long endpoint, int zone, int sort, String block, long bornMs) {
-        EndpointLoad before = picture.get(endpoint);
+    public void addEndpoint(long endpoint, int zone, int kind, String block, long bornMs) {
+        EndpointLoad before = table.get(endpoint);
         if (before != null && before.bornMs == bornMs && before.zone == zone) {
             return;
         }
         removeEndpoint(endpoint);
-        ready.merge(zone, 1, Integer::sum);
-        Size size = sizes.computeIfAbsent(sort, Size::new);
-        EndpointLoad seen = new EndpointLoad(endpoint, zone, block, size, bornMs);
-        seen.out = before == null ? 0 : before.out;
-        picture.add(seen);
+        readyByZone.merge(zone, 1, Integer::sum);
+        SlotCount slotCount = slotCounts.computeIfAbsent(kind, SlotCount::new);
+        EndpointLoad load = new EndpointLoad(endpoint, zone, block, slotCount, bornMs);
+        load.outstanding = before == null ? 0 : before.outstanding;
+        table.add(load);
     }
 
-    /** It drains, or is gone: what others say of it means nothing from now on. */
+    /** Removes an endpoint that drains or is gone; later reports of it are ignored. */
     public void removeEndpoint(long endpoint) {
-        EndpointLoad seen = picture.get(endpoint);
-        if (seen != null) {
-            ready.merge(seen.zone, -1, Integer::sum);
-            picture.remove(endpoint);
+        EndpointLoad load = table.get(endpoint);
+        if (load != null) {
+            readyByZone.merge(load.zone, -1, Integer::sum);
+            table.remove(endpoint);
         }
     }
 
-    /** A call has gone out there. */
+    /** Records that an attempt was sent to the endpoint. */
     public void attemptSent(long now, long endpoint) {
-        demand.sent(now);
-        EndpointLoad seen = picture.get(endpoint);
-        if (seen != null) {
-            seen.sent(now);
+        demand.attemptSent(now);
+        EndpointLoad load = table.get(endpoint);
+        if (load != null) {
+            load.sent(now);
         }
     }
 
     /**
-     * A call to it has ended, with what it says of itself; NaN where it does not say.
+     * Records the end of an attempt with the load that the endpoint reported; NaN where it reported none.
      *
-     * @param counted true where the call was taken in: what the endpoint says still counts it then
+     * @param counted true if the endpoint accepted the attempt, so that its load report still includes it
      */
     public void attemptEnded(long now, long endpoint, boolean counted, double free, double queue) {
-        EndpointLoad seen = picture.get(endpoint);
-        if (seen == null) {
+        EndpointLoad load = table.get(endpoint);
+        if (load == null) {
             return;
         }
-        if (free >= 0 && free <= Steps.value(Steps.MOST)) {
-            own(now, seen, counted, free, queue);
+        if (free >= 0 && free <= Quantizer.value(Quantizer.MAX_STEP)) {
+            addOwnReport(now, load, counted, free, queue);
         }
-        seen.ended(now);
+        load.ended(now);
     }
 
-    private void own(long now, EndpointLoad seen, boolean counted, double free, double queue) {
-        seen.size.own(free, queue >= 0);
-        double slots = seen.size.slots();
+    private void addOwnReport(long now, EndpointLoad load, boolean counted, double free, double queue) {
+        load.slotCount.addOwnReport(free, queue >= 0);
+        double slots = load.slotCount.slots();
         double waiting = queue > 0 ? queue : 0;
-        double taken = Math.max(0, slots - free) + waiting;
-        CapacityReport before = seen.news;
-        if (before != null && before.source() != self && now - before.observedAt() <= COMPARED_WITHIN) {
-            double moved = seen.out - (counted ? 0 : 1) - seen.outAt(before.observedAt());
-            trust.compared(before.source(), before.teller(), (taken(before, slots) + moved - taken) / slots);
+        double occupied = Math.max(0, slots - free) + waiting;
+        CapacityReport before = load.latest;
+        if (before != null && before.source() != self && now - before.observedAt() <= MAX_COMPARISON_GAP_MICROS) {
+            double moved = load.outstanding - (counted ? 0 : 1) - load.outstandingAt(before.observedAt());
+            reliability.addComparison(
+                    before.source(), before.sender(), (occupied(before, slots) + moved - occupied) / slots);
         }
-        if (now - seen.roomToldAt <= OVERSHOOT_WITHIN) {
-            seen.roomToldAt = Long.MIN_VALUE / 2;
+        if (now - load.roomReportedAt <= OVERSHOOT_PERIOD_MICROS) {
+            load.roomReportedAt = Long.MIN_VALUE / 2;
             overshoot += OVERSHOOT_GAIN * ((waiting > 0 ? 1 : 0) - overshoot);
         }
-        int out = seen.out - (counted ? 0 : 1);
-        seen.ownOthers = Math.max(0, taken - out);
-        seen.ownAt = now;
-        crowd(seen).heard(seen.ownOthers / slots);
-        // To others the call that has ended counts no more.
-        double left = Math.max(0, taken - (counted ? 1 : 0));
-        picture.merge(
-                seen,
+        int othersOutstanding = load.outstanding - (counted ? 0 : 1);
+        load.peerSlots = Math.max(0, occupied - othersOutstanding);
+        load.ownReportAt = now;
+        groupLoad(load).observe(load.peerSlots / slots);
+        // The ended attempt is left out of the report to peers.
+        double left = Math.max(0, occupied - (counted ? 1 : 0));
+        table.merge(
+                load,
                 new CapacityReport(
-                        seen.id,
-                        seen.bornMs,
-                        Steps.down(Math.max(0, slots - left)),
-                        Steps.up(Math.max(0, left - slots)),
-                        Steps.down(Math.max(0, seen.out - 1)),
+                        load.id,
+                        load.bornMs,
+                        Quantizer.floor(Math.max(0, slots - left)),
+                        Quantizer.ceil(Math.max(0, left - slots)),
+                        Quantizer.floor(Math.max(0, load.outstanding - 1)),
                         now,
                         self,
                         self));
     }
 
-    private static double taken(CapacityReport news, double slots) {
-        double queue = Steps.value(news.queue());
-        return Math.max(0, slots - Steps.value(news.free())) + queue;
+    private static double occupied(CapacityReport peerReport, double slots) {
+        double queue = Quantizer.value(peerReport.queue());
+        return Math.max(0, slots - Quantizer.value(peerReport.free())) + queue;
     }
 
-    private boolean isMine(long now, EndpointLoad seen) {
-        if (seen.zone != zone) {
+    private boolean isPreferred(long now, EndpointLoad load) {
+        if (load.zone != zone) {
             return false;
         }
-        if (now - seen.sharedAt > SHARES_HOLD) {
-            seen.sharedAt = now;
-            seen.mine = demand.isOwn(seen.id, zone, self, CapacityMessage.demandStep(demand.own(now)));
+        if (now - load.preferredSetAt > PREFERENCE_TTL_MICROS) {
+            load.preferredSetAt = now;
+            load.preferred = demand.isPreferred(load.id, zone, self, CapacityMessage.demandStep(demand.ownRate(now)));
         }
-        return seen.mine;
+        return load.preferred;
     }
 
-    private Crowd crowd(EndpointLoad seen) {
-        return crowds.computeIfAbsent((long) seen.zone << 32 | seen.size.sort, key -> new Crowd());
+    private GroupLoad groupLoad(EndpointLoad load) {
+        return groupLoads.computeIfAbsent((long) load.zone << 32 | load.slotCount.kind, key -> new GroupLoad());
     }
 
-    // ---- telling ----
+    // ---- sending ----
 
-    /** True where there is something to tell that the others may not have heard. */
-    public boolean hasNews() {
-        return picture.isFresh() || wants() >= 0;
+    /** Returns true if there are reports to pass on or a part of the table to request. */
+    public boolean hasDataToSend() {
+        return table.hasPending() || requestedPart() >= 0;
     }
 
-    /** True while this one knows so little that it asks more of the others than otherwise. */
-    public boolean isNew() {
-        return picture.known() * 2 < picture.size();
+    /**
+     * Returns true while fewer than half of the endpoints have a report; a scheduler in this state sends more
+     * requests and answers none.
+     */
+    public boolean isBootstrapping() {
+        return table.reported() * 2 < table.size();
     }
 
-    /** What of all endpoints somebody has told of. */
+    /** Returns the share of listed endpoints with at least one report. */
     public double knownShare() {
-        return picture.size() == 0 ? 1 : picture.known() / (double) picture.size();
+        return table.size() == 0 ? 1 : table.reported() / (double) table.size();
     }
 
-    private int wants() {
-        return asks > 0 ? picture.unknownPart(part) : -1;
+    private int requestedPart() {
+        return requestsLeft > 0 ? table.unknownPart(nextPart) : -1;
     }
 
-    /** Bytes for a datagram to a scheduler of that zone, as many as that at most; null: nothing to tell. */
-    public byte[] buildMessage(long now, int zone, int most) {
-        if (most < CapacityMessage.HEAD + CapacityMessage.ENTRY + CapacityMessage.SOURCE) {
+    /**
+     * Builds a message of at most {@code maxBytes} to a scheduler in the zone; null if there is nothing to
+     * send.
+     */
+    public byte[] buildMessage(long now, int zone, int maxBytes) {
+        if (maxBytes < CapacityMessage.HEADER_BYTES + CapacityMessage.ENTRY_BYTES + CapacityMessage.SOURCE_BYTES) {
             return null;
         }
-        List<CapacityMessage.Entry> entries = picture.choose(now, zone, most - CapacityMessage.HEAD, REPEATS);
-        int wants = wants();
-        if (wants >= 0) {
-            // Each is asked for another part.
-            part = part + 0x61 & 0xff;
-            asks--;
+        List<CapacityMessage.Entry> entries =
+                table.selectEntries(now, zone, maxBytes - CapacityMessage.HEADER_BYTES, TRANSMISSIONS_PER_REPORT);
+        int requestedPart = requestedPart();
+        if (requestedPart >= 0) {
+            // Successive requests ask for different parts of the table.
+            nextPart = nextPart + 0x61 & 0xff;
+            requestsLeft--;
         }
-        return entries.isEmpty() && wants < 0 ? null : write(now, wants, entries);
+        return entries.isEmpty() && requestedPart < 0 ? null : write(now, requestedPart, entries);
     }
 
-    private byte[] write(long now, int wants, List<CapacityMessage.Entry> entries) {
-        return new CapacityMessage((int) (now / STAMP), CapacityMessage.demandStep(demand.own(now)), wants, entries)
+    private byte[] write(long now, int requestedPart, List<CapacityMessage.Entry> entries) {
+        return new CapacityMessage(
+                        (int) (now / STAMP_UNIT_MICROS),
+                        CapacityMessage.demandStep(demand.ownRate(now)),
+                        requestedPart,
+                        entries)
                 .write();
     }
 
-    // ---- hearing ----
+    // ---- receiving ----
 
     /**
-     * What another scheduler has told, with the most bytes that answers to it may have.
+     * Processes a message from another scheduler.
      *
-     * @param teller a number drawn from its name, 16 bits
-     * @param zone its zone, -1: none that is known here
+     * @param sender 16-bit number derived from its name
+     * @param zone its zone; -1: not known here
+     * @param maxBytes size limit of each answer message
      */
-    public void receive(long now, int teller, int zone, byte[] bytes, int most) {
-        CapacityMessage cargo;
+    public void receive(long now, int sender, int zone, byte[] bytes, int maxBytes) {
+        CapacityMessage message;
         try {
-            cargo = CapacityMessage.read(bytes);
+            message = CapacityMessage.read(bytes);
         } catch (IOException e) {
-            out.count("spoilt");
+            callbacks.count("spoilt");
             return;
         }
-        if (teller == self) {
+        if (sender == self) {
             return;
         }
-        demand.told(teller, zone, CapacityMessage.demandOf(cargo.demand()), now);
-        long underWay = delays.computeIfAbsent(teller, key -> new Delays()).excess(now, cargo.stamp());
-        if (underWay <= MOST_UNDER_WAY) {
-            for (CapacityMessage.Entry entry : cargo.entries()) {
-                accept(now, teller, entry, underWay);
+        demand.setPeerDemand(sender, zone, CapacityMessage.demandPerSecond(message.demand()), now);
+        long transitMicros =
+                transitDelays.computeIfAbsent(sender, key -> new TransitDelay()).excessMicros(now, message.stamp());
+        if (transitMicros <= MAX_TRANSIT_MICROS) {
+            for (CapacityMessage.Entry entry : message.entries()) {
+                acceptEntry(now, sender, entry, transitMicros);
             }
         }
-        if (cargo.wants() >= 0) {
-            answer(now, teller, cargo.wants(), most);
+        if (message.requestedPart() >= 0) {
+            answerRequest(now, sender, message.requestedPart(), maxBytes);
         }
     }
 
-    private void accept(long now, int teller, CapacityMessage.Entry entry, long underWay) {
-        EndpointLoad seen = picture.byKey(entry.key());
-        if (seen == null || entry.source() == self) {
+    private void acceptEntry(long now, int sender, CapacityMessage.Entry entry, long transitMicros) {
+        EndpointLoad load = table.byKey(entry.key());
+        if (load == null || entry.source() == self) {
             return;
         }
-        seen.size.told(entry.source(), Steps.value(entry.free()));
-        double credit = trust.credit(entry.source(), teller);
-        long observedAt = now - Steps.ageOf(entry.age()) - underWay;
-        CapacityReport news = new CapacityReport(
-                seen.id, seen.bornMs, entry.free(), entry.queue(), entry.calls(), observedAt, entry.source(), teller);
-        double slots = seen.size.slots();
+        load.slotCount.addPeerReport(entry.source(), Quantizer.value(entry.free()));
+        double reliabilityOfSource = reliability.reliability(entry.source(), sender);
+        long observedAt = now - Quantizer.ageMicros(entry.age()) - transitMicros;
+        CapacityReport peerReport = new CapacityReport(
+                load.id,
+                load.bornMs,
+                entry.free(),
+                entry.queue(),
+                entry.attempts(),
+                observedAt,
+                entry.source(),
+                sender);
+        double slots = load.slotCount.slots();
         if (slots > 0) {
-            compare(seen, news, slots);
+            compareWithOwn(load, peerReport, slots);
         }
-        if (credit <= 0) {
-            out.count("distrusted");
-        } else if (picture.merge(seen, news) && slots > 0) {
-            out.count("news");
-            hand(now, seen, news, slots, credit, Math.max(0, taken(news, slots) - seen.outAt(observedAt)));
+        if (reliabilityOfSource <= 0) {
+            callbacks.count("distrusted");
+        } else if (table.merge(load, peerReport) && slots > 0) {
+            callbacks.count("news");
+            deliver(
+                    now,
+                    load,
+                    peerReport,
+                    slots,
+                    reliabilityOfSource,
+                    Math.max(0, occupied(peerReport, slots) - load.outstandingAt(observedAt)));
         }
     }
 
-    /** An own report of about the same instant says how right others are. */
-    private void compare(EndpointLoad seen, CapacityReport news, double slots) {
-        if (Math.abs(seen.ownAt - news.observedAt()) <= COMPARED_WITHIN) {
-            double own = seen.ownOthers + seen.outAt(seen.ownAt);
-            double moved = seen.outAt(news.observedAt()) - seen.outAt(seen.ownAt);
-            trust.compared(news.source(), news.teller(), (taken(news, slots) - own - moved) / slots);
+    /** Compares a peer report with an own report of about the same time to judge its source. */
+    private void compareWithOwn(EndpointLoad load, CapacityReport peerReport, double slots) {
+        if (Math.abs(load.ownReportAt - peerReport.observedAt()) <= MAX_COMPARISON_GAP_MICROS) {
+            double own = load.peerSlots + load.outstandingAt(load.ownReportAt);
+            double moved = load.outstandingAt(peerReport.observedAt()) - load.outstandingAt(load.ownReportAt);
+            reliability.addComparison(
+                    peerReport.source(), peerReport.sender(), (occupied(peerReport, slots) - own - moved) / slots);
         }
     }
 
-    private void hand(long now, EndpointLoad seen, CapacityReport news, double slots, double credit, double told) {
-        double age = Math.max(0, now - news.observedAt()) / MICROS;
-        Crowd crowd = crowd(seen);
-        crowd.heard(Math.min(1, told / slots));
-        double mean = crowd.load * slots;
-        double known = mean + (seen.ownOthers - mean) / (1 + (now - seen.ownAt) / MICROS + STALE);
-        double own = demand.own(now);
-        double others = demand.ofOthers(seen.zone);
+    private void deliver(
+            long now,
+            EndpointLoad load,
+            CapacityReport peerReport,
+            double slots,
+            double reliabilityOfSource,
+            double reportedSlots) {
+        double age = Math.max(0, now - peerReport.observedAt()) / MICROS_PER_SECOND;
+        GroupLoad group = groupLoad(load);
+        group.observe(Math.min(1, reportedSlots / slots));
+        double mean = group.load * slots;
+        double expected = mean
+                + (load.peerSlots - mean) / (1 + (now - load.ownReportAt) / MICROS_PER_SECOND + OWN_REPORT_AGE_OFFSET);
+        double own = demand.ownRate(now);
+        double others = demand.peerRate(load.zone);
         double share = own + others > 0 ? own / (own + others) : 1;
-        double inflow = others / Math.max(1, ready.getOrDefault(seen.zone, 1));
-        long mixed = (news.observedAt() / ROUND_MICROS ^ seen.id * 0x9E3779B97F4A7C15L ^ self * 0xD1B54A32D192ED03L)
-                * 0xBF58476D1CE4E5B9L;
-        double draw = (mixed >>> 11) * 0x1p-53;
-        double held = weighing.estimate(new LoadEstimator.Observation(
-                told,
-                known,
+        double inflow = others / Math.max(1, readyByZone.getOrDefault(load.zone, 1));
+        long mixed =
+                (peerReport.observedAt() / ROUND_MICROS ^ load.id * 0x9E3779B97F4A7C15L ^ self * 0xD1B54A32D192ED03L)
+                        * 0xBF58476D1CE4E5B9L;
+        double random = (mixed >>> 11) * 0x1p-53;
+        double estimated = estimator.estimate(new LoadEstimator.Observation(
+                reportedSlots,
+                expected,
                 slots,
-                (now - seen.ownAt) / MICROS,
+                (now - load.ownReportAt) / MICROS_PER_SECOND,
                 age,
-                credit,
+                reliabilityOfSource,
                 share,
                 inflow,
                 overshoot,
-                seen.out,
-                isMine(now, seen),
-                draw));
-        if (!(held >= 0)) {
+                load.outstanding,
+                isPreferred(now, load),
+                random));
+        if (!(estimated >= 0)) {
             return;
         }
-        if (held + seen.out < slots) {
-            seen.roomToldAt = now;
+        if (estimated + load.outstanding < slots) {
+            load.roomReportedAt = now;
         }
-        // The module takes own calls off that were sent a while ago, and learns the size from what is free.
-        double size = Math.max(seen.size.handed, slots);
-        double taken = held + seen.outSince(news.observedAt() - REPORT_LAG);
+        // The decision module subtracts own attempts sent some time before the report, and takes the largest
+        // free count it has seen as the endpoint's size.
+        double size = Math.max(load.slotCount.maxDelivered, slots);
+        double occupied = estimated + load.outstandingSentBefore(peerReport.observedAt() - REPORT_LAG_MICROS);
         report.clear();
-        report.freeSlots = Math.max(0, size - taken);
-        report.queue = seen.size.tellsQueue ? Math.max(0, taken - size) : Double.NaN;
-        seen.size.handed = Math.max(seen.size.handed, report.freeSlots);
-        out.report(seen.id, age, report);
+        report.freeSlots = Math.max(0, size - occupied);
+        report.queue = load.slotCount.reportsQueue ? Math.max(0, occupied - size) : Double.NaN;
+        load.slotCount.maxDelivered = Math.max(load.slotCount.maxDelivered, report.freeSlots);
+        callbacks.report(load.id, age, report);
     }
 
-    /** Somebody knows little: it gets much at once, from a few. */
-    private void answer(long now, int teller, int from, int most) {
-        if (now - answeredAt >= ROUND_MICROS) {
-            answeredAt = now;
-            answers = 0;
+    /**
+     * Answers a request for the full table with several messages at once. A limit per round bounds the load,
+     * and a scheduler that has few reports itself does not answer.
+     */
+    private void answerRequest(long now, int sender, int from, int maxBytes) {
+        if (now - answerRoundStart >= ROUND_MICROS) {
+            answerRoundStart = now;
+            answersInRound = 0;
         }
-        if (isNew() || ++answers > ANSWERS_A_ROUND) {
+        if (isBootstrapping() || ++answersInRound > MAX_ANSWERS_PER_ROUND) {
             return;
         }
-        for (List<CapacityMessage.Entry> piece : picture.from(from, now, most - CapacityMessage.HEAD, AT_ONCE)) {
-            out.send(teller, write(now, -1, piece));
+        for (List<CapacityMessage.Entry> entries :
+                table.entriesFrom(from, now, maxBytes - CapacityMessage.HEADER_BYTES, MAX_ANSWER_DATAGRAMS)) {
+            callbacks.send(sender, write(now, -1, entries));
         }
     }
 
-    // ---- what is known ----
+    // ---- queries ----
 
-    /** The room of a zone. */
-    public Sum ofZone(long now, int zone) {
-        return sum(now, seen -> seen.zone == zone);
+    /** Returns the estimated free slots of a zone. */
+    public FreeSlots freeSlotsInZone(long now, int zone) {
+        return freeSlots(now, load -> load.zone == zone);
     }
 
-    /** The room of a block. */
-    public Sum ofBlock(long now, String block) {
-        return sum(now, seen -> seen.block.equals(block));
+    /** Returns the estimated free slots of a block. */
+    public FreeSlots freeSlotsInBlock(long now, String block) {
+        return freeSlots(now, load -> load.block.equals(block));
     }
 
-    private interface Among {
-        boolean holds(EndpointLoad seen);
+    private interface Filter {
+        boolean includes(EndpointLoad load);
     }
 
-    /** What is old may have changed wholly: it counts by its weight, the rest as the mean of the like. */
-    private Sum sum(long now, Among among) {
+    /**
+     * Weights each report by its age and its source's reliability; the remaining weight goes to the mean of
+     * endpoints of the same kind and zone, since an old report may no longer hold at all.
+     */
+    private FreeSlots freeSlots(long now, Filter filter) {
         int count = 0;
-        int heardOf = 0;
+        int reported = 0;
         double free = 0;
         double error = 0;
-        List<EndpointLoad> some = new ArrayList<>();
-        picture.each().forEach(some::add);
-        for (EndpointLoad seen : some) {
-            double slots = seen.size.slots();
-            if (!among.holds(seen)) {
+        List<EndpointLoad> all = new ArrayList<>();
+        table.endpoints().forEach(all::add);
+        for (EndpointLoad load : all) {
+            double slots = load.slotCount.slots();
+            if (!filter.includes(load)) {
                 continue;
             }
             count++;
-            double mean = Math.max(0, slots * (1 - crowd(seen).load));
+            double mean = Math.max(0, slots * (1 - groupLoad(load).load));
             double weight = 0;
-            double told = mean;
-            if (seen.news != null) {
-                heardOf++;
-                double credit = seen.news.source() == self ? 1 : trust.credit(seen.news.source(), seen.news.teller());
-                weight = credit * LoadEstimator.weight((now - seen.news.observedAt()) / MICROS);
-                told = Math.min(slots, Steps.value(seen.news.free()));
+            double reportedSlots = mean;
+            if (load.latest != null) {
+                reported++;
+                double reliabilityOfSource = load.latest.source() == self
+                        ? 1
+                        : reliability.reliability(load.latest.source(), load.latest.sender());
+                weight = reliabilityOfSource
+                        * LoadEstimator.weight((now - load.latest.observedAt()) / MICROS_PER_SECOND);
+                reportedSlots = Math.min(slots, Quantizer.value(load.latest.free()));
             }
-            double held = mean + weight * (told - mean);
-            free += held;
-            error += (1 - weight) * Math.max(held, slots - held) + weight * (step(told) - told);
+            double estimated = mean + weight * (reportedSlots - mean);
+            free += estimated;
+            error += (1 - weight) * Math.max(estimated, slots - estimated)
+                    + weight * (upperBound(reportedSlots) - reportedSlots);
         }
-        return new Sum(count, heardOf, free, error);
+        return new FreeSlots(count, reported, free, error);
     }
 
-    private static double step(double told) {
-        int step = Steps.down(told);
-        return step == Steps.MOST ? told : Math.max(told, Steps.value(step + 1) - 1.0);
+    private static double upperBound(double reportedSlots) {
+        int step = Quantizer.floor(reportedSlots);
+        return step == Quantizer.MAX_STEP ? reportedSlots : Math.max(reportedSlots, Quantizer.value(step + 1) - 1.0);
     }
 
-    /** 0 to 1, for reports. */
+    /** Returns the share of endpoints reported free that turned out to be full, 0 to 1. */
     public double overshoot() {
         return overshoot;
     }
 
-    /** How much that scheduler's own word counts here, 0 to 1. */
-    public double credit(int scheduler) {
-        return trust.credit(scheduler, scheduler);
+    /** Returns the reliability of reports that the scheduler makes itself, 0 to 1. */
+    public double reliability(int scheduler) {
+        return reliability.reliability(scheduler, scheduler);
     }
 
-    /** The newest news of that endpoint, or null. */
+    /** Returns the newest report of the endpoint, or null. */
     public CapacityReport latestReport(long endpoint) {
-        EndpointLoad seen = picture.get(endpoint);
-        return seen == null ? null : seen.news;
+        EndpointLoad load = table.get(endpoint);
+        return load == null ? null : load.latest;
     }
 }
--- a/src/main/java/laneflow/capacity/decision/CapacityReport.java
+++ b/src/main/java/laneflow/capacity/decision/CapacityReport.java
@@ -3,39 +3,39 @@
 import java.util.Comparator;
 
 /**
- * What somebody has heard of one endpoint, in {@link Steps}.
+ * Load of one endpoint as reported to a scheduler; counts are steps of {@link Quantizer}.
  *
  * @param endpoint its number, the same at all schedulers
- * @param bornMs its life: when it last started, Unix milliseconds; 0: long ago
- * @param free slots
- * @param queue jobs that wait there
- * @param calls that the source had out there
- * @param observedAt when the source heard it, on the clock of whoever holds this: ages are told, no instants
- * @param source the scheduler whose call came back with it
- * @param teller the scheduler that passed it on to this one
+ * @param bornMs start time of the endpoint in Unix milliseconds; 0: long ago
+ * @param free free slots
+ * @param queue requests queued at the endpoint
+ * @param attempts other attempts that the source had outstanding there
+ * @param observedAt when the source received it, on the local clock: messages carry ages, not times
+ * @param source the scheduler whose attempt returned the report
+ * @param sender the scheduler that passed it on to this one
  */
 public record CapacityReport(
-        long endpoint, long bornMs, int free, int queue, int calls, long observedAt, int source, int teller) {
-    /** The newest of the newest life goes first; the rest of the order only makes it total. */
+        long endpoint, long bornMs, int free, int queue, int attempts, long observedAt, int source, int sender) {
+    /** Orders by restart, then by time; the other fields only make the order total. */
     private static final Comparator<CapacityReport> ORDER = Comparator.comparingLong(CapacityReport::bornMs)
             .thenComparingLong(CapacityReport::observedAt)
             .thenComparingInt(CapacityReport::source)
             .thenComparingInt(CapacityReport::free)
             .thenComparingInt(CapacityReport::queue)
-            .thenComparingInt(CapacityReport::calls)
-            .thenComparingInt(CapacityReport::teller);
+            .thenComparingInt(CapacityReport::attempts)
+            .thenComparingInt(CapacityReport::sender);
 
     public int freeSlots() {
-        return Steps.value(free);
+        return Quantizer.value(free);
     }
 
     public int queued() {
-        return Steps.value(queue);
+        return Quantizer.value(queue);
     }
 
     /**
-     * What two pieces of news of one endpoint come to: the greater in a total order, so the order and the
-     * number of merges do not matter. Null is no news.
+     * Returns the greater of two reports of one endpoint. The order is total, so merging is commutative,
+     * associative and idempotent. Null stands for no report.
      */
     public static CapacityReport merge(CapacityReport one, CapacityReport other) {
         if (one == null || other == null) {
--- a/src/main/java/laneflow/capacity/decision/CapacityTable.java
+++ b/src/main/java/laneflow/capacity/decision/CapacityTable.java
@@ -7,30 +7,30 @@
 import org.agrona.collections.Long2ObjectHashMap;
 
 /**
- * The newest news of each endpoint that is listed here, and what of it goes into the next datagram: what has
- * changed most and is asked for most goes first, to those whose zone it is, a few times each. Its state is
- * bounded by the list: what is not on it is not kept.
+ * Newest report of each listed endpoint, and the selection of reports for the next message: reports that
+ * changed most, of endpoints with most demand, go first, preferably to schedulers in the endpoint's zone, and
+ * each is sent a few times. Reports of endpoints that are not listed are not kept, which bounds the memory.
  */
 final class CapacityTable {
-    /** Of those to be told on so many are looked at for a datagram, in turn. */
-    private static final int LOOKED_AT = 160;
+    /** Pending reports considered per message, in rotation. */
+    private static final int MAX_CANDIDATES = 160;
 
-    private static final double ZONE_SAY = 4;
-    private static final double MICROS = 1e6;
+    private static final double SAME_ZONE_FACTOR = 4;
+    private static final double MICROS_PER_SECOND = 1e6;
 
-    private final Long2ObjectHashMap<EndpointLoad> all = new Long2ObjectHashMap<>();
-    /** Null where two endpoints have one hash: news of either means nothing then. */
+    private final Long2ObjectHashMap<EndpointLoad> endpoints = new Long2ObjectHashMap<>();
+    /** Holds no entry where two endpoints share a hash: their reports cannot be told apart and are ignored. */
     private final Int2ObjectHashMap<EndpointLoad> byKey = new Int2ObjectHashMap<>();
 
-    private final List<EndpointLoad> fresh = new ArrayList<>();
-    private final double[] scores = new double[LOOKED_AT];
+    private final List<EndpointLoad> pending = new ArrayList<>();
+    private final double[] scores = new double[MAX_CANDIDATES];
     private int cursor;
-    private int[] keys = {};
+    private int[] sortedKeys = {};
     private boolean sorted;
-    private int known;
+    private int reported;
 
     EndpointLoad get(long id) {
-        return all.get(id);
+        return endpoints.get(id);
     }
 
     EndpointLoad byKey(int key) {
@@ -38,195 +38,207 @@
     }
 
     int size() {
-        return all.size();
+        return endpoints.size();
     }
 
-    /** Endpoints that there is news of. */
-    int known() {
-        return known;
+    /** Returns the number of endpoints with at least one report. */
+    int reported() {
+        return reported;
     }
 
-    Iterable<EndpointLoad> each() {
-        return all.values();
+    Iterable<EndpointLoad> endpoints() {
+        return endpoints.values();
     }
 
-    void add(EndpointLoad seen) {
-        remove(seen.id);
-        all.put(seen.id, seen);
+    void add(EndpointLoad load) {
+        remove(load.id);
+        endpoints.put(load.id, load);
         sorted = false;
-        if (byKey.get(seen.key) == null) {
-            byKey.put(seen.key, seen);
+        if (byKey.get(load.key) == null) {
+            byKey.put(load.key, load);
         } else {
-            byKey.remove(seen.key);
+            byKey.remove(load.key);
         }
     }
 
     void remove(long id) {
-        EndpointLoad seen = all.remove(id);
-        if (seen != null) {
-            known -= seen.news == null ? 0 : 1;
-            quiet(seen);
+        EndpointLoad load = endpoints.remove(id);
+        if (load != null) {
+            reported -= load.latest == null ? 0 : 1;
+            removePending(load);
             sorted = false;
-            if (byKey.get(seen.key) == seen) {
-                byKey.remove(seen.key);
+            if (byKey.get(load.key) == load) {
+                byKey.remove(load.key);
             }
         }
     }
 
-    /** Takes news in; false if what is known is as new. */
-    boolean merge(EndpointLoad seen, CapacityReport news) {
-        CapacityReport newer = CapacityReport.merge(seen.news, news);
-        if (newer == seen.news || newer.equals(seen.news)) {
+    /** Merges a report; returns false if the stored one is as new. */
+    boolean merge(EndpointLoad load, CapacityReport report) {
+        CapacityReport newer = CapacityReport.merge(load.latest, report);
+        if (newer == load.latest || newer.equals(load.latest)) {
             return false;
         }
-        known += seen.news == null ? 1 : 0;
-        seen.changed += seen.news == null
-                ? Steps.MOST
-                : Math.abs(seen.news.free() - news.free()) + Math.abs(seen.news.queue() - news.queue());
-        seen.news = news;
-        seen.told = 0;
-        if (seen.place < 0) {
-            seen.place = fresh.size();
-            fresh.add(seen);
+        reported += load.latest == null ? 1 : 0;
+        load.changedSteps += load.latest == null
+                ? Quantizer.MAX_STEP
+                : Math.abs(load.latest.free() - report.free()) + Math.abs(load.latest.queue() - report.queue());
+        load.latest = report;
+        load.timesSent = 0;
+        if (load.pendingIndex < 0) {
+            load.pendingIndex = pending.size();
+            pending.add(load);
         }
         return true;
     }
 
-    private void quiet(EndpointLoad seen) {
-        if (seen.place >= 0) {
-            EndpointLoad last = fresh.remove(fresh.size() - 1);
-            if (last != seen) {
-                last.place = seen.place;
-                fresh.set(seen.place, last);
+    private void removePending(EndpointLoad load) {
+        if (load.pendingIndex >= 0) {
+            EndpointLoad last = pending.remove(pending.size() - 1);
+            if (last != load) {
+                last.pendingIndex = load.pendingIndex;
+                pending.set(load.pendingIndex, last);
             }
-            seen.place = -1;
+            load.pendingIndex = -1;
         }
     }
 
-    /** True where something is left to tell. */
-    boolean isFresh() {
-        return !fresh.isEmpty();
+    /** Returns true if reports remain to be sent. */
+    boolean hasPending() {
+        return !pending.isEmpty();
     }
 
     /**
-     * Entries for a datagram to somebody of that zone.
+     * Selects entries for a message to a scheduler in the zone.
      *
-     * @param room bytes for entries and the sources that they name
-     * @param repeats how often the same news is told
+     * @param maxBytes space for entries and their sources
+     * @param transmissions how often each report is sent
      */
-    List<CapacityMessage.Entry> choose(long now, int zone, int room, int repeats) {
-        int looked = Math.min(LOOKED_AT, fresh.size());
-        EndpointLoad[] some = new EndpointLoad[looked];
-        for (int i = 0; i < looked; i++) {
-            some[i] = fresh.get((cursor + i) % fresh.size());
+    List<CapacityMessage.Entry> selectEntries(long now, int zone, int maxBytes, int transmissions) {
+        int candidateCount = Math.min(MAX_CANDIDATES, pending.size());
+        EndpointLoad[] candidates = new EndpointLoad[candidateCount];
+        for (int i = 0; i < candidateCount; i++) {
+            candidates[i] = pending.get((cursor + i) % pending.size());
         }
-        cursor = fresh.isEmpty() ? 0 : (cursor + looked) % fresh.size();
-        Integer[] order = new Integer[looked];
-        for (int i = 0; i < looked; i++) {
+        cursor = pending.isEmpty() ? 0 : (cursor + candidateCount) % pending.size();
+        Integer[] order = new Integer[candidateCount];
+        for (int i = 0; i < candidateCount; i++) {
             order[i] = i;
-            scores[i] = score(some[i], now, zone);
+            scores[i] = score(candidates[i], now, zone);
         }
         Arrays.sort(order, (a, b) -> Double.compare(scores[b], scores[a]));
         List<CapacityMessage.Entry> entries = new ArrayList<>();
         List<Integer> sources = new ArrayList<>();
-        int left = room;
+        int remaining = maxBytes;
         for (int i : order) {
-            EndpointLoad seen = some[i];
-            CapacityMessage.Entry entry = entry(seen, now);
+            EndpointLoad load = candidates[i];
+            CapacityMessage.Entry entry = entry(load, now);
             if (entry == null) {
-                quiet(seen);
+                removePending(load);
                 continue;
             }
-            int bytes = CapacityMessage.ENTRY + (sources.contains(entry.source()) ? 0 : CapacityMessage.SOURCE);
-            if (bytes > left || sources.size() >= CapacityMessage.MOST_SOURCES) {
+            int bytes =
+                    CapacityMessage.ENTRY_BYTES + (sources.contains(entry.source()) ? 0 : CapacityMessage.SOURCE_BYTES);
+            if (bytes > remaining || sources.size() >= CapacityMessage.MAX_SOURCES) {
                 break;
             }
-            left -= bytes;
+            remaining -= bytes;
             if (!sources.contains(entry.source())) {
                 sources.add(entry.source());
             }
             entries.add(entry);
-            seen.changed = 0;
-            if (++seen.told >= repeats) {
-                quiet(seen);
+            load.changedSteps = 0;
+            if (++load.timesSent >= transmissions) {
+                removePending(load);
             }
         }
         return entries;
     }
 
-    private static double score(EndpointLoad seen, long now, int zone) {
-        double age = (now - seen.news.observedAt()) / MICROS;
-        double asked = 1 + seen.out + Steps.value(seen.news.calls());
+    private static double score(EndpointLoad load, long now, int zone) {
+        double age = (now - load.latest.observedAt()) / MICROS_PER_SECOND;
+        double demand = 1 + load.outstanding + Quantizer.value(load.latest.attempts());
         return LoadEstimator.weight(age)
-                * (1 + seen.changed)
-                * asked
-                * (seen.zone == zone ? ZONE_SAY : 1)
-                / (1 + seen.told);
+                * (1 + load.changedSteps)
+                * demand
+                * (load.zone == zone ? SAME_ZONE_FACTOR : 1)
+                / (1 + load.timesSent);
     }
 
-    /** Null where it is too old to be told. */
-    private static CapacityMessage.Entry entry(EndpointLoad seen, long now) {
-        CapacityReport news = seen.news;
-        int age = Steps.age(Math.max(0, now - news.observedAt()));
-        return age > Steps.OLDEST
+    /** Returns null if the report is too old to be sent. */
+    private static CapacityMessage.Entry entry(EndpointLoad load, long now) {
+        CapacityReport report = load.latest;
+        int age = Quantizer.ageStep(Math.max(0, now - report.observedAt()));
+        return age > Quantizer.MAX_AGE_STEP
                 ? null
-                : new CapacityMessage.Entry(seen.key, news.free(), news.queue(), news.calls(), age, news.source());
+                : new CapacityMessage.Entry(
+                        load.key, report.free(), report.queue(), report.attempts(), age, report.source());
     }
 
     private void sort() {
         if (!sorted) {
-            keys = all.values().stream().mapToInt(seen -> seen.key).sorted().toArray();
+            sortedKeys = endpoints.values().stream()
+                    .mapToInt(load -> load.key)
+                    .sorted()
+                    .toArray();
             sorted = true;
         }
     }
 
-    /** All that is known from that part of the hashes on, in their order, by datagrams of so much room. */
-    List<List<CapacityMessage.Entry>> from(int part, long now, int room, int datagrams) {
+    /**
+     * Returns all entries from the given part of the hash space on, in hash order, as up to {@code
+     * maxMessages} lists that take at most {@code maxBytes} each.
+     */
+    List<List<CapacityMessage.Entry>> entriesFrom(int part, long now, int maxBytes, int maxMessages) {
         sort();
-        List<List<CapacityMessage.Entry>> pieces = new ArrayList<>();
-        int first = Arrays.binarySearch(keys, part << CapacityMessage.KEY_BITS - CapacityMessage.PART_BITS);
+        List<List<CapacityMessage.Entry>> messages = new ArrayList<>();
+        int first = Arrays.binarySearch(sortedKeys, part << CapacityMessage.KEY_BITS - CapacityMessage.PART_BITS);
         first = first < 0 ? -first - 1 : first;
-        List<CapacityMessage.Entry> piece = new ArrayList<>();
+        List<CapacityMessage.Entry> message = new ArrayList<>();
         List<Integer> sources = new ArrayList<>();
-        int left = room;
-        for (int i = 0; i < keys.length && pieces.size() < datagrams; i++) {
-            EndpointLoad seen = byKey.get(keys[(first + i) % keys.length]);
-            CapacityMessage.Entry entry = seen == null || seen.news == null ? null : entry(seen, now);
+        int remaining = maxBytes;
+        for (int i = 0; i < sortedKeys.length && messages.size() < maxMessages; i++) {
+            EndpointLoad load = byKey.get(sortedKeys[(first + i) % sortedKeys.length]);
+            CapacityMessage.Entry entry = load == null || load.latest == null ? null : entry(load, now);
             if (entry == null) {
                 continue;
             }
-            int bytes = CapacityMessage.ENTRY + (sources.contains(entry.source()) ? 0 : CapacityMessage.SOURCE);
-            if (bytes > left || sources.size() >= CapacityMessage.MOST_SOURCES) {
-                pieces.add(piece);
-                piece = new ArrayList<>();
+            int bytes =
+                    CapacityMessage.ENTRY_BYTES + (sources.contains(entry.source()) ? 0 : CapacityMessage.SOURCE_BYTES);
+            if (bytes > remaining || sources.size() >= CapacityMessage.MAX_SOURCES) {
+                messages.add(message);
+                message = new ArrayList<>();
                 sources.clear();
-                left = room;
-                bytes = CapacityMessage.ENTRY + CapacityMessage.SOURCE;
+                remaining = maxBytes;
+                bytes = CapacityMessage.ENTRY_BYTES + CapacityMessage.SOURCE_BYTES;
             }
-            left -= bytes;
+            remaining -= bytes;
             if (!sources.contains(entry.source())) {
                 sources.add(entry.source());
             }
-            piece.add(entry);
+            message.add(entry);
         }
-        if (!piece.isEmpty() && pieces.size() < datagrams) {
-            pieces.add(piece);
+        if (!message.isEmpty() && messages.size() < maxMessages) {
+            messages.add(message);
         }
-        return pieces;
+        return messages;
     }
 
-    /** A part of the hashes, from the cursor on, in which something is not known; -1: all is known. */
+    /**
+     * Returns the first part of the hash space, from the given one on, with an endpoint that has no report; -1
+     * if there is none.
+     */
     int unknownPart(int from) {
-        if (known >= all.size()) {
+        if (reported >= endpoints.size()) {
             return -1;
         }
         sort();
-        int first = Arrays.binarySearch(keys, from << CapacityMessage.KEY_BITS - CapacityMessage.PART_BITS);
+        int first = Arrays.binarySearch(sortedKeys, from << CapacityMessage.KEY_BITS - CapacityMessage.PART_BITS);
         first = first < 0 ? -first - 1 : first;
-        for (int i = 0; i < keys.length; i++) {
-            EndpointLoad seen = byKey.get(keys[(first + i) % keys.length]);
-            if (seen != null && seen.news == null) {
-                return seen.key >> CapacityMessage.KEY_BITS - CapacityMessage.PART_BITS;
+        for (int i = 0; i < sortedKeys.length; i++) {
+            EndpointLoad load = byKey.get(sortedKeys[(first + i) % sortedKeys.length]);
+            if (load != null && load.latest == null) {
+                return load.key >> CapacityMessage.KEY_BITS - CapacityMessage.PART_BITS;
             }
         }
         return -1;
--- a/src/main/java/laneflow/capacity/decision/EndpointLoad.java
+++ b/src/main/java/laneflow/capacity/decision/EndpointLoad.java
@@ -1,81 +1,81 @@
 package laneflow.capacity.decision;
 
-/** One endpoint that is listed here: what was heard of it last, and the own calls there of late. */
+/** State of one listed endpoint: its newest report and the recent own attempts there. */
 final class EndpointLoad {
-    /** Own calls remembered, those that have ended included: as many as news may be older than. */
-    private static final int CALLS = 16;
+    /** Number of recent own attempts, ended ones included, that can be matched against a report's time. */
+    private static final int MAX_ATTEMPTS = 16;
 
     final long id;
     final int zone;
     final String block;
-    final Size size;
+    final SlotCount slotCount;
     final long bornMs;
     final int key;
-    /** The newest that anybody has told, or own; null: nothing yet. */
-    CapacityReport news;
-    /** How often the news was told on. */
-    int told;
-    /** Steps by which it differs from what was told before. */
-    int changed;
-    /** Its place among those to be told on, or -1. */
-    int place = -1;
+    /** Newest own or peer report; null: none yet. */
+    CapacityReport latest;
+    /** How often the report was passed on. */
+    int timesSent;
+    /** Sum of the steps by which the report has changed since it was last sent. */
+    int changedSteps;
+    /** Index in the table's pending list, or -1. */
+    int pendingIndex = -1;
 
-    int out;
-    /** Siblings' slots by the last own report, and when that came. */
-    double ownOthers;
+    int outstanding;
+    /** Slots taken by other schedulers' requests in the last own report. */
+    double peerSlots;
 
-    long ownAt = Long.MIN_VALUE / 2;
-    /** When it was last said to have room here, by news of others. */
-    long roomToldAt = Long.MIN_VALUE / 2;
+    long ownReportAt = Long.MIN_VALUE / 2;
+    /** When a peer report last led to free slots being delivered to the decision module. */
+    long roomReportedAt = Long.MIN_VALUE / 2;
 
-    boolean mine;
-    long sharedAt = Long.MIN_VALUE / 2;
-    private final long[] sentAt = new long[CALLS];
-    private final long[] endedAt = new long[CALLS];
-    private int calls;
+    boolean preferred;
+    long preferredSetAt = Long.MIN_VALUE / 2;
+    private final long[] sentAt = new long[MAX_ATTEMPTS];
+    private final long[] endedAt = new long[MAX_ATTEMPTS];
+    private int attempts;
 
-    EndpointLoad(long id, int zone, String block, Size size, long bornMs) {
+    EndpointLoad(long id, int zone, String block, SlotCount slotCount, long bornMs) {
         this.id = id;
         this.zone = zone;
         this.block = block;
-        this.size = size;
+        this.slotCount = slotCount;
         this.bornMs = bornMs;
         key = CapacityMessage.key(id, bornMs);
     }
 
     void sent(long now) {
-        out++;
-        sentAt[calls % CALLS] = now;
-        endedAt[calls++ % CALLS] = Long.MAX_VALUE;
+        outstanding++;
+        sentAt[attempts % MAX_ATTEMPTS] = now;
+        endedAt[attempts++ % MAX_ATTEMPTS] = Long.MAX_VALUE;
     }
 
-    /** One of the calls has ended; the oldest one, where nobody says which. */
+    /** Marks one attempt as ended: the oldest, since the caller does not say which. */
     void ended(long now) {
-        out = Math.max(0, out - 1);
-        for (int i = Math.max(0, calls - CALLS); i < calls; i++) {
-            if (endedAt[i % CALLS] == Long.MAX_VALUE) {
-                endedAt[i % CALLS] = now;
+        outstanding = Math.max(0, outstanding - 1);
+        for (int i = Math.max(0, attempts - MAX_ATTEMPTS); i < attempts; i++) {
+            if (endedAt[i % MAX_ATTEMPTS] == Long.MAX_VALUE) {
+                endedAt[i % MAX_ATTEMPTS] = now;
                 return;
             }
         }
     }
 
-    /** Own calls that were out at that instant. */
-    int outAt(long instant) {
+    /** Returns the own attempts that were outstanding at that time. */
+    int outstandingAt(long instant) {
         int count = 0;
-        for (int i = Math.max(0, calls - CALLS); i < calls; i++) {
-            if (sentAt[i % CALLS] <= instant && endedAt[i % CALLS] > instant) {
+        for (int i = Math.max(0, attempts - MAX_ATTEMPTS); i < attempts; i++) {
+            if (sentAt[i % MAX_ATTEMPTS] <= instant && endedAt[i % MAX_ATTEMPTS] > instant) {
                 count++;
             }
         }
         return count;
     }
 
-    /** Own calls that are out and were sent before that instant. */
-    int outSince(long instant) {
+    /** Returns the own attempts that are still outstanding and were sent no later than that time. */
+    int outstandingSentBefore(long instant) {
         int count = 0;
-        for (int i = Math.max(0, calls - CALLS); i < calls; i++) {
-            if (sentAt[i % CALLS] <= instant && endedAt[i % CALLS] == Long.MAX_VALUE) {
+        for (int i = Math.max(0, attempts - MAX_ATTEMPTS); i < attempts; i++) {
+            if (sentAt[i % MAX_ATTEMPTS] <= instant && endedAt[i % MAX_ATTEMPTS] == Long.MAX_VALUE) {
                 count++;
             }
         }
--- a/src/main/java/laneflow/capacity/decision/LoadEstimator.java
+++ b/src/main/java/laneflow/capacity/decision/LoadEstimator.java
@@ -1,81 +1,86 @@
 package laneflow.capacity.decision;
 
 /**
- * How many slots of siblings' jobs an endpoint is held to have, by what one knew and by news of others. A
- * free endpoint that is told to all is full when all have picked it: ways to see to that are of this form, so
- * that they can be played against each other ({@code laneflow.lab.world.CapacityWorld}).
+ * Estimates how many of an endpoint's slots other schedulers' requests take, from own reports and a peer
+ * report. If all schedulers act on the same report of a free endpoint, they fill it together; strategies
+ * against this implement this interface, so that they can be compared in simulation ({@code
+ * laneflow.lab.world.CapacityWorld}).
  */
 public interface LoadEstimator {
     /**
-     * News as it comes in.
+     * Input of an estimate, one for each peer report.
      *
-     * @param told slots that siblings' jobs take there by the news
-     * @param known the same by own experience, faded to the mean of the like
-     * @param slots that the endpoint has
-     * @param heard seconds since the last own report
-     * @param age of the news, seconds
-     * @param credit of whoever told it, 0 to 1
-     * @param share of the demand for endpoints there that is this scheduler's own, 0 to 1
-     * @param inflow jobs a second that siblings send to an endpoint there, in the mean
-     * @param overshoot share of the endpoints told to have room that was found without, 0 to 1
-     * @param out own calls there
-     * @param mine true where the endpoint is this scheduler's to fill first
-     * @param draw by chance, 0 to 1, the same for the same news at the same scheduler
+     * @param reported slots taken by other schedulers' requests according to the report
+     * @param expected the same according to own reports, faded to the mean of endpoints of the same kind and
+     *     zone
+     * @param slots size of the endpoint
+     * @param ownReportAge seconds since the last own report
+     * @param age age of the report in seconds
+     * @param reliability of the report's source and sender, 0 to 1
+     * @param demandShare this scheduler's share of the request rate in the endpoint's zone, 0 to 1
+     * @param inflow mean requests per second that other schedulers send to an endpoint in the zone
+     * @param overshoot share of endpoints reported free that turned out to be full, 0 to 1
+     * @param outstanding own attempts there
+     * @param preferred true if this scheduler should fill the endpoint first
+     * @param random pseudo-random number, 0 to 1, the same for the same report at the same scheduler
      */
     record Observation(
-            double told,
-            double known,
+            double reported,
+            double expected,
             double slots,
-            double heard,
+            double ownReportAge,
             double age,
-            double credit,
-            double share,
+            double reliability,
+            double demandShare,
             double inflow,
             double overshoot,
-            int out,
-            boolean mine,
-            double draw) {
-        public double room() {
-            return Math.max(0, slots - told);
+            int outstanding,
+            boolean preferred,
+            double random) {
+        public double reportedRoom() {
+            return Math.max(0, slots - reported);
         }
     }
 
-    /** Between what was known and what is told, by the age of the news and the credit of who told it. */
-    LoadEstimator BLEND = news -> news.known() + news.credit() * weight(news.age()) * (news.told() - news.known());
+    /** Interpolates between expected and reported load by the report's age and reliability. */
+    LoadEstimator BLEND = report ->
+            report.expected() + report.reliability() * weight(report.age()) * (report.reported() - report.expected());
 
-    /** So many times the measured overshoot is taken off the room that is told. */
+    /** Factor of the measured overshoot by which reported room is reduced. */
     double DAMPING = 2;
 
     /**
-     * The same, but of the room told beyond what was known so much the less is believed as room told before
-     * was found gone: the more have picked the same endpoints, the less anybody makes of such news.
+     * Like {@link #BLEND}, but reduces reported room beyond the expected by the measured overshoot: the more
+     * schedulers act on the same reports, the less weight each gives them.
      */
-    LoadEstimator DAMPED = news -> {
-        double blend = BLEND.estimate(news);
-        return Math.max(blend, Math.min(news.known(), blend + DAMPING * news.overshoot() * news.room()));
+    LoadEstimator DAMPED = report -> {
+        double blend = BLEND.estimate(report);
+        return Math.max(
+                blend, Math.min(report.expected(), blend + DAMPING * report.overshoot() * report.reportedRoom()));
     };
 
-    /** Schedulers that are to hear of a free endpoint, in the mean. */
-    double TOLD_MEAN = 3;
-    /** Slots by which one that is held to be full may be short of it. */
-    double ALMOST = 0.5;
+    /** Mean number of schedulers that should act on a report of a free endpoint. */
+    double TARGET_SCHEDULERS = 3;
+    /** An endpoint counts as full if it has at most this many free slots. */
+    double FULL_MARGIN_SLOTS = 0.5;
 
     /**
-     * The same, and only where it may turn a refusal into an answer: of endpoints that by own knowledge have
-     * no room, news of room, taken by so few schedulers that they do not fill it together, the more often
-     * by those who ask for more. All that believe the same news pick the same endpoints, so news of what is
-     * known costs more than it gains (docs/capacity-gossip.md).
+     * Like {@link #DAMPED}, but uses a report only where it may turn a refusal into an answer: for endpoints
+     * that are full by own knowledge and are reported to have room. A random choice weighted by demand limits
+     * the schedulers that act on it, so that they do not fill the endpoint together. Schedulers that believe
+     * the same report pick the same endpoints, so using reports of endpoints known to have room costs more
+     * than it gains (docs/capacity-gossip.md).
      */
-    LoadEstimator SELECTIVE = news -> news.known() + news.out() >= news.slots() - ALMOST
-                    && news.told() < news.known()
-                    && news.draw() < TOLD_MEAN * news.share()
-            ? DAMPED.estimate(news)
+    LoadEstimator SELECTIVE = report -> report.expected() + report.outstanding() >= report.slots() - FULL_MARGIN_SLOTS
+                    && report.reported() < report.expected()
+                    && report.random() < TARGET_SCHEDULERS * report.demandShare()
+            ? DAMPED.estimate(report)
             : Double.NaN;
 
-    /** NaN: nothing is made of it. */
-    double estimate(Observation news);
+    /** Returns the slots taken by other schedulers' requests; NaN: the report is not used. */
+    double estimate(Observation report);
 
-    /** The weight of news of that age beside fresh news: half of it is lost in a second and a half. */
+    /** Returns the weight of a report of that age in seconds: 1 when fresh, one half after 1.5 s. */
     static double weight(double age) {
         return 1.5 / (1.5 + age);
     }
--- a/src/main/java/laneflow/capacity/decision/SourceReliability.java
+++ b/src/main/java/laneflow/capacity/decision/SourceReliability.java
@@ -4,79 +4,86 @@
 import java.util.Map;
 
 /**
- * What the news of each source has been worth beside this scheduler's own reports of the same endpoints. An
- * honest source errs both ways, since endpoints fill and empty meanwhile; one that lies, or whose news is
- * older than it says, errs one way or more than all others do. Nobody is believed before some comparisons
- * as much as behind them, and nobody's word beside one's own report.
+ * Reliability of each source, from comparing its reports with own reports of the same endpoints. An honest
+ * source errs in both directions, since endpoints fill and empty meanwhile; one that sends false reports, or
+ * older ones than it says, errs in one direction or more than the others do. A source gains full reliability
+ * only after some comparisons, and no peer report outweighs a newer own report.
  */
 final class SourceReliability {
-    /** So many sources are remembered, the least recently heard of go first. */
-    private static final int MOST = 1024;
+    /** Number of sources tracked; the least recently used are evicted first. */
+    private static final int MAX_TRACKED = 1024;
 
     private static final double GAIN = 0.1;
-    private static final double COMMON_GAIN = 0.01;
-    /** The credit of a source that was never compared. */
-    private static final double FIRST = 0.5;
+    private static final double OVERALL_GAIN = 0.01;
+    /** Reliability of a source that was never compared. */
+    private static final double INITIAL_RELIABILITY = 0.5;
 
-    private static final int ENOUGH = 10;
-    /** Mean error beyond that of all, in parts of an endpoint's slots, at which credit begins to fall. */
-    private static final double BORNE = 0.25;
+    private static final int FULL_CONFIDENCE_COMPARISONS = 10;
+    /**
+     * Error beyond the overall mean, as a fraction of the endpoint's slots, at which reliability begins to
+     * fall.
+     */
+    private static final double TOLERATED_ERROR = 0.25;
 
-    private static final double UNTIL_NONE = 0.2;
-    /** Whoever passes on what is wrong is blamed too, but less: it may have been told. */
-    private static final double TELLER_PART = 0.2;
+    private static final double FALLOFF_ERROR = 0.2;
+    /** A sender is charged for a wrong report of another source at a lower rate: it may have received it so. */
+    private static final double SENDER_GAIN_FACTOR = 0.2;
 
-    private static final class Record {
+    private static final class ErrorRecord {
         private double bias;
         private double error;
-        private int compared;
+        private int comparisons;
     }
 
-    private final Map<Integer, Record> records = new LinkedHashMap<>(64, 0.75f, true) {
+    private final Map<Integer, ErrorRecord> records = new LinkedHashMap<>(64, 0.75f, true) {
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Integer, Record> eldest) {
-            return size() > MOST;
+        protected boolean removeEldestEntry(Map.Entry<Integer, ErrorRecord> eldest) {
+            return size() > MAX_TRACKED;
         }
     };
     private double bias;
     private double error = 0.3;
 
-    /** News of that source was off by so much, in parts of the endpoint's slots, above nought if too full. */
-    void compared(int source, int teller, double off) {
-        double bounded = Math.max(-1, Math.min(1, off));
-        // Bounded the more, so that some who lie much do not make liars of the others.
-        bias += COMMON_GAIN * (Math.max(-BORNE, Math.min(BORNE, bounded)) - bias);
-        error += COMMON_GAIN * (Math.abs(bounded) - error);
-        note(source, bounded, GAIN);
-        if (teller != source) {
-            note(teller, bounded, GAIN * TELLER_PART);
+    /**
+     * Records the deviation of a report as a fraction of the endpoint's slots, positive if it overstated the
+     * load.
+     */
+    void addComparison(int source, int sender, double deviation) {
+        double bounded = Math.max(-1, Math.min(1, deviation));
+        // Clamped more tightly, so that a few sources with large errors do not shift the mean against the
+        // others.
+        bias += OVERALL_GAIN * (Math.max(-TOLERATED_ERROR, Math.min(TOLERATED_ERROR, bounded)) - bias);
+        error += OVERALL_GAIN * (Math.abs(bounded) - error);
+        update(source, bounded, GAIN);
+        if (sender != source) {
+            update(sender, bounded, GAIN * SENDER_GAIN_FACTOR);
         }
     }
 
-    private void note(int who, double off, double gain) {
-        Record record = records.computeIfAbsent(who, key -> new Record());
-        if (record.compared++ == 0) {
+    private void update(int scheduler, double deviation, double gain) {
+        ErrorRecord record = records.computeIfAbsent(scheduler, key -> new ErrorRecord());
+        if (record.comparisons++ == 0) {
             record.bias = bias;
             record.error = error;
         }
-        record.bias += gain * (off - record.bias);
-        record.error += gain * (Math.abs(off) - record.error);
+        record.bias += gain * (deviation - record.bias);
+        record.error += gain * (Math.abs(deviation) - record.error);
     }
 
-    /** 0 to 1. */
-    double credit(int source, int teller) {
-        double own = credit(source);
-        return teller == source ? own : Math.min(own, credit(teller));
+    /** Returns the reliability of a report from that source and sender, 0 to 1. */
+    double reliability(int source, int sender) {
+        double own = reliability(source);
+        return sender == source ? own : Math.min(own, reliability(sender));
     }
 
-    private double credit(int who) {
-        Record record = records.get(who);
+    private double reliability(int scheduler) {
+        ErrorRecord record = records.get(scheduler);
         if (record == null) {
-            return FIRST;
+            return INITIAL_RELIABILITY;
         }
-        double worse = Math.max(Math.abs(record.bias - bias), record.error - error);
-        double kept = Math.max(0, Math.min(1, 1 - (worse - BORNE) / UNTIL_NONE));
-        double known = Math.min(1, record.compared / (double) ENOUGH);
-        return kept * (FIRST + (1 - FIRST) * known);
+        double excess = Math.max(Math.abs(record.bias - bias), record.error - error);
+        double accuracy = Math.max(0, Math.min(1, 1 - (excess - TOLERATED_ERROR) / FALLOFF_ERROR));
+        double confidence = Math.min(1, record.comparisons / (double) FULL_CONFIDENCE_COMPARISONS);
+        return accuracy * (INITIAL_RELIABILITY + (1 - INITIAL_RELIABILITY) * confidence);
     }
 }
--- a/src/main/java/laneflow/capacity/decision/package-info.java
+++ b/src/main/java/laneflow/capacity/decision/package-info.java
@@ -1,6 +1,5 @@
 /**
- * What a scheduler knows of endpoints' free capacity from other schedulers: what to pass on, how a
- * report ages, how far a source is trusted. Without I/O, threads or a clock of its own; instants are
- * microseconds.
+ * Decisions on endpoints' free capacity as reported by other schedulers: which reports to pass on, how they
+ * age, and how far a source is trusted. No I/O, threads or clock; times are in microseconds.
  */
 package laneflow.capacity.decision;
--- a/src/main/java/laneflow/capacity/package-info.java
+++ b/src/main/java/laneflow/capacity/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Free capacity of endpoints, spread among schedulers by gossip. This package reads the configuration
- * and connects {@link laneflow.capacity.decision} with membership and the decision module.
+ * Endpoints' free capacity, spread among schedulers by gossip. This package reads the configuration and
+ * connects {@link laneflow.capacity.decision} with membership and the decision module.
  */
 package laneflow.capacity;
--- a/src/test/java/laneflow/capacity/decision/CapacityGossipTest.java
+++ b/src/test/java/laneflow/capacity/decision/CapacityGossipTest.java
@@ -23,7 +23,7 @@
     private static final class Site implements CapacityGossip.Callbacks {
         private final int number;
         private final CapacityGossip capacity;
-        private final Map<Long, Double> taken = new HashMap<>();
+        private final Map<Long, Double> occupied = new HashMap<>();
         private final Map<Long, Double> ages = new HashMap<>();
         private final Map<String, Integer> counts = new HashMap<>();
         private final ArrayDeque<byte[]> answers = new ArrayDeque<>();
@@ -38,7 +38,7 @@
 
         @Override
         public void report(long endpoint, double age, LoadReport report) {
-            taken.put(endpoint, SLOTS - report.freeSlots + (report.queue > 0 ? report.queue : 0));
+            occupied.put(endpoint, SLOTS - report.freeSlots + (report.queue > 0 ? report.queue : 0));
             ages.put(endpoint, age);
         }
 
@@ -53,12 +53,12 @@
         }
 
         /** A call there and back, by which it hears of so many free slots. */
-        private void hears(long now, long endpoint, double free, double queue) {
+        private void completesCall(long now, long endpoint, double free, double queue) {
             capacity.attemptSent(now, endpoint);
             capacity.attemptEnded(now, endpoint, false, free, queue);
         }
 
-        private void tells(long now, long later, Site other) {
+        private void sendsTo(long now, long later, Site other) {
             byte[] bytes = capacity.buildMessage(now, 0, ROOM);
             if (bytes != null) {
                 assertTrue(bytes.length <= ROOM, "within its room");
@@ -72,26 +72,26 @@
 
     private void knowSize() {
         // One's own endpoint shows how large such endpoints are.
-        other.hears(0, 40, SLOTS, 0);
+        other.completesCall(0, 40, SLOTS, 0);
     }
 
     @Test
     void newsBecomesAReportOfItsAge() {
         knowSize();
-        one.hears(1_000_000, 7, 0, 3);
-        one.tells(1_500_000, 1000, other);
+        one.completesCall(1_000_000, 7, 0, 3);
+        one.sendsTo(1_500_000, 1000, other);
         assertEquals(0.5, other.ages.get(7L), 0.08);
-        assertTrue(other.taken.get(7L) > 2, "it is said to be full: " + other.taken.get(7L));
-        assertNull(other.taken.get(8L), "nothing is made of what nobody has told");
+        assertTrue(other.occupied.get(7L) > 2, "it is said to be full: " + other.occupied.get(7L));
+        assertNull(other.occupied.get(8L), "nothing is made of what nobody has told");
     }
 
     @Test
     void ownReportsThatAreNewerStand() {
         knowSize();
-        one.hears(1_000_000, 7, 0, 3);
-        other.hears(1_200_000, 7, SLOTS, 0);
-        one.tells(1_500_000, 1000, other);
-        assertNull(other.taken.get(7L));
+        one.completesCall(1_000_000, 7, 0, 3);
+        other.completesCall(1_200_000, 7, SLOTS, 0);
+        one.sendsTo(1_500_000, 1000, other);
+        assertNull(other.occupied.get(7L));
         assertEquals(2, other.capacity.latestReport(7).source());
     }
 
@@ -102,22 +102,22 @@
         one.capacity.addEndpoint(5, 0, 0, "", 12_000);
         other.capacity.removeEndpoint(6);
         for (long endpoint : new long[] {99, 5, 6}) {
-            one.hears(1_000_000, endpoint, SLOTS, 0);
+            one.completesCall(1_000_000, endpoint, SLOTS, 0);
         }
-        one.tells(1_100_000, 1000, other);
-        assertTrue(other.taken.isEmpty(), "handed: " + other.taken);
-        assertEquals(39, other.capacity.ofZone(1_100_000, 0).endpoints(), "no new one, none brought back");
+        one.sendsTo(1_100_000, 1000, other);
+        assertTrue(other.occupied.isEmpty(), "handed: " + other.occupied);
+        assertEquals(39, other.capacity.freeSlotsInZone(1_100_000, 0).endpoints(), "no new one, none brought back");
     }
 
     @Test
     void ofAnEndpointOfUnknownSizeOneSourceProvesNothing() {
         for (int source = 1; source <= 3; source++) {
-            Site teller = source == 1 ? one : new Site(source + 10, 40);
-            teller.hears(1_000_000 + source, 7, source == 2 ? 192 : SLOTS, 0);
-            teller.tells(1_100_000, 1000, other);
-            assertEquals(source == 3, other.taken.containsKey(7L), source + " have told");
+            Site sender = source == 1 ? one : new Site(source + 10, 40);
+            sender.completesCall(1_000_000 + source, 7, source == 2 ? 192 : SLOTS, 0);
+            sender.sendsTo(1_100_000, 1000, other);
+            assertEquals(source == 3, other.occupied.containsKey(7L), source + " have told");
         }
-        assertTrue(other.taken.get(7L) >= 0, "by the size that three agree on, not by 192");
+        assertTrue(other.occupied.get(7L) >= 0, "by the size that three agree on, not by 192");
     }
 
     @Test
@@ -148,16 +148,16 @@
             long now = 1_000_000 + i * 50_000L;
             long endpoint = 1 + random.nextInt(39);
             double free = 1 + random.nextInt(4);
-            one.hears(now, endpoint, free, 0);
-            liar.hears(now + 1, endpoint + 1 > 39 ? 1 : endpoint + 1, 192, 0);
-            one.tells(now + 2, 1000, other);
-            liar.tells(now + 2, 1000, other);
+            one.completesCall(now, endpoint, free, 0);
+            liar.completesCall(now + 1, endpoint + 1 > 39 ? 1 : endpoint + 1, 192, 0);
+            one.sendsTo(now + 2, 1000, other);
+            liar.sendsTo(now + 2, 1000, other);
             // Its own call takes a slot of those.
-            other.hears(now + 4000, endpoint, free - 1, 0);
-            other.hears(now + 4000, endpoint + 1 > 39 ? 1 : endpoint + 1, 0, 2);
+            other.completesCall(now + 4000, endpoint, free - 1, 0);
+            other.completesCall(now + 4000, endpoint + 1 > 39 ? 1 : endpoint + 1, 0, 2);
         }
-        assertTrue(other.capacity.credit(66) < 0.1, "liar " + other.capacity.credit(66));
-        assertTrue(other.capacity.credit(1) > 0.8, "honest " + other.capacity.credit(1));
+        assertTrue(other.capacity.reliability(66) < 0.1, "liar " + other.capacity.reliability(66));
+        assertTrue(other.capacity.reliability(1) > 0.8, "honest " + other.capacity.reliability(1));
         assertTrue(other.counts.get("distrusted") > 0);
     }
 
@@ -167,7 +167,7 @@
         for (int i = 0; i < 9; i++) {
             old.add(new Site(100 + i, 5000));
             for (int endpoint = 1; endpoint <= 5000; endpoint++) {
-                old.get(i).hears(endpoint + i, endpoint, endpoint % 5, 0);
+                old.get(i).completesCall(endpoint + i, endpoint, endpoint % 5, 0);
             }
         }
         Site young = new Site(7, 5000);
@@ -176,7 +176,7 @@
         for (long now = 1_000_000; young.capacity.knownShare() < 0.99; now += CapacityGossip.ROUND_MICROS) {
             rounds++;
             assertTrue(rounds <= 12, "known after 12 rounds: " + young.capacity.knownShare());
-            for (int i = 0; i < (young.capacity.isNew() ? 4 : 2); i++) {
+            for (int i = 0; i < (young.capacity.isBootstrapping() ? 4 : 2); i++) {
                 Site asked = old.get(random.nextInt(9));
                 byte[] bytes = young.capacity.buildMessage(now, 0, ROOM);
                 if (bytes != null) {
@@ -194,23 +194,23 @@
     void roomIsSummedWithWhatMayBeWrong() {
         knowSize();
         for (long endpoint = 1; endpoint <= 20; endpoint++) {
-            other.hears(1_000_000, endpoint, 2, 0);
+            other.completesCall(1_000_000, endpoint, 2, 0);
         }
-        CapacityGossip.Sum now = other.capacity.ofZone(1_000_000, 0);
-        CapacityGossip.Sum later = other.capacity.ofZone(60_000_000, 0);
+        CapacityGossip.FreeSlots now = other.capacity.freeSlotsInZone(1_000_000, 0);
+        CapacityGossip.FreeSlots later = other.capacity.freeSlotsInZone(60_000_000, 0);
         assertEquals(40, now.endpoints());
-        assertEquals(21, now.heardOf());
+        assertEquals(21, now.reported());
         assertTrue(Math.abs(now.free() - 80) <= now.error() + 4, now.toString());
         assertTrue(later.error() > now.error(), "doubt grows with age: " + now + ", " + later);
-        assertTrue(other.capacity.ofBlock(1_000_000, "b1").endpoints() == 20);
+        assertTrue(other.capacity.freeSlotsInBlock(1_000_000, "b1").endpoints() == 20);
     }
 
     @Test
     void nothingNewIsNotToldForEver() {
         knowSize();
-        one.hears(1_000_000, 7, 1, 0);
+        one.completesCall(1_000_000, 7, 1, 0);
         int told = 0;
-        while (one.capacity.buildMessage(1_100_000, 0, ROOM) != null && one.capacity.hasNews() && told < 100) {
+        while (one.capacity.buildMessage(1_100_000, 0, ROOM) != null && one.capacity.hasDataToSend() && told < 100) {
             told++;
         }
         assertNotNull(one.capacity.latestReport(7));
--- a/src/test/java/laneflow/capacity/decision/CapacityReportTest.java
+++ b/src/test/java/laneflow/capacity/decision/CapacityReportTest.java
@@ -20,8 +20,8 @@
 /** What holds of any news: how it merges, ages and is packed. */
 class CapacityReportTest {
     @Provide
-    Arbitrary<CapacityReport> news() {
-        Arbitrary<Integer> step = Arbitraries.integers().between(0, Steps.MOST);
+    Arbitrary<CapacityReport> reports() {
+        Arbitrary<Integer> step = Arbitraries.integers().between(0, Quantizer.MAX_STEP);
         // Few lives and instants, so that most merges meet equals.
         return Combinators.combine(
                         Arbitraries.longs().between(0, 3),
@@ -31,13 +31,15 @@
                         Arbitraries.longs().between(0, 5),
                         Arbitraries.integers().between(0, 4),
                         Arbitraries.integers().between(0, 4))
-                .as((born, free, queue, calls, at, source, teller) ->
-                        new CapacityReport(7, born, free, queue, calls, at, source, teller));
+                .as((born, free, queue, attempts, at, source, sender) ->
+                        new CapacityReport(7, born, free, queue, attempts, at, source, sender));
     }
 
     @Property
     void mergingDoesNotDependOnOrderOrNumber(
-            @ForAll("news") CapacityReport a, @ForAll("news") CapacityReport b, @ForAll("news") CapacityReport c) {
+            @ForAll("reports") CapacityReport a,
+            @ForAll("reports") CapacityReport b,
+            @ForAll("reports") CapacityReport c) {
         assertEquals(CapacityReport.merge(a, b), CapacityReport.merge(b, a));
         assertEquals(
                 CapacityReport.merge(CapacityReport.merge(a, b), c),
@@ -47,7 +49,7 @@
     }
 
     @Property
-    void theNewestOfTheNewestLifeWins(@ForAll("news") CapacityReport a, @ForAll("news") CapacityReport b) {
+    void theNewestOfTheNewestLifeWins(@ForAll("reports") CapacityReport a, @ForAll("reports") CapacityReport b) {
         CapacityReport won = CapacityReport.merge(a, b);
         assertTrue(won.bornMs() >= Math.max(a.bornMs(), b.bornMs()));
         if (a.bornMs() == b.bornMs()) {
@@ -58,17 +60,17 @@
     @Property
     void passedOnNewsLooksOlderAndFullerNeverYoungerOrEmptier(
             @ForAll @LongRange(min = 0, max = 15_000_000) long age, @ForAll @IntRange(max = 192) int slots) {
-        assertTrue(Steps.ageOf(Steps.age(age)) >= age);
-        assertTrue(Steps.ageOf(Steps.age(age)) <= Math.max(10_000, age * 1.14));
-        assertTrue(Steps.value(Steps.down(slots)) <= slots);
-        assertTrue(Steps.value(Steps.up(slots)) >= slots);
+        assertTrue(Quantizer.ageMicros(Quantizer.ageStep(age)) >= age);
+        assertTrue(Quantizer.ageMicros(Quantizer.ageStep(age)) <= Math.max(10_000, age * 1.14));
+        assertTrue(Quantizer.value(Quantizer.floor(slots)) <= slots);
+        assertTrue(Quantizer.value(Quantizer.ceil(slots)) >= slots);
     }
 
     @Property
     void whatIsWrittenIsRead(
             @ForAll int stamp,
             @ForAll @IntRange(max = 31) int demand,
-            @ForAll @IntRange(min = -1, max = 255) int wants,
+            @ForAll @IntRange(min = -1, max = 255) int requestedPart,
             @ForAll @Size(max = 30) List<@IntRange(max = 0xffffff) Integer> keys)
             throws IOException {
         List<CapacityMessage.Entry> entries = new ArrayList<>();
@@ -76,10 +78,10 @@
             entries.add(new CapacityMessage.Entry(
                     key, key & 15, key >> 4 & 15, key >> 8 & 15, key >> 12 & 63, key % 61 * 1000));
         }
-        CapacityMessage cargo = new CapacityMessage(stamp, demand, wants, entries);
-        byte[] bytes = cargo.write();
-        assertEquals(cargo, CapacityMessage.read(bytes));
-        for (int cut = 0; cut < Math.min(bytes.length, CapacityMessage.HEAD); cut++) {
+        CapacityMessage message = new CapacityMessage(stamp, demand, requestedPart, entries);
+        byte[] bytes = message.write();
+        assertEquals(message, CapacityMessage.read(bytes));
+        for (int cut = 0; cut < Math.min(bytes.length, CapacityMessage.HEADER_BYTES); cut++) {
             byte[] less = java.util.Arrays.copyOf(bytes, cut);
             assertThrows(IOException.class, () -> CapacityMessage.read(less));
         }
@@ -88,10 +90,10 @@
     @Property
     void garbageIsReadOrTurnedDownAndNothingElse(@ForAll @Size(max = 200) byte[] bytes) {
         try {
-            CapacityMessage cargo = CapacityMessage.read(bytes);
-            assertTrue(cargo.demand() <= 31 && cargo.wants() <= 255);
+            CapacityMessage message = CapacityMessage.read(bytes);
+            assertTrue(message.demand() <= 31 && message.requestedPart() <= 255);
         } catch (IOException e) {
-            assertTrue(e.getMessage().startsWith("capacity news"));
+            assertTrue(e.getMessage().startsWith("capacity message"));
         }
     }
 }
