--- a/src/main/java/laneflow/capacity/CapacitySubsystem.java
+++ b/src/main/java/laneflow/capacity/CapacitySubsystem.java
@@ -86,7 +86,7 @@
             if (verb.equals("GET") && path.equals(PATH)) {
                 answer.say(200, "application/json", "", status() + "\n");
             } else {
-                answer.say(verb.equals("GET") ? 404 : 405, "text/plain", "", "known is GET " + PATH + "\n");
+                answer.say(verb.equals("GET") ? 404 : 405, "text/plain", "", "only GET " + PATH + " is supported\n");
             }
         });
         sendRound();
--- a/src/main/java/laneflow/capacity/decision/CapacityGossip.java
+++ b/src/main/java/laneflow/capacity/decision/CapacityGossip.java
@@ -13,7 +13,7 @@
  * if they were own load reports, corrected for age, source reliability, and the own and peer attempts in
  * flight.
  *
- * Without a delivered report the decision module decides as it would without gossip. A report only says how
+ * <p>Without a delivered report the decision module decides as it would without gossip. A report only says how
  * full an endpoint is: a draining, banned, cold or suspect endpoint stays so. This class does no I/O and reads
  * no clock: each call passes a monotonic time in microseconds, of any origin. Not thread-safe.
  */
@@ -40,7 +40,7 @@
      */
     public record FreeSlots(int endpoints, int reported, double free, double error) {}
 
-    /** Default interval between gossip rounds. */
+    /** Default interval between gossip rounds, and the period of the limit on answers. */
     public static final long ROUND_MICROS = 100_000;
     /** Datagrams sent in answer to one request for the full table. */
     static final int MAX_ANSWER_DATAGRAMS = 16;
@@ -126,7 +126,7 @@
         table.add(load);
     }
 
-    /** Removes an endpoint that drains or is gone; later reports of it are ignored. */
+    /** Removes an endpoint that drains or is gone; further reports of it are ignored. */
     public void removeEndpoint(long endpoint) {
         EndpointLoad load = table.get(endpoint);
         if (load != null) {
@@ -305,7 +305,7 @@
             return;
         }
         load.slotCount.addPeerReport(entry.source(), Quantizer.value(entry.free()));
-        double reliabilityOfSource = reliability.reliability(entry.source(), sender);
+        double reportReliability = reliability.reliability(entry.source(), sender);
         long observedAt = now - Quantizer.ageMicros(entry.age()) - transitMicros;
         CapacityReport peerReport = new CapacityReport(
                 load.id,
@@ -320,7 +320,7 @@
         if (slots > 0) {
             compareWithOwn(load, peerReport, slots);
         }
-        if (reliabilityOfSource <= 0) {
+        if (reportReliability <= 0) {
             callbacks.count("distrusted");
         } else if (table.merge(load, peerReport) && slots > 0) {
             callbacks.count("news");
@@ -329,7 +329,7 @@
                     load,
                     peerReport,
                     slots,
-                    reliabilityOfSource,
+                    reportReliability,
                     Math.max(0, occupied(peerReport, slots) - load.outstandingAt(observedAt)));
         }
     }
@@ -349,7 +349,7 @@
             EndpointLoad load,
             CapacityReport peerReport,
             double slots,
-            double reliabilityOfSource,
+            double reportReliability,
             double reportedSlots) {
         double age = Math.max(0, now - peerReport.observedAt()) / MICROS_PER_SECOND;
         GroupLoad group = groupLoad(load);
@@ -371,7 +371,7 @@
                 slots,
                 (now - load.ownReportAt) / MICROS_PER_SECOND,
                 age,
-                reliabilityOfSource,
+                reportReliability,
                 share,
                 inflow,
                 overshoot,
@@ -451,11 +451,10 @@
             double reportedSlots = mean;
             if (load.latest != null) {
                 reported++;
-                double reliabilityOfSource = load.latest.source() == self
+                double reportReliability = load.latest.source() == self
                         ? 1
                         : reliability.reliability(load.latest.source(), load.latest.sender());
-                weight = reliabilityOfSource
-                        * LoadEstimator.weight((now - load.latest.observedAt()) / MICROS_PER_SECOND);
+                weight = reportReliability * LoadEstimator.weight((now - load.latest.observedAt()) / MICROS_PER_SECOND);
                 reportedSlots = Math.min(slots, Quantizer.value(load.latest.free()));
             }
             double estimated = mean + weight * (reportedSlots - mean);
--- a/src/main/java/laneflow/capacity/decision/CapacityMessage.java
+++ b/src/main/java/laneflow/capacity/decision/CapacityMessage.java
@@ -29,7 +29,9 @@
     static final int KEY_BITS = 24;
     static final int PART_BITS = 8;
     private static final byte VERSION = 1;
+    /** Bit mask; as the requested part it stands for no request. */
     private static final int UNSIGNED_SHORT_MAX = 0xffff;
+
     private static final int BYTE_MASK = 0xff;
     private static final int MAX_DEMAND_STEP = 31;
 
--- a/src/main/java/laneflow/capacity/decision/CapacityTable.java
+++ b/src/main/java/laneflow/capacity/decision/CapacityTable.java
@@ -186,8 +186,8 @@
     }
 
     /**
-     * Returns all entries from the given part of the hash space on, in hash order, as up to {@code
-     * maxMessages} lists that take at most {@code maxBytes} each.
+     * Returns all entries from the given part of the hash space on, in hash order, as up to
+     * {@code maxMessages} lists that take at most {@code maxBytes} each.
      */
     List<List<CapacityMessage.Entry>> entriesFrom(int part, long now, int maxBytes, int maxMessages) {
         sort();
--- a/src/main/java/laneflow/capacity/decision/Demand.java
+++ b/src/main/java/laneflow/capacity/decision/Demand.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Request rates of the schedulers: its own measured rate, and the rates that peers report, summed by zone. */
+/** This scheduler's measured request rate, and the rates that peers report, summed by zone. */
 final class Demand {
     private static final int MAX_SCHEDULERS = 10_000;
     private static final long RETENTION_MICROS = 120_000_000;
--- a/src/main/java/laneflow/capacity/decision/LoadEstimator.java
+++ b/src/main/java/laneflow/capacity/decision/LoadEstimator.java
@@ -3,8 +3,8 @@
 /**
  * Estimates how many of an endpoint's slots other schedulers' requests take, from own reports and a peer
  * report. If all schedulers act on the same report of a free endpoint, they fill it together; strategies
- * against this implement this interface, so that they can be compared in simulation ({@code
- * laneflow.lab.world.CapacityWorld}).
+ * against this implement this interface, so that they can be compared in simulation
+ * ({@code laneflow.lab.world.CapacityWorld}).
  */
 public interface LoadEstimator {
     /**
--- a/src/test/java/laneflow/capacity/CapacityStoryTest.java
+++ b/src/test/java/laneflow/capacity/CapacityStoryTest.java
@@ -19,20 +19,20 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Free capacity told among real processes, with faults between them. */
+/** Capacity gossip among scheduler processes, with a network partition and a restart. */
 @Timeout(300)
 class CapacityStoryTest {
-    private static final int MEMBERS = 4;
-    private static final String FILE = "zones = [\"z\"]\n[classes.check]\nrepeat = \"safe\"\n";
+    private static final int SCHEDULERS = 4;
+    private static final String CONFIG = "zones = [\"z\"]\n[classes.check]\nrepeat = \"safe\"\n";
 
     @TempDir
     private Path folder;
 
     private Rig rig;
-    private int jobs;
+    private int requests;
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         rig.close();
     }
 
@@ -42,20 +42,20 @@
         }
     }
 
-    private void fleet() throws Exception {
+    private void startFleet() throws Exception {
         int[] nodes = {port(), port(), port()};
-        rig = new Rig(folder, MEMBERS, 1, 5, FILE + Rig.endpoints(nodes) + "[capacity]\nround_ms = 50\n");
+        rig = new Rig(folder, SCHEDULERS, 1, 5, CONFIG + Rig.endpoints(nodes) + "[capacity]\nround_ms = 50\n");
         rig.nodes(nodes, 4, 5, 120);
         rig.members(5, 100, 0, 1);
         rig.startAll();
-        rig.awaitSettled(MEMBERS, rig.all());
+        rig.awaitSettled(SCHEDULERS, rig.all());
     }
 
-    /** One job at that scheduler, and its answer's status. */
-    private int asks(int i) throws IOException {
+    /** Sends a request to the scheduler and returns the answer's status. */
+    private int postRequest(int i) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), rig.clientPort(i))) {
             socket.setSoTimeout(20_000);
-            String id = "j" + jobs++;
+            String id = "j" + requests++;
             socket.getOutputStream()
                     .write(("POST /check HTTP/1.1\r\nHost: l\r\nConnection: close\r\nReq-Id: " + id
                                     + "\r\nContent-Length: " + id.length() + "\r\n\r\n" + id)
@@ -66,14 +66,14 @@
         }
     }
 
-    private JsonObject capacity(int i) throws IOException, InterruptedException {
+    private JsonObject capacityStatus(int i) throws IOException, InterruptedException {
         return JsonParser.parseString(rig.ask(i, "/capacity", null).body()).getAsJsonObject();
     }
 
-    /** Endpoints of which it has news that another told, no older than that. */
-    private int told(int i, long ageMs) throws IOException, InterruptedException {
+    /** Returns the number of endpoints with a peer report that is at most that old. */
+    private int peerReports(int i, long ageMs) throws IOException, InterruptedException {
         int count = 0;
-        JsonObject all = capacity(i).getAsJsonObject("endpoints");
+        JsonObject all = capacityStatus(i).getAsJsonObject("endpoints");
         for (String name : all.keySet()) {
             JsonObject one = all.getAsJsonObject(name);
             count += !one.get("own").getAsBoolean() && one.get("age_ms").getAsLong() <= ageMs ? 1 : 0;
@@ -82,45 +82,46 @@
     }
 
     @Test
-    void whatOneHearsAllHearAcrossACutThatHeals() throws Exception {
-        fleet();
-        rig.await("the last has news that it never asked for", () -> {
-            return asks(0) == 200 && told(3, 2000) == 3;
+    void reportsReachAllSchedulersAndResumeAfterAPartition() throws Exception {
+        startFleet();
+        rig.await("scheduler 3 has reports of all endpoints without own requests", () -> {
+            return postRequest(0) == 200 && peerReports(3, 2000) == 3;
         });
         assertTrue(rig.counter(3, "capacity.received") > 0);
         assertTrue(rig.counter(3, "members.datagram_most") <= 256, "longest datagram");
         assertEquals(0, rig.counter(3, "members.spoilt") + rig.counter(3, "capacity.spoilt"));
-        // Three endpoints of three lists, and no other.
+        // The three configured endpoints and no other.
         assertEquals(
                 3,
-                capacity(3)
+                capacityStatus(3)
                         .getAsJsonObject("zones")
                         .getAsJsonObject("z")
                         .get("endpoints")
                         .getAsInt());
 
         rig.partAll(List.of(0, 1));
-        rig.await("nothing young of the other half is heard", () -> {
-            return asks(0) == 200 && told(3, 1000) == 0 && told(1, 1000) > 0;
+        rig.await("no recent reports cross the partition", () -> {
+            return postRequest(0) == 200 && peerReports(3, 1000) == 0 && peerReports(1, 1000) > 0;
         });
-        assertEquals(200, asks(3));
+        assertEquals(200, postRequest(3));
         rig.heal();
-        rig.await("young news of the other half again", () -> {
-            return asks(0) == 200 && told(3, 1000) > 0;
+        rig.await("recent reports cross again after the partition", () -> {
+            return postRequest(0) == 200 && peerReports(3, 1000) > 0;
         });
     }
 
     @Test
-    void oneThatComesAnewHasThePictureOfTheOthers() throws Exception {
-        fleet();
+    void restartedSchedulerLearnsReportsFromPeers() throws Exception {
+        startFleet();
         rig.kill(3);
-        rig.await("one that knows", () -> {
-            return asks(0) == 200 && capacity(0).getAsJsonObject("endpoints").size() == 3;
+        rig.await("scheduler 0 has reports of all endpoints", () -> {
+            return postRequest(0) == 200
+                    && capacityStatus(0).getAsJsonObject("endpoints").size() == 3;
         });
         rig.start(3);
         rig.await(
-                "it knows without a call of its own",
-                () -> rig.fleet(3).get("live").getAsInt() == MEMBERS && told(3, 60_000) == 3);
-        assertEquals(1.0, capacity(3).get("known_share").getAsDouble());
+                "the restarted scheduler has reports without own requests",
+                () -> rig.fleet(3).get("live").getAsInt() == SCHEDULERS && peerReports(3, 60_000) == 3);
+        assertEquals(1.0, capacityStatus(3).get("known_share").getAsDouble());
     }
 }
--- a/src/test/java/laneflow/capacity/decision/CapacityReportTest.java
+++ b/src/test/java/laneflow/capacity/decision/CapacityReportTest.java
@@ -17,12 +17,12 @@
 import net.jqwik.api.constraints.LongRange;
 import net.jqwik.api.constraints.Size;
 
-/** What holds of any news: how it merges, ages and is packed. */
+/** Properties of reports and messages: merging, quantization and encoding. */
 class CapacityReportTest {
     @Provide
     Arbitrary<CapacityReport> reports() {
         Arbitrary<Integer> step = Arbitraries.integers().between(0, Quantizer.MAX_STEP);
-        // Few lives and instants, so that most merges meet equals.
+        // Few start times and observation times, so that many merges involve equal fields.
         return Combinators.combine(
                         Arbitraries.longs().between(0, 3),
                         step,
@@ -36,7 +36,7 @@
     }
 
     @Property
-    void mergingDoesNotDependOnOrderOrNumber(
+    void mergeIsCommutativeAssociativeAndIdempotent(
             @ForAll("reports") CapacityReport a,
             @ForAll("reports") CapacityReport b,
             @ForAll("reports") CapacityReport c) {
@@ -49,16 +49,17 @@
     }
 
     @Property
-    void theNewestOfTheNewestLifeWins(@ForAll("reports") CapacityReport a, @ForAll("reports") CapacityReport b) {
-        CapacityReport won = CapacityReport.merge(a, b);
-        assertTrue(won.bornMs() >= Math.max(a.bornMs(), b.bornMs()));
+    void newestReportAfterTheLatestRestartWins(
+            @ForAll("reports") CapacityReport a, @ForAll("reports") CapacityReport b) {
+        CapacityReport newer = CapacityReport.merge(a, b);
+        assertTrue(newer.bornMs() >= Math.max(a.bornMs(), b.bornMs()));
         if (a.bornMs() == b.bornMs()) {
-            assertEquals(Math.max(a.observedAt(), b.observedAt()), won.observedAt());
+            assertEquals(Math.max(a.observedAt(), b.observedAt()), newer.observedAt());
         }
     }
 
     @Property
-    void passedOnNewsLooksOlderAndFullerNeverYoungerOrEmptier(
+    void quantizationNeverMakesReportsYoungerOrEmptier(
             @ForAll @LongRange(min = 0, max = 15_000_000) long age, @ForAll @IntRange(max = 192) int slots) {
         assertTrue(Quantizer.ageMicros(Quantizer.ageStep(age)) >= age);
         assertTrue(Quantizer.ageMicros(Quantizer.ageStep(age)) <= Math.max(10_000, age * 1.14));
@@ -67,7 +68,7 @@
     }
 
     @Property
-    void whatIsWrittenIsRead(
+    void messagesRoundTripAndTruncatedHeadersAreRejected(
             @ForAll int stamp,
             @ForAll @IntRange(max = 31) int demand,
             @ForAll @IntRange(min = -1, max = 255) int requestedPart,
@@ -81,14 +82,14 @@
         CapacityMessage message = new CapacityMessage(stamp, demand, requestedPart, entries);
         byte[] bytes = message.write();
         assertEquals(message, CapacityMessage.read(bytes));
-        for (int cut = 0; cut < Math.min(bytes.length, CapacityMessage.HEADER_BYTES); cut++) {
-            byte[] less = java.util.Arrays.copyOf(bytes, cut);
-            assertThrows(IOException.class, () -> CapacityMessage.read(less));
+        for (int kept = 0; kept < Math.min(bytes.length, CapacityMessage.HEADER_BYTES); kept++) {
+            byte[] truncated = java.util.Arrays.copyOf(bytes, kept);
+            assertThrows(IOException.class, () -> CapacityMessage.read(truncated));
         }
     }
 
     @Property
-    void garbageIsReadOrTurnedDownAndNothingElse(@ForAll @Size(max = 200) byte[] bytes) {
+    void arbitraryBytesAreParsedOrRejected(@ForAll @Size(max = 200) byte[] bytes) {
         try {
             CapacityMessage message = CapacityMessage.read(bytes);
             assertTrue(message.demand() <= 31 && message.requestedPart() <= 255);
--- a/src/test/java/laneflow/transcripts/GossipTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/GossipTranscriptsTest.java
@@ -17,36 +17,36 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Free capacity told between two schedulers, as an operator sees it who asks both. */
+/** Capacity gossip between two schedulers, as an operator sees it who queries both. */
 @Timeout(600)
 class GossipTranscriptsTest {
     private static final Pattern AGE = Pattern.compile("(?<=\"age_ms\":)\\d+");
-    /** Sums and their errors move with the ages of what they are made of. */
+    /** The sums and their errors vary with the ages of the reports. */
     private static final Pattern SUM = Pattern.compile("(?<=\"(free|error)\":)\\d+\\.\\d+");
 
-    private static final int QUICK = 1_000;
-    private static final int UNTIL_THE_END = 100_000_000;
-    private static final String FILE = "zones = ['z']\n[classes.check]\naim_ms = 1000\ndeadline_ms = 120000\n"
+    private static final int SHORT_MICROS = 1_000;
+    private static final int ENDLESS_MICROS = 100_000_000;
+    private static final String CONFIG = "zones = ['z']\n[classes.check]\naim_ms = 1000\ndeadline_ms = 120000\n"
             + "repeat = 'safe'\n[endpoints.e0]\ndial = '127.0.0.1:PORT'\n[capacity]\nround_ms = 50\n";
 
     @TempDir
     private Path folder;
 
-    /** An operator, and clients whose jobs are told in a word. */
-    private static final class Teller {
+    /** An operator, and clients that send requests. */
+    private static final class Session {
         private final Transcript transcript;
         private final Rig rig;
         private final List<Socket> open = new ArrayList<>();
-        private int jobs;
+        private int requests;
 
-        private Teller(Transcript transcript, Rig rig) {
+        private Session(Transcript transcript, Rig rig) {
             this.transcript = transcript;
             this.rig = rig;
         }
 
-        private Socket asks(int i, int micros) throws IOException {
+        private Socket openRequest(int i, int micros) throws IOException {
             Socket socket = new Socket(InetAddress.getLoopbackAddress(), rig.clientPort(i));
-            String id = "j" + jobs++;
+            String id = "j" + requests++;
             String body = id + " " + micros;
             socket.getOutputStream()
                     .write(("POST /check HTTP/1.1\r\nHost: l\r\nConnection: close\r\nReq-Id: " + id
@@ -55,13 +55,13 @@
             return socket;
         }
 
-        private void quick(int i) throws IOException {
-            try (Socket socket = asks(i, QUICK)) {
+        private void completeShortRequest(int i) throws IOException {
+            try (Socket socket = openRequest(i, SHORT_MICROS)) {
                 socket.getInputStream().readAllBytes();
             }
         }
 
-        private String held(int i) throws IOException, InterruptedException {
+        private String capacityStatus(int i) throws IOException, InterruptedException {
             HttpResponse<String> answer = rig.ask(i, "/capacity", null);
             if (answer.statusCode() != 200) {
                 throw new IOException(answer.body());
@@ -69,18 +69,21 @@
             return answer.body();
         }
 
-        /** Short jobs at one, unrecorded, since how many it takes is free, until another holds that. */
-        private void until(int at, int holder, String what) throws IOException, InterruptedException {
-            rig.await(Rig.name(holder) + " holds " + what, () -> {
-                quick(at);
-                return held(holder).contains(what);
+        /**
+         * Sends short requests, not recorded since their number varies, until the other scheduler reports the
+         * text.
+         */
+        private void awaitStatus(int at, int reporter, String what) throws IOException, InterruptedException {
+            rig.await(Rig.name(reporter) + " reports " + what, () -> {
+                completeShortRequest(at);
+                return capacityStatus(reporter).contains(what);
             });
         }
 
-        private void looks() throws IOException, InterruptedException {
+        private void recordStatus() throws IOException, InterruptedException {
             for (int i : rig.all()) {
                 transcript.message("operator", Rig.name(i), "GET /capacity");
-                String plain = AGE.matcher(held(i)).replaceAll("<ms>");
+                String plain = AGE.matcher(capacityStatus(i)).replaceAll("<ms>");
                 transcript.message(
                         Rig.name(i),
                         "operator",
@@ -93,37 +96,41 @@
     }
 
     @Test
-    void afterAHeal() throws Exception {
+    void afterAPartitionHeals() throws Exception {
         Transcript.of(
-                "News of one endpoint at two schedulers: before a cut, amid it, and behind the heal. Jobs come to n1"
-                        + " only; the schedulers' own datagrams are sealed, and not shown.",
+                "Reports of one endpoint at two schedulers: before, during and after a network partition."
+                        + " Requests go to n1 only; the schedulers' own datagrams are sealed, and not shown.",
                 transcript -> {
                     int port = Crew.port();
-                    Path own = Files.createTempDirectory(folder, "fleet");
+                    Path directory = Files.createTempDirectory(folder, "fleet");
                     try (StandInPool pool = new StandInPool(
                                     List.of(port), List.of("z"), 1, new StandInPool.Sort(4, 4, 1, 1, 100, 1));
                             Rig rig = new Rig(
-                                    own, 2, 1, 5, FILE.replace('\'', '"').replace("PORT", "" + port))) {
+                                    directory,
+                                    2,
+                                    1,
+                                    5,
+                                    CONFIG.replace('\'', '"').replace("PORT", "" + port))) {
                         rig.members(5, 100, 0, 1);
                         rig.startAll();
                         rig.awaitSettled(2, rig.all());
                         rig.awaitClients(0);
-                        Teller teller = new Teller(transcript, rig);
-                        transcript.note("short jobs come to n1, one at a time");
-                        teller.until(0, 1, "\"free\":3,");
-                        teller.looks();
+                        Session session = new Session(transcript, rig);
+                        transcript.note("short requests go to n1, one at a time");
+                        session.awaitStatus(0, 1, "\"free\":3,");
+                        session.recordStatus();
                         transcript.note(
-                                "n1 and n2 can't hear each other; two long jobs come to n1, and short ones beside them");
+                                "n1 and n2 are partitioned; two long requests go to n1, and short ones beside them");
                         rig.partAll(List.of(0));
-                        teller.open.add(teller.asks(0, UNTIL_THE_END));
-                        teller.open.add(teller.asks(0, UNTIL_THE_END));
-                        teller.until(0, 0, "\"free\":2,");
-                        teller.looks();
-                        transcript.note("the cut is healed; a short job comes to n1");
+                        session.open.add(session.openRequest(0, ENDLESS_MICROS));
+                        session.open.add(session.openRequest(0, ENDLESS_MICROS));
+                        session.awaitStatus(0, 0, "\"free\":2,");
+                        session.recordStatus();
+                        transcript.note("the partition is healed; a short request goes to n1");
                         rig.heal();
-                        teller.until(0, 1, "\"free\":2,");
-                        teller.looks();
-                        for (Socket socket : teller.open) {
+                        session.awaitStatus(0, 1, "\"free\":2,");
+                        session.recordStatus();
+                        for (Socket socket : session.open) {
                             socket.close();
                         }
                     }
