--- a/src/test/java/laneflow/capacity/decision/CapacityGossipTest.java
+++ b/src/test/java/laneflow/capacity/decision/CapacityGossipTest.java
@@ -53,16 +53,16 @@
         }
 
         /** Completes a request to the endpoint, whose answer reports the given load. */
-        private void completesCall(long now, long endpoint, double free, double queue) {
+        private void completeRequest(long now, long endpoint, double free, double queue) {
             capacity.attemptSent(now, endpoint);
             capacity.attemptEnded(now, endpoint, false, free, queue);
         }
 
-        private void sendsTo(long now, long transitMicros, TestScheduler second) {
+        private void sendTo(long now, long transitMicros, TestScheduler receiver) {
             byte[] bytes = capacity.buildMessage(now, 0, MAX_BYTES);
             if (bytes != null) {
                 assertTrue(bytes.length <= MAX_BYTES, "size limit");
-                second.capacity.receive(now + transitMicros, number, 0, bytes, MAX_BYTES);
+                receiver.capacity.receive(now + transitMicros, number, 0, bytes, MAX_BYTES);
             }
         }
     }
@@ -72,14 +72,14 @@
 
     private void learnSlotCount() {
         // An own report shows how many slots endpoints of this kind have.
-        second.completesCall(0, 40, SLOTS, 0);
+        second.completeRequest(0, 40, SLOTS, 0);
     }
 
     @Test
     void peerReportIsDeliveredWithItsAge() {
         learnSlotCount();
-        first.completesCall(1_000_000, 7, 0, 3);
-        first.sendsTo(1_500_000, 1000, second);
+        first.completeRequest(1_000_000, 7, 0, 3);
+        first.sendTo(1_500_000, 1000, second);
         assertEquals(0.5, second.ages.get(7L), 0.08);
         assertTrue(second.occupied.get(7L) > 2, "reported as full: " + second.occupied.get(7L));
         assertNull(second.occupied.get(8L), "no report of this endpoint");
@@ -88,9 +88,9 @@
     @Test
     void newerOwnReportIsKept() {
         learnSlotCount();
-        first.completesCall(1_000_000, 7, 0, 3);
-        second.completesCall(1_200_000, 7, SLOTS, 0);
-        first.sendsTo(1_500_000, 1000, second);
+        first.completeRequest(1_000_000, 7, 0, 3);
+        second.completeRequest(1_200_000, 7, SLOTS, 0);
+        first.sendTo(1_500_000, 1000, second);
         assertNull(second.occupied.get(7L));
         assertEquals(2, second.capacity.latestReport(7).source());
     }
@@ -102,9 +102,9 @@
         first.capacity.addEndpoint(5, 0, 0, "", 12_000);
         second.capacity.removeEndpoint(6);
         for (long endpoint : new long[] {99, 5, 6}) {
-            first.completesCall(1_000_000, endpoint, SLOTS, 0);
+            first.completeRequest(1_000_000, endpoint, SLOTS, 0);
         }
-        first.sendsTo(1_100_000, 1000, second);
+        first.sendTo(1_100_000, 1000, second);
         assertTrue(second.occupied.isEmpty(), "delivered: " + second.occupied);
         assertEquals(39, second.capacity.freeSlotsInZone(1_100_000, 0).endpoints(), "no endpoint added or restored");
     }
@@ -113,8 +113,8 @@
     void unknownSlotCountNeedsThreeSources() {
         for (int source = 1; source <= 3; source++) {
             TestScheduler sender = source == 1 ? first : new TestScheduler(source + 10, 40);
-            sender.completesCall(1_000_000 + source, 7, source == 2 ? 192 : SLOTS, 0);
-            sender.sendsTo(1_100_000, 1000, second);
+            sender.completeRequest(1_000_000 + source, 7, source == 2 ? 192 : SLOTS, 0);
+            sender.sendTo(1_100_000, 1000, second);
             assertEquals(source == 3, second.occupied.containsKey(7L), source + " sources have reported");
         }
         assertTrue(second.occupied.get(7L) >= 0, "by the size that three sources have reached, not by 192");
@@ -148,13 +148,13 @@
             long now = 1_000_000 + i * 50_000L;
             long endpoint = 1 + random.nextInt(39);
             double free = 1 + random.nextInt(4);
-            first.completesCall(now, endpoint, free, 0);
-            faulty.completesCall(now + 1, endpoint + 1 > 39 ? 1 : endpoint + 1, 192, 0);
-            first.sendsTo(now + 2, 1000, second);
-            faulty.sendsTo(now + 2, 1000, second);
+            first.completeRequest(now, endpoint, free, 0);
+            faulty.completeRequest(now + 1, endpoint + 1 > 39 ? 1 : endpoint + 1, 192, 0);
+            first.sendTo(now + 2, 1000, second);
+            faulty.sendTo(now + 2, 1000, second);
             // The scheduler's own request takes one of the free slots.
-            second.completesCall(now + 4000, endpoint, free - 1, 0);
-            second.completesCall(now + 4000, endpoint + 1 > 39 ? 1 : endpoint + 1, 0, 2);
+            second.completeRequest(now + 4000, endpoint, free - 1, 0);
+            second.completeRequest(now + 4000, endpoint + 1 > 39 ? 1 : endpoint + 1, 0, 2);
         }
         assertTrue(second.capacity.reliability(66) < 0.1, "faulty source " + second.capacity.reliability(66));
         assertTrue(second.capacity.reliability(1) > 0.8, "honest source " + second.capacity.reliability(1));
@@ -167,7 +167,7 @@
         for (int i = 0; i < 9; i++) {
             peers.add(new TestScheduler(100 + i, 5000));
             for (int endpoint = 1; endpoint <= 5000; endpoint++) {
-                peers.get(i).completesCall(endpoint + i, endpoint, endpoint % 5, 0);
+                peers.get(i).completeRequest(endpoint + i, endpoint, endpoint % 5, 0);
             }
         }
         TestScheduler newcomer = new TestScheduler(7, 5000);
@@ -194,7 +194,7 @@
     void freeSlotsHaveAnErrorBoundThatGrowsWithAge() {
         learnSlotCount();
         for (long endpoint = 1; endpoint <= 20; endpoint++) {
-            second.completesCall(1_000_000, endpoint, 2, 0);
+            second.completeRequest(1_000_000, endpoint, 2, 0);
         }
         CapacityGossip.FreeSlots now = second.capacity.freeSlotsInZone(1_000_000, 0);
         CapacityGossip.FreeSlots later = second.capacity.freeSlotsInZone(60_000_000, 0);
@@ -208,7 +208,7 @@
     @Test
     void unchangedReportIsNotSentForever() {
         learnSlotCount();
-        first.completesCall(1_000_000, 7, 1, 0);
+        first.completeRequest(1_000_000, 7, 1, 0);
         int sent = 0;
         while (first.capacity.buildMessage(1_100_000, 0, MAX_BYTES) != null
                 && first.capacity.hasDataToSend()
