--- a/src/main/java/laneflow/capacity/CapacityPart.java
+++ b/src/main/java/laneflow/capacity/CapacitySubsystem.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import laneflow.capacity.decision.Capacity;
+import laneflow.capacity.decision.CapacityGossip;
+import laneflow.capacity.decision.CapacityReport;
 import laneflow.capacity.decision.LoadEstimator;
-import laneflow.capacity.decision.News;
 import laneflow.core.Counters;
 import laneflow.core.Endpoint;
 import laneflow.core.Scheduler;
@@ -21,16 +21,17 @@
 import laneflow.net.Loop;
 
 /**
- * Free capacity told among schedulers, in a process: what the scheduler's own calls come back with goes along
- * with the view's datagrams, what others told comes to the module as reports of their age. On the control
- * thread; what the scheduler hears comes, and reports go, as messages between the two loops.
+ * Capacity gossip in a scheduler process. Load reports from the scheduler's own attempts are sent with the
+ * membership datagrams; peer reports are delivered to the decision module with their age. Runs on the control
+ * thread and exchanges messages with the traffic loop.
  */
-public final class CapacityPart implements Capacity.Out, Members.PayloadHandler, Scheduler.AttemptListener {
+public final class CapacitySubsystem
+        implements CapacityGossip.Callbacks, Members.PayloadHandler, Scheduler.AttemptListener {
     private static final String PATH = "/capacity";
-    private static final long LISTS_EVERY = 500_000;
-    private static final long MILLI = 1000;
-    /** Tries to draw one of the same zone. */
-    private static final int TRIES = 8;
+    private static final long LIST_INTERVAL_MICROS = 500_000;
+    private static final long MICROS_PER_MILLI = 1000;
+    /** Draws made to find a member in the same zone. */
+    private static final int SAME_ZONE_TRIES = 8;
 
     private final Loop loop;
     private final Loop traffic;
@@ -42,16 +43,16 @@
     private final List<String> zones;
     private final int zone;
     private final SplittableRandom random;
-    private final Capacity capacity;
-    /** Names of the endpoints that are listed as ready. */
+    private final CapacityGossip capacity;
+    /** Names of the endpoints listed as ready, by id. */
     private final Map<Long, String> listed = new HashMap<>();
-    /** Names by the numbers that news calls schedulers by. */
+    /** Names of the schedulers that have sent a message, by number. */
     private final Map<Integer, String> names = new HashMap<>();
 
-    private long listedAt = Long.MIN_VALUE / 2;
+    private long lastListedAt = Long.MIN_VALUE / 2;
 
-    /** @param zones in the order of the settings */
-    public CapacityPart(
+    /** @param zones in the order of the configuration */
+    public CapacitySubsystem(
             Loop loop,
             Loop traffic,
             Counters counters,
@@ -71,72 +72,76 @@
         this.zones = List.copyOf(zones);
         zone = scheduler.settings().zone;
         random = new SplittableRandom(seed);
-        capacity = new Capacity(number(fleet.self().name()), zone, LoadEstimator.SPARING, this);
+        capacity = new CapacityGossip(schedulerNumber(fleet.self().name()), zone, LoadEstimator.SELECTIVE, this);
     }
 
-    private static int number(String name) {
+    private static int schedulerNumber(String name) {
         return (int) Endpoint.stableId(name) & 0xffff;
     }
 
-    /** News goes out from now on. On the control thread. */
+    /** Starts to send and receive. On the control thread. */
     public void begin() {
         traffic.later(() -> scheduler.setAttemptListener(this));
         members.setPayloadHandler(this);
         fleet.serve(PATH, (verb, path, body, answer) -> {
             if (verb.equals("GET") && path.equals(PATH)) {
-                answer.say(200, "application/json", "", report() + "\n");
+                answer.say(200, "application/json", "", status() + "\n");
             } else {
-                answer.say(verb.equals("GET") ? 404 : 405, "text/plain", "", "known is GET " + PATH + "\n");
+                answer.say(verb.equals("GET") ? 404 : 405, "text/plain", "", "only GET " + PATH + " is supported\n");
             }
         });
-        round();
+        sendRound();
     }
 
-    private void round() {
+    private void sendRound() {
         long now = loop.micros();
-        loop.deadlines().at(now + config.round, this::round);
-        if (now - listedAt >= LISTS_EVERY) {
-            listedAt = now;
-            traffic.later(this::look);
+        loop.deadlines().at(now + config.roundMicros, this::sendRound);
+        if (now - lastListedAt >= LIST_INTERVAL_MICROS) {
+            lastListedAt = now;
+            traffic.later(this::collectReady);
         }
-        if (!capacity.hasNews()) {
+        if (!capacity.hasDataToSend()) {
             return;
         }
         List<MemberRecord> live = members.liveMembers();
         for (int i = 0; i < config.fanout && !live.isEmpty(); i++) {
             MemberRecord to = live.get(random.nextInt(live.size()));
-            for (int k = 0; k < TRIES && i % 2 == 0 && zoneOf(to) != zone; k++) {
+            for (int k = 0; k < SAME_ZONE_TRIES && i % 2 == 0 && zoneOf(to) != zone; k++) {
                 to = live.get(random.nextInt(live.size()));
             }
             members.sendPayload(to.instance().name(), null);
         }
     }
 
-    /** One that is ready, as the lists have it. */
-    private record Ready(long id, String name, int zone, int kind, long bornMs) {}
+    /** An endpoint that is ready by the endpoint lists. */
+    private record ReadyEndpoint(long id, String name, int zone, int kind, long bornMs) {}
 
-    /** On the traffic's thread. */
-    private void look() {
-        List<Ready> ready = new ArrayList<>();
+    /** Runs on the traffic thread. */
+    private void collectReady() {
+        List<ReadyEndpoint> ready = new ArrayList<>();
         scheduler.endpoints().forEach(endpoint -> {
             if (endpoint.state() == State.READY && !scheduler.isDown(endpoint)) {
-                ready.add(new Ready(
-                        endpoint.id, endpoint.name, endpoint.zone, endpoint.kind, endpoint.startedAt / MILLI));
+                ready.add(new ReadyEndpoint(
+                        endpoint.id,
+                        endpoint.name,
+                        endpoint.zone,
+                        endpoint.kind,
+                        endpoint.startedAt / MICROS_PER_MILLI));
             }
         });
-        loop.later(() -> lists(ready));
+        loop.later(() -> updateEndpoints(ready));
     }
 
-    /** What drains or is gone is not told of, and not heard of. */
-    private void lists(List<Ready> ready) {
+    /** Endpoints that drain or are gone are removed: their reports are neither sent nor accepted. */
+    private void updateEndpoints(List<ReadyEndpoint> ready) {
         Map<Long, String> now = new HashMap<>();
-        for (Ready one : ready) {
+        for (ReadyEndpoint one : ready) {
             now.put(one.id, one.name);
-            capacity.listed(one.id, one.zone, one.kind, "", one.bornMs);
+            capacity.addEndpoint(one.id, one.zone, one.kind, "", one.bornMs);
         }
         for (long id : listed.keySet()) {
             if (!now.containsKey(id)) {
-                capacity.unlisted(id);
+                capacity.removeEndpoint(id);
             }
         }
         listed.clear();
@@ -147,33 +152,33 @@
         return zones.indexOf(member.metadata().zone());
     }
 
-    // ---- from the scheduler ----
+    // ---- attempts of the scheduler ----
 
     @Override
     public void sent(Endpoint endpoint) {
-        loop.later(() -> capacity.sent(loop.micros(), endpoint.id));
+        loop.later(() -> capacity.attemptSent(loop.micros(), endpoint.id));
     }
 
     @Override
     public void ended(Endpoint endpoint, Outcome outcome, LoadReport report) {
         double free = report == null ? Double.NaN : report.freeSlots;
         double queue = report == null ? Double.NaN : report.queue;
-        loop.later(() -> capacity.ended(loop.micros(), endpoint.id, !outcome.neverRan, free, queue));
+        loop.later(() -> capacity.attemptEnded(loop.micros(), endpoint.id, !outcome.neverRan, free, queue));
     }
 
-    // ---- from and to the others ----
+    // ---- messages of peers ----
 
     @Override
     public byte[] nextPayload(MemberRecord to, int room) {
-        return capacity.tell(loop.micros(), zoneOf(to), room);
+        return capacity.buildMessage(loop.micros(), zoneOf(to), room);
     }
 
     @Override
     public void payloadReceived(MemberRecord from, byte[] bytes) {
-        int teller = number(from.instance().name());
-        names.put(teller, from.instance().name());
+        int sender = schedulerNumber(from.instance().name());
+        names.put(sender, from.instance().name());
         counters.add("capacity.received");
-        capacity.heard(loop.micros(), teller, zoneOf(from), bytes, members.maxPayloadBytes());
+        capacity.receive(loop.micros(), sender, zoneOf(from), bytes, members.maxPayloadBytes());
     }
 
     @Override
@@ -186,7 +191,7 @@
 
     @Override
     public void send(int to, byte[] bytes) {
-        // Not from amid the view's own turn.
+        // Deferred: membership must not be re-entered while it delivers a message.
         loop.deadlines().at(loop.micros(), () -> members.sendPayload(names.getOrDefault(to, ""), bytes));
     }
 
@@ -195,33 +200,34 @@
         counters.add("capacity." + what);
     }
 
-    // ---- reports ----
+    // ---- status ----
 
-    private JsonObject report() {
+    private JsonObject status() {
         long now = loop.micros();
         JsonObject all = new JsonObject();
         all.addProperty("known_share", capacity.knownShare());
         all.addProperty("overshoot", capacity.overshoot());
-        JsonObject sums = new JsonObject();
+        JsonObject zoneStatus = new JsonObject();
         for (int i = 0; i < zones.size(); i++) {
-            Capacity.Sum sum = capacity.ofZone(now, i);
+            CapacityGossip.FreeSlots estimate = capacity.freeSlotsInZone(now, i);
             JsonObject one = new JsonObject();
-            one.addProperty("endpoints", sum.endpoints());
-            one.addProperty("heard_of", sum.heardOf());
-            one.addProperty("free", sum.free());
-            one.addProperty("error", sum.error());
-            sums.add(zones.get(i), one);
+            one.addProperty("endpoints", estimate.endpoints());
+            one.addProperty("heard_of", estimate.reported());
+            one.addProperty("free", estimate.free());
+            one.addProperty("error", estimate.error());
+            zoneStatus.add(zones.get(i), one);
         }
-        all.add("zones", sums);
+        all.add("zones", zoneStatus);
         JsonObject endpoints = new JsonObject();
         listed.forEach((id, name) -> {
-            News news = capacity.news(id);
-            if (news != null) {
+            CapacityReport latest = capacity.latestReport(id);
+            if (latest != null) {
                 JsonObject one = new JsonObject();
-                one.addProperty("free", news.freeSlots());
-                one.addProperty("queue", news.queued());
-                one.addProperty("age_ms", (now - news.heardAt()) / MILLI);
-                one.addProperty("own", news.source() == number(fleet.self().name()));
+                one.addProperty("free", latest.freeSlots());
+                one.addProperty("queue", latest.queued());
+                one.addProperty("age_ms", (now - latest.observedAt()) / MICROS_PER_MILLI);
+                one.addProperty(
+                        "own", latest.source() == schedulerNumber(fleet.self().name()));
                 endpoints.add(name, one);
             }
         });
