--- a/src/main/java/laneflow/assembly/Durability.java
+++ b/src/main/java/laneflow/assembly/Durability.java
@@ -29,7 +29,7 @@
     Durability(DurableConfig config, Subsystems.Core core) throws IOException {
         this.core = core;
         Loop loop = core.loop();
-        Store store = Store.open(config.dir, config.storeBytes);
+        Store store = Store.open(config.dir, config.maxStoreBytes);
         store.read(false, rows::add);
         latestMs = store.latestMs();
         LOG.info("durable jobs: store opened and read in {} ms", (System.nanoTime() - openedAt) / 1_000_000);
@@ -63,7 +63,7 @@
     }
 
     List<String> adopt(DurableConfig read) {
-        return jobs.adopt(read);
+        return jobs.updateConfig(read);
     }
 
     @Override
@@ -73,12 +73,12 @@
 
     @Override
     public void letGo() {
-        jobs.letGo();
+        jobs.detachRunning();
     }
 
     @Override
     public boolean isOwed() {
-        return jobs.owed() > 0;
+        return jobs.pendingAcknowledgements() > 0;
     }
 
     @Override
--- a/src/main/java/laneflow/cli/JobsCommand.java
+++ b/src/main/java/laneflow/cli/JobsCommand.java
@@ -329,25 +329,25 @@
 
         @Override
         public Integer call() throws IOException {
-            StoreMaintenance.Adopted adopted;
+            StoreMaintenance.AdoptionResult adopted;
             try (Store dead = open(from);
                     Store living = Store.open(into, StoreMaintenance.NO_LIMIT)) {
                 adopted = StoreMaintenance.adopt(dead, living);
             }
             JsonObject said = new JsonObject();
             said.addProperty("moved", adopted.moved());
-            said.addProperty("there_already", adopted.there());
+            said.addProperty("there_already", adopted.alreadyPresent());
             JsonArray keys = new JsonArray();
-            adopted.keysTaken().forEach(keys::add);
+            adopted.keyConflicts().forEach(keys::add);
             said.add("keys_taken", keys);
-            String text = adopted.moved() + " jobs moved, " + adopted.there() + " were there already";
+            String text = adopted.moved() + " jobs moved, " + adopted.alreadyPresent() + " were there already";
             say(
                     said,
-                    adopted.keysTaken().isEmpty()
+                    adopted.keyConflicts().isEmpty()
                             ? text
                             : text
                                     + "\nkept apart, their keys belong to other jobs: "
-                                    + String.join(", ", adopted.keysTaken()));
+                                    + String.join(", ", adopted.keyConflicts()));
             return 0;
         }
     }
--- a/src/main/java/laneflow/durable/DurableConfig.java
+++ b/src/main/java/laneflow/durable/DurableConfig.java
@@ -27,7 +27,7 @@
     /** The folder of the store. */
     public final Path dir;
     /** The most that the store may take on disk, bytes. */
-    public final long storeBytes;
+    public final long maxStoreBytes;
     /** Open jobs and the bytes of their bodies, all classes together; bodies are held in memory. */
     public long mostJobs;
 
@@ -45,7 +45,7 @@
         classNames = names;
         String folder = from.text("dir");
         dir = Path.of(folder.isEmpty() ? "." : folder);
-        storeBytes = from.whole("store_mib", 1024, 1, 1 << 20) * MIB;
+        maxStoreBytes = from.whole("store_mib", 1024, 1, 1 << 20) * MIB;
         mostJobs = from.whole("most_jobs", 250_000, 1, 10_000_000);
         mostBytes = from.whole("most_mib", 64, 1, 1 << 16) * MIB;
         retentionMs = (long) (from.number("retention_s", 3600, 1, 30 * DAY_MS / 1000) * 1000);
@@ -78,7 +78,7 @@
     private DurableConfig(DurableConfig other) {
         classNames = other.classNames;
         dir = other.dir;
-        storeBytes = other.storeBytes;
+        maxStoreBytes = other.maxStoreBytes;
         mostJobs = other.mostJobs;
         mostBytes = other.mostBytes;
         retentionMs = other.retentionMs;
@@ -95,13 +95,13 @@
      * Takes over what may change while jobs are open, and tells what waits for a restart. On the thread of
      * the jobs' owner.
      */
-    public List<String> adopt(DurableConfig other) {
+    public List<String> update(DurableConfig other) {
         List<String> later = new ArrayList<>();
         if (!dir.equals(other.dir)) {
             later.add("dir: " + other.dir + " from the next start on, " + dir + " until then");
         }
-        if (storeBytes != other.storeBytes) {
-            later.add("store_mib: " + other.storeBytes / MIB + " from the next start on, " + storeBytes / MIB
+        if (maxStoreBytes != other.maxStoreBytes) {
+            later.add("store_mib: " + other.maxStoreBytes / MIB + " from the next start on, " + maxStoreBytes / MIB
                     + " until then");
         }
         mostJobs = other.mostJobs;
--- a/src/main/java/laneflow/durable/DurableJobs.java
+++ b/src/main/java/laneflow/durable/DurableJobs.java
@@ -70,10 +70,10 @@
     private long lookedAt;
     private long storeFullUntil;
     /** Jobs whose word of acceptance waits for the disk. */
-    private int owed;
+    private int pendingAcks;
 
     private boolean draining;
-    private boolean letGo;
+    private boolean detached;
     private boolean pumping;
 
     /** @param wall Unix time in milliseconds */
@@ -170,7 +170,7 @@
      *
      * @param results of those that have ended, by number
      */
-    public void takeOver(List<JobRow> rows, Map<Long, byte[]> results, Consumer<List<Long>> then) {
+    public void adoptJobs(List<JobRow> rows, Map<Long, byte[]> results, Consumer<List<Long>> then) {
         List<Long> here = new ArrayList<>();
         int[] left = {rows.size()};
         Runnable one = () -> {
@@ -209,8 +209,8 @@
     }
 
     /** A version of the settings: it holds for what comes from now on. Returns what waits for a restart. */
-    public List<String> adopt(DurableConfig other) {
-        List<String> later = config.adopt(other);
+    public List<String> updateConfig(DurableConfig other) {
+        List<String> later = config.update(other);
         for (ClassQueue lane : lanes) {
             lane.pacer.most(config.mostAtWork);
         }
@@ -245,7 +245,7 @@
             turnDown(answer, SubmissionOutcome.STORE_BROKEN, 0);
             return;
         }
-        if (clock.micros() < storeFullUntil || journal.usedBytes() > FULL_PART * config.storeBytes) {
+        if (clock.micros() < storeFullUntil || journal.usedBytes() > FULL_PART * config.maxStoreBytes) {
             turnDown(answer, SubmissionOutcome.FULL, Math.max(1, quota.comeBack()));
             return;
         }
@@ -284,7 +284,7 @@
             turnDown(answer, SubmissionOutcome.FULL, quota.comeBack());
             return;
         }
-        owed++;
+        pendingAcks++;
         table.add(job);
         quota.add(job.jobClass, body.length);
     }
@@ -297,7 +297,7 @@
     private void accepted(DurableJob job, StoreException failure) {
         List<Consumer<SubmissionResult>> waiters = job.waiters;
         job.waiters = null;
-        owed--;
+        pendingAcks--;
         if (failure == null) {
             counters.add("durable.accepted");
             see(job.row.acceptedMs());
@@ -464,7 +464,7 @@
             return;
         }
         see(job.attempt(call.lease).leasedMs());
-        if (job.call != call || letGo) {
+        if (job.call != call || detached) {
             return;
         }
         long now = clock.micros();
@@ -530,7 +530,7 @@
     @Override
     public void attemptEnded(Attempt call, Outcome outcome) {
         DurableJob job = table.get(call.request.tag);
-        if (job == null || letGo || job.call != call || call.lease == 0) {
+        if (job == null || detached || job.call != call || call.lease == 0) {
             return;
         }
         if (job.lease != null) {
@@ -570,7 +570,7 @@
                 || !attempt.mayHaveRun()
                 || job.state == State.DONE
                 || job.ending == State.DONE
-                || letGo) {
+                || detached) {
             counters.add("lease.late_passed_over");
             return attempt != null;
         }
@@ -602,7 +602,7 @@
 
     private DurableJob over(long tag) {
         DurableJob job = table.get(tag);
-        if (job == null || job.request == null || letGo) {
+        if (job == null || job.request == null || detached) {
             return null;
         }
         job.request = null;
@@ -818,8 +818,8 @@
     }
 
     /** Leaves what is still at work to the record: whoever opens the store next settles it. */
-    public void letGo() {
-        letGo = true;
+    public void detachRunning() {
+        detached = true;
         List<Request> out = new ArrayList<>();
         table.forEach(job -> {
             if (job.request != null) {
@@ -833,8 +833,8 @@
     }
 
     /** Jobs whose word of acceptance is owed still; asked every few milliseconds at a planned end. */
-    public int owed() {
-        return owed;
+    public int pendingAcknowledgements() {
+        return pendingAcks;
     }
 
     /** Jobs held, ended ones included. */
--- a/src/main/java/laneflow/durable/FolderLock.java
+++ b/src/main/java/laneflow/durable/FolderLock.java
@@ -9,7 +9,7 @@
     private FolderLock() {}
 
     /** True if this process has it now; false if another has, or this very one by another channel. */
-    public static boolean take(FileChannel file) throws IOException {
+    public static boolean tryLock(FileChannel file) throws IOException {
         try {
             return file.tryLock() != null;
         } catch (OverlappingFileLockException e) {
--- a/src/main/java/laneflow/durable/Store.java
+++ b/src/main/java/laneflow/durable/Store.java
@@ -90,7 +90,7 @@
         this.dir = dir;
         lock = FileChannel.open(
                 dir.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
-        if (!FolderLock.take(lock)) {
+        if (!FolderLock.tryLock(lock)) {
             ByteBuffer said = ByteBuffer.allocate(64);
             lock.read(said, 0);
             lock.close();
--- a/src/main/java/laneflow/durable/StoreMaintenance.java
+++ b/src/main/java/laneflow/durable/StoreMaintenance.java
@@ -19,10 +19,10 @@
     /**
      * What an adoption did.
      *
-     * @param there jobs that an earlier, interrupted adoption had moved already
-     * @param keysTaken jobs whose key belongs to another job here: kept, under no key
+     * @param alreadyPresent jobs that an earlier, interrupted adoption had moved already
+     * @param keyConflicts jobs whose key belongs to another job here: kept, under no key
      */
-    public record Adopted(int moved, int there, List<String> keysTaken) {}
+    public record AdoptionResult(int moved, int alreadyPresent, List<String> keyConflicts) {}
 
     private StoreMaintenance() {}
 
@@ -60,7 +60,7 @@
      * What was out at the dead scheduler is settled by the one that opens the other store, as after a crash
      * of its own.
      */
-    public static Adopted adopt(Store dead, Store living) throws IOException {
+    public static AdoptionResult adopt(Store dead, Store living) throws IOException {
         Set<Long> ids = new HashSet<>();
         Map<String, Long> keys = new HashMap<>();
         living.read(false, row -> {
@@ -100,6 +100,6 @@
             living.write(in);
             dead.write(out);
         }
-        return new Adopted(moved, there, taken);
+        return new AdoptionResult(moved, there, taken);
     }
 }
--- a/src/main/java/laneflow/policy/VoteStore.java
+++ b/src/main/java/laneflow/policy/VoteStore.java
@@ -68,7 +68,7 @@
     private VoteStore(Path dir) throws IOException {
         this.dir = dir;
         lock = FileChannel.open(dir.resolve("votes.lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        if (!FolderLock.take(lock)) {
+        if (!FolderLock.tryLock(lock)) {
             lock.close();
             throw new StoreLockedException(dir + ": the store is in use by another process");
         }
--- a/src/main/java/laneflow/task/Recovery.java
+++ b/src/main/java/laneflow/task/Recovery.java
@@ -165,7 +165,7 @@
             return;
         }
         try (FileChannel lock = FileChannel.open(from.resolve("lock"), StandardOpenOption.WRITE)) {
-            if (!FolderLock.take(lock)) {
+            if (!FolderLock.tryLock(lock)) {
                 freeSince.remove(name);
                 return;
             }
@@ -231,7 +231,7 @@
                         results.put(row.id(), result);
                     }
                 }
-                List<Long> here = ask(then -> jobs.takeOver(batch, results, then::complete));
+                List<Long> here = ask(then -> jobs.adoptJobs(batch, results, then::complete));
                 StoreMaintenance.drop(store, here);
                 taken += here.size();
                 if (here.size() < batch.size()) {
