--- a/src/main/java/laneflow/durable/ClassQueue.java
+++ b/src/main/java/laneflow/durable/ClassQueue.java
@@ -4,38 +4,38 @@
 import java.util.PriorityQueue;
 import laneflow.durable.decision.Pacer;
 
-/** The durable jobs of one class that wait, and how many of them may be at work. */
+/** The queued durable jobs of one class, and the pacer of its running ones. */
 final class ClassQueue {
-    /** First whose window closes first, then the urgent, then the older. */
+    /** Earliest end of the deduplication window first, then highest urgency, then oldest. */
     private static final Comparator<DurableJob> ORDER = Comparator.<DurableJob>comparingLong(job -> job.untilMs)
             .thenComparingInt(job -> -job.row.urgency())
             .thenComparingLong(DurableJob::id);
 
     final Pacer pacer;
-    int atWork;
+    int running;
     private final PriorityQueue<DurableJob> ready = new PriorityQueue<>(ORDER);
-    /** Refused ones, until their time has come. */
-    private final PriorityQueue<DurableJob> later = new PriorityQueue<>(
+    /** Jobs that may not begin yet, by the time from which they may. */
+    private final PriorityQueue<DurableJob> delayed = new PriorityQueue<>(
             Comparator.<DurableJob>comparingLong(job -> job.notBefore).thenComparingLong(DurableJob::id));
 
-    ClassQueue(int most) {
-        pacer = new Pacer(most);
+    ClassQueue(int maxRunning) {
+        pacer = new Pacer(maxRunning);
     }
 
     void add(DurableJob job, long now) {
         job.inQueue = true;
-        (job.notBefore > now ? later : ready).add(job);
+        (job.notBefore > now ? delayed : ready).add(job);
     }
 
-    /** The next job that may begin now, or null. */
+    /** Removes and returns the next job that may begin now, or null. */
     DurableJob next(long now) {
-        while (!later.isEmpty() && later.peek().notBefore <= now) {
-            ready.add(later.poll());
+        while (!delayed.isEmpty() && delayed.peek().notBefore <= now) {
+            ready.add(delayed.poll());
         }
         for (DurableJob job = ready.poll(); job != null; job = ready.poll()) {
             job.inQueue = false;
-            // What was cancelled or settled by a late word is passed over here: a heap is searched slowly.
-            if (job.state == State.QUEUED && job.ending == null) {
+            // Jobs cancelled or settled meanwhile are skipped here: removing from the middle of a heap is O(n).
+            if (job.state == State.QUEUED && job.pendingEnd == null) {
                 return job;
             }
         }
@@ -43,12 +43,12 @@
     }
 
     boolean isEmpty() {
-        return ready.isEmpty() && later.isEmpty();
+        return ready.isEmpty() && delayed.isEmpty();
     }
 
-    /** When the next one may begin, as far as time alone holds it back. */
+    /** When the next job may begin, considering only delays and the pacer's pause. */
     long nextAt(long now) {
-        long at = !ready.isEmpty() ? now : later.isEmpty() ? Long.MAX_VALUE : later.peek().notBefore;
+        long at = !ready.isEmpty() ? now : delayed.isEmpty() ? Long.MAX_VALUE : delayed.peek().notBefore;
         return at == Long.MAX_VALUE ? at : Math.max(at, pacer.pausedUntil());
     }
 }
--- a/src/main/java/laneflow/durable/DurableConfig.java
+++ b/src/main/java/laneflow/durable/DurableConfig.java
@@ -6,38 +6,41 @@
 import laneflow.config.Table;
 import laneflow.decision.Dispatch.Settings;
 
-/** What the operators set for durable jobs; times in milliseconds. */
+/** The operator's settings for durable jobs; times are in milliseconds. */
 public final class DurableConfig {
     private static final double DAY_MS = 86_400_000;
     private static final long MIB = 1 << 20;
 
-    /** What holds for the jobs of one class. */
-    public static final class OfClass {
-        /** How long a lease lasts from its start, and from each heartbeat. */
+    /** The settings for the jobs of one class. */
+    public static final class ClassConfig {
+        /** Lease duration, counted from the grant and again from each heartbeat. */
         public long leaseMs;
-        /** How far heartbeats can prolong it, from its start. */
-        public long longestMs;
+        /** Upper bound on a lease including heartbeat extensions, counted from the grant. */
+        public long maxLeaseMs;
 
-        public long mostJobs;
-        public long mostBytes;
-        /** HTTP clients may hand in such jobs with {@code Prefer: respond-async}. */
+        public long maxJobs;
+        public long maxBytes;
+        /** Whether HTTP clients may submit jobs of this class with {@code Prefer: respond-async}. */
         public boolean respondAsync;
     }
 
-    /** The folder of the store. */
+    /** The directory of the store. */
     public final Path dir;
-    /** The most that the store may take on disk, bytes. */
+    /** Upper bound on the store's size on disk, in bytes. */
     public final long maxStoreBytes;
-    /** Open jobs and the bytes of their bodies, all classes together; bodies are held in memory. */
-    public long mostJobs;
+    /** Limits on open jobs and their body bytes over all classes; the bodies are held in memory. */
+    public long maxJobs;
 
-    public long mostBytes;
-    /** How long an ended job and its result can be asked for. */
+    public long maxBytes;
+    /** How long an ended job and its result can be queried. */
     public long retentionMs;
-    /** The most durable jobs at work in the core at a time. */
-    public int mostAtWork;
-    /** By number of class; entries are replaced as wholes, and a job keeps the one it came under. */
-    public final OfClass[] classes;
+    /** Upper bound on concurrently running durable jobs, per class. */
+    public int maxRunning;
+    /**
+     * Indexed by class number. An update replaces entries and never modifies them, so a job keeps the settings
+     * it was submitted under.
+     */
+    public final ClassConfig[] classes;
 
     public final List<String> classNames;
 
@@ -46,29 +49,29 @@
         String folder = from.text("dir");
         dir = Path.of(folder.isEmpty() ? "." : folder);
         maxStoreBytes = from.whole("store_mib", 1024, 1, 1 << 20) * MIB;
-        mostJobs = from.whole("most_jobs", 250_000, 1, 10_000_000);
-        mostBytes = from.whole("most_mib", 64, 1, 1 << 16) * MIB;
+        maxJobs = from.whole("most_jobs", 250_000, 1, 10_000_000);
+        maxBytes = from.whole("most_mib", 64, 1, 1 << 16) * MIB;
         retentionMs = (long) (from.number("retention_s", 3600, 1, 30 * DAY_MS / 1000) * 1000);
-        mostAtWork = (int) from.whole("most_at_work", 64, 1, 10_000);
-        classes = new OfClass[names.size()];
+        maxRunning = (int) from.whole("most_at_work", 64, 1, 10_000);
+        classes = new ClassConfig[names.size()];
         for (int i = 0; i < classes.length; i++) {
-            classes[i] = new OfClass();
+            classes[i] = new ClassConfig();
             classes[i].leaseMs = (long) (settings.classes[i].deadline * 1000);
-            classes[i].longestMs = 10 * classes[i].leaseMs;
-            classes[i].mostJobs = mostJobs;
-            classes[i].mostBytes = mostBytes;
+            classes[i].maxLeaseMs = 10 * classes[i].leaseMs;
+            classes[i].maxJobs = maxJobs;
+            classes[i].maxBytes = maxBytes;
         }
         from.tables("classes").forEach((name, one) -> {
             int at = names.indexOf(name);
             if (at < 0) {
-                one.wrong("", "'" + name + "' is none of the classes " + names);
+                one.wrong("", "'" + name + "' is not one of the classes " + names);
                 return;
             }
-            OfClass to = classes[at];
+            ClassConfig to = classes[at];
             to.leaseMs = (long) one.number("lease_ms", to.leaseMs, 50, DAY_MS);
-            to.longestMs = (long) one.number("longest_ms", 10 * to.leaseMs, to.leaseMs, 30 * DAY_MS);
-            to.mostJobs = one.whole("most_jobs", mostJobs, 0, mostJobs);
-            to.mostBytes = one.whole("most_mib", mostBytes / MIB, 0, mostBytes / MIB) * MIB;
+            to.maxLeaseMs = (long) one.number("longest_ms", 10 * to.leaseMs, to.leaseMs, 30 * DAY_MS);
+            to.maxJobs = one.whole("most_jobs", maxJobs, 0, maxJobs);
+            to.maxBytes = one.whole("most_mib", maxBytes / MIB, 0, maxBytes / MIB) * MIB;
             to.respondAsync = one.flag("respond_async", true);
             one.close();
         });
@@ -79,40 +82,40 @@
         classNames = other.classNames;
         dir = other.dir;
         maxStoreBytes = other.maxStoreBytes;
-        mostJobs = other.mostJobs;
-        mostBytes = other.mostBytes;
+        maxJobs = other.maxJobs;
+        maxBytes = other.maxBytes;
         retentionMs = other.retentionMs;
-        mostAtWork = other.mostAtWork;
+        maxRunning = other.maxRunning;
         classes = other.classes.clone();
     }
 
-    /** The same, on which later versions do not tell. */
+    /** A copy that later updates of this object do not affect. */
     public DurableConfig copy() {
         return new DurableConfig(this);
     }
 
     /**
-     * Takes over what may change while jobs are open, and tells what waits for a restart. On the thread of
-     * the jobs' owner.
+     * Applies the settings that may change at run time, and returns a line for each change that needs a
+     * restart. Runs on the I/O thread, which owns the jobs.
      */
     public List<String> update(DurableConfig other) {
-        List<String> later = new ArrayList<>();
+        List<String> restartNeeded = new ArrayList<>();
         if (!dir.equals(other.dir)) {
-            later.add("dir: " + other.dir + " from the next start on, " + dir + " until then");
+            restartNeeded.add("dir: " + other.dir + " from the next start on, " + dir + " until then");
         }
         if (maxStoreBytes != other.maxStoreBytes) {
-            later.add("store_mib: " + other.maxStoreBytes / MIB + " from the next start on, " + maxStoreBytes / MIB
-                    + " until then");
+            restartNeeded.add("store_mib: " + other.maxStoreBytes / MIB + " from the next start on, "
+                    + maxStoreBytes / MIB + " until then");
         }
-        mostJobs = other.mostJobs;
-        mostBytes = other.mostBytes;
+        maxJobs = other.maxJobs;
+        maxBytes = other.maxBytes;
         retentionMs = other.retentionMs;
-        mostAtWork = other.mostAtWork;
+        maxRunning = other.maxRunning;
         System.arraycopy(other.classes, 0, classes, 0, classes.length);
-        return later;
+        return restartNeeded;
     }
 
-    /** Reads the table; what is wrong becomes findings of the table's. */
+    /** Reads the table; errors are reported as findings of the table. */
     public static DurableConfig read(Table from, Settings settings, List<String> classNames) {
         return new DurableConfig(from, settings, classNames);
     }
--- a/src/main/java/laneflow/durable/DurableJob.java
+++ b/src/main/java/laneflow/durable/DurableJob.java
@@ -9,53 +9,51 @@
 import laneflow.core.Request;
 import laneflow.durable.decision.AttemptRecord;
 
-/**
- * A job in memory: its row, and while it is at work its request, its lease and what its endpoint has said.
- */
+/** The in-memory state of a job: its row and, while it runs, its request, its lease and its reported progress. */
 final class DurableJob {
-    /** What was taken on; its body is left out once the job has ended. */
+    /** The job as submitted; the body is dropped once the job has ended. */
     JobRow row;
-    /** By number, or -1 where the settings no longer name its class. */
+    /** The class number, or -1 if the settings no longer contain the class. */
     final int jobClass;
-    /** What held for its class when it came, or when it was taken over; null where it has no class. */
-    final DurableConfig.OfClass terms;
+    /** The settings of its class when it was submitted or restored; null if it has no class. */
+    final DurableConfig.ClassConfig classConfig;
 
     State state;
     String reason;
     long changedMs;
     final List<AttemptRecord> attempts;
-    /** Those who wait for the word that it is on disk; null once it is. */
+    /** Callbacks waiting until the job is on disk; null once it is. */
     List<Consumer<SubmissionResult>> waiters;
-    /** The end that is on its way to disk, or null. */
-    State ending;
-    /** Instants are microseconds on the loop. */
+    /** The final state that is being written to disk, or null. */
+    State pendingEnd;
+    /** No attempt begins before this time; loop time in microseconds, as leasedAt, sentAt and leaseRecordedAt. */
     long notBefore;
-    /** No attempt may begin later than that: a key's window. */
+    /** No attempt may begin from this time on: the end of the key's deduplication window; Unix time in ms. */
     long untilMs = Long.MAX_VALUE;
 
-    int refusals;
-    /** It waits in its lane's queue. */
+    int backoffs;
+    /** Whether the job is in its class's queue. */
     boolean inQueue;
-    /** It waits for the end of its retention. */
-    boolean retired;
+    /** Whether the job has ended and is in the retention list. */
+    boolean inRetention;
 
     Request request;
     Attempt call;
     Deadline lease;
     long leasedAt;
-    long openedAt;
-    long recordedAt;
-    boolean opened;
-    boolean heard;
-    long done;
-    long of;
-    /** A result of an older lease that came while a newer one was out: it counts if the newer one fails. */
+    long sentAt;
+    long leaseRecordedAt;
+    boolean sent;
+    boolean heartbeatSeen;
+    long progressDone;
+    long progressTotal;
+    /** The lease of a success reported late, while a newer attempt was running: used unless that one is served. */
     int lateLease;
 
     byte[] lateResult;
 
-    DurableJob(JobRow row, int jobClass, DurableConfig.OfClass terms) {
-        this.terms = terms;
+    DurableJob(JobRow row, int jobClass, DurableConfig.ClassConfig classConfig) {
+        this.classConfig = classConfig;
         this.row = row;
         this.jobClass = jobClass;
         state = row.state();
@@ -68,20 +66,20 @@
         return row.id();
     }
 
-    boolean isAtWork() {
+    boolean hasRequest() {
         return request != null;
     }
 
-    /** An attempt by its lease's number, or null. */
+    /** The attempt with this lease number, or null. */
     AttemptRecord attempt(int number) {
         return number >= 1 && number <= attempts.size() ? attempts.get(number - 1) : null;
     }
 
-    void know(int number, AttemptRecord.Known known) {
-        attempts.set(number - 1, attempts.get(number - 1).with(known));
+    void setKnown(int number, AttemptRecord.Known known) {
+        attempts.set(number - 1, attempts.get(number - 1).withKnown(known));
     }
 
-    /** True if some attempt may have run. */
+    /** Whether any attempt may have run. */
     boolean mayHaveRun() {
         return attempts.stream().anyMatch(AttemptRecord::mayHaveRun);
     }
--- a/src/main/java/laneflow/durable/DurableJobs.java
+++ b/src/main/java/laneflow/durable/DurableJobs.java
@@ -27,133 +27,133 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Durable jobs, from the word of acceptance to the end of their retention. To the core this is one more
- * front: each job that is at work is a request of the core's, decided on by the same module under the same
- * rules. What is added: nothing is acknowledged that is not on disk, and no call goes out whose lease is
- * not.
+ * Manages durable jobs from acceptance to the end of their retention. To the core this is one more front: each
+ * running job is a request of the core, dispatched by the same module under the same rules. In addition, a job
+ * is acknowledged only after it is on disk, and a call is sent only after its lease is on disk.
  *
- * <p>A lease is an attempt's number, endpoint and time. It ends with the call's outcome, or runs out; words
- * that come later count by its number. What then becomes of the job is {@link Settlement}'s to say, from
- * what is recorded alone, so it is the same whether this process decides or the next one.
+ * <p>A lease consists of an attempt's number, endpoint and time. It ends with the outcome of the call, or
+ * expires; an outcome that arrives later is matched by the lease's number. {@link Settlement} then decides what
+ * happens to the job from the stored record alone, so this process and the next one decide the same.
  *
- * <p>Everything here happens on the loop's thread; the disk belongs to {@link Journal}.
+ * <p>Runs on the loop's thread; {@link Journal} does the disk I/O. Times are in microseconds of the loop's clock,
+ * or in milliseconds of Unix time where the name ends in Ms.
  */
 public final class DurableJobs implements Front, DurableJobService {
     private static final Logger LOG = LoggerFactory.getLogger(DurableJobs.class);
-    /** Attempts that may have run, over a job's whole life; the core's rule holds it within one request. */
-    private static final int MOST_ATTEMPTS = 5;
-
-    private static final long SWEEP = 1_000_000;
-    private static final int MOST_DROPS = 500;
-    private static final long LEASE_FIRST = 1_000_000;
-    private static final long STORE_PAUSE = 1_000_000;
-    private static final long FIRST_BACKOFF = 50_000;
-    private static final long LONGEST_BACKOFF = 5_000_000;
-    /** How often it is looked whether live requests are refused. */
-    private static final long LOOK = 100_000;
-    /** Above this part of the store's room nothing is accepted: leases and results must still find some. */
-    private static final double FULL_PART = 0.85;
+    /** Limit on the attempts that may have run over a job's lifetime; the core limits them per request. */
+    private static final int MAX_ATTEMPTS = 5;
+
+    private static final long SWEEP_INTERVAL = 1_000_000;
+    private static final int MAX_DROPS_PER_SWEEP = 500;
+    private static final long DEADLINE_MARGIN = 1_000_000;
+    private static final long STORE_RETRY_DELAY = 1_000_000;
+    private static final long MIN_BACKOFF = 50_000;
+    private static final long MAX_BACKOFF = 5_000_000;
+    /** How often the counters are checked for refused live requests. */
+    private static final long REFUSAL_CHECK_INTERVAL = 100_000;
+    /** Above this fraction of the store's size no jobs are accepted: the rest is left for leases and results. */
+    private static final double ACCEPT_FILL_LIMIT = 0.85;
 
     private final Clock clock;
     private final Deadlines deadlines;
     private final Scheduler scheduler;
     private final DurableConfig config;
     private final Journal journal;
-    private final LongSupplier wall;
+    private final LongSupplier wallClock;
     private final Counters counters;
-    private final Table table;
+    private final JobTable table;
     private final Quota quota;
-    private final ClassQueue[] lanes;
-    private final Deadlines.Deadline pump;
+    private final ClassQueue[] classQueues;
+    private final Deadlines.Deadline startTimer;
     private long latestMs;
-    private long refusedBefore;
-    private long lookedAt;
-    private long storeFullUntil;
-    /** Jobs whose word of acceptance waits for the disk. */
+    private long lastLiveRefusals;
+    private long refusalsCheckedAt;
+    private long storePausedUntil;
+    /** Jobs not acknowledged yet because they are being written to disk. */
     private int pendingAcks;
 
     private boolean draining;
     private boolean detached;
-    private boolean pumping;
+    private boolean starting;
 
-    /** @param wall Unix time in milliseconds */
+    /** @param wallClock Unix time in milliseconds */
     public DurableJobs(
             Clock clock,
             Deadlines deadlines,
             Scheduler scheduler,
             DurableConfig config,
             Journal journal,
-            LongSupplier wall,
+            LongSupplier wallClock,
             long seed) {
         this.clock = clock;
         this.deadlines = deadlines;
         this.scheduler = scheduler;
         this.config = config;
         this.journal = journal;
-        this.wall = wall;
+        this.wallClock = wallClock;
         counters = scheduler.counters();
-        table = new Table(seed);
+        table = new JobTable(seed);
         quota = new Quota(config);
-        lanes = new ClassQueue[config.classes.length];
-        for (int i = 0; i < lanes.length; i++) {
-            lanes[i] = new ClassQueue(config.mostAtWork);
+        classQueues = new ClassQueue[config.classes.length];
+        for (int i = 0; i < classQueues.length; i++) {
+            classQueues[i] = new ClassQueue(config.maxRunning);
         }
-        pump = deadlines.create(this::pump);
+        startTimer = deadlines.create(this::startReady);
     }
 
-    // ---- the start ----
+    // ---- startup and recovery ----
 
-    /** Takes over what the store holds; once, before anything else. */
+    /** Restores the jobs of the store; called once, before anything else. */
     public void recover(List<JobRow> rows, long storedLatestMs) {
-        long now = wall.getAsLong();
+        long now = wallClock.getAsLong();
         latestMs = storedLatestMs;
         if (now < latestMs) {
             LOG.warn(
-                    "the wall clock shows {} ms less than the store's latest entry: windows count as over",
+                    "the wall clock is {} ms behind the store's latest entry: deduplication windows are treated as expired",
                     latestMs - now);
         }
-        int[] found = new int[State.values().length];
+        int[] countByState = new int[State.values().length];
         int orphans = 0;
-        // The first ones must not begin before it is known whose window closes first.
-        pumping = true;
-        List<DurableJob> over = new ArrayList<>();
+        // No job may start before all are queued: those whose window ends first have priority.
+        starting = true;
+        List<DurableJob> endedJobs = new ArrayList<>();
         for (JobRow row : rows) {
-            DurableJob job = stand(row, over);
-            found[row.state().number]++;
+            DurableJob job = restore(row, endedJobs);
+            countByState[row.state().number]++;
             orphans += job.jobClass < 0 ? 1 : 0;
         }
-        pumping = false;
-        over.sort((a, b) -> Long.compare(a.changedMs, b.changedMs));
-        over.forEach(table::end);
+        starting = false;
+        endedJobs.sort((a, b) -> Long.compare(a.changedMs, b.changedMs));
+        endedJobs.forEach(table::addEnded);
         if (orphans > 0) {
-            LOG.error("{} jobs are of classes that the settings no longer name: they are kept and not run", orphans);
+            LOG.error("{} jobs belong to classes that are no longer configured: they are kept but not run", orphans);
         }
         LOG.info(
-                "durable jobs: {} found, {} queued, {} were at work, {} ended",
+                "durable jobs: {} found: {} queued, {} running, {} ended",
                 rows.size(),
-                found[State.QUEUED.number],
-                found[State.RUNNING.number],
-                over.size());
-        counters.set("durable.recovered", found[State.QUEUED.number] + found[State.RUNNING.number]);
-        deadlines.at(clock.micros() + SWEEP, this::sweep);
-        pump();
+                countByState[State.QUEUED.number],
+                countByState[State.RUNNING.number],
+                endedJobs.size());
+        counters.set("durable.recovered", countByState[State.QUEUED.number] + countByState[State.RUNNING.number]);
+        deadlines.at(clock.micros() + SWEEP_INTERVAL, this::sweep);
+        startReady();
     }
 
-    /** A job that the store holds, at work nowhere now: it goes on from what is on record. */
-    private DurableJob stand(JobRow row, List<DurableJob> over) {
-        DurableJob job = held(row);
+    /** Restores a stored job, which is not running anywhere, and continues it according to its record. */
+    private DurableJob restore(JobRow row, List<DurableJob> endedJobs) {
+        DurableJob job = newJob(row);
         table.add(job);
         if (job.state.isEnd()) {
-            over.add(job);
+            endedJobs.add(job);
             return job;
         }
         if (job.jobClass >= 0) {
             quota.add(job.jobClass, row.bodyBytes());
         }
-        // Its call died with the process that made it: it may have run.
+        // The call was lost with the process that sent it, so the attempt may have run.
         for (AttemptRecord attempt : row.attempts()) {
             if (attempt.known() == Known.OUT) {
-                job.know(attempt.number(), Known.MAY_HAVE_RUN);
+                job.setKnown(attempt.number(), Known.MAY_HAVE_RUN);
             }
         }
         job.state = State.QUEUED;
@@ -164,61 +164,61 @@
     }
 
     /**
-     * Takes over jobs of a store whose scheduler is gone, while this one goes on. Told, on the loop, are the
-     * numbers of those that are on disk here then, those among them that were here already; others are asked
-     * for again.
+     * Adopts jobs from the store of a scheduler that is gone, while this one is running. The listener receives,
+     * on the loop's thread, the ids of the jobs that are on disk here afterwards, including those that were
+     * already present. The caller must offer the others again.
      *
-     * @param results of those that have ended, by number
+     * @param results the results of jobs that have ended, by job id
      */
-    public void adoptJobs(List<JobRow> rows, Map<Long, byte[]> results, Consumer<List<Long>> then) {
-        List<Long> here = new ArrayList<>();
-        int[] left = {rows.size()};
-        Runnable one = () -> {
-            if (--left[0] == 0) {
-                then.accept(here);
+    public void adoptJobs(List<JobRow> rows, Map<Long, byte[]> results, Consumer<List<Long>> listener) {
+        List<Long> stored = new ArrayList<>();
+        int[] remaining = {rows.size()};
+        Runnable completeOne = () -> {
+            if (--remaining[0] == 0) {
+                listener.accept(stored);
             }
         };
         for (JobRow row : rows) {
             if (table.get(row.id()) != null) {
-                here.add(row.id());
-                one.run();
+                stored.add(row.id());
+                completeOne.run();
                 continue;
             }
-            JobRow kept = table.get(row.key()) == null ? row : row.withoutKey();
-            boolean asked = journal.write(Op.adopt(kept, results.get(row.id())), failed -> {
+            JobRow adopted = table.get(row.key()) == null ? row : row.withoutKey();
+            boolean queued = journal.write(Op.adopt(adopted, results.get(row.id())), failed -> {
                 if (failed == null) {
-                    here.add(row.id());
+                    stored.add(row.id());
                     counters.add("durable.taken_over");
-                    see(row.changedMs());
-                    List<DurableJob> over = new ArrayList<>();
-                    stand(table.get(kept.key()) == null ? kept : kept.withoutKey(), over);
-                    over.forEach(table::end);
-                    pump();
+                    recordTimestamp(row.changedMs());
+                    List<DurableJob> endedJobs = new ArrayList<>();
+                    restore(table.get(adopted.key()) == null ? adopted : adopted.withoutKey(), endedJobs);
+                    endedJobs.forEach(table::addEnded);
+                    startReady();
                 }
-                one.run();
+                completeOne.run();
             });
-            if (!asked) {
-                one.run();
+            if (!queued) {
+                completeOne.run();
             }
         }
     }
 
-    private DurableJob held(JobRow row) {
+    private DurableJob newJob(JobRow row) {
         int jobClass = config.classNames.indexOf(row.jobClass());
         return new DurableJob(row, jobClass, jobClass < 0 ? null : config.classes[jobClass]);
     }
 
-    /** A version of the settings: it holds for what comes from now on. Returns what waits for a restart. */
+    /** Applies new settings to jobs submitted from now on. Returns the changes that need a restart. */
     public List<String> updateConfig(DurableConfig other) {
-        List<String> later = config.update(other);
-        for (ClassQueue lane : lanes) {
-            lane.pacer.most(config.mostAtWork);
+        List<String> restartNeeded = config.update(other);
+        for (ClassQueue classQueue : classQueues) {
+            classQueue.pacer.setLimit(config.maxRunning);
         }
-        pump();
-        return later;
+        startReady();
+        return restartNeeded;
     }
 
-    // ---- taking on ----
+    // ---- submission ----
 
     @Override
     public boolean accepts(int jobClass) {
@@ -226,62 +226,63 @@
     }
 
     @Override
-    public void submit(Submission given, Consumer<SubmissionResult> answer) {
-        DurableJob same = table.get(given.key());
-        if (same != null) {
-            boolean other = given.exact() && RowCodec.sum(given.payload().body()) != same.row.bodySum();
-            counters.add(other ? "durable.key_conflict" : "durable.same");
-            if (!other && same.waiters != null) {
-                // Handed in again before the first is on disk: both hear when it is.
-                same.waiters.add(answer);
+    public void submit(Submission submission, Consumer<SubmissionResult> answer) {
+        DurableJob existing = table.get(submission.key());
+        if (existing != null) {
+            boolean conflict =
+                    submission.exact() && RowCodec.checksum(submission.payload().body()) != existing.row.bodySum();
+            counters.add(conflict ? "durable.key_conflict" : "durable.same");
+            if (!conflict && existing.waiters != null) {
+                // Resubmitted before the first is on disk: both are answered once it is.
+                existing.waiters.add(answer);
             } else {
                 answer.accept(new SubmissionResult(
-                        other ? SubmissionOutcome.KEY_CONFLICT : SubmissionOutcome.ACCEPTED, same.id(), 0));
+                        conflict ? SubmissionOutcome.KEY_CONFLICT : SubmissionOutcome.ACCEPTED, existing.id(), 0));
             }
             return;
         }
-        byte[] body = given.payload().body();
+        byte[] body = submission.payload().body();
         if (journal.broken() != null) {
-            turnDown(answer, SubmissionOutcome.STORE_BROKEN, 0);
+            reject(answer, SubmissionOutcome.STORE_BROKEN, 0);
             return;
         }
-        if (clock.micros() < storeFullUntil || journal.usedBytes() > FULL_PART * config.maxStoreBytes) {
-            turnDown(answer, SubmissionOutcome.FULL, Math.max(1, quota.comeBack()));
+        if (clock.micros() < storePausedUntil || journal.usedBytes() > ACCEPT_FILL_LIMIT * config.maxStoreBytes) {
+            reject(answer, SubmissionOutcome.FULL, Math.max(1, quota.retryAfterSeconds()));
             return;
         }
-        if (!quota.admits(given.jobClass(), body.length)) {
-            turnDown(answer, SubmissionOutcome.FULL, quota.comeBack());
+        if (!quota.admits(submission.jobClass(), body.length)) {
+            reject(answer, SubmissionOutcome.FULL, quota.retryAfterSeconds());
             return;
         }
-        long now = wall.getAsLong();
-        Payload payload = given.payload();
+        long now = wallClock.getAsLong();
+        Payload payload = submission.payload();
         JobRow row = new JobRow(
                 table.newId(now),
-                config.classNames.get(given.jobClass()),
-                given.function(),
-                given.key(),
+                config.classNames.get(submission.jobClass()),
+                submission.function(),
+                submission.key(),
                 payload.target(),
                 payload.requestId(),
                 payload.repeatKey(),
-                given.hint(),
-                given.slots(),
-                given.memory(),
-                given.subject(),
-                given.urgency(),
+                submission.hint(),
+                submission.slots(),
+                submission.memory(),
+                submission.subject(),
+                submission.urgency(),
                 now,
-                RowCodec.sum(body),
+                RowCodec.checksum(body),
                 body.length,
                 body,
                 State.QUEUED,
                 List.of(),
                 "",
                 now,
-                given.notBeforeMs());
-        DurableJob job = held(row);
+                submission.notBeforeMs());
+        DurableJob job = newJob(row);
         job.waiters = new ArrayList<>(1);
         job.waiters.add(answer);
-        if (!journal.write(Op.accept(row), failure -> accepted(job, failure))) {
-            turnDown(answer, SubmissionOutcome.FULL, quota.comeBack());
+        if (!journal.write(Op.accept(row), failure -> onAcceptWritten(job, failure))) {
+            reject(answer, SubmissionOutcome.FULL, quota.retryAfterSeconds());
             return;
         }
         pendingAcks++;
@@ -289,129 +290,133 @@
         quota.add(job.jobClass, body.length);
     }
 
-    private void turnDown(Consumer<SubmissionResult> answer, SubmissionOutcome why, double comeBack) {
+    private void reject(Consumer<SubmissionResult> answer, SubmissionOutcome outcome, double retryAfter) {
         counters.add("durable.turned_down");
-        answer.accept(new SubmissionResult(why, 0, comeBack));
+        answer.accept(new SubmissionResult(outcome, 0, retryAfter));
     }
 
-    private void accepted(DurableJob job, StoreException failure) {
+    private void onAcceptWritten(DurableJob job, StoreException failure) {
         List<Consumer<SubmissionResult>> waiters = job.waiters;
         job.waiters = null;
         pendingAcks--;
         if (failure == null) {
             counters.add("durable.accepted");
-            see(job.row.acceptedMs());
+            recordTimestamp(job.row.acceptedMs());
             waiters.forEach(waiter -> waiter.accept(new SubmissionResult(SubmissionOutcome.ACCEPTED, job.id(), 0)));
-            queue(job);
+            enqueue(job);
             return;
         }
         table.remove(job);
         quota.remove(clock.micros(), job.jobClass, job.row.bodyBytes());
-        storeTrouble(failure);
+        onStoreFailure(failure);
         boolean full = failure.kind == StoreException.Kind.FULL;
-        waiters.forEach(waiter ->
-                turnDown(waiter, full ? SubmissionOutcome.FULL : SubmissionOutcome.STORE_BROKEN, full ? 1 : 0));
+        waiters.forEach(
+                waiter -> reject(waiter, full ? SubmissionOutcome.FULL : SubmissionOutcome.STORE_BROKEN, full ? 1 : 0));
     }
 
-    private void storeTrouble(StoreException failure) {
+    private void onStoreFailure(StoreException failure) {
         counters.add(failure.kind == StoreException.Kind.FULL ? "durable.store_full" : "durable.store_broken");
-        storeFullUntil = clock.micros() + STORE_PAUSE;
-        for (ClassQueue lane : lanes) {
-            lane.pacer.hold(storeFullUntil);
+        storePausedUntil = clock.micros() + STORE_RETRY_DELAY;
+        for (ClassQueue classQueue : classQueues) {
+            classQueue.pacer.pauseUntil(storePausedUntil);
         }
     }
 
-    /** The latest instant on record. */
-    private void see(long ms) {
+    /** Advances the latest recorded timestamp. */
+    private void recordTimestamp(long ms) {
         latestMs = Math.max(latestMs, ms);
     }
 
-    // ---- going out ----
+    // ---- starting ----
 
-    private void queue(DurableJob job) {
+    private void enqueue(DurableJob job) {
         job.state = State.QUEUED;
-        waitForItsTime(job);
+        applyNotBefore(job);
         if (!job.inQueue) {
-            lanes[job.jobClass].add(job, clock.micros());
+            classQueues[job.jobClass].add(job, clock.micros());
         }
-        pump();
+        startReady();
     }
 
-    /** Its instant is the wall clock's, which outlives the process; it is waited for by the loop's. */
-    private void waitForItsTime(DurableJob job) {
-        long waits = job.row.notBeforeMs() - wall.getAsLong();
-        if (job.row.notBeforeMs() > 0 && waits > 0) {
-            job.notBefore = Math.max(job.notBefore, clock.micros() + waits * 1000);
+    /** Converts the job's wall-clock start time, which survives restarts, to the loop's clock. */
+    private void applyNotBefore(DurableJob job) {
+        long waitMs = job.row.notBeforeMs() - wallClock.getAsLong();
+        if (job.row.notBeforeMs() > 0 && waitMs > 0) {
+            job.notBefore = Math.max(job.notBefore, clock.micros() + waitMs * 1000);
         }
     }
 
-    /** Starts what there is room for. */
-    private void pump() {
-        // A start may end at once and come back here.
-        if (pumping || draining || journal.broken() != null) {
+    /** Starts as many queued jobs as the pacers allow. */
+    private void startReady() {
+        // Starting a job may end it at once and call this method again.
+        if (starting || draining || journal.broken() != null) {
             return;
         }
-        pumping = true;
+        starting = true;
         long now = clock.micros();
-        lookAtLive(now);
-        long again = Long.MAX_VALUE;
-        for (ClassQueue lane : lanes) {
-            while (lane.pacer.room(now, lane.atWork)) {
-                DurableJob job = lane.next(now);
+        checkLiveRefusals(now);
+        long nextStartAt = Long.MAX_VALUE;
+        for (ClassQueue classQueue : classQueues) {
+            while (classQueue.pacer.mayStart(now, classQueue.running)) {
+                DurableJob job = classQueue.next(now);
                 if (job == null) {
                     break;
                 }
-                start(lane, job);
+                start(classQueue, job);
             }
-            if (!lane.isEmpty()) {
-                again = Math.min(again, lane.atWork > 0 ? now + LOOK : Math.max(now + 1000, lane.nextAt(now)));
+            if (!classQueue.isEmpty()) {
+                nextStartAt = Math.min(
+                        nextStartAt,
+                        classQueue.running > 0
+                                ? now + REFUSAL_CHECK_INTERVAL
+                                : Math.max(now + 1000, classQueue.nextAt(now)));
             }
         }
-        pumping = false;
-        if (again < Long.MAX_VALUE) {
-            deadlines.set(pump, again);
+        starting = false;
+        if (nextStartAt < Long.MAX_VALUE) {
+            deadlines.set(startTimer, nextStartAt);
         }
     }
 
-    private void lookAtLive(long now) {
-        if (now - lookedAt >= LOOK) {
+    private void checkLiveRefusals(long now) {
+        if (now - refusalsCheckedAt >= REFUSAL_CHECK_INTERVAL) {
             long refused = counters.get("http.refused") + counters.get("gearman.refused");
-            if (refused > refusedBefore) {
-                for (ClassQueue lane : lanes) {
-                    lane.pacer.liveRefused(now);
+            if (refused > lastLiveRefusals) {
+                for (ClassQueue classQueue : classQueues) {
+                    classQueue.pacer.onLiveRefused(now);
                 }
             }
-            refusedBefore = refused;
-            lookedAt = now;
+            lastLiveRefusals = refused;
+            refusalsCheckedAt = now;
         }
     }
 
-    private void start(ClassQueue lane, DurableJob job) {
-        long nowMs = wall.getAsLong();
+    private void start(ClassQueue classQueue, DurableJob job) {
+        long nowMs = wallClock.getAsLong();
         if (job.untilMs < Long.MAX_VALUE && (nowMs >= job.untilMs || nowMs < latestMs)) {
-            // Its window closed while it waited for its turn.
+            // Its deduplication window ended while it was queued, or the clock was set back.
             settle(job, false);
             return;
         }
         if (nowMs < job.row.notBeforeMs()) {
-            // The wall clock was put back meanwhile.
-            waitForItsTime(job);
-            lane.add(job, clock.micros());
+            // The wall clock was set back meanwhile.
+            applyNotBefore(job);
+            classQueue.add(job, clock.micros());
             return;
         }
-        lane.atWork++;
+        classQueue.running++;
         JobRow row = job.row;
         Payload payload = new Payload("POST", row.target(), row.requestId(), row.repeatKey(), row.body());
         long now = clock.micros();
-        // Its lease runs out first: the request's deadline must not end it in the lease's place.
-        Request request =
-                new Request(this, job.id(), payload, job.jobClass, now + job.terms.longestMs * 1000 + LEASE_FIRST);
+        // The request's deadline is after the longest possible lease, so that the lease always expires first.
+        Request request = new Request(
+                this, job.id(), payload, job.jobClass, now + job.classConfig.maxLeaseMs * 1000 + DEADLINE_MARGIN);
         request.hint = row.hint();
         request.slots = row.slots();
         request.memory = row.memory();
         request.urgency = row.urgency();
         request.function = row.function().isEmpty() ? null : row.function();
-        // A Gearman job's key is made of its function and its unique.
+        // A Gearman job's key consists of the prefix gearman/, the function and the unique id.
         request.unique = row.function().isEmpty() || row.key().isEmpty()
                 ? null
                 : row.key().substring("gearman/".length() + row.function().length() + 1);
@@ -430,91 +435,91 @@
         return true;
     }
 
-    /** The lease goes to disk, and only then the call's first byte out. */
+    /** Writes the lease to disk; the call's first byte is sent only after that. */
     @Override
     public void recordLease(Attempt call) {
         DurableJob job = table.get(call.request.tag);
         if (job == null
                 || job.request != call.request
                 || draining
-                || job.attempts.stream().filter(AttemptRecord::mayHaveRun).count() >= MOST_ATTEMPTS) {
+                || job.attempts.stream().filter(AttemptRecord::mayHaveRun).count() >= MAX_ATTEMPTS) {
             scheduler.ended(call, Outcome.MOOT, null, null);
             return;
         }
-        long nowMs = Math.max(wall.getAsLong(), latestMs);
+        long nowMs = Math.max(wallClock.getAsLong(), latestMs);
         AttemptRecord attempt = new AttemptRecord(
-                job.attempts.size() + 1, call.endpoint.name, nowMs, nowMs + job.terms.leaseMs, Known.OUT);
+                job.attempts.size() + 1, call.endpoint.name, nowMs, nowMs + job.classConfig.leaseMs, Known.OUT);
         job.attempts.add(attempt);
         call.lease = attempt.number();
         job.call = call;
-        job.opened = false;
-        job.heard = false;
+        job.sent = false;
+        job.heartbeatSeen = false;
         job.state = State.RUNNING;
         job.changedMs = nowMs;
-        Op op = Op.move(job.id(), State.RUNNING, job.attempts, nowMs);
-        if (!journal.write(op, failure -> leased(job, call, failure))) {
-            unleased(job, call);
+        Op op = Op.update(job.id(), State.RUNNING, job.attempts, nowMs);
+        if (!journal.write(op, failure -> onLeaseWritten(job, call, failure))) {
+            abortUnleased(job, call);
         }
     }
 
-    private void leased(DurableJob job, Attempt call, StoreException failure) {
+    private void onLeaseWritten(DurableJob job, Attempt call, StoreException failure) {
         if (failure != null) {
-            storeTrouble(failure);
-            unleased(job, call);
+            onStoreFailure(failure);
+            abortUnleased(job, call);
             return;
         }
-        see(job.attempt(call.lease).leasedMs());
+        recordTimestamp(job.attempt(call.lease).leasedMs());
         if (job.call != call || detached) {
             return;
         }
         long now = clock.micros();
-        job.opened = true;
+        job.sent = true;
         job.leasedAt = now;
-        job.openedAt = now;
-        job.recordedAt = now;
+        job.sentAt = now;
+        job.leaseRecordedAt = now;
         if (job.lease == null) {
             job.lease = deadlines.create(() -> scheduler.leaseExpired(job.call));
         }
-        deadlines.set(job.lease, now + job.terms.leaseMs * 1000);
+        deadlines.set(job.lease, now + job.classConfig.leaseMs * 1000);
         counters.add("lease.given");
         scheduler.sendLeased(call);
     }
 
-    private void unleased(DurableJob job, Attempt call) {
-        job.know(call.lease, Known.NEVER_RAN);
+    private void abortUnleased(DurableJob job, Attempt call) {
+        job.setKnown(call.lease, Known.NEVER_RAN);
         scheduler.ended(call, Outcome.MOOT, null, null);
     }
 
-    // ---- at work ----
+    // ---- running ----
 
     @Override
     public void stillRunning(Attempt call) {
         DurableJob job = table.get(call.request.tag);
-        if (job == null || job.call != call || !job.opened) {
+        if (job == null || job.call != call || !job.sent) {
             return;
         }
         long now = clock.micros();
-        if (!job.heard) {
-            job.heard = true;
-            lanes[job.jobClass].pacer.started(now, now - job.openedAt);
+        if (!job.heartbeatSeen) {
+            job.heartbeatSeen = true;
+            classQueues[job.jobClass].pacer.onStarted(now, now - job.sentAt);
         }
-        DurableConfig.OfClass of = config.classes[job.jobClass];
-        long until = Math.min(now + of.leaseMs * 1000, job.leasedAt + of.longestMs * 1000);
+        DurableConfig.ClassConfig classConfig = config.classes[job.jobClass];
+        long until = Math.min(now + classConfig.leaseMs * 1000, job.leasedAt + classConfig.maxLeaseMs * 1000);
         deadlines.set(job.lease, until);
-        // On disk it need not be exact: a third of a lease late only makes the record read shorter.
-        if (now - job.recordedAt > of.leaseMs * 1000 / 3) {
-            job.recordedAt = now;
+        // The recorded end may lag by a third of a lease: the record then only shows a shorter lease.
+        if (now - job.leaseRecordedAt > classConfig.leaseMs * 1000 / 3) {
+            job.leaseRecordedAt = now;
             AttemptRecord attempt = job.attempt(call.lease);
-            long nowMs = wall.getAsLong();
-            job.attempts.set(call.lease - 1, attempt.until(nowMs + (until - now) / 1000));
-            journal.write(Op.move(job.id(), State.RUNNING, job.attempts, nowMs), this::noted);
+            long nowMs = wallClock.getAsLong();
+            job.attempts.set(call.lease - 1, attempt.withEndMs(nowMs + (until - now) / 1000));
+            journal.write(Op.update(job.id(), State.RUNNING, job.attempts, nowMs), this::onUnawaitedWrite);
         }
     }
 
-    /** A record that nobody waits for: without it the next process knows less, and never something false. */
-    private void noted(StoreException failure) {
+    /** Completes a write that nothing waits for: if it is lost, the next process knows less but nothing false. */
+    private void onUnawaitedWrite(StoreException failure) {
         if (failure != null) {
-            storeTrouble(failure);
+            onStoreFailure(failure);
         }
     }
 
@@ -522,8 +527,8 @@
     public void progress(long tag, long done, long of) {
         DurableJob job = table.get(tag);
         if (job != null) {
-            job.done = done;
-            job.of = of;
+            job.progressDone = done;
+            job.progressTotal = of;
         }
     }
 
@@ -536,24 +541,25 @@
         if (job.lease != null) {
             deadlines.cancel(job.lease);
         }
-        Known known = !job.opened || outcome.neverRan
+        Known known = !job.sent || outcome.neverRan
                 ? Known.NEVER_RAN
                 : outcome == Outcome.OK
                         ? Known.DONE
                         : outcome == Outcome.ERROR ? Known.SAID_FAILED : Known.MAY_HAVE_RUN;
-        job.know(call.lease, known);
+        job.setKnown(call.lease, known);
         job.call = null;
         if (known == Known.MAY_HAVE_RUN && outcome == Outcome.TIMEOUT) {
-            // Its late word is listened for, and not for ever: a silent endpoint would hold a descriptor.
-            deadlines.at(clock.micros() + job.terms.longestMs * 1000, () -> call.endpoint.connector.close(call));
+            // Wait for a late outcome, but not forever: a silent endpoint would hold a file descriptor.
+            deadlines.at(clock.micros() + job.classConfig.maxLeaseMs * 1000, () -> call.endpoint.connector.close(call));
         }
         if (known == Known.NEVER_RAN) {
-            // Unrecorded, a crash would leave it as one that may have run.
-            journal.write(Op.move(job.id(), State.RUNNING, job.attempts, wall.getAsLong()), this::noted);
+            // If this is not recorded, after a crash the attempt counts as one that may have run.
+            journal.write(
+                    Op.update(job.id(), State.RUNNING, job.attempts, wallClock.getAsLong()), this::onUnawaitedWrite);
         }
     }
 
-    /** A word on an attempt that had ended: it counts by its lease. */
+    /** Handles an outcome that arrives after its attempt has ended, matched by the lease. */
     @Override
     public void lateOutcome(Attempt call, Outcome outcome, byte[] result) {
         if (outcome == Outcome.OK || outcome == Outcome.ERROR) {
@@ -569,103 +575,103 @@
                 || job.jobClass < 0
                 || !attempt.mayHaveRun()
                 || job.state == State.DONE
-                || job.ending == State.DONE
+                || job.pendingEnd == State.DONE
                 || detached) {
             counters.add("lease.late_passed_over");
             return attempt != null;
         }
         counters.add("lease.late");
-        if (job.isAtWork()) {
-            // A newer lease is out: its word decides, and this one counts only if that has no success to
-            // tell.
+        if (job.hasRequest()) {
+            // A newer attempt is running and its outcome takes precedence; this one counts only if that
+            // attempt does not succeed.
             if (served) {
                 job.lateLease = lease;
                 job.lateResult = result;
             }
             return true;
         }
-        job.know(lease, served ? Known.DONE : Known.SAID_FAILED);
+        job.setKnown(lease, served ? Known.DONE : Known.SAID_FAILED);
         if (served) {
             end(job, State.DONE, "served, told when its lease had run out", result);
-        } else if (job.state.isEnd() || job.ending != null) {
+        } else if (job.state.isEnd() || job.pendingEnd != null) {
             settle(job, false);
         }
         return true;
     }
 
-    // ---- answers of the core ----
+    // ---- results from the core ----
 
     @Override
     public String name() {
         return "durable";
     }
 
-    private DurableJob over(long tag) {
+    private DurableJob finishRequest(long tag) {
         DurableJob job = table.get(tag);
         if (job == null || job.request == null || detached) {
             return null;
         }
         job.request = null;
         job.call = null;
-        lanes[job.jobClass].atWork--;
+        classQueues[job.jobClass].running--;
         return job;
     }
 
     @Override
     public void served(long tag, byte[] result) {
-        DurableJob job = over(tag);
+        DurableJob job = finishRequest(tag);
         if (job != null) {
-            lanes[job.jobClass].pacer.served();
+            classQueues[job.jobClass].pacer.onServed();
             end(job, State.DONE, "served", result);
-            pump();
+            startReady();
         }
     }
 
     @Override
     public void refused(long tag, double retryAfter) {
-        DurableJob job = over(tag);
+        DurableJob job = finishRequest(tag);
         if (job != null) {
-            // The time to come back is for clients, who wait anyway; here the pauses double instead.
-            lanes[job.jobClass].pacer.refused(clock.micros());
+            // The retry time is meant for clients, which wait anyway; here the pacer's doubling pauses apply.
+            classQueues[job.jobClass].pacer.onRefused(clock.micros());
             settle(job, true);
-            pump();
+            startReady();
         }
     }
 
     @Override
     public void failed(long tag) {
-        DurableJob job = over(tag);
+        DurableJob job = finishRequest(tag);
         if (job != null) {
             settle(job, true);
-            pump();
+            startReady();
         }
     }
 
-    // ---- the end, or again ----
+    // ---- settlement and retention ----
 
-    /** At work nowhere: what becomes of it is decided from the record. */
+    /** Decides from its record what happens to a job that is not running. */
     private void settle(DurableJob job, boolean backoff) {
         if (job.lateResult != null) {
-            job.know(job.lateLease, Known.DONE);
+            job.setKnown(job.lateLease, Known.DONE);
             end(job, State.DONE, "served, told when its lease had run out", job.lateResult);
             return;
         }
         JobClass type = scheduler.settings().classes[job.jobClass];
-        long nowMs = wall.getAsLong();
+        long nowMs = wallClock.getAsLong();
         Verdict verdict = Settlement.decide(
-                type.effect, job.attempts, (long) (type.window * 1000), nowMs, latestMs, MOST_ATTEMPTS);
+                type.effect, job.attempts, (long) (type.window * 1000), nowMs, latestMs, MAX_ATTEMPTS);
         switch (verdict.kind()) {
-            case AGAIN:
+            case REQUEUE:
                 job.untilMs = verdict.untilMs();
-                job.reason = job.attempts.isEmpty() ? "" : "again: " + verdict.reason();
+                job.reason = job.attempts.isEmpty() ? "" : "requeued: " + verdict.reason();
                 if (backoff) {
-                    long pause = Math.min(LONGEST_BACKOFF, FIRST_BACKOFF << Math.min(10, job.refusals++));
+                    long pause = Math.min(MAX_BACKOFF, MIN_BACKOFF << Math.min(10, job.backoffs++));
                     job.notBefore = clock.micros() + pause;
                 }
                 if (job.state == State.RUNNING) {
-                    journal.write(Op.move(job.id(), State.QUEUED, job.attempts, nowMs), this::noted);
+                    journal.write(Op.update(job.id(), State.QUEUED, job.attempts, nowMs), this::onUnawaitedWrite);
                 }
-                queue(job);
+                enqueue(job);
                 break;
             case UNKNOWN:
                 end(job, State.UNKNOWN, verdict.reason(), null);
@@ -677,67 +683,67 @@
     }
 
     private void end(DurableJob job, State state, String reason, byte[] result) {
-        job.ending = state;
+        job.pendingEnd = state;
         job.reason = reason;
-        long nowMs = wall.getAsLong();
+        long nowMs = wallClock.getAsLong();
         Op op = Op.end(job.id(), state, job.attempts, reason, result, nowMs);
-        if (!journal.write(op, failure -> ended(job, state, nowMs, result, failure))) {
-            deadlines.at(clock.micros() + STORE_PAUSE, () -> end(job, state, reason, result));
+        if (!journal.write(op, failure -> onEndWritten(job, state, nowMs, result, failure))) {
+            deadlines.at(clock.micros() + STORE_RETRY_DELAY, () -> end(job, state, reason, result));
         }
     }
 
-    private void ended(DurableJob job, State state, long nowMs, byte[] result, StoreException failure) {
+    private void onEndWritten(DurableJob job, State state, long nowMs, byte[] result, StoreException failure) {
         if (failure != null) {
-            storeTrouble(failure);
-            if (failure.kind == StoreException.Kind.FULL && job.ending == state) {
-                // It has happened, whether there is room to say so or not: asked again until there is.
-                deadlines.at(clock.micros() + STORE_PAUSE, () -> end(job, state, job.reason, result));
+            onStoreFailure(failure);
+            if (failure.kind == StoreException.Kind.FULL && job.pendingEnd == state) {
+                // The job has ended even if there is no room to record it: retried until there is.
+                deadlines.at(clock.micros() + STORE_RETRY_DELAY, () -> end(job, state, job.reason, result));
             }
             return;
         }
-        see(nowMs);
-        boolean first = !job.state.isEnd();
+        recordTimestamp(nowMs);
+        boolean firstEnd = !job.state.isEnd();
         job.state = state;
         job.changedMs = nowMs;
-        if (job.ending == state) {
-            job.ending = null;
+        if (job.pendingEnd == state) {
+            job.pendingEnd = null;
         }
         counters.add("durable." + state.name().toLowerCase(Locale.ROOT));
-        if (first) {
+        if (firstEnd) {
             quota.remove(clock.micros(), job.jobClass, job.row.bodyBytes());
             job.row = job.row.withoutBody();
         }
-        table.end(job);
+        table.addEnded(job);
     }
 
-    /** Drops what has been kept for long enough, a bounded number a turn. */
+    /** Updates the counters and drops jobs whose retention has expired, at most a fixed number per run. */
     private void sweep() {
         counters.set("durable.commits", journal.batches());
-        Histogram took = journal.tookSince();
-        if (took.getTotalCount() > 0) {
-            counters.set("durable.commit_p50_us", took.getValueAtPercentile(50));
-            counters.set("durable.commit_p99_us", took.getValueAtPercentile(99));
+        Histogram commitTimes = journal.commitTimesSinceLast();
+        if (commitTimes.getTotalCount() > 0) {
+            counters.set("durable.commit_p50_us", commitTimes.getValueAtPercentile(50));
+            counters.set("durable.commit_p99_us", commitTimes.getValueAtPercentile(99));
         }
         counters.set("durable.open", quota.jobs());
         counters.set("durable.held_bytes", quota.bytes());
         counters.set("durable.store_bytes", journal.usedBytes());
-        long nowMs = wall.getAsLong();
-        for (int i = 0; i < MOST_DROPS; i++) {
-            DurableJob job = table.endedBefore(nowMs - config.retentionMs);
+        long nowMs = wallClock.getAsLong();
+        for (int i = 0; i < MAX_DROPS_PER_SWEEP; i++) {
+            DurableJob job = table.pollEndedBefore(nowMs - config.retentionMs);
             if (job == null) {
                 break;
             }
-            if (!journal.write(Op.drop(job.id(), nowMs), this::noted)) {
-                table.keep(job);
+            if (!journal.write(Op.drop(job.id(), nowMs), this::onUnawaitedWrite)) {
+                table.putBack(job);
                 break;
             }
             table.remove(job);
             counters.add("durable.dropped");
         }
-        deadlines.at(clock.micros() + SWEEP, this::sweep);
+        deadlines.at(clock.micros() + SWEEP_INTERVAL, this::sweep);
     }
 
-    // ---- asking and cancelling ----
+    // ---- queries and cancellation ----
 
     @Override
     public JobView peek(long id) {
@@ -758,14 +764,14 @@
     }
 
     private JobView view(DurableJob job, byte[] result) {
-        List<AttemptView> tries = new ArrayList<>();
+        List<AttemptView> attempts = new ArrayList<>();
         for (AttemptRecord attempt : job.attempts) {
-            tries.add(new AttemptView(
+            attempts.add(new AttemptView(
                     attempt.number(),
                     attempt.endpoint(),
                     attempt.leasedMs(),
                     attempt.endMs(),
-                    RowCodec.word(attempt.known())));
+                    RowCodec.knownName(attempt.known())));
         }
         return new JobView(
                 job.id(),
@@ -774,12 +780,12 @@
                 job.reason,
                 job.row.acceptedMs(),
                 job.changedMs,
-                tries,
+                attempts,
                 result,
                 job.state.isEnd(),
-                job.isAtWork() && job.opened,
-                job.done,
-                job.of);
+                job.hasRequest() && job.sent,
+                job.progressDone,
+                job.progressTotal);
     }
 
     @Override
@@ -788,56 +794,56 @@
         if (job == null || job.waiters != null) {
             answer.accept(CancelOutcome.NOT_FOUND);
         } else if (job.state != State.QUEUED
-                || job.ending != null
-                || job.isAtWork()
+                || job.pendingEnd != null
+                || job.hasRequest()
                 || job.mayHaveRun()
                 || job.jobClass < 0) {
             answer.accept(CancelOutcome.ALREADY_STARTED);
         } else {
-            job.ending = State.CANCELLED;
+            job.pendingEnd = State.CANCELLED;
             job.reason = "cancelled";
-            long nowMs = wall.getAsLong();
-            boolean asked =
+            long nowMs = wallClock.getAsLong();
+            boolean queued =
                     journal.write(Op.end(id, State.CANCELLED, job.attempts, job.reason, null, nowMs), failure -> {
-                        ended(job, State.CANCELLED, nowMs, null, failure);
+                        onEndWritten(job, State.CANCELLED, nowMs, null, failure);
                         answer.accept(failure == null ? CancelOutcome.CANCELLED : CancelOutcome.BUSY);
                     });
-            if (!asked) {
-                job.ending = null;
-                queue(job);
+            if (!queued) {
+                job.pendingEnd = null;
+                enqueue(job);
                 answer.accept(CancelOutcome.BUSY);
             }
         }
     }
 
-    // ---- a planned end ----
+    // ---- graceful shutdown ----
 
-    /** Begins no further jobs; what is at work goes on, and jobs are still taken on. */
+    /** Starts no further jobs; running ones continue, and new ones are still accepted. */
     public void drain() {
         draining = true;
     }
 
-    /** Leaves what is still at work to the record: whoever opens the store next settles it. */
+    /** Withdraws running jobs without recording an outcome: the process that opens the store next settles them. */
     public void detachRunning() {
         detached = true;
-        List<Request> out = new ArrayList<>();
+        List<Request> running = new ArrayList<>();
         table.forEach(job -> {
             if (job.request != null) {
-                out.add(job.request);
+                running.add(job.request);
             }
         });
-        if (!out.isEmpty()) {
-            LOG.info("durable jobs: {} are at work still and stay under their leases", out.size());
+        if (!running.isEmpty()) {
+            LOG.info("durable jobs: {} still running; left under their leases", running.size());
         }
-        out.forEach(scheduler::withdraw);
+        running.forEach(scheduler::withdraw);
     }
 
-    /** Jobs whose word of acceptance is owed still; asked every few milliseconds at a planned end. */
+    /** Jobs not acknowledged yet; polled every few milliseconds during a graceful shutdown. */
     public int pendingAcknowledgements() {
         return pendingAcks;
     }
 
-    /** Jobs held, ended ones included. */
+    /** The number of jobs held, including ended ones. */
     public int size() {
         return table.size();
     }
--- a/src/main/java/laneflow/durable/FolderLock.java
+++ b/src/main/java/laneflow/durable/FolderLock.java
@@ -4,11 +4,11 @@
 import java.nio.channels.FileChannel;
 import java.nio.channels.OverlappingFileLockException;
 
-/** The lock of a folder that belongs to one process at a time; it is held until its file is closed. */
+/** An exclusive lock on a folder for one process; it is held until the lock file is closed. */
 public final class FolderLock {
     private FolderLock() {}
 
-    /** True if this process has it now; false if another has, or this very one by another channel. */
+    /** Returns true if the lock was acquired; false if another process, or this one by another channel, holds it. */
     public static boolean tryLock(FileChannel file) throws IOException {
         try {
             return file.tryLock() != null;
--- a/src/main/java/laneflow/durable/JobRow.java
+++ b/src/main/java/laneflow/durable/JobRow.java
@@ -4,15 +4,15 @@
 import laneflow.durable.decision.AttemptRecord;
 
 /**
- * A job as the store holds it: what was taken on, which never changes, and where it stands.
+ * A job as stored: the submission, which never changes, and its current state.
  *
- * @param jobClass the class's name: its number may differ after a restart
+ * @param jobClass the name of the class; its number may differ after a restart
  * @param function the Gearman function, or empty for a job of the HTTP front
- * @param key what marks the same job handed in again, its front and class included; empty: nothing does
- * @param body what is to be done; null where it was not asked for
- * @param notBeforeMs it is not begun before that instant of the wall clock; 0: at once
- * @param reason for people: why it stands there; may be empty
- * @param changedMs when it came to where it stands
+ * @param key identifies repeated submissions of the same job, and includes front and class; empty: none
+ * @param body the request body; null if it was not read
+ * @param notBeforeMs the wall-clock time before which no attempt begins; 0: no delay
+ * @param reason human-readable reason for the state; may be empty
+ * @param changedMs when the state last changed
  */
 public record JobRow(
         long id,
@@ -37,22 +37,22 @@
         long changedMs,
         long notBeforeMs) {
 
-    /** The same where it stands now. */
-    public JobRow at(State now, List<AttemptRecord> record, String why, long instantMs) {
-        return with(key, body, now, record, why, instantMs);
+    /** A copy in another state. */
+    public JobRow withState(State newState, List<AttemptRecord> record, String newReason, long newChangedMs) {
+        return with(key, body, newState, record, newReason, newChangedMs);
     }
 
-    /** The same under no key. */
+    /** A copy without a key. */
     JobRow withoutKey() {
         return with("", body, state, attempts, reason, changedMs);
     }
 
-    /** The same with its body left out, as it is held in memory once it has ended. */
+    /** A copy without the body, as ended jobs are held in memory. */
     JobRow withoutBody() {
         return with(key, null, state, attempts, reason, changedMs);
     }
 
-    /** The same job with all in it that can differ from row to row. */
+    /** A copy with other values of the fields that can change. */
     private JobRow with(
             String newKey,
             byte[] newBody,
--- a/src/main/java/laneflow/durable/Table.java
+++ b/src/main/java/laneflow/durable/JobTable.java
@@ -7,9 +7,9 @@
 import java.util.function.Consumer;
 import org.agrona.collections.Long2ObjectHashMap;
 
-/** All jobs held, by id and by key, and the ended ones in the order in which their retention is over. */
-final class Table {
-    /** Ids begin with the milliseconds since then, so they are in order of acceptance. 2020-01-01 UTC. */
+/** Indexes all jobs by id and by key, and keeps the ended ones in the order in which their retention expires. */
+final class JobTable {
+    /** 2020-01-01 UTC. The high bits of an id are the milliseconds since then, so ids sort by acceptance. */
     private static final long EPOCH_MS = 1_577_836_800_000L;
 
     private static final int RANDOM_BITS = 20;
@@ -18,25 +18,25 @@
     private final Map<String, DurableJob> byKey = new HashMap<>();
     private final ArrayDeque<DurableJob> ended = new ArrayDeque<>();
     private final SplittableRandom random;
-    private long last;
+    private long lastId;
 
-    Table(long seed) {
+    JobTable(long seed) {
         random = new SplittableRandom(seed);
     }
 
     /**
-     * A number of its own: milliseconds, then random bits, so that the stores of two schedulers may be put
-     * together. It grows also where the clock goes back.
+     * Returns a new id: milliseconds followed by random bits, so that the stores of two schedulers can be
+     * merged. Ids increase even when the clock is set back.
      */
     long newId(long wallMs) {
         long id = (wallMs - EPOCH_MS << RANDOM_BITS) + random.nextInt(1 << RANDOM_BITS);
-        last = Math.max(last + 1, id);
-        return last;
+        lastId = Math.max(lastId + 1, id);
+        return lastId;
     }
 
     void add(DurableJob job) {
         byId.put(job.id(), job);
-        last = Math.max(last, job.id());
+        lastId = Math.max(lastId, job.id());
         if (!job.row.key().isEmpty()) {
             byKey.put(job.row.key(), job);
         }
@@ -53,31 +53,31 @@
         return byId.get(id);
     }
 
-    /** The job of that key; the empty one belongs to none. */
+    /** The job with this key, or null; no job has the empty key. */
     DurableJob get(String key) {
         return key.isEmpty() ? null : byKey.get(key);
     }
 
-    /** It has ended; one that ends again by a late word keeps its place. */
-    void end(DurableJob job) {
-        if (!job.retired) {
-            job.retired = true;
+    /** Adds an ended job; one whose final state changes by a late outcome keeps its position. */
+    void addEnded(DurableJob job) {
+        if (!job.inRetention) {
+            job.inRetention = true;
             ended.add(job);
         }
     }
 
-    /** The next one that ended before then, taken out, or null. */
-    DurableJob endedBefore(long wallMs) {
+    /** Removes and returns the next job that ended before this time, or null. */
+    DurableJob pollEndedBefore(long wallMs) {
         return !ended.isEmpty() && ended.peek().changedMs < wallMs ? ended.poll() : null;
     }
 
-    /** It could not be dropped yet: it is the next one again. */
-    void keep(DurableJob job) {
+    /** Puts back a job that could not be dropped; it is the next one again. */
+    void putBack(DurableJob job) {
         ended.addFirst(job);
     }
 
-    void forEach(Consumer<DurableJob> call) {
-        byId.values().forEach(call);
+    void forEach(Consumer<DurableJob> action) {
+        byId.values().forEach(action);
     }
 
     int size() {
--- a/src/main/java/laneflow/durable/Journal.java
+++ b/src/main/java/laneflow/durable/Journal.java
@@ -12,27 +12,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The way to the disk: one thread that owns the store, behind a bounded queue. It takes all that waits
- * there, up to a batch, as one transaction with one sync (group commit), and hands the news back to the
- * loop. The loop never waits: a queue without room for another job is told to the one who asked.
+ * Writes to the store asynchronously: one thread owns the store and reads from a bounded queue. It commits all
+ * queued ops, up to a batch, in one transaction with one sync (group commit), and runs the callbacks on the
+ * loop. The loop never blocks: the caller is told at once when the queue is full.
  *
- * <p>Where a batch finds no room on disk, its acceptances are turned down and the rest, which frees jobs or
- * records what has happened, is tried alone. After any other failure the store is left alone for good: a
- * sync that has failed once may report success the next time with nothing written (Rebello et al., 2020).
+ * <p>If a batch does not fit on disk, its acceptances fail, and the remaining ops, which drop jobs or record
+ * what has happened, are retried without them. After any other failure the store is not used again: after one
+ * failed sync, the next one may report success with nothing written (Rebello et al., 2020).
  */
 public final class Journal implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Journal.class);
-    private static final int MOST_BATCH = 2048;
-    /** Acceptances leave this part of the queue to what must be recorded of jobs at work. */
-    private static final int ACCEPT_PART = 2;
+    private static final int MAX_BATCH = 2048;
+    /** Acceptances use only capacity / 2 of the queue; the rest is kept for records of running jobs. */
+    private static final int ACCEPT_QUEUE_DIVISOR = 2;
 
-    private static final long IDLE_MS = 200;
-    /** Ops between two looks at the store's size: what they hold is far from the part kept free. */
-    private static final long LONGEST_US = 60_000_000;
+    private static final long POLL_TIMEOUT_MS = 200;
+    private static final long MAX_COMMIT_US = 60_000_000;
 
-    private static final int LOOK_EVERY = 16;
+    /** Ops between two checks of the store's size; they hold far less than the space kept free. */
+    private static final int SIZE_CHECK_OPS = 16;
 
-    private final Disk store;
+    private final Storage store;
     private final Consumer<Runnable> loop;
     private final int capacity;
     private final ArrayBlockingQueue<Entry> queue;
@@ -41,32 +41,32 @@
     private volatile long usedBytes;
     private volatile long batches;
     private volatile boolean closing;
-    private final Recorder took = new Recorder(LONGEST_US, 2);
-    private int sinceLooked;
+    private final Recorder commitTimes = new Recorder(MAX_COMMIT_US, 2);
+    private int opsSinceSizeCheck;
 
-    /** What the journal asks of a store; tests have it fail. */
-    public interface Disk extends AutoCloseable {
+    /** The operations that the journal needs from a store. */
+    public interface Storage extends AutoCloseable {
         void write(List<Op> ops) throws StoreException;
 
         byte[] result(long id) throws StoreException;
 
         long usedBytes() throws StoreException;
 
-        void tidy() throws StoreException;
+        void vacuumIncrementally() throws StoreException;
 
         @Override
         void close();
     }
 
-    /** One thing to do: an op, or a result to be read. */
+    /** An entry of the queue: an op to write, or a result to read. */
     private record Entry(Op op, Consumer<StoreException> done, long id, Consumer<byte[]> read) {
         boolean accepts() {
             return op != null && op.kind() == Op.Kind.ACCEPT;
         }
     }
 
-    /** A journal on that store; the loop runs what it is handed on its own thread. */
-    public Journal(Disk store, Consumer<Runnable> loop, int capacity) {
+    /** Starts a journal on this store; {@code loop} runs the callbacks on the loop's thread. */
+    public Journal(Storage store, Consumer<Runnable> loop, int capacity) {
         this.store = store;
         this.loop = loop;
         this.capacity = capacity;
@@ -74,30 +74,33 @@
         try {
             usedBytes = store.usedBytes();
         } catch (StoreException e) {
-            fails(e);
+            fail(e);
         }
         thread = new Thread(this::run, "journal");
         thread.setDaemon(true);
         thread.start();
     }
 
-    // ---- from the loop ----
+    // ---- called on the loop's thread ----
 
-    /** Has an op written; null is told once it is on disk, else why not. False: no room in the queue. */
+    /**
+     * Queues an op; {@code done} gets null once it is on disk, or else the failure. Returns false if the queue
+     * has no room.
+     */
     boolean write(Op op, Consumer<StoreException> done) {
         Entry entry = new Entry(op, done, 0, null);
-        if (entry.accepts() && queue.size() >= capacity / ACCEPT_PART) {
+        if (entry.accepts() && queue.size() >= capacity / ACCEPT_QUEUE_DIVISOR) {
             return false;
         }
         return queue.offer(entry);
     }
 
-    /** Reads a job's result, behind all that was asked before; null where there is none. */
+    /** Reads a job's result, after all entries queued before; {@code read} gets null if there is none. */
     boolean result(long id, Consumer<byte[]> read) {
         return queue.offer(new Entry(null, null, id, read));
     }
 
-    /** Why nothing is written any more, or null. */
+    /** The failure after which nothing is written any more, or null. */
     public StoreException broken() {
         return broken;
     }
@@ -106,44 +109,44 @@
         return usedBytes;
     }
 
-    /** Transactions, a sync each, since the start. */
+    /** Committed transactions since the start, with one sync each. */
     public long batches() {
         return batches;
     }
 
-    /** How long commits took since this was last asked, microseconds; empty if there were none. */
-    Histogram tookSince() {
-        return took.getIntervalHistogram();
+    /** Commit durations in microseconds since the previous call; empty if there were none. */
+    Histogram commitTimesSinceLast() {
+        return commitTimes.getIntervalHistogram();
     }
 
-    // ---- on its own thread ----
+    // ---- called on the journal's thread ----
 
     private void run() {
         List<Entry> batch = new ArrayList<>();
-        boolean tidied = false;
+        boolean vacuumed = false;
         while (!closing || !queue.isEmpty()) {
             try {
-                Entry first = queue.poll(IDLE_MS, TimeUnit.MILLISECONDS);
+                Entry first = queue.poll(POLL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
                 if (first == null) {
-                    // Nothing to do: a good time to give room back, in small pieces.
-                    if (!tidied && broken == null) {
-                        store.tidy();
+                    // Idle: return free pages to the disk in small steps.
+                    if (!vacuumed && broken == null) {
+                        store.vacuumIncrementally();
                         usedBytes = store.usedBytes();
-                        tidied = true;
+                        vacuumed = true;
                     }
                     continue;
                 }
-                tidied = false;
+                vacuumed = false;
                 batch.add(first);
-                queue.drainTo(batch, MOST_BATCH - 1);
-                take(batch);
+                queue.drainTo(batch, MAX_BATCH - 1);
+                process(batch);
             } catch (InterruptedException e) {
                 closing = true;
             } catch (StoreException e) {
-                fails(e);
+                fail(e);
             } catch (RuntimeException e) {
-                // A fault here must not leave the store without its owner, and callers without a word.
-                fails(new StoreException(StoreException.Kind.BROKEN, "the journal failed: " + e, e));
+                // This thread must survive a bug here, as it owns the store, and later callers must get a failure.
+                fail(new StoreException(StoreException.Kind.BROKEN, "the journal failed: " + e, e));
             } finally {
                 batch.clear();
             }
@@ -151,35 +154,35 @@
         store.close();
     }
 
-    private void take(List<Entry> batch) {
+    private void process(List<Entry> batch) {
         List<Entry> writes = batch.stream().filter(entry -> entry.op() != null).toList();
-        List<Runnable> news = new ArrayList<>();
+        List<Runnable> callbacks = new ArrayList<>();
         if (!writes.isEmpty()) {
             StoreException failed = commit(writes);
             if (failed != null && failed.kind == StoreException.Kind.FULL && broken == null) {
                 List<Entry> accepts = writes.stream().filter(Entry::accepts).toList();
                 List<Entry> others =
                         writes.stream().filter(entry -> !entry.accepts()).toList();
-                accepts.forEach(entry -> news.add(() -> entry.done().accept(failed)));
+                accepts.forEach(entry -> callbacks.add(() -> entry.done().accept(failed)));
                 if (!others.isEmpty()) {
-                    StoreException again = commit(others);
-                    others.forEach(entry -> news.add(() -> entry.done().accept(again)));
+                    StoreException retryFailure = commit(others);
+                    others.forEach(entry -> callbacks.add(() -> entry.done().accept(retryFailure)));
                 }
             } else {
-                writes.forEach(entry -> news.add(() -> entry.done().accept(failed)));
+                writes.forEach(entry -> callbacks.add(() -> entry.done().accept(failed)));
             }
         }
         for (Entry entry : batch) {
             if (entry.read() != null) {
                 byte[] found = read(entry.id());
-                news.add(() -> entry.read().accept(found));
+                callbacks.add(() -> entry.read().accept(found));
             }
         }
         try {
-            loop.accept(() -> news.forEach(Runnable::run));
+            loop.accept(() -> callbacks.forEach(Runnable::run));
         } catch (RejectedExecutionException e) {
-            // The loop has ended: nobody is left to hear, and what was written stays written.
-            LOG.debug("{} words of the store came too late", news.size());
+            // The loop has stopped, so no caller is left; what was written stays written.
+            LOG.debug("the loop has stopped: {} callbacks of the journal discarded", callbacks.size());
         }
     }
 
@@ -188,20 +191,20 @@
             return broken;
         }
         try {
-            long from = System.nanoTime();
+            long start = System.nanoTime();
             store.write(writes.stream().map(Entry::op).toList());
-            took.recordValue(Math.min(LONGEST_US, (System.nanoTime() - from) / 1000));
+            commitTimes.recordValue(Math.min(MAX_COMMIT_US, (System.nanoTime() - start) / 1000));
             batches++;
-            sinceLooked += writes.size();
-            if (sinceLooked >= LOOK_EVERY) {
-                // Two queries: not worth asking behind each commit.
-                sinceLooked = 0;
+            opsSinceSizeCheck += writes.size();
+            if (opsSinceSizeCheck >= SIZE_CHECK_OPS) {
+                // This takes two queries, too costly after each commit.
+                opsSinceSizeCheck = 0;
                 usedBytes = store.usedBytes();
             }
             return null;
         } catch (StoreException e) {
             if (e.kind != StoreException.Kind.FULL) {
-                fails(e);
+                fail(e);
             }
             return e;
         }
@@ -216,17 +219,17 @@
         }
     }
 
-    private void fails(StoreException e) {
+    private void fail(StoreException e) {
         if (broken == null) {
             broken = e;
             LOG.error(
-                    "durable jobs: the store failed and is left alone from now on, nothing more is"
+                    "durable jobs: the store failed and is not used again; no jobs are"
                             + " acknowledged until a restart: {}",
                     e.getMessage());
         }
     }
 
-    /** Writes what is queued, then closes the store. */
+    /** Processes the queued entries, then closes the store; waits 10 s at most. */
     @Override
     public void close() throws InterruptedException {
         closing = true;
--- a/src/main/java/laneflow/durable/Op.java
+++ b/src/main/java/laneflow/durable/Op.java
@@ -4,10 +4,10 @@
 import laneflow.durable.decision.AttemptRecord;
 
 /**
- * One change of the store. Ops of one batch are on disk all together or not at all.
+ * One change of the store. The ops of a batch are written atomically.
  *
- * @param row for ACCEPT
- * @param result for END, where there is one
+ * @param row the job, for ACCEPT; else null
+ * @param result the result of a served job, else null
  */
 public record Op(
         Kind kind,
@@ -19,40 +19,40 @@
         byte[] result,
         long atMs) {
 
-    /** What an op does. */
+    /** The kind of change. */
     public enum Kind {
         ACCEPT,
-        MOVE,
+        UPDATE,
         END,
         DROP
     }
 
-    /** Takes a job on. */
+    /** Stores a new job. */
     static Op accept(JobRow row) {
         return new Op(Kind.ACCEPT, row.id(), row, row.state(), row.attempts(), "", null, row.acceptedMs());
     }
 
-    /** Takes a job over as it stood elsewhere, with its attempts and its end in one. */
+    /** Stores a job of another store together with its state, attempts and result. */
     static Op adopt(JobRow row, byte[] result) {
         return new Op(Kind.ACCEPT, row.id(), row, row.state(), row.attempts(), row.reason(), result, row.changedMs());
     }
 
-    /** A lease, a heartbeat, or the way back into the queue. */
-    static Op move(long id, State state, List<AttemptRecord> attempts, long atMs) {
-        return new Op(Kind.MOVE, id, null, state, List.copyOf(attempts), "", null, atMs);
+    /** Records a lease, a heartbeat, or a return to the queue. */
+    static Op update(long id, State state, List<AttemptRecord> attempts, long atMs) {
+        return new Op(Kind.UPDATE, id, null, state, List.copyOf(attempts), "", null, atMs);
     }
 
-    /** Where a job stands that another store held. */
-    static Op stands(JobRow row) {
-        return new Op(Kind.MOVE, row.id(), null, row.state(), row.attempts(), row.reason(), null, row.changedMs());
+    /** Restores the state of a job taken from another store. */
+    static Op restore(JobRow row) {
+        return new Op(Kind.UPDATE, row.id(), null, row.state(), row.attempts(), row.reason(), null, row.changedMs());
     }
 
-    /** Its end, with the result where it was served. */
+    /** Records the final state, with the result if the job was served. */
     static Op end(long id, State state, List<AttemptRecord> attempts, String reason, byte[] result, long atMs) {
         return new Op(Kind.END, id, null, state, List.copyOf(attempts), reason, result, atMs);
     }
 
-    /** Its retention is over. */
+    /** Deletes a job. */
     static Op drop(long id, long atMs) {
         return new Op(Kind.DROP, id, null, null, List.of(), "", null, atMs);
     }
--- a/src/main/java/laneflow/durable/RowCodec.java
+++ b/src/main/java/laneflow/durable/RowCodec.java
@@ -14,12 +14,11 @@
 import laneflow.durable.decision.AttemptRecord.Known;
 
 /**
- * The forms on disk: attempts as JSON, which people with a SQL shell can read, and a CRC-32C over each row.
- * SQLite's pages carry no checksum of their own, so a flipped bit would else be read as if it had been
- * written.
+ * Encodes attempts as JSON, which is readable in a SQL shell, and computes a CRC-32C checksum per row. SQLite
+ * pages have no checksums of their own, so without these a flipped bit would go unnoticed.
  */
 final class RowCodec {
-    private static final String[] KNOWN = {"out", "never_ran", "may_have_run", "failed", "done"};
+    private static final String[] KNOWN_NAMES = {"out", "never_ran", "may_have_run", "failed", "done"};
 
     private RowCodec() {}
 
@@ -34,7 +33,7 @@
             one.addProperty("to", attempt.endpoint());
             one.addProperty("at", attempt.leasedMs());
             one.addProperty("end", attempt.endMs());
-            one.addProperty("known", KNOWN[attempt.known().ordinal()]);
+            one.addProperty("known", KNOWN_NAMES[attempt.known().ordinal()]);
             all.add(one);
         }
         return all.toString();
@@ -54,33 +53,33 @@
                             known(one.get("known").getAsString())));
                 }
             } catch (JsonParseException | IllegalStateException | NullPointerException e) {
-                throw new IllegalArgumentException("attempts that can't be read: " + e.getMessage(), e);
+                throw new IllegalArgumentException("malformed attempts: " + e.getMessage(), e);
             }
         }
         return attempts;
     }
 
-    static String word(Known known) {
-        return KNOWN[known.ordinal()];
+    static String knownName(Known known) {
+        return KNOWN_NAMES[known.ordinal()];
     }
 
-    private static Known known(String word) {
+    private static Known known(String name) {
         for (Known known : Known.values()) {
-            if (KNOWN[known.ordinal()].equals(word)) {
+            if (KNOWN_NAMES[known.ordinal()].equals(name)) {
                 return known;
             }
         }
-        throw new IllegalArgumentException("'" + word + "' is known of no attempt");
+        throw new IllegalArgumentException("'" + name + "' is not a known outcome of an attempt");
     }
 
-    static int sum(byte[] bytes) {
+    static int checksum(byte[] bytes) {
         CRC32C crc = new CRC32C();
         crc.update(bytes);
         return (int) crc.getValue();
     }
 
-    /** Over all that was taken on. */
-    static int sum(JobRow row) {
+    /** The checksum of the submission, excluding the body, which has its own checksum. */
+    static int checksum(JobRow row) {
         CRC32C crc = new CRC32C();
         for (String text : new String[] {
             row.jobClass(), row.function(), row.key(), row.target(), row.requestId(), String.valueOf(row.repeatKey())
@@ -100,14 +99,14 @@
                 .putInt(row.bodyBytes());
         crc.update(numbers.flip());
         if (row.notBeforeMs() != 0) {
-            // Rows of the first format have none, and their sums hold on.
+            // Rows of format 1 have no such value; leaving out 0 keeps their checksums valid.
             crc.update(ByteBuffer.allocate(8).putLong(row.notBeforeMs()).flip());
         }
         return (int) crc.getValue();
     }
 
-    /** Over where it stands. */
-    static int sum(long id, State state, String attempts, String reason, long changedMs) {
+    /** The checksum of a job's current state. */
+    static int checksum(long id, State state, String attempts, String reason, long changedMs) {
         CRC32C crc = new CRC32C();
         crc.update(ByteBuffer.allocate(24)
                 .putLong(id)
--- a/src/main/java/laneflow/durable/State.java
+++ b/src/main/java/laneflow/durable/State.java
@@ -1,6 +1,6 @@
 package laneflow.durable;
 
-/** Where a durable job stands. The numbers are on disk and never change their meaning. */
+/** The state of a durable job. The numbers are stored on disk, so their meaning never changes. */
 public enum State {
     QUEUED(0),
     RUNNING(1),
@@ -15,7 +15,7 @@
         this.number = number;
     }
 
-    /** True once it is at an end; a late word may still make another end of UNKNOWN and FAILED. */
+    /** Whether the state is final; a late outcome may still replace UNKNOWN and FAILED. */
     public boolean isEnd() {
         return number >= DONE.number;
     }
@@ -26,6 +26,6 @@
                 return state;
             }
         }
-        throw new IllegalArgumentException("no state has the number " + number);
+        throw new IllegalArgumentException("unknown state number " + number);
     }
 }
--- a/src/main/java/laneflow/durable/Store.java
+++ b/src/main/java/laneflow/durable/Store.java
@@ -20,26 +20,26 @@
 import org.sqlite.SQLiteException;
 
 /**
- * Durable jobs on disk, in SQLite (write-ahead log, synchronous=FULL): a batch of {@link Op}s is one
- * transaction and one sync, and is on disk when {@link #write} returns. Beside the database lie {@code
- * lock}, held for as long as the process lives, and {@code witness}, the number of the last acknowledged
- * commit.
+ * Stores durable jobs in SQLite (write-ahead log, synchronous=FULL): a batch of {@link Op}s is one transaction
+ * with one sync, and is on disk when {@link #write} returns. The folder also contains {@code lock}, which is
+ * held while the store is open, and {@code witness}, the number of the last acknowledged commit.
  *
- * <p>The witness is written after the commit and never synced. A process that dies can't lose it, and after
- * a loss of power it may be behind the database, never ahead: a database that is behind its witness has lost
- * acknowledged commits. SQLite alone can't tell, since it takes a damaged end of its log for a commit that
- * was never made.
+ * <p>The witness is written after each commit and never synced. It survives the death of the process; after a
+ * power loss it may be behind the database but never ahead. A database that is behind its witness has therefore
+ * lost acknowledged commits. SQLite alone can't detect this, because it treats a damaged end of its log as an
+ * incomplete commit.
  *
- * <p>Not thread-safe: one thread owns it. Blocks on the disk.
+ * <p>Not thread-safe: one thread owns it. Blocks on disk I/O.
  */
-public final class Store implements Journal.Disk {
-    /** The form of the tables; 0 before there are any. */
-    static final int FORMAT = 2;
-    /** What makes a store of the first format one of the second. */
-    private static final String TO_SECOND = "ALTER TABLE job ADD COLUMN not_before_ms INTEGER NOT NULL DEFAULT 0";
-
-    private static final int PAGE = 4096;
-    private static final int WITNESS = 12;
+public final class Store implements Journal.Storage {
+    /** The current version of the schema; 0 means that there are no tables yet. */
+    static final int FORMAT_VERSION = 2;
+    /** Migrates a store from format 1 to format 2. */
+    private static final String MIGRATION_1_TO_2 =
+            "ALTER TABLE job ADD COLUMN not_before_ms INTEGER NOT NULL DEFAULT 0";
+
+    private static final int PAGE_BYTES = 4096;
+    private static final int WITNESS_BYTES = 12;
     private static final String[] TABLES = {
         "CREATE TABLE meta(key TEXT PRIMARY KEY, value INTEGER NOT NULL) WITHOUT ROWID",
         "CREATE TABLE job(id INTEGER PRIMARY KEY, class TEXT NOT NULL, function TEXT NOT NULL,"
@@ -57,29 +57,29 @@
     private final FileChannel lock;
     private FileChannel witness;
     private Connection db;
-    private PreparedStatement accept;
-    private PreparedStatement move;
-    private PreparedStatement end;
-    private PreparedStatement mark;
-    private PreparedStatement[] drop;
+    private PreparedStatement insertJob;
+    private PreparedStatement upsertState;
+    private PreparedStatement upsertResult;
+    private PreparedStatement updateMeta;
+    private PreparedStatement[] deleteJob;
     private long commits;
     private long latestMs;
     private StoreException broken;
 
     /**
-     * Opens the store there, or makes one.
+     * Opens the store in this folder, or creates it.
      *
-     * @param mostBytes the most that the database takes on disk, its log apart
+     * @param maxBytes upper bound on the size of the database on disk, without its log
      */
-    public static Store open(Path dir, long mostBytes) throws IOException {
+    public static Store open(Path dir, long maxBytes) throws IOException {
         Files.createDirectories(dir);
         Store store = new Store(dir);
         try {
-            store.open(mostBytes);
+            store.open(maxBytes);
             return store;
         } catch (SQLException e) {
             store.close();
-            throw store.meaning(e);
+            throw store.toStoreException(e);
         } catch (IOException e) {
             store.close();
             throw e;
@@ -91,10 +91,10 @@
         lock = FileChannel.open(
                 dir.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
         if (!FolderLock.tryLock(lock)) {
-            ByteBuffer said = ByteBuffer.allocate(64);
-            lock.read(said, 0);
+            ByteBuffer buffer = ByteBuffer.allocate(64);
+            lock.read(buffer, 0);
             lock.close();
-            String holder = new String(said.array(), 0, said.position(), StandardCharsets.US_ASCII).strip();
+            String holder = new String(buffer.array(), 0, buffer.position(), StandardCharsets.US_ASCII).strip();
             throw new StoreException(
                     StoreException.Kind.HELD,
                     dir + ": the store is held by "
@@ -105,77 +105,80 @@
         lock.write(ByteBuffer.wrap((ProcessHandle.current().pid() + "\n").getBytes(StandardCharsets.US_ASCII)), 0);
     }
 
-    private void open(long mostBytes) throws SQLException, IOException {
+    private void open(long maxBytes) throws SQLException, IOException {
         db = DriverManager.getConnection("jdbc:sqlite:" + dir.resolve("jobs.db").toAbsolutePath());
-        run("PRAGMA locking_mode=EXCLUSIVE");
-        run("PRAGMA auto_vacuum=INCREMENTAL");
-        run("PRAGMA journal_mode=WAL");
-        run("PRAGMA synchronous=FULL");
-        run("PRAGMA wal_autocheckpoint=4000");
-        run("PRAGMA max_page_count=" + Math.max(16, mostBytes / PAGE));
-        int format = (int) number("PRAGMA user_version");
-        if (format > FORMAT) {
+        execute("PRAGMA locking_mode=EXCLUSIVE");
+        execute("PRAGMA auto_vacuum=INCREMENTAL");
+        execute("PRAGMA journal_mode=WAL");
+        execute("PRAGMA synchronous=FULL");
+        execute("PRAGMA wal_autocheckpoint=4000");
+        execute("PRAGMA max_page_count=" + Math.max(16, maxBytes / PAGE_BYTES));
+        int format = (int) queryLong("PRAGMA user_version");
+        if (format > FORMAT_VERSION) {
             throw new StoreException(
                     StoreException.Kind.FORMAT,
-                    dir + ": the store has format " + format + ", this build reads up to " + FORMAT
+                    dir + ": the store has format " + format + ", this build reads up to " + FORMAT_VERSION
                             + "; a newer laneflow wrote it");
         }
         if (format == 0) {
-            run("BEGIN IMMEDIATE");
+            execute("BEGIN IMMEDIATE");
             for (String table : TABLES) {
-                run(table);
+                execute(table);
             }
-            run(TO_SECOND);
-            run("INSERT INTO meta VALUES('commits', 0), ('latest_ms', 0)");
-            run("PRAGMA user_version=" + FORMAT);
-            run("COMMIT");
+            execute(MIGRATION_1_TO_2);
+            execute("INSERT INTO meta VALUES('commits', 0), ('latest_ms', 0)");
+            execute("PRAGMA user_version=" + FORMAT_VERSION);
+            execute("COMMIT");
         }
         if (format == 1) {
-            run("BEGIN IMMEDIATE");
-            run(TO_SECOND);
-            run("PRAGMA user_version=" + FORMAT);
-            run("COMMIT");
+            execute("BEGIN IMMEDIATE");
+            execute(MIGRATION_1_TO_2);
+            execute("PRAGMA user_version=" + FORMAT_VERSION);
+            execute("COMMIT");
         }
-        commits = number("SELECT value FROM meta WHERE key='commits'");
-        latestMs = number("SELECT value FROM meta WHERE key='latest_ms'");
+        commits = queryLong("SELECT value FROM meta WHERE key='commits'");
+        latestMs = queryLong("SELECT value FROM meta WHERE key='latest_ms'");
         witness = FileChannel.open(
                 dir.resolve("witness"), StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
-        long seen = witnessed();
+        long seen = readWitness();
         if (seen > commits) {
             throw new StoreException(
                     StoreException.Kind.DAMAGED,
                     dir + ": " + (seen - commits)
                             + " acknowledged commits are missing (commit " + seen
                             + " was acknowledged, the last one here is "
-                            + commits + "): jobs.db or its log was damaged or put back. 'laneflow jobs verify"
+                            + commits
+                            + "): jobs.db or its log was damaged or replaced by an older copy. 'laneflow jobs verify"
                             + " --accept-loss'"
-                            + " goes on with what is left");
+                            + " continues with the remaining data");
         }
         prepare();
     }
 
     private void prepare() throws SQLException {
-        accept = db.prepareStatement("INSERT INTO job VALUES(?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?)");
-        move = db.prepareStatement("INSERT OR REPLACE INTO state VALUES(?,?,?,?,?,?)");
-        end = db.prepareStatement("INSERT OR REPLACE INTO result VALUES(?,?,?)");
-        mark = db.prepareStatement("UPDATE meta SET value=CASE key" + " WHEN 'commits' THEN ? ELSE max(value, ?) END");
-        drop = new PreparedStatement[] {
+        insertJob = db.prepareStatement("INSERT INTO job VALUES(?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?,?)");
+        upsertState = db.prepareStatement("INSERT OR REPLACE INTO state VALUES(?,?,?,?,?,?)");
+        upsertResult = db.prepareStatement("INSERT OR REPLACE INTO result VALUES(?,?,?)");
+        updateMeta =
+                db.prepareStatement("UPDATE meta SET value=CASE key" + " WHEN 'commits' THEN ? ELSE max(value, ?) END");
+        deleteJob = new PreparedStatement[] {
             db.prepareStatement("DELETE FROM result WHERE id=?"),
             db.prepareStatement("DELETE FROM state WHERE id=?"),
             db.prepareStatement("DELETE FROM job WHERE id=?")
         };
     }
 
-    private void forget() throws SQLException {
-        for (PreparedStatement statement :
-                new PreparedStatement[] {accept, move, end, mark, drop[0], drop[1], drop[2]}) {
+    private void closeStatements() throws SQLException {
+        for (PreparedStatement statement : new PreparedStatement[] {
+            insertJob, upsertState, upsertResult, updateMeta, deleteJob[0], deleteJob[1], deleteJob[2]
+        }) {
             statement.close();
         }
     }
 
     // ---- writing ----
 
-    /** Writes all of them or none; they are on disk when this returns. */
+    /** Writes the ops atomically; they are on disk when this returns. */
     @Override
     public void write(List<Op> ops) throws StoreException {
         if (broken != null) {
@@ -183,128 +186,129 @@
         }
         long latest = latestMs;
         try {
-            // Begun and ended here by hand: the driver loses count where SQLite rolls back by itself.
-            run("BEGIN IMMEDIATE");
+            // Explicit BEGIN and COMMIT: the driver loses track of the transaction when SQLite rolls back by itself.
+            execute("BEGIN IMMEDIATE");
             for (Op op : ops) {
                 apply(op);
                 latest = Math.max(latest, op.atMs());
             }
-            mark.setLong(1, commits + 1);
-            mark.setLong(2, latest);
-            mark.executeUpdate();
-            run("COMMIT");
+            updateMeta.setLong(1, commits + 1);
+            updateMeta.setLong(2, latest);
+            updateMeta.executeUpdate();
+            execute("COMMIT");
         } catch (SQLException e) {
-            throw undone(e);
+            throw rollback(e);
         }
         commits++;
         latestMs = latest;
-        bearWitness();
+        writeWitness();
     }
 
     private void apply(Op op) throws SQLException {
         switch (op.kind()) {
             case ACCEPT:
-                accept(op.row());
+                writeJob(op.row());
                 if (op.state() != State.QUEUED || !op.attempts().isEmpty()) {
-                    stands(op);
+                    writeState(op);
                 }
                 break;
             case DROP:
-                for (PreparedStatement each : drop) {
+                for (PreparedStatement each : deleteJob) {
                     each.setLong(1, op.id());
                     each.executeUpdate();
                 }
                 break;
             default:
-                stands(op);
+                writeState(op);
                 break;
         }
     }
 
-    private void stands(Op op) throws SQLException {
+    private void writeState(Op op) throws SQLException {
         String attempts = RowCodec.attempts(op.attempts());
-        move.setLong(1, op.id());
-        move.setInt(2, op.state().number);
-        move.setString(3, attempts);
-        move.setString(4, op.reason());
-        move.setLong(5, op.atMs());
-        move.setInt(6, RowCodec.sum(op.id(), op.state(), attempts, op.reason(), op.atMs()));
-        move.executeUpdate();
+        upsertState.setLong(1, op.id());
+        upsertState.setInt(2, op.state().number);
+        upsertState.setString(3, attempts);
+        upsertState.setString(4, op.reason());
+        upsertState.setLong(5, op.atMs());
+        upsertState.setInt(6, RowCodec.checksum(op.id(), op.state(), attempts, op.reason(), op.atMs()));
+        upsertState.executeUpdate();
         if (op.result() != null) {
-            end.setLong(1, op.id());
-            end.setInt(2, RowCodec.sum(op.result()));
-            end.setBytes(3, op.result());
-            end.executeUpdate();
+            upsertResult.setLong(1, op.id());
+            upsertResult.setInt(2, RowCodec.checksum(op.result()));
+            upsertResult.setBytes(3, op.result());
+            upsertResult.executeUpdate();
         }
     }
 
-    private void accept(JobRow row) throws SQLException {
-        accept.setLong(1, row.id());
-        accept.setString(2, row.jobClass());
-        accept.setString(3, row.function());
-        accept.setString(4, row.key());
-        accept.setString(5, row.target());
-        accept.setString(6, row.requestId());
-        accept.setString(7, row.repeatKey());
+    private void writeJob(JobRow row) throws SQLException {
+        insertJob.setLong(1, row.id());
+        insertJob.setString(2, row.jobClass());
+        insertJob.setString(3, row.function());
+        insertJob.setString(4, row.key());
+        insertJob.setString(5, row.target());
+        insertJob.setString(6, row.requestId());
+        insertJob.setString(7, row.repeatKey());
         if (Double.isNaN(row.hint())) {
-            accept.setNull(8, Types.REAL);
+            insertJob.setNull(8, Types.REAL);
         } else {
-            accept.setDouble(8, row.hint());
-        }
-        accept.setDouble(9, row.slots());
-        accept.setDouble(10, row.memory());
-        accept.setLong(11, row.subject());
-        accept.setInt(12, row.urgency());
-        accept.setLong(13, row.acceptedMs());
-        accept.setInt(14, row.bodySum());
-        accept.setInt(15, RowCodec.sum(row));
-        accept.setBytes(16, row.body());
-        accept.setLong(17, row.notBeforeMs());
-        accept.executeUpdate();
+            insertJob.setDouble(8, row.hint());
+        }
+        insertJob.setDouble(9, row.slots());
+        insertJob.setDouble(10, row.memory());
+        insertJob.setLong(11, row.subject());
+        insertJob.setInt(12, row.urgency());
+        insertJob.setLong(13, row.acceptedMs());
+        insertJob.setInt(14, row.bodySum());
+        insertJob.setInt(15, RowCodec.checksum(row));
+        insertJob.setBytes(16, row.body());
+        insertJob.setLong(17, row.notBeforeMs());
+        insertJob.executeUpdate();
     }
 
-    /** Undoes a transaction that failed. Where the disk itself failed nothing is asked of it any more. */
-    private StoreException undone(SQLException e) {
-        StoreException meaning = meaning(e);
+    /** Rolls back a failed transaction. Unless the store is merely full, it is not written to any more. */
+    private StoreException rollback(SQLException e) {
+        StoreException failure = toStoreException(e);
         try {
-            run("ROLLBACK");
+            execute("ROLLBACK");
         } catch (SQLException again) {
-            // There was nothing to undo: SQLite has rolled back by itself, as it does on some failures.
+            // No transaction was open: on some failures SQLite rolls back by itself.
             e.addSuppressed(again);
         }
         try {
-            // The driver closes a statement that fails.
-            forget();
+            // The driver closes a statement that fails, so all are prepared again.
+            closeStatements();
             prepare();
         } catch (SQLException again) {
-            meaning = meaning(again);
+            failure = toStoreException(again);
         }
-        if (meaning.kind != StoreException.Kind.FULL) {
-            broken = meaning;
+        if (failure.kind != StoreException.Kind.FULL) {
+            broken = failure;
         }
-        return meaning;
+        return failure;
     }
 
-    private void bearWitness() throws StoreException {
-        ByteBuffer said = ByteBuffer.allocate(WITNESS).putLong(commits);
-        said.putInt(RowCodec.sum(ByteBuffer.allocate(8).putLong(commits).array()));
+    private void writeWitness() throws StoreException {
+        ByteBuffer buffer = ByteBuffer.allocate(WITNESS_BYTES).putLong(commits);
+        buffer.putInt(RowCodec.checksum(ByteBuffer.allocate(8).putLong(commits).array()));
         try {
-            witness.write(said.flip(), 0);
+            witness.write(buffer.flip(), 0);
         } catch (IOException e) {
             broken = new StoreException(StoreException.Kind.BROKEN, dir + ": witness: " + e.getMessage(), e);
             throw broken;
         }
     }
 
-    /** The last commit that was acknowledged, as far as the witness can be read. */
-    private long witnessed() throws IOException {
-        ByteBuffer said = ByteBuffer.allocate(WITNESS);
-        if (witness.read(said, 0) < WITNESS) {
+    /** The number of the last acknowledged commit; 0 if the witness is missing or damaged. */
+    private long readWitness() throws IOException {
+        ByteBuffer buffer = ByteBuffer.allocate(WITNESS_BYTES);
+        if (witness.read(buffer, 0) < WITNESS_BYTES) {
             return 0;
         }
-        long seen = said.flip().getLong();
-        return said.getInt()
-                        == RowCodec.sum(ByteBuffer.allocate(8).putLong(seen).array())
+        long seen = buffer.flip().getLong();
+        return buffer.getInt()
+                        == RowCodec.checksum(
+                                ByteBuffer.allocate(8).putLong(seen).array())
                 ? seen
                 : 0;
     }
@@ -312,8 +316,9 @@
     // ---- reading ----
 
     /**
-     * Tells of every job, in the order of their ids; one whose row is not as it was written ends the
-     * reading.
+     * Reads all jobs in the order of their ids, and fails at the first row that is damaged.
+     *
+     * @param bodies whether to read the bodies of ended jobs too
      */
     public void read(boolean bodies, Consumer<JobRow> to) throws StoreException {
         read(bodies, to, damage -> {
@@ -339,11 +344,11 @@
                 }
             }
         } catch (SQLException e) {
-            throw meaning(e);
+            throw toStoreException(e);
         } catch (IllegalArgumentException e) {
             throw new StoreException(
                     StoreException.Kind.DAMAGED,
-                    dir + ": " + e.getMessage() + ". 'laneflow jobs verify' names all that is damaged",
+                    dir + ": " + e.getMessage() + ". 'laneflow jobs verify' lists all damage",
                     e);
         }
     }
@@ -374,8 +379,9 @@
                 "",
                 from.getLong(13),
                 from.getLong(23));
-        if (RowCodec.sum(row) != from.getInt(15) || row.body() != null && RowCodec.sum(row.body()) != row.bodySum()) {
-            throw new IllegalArgumentException("what was taken on is not as it was written");
+        if (RowCodec.checksum(row) != from.getInt(15)
+                || row.body() != null && RowCodec.checksum(row.body()) != row.bodySum()) {
+            throw new IllegalArgumentException("checksum mismatch in its submission");
         }
         int number = from.getInt(18);
         if (from.wasNull()) {
@@ -385,53 +391,53 @@
         String reason = from.getString(20);
         long changed = from.getLong(21);
         State state = State.of(number);
-        if (RowCodec.sum(id, state, attempts, reason, changed) != from.getInt(22)) {
-            throw new IllegalArgumentException("where it stands is not as it was written");
+        if (RowCodec.checksum(id, state, attempts, reason, changed) != from.getInt(22)) {
+            throw new IllegalArgumentException("checksum mismatch in its state");
         }
-        return row.at(state, RowCodec.attempts(attempts), reason, changed);
+        return row.withState(state, RowCodec.attempts(attempts), reason, changed);
     }
 
-    /** A job's result, or null where there is none. */
+    /** A job's result, or null if there is none. */
     @Override
     public byte[] result(long id) throws StoreException {
         try (PreparedStatement query = db.prepareStatement("SELECT sum, body FROM result WHERE id=?")) {
             query.setLong(1, id);
             try (ResultSet from = query.executeQuery()) {
                 byte[] body = from.next() ? from.getBytes(2) : null;
-                if (body != null && RowCodec.sum(body) != from.getInt(1)) {
+                if (body != null && RowCodec.checksum(body) != from.getInt(1)) {
                     throw new StoreException(
-                            StoreException.Kind.DAMAGED, "the result of job " + hex(id) + " is not as it was written");
+                            StoreException.Kind.DAMAGED, "job " + hex(id) + ": checksum mismatch in its result");
                 }
                 return body;
             }
         } catch (SQLException e) {
-            throw meaning(e);
+            throw toStoreException(e);
         }
     }
 
-    /** The latest wall clock on record. */
+    /** The latest recorded wall-clock time. */
     public long latestMs() {
         return latestMs;
     }
 
-    /** Commits since the store was made. */
+    /** The number of commits since the store was created. */
     public long commits() {
         return commits;
     }
 
-    /** Bytes of the database in use; what is free in its file is not counted. */
+    /** The size in bytes of the database pages in use, without free pages. */
     @Override
     public long usedBytes() throws StoreException {
         try {
-            return (number("PRAGMA page_count") - number("PRAGMA freelist_count")) * PAGE;
+            return (queryLong("PRAGMA page_count") - queryLong("PRAGMA freelist_count")) * PAGE_BYTES;
         } catch (SQLException e) {
-            throw meaning(e);
+            throw toStoreException(e);
         }
     }
 
-    // ---- care ----
+    // ---- maintenance ----
 
-    /** All that is wrong with it, in words; empty if nothing is. */
+    /** Checks the whole store and reports each damage found, as text. */
     public void verify(Consumer<String> damage) throws StoreException {
         try (Statement statement = db.createStatement();
                 ResultSet said = statement.executeQuery("PRAGMA integrity_check")) {
@@ -449,7 +455,7 @@
                 row -> {
                     try {
                         if (row.state() == State.DONE && result(row.id()) == null) {
-                            damage.accept("job " + hex(row.id()) + ": done, with no result");
+                            damage.accept("job " + hex(row.id()) + ": done, but has no result");
                         }
                     } catch (StoreException e) {
                         damage.accept(e.getMessage());
@@ -458,30 +464,30 @@
                 damage);
     }
 
-    /** Gives back a part of the free room, as much as takes a few milliseconds. */
+    /** Returns some free pages to the file system; takes a few milliseconds. */
     @Override
-    public void tidy() throws StoreException {
+    public void vacuumIncrementally() throws StoreException {
         try {
-            run("PRAGMA incremental_vacuum(200)");
+            execute("PRAGMA incremental_vacuum(200)");
         } catch (SQLException e) {
-            throw undone(e);
+            throw rollback(e);
         }
     }
 
-    /** Gives back all free room; takes as long as writing all of it anew. */
+    /** Returns all free pages to the file system; rewrites the whole database. */
     public void compact() throws StoreException {
         try {
-            // The driver leaves a statement that has run in progress, and beside such there is no VACUUM.
-            forget();
-            run("VACUUM");
-            run("PRAGMA wal_checkpoint(TRUNCATE)");
+            // The driver leaves executed statements open, and VACUUM fails while a statement is open.
+            closeStatements();
+            execute("VACUUM");
+            execute("PRAGMA wal_checkpoint(TRUNCATE)");
             prepare();
         } catch (SQLException e) {
-            throw undone(e);
+            throw rollback(e);
         }
     }
 
-    /** Goes on with what is left where acknowledged commits are missing; returns how many there were. */
+    /** Accepts the loss of acknowledged commits and keeps the remaining data; returns how many were lost. */
     public static long acceptLoss(Path dir) throws IOException {
         Path file = dir.resolve("witness");
         Path aside = dir.resolve("witness.lost");
@@ -490,7 +496,7 @@
         }
         Files.move(file, aside, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
         try (Store store = open(dir, Long.MAX_VALUE / 2)) {
-            store.bearWitness();
+            store.writeWitness();
             return Math.max(0, ByteBuffer.wrap(Files.readAllBytes(aside)).getLong() - store.commits);
         }
     }
@@ -499,11 +505,11 @@
         return String.format("%016x", id);
     }
 
-    private void run(String sql) throws SQLException {
+    private void execute(String sql) throws SQLException {
         try (Statement statement = db.createStatement()) {
             if (statement.execute(sql)) {
                 try (ResultSet rows = statement.getResultSet()) {
-                    // Some pragmas do their work as their rows are read.
+                    // Some pragmas only take effect as their rows are read.
                     while (rows.next()) {
                         rows.getObject(1);
                     }
@@ -512,14 +518,14 @@
         }
     }
 
-    private long number(String sql) throws SQLException {
+    private long queryLong(String sql) throws SQLException {
         try (Statement statement = db.createStatement();
                 ResultSet from = statement.executeQuery(sql)) {
             return from.next() ? from.getLong(1) : 0;
         }
     }
 
-    private StoreException meaning(SQLException e) {
+    private StoreException toStoreException(SQLException e) {
         SQLiteErrorCode code = e instanceof SQLiteException ? ((SQLiteException) e).getResultCode() : null;
         StoreException.Kind kind = StoreException.Kind.BROKEN;
         if (code == SQLiteErrorCode.SQLITE_FULL) {
@@ -539,8 +545,8 @@
                 db.close();
             }
         } catch (SQLException e) {
-            // What was acknowledged is on disk already; closing only tidies up.
-            broken = meaning(e);
+            // Acknowledged data is on disk already; closing only cleans up.
+            broken = toStoreException(e);
         }
         try {
             if (witness != null) {
--- a/src/main/java/laneflow/durable/StoreException.java
+++ b/src/main/java/laneflow/durable/StoreException.java
@@ -2,21 +2,21 @@
 
 import java.io.IOException;
 
-/** What the store can't do, and what that means for those who asked. */
+/** A failure of the store, with the consequence for the caller. */
 public final class StoreException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    /** What it means. */
+    /** The kind of failure. */
     public enum Kind {
-        /** No room: nothing of this was written; asked again later it may go through. */
+        /** The store is full: nothing was written; a later retry may succeed. */
         FULL,
-        /** The disk failed, a sync among it: what is on it is not known. Nothing is asked of it again. */
+        /** The disk failed, for example a sync: its contents are unknown, and the store is not used again. */
         BROKEN,
-        /** Another process has the store. */
+        /** Another process holds the store. */
         HELD,
-        /** The store is of a format that this build does not read. */
+        /** This build cannot read the store's format. */
         FORMAT,
-        /** What was acknowledged is not there, or not as it was written. */
+        /** Acknowledged data is missing or was altered. */
         DAMAGED
     }
 
--- a/src/main/java/laneflow/durable/StoreMaintenance.java
+++ b/src/main/java/laneflow/durable/StoreMaintenance.java
@@ -9,18 +9,18 @@
 import java.util.Set;
 import laneflow.durable.decision.AttemptRecord;
 
-/** What is done to a store while no scheduler runs on it. Blocks on the disk. */
+/** Operations on a store that no scheduler is running on. Blocks on disk I/O. */
 public final class StoreMaintenance {
-    /** For those who only look, or must not be stopped by a limit that the scheduler sets itself. */
+    /** Maximum size for tools, which are not bound by the limit that the scheduler sets for itself. */
     public static final long NO_LIMIT = 1L << 42;
 
     private static final int BATCH = 500;
 
     /**
-     * What an adoption did.
+     * The result of an adoption.
      *
-     * @param alreadyPresent jobs that an earlier, interrupted adoption had moved already
-     * @param keyConflicts jobs whose key belongs to another job here: kept, under no key
+     * @param alreadyPresent jobs that an earlier, interrupted adoption had already moved
+     * @param keyConflicts ids of jobs whose key belongs to another job of the target; they are stored without a key
      */
     public record AdoptionResult(int moved, int alreadyPresent, List<String> keyConflicts) {}
 
@@ -37,69 +37,69 @@
         return found[0];
     }
 
-    /** Cancels a job that has not begun; else says why not. */
+    /** Cancels a job that has not begun; throws if it may have. */
     public static void cancel(Store store, long id, long nowMs) throws IOException {
         JobRow row = find(store, id);
         if (row == null) {
             throw new IOException("no job " + hex(id));
         }
         if (row.state().isEnd() || row.attempts().stream().anyMatch(AttemptRecord::mayHaveRun)) {
-            throw new IOException("job " + hex(id) + " has begun, or is at its end: " + row.state());
+            throw new IOException("job " + hex(id) + " has begun or has ended: " + row.state());
         }
         store.write(List.of(Op.end(id, State.CANCELLED, row.attempts(), "cancelled", null, nowMs)));
     }
 
-    /** These jobs are another store's now. */
+    /** Deletes jobs that another store now holds. */
     public static void drop(Store store, List<Long> ids) throws StoreException {
         store.write(ids.stream().map(id -> Op.drop(id, 0)).toList());
     }
 
     /**
-     * Moves all jobs from one store to another, in batches: first they are on disk there, then they leave
-     * here. A crash between the two leaves some in both; adopting again finds them by their ids and goes on.
-     * What was out at the dead scheduler is settled by the one that opens the other store, as after a crash
-     * of its own.
+     * Moves all jobs from the source, the store of a dead scheduler, to the target in batches: each batch is
+     * written to the target before it is deleted from the source. A crash in between leaves some jobs in both;
+     * the next adoption recognizes them by their ids and continues. Attempts that were outstanding are settled
+     * by the scheduler that opens the target, as after a crash of its own.
      */
-    public static AdoptionResult adopt(Store dead, Store living) throws IOException {
+    public static AdoptionResult adopt(Store source, Store target) throws IOException {
         Set<Long> ids = new HashSet<>();
         Map<String, Long> keys = new HashMap<>();
-        living.read(false, row -> {
+        target.read(false, row -> {
             ids.add(row.id());
             if (!row.key().isEmpty()) {
                 keys.put(row.key(), row.id());
             }
         });
         List<JobRow> rows = new ArrayList<>();
-        dead.read(true, rows::add);
+        source.read(true, rows::add);
         int moved = 0;
-        int there = 0;
-        List<String> taken = new ArrayList<>();
+        int alreadyPresent = 0;
+        List<String> keyConflicts = new ArrayList<>();
         for (int from = 0; from < rows.size(); from += BATCH) {
-            List<Op> in = new ArrayList<>();
-            List<Op> out = new ArrayList<>();
+            List<Op> inserts = new ArrayList<>();
+            List<Op> deletes = new ArrayList<>();
             for (JobRow row : rows.subList(from, Math.min(rows.size(), from + BATCH))) {
-                out.add(Op.drop(row.id(), row.changedMs()));
+                deletes.add(Op.drop(row.id(), row.changedMs()));
                 if (ids.contains(row.id())) {
-                    there++;
+                    alreadyPresent++;
                     continue;
                 }
-                JobRow kept = row;
+                JobRow adopted = row;
                 if (keys.containsKey(row.key())) {
-                    taken.add(hex(row.id()));
-                    kept = row.withoutKey();
+                    keyConflicts.add(hex(row.id()));
+                    adopted = row.withoutKey();
                 }
-                in.add(Op.accept(kept));
-                byte[] result = dead.result(row.id());
+                inserts.add(Op.accept(adopted));
+                byte[] result = source.result(row.id());
                 if (result != null) {
-                    in.add(Op.end(row.id(), row.state(), row.attempts(), row.reason(), result, row.changedMs()));
+                    inserts.add(Op.end(row.id(), row.state(), row.attempts(), row.reason(), result, row.changedMs()));
                 } else if (row.state() != State.QUEUED || !row.attempts().isEmpty()) {
-                    in.add(Op.stands(row));
+                    inserts.add(Op.restore(row));
                 }
                 moved++;
             }
-            living.write(in);
-            dead.write(out);
+            target.write(inserts);
+            source.write(deletes);
         }
-        return new AdoptionResult(moved, there, taken);
+        return new AdoptionResult(moved, alreadyPresent, keyConflicts);
     }
 }
--- a/src/main/java/laneflow/durable/decision/AttemptRecord.java
+++ b/src/main/java/laneflow/durable/decision/AttemptRecord.java
@@ -1,38 +1,38 @@
 package laneflow.durable.decision;
 
 /**
- * One attempt of a durable job, as it is recorded: the lease under which it went out and what is known of it.
+ * The stored record of one attempt of a durable job: its lease and its known outcome.
  *
- * @param number counts from 1 over the job's whole life; a word on the job names its lease by it
- * @param endpoint where it went
- * @param leasedMs when the lease was written, before the first byte; Unix time in milliseconds
- * @param endMs when the lease runs out, as far as heartbeats have prolonged it on record
+ * @param number counts from 1 over the job's lifetime; outcomes refer to the lease by this number
+ * @param endpoint the name of the endpoint that the attempt was sent to
+ * @param leasedMs when the lease was written, before the first byte was sent; Unix time in milliseconds
+ * @param endMs when the lease expires, including the heartbeat extensions recorded so far
  */
 public record AttemptRecord(int number, String endpoint, long leasedMs, long endMs, Known known) {
 
-    /** What is known of an attempt. */
+    /** The known outcome of an attempt. */
     public enum Known {
-        /** Its lease holds and nothing has been heard to the contrary. */
+        /** Outstanding: the lease was granted and no outcome is recorded. */
         OUT,
-        /** Proven: its endpoint never began. */
+        /** The endpoint provably never started it. */
         NEVER_RAN,
-        /** It may have run, or may be running still. */
+        /** The endpoint may have run it, or may still be running it. */
         MAY_HAVE_RUN,
-        /** Its endpoint said that it failed. */
+        /** The endpoint reported failure. */
         SAID_FAILED,
-        /** Its endpoint said that it is done. */
+        /** The endpoint reported success. */
         DONE
     }
 
-    public AttemptRecord with(Known now) {
-        return new AttemptRecord(number, endpoint, leasedMs, endMs, now);
+    public AttemptRecord withKnown(Known newKnown) {
+        return new AttemptRecord(number, endpoint, leasedMs, endMs, newKnown);
     }
 
-    public AttemptRecord until(long prolongedMs) {
-        return new AttemptRecord(number, endpoint, leasedMs, prolongedMs, known);
+    public AttemptRecord withEndMs(long newEndMs) {
+        return new AttemptRecord(number, endpoint, leasedMs, newEndMs, known);
     }
 
-    /** True unless it is proven that its endpoint never began. */
+    /** True unless the endpoint provably never started the attempt. */
     public boolean mayHaveRun() {
         return known != Known.NEVER_RAN;
     }
--- a/src/main/java/laneflow/durable/decision/Pacer.java
+++ b/src/main/java/laneflow/durable/decision/Pacer.java
@@ -1,46 +1,46 @@
 package laneflow.durable.decision;
 
 /**
- * How many durable jobs of a class may be at work at a time. Nobody waits for their answers, so they take
- * what live requests leave: the number grows with each served job and shrinks as soon as endpoints are seen
- * to queue or anything is refused. Additive increase, multiplicative decrease (Chiu and Jain, 1989), with
- * the wait before a start as the signal of a queue, as in TCP Vegas; a doubling start until the first sign
- * of either. Times are microseconds. No I/O, no clock of its own.
+ * Limits how many durable jobs of a class run concurrently. No client waits for their results, so they only
+ * use capacity that live requests leave free: the window grows with each served job and shrinks as soon as
+ * jobs queue at endpoints or anything is refused. Additive increase, multiplicative decrease (Chiu and Jain,
+ * 1989), with the delay before a job starts as the signal of queueing, as in TCP Vegas. Until the first such
+ * signal or refusal the window grows exponentially. Times are in microseconds. No I/O, no clock of its own.
  */
 public final class Pacer {
-    /** An endpoint that starts a job later than this after its call was sent has a queue. */
-    public static final long QUEUED = 50_000;
-    /** Signs within this time of a decrease are of what was sent before it. */
-    private static final long SETTLE = 200_000;
-    /** The shortest and the longest pause behind a refusal; consecutive ones double it. */
-    private static final long FIRST_PAUSE = 20_000;
+    /** A longer delay between sending a call and the start of its job means that the endpoint queues. */
+    public static final long QUEUE_DELAY_THRESHOLD = 50_000;
+    /** Signals within this time after a decrease stem from calls sent before it, and are ignored. */
+    private static final long DECREASE_INTERVAL = 200_000;
+    /** Pause after the first refusal; consecutive refusals double it up to {@link #MAX_PAUSE}. */
+    private static final long MIN_PAUSE = 20_000;
 
-    private static final long LONGEST_PAUSE = 2_000_000;
+    private static final long MAX_PAUSE = 2_000_000;
 
-    private int most;
+    private int limit;
     private double window = 1;
-    private boolean doubling = true;
-    private long shrunkAt = Long.MIN_VALUE / 2;
+    private boolean exponentialGrowth = true;
+    private long lastDecreaseAt = Long.MIN_VALUE / 2;
     private long pausedUntil = Long.MIN_VALUE;
-    private long pause = FIRST_PAUSE;
+    private long nextPause = MIN_PAUSE;
 
-    /** @param most never more than this */
-    public Pacer(int most) {
-        this.most = most;
+    /** @param limit the upper bound of the window */
+    public Pacer(int limit) {
+        this.limit = limit;
     }
 
-    /** From now on never more than this. */
-    public void most(int given) {
-        most = given;
-        window = Math.min(window, most);
+    /** Changes the upper bound of the window, and shrinks the window if it exceeds the bound. */
+    public void setLimit(int newLimit) {
+        limit = newLimit;
+        window = Math.min(window, limit);
     }
 
-    /** Whether another may begin beside so many. */
-    public boolean room(long now, int atWork) {
-        return now >= pausedUntil && atWork < (int) window;
+    /** Whether another job may start while {@code running} jobs are running. */
+    public boolean mayStart(long now, int running) {
+        return now >= pausedUntil && running < (int) window;
     }
 
-    /** When to ask again if nothing happens before. */
+    /** The end of the current pause, before which no job may start. */
     public long pausedUntil() {
         return pausedUntil;
     }
@@ -49,41 +49,41 @@
         return (int) window;
     }
 
-    /** An endpoint has started on a job, so long after its call was sent. */
-    public void started(long now, long waited) {
-        if (waited > QUEUED) {
-            shrink(now, 0.8);
+    /** Records that an endpoint started a job {@code startDelay} after its call was sent. */
+    public void onStarted(long now, long startDelay) {
+        if (startDelay > QUEUE_DELAY_THRESHOLD) {
+            decrease(now, 0.8);
         }
     }
 
-    /** A job was served. */
-    public void served() {
-        pause = FIRST_PAUSE;
-        window = Math.min(most, window + (doubling ? 1 : 1 / window));
+    /** Records a served job. */
+    public void onServed() {
+        nextPause = MIN_PAUSE;
+        window = Math.min(limit, window + (exponentialGrowth ? 1 : 1 / window));
     }
 
-    /** A job was turned away. */
-    public void refused(long now) {
-        shrink(now, 0.5);
-        pausedUntil = Math.max(pausedUntil, now + pause);
-        pause = Math.min(LONGEST_PAUSE, 2 * pause);
+    /** Records a refused job: shrinks the window and pauses further starts. */
+    public void onRefused(long now) {
+        decrease(now, 0.5);
+        pausedUntil = Math.max(pausedUntil, now + nextPause);
+        nextPause = Math.min(MAX_PAUSE, 2 * nextPause);
     }
 
-    /** Live requests were refused since this was last asked: what is at work here was in their way. */
-    public void liveRefused(long now) {
-        shrink(now, 0.5);
+    /** Records that live requests were refused: the running durable jobs took capacity from them. */
+    public void onLiveRefused(long now) {
+        decrease(now, 0.5);
     }
 
-    /** Nothing begins before then, as where the store takes no leases. */
-    public void hold(long until) {
+    /** Lets no job start before {@code until}, for example while the store can't record leases. */
+    public void pauseUntil(long until) {
         pausedUntil = Math.max(pausedUntil, until);
     }
 
-    private void shrink(long now, double by) {
-        doubling = false;
-        if (now - shrunkAt >= SETTLE) {
-            shrunkAt = now;
-            window = Math.max(1, window * by);
+    private void decrease(long now, double factor) {
+        exponentialGrowth = false;
+        if (now - lastDecreaseAt >= DECREASE_INTERVAL) {
+            lastDecreaseAt = now;
+            window = Math.max(1, window * factor);
         }
     }
 }
--- a/src/main/java/laneflow/durable/decision/Quota.java
+++ b/src/main/java/laneflow/durable/decision/Quota.java
@@ -3,22 +3,22 @@
 import laneflow.durable.DurableConfig;
 
 /**
- * How many open jobs and bytes are held, by class and in all, and when to come back where there is no room.
- * Ended jobs do not count. Times are microseconds.
+ * Counts open jobs and their body bytes, per class and in total, against the configured limits, and estimates
+ * when a rejected client should retry. Ended jobs do not count. Times are in microseconds.
  */
 public final class Quota {
-    private static final double LONGEST_WAIT_S = 30;
-    private static final double SHORTEST_WAIT_S = 0.05;
-    /** Ends are counted over so long. */
-    private static final long SPAN = 5_000_000;
+    private static final double MAX_RETRY_AFTER_S = 30;
+    private static final double MIN_RETRY_AFTER_S = 0.05;
+    /** The interval over which the rate of ending jobs is measured. */
+    private static final long RATE_INTERVAL = 5_000_000;
 
     private final DurableConfig config;
     private final long[] jobs;
     private final long[] bytes;
-    private long allJobs;
-    private long allBytes;
-    private long spanFrom = Long.MIN_VALUE;
-    private long endedNow;
+    private long totalJobs;
+    private long totalBytes;
+    private long intervalStart = Long.MIN_VALUE;
+    private long endedInInterval;
     private double endsPerSecond;
 
     public Quota(DurableConfig config) {
@@ -27,48 +27,48 @@
         bytes = new long[config.classes.length];
     }
 
-    /** Whether a job of this class and size may be taken on. */
+    /** Whether a job of this class and body size fits within the limits. */
     public boolean admits(int jobClass, long size) {
-        DurableConfig.OfClass of = config.classes[jobClass];
-        return allJobs < config.mostJobs
-                && allBytes + size <= config.mostBytes
-                && jobs[jobClass] < of.mostJobs
-                && bytes[jobClass] + size <= of.mostBytes;
+        DurableConfig.ClassConfig limits = config.classes[jobClass];
+        return totalJobs < config.maxJobs
+                && totalBytes + size <= config.maxBytes
+                && jobs[jobClass] < limits.maxJobs
+                && bytes[jobClass] + size <= limits.maxBytes;
     }
 
-    /** One is held from now on; one that recovery brought counts whether it fits or not. */
+    /** Counts an open job; recovered jobs are counted even beyond the limits. */
     public void add(int jobClass, long size) {
         jobs[jobClass]++;
         bytes[jobClass] += size;
-        allJobs++;
-        allBytes += size;
+        totalJobs++;
+        totalBytes += size;
     }
 
-    /** One has ended. */
+    /** Removes a job that has ended. */
     public void remove(long now, int jobClass, long size) {
         jobs[jobClass]--;
         bytes[jobClass] -= size;
-        allJobs--;
-        allBytes -= size;
-        if (now - spanFrom > SPAN) {
-            endsPerSecond = spanFrom == Long.MIN_VALUE ? 0 : endedNow * 1e6 / (now - spanFrom);
-            spanFrom = now;
-            endedNow = 0;
+        totalJobs--;
+        totalBytes -= size;
+        if (now - intervalStart > RATE_INTERVAL) {
+            endsPerSecond = intervalStart == Long.MIN_VALUE ? 0 : endedInInterval * 1e6 / (now - intervalStart);
+            intervalStart = now;
+            endedInInterval = 0;
         }
-        endedNow++;
+        endedInInterval++;
     }
 
     public long jobs() {
-        return allJobs;
+        return totalJobs;
     }
 
     public long bytes() {
-        return allBytes;
+        return totalBytes;
     }
 
-    /** Seconds after which there may be room: as many as it takes for a hundredth of what is held to end. */
-    public double comeBack() {
-        double wait = endsPerSecond > 0 ? Math.max(1, allJobs / 100.0) / endsPerSecond : 1;
-        return Math.min(LONGEST_WAIT_S, Math.max(SHORTEST_WAIT_S, wait));
+    /** Seconds until there may be room: the time in which 1/100 of the open jobs are expected to end. */
+    public double retryAfterSeconds() {
+        double wait = endsPerSecond > 0 ? Math.max(1, totalJobs / 100.0) / endsPerSecond : 1;
+        return Math.min(MAX_RETRY_AFTER_S, Math.max(MIN_RETRY_AFTER_S, wait));
     }
 }
--- a/src/test/java/laneflow/durable/DecisionTest.java
+++ b/src/test/java/laneflow/durable/DecisionTest.java
@@ -19,7 +19,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** The decisions on durable jobs, by cases and over records drawn at random. */
+/** Tests the decisions on durable jobs, by examples and with random records. */
 class DecisionTest {
     private static final long WINDOW = 10_000;
 
@@ -36,18 +36,18 @@
     }
 
     @Test
-    void whatNeverRanGoesBackWhateverItIs() {
+    void attemptsThatNeverRanAreRequeuedForEveryEffect() {
         for (Effect effect : Effect.values()) {
-            assertEquals(Kind.AGAIN, decide(effect, 1000, List.of()).kind());
-            // Also by a clock that went back, and as often as it takes.
+            assertEquals(Kind.REQUEUE, decide(effect, 1000, List.of()).kind());
+            // Also when the clock was set back, and without a limit on such attempts.
             Known[] never = new Known[9];
             java.util.Arrays.fill(never, Known.NEVER_RAN);
-            assertEquals(Kind.AGAIN, decide(effect, 0, attempts(1000, never)).kind());
+            assertEquals(Kind.REQUEUE, decide(effect, 0, attempts(1000, never)).kind());
         }
     }
 
     @Test
-    void aCaptureThatMayHaveRunIsNeverSentAgain() {
+    void unsafeJobThatMayHaveRunIsNeverRequeued() {
         assertEquals(
                 Kind.UNKNOWN,
                 decide(Effect.UNSAFE, 1000, attempts(1000, Known.MAY_HAVE_RUN)).kind());
@@ -64,14 +64,14 @@
     }
 
     @Test
-    void aKeyGoesAgainInsideTheWindowOfItsEarliestAttempt() {
+    void keyedJobIsRequeuedOnlyWithinTheWindowOfItsEarliestAttempt() {
         List<AttemptRecord> two = attempts(1000, Known.NEVER_RAN, Known.MAY_HAVE_RUN);
         two.add(new AttemptRecord(3, "e", 9000, 9500, Known.MAY_HAVE_RUN));
         Verdict inside = decide(Effect.KEYED, 10_999, two);
-        assertEquals(Kind.AGAIN, inside.kind());
+        assertEquals(Kind.REQUEUE, inside.kind());
         assertEquals(11_000, inside.untilMs());
         assertEquals(Kind.UNKNOWN, decide(Effect.KEYED, 11_000, two).kind());
-        // A clock behind what is on record can't tell how old that is.
+        // With the clock behind the latest record, the attempt's age is unknown.
         assertEquals(Kind.UNKNOWN, decide(Effect.KEYED, 999, two).kind());
         assertEquals(
                 Kind.UNKNOWN,
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void attemptsAreCountedOverTheWholeLife() {
+    void attemptsAreLimitedOverTheJobsLifetime() {
         Known[] five = {Known.MAY_HAVE_RUN, Known.MAY_HAVE_RUN, Known.OUT, Known.SAID_FAILED, Known.MAY_HAVE_RUN};
         assertEquals(
                 Kind.FAILED, decide(Effect.SAFE, 1000, attempts(1000, five)).kind());
@@ -87,9 +87,9 @@
                 Kind.UNKNOWN, decide(Effect.KEYED, 1000, attempts(1000, five)).kind());
     }
 
-    /** Over any record: what may have run goes again only if it is safe, or keyed and inside its window. */
+    /** For any record: a job that may have run is requeued only if it is safe, or keyed and inside its window. */
     @Property(tries = 2000, seed = "7")
-    void nothingUnsafeGoesAgain(
+    void unsafeJobsThatMayHaveRunAreNotRequeued(
             @ForAll Effect effect,
             @ForAll @Size(max = 7) List<Known> known,
             @ForAll @IntRange(max = 40_000) int nowMs,
@@ -107,43 +107,43 @@
                 .orElse(0);
         Verdict verdict = Settlement.decide(effect, all, WINDOW, nowMs, latestMs, 5);
         assertEquals(verdict, Settlement.decide(effect, all, WINDOW, nowMs, latestMs, 5));
-        if (verdict.kind() == Kind.AGAIN && ran) {
+        if (verdict.kind() == Kind.REQUEUE && ran) {
             assertTrue(effect == Effect.SAFE
                     || effect == Effect.KEYED
                             && nowMs >= latestMs
                             && nowMs < first + WINDOW
                             && verdict.untilMs() == first + WINDOW);
         }
-        assertTrue(ran || verdict.kind() == Kind.AGAIN);
+        assertTrue(ran || verdict.kind() == Kind.REQUEUE);
     }
 
     @Test
-    void thePaceGrowsWithServiceAndGivesWay() {
+    void windowGrowsWithServedJobsAndShrinksOnCongestion() {
         Pacer pacer = new Pacer(64);
-        assertTrue(pacer.room(0, 0));
-        assertFalse(pacer.room(0, 1));
+        assertTrue(pacer.mayStart(0, 0));
+        assertFalse(pacer.mayStart(0, 1));
         for (int i = 0; i < 40; i++) {
-            pacer.served();
+            pacer.onServed();
         }
         assertEquals(41, pacer.window());
-        // A queue seen at an endpoint takes a fifth off, once for all that was sent before it.
-        pacer.started(1_000_000, 60_000);
-        pacer.started(1_000_001, 900_000);
+        // Queueing at an endpoint shrinks the window by a fifth, once for all calls sent before the decrease.
+        pacer.onStarted(1_000_000, 60_000);
+        pacer.onStarted(1_000_001, 900_000);
         assertEquals(32, pacer.window());
-        pacer.liveRefused(1_300_000);
+        pacer.onLiveRefused(1_300_000);
         assertEquals(16, pacer.window());
-        // From now on one more for each round of served ones.
+        // From now on the window grows by one per window of served jobs.
         for (int i = 0; i < 16; i++) {
-            pacer.served();
+            pacer.onServed();
         }
         assertEquals(16, pacer.window(), 1);
-        pacer.refused(2_000_000);
-        assertFalse(pacer.room(2_000_001, 0));
-        assertTrue(pacer.room(2_020_000, 0));
-        pacer.refused(2_020_000);
-        assertFalse(pacer.room(2_059_999, 0));
+        pacer.onRefused(2_000_000);
+        assertFalse(pacer.mayStart(2_000_001, 0));
+        assertTrue(pacer.mayStart(2_020_000, 0));
+        pacer.onRefused(2_020_000);
+        assertFalse(pacer.mayStart(2_059_999, 0));
         for (int i = 0; i < 100; i++) {
-            pacer.refused(3_000_000 + i * 10_000_000L);
+            pacer.onRefused(3_000_000 + i * 10_000_000L);
         }
         assertEquals(1, pacer.window());
         assertEquals(2_000_000, pacer.pausedUntil() - 993_000_000L);
--- a/src/test/java/laneflow/durable/DurableJobsTest.java
+++ b/src/test/java/laneflow/durable/DurableJobsTest.java
@@ -32,22 +32,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The order of disk and wire, with a disk that writes when the test lets it, and a clock and wire that it holds. */
+/** Tests the order of disk writes and calls, with a storage, a clock and a connector that the test controls. */
 @Timeout(30)
-class DurableJobsTest implements Connector, Journal.Disk {
+class DurableJobsTest implements Connector, Journal.Storage {
     private static final int UNSAFE = 2;
     private long now = 1_000_000_000L;
     private long wallMs = 50_000;
     private final Deadlines deadlines = new Deadlines();
     private final Counters counters = new Counters();
     private final Scheduler scheduler = new Scheduler(settings(), 7, () -> now, deadlines, counters);
-    private final LinkedBlockingQueue<Runnable> news = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<Runnable> callbacks = new LinkedBlockingQueue<>();
     private final Semaphore writes = new Semaphore(0);
     private final List<Op> written = new ArrayList<>();
     private final List<Attempt> calls = new ArrayList<>();
-    private final List<SubmissionResult> words = new ArrayList<>();
-    private volatile StoreException.Kind fails;
-    private final Journal journal = new Journal(this, news::add, 64);
+    private final List<SubmissionResult> results = new ArrayList<>();
+    private volatile StoreException.Kind failure;
+    private final Journal journal = new Journal(this, callbacks::add, 64);
     private final DurableJobs jobs = jobs();
 
     private static Settings settings() {
@@ -84,13 +84,13 @@
         journal.close();
     }
 
-    // ---- the disk ----
+    // ---- storage ----
 
     @Override
     public void write(List<Op> ops) throws StoreException {
         writes.acquireUninterruptibly();
-        if (fails != null) {
-            throw new StoreException(fails, "as told");
+        if (failure != null) {
+            throw new StoreException(failure, "injected failure");
         }
         synchronized (written) {
             written.addAll(ops);
@@ -108,18 +108,18 @@
     }
 
     @Override
-    public void tidy() {}
+    public void vacuumIncrementally() {}
 
     @Override
     public void close() {}
 
-    /** Lets one batch through and hands its news to the loop. */
-    private void disk() throws InterruptedException {
+    /** Lets the storage write one batch, and runs its callbacks. */
+    private void completeWrite() throws InterruptedException {
         writes.release();
-        news.poll(10, TimeUnit.SECONDS).run();
+        callbacks.poll(10, TimeUnit.SECONDS).run();
     }
 
-    // ---- the wire ----
+    // ---- connector ----
 
     @Override
     public void open(Attempt call) {
@@ -139,7 +139,7 @@
 
     private void submit(int jobClass, String key) {
         Payload payload = new Payload("POST", "/c", "r", null, new byte[] {1});
-        jobs.submit(new Submission(jobClass, "", key, true, payload, Double.NaN, 1, 0, 0, 0), words::add);
+        jobs.submit(new Submission(jobClass, "", key, true, payload, Double.NaN, 1, 0, 0, 0), results::add);
     }
 
     private static JobRow row(long id, String jobClass, AttemptRecord... attempts) {
@@ -158,7 +158,7 @@
                 0,
                 0,
                 1000,
-                RowCodec.sum(body),
+                RowCodec.checksum(body),
                 1,
                 body,
                 State.RUNNING,
@@ -169,18 +169,18 @@
     }
 
     @Test
-    void noWordBeforeTheDiskAndNoByteBeforeTheLease() throws Exception {
+    void acknowledgesAfterTheWriteAndSendsAfterTheLeaseIsWritten() throws Exception {
         submit(UNSAFE, "k");
         submit(UNSAFE, "k");
-        assertEquals(0, words.size());
+        assertEquals(0, results.size());
         assertEquals(0, calls.size());
-        disk();
-        assertEquals(2, words.size());
-        assertEquals(SubmissionOutcome.ACCEPTED, words.get(0).outcome());
-        assertEquals(words.get(0).id(), words.get(1).id());
-        // It has been decided where it goes, and nothing has gone out: its lease is not on disk yet.
+        completeWrite();
+        assertEquals(2, results.size());
+        assertEquals(SubmissionOutcome.ACCEPTED, results.get(0).outcome());
+        assertEquals(results.get(0).id(), results.get(1).id());
+        // The endpoint is chosen, but nothing is sent because the lease is not on disk yet.
         assertEquals(0, calls.size());
-        disk();
+        completeWrite();
         assertEquals(1, calls.size());
         synchronized (written) {
             Op lease = written.get(1);
@@ -189,29 +189,29 @@
                     new AttemptRecord(1, "e1", 50_000, 55_000, Known.OUT),
                     lease.attempts().get(0));
         }
-        // Its end is told as one only once that is on disk.
+        // The end becomes visible only once it is on disk.
         scheduler.ended(calls.get(0), Outcome.OK, new byte[0], null);
-        assertEquals("running", jobs.peek(words.get(0).id()).state());
-        disk();
-        assertEquals("done", jobs.peek(words.get(0).id()).state());
+        assertEquals("running", jobs.peek(results.get(0).id()).state());
+        completeWrite();
+        assertEquals("done", jobs.peek(results.get(0).id()).state());
     }
 
     @Test
-    void aLeaseThatCannotBeWrittenSendsNothing() throws Exception {
+    void nothingIsSentWhenTheLeaseCannotBeWritten() throws Exception {
         submit(UNSAFE, "");
-        disk();
-        fails = StoreException.Kind.FULL;
-        // What is no acceptance is tried alone once more.
+        completeWrite();
+        failure = StoreException.Kind.FULL;
+        // Ops other than acceptances are retried on their own.
         writes.release();
-        disk();
+        completeWrite();
         assertEquals(0, calls.size());
-        fails = null;
-        // Back in the queue, and out once the store has had its pause.
+        failure = null;
+        // The job is requeued, and sent after the pause that follows a store failure.
         for (int i = 0; i < 400 && calls.isEmpty(); i++) {
             now += 10_000;
             deadlines.runDue(now);
             writes.release();
-            for (Runnable run = news.poll(2, TimeUnit.MILLISECONDS); run != null; run = news.poll()) {
+            for (Runnable run = callbacks.poll(2, TimeUnit.MILLISECONDS); run != null; run = callbacks.poll()) {
                 run.run();
             }
         }
@@ -220,20 +220,20 @@
     }
 
     @Test
-    void anAcceptanceThatFailsIsSaidAndForgotten() throws Exception {
-        fails = StoreException.Kind.BROKEN;
+    void failedAcceptanceIsReportedAndTheJobDiscarded() throws Exception {
+        failure = StoreException.Kind.BROKEN;
         submit(UNSAFE, "k");
-        disk();
-        assertEquals(SubmissionOutcome.STORE_BROKEN, words.get(0).outcome());
-        fails = null;
-        // Nothing more is asked of that disk.
+        completeWrite();
+        assertEquals(SubmissionOutcome.STORE_BROKEN, results.get(0).outcome());
+        failure = null;
+        // The broken storage is not used again.
         submit(UNSAFE, "k");
-        assertEquals(SubmissionOutcome.STORE_BROKEN, words.get(1).outcome());
+        assertEquals(SubmissionOutcome.STORE_BROKEN, results.get(1).outcome());
         assertEquals(0, jobs.size());
     }
 
     @Test
-    void recoveryDecidesByTheRecordAndTheClock() throws Exception {
+    void recoverySettlesJobsByRecordAndClock() throws Exception {
         AttemptRecord old = new AttemptRecord(1, "e1", 39_000, 40_000, Known.OUT);
         AttemptRecord young = new AttemptRecord(1, "e1", 45_000, 46_000, Known.OUT);
         jobs.recover(
@@ -241,14 +241,14 @@
                         row(1, "capture", young),
                         row(2, "post", old),
                         row(3, "post", young),
-                        row(4, "capture", young.with(Known.NEVER_RAN)),
+                        row(4, "capture", young.withKnown(Known.NEVER_RAN)),
                         row(5, "check", old),
                         row(6, "gone", old)),
                 46_000);
         List<Long> out = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             writes.release();
-            for (Runnable run = news.poll(50, TimeUnit.MILLISECONDS); run != null; run = news.poll()) {
+            for (Runnable run = callbacks.poll(50, TimeUnit.MILLISECONDS); run != null; run = callbacks.poll()) {
                 run.run();
             }
             for (Attempt call : new ArrayList<>(calls)) {
@@ -264,20 +264,20 @@
         assertEquals(3, out.size());
         assertEquals("unknown", jobs.peek(1).state());
         assertEquals("unknown", jobs.peek(2).state());
-        // Of a class that the settings no longer name: kept, and a late word on it breaks nothing.
+        // A job whose class is no longer configured is kept, and a late outcome for it does no harm.
         assertEquals("queued", jobs.peek(6).state());
         jobs.lateOutcome(6, 1, true, new byte[0]);
         writes.release();
-        for (Runnable run = news.poll(100, TimeUnit.MILLISECONDS); run != null; run = news.poll()) {
+        for (Runnable run = callbacks.poll(100, TimeUnit.MILLISECONDS); run != null; run = callbacks.poll()) {
             run.run();
         }
         assertEquals("queued", jobs.peek(6).state());
     }
 
     @Test
-    void aClockThatWentBackClosesEveryWindow() throws Exception {
+    void clockSetBackExpiresEveryDeduplicationWindow() throws Exception {
         jobs.recover(List.of(row(3, "post", new AttemptRecord(1, "e1", 45_000, 46_000, Known.OUT))), 50_001);
-        disk();
+        completeWrite();
         assertEquals("unknown", jobs.peek(3).state());
         assertTrue(
                 jobs.peek(3).reason().contains("went back by 1 ms"),
--- a/src/test/java/laneflow/durable/DurableStoryTest.java
+++ b/src/test/java/laneflow/durable/DurableStoryTest.java
@@ -22,11 +22,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Stories of durable jobs: each causes one failure and looks at what became of the job. */
+/** End-to-end tests of durable jobs: each causes one failure and checks the state of the job afterwards. */
 @Timeout(300)
 class DurableStoryTest {
-    /** Leases of half a second for all. */
-    private static final String SHORT = "[classes.basket-check]\nlease_ms = 500\n[classes.card-capture]\n"
+    /** Leases of 500 ms for all classes. */
+    private static final String SHORT_LEASES = "[classes.basket-check]\nlease_ms = 500\n[classes.card-capture]\n"
             + "lease_ms = 500\n[classes.points-post]\nlease_ms = 500\n";
 
     @TempDir
@@ -40,18 +40,18 @@
         return http.write("GET " + path + " HTTP/1.1\r\nHost: o\r\n\r\n").message();
     }
 
-    /** Asks until the job is in that state, and returns all that is said of it. */
-    private static String until(Peer http, String id, String state) throws IOException {
-        String said = "";
+    /** Polls until the job is in this state, and returns the last response. */
+    private static String awaitState(Peer http, String id, String state) throws IOException {
+        String response = "";
         long end = System.nanoTime() + 60_000_000_000L;
-        while (!said.contains("\"state\":\"" + state + "\"")) {
-            assertTrue(System.nanoTime() < end, said);
-            said = get(http, "/jobs/" + id);
+        while (!response.contains("\"state\":\"" + state + "\"")) {
+            assertTrue(System.nanoTime() < end, response);
+            response = get(http, "/jobs/" + id);
         }
-        return said;
+        return response;
     }
 
-    private static Peer async(Peer http, String jobClass, String key, String body) throws IOException {
+    private static Peer submitAsync(Peer http, String jobClass, String key, String body) throws IOException {
         return http.post(
                 jobClass,
                 "r" + System.nanoTime(),
@@ -59,25 +59,26 @@
                 body);
     }
 
-    private static String place(String answer) {
+    private static String jobId(String answer) {
         assertTrue(answer.startsWith("HTTP/1.1 202 "), answer);
         int at = answer.indexOf("Location: /jobs/") + 16;
         return answer.substring(at, at + 16);
     }
 
     @Test
-    void whatWasAcknowledgedOutlivesItsScheduler() throws Exception {
+    void acknowledgedJobsSurviveACrash() throws Exception {
         String handle;
-        String kept;
+        String httpJob;
         try (Stand stand = Stand.keeping(folder, "[classes.basket-check]\n");
                 Peer client = stand.gearman()) {
             handle = keep(client, "kcapture", "u1", "pay");
-            kept = place(async(stand.http(), "basket-check", "", "price").message());
+            httpJob =
+                    jobId(submitAsync(stand.http(), "basket-check", "", "price").message());
         }
         try (Stand stand = Stand.keeping(folder, "");
                 Peer client = stand.gearman();
                 Peer http = stand.http()) {
-            // The same unique is the same job, also after the crash.
+            // The same unique id names the same job, also after the crash.
             assertEquals(handle, keep(client, "kcapture", "u1", "pay"));
             assertNotEquals(handle, keep(client, "kcapture", "u2", "pay"));
             Peer worker = worker(stand, "kcapture", "kcheck");
@@ -89,21 +90,21 @@
                 sleep(worker);
             }
             assertTrue(ran.contains("u1pay") && ran.contains("u2pay"), ran.toString());
-            assertTrue(until(http, id(handle), "done").contains("\"result\":\"ok pay\""));
-            until(http, kept, "done");
-            assertTrue(get(http, "/jobs/" + kept + "/result").endsWith("\r\n\r\nok price"));
+            assertTrue(awaitState(http, id(handle), "done").contains("\"result\":\"ok pay\""));
+            awaitState(http, httpJob, "done");
+            assertTrue(get(http, "/jobs/" + httpJob + "/result").endsWith("\r\n\r\nok price"));
         }
-        // Its end is on disk too: a third process runs nothing again.
+        // The final states are on disk too: a third process runs no job again.
         try (Stand stand = Stand.keeping(folder, "");
                 Peer http = stand.http()) {
-            until(http, id(handle), "done");
+            awaitState(http, id(handle), "done");
             worker(stand, "kcapture", "kcheck");
             assertEquals(0, stand.counter("durable.recovered"));
         }
     }
 
     @Test
-    void aCaptureThatWasOutAtACrashIsUnknownUntilALateWordSettlesIt() throws Exception {
+    void unsafeJobRunningAtACrashIsUnknownUntilALateOutcomeSettlesIt() throws Exception {
         String handle;
         String[] job;
         try (Stand stand = Stand.keeping(folder, "");
@@ -115,63 +116,63 @@
         try (Stand stand = Stand.keeping(folder, "");
                 Peer http = stand.http()) {
             Peer worker = worker(stand, "kcapture");
-            String said = until(http, id(handle), "unknown");
-            assertTrue(said.contains("must not run twice") && said.contains("may_have_run"), said);
+            String response = awaitState(http, id(handle), "unknown");
+            assertTrue(response.contains("must not run twice") && response.contains("may_have_run"), response);
             assertEquals(0, stand.counter("call.sent"));
-            // The worker has outlived its scheduler and now tells how its job ended, by the lease it was given.
-            // Why it is unknown is on record too, for those who ask after the next restart.
-            assertTrue(said.contains("\"reason\":\"it may have run"), said);
-            send(worker, Gearman.COMPLETE, job[0] + "7", "nobody's lease");
+            // The reason is stored with the state, so it can also be queried after the next restart.
+            assertTrue(response.contains("\"reason\":\"it may have run"), response);
+            // The worker survived the scheduler and now reports the outcome under the lease it was given.
+            send(worker, Gearman.COMPLETE, job[0] + "7", "unknown lease");
             assertEquals("JOB_NOT_FOUND", expect(worker, Gearman.ERROR)[0]);
             send(worker, Gearman.COMPLETE, job[0], "paid");
-            assertTrue(until(http, id(handle), "done").contains("\"result\":\"paid\""));
+            assertTrue(awaitState(http, id(handle), "done").contains("\"result\":\"paid\""));
             assertEquals(0, stand.counter("call.sent"));
         }
     }
 
     @Test
-    void aStalledWorkersWordCountsAsLongAsTheJobIsNowhereElse() throws Exception {
-        try (Stand stand = Stand.keeping(folder, SHORT);
+    void lateOutcomeOfAStalledWorkerSettlesAnUnknownJob() throws Exception {
+        try (Stand stand = Stand.keeping(folder, SHORT_LEASES);
                 Peer client = stand.gearman();
                 Peer http = stand.http()) {
             Peer worker = worker(stand, "kcapture");
             String handle = keep(client, "kcapture", "", "pay");
             String[] job = grab(worker);
             stand.await("lease.expired", 1);
-            until(http, id(handle), "unknown");
+            awaitState(http, id(handle), "unknown");
             send(worker, Gearman.COMPLETE, job[0], "paid late");
-            assertTrue(until(http, id(handle), "done").contains("paid late"));
+            assertTrue(awaitState(http, id(handle), "done").contains("paid late"));
             assertEquals(1, stand.counter("call.sent"));
-            // One that says it failed turns what was unknown into a failure.
+            // A late failure report changes the state from unknown to failed.
             sleep(worker);
             handle = keep(client, "kcapture", "", "pay");
             job = grab(worker);
-            until(http, id(handle), "unknown");
+            awaitState(http, id(handle), "unknown");
             send(worker, Gearman.FAIL, job[0]);
-            until(http, id(handle), "failed");
+            awaitState(http, id(handle), "failed");
         }
     }
 
     @Test
-    void anHttpEndpointsLateWordIsListenedForAndNotForEver() throws Exception {
+    void lateOutcomeOfAnHttpEndpointIsAwaitedForALimitedTime() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         String limits = "[classes.card-capture]\nlease_ms = 300\nlongest_ms = 600\n";
         try (Stand stand = Stand.keeping(folder, limits, endpoint);
                 Peer http = stand.http()) {
-            String id = place(async(http, "card-capture", "k1", "pay").message());
+            String id = jobId(submitAsync(http, "card-capture", "k1", "pay").message());
             Peer call = endpoint.accept();
             String sent = call.message();
-            until(http, id, "unknown");
+            awaitState(http, id, "unknown");
             int at = sent.indexOf("Req-Id: ") + 8;
             call.says("{'id':'" + sent.substring(at, sent.indexOf('\r', at)) + "','state':'done','result':'paid'}");
-            assertTrue(until(http, id, "done").contains("\"result\":\"paid\""));
-            // Kept, the connection would carry the next call too.
+            assertTrue(awaitState(http, id, "done").contains("\"result\":\"paid\""));
+            // If it stayed open, the connection would be reused for the next call.
             call.close();
             Thread.sleep(60);
-            id = place(async(http, "card-capture", "k2", "pay").message());
+            id = jobId(submitAsync(http, "card-capture", "k2", "pay").message());
             Peer silent = endpoint.accept();
             silent.message();
-            until(http, id, "unknown");
+            awaitState(http, id, "unknown");
             assertTrue(silent.ended());
             assertEquals(2, stand.counter("call.sent"));
         }
@@ -179,9 +180,9 @@
     }
 
     @Test
-    void aWordOnAnOlderLeaseWaitsForTheNewerOnes() throws Exception {
+    void successUnderAnOlderLeaseCountsOnlyIfTheNewerOneFails() throws Exception {
         for (boolean newerServes : new boolean[] {true, false}) {
-            try (Stand stand = Stand.keeping(folder.resolve("" + newerServes), SHORT);
+            try (Stand stand = Stand.keeping(folder.resolve("" + newerServes), SHORT_LEASES);
                     Peer client = stand.gearman();
                     Peer http = stand.http()) {
                 Peer stalled = worker(stand, "kpost");
@@ -199,14 +200,14 @@
                     other.reset();
                     stalled.reset();
                 }
-                String said = until(http, id(handle), "done");
-                assertTrue(said.contains(newerServes ? "\"result\":\"second\"" : "\"result\":\"first\""), said);
+                String response = awaitState(http, id(handle), "done");
+                assertTrue(response.contains(newerServes ? "\"result\":\"second\"" : "\"result\":\"first\""), response);
             }
         }
     }
 
     @Test
-    void heartbeatsProlongALeaseUpToItsLimit() throws Exception {
+    void heartbeatsExtendALeaseUpToItsLimit() throws Exception {
         String limits = "[classes.card-capture]\nlease_ms = 300\nlongest_ms = 900\n";
         try (Stand stand = Stand.keeping(folder, limits);
                 Peer client = stand.gearman();
@@ -219,74 +220,77 @@
                 send(worker, i % 2 == 0 ? Gearman.DATA : Gearman.STATUS, job[0], i % 2 == 0 ? "." : i + "\0" + 9);
             }
             assertEquals(0, stand.counter("lease.expired"));
-            // It beats on and on, and never ends.
+            // Heartbeats go on, but the job never ends.
             for (int i = 0; stand.counter("lease.expired") == 0; i++) {
                 assertTrue(i < 20);
                 Thread.sleep(100);
                 send(worker, Gearman.STATUS, job[0], "5\0" + 9);
             }
-            until(http, id(handle), "unknown");
+            awaitState(http, id(handle), "unknown");
         }
     }
 
     @Test
-    void aKeyIsSentAgainInsideItsWindowOnly() throws Exception {
+    void keyedJobIsResentOnlyInsideItsWindow() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        String kept;
-        Path late = folder.resolve("late");
+        String httpJob;
+        Path expired = folder.resolve("late");
         try (Stand stand = Stand.keeping(folder.resolve("in"), "[classes.points-post]\n", endpoint);
-                Stand other = Stand.keeping(late, "[classes.points-post]\n", endpoint)) {
-            kept = place(async(stand.http(), "points-post", "k1", "post").message());
+                Stand other = Stand.keeping(expired, "[classes.points-post]\n", endpoint)) {
+            httpJob =
+                    jobId(submitAsync(stand.http(), "points-post", "k1", "post").message());
             assertTrue(endpoint.accept().message().contains("Idempotency-Key: k1\r\n"));
-            place(async(other.http(), "points-post", "k2", "post").message());
+            jobId(submitAsync(other.http(), "points-post", "k2", "post").message());
             endpoint.accept().message();
         }
         try (Stand stand = Stand.keeping(folder.resolve("in"), "[classes.points-post]\n", endpoint);
                 Peer http = stand.http()) {
             Peer again = endpoint.accept();
             assertTrue(again.message().contains("Idempotency-Key: k1\r\n"));
-            assertTrue(get(http, "/jobs/" + kept).contains("\"lease\":2"));
+            assertTrue(get(http, "/jobs/" + httpJob).contains("\"lease\":2"));
         }
-        // Ten seconds pass for the other one: its record is put that far back.
-        try (Store store = Store.open(late, 1 << 30)) {
+        // Moves the record of the other job back by more than its window of ten seconds.
+        try (Store store = Store.open(expired, 1 << 30)) {
             List<JobRow> rows = new ArrayList<>();
             store.read(true, rows::add);
             JobRow row = rows.get(0);
             var old = row.attempts().get(0);
             long then = old.leasedMs() - 10_001;
-            kept = Store.hex(row.id());
-            store.write(List.of(Op.move(
+            httpJob = Store.hex(row.id());
+            store.write(List.of(Op.update(
                     row.id(),
                     State.RUNNING,
                     List.of(new laneflow.durable.decision.AttemptRecord(
                             1, old.endpoint(), then, then + 500, old.known())),
                     then)));
         }
-        try (Stand stand = Stand.keeping(late, "[classes.points-post]\n", endpoint);
+        try (Stand stand = Stand.keeping(expired, "[classes.points-post]\n", endpoint);
                 Peer http = stand.http()) {
-            assertTrue(until(http, kept, "unknown").contains("window was over"));
+            assertTrue(awaitState(http, httpJob, "unknown").contains("window was over"));
             assertEquals(0, stand.counter("call.sent"));
         }
         endpoint.close();
     }
 
     @Test
-    void aClientThatLostTheWordHandsItInAgainAndGetsTheSameJob() throws Exception {
+    void resubmissionAfterALostAnswerReturnsTheSameJob() throws Exception {
         try (Stand stand = Stand.keeping(folder, "[classes.points-post]\n");
                 Peer http = stand.http()) {
-            async(stand.http(), "points-post", "k1", "post").reset();
-            String id = place(async(http, "points-post", "k1", "post").message());
-            assertEquals(id, place(async(http, "points-post", "k1", "post").message()));
+            submitAsync(stand.http(), "points-post", "k1", "post").reset();
+            String id = jobId(submitAsync(http, "points-post", "k1", "post").message());
+            assertEquals(
+                    id, jobId(submitAsync(http, "points-post", "k1", "post").message()));
             assertEquals(1, stand.counter("durable.accepted"));
-            assertTrue(async(http, "points-post", "k1", "another").message().startsWith("HTTP/1.1 422 "));
-            // Where the class is not set up for it, the preference is passed over.
+            assertTrue(
+                    submitAsync(http, "points-post", "k1", "another").message().startsWith("HTTP/1.1 422 "));
+            // The preference is ignored if the class is not configured for it.
             http.post("basket-check", "1", "Prefer: respond-async\r\n", "");
             assertTrue(http.message().startsWith("HTTP/1.1 503 "));
         }
     }
 
     @Test
-    void whatHasNotBegunCanBeCancelled() throws Exception {
+    void onlyJobsThatHaveNotBegunCanBeCancelled() throws Exception {
         try (Stand stand = Stand.keeping(folder, "");
                 Peer client = stand.gearman();
                 Peer http = stand.http()) {
@@ -294,7 +298,7 @@
             assertTrue(http.write("DELETE /jobs/" + id + " HTTP/1.1\r\n\r\n")
                     .message()
                     .startsWith("HTTP/1.1 204 "));
-            until(http, id, "cancelled");
+            awaitState(http, id, "cancelled");
             Peer worker = worker(stand, "kcapture");
             String next = id(keep(client, "kcapture", "", "pay 2"));
             String[] job = grab(worker);
@@ -310,45 +314,45 @@
     }
 
     @Test
-    void aFullStoreTakesNothingMoreAndKeepsWhatItTook() throws Exception {
-        List<String> taken = new ArrayList<>();
-        String small = "store_mib = 1\n[classes.basket-check]\n";
-        try (Stand stand = Stand.keeping(folder, small);
+    void fullStoreRejectsNewJobsAndKeepsAcceptedOnes() throws Exception {
+        List<String> accepted = new ArrayList<>();
+        String smallStore = "store_mib = 1\n[classes.basket-check]\n";
+        try (Stand stand = Stand.keeping(folder, smallStore);
                 Peer http = stand.http()) {
             String body = "x".repeat(60_000);
             String answer = "";
             for (int i = 0; i < 40 && !answer.startsWith("HTTP/1.1 503 "); i++) {
-                answer = async(http, "basket-check", "k" + i, body).message();
+                answer = submitAsync(http, "basket-check", "k" + i, body).message();
                 if (answer.startsWith("HTTP/1.1 202 ")) {
-                    taken.add(place(answer));
+                    accepted.add(jobId(answer));
                 }
             }
             assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("Retry-After: "), answer);
-            assertTrue(taken.size() > 5, taken.size() + " taken");
+            assertTrue(accepted.size() > 5, accepted.size() + " accepted");
         }
-        try (Stand stand = Stand.keeping(folder, small);
+        try (Stand stand = Stand.keeping(folder, smallStore);
                 Peer http = stand.http()) {
-            assertEquals(taken.size(), stand.counter("durable.recovered"));
+            assertEquals(accepted.size(), stand.counter("durable.recovered"));
             Peer worker = worker(stand, "kcheck");
-            for (int i = 0; i < taken.size(); i++) {
+            for (int i = 0; i < accepted.size(); i++) {
                 send(worker, Gearman.COMPLETE, grab(worker)[0], "ok");
                 sleep(worker);
             }
-            for (String id : taken) {
-                until(http, id, "done");
+            for (String id : accepted) {
+                awaitState(http, id, "done");
             }
         }
     }
 
     @Test
-    void limitsByClassTurnDownWithTheTimeToComeBack() throws Exception {
+    void classLimitsRejectJobsWithARetryAfter() throws Exception {
         String limits = "[classes.points-post]\nmost_jobs = 2\n";
         try (Stand stand = Stand.keeping(folder, limits);
                 Peer http = stand.http();
                 Peer client = stand.gearman()) {
-            place(async(http, "points-post", "k1", "").message());
+            jobId(submitAsync(http, "points-post", "k1", "").message());
             keep(client, "kpost", "", "");
-            String answer = async(http, "points-post", "k3", "").message();
+            String answer = submitAsync(http, "points-post", "k3", "").message();
             assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("Retry-After: 1.000"), answer);
             send(client, Gearman.SUBMIT_BG, "kpost", "", "");
             assertEquals("QUEUE_FULL", expect(client, Gearman.ERROR)[0]);
@@ -357,7 +361,7 @@
     }
 
     @Test
-    void aPlannedEndLeavesWhatIsQueuedAndWhatIsOutToTheNext() throws Exception {
+    void shutdownLeavesQueuedAndRunningJobsToTheNextProcess() throws Exception {
         String queued;
         String out;
         try (Stand stand = Stand.keeping(folder, "");
@@ -372,16 +376,16 @@
         }
         try (Stand stand = Stand.keeping(folder, "");
                 Peer http = stand.http()) {
-            until(http, id(out), "unknown");
-            until(http, id(queued), "queued");
+            awaitState(http, id(out), "unknown");
+            awaitState(http, id(queued), "queued");
             Peer worker = worker(stand, "kpost");
             send(worker, Gearman.COMPLETE, grab(worker)[0], "posted");
-            until(http, id(queued), "done");
+            awaitState(http, id(queued), "done");
         }
     }
 
     @Test
-    void anEndpointThatDrainsWhileLeasesAreOutFinishesAndGetsNothingNew() throws Exception {
+    void drainingEndpointFinishesItsLeasesAndGetsNoNewJobs() throws Exception {
         try (Stand stand = Stand.keeping(folder, "");
                 Peer client = stand.gearman();
                 Peer http = stand.http()) {
@@ -392,16 +396,16 @@
             worker.write(Gearman.reset());
             Thread.sleep(600);
             send(worker, Gearman.COMPLETE, job[0], "done");
-            until(http, id(first), "done");
+            awaitState(http, id(first), "done");
             Peer other = worker(stand, "kcapture");
             assertEquals("2", grab(other)[4]);
-            until(http, id(second), "running");
+            awaitState(http, id(second), "running");
             assertEquals(0, stand.counter("core.kept.second_call") + stand.counter("core.kept.effect"));
         }
     }
 
     @Test
-    void answersOfAConnectionKeepTheirOrderWhileTheDiskIsAsked() throws Exception {
+    void answersKeepTheirOrderWhileJobsAreWrittenToDisk() throws Exception {
         try (Stand stand = Stand.keeping(folder, "");
                 Peer client = stand.gearman()) {
             for (int i = 0; i < 200; i++) {
--- a/src/test/java/laneflow/durable/StoreMaintenanceTest.java
+++ b/src/test/java/laneflow/durable/StoreMaintenanceTest.java
@@ -21,19 +21,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The tools for a store that no scheduler holds, as they are called. */
+/** Tests the command-line tools for a store that no scheduler holds. */
 class StoreMaintenanceTest {
-    private final PrintStream real = System.out;
-    private final PrintStream realErr = System.err;
-    private String said = "";
+    private final PrintStream originalOut = System.out;
+    private final PrintStream originalErr = System.err;
+    private String output = "";
 
     @TempDir
     private Path folder;
 
     @AfterEach
     void restore() {
-        System.setOut(real);
-        System.setErr(realErr);
+        System.setOut(originalOut);
+        System.setErr(originalErr);
     }
 
     private int run(String... args) {
@@ -42,7 +42,7 @@
         System.setErr(new PrintStream(out, true, StandardCharsets.UTF_8));
         int code = Cli.run(args);
         restore();
-        said = out.toString(StandardCharsets.UTF_8);
+        output = out.toString(StandardCharsets.UTF_8);
         return code;
     }
 
@@ -61,7 +61,7 @@
                 0,
                 0,
                 1000,
-                RowCodec.sum(body),
+                RowCodec.checksum(body),
                 body.length,
                 body,
                 State.QUEUED,
@@ -82,25 +82,25 @@
     }
 
     @Test
-    void jobsAreListedShownAndCancelled() throws Exception {
+    void listsShowsAndCancelsJobs() throws Exception {
         Path dir = store("s", row(1, "a", (byte) 'x'), row(2, "b"));
         try (Store store = Store.open(dir, StoreMaintenance.NO_LIMIT)) {
             AttemptRecord out = new AttemptRecord(1, "till-1", 2000, 2500, Known.MAY_HAVE_RUN);
             store.write(List.of(Op.end(2, State.UNKNOWN, List.of(out), "it may have run", null, 3000)));
             assertEquals(1, run("jobs", "list", dir.toString()));
-            assertTrue(said.contains("the store is held by process"), said);
+            assertTrue(output.contains("the store is held by process"), output);
         }
         assertEquals(0, run("jobs", "list", dir.toString(), "--json", "--state", "UNKNOWN"));
-        JsonArray list = JsonParser.parseString(said).getAsJsonArray();
+        JsonArray list = JsonParser.parseString(output).getAsJsonArray();
         assertEquals(1, list.size());
         assertEquals("0000000000000002", list.get(0).getAsJsonObject().get("id").getAsString());
         assertEquals(0, run("jobs", "show", dir.toString(), "0000000000000002"));
-        assertTrue(said.contains("lease 1 at till-1") && said.contains("it may have run"), said);
+        assertTrue(output.contains("lease 1 at till-1") && output.contains("it may have run"), output);
         assertEquals(1, run("jobs", "cancel", dir.toString(), "0000000000000002"));
-        assertTrue(said.contains("has begun"), said);
+        assertTrue(output.contains("has begun"), output);
         assertEquals(0, run("jobs", "cancel", dir.toString(), "0000000000000001", "--json"));
         assertEquals(0, run("jobs", "list", dir.toString()));
-        assertTrue(said.contains("cancelled"), said);
+        assertTrue(output.contains("cancelled"), output);
         assertEquals(2, run("jobs", "show", dir.toString(), "12"));
         assertEquals(1, run("jobs", "show", dir.toString(), "00000000000000ff"));
         assertEquals(1, run("jobs", "list", folder.resolve("none").toString()));
@@ -108,56 +108,56 @@
     }
 
     @Test
-    void damageIsNamedAndRoomGivenBack() throws Exception {
+    void verifyNamesDamageAndCompactShrinksTheFile() throws Exception {
         JobRow[] rows = new JobRow[200];
         for (int i = 0; i < rows.length; i++) {
             rows[i] = row(i + 1, "k" + i, new byte[2000]);
         }
         Path dir = store("s", rows);
         assertEquals(0, run("jobs", "verify", dir.toString()));
-        assertTrue(said.startsWith("sound"), said);
+        assertTrue(output.startsWith("sound"), output);
         try (Store store = Store.open(dir, StoreMaintenance.NO_LIMIT)) {
             for (int i = 1; i < 190; i++) {
                 store.write(List.of(Op.drop(i, 5)));
             }
         }
         assertEquals(0, run("jobs", "compact", dir.toString(), "--json"));
-        JsonObject compacted = JsonParser.parseString(said).getAsJsonObject();
+        JsonObject compacted = JsonParser.parseString(output).getAsJsonObject();
         assertTrue(
                 compacted.get("bytes_after").getAsLong() * 4
                         < compacted.get("bytes_before").getAsLong(),
-                said);
+                output);
         byte[] bytes = Files.readAllBytes(dir.resolve("jobs.db"));
         String text = new String(bytes, StandardCharsets.ISO_8859_1);
         bytes[text.indexOf("k195") + 3] ^= 1;
         Files.write(dir.resolve("jobs.db"), bytes);
         assertEquals(1, run("jobs", "verify", dir.toString()));
-        assertTrue(said.contains("job 00000000000000c4: what was taken on is not as it was written"), said);
+        assertTrue(output.contains("job 00000000000000c4: checksum mismatch in its submission"), output);
     }
 
     @Test
-    void aDeadSchedulersStoreIsAdoptedOnceHoweverOftenItIsAsked() throws Exception {
-        Path dead = store("dead", row(1, "a", (byte) 1), row(2, "b"), row(3, ""), row(4, "c"));
-        Path living = store("living", row(9, "b"));
+    void adoptingAStoreTwiceMovesItsJobsOnce() throws Exception {
+        Path source = store("dead", row(1, "a", (byte) 1), row(2, "b"), row(3, ""), row(4, "c"));
+        Path target = store("living", row(9, "b"));
         AttemptRecord out = new AttemptRecord(1, "till-1", 2000, 2500, Known.OUT);
-        try (Store store = Store.open(dead, StoreMaintenance.NO_LIMIT);
-                Store other = Store.open(living, StoreMaintenance.NO_LIMIT)) {
+        try (Store store = Store.open(source, StoreMaintenance.NO_LIMIT);
+                Store other = Store.open(target, StoreMaintenance.NO_LIMIT)) {
             store.write(List.of(
-                    Op.move(3, State.RUNNING, List.of(out), 2000),
-                    Op.end(4, State.DONE, List.of(out.with(Known.DONE)), "served", new byte[] {7}, 2100)));
-            // An adoption that died between there and here has left this one in both.
+                    Op.update(3, State.RUNNING, List.of(out), 2000),
+                    Op.end(4, State.DONE, List.of(out.withKnown(Known.DONE)), "served", new byte[] {7}, 2100)));
+            // An interrupted adoption has left this job in both stores.
             other.write(List.of(Op.accept(row(1, "a", (byte) 1))));
         }
-        assertEquals(0, run("jobs", "adopt", dead.toString(), living.toString(), "--json"));
-        JsonObject adopted = JsonParser.parseString(said).getAsJsonObject();
+        assertEquals(0, run("jobs", "adopt", source.toString(), target.toString(), "--json"));
+        JsonObject adopted = JsonParser.parseString(output).getAsJsonObject();
         assertEquals(3, adopted.get("moved").getAsInt());
         assertEquals(1, adopted.get("there_already").getAsInt());
         assertEquals(
                 "0000000000000002",
                 adopted.get("keys_taken").getAsJsonArray().get(0).getAsString());
-        assertEquals(0, run("jobs", "adopt", dead.toString(), living.toString()));
-        assertTrue(said.startsWith("0 jobs moved"), said);
-        try (Store store = Store.open(living, StoreMaintenance.NO_LIMIT)) {
+        assertEquals(0, run("jobs", "adopt", source.toString(), target.toString()));
+        assertTrue(output.startsWith("0 jobs moved"), output);
+        try (Store store = Store.open(target, StoreMaintenance.NO_LIMIT)) {
             List<JobRow> rows = new ArrayList<>();
             store.read(true, rows::add);
             assertEquals(5, rows.size());
