--- a/src/test/java/laneflow/durable/StoreTest.java
+++ b/src/test/java/laneflow/durable/StoreTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The store under the failures of disks, and the journal under those of the store. */
+/** Tests the store under disk failures, and the journal under failures of the store. */
 @Timeout(900)
 class StoreTest {
     @TempDir
@@ -47,7 +47,7 @@
                 5,
                 -1,
                 100,
-                RowCodec.sum(body),
+                RowCodec.checksum(body),
                 size,
                 body,
                 State.QUEUED,
@@ -75,7 +75,7 @@
         }
     }
 
-    /** The files as a power loss at this moment would leave them. */
+    /** Copies the files as a power loss at this moment would leave them. */
     private Path snapshot(String name) throws IOException {
         Path to = Files.createDirectory(folder.resolve(name));
         for (String file : new String[] {"jobs.db", "jobs.db-wal", "witness"}) {
@@ -87,11 +87,11 @@
     }
 
     @Test
-    void whatIsWrittenIsReadAgain() throws Exception {
+    void writtenJobsAreReadBack() throws Exception {
         AttemptRecord attempt = new AttemptRecord(1, "till-1", 200, 700, Known.DONE);
         try (Store store = open()) {
             store.write(List.of(Op.accept(row(1, 10)), Op.accept(row(2, 0)), Op.accept(row(3, 5))));
-            store.write(List.of(Op.move(1, State.RUNNING, List.of(attempt.with(Known.OUT)), 200)));
+            store.write(List.of(Op.update(1, State.RUNNING, List.of(attempt.withKnown(Known.OUT)), 200)));
             store.write(List.of(
                     Op.end(1, State.DONE, List.of(attempt), "served", new byte[] {0, -1}, 300), Op.drop(3, 300)));
         }
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void aSecondProcessIsRefusedInWords() throws Exception {
+    void secondOpenIsRefusedWithTheHolder() throws Exception {
         try (Store store = open()) {
             assertEquals(0, store.commits());
             StoreException e = assertThrows(StoreException.class, this::open);
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void aNewerFormatIsRefusedInWords() throws Exception {
+    void newerFormatIsRefusedWithBothVersions() throws Exception {
         fill(1);
         try (Connection db = DriverManager.getConnection("jdbc:sqlite:" + folder.resolve("jobs.db"))) {
             db.createStatement().execute("PRAGMA user_version=9");
@@ -135,36 +135,36 @@
     }
 
     @Test
-    void acknowledgedCommitsThatAreMissingAreNoticed() throws Exception {
-        Path torn;
+    void missingAcknowledgedCommitsAreDetected() throws Exception {
+        Path truncated;
         try (Store store = open()) {
             for (int i = 1; i <= 20; i++) {
                 store.write(List.of(Op.accept(row(i, 300))));
             }
-            torn = snapshot("torn");
+            truncated = snapshot("torn");
         }
-        // The log's end is torn off: SQLite by itself goes on as if the last commits had never been.
-        Path log = torn.resolve("jobs.db-wal");
+        // Truncated log: SQLite alone would continue as if the last commits had never been made.
+        Path log = truncated.resolve("jobs.db-wal");
         byte[] bytes = Files.readAllBytes(log);
         Files.write(log, java.util.Arrays.copyOf(bytes, bytes.length - 5000));
-        StoreException e = assertThrows(StoreException.class, () -> Store.open(torn, 1L << 30));
+        StoreException e = assertThrows(StoreException.class, () -> Store.open(truncated, 1L << 30));
         assertEquals(StoreException.Kind.DAMAGED, e.kind);
         assertTrue(e.getMessage().contains("acknowledged commits are missing"), e.getMessage());
-        assertTrue(Store.acceptLoss(torn) > 0);
-        try (Store store = Store.open(torn, 1L << 30)) {
+        assertTrue(Store.acceptLoss(truncated) > 0);
+        try (Store store = Store.open(truncated, 1L << 30)) {
             assertTrue(all(store).size() < 20);
         }
     }
 
     @Test
-    void aCommitThatWasNeverAcknowledgedMayBeTornOff() throws Exception {
+    void unacknowledgedCommitMayBeLost() throws Exception {
         Path before;
         try (Store store = open()) {
             store.write(List.of(Op.accept(row(1, 300))));
             before = snapshot("before");
             store.write(List.of(Op.accept(row(2, 300))));
             byte[] log = Files.readAllBytes(folder.resolve("jobs.db-wal"));
-            // Killed within the second commit: half of it is in the log, and the witness speaks of the first.
+            // Killed during the second commit: half of it is in the log, and the witness still has the first.
             Files.write(before.resolve("jobs.db-wal"), java.util.Arrays.copyOf(log, log.length - 3000));
         }
         try (Store store = Store.open(before, 1L << 30)) {
@@ -176,14 +176,14 @@
     }
 
     @Test
-    void aFlippedBitIsNamedAndNeverReadAsWritten() throws Exception {
+    void flippedBitIsReportedAndNeverReturnedAsData() throws Exception {
         fill(50);
         Path file = folder.resolve("jobs.db");
         byte[] sound = Files.readAllBytes(file);
         String text = new String(sound, StandardCharsets.ISO_8859_1);
         int noticed = 0;
-        // In a body, in a key, in a request's id, and in a page's own structure. Pages also hold remains of
-        // cells that have moved, so every place is flipped where the text stands.
+        // In a body, in a key, in a request id, and in a page header. Pages also contain remains of moved
+        // cells, so every occurrence of the text is changed.
         for (String at : new String[] {"b".repeat(200), "basket-checkcheckk7", "r33", ""}) {
             byte[] flipped = sound.clone();
             for (int i = text.indexOf(at, 4096 * 2); !at.isEmpty() && i >= 0; i = text.indexOf(at, i + 300)) {
@@ -211,7 +211,7 @@
     }
 
     @Test
-    void aFullStoreSaysSoAndGoesOnOnceThereIsRoom() throws Exception {
+    void fullStoreRejectsWritesUntilSpaceIsFreed() throws Exception {
         try (Store store = Store.open(folder, 200 * 4096)) {
             int taken = 0;
             StoreException full = null;
@@ -239,18 +239,18 @@
 
     // ---- the journal ----
 
-    /** A disk that does as it is told. */
-    private static final class Faulty implements Journal.Disk {
+    /** A storage that fails on demand. */
+    private static final class FaultyStorage implements Journal.Storage {
         private final List<Op> written = new ArrayList<>();
         private volatile StoreException.Kind fails;
-        private int asked;
+        private int writeCalls;
 
         @Override
         public void write(List<Op> ops) throws StoreException {
-            asked++;
-            boolean takesOn = ops.stream().anyMatch(op -> op.kind() == Op.Kind.ACCEPT);
-            if (fails == StoreException.Kind.BROKEN || fails == StoreException.Kind.FULL && takesOn) {
-                throw new StoreException(fails, "as told");
+            writeCalls++;
+            boolean hasAcceptance = ops.stream().anyMatch(op -> op.kind() == Op.Kind.ACCEPT);
+            if (fails == StoreException.Kind.BROKEN || fails == StoreException.Kind.FULL && hasAcceptance) {
+                throw new StoreException(fails, "injected failure");
             }
             written.addAll(ops);
         }
@@ -266,65 +266,66 @@
         }
 
         @Override
-        public void tidy() {}
+        public void vacuumIncrementally() {}
 
         @Override
         public void close() {}
     }
 
-    private static String word(BlockingQueue<String> words) throws InterruptedException {
-        return String.valueOf(words.poll(10, TimeUnit.SECONDS));
+    private static String nextOutcome(BlockingQueue<String> outcomes) throws InterruptedException {
+        return String.valueOf(outcomes.poll(10, TimeUnit.SECONDS));
     }
 
     @Test
-    void aFailedSyncIsNeverAskedAgain() throws Exception {
-        Faulty disk = new Faulty();
-        BlockingQueue<String> words = new LinkedBlockingQueue<>();
-        try (Journal journal = new Journal(disk, Runnable::run, 16)) {
-            journal.write(Op.accept(row(1, 1)), failure -> words.add("1 " + (failure == null)));
-            assertEquals("1 true", word(words));
-            disk.fails = StoreException.Kind.BROKEN;
-            journal.write(Op.accept(row(2, 1)), failure -> words.add("2 " + failure.kind));
-            assertEquals("2 BROKEN", word(words));
-            // It would go through now; nothing may be believed of such a disk.
-            disk.fails = null;
-            journal.write(Op.accept(row(3, 1)), failure -> words.add("3 " + failure.kind));
-            assertEquals("3 BROKEN", word(words));
+    void storageIsNotUsedAgainAfterAFailedSync() throws Exception {
+        FaultyStorage storage = new FaultyStorage();
+        BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
+        try (Journal journal = new Journal(storage, Runnable::run, 16)) {
+            journal.write(Op.accept(row(1, 1)), failure -> outcomes.add("1 " + (failure == null)));
+            assertEquals("1 true", nextOutcome(outcomes));
+            storage.fails = StoreException.Kind.BROKEN;
+            journal.write(Op.accept(row(2, 1)), failure -> outcomes.add("2 " + failure.kind));
+            assertEquals("2 BROKEN", nextOutcome(outcomes));
+            // The write would succeed now, but after a failed sync the disk can't be trusted.
+            storage.fails = null;
+            journal.write(Op.accept(row(3, 1)), failure -> outcomes.add("3 " + failure.kind));
+            assertEquals("3 BROKEN", nextOutcome(outcomes));
             assertEquals(StoreException.Kind.BROKEN, journal.broken().kind);
         }
-        assertEquals(2, disk.asked);
-        assertEquals(1, disk.written.size());
+        assertEquals(2, storage.writeCalls);
+        assertEquals(1, storage.written.size());
     }
 
     @Test
-    void aFullDiskTurnsDownAcceptancesAndStillRecordsEnds() throws Exception {
-        Faulty disk = new Faulty();
-        BlockingQueue<String> words = new LinkedBlockingQueue<>();
-        disk.fails = StoreException.Kind.FULL;
-        try (Journal journal = new Journal(disk, Runnable::run, 16)) {
-            journal.write(Op.accept(row(1, 1)), failure -> words.add("1 " + failure.kind));
-            journal.write(Op.end(7, State.DONE, List.of(), "", new byte[0], 5), failure -> words.add("7 " + failure));
-            assertEquals("1 FULL", word(words));
-            assertEquals("7 null", word(words));
-            disk.fails = null;
-            journal.write(Op.accept(row(1, 1)), failure -> words.add("1 " + failure));
-            assertEquals("1 null", word(words));
+    void fullDiskRejectsAcceptancesAndStillRecordsEnds() throws Exception {
+        FaultyStorage storage = new FaultyStorage();
+        BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
+        storage.fails = StoreException.Kind.FULL;
+        try (Journal journal = new Journal(storage, Runnable::run, 16)) {
+            journal.write(Op.accept(row(1, 1)), failure -> outcomes.add("1 " + failure.kind));
+            journal.write(
+                    Op.end(7, State.DONE, List.of(), "", new byte[0], 5), failure -> outcomes.add("7 " + failure));
+            assertEquals("1 FULL", nextOutcome(outcomes));
+            assertEquals("7 null", nextOutcome(outcomes));
+            storage.fails = null;
+            journal.write(Op.accept(row(1, 1)), failure -> outcomes.add("1 " + failure));
+            assertEquals("1 null", nextOutcome(outcomes));
             assertNull(journal.broken());
         }
     }
 
     @Test
-    void aQueueWithoutRoomIsToldAtOnce() throws Exception {
-        Faulty disk = new Faulty();
+    void fullQueueIsReportedAtOnce() throws Exception {
+        FaultyStorage storage = new FaultyStorage();
         BlockingQueue<Runnable> held = new LinkedBlockingQueue<>();
         java.util.concurrent.CountDownLatch stuck = new java.util.concurrent.CountDownLatch(1);
         Journal journal = new Journal(
-                disk,
-                news -> {
+                storage,
+                callbacks -> {
                     try {
                         stuck.await();
                     } catch (InterruptedException e) {
-                        held.add(news);
+                        held.add(callbacks);
                     }
                 },
                 16);
@@ -333,23 +334,23 @@
             taken++;
         }
         assertTrue(taken >= 8 && taken < 20, taken + " taken");
-        // What must be recorded of jobs at work still finds room.
-        assertTrue(journal.write(Op.move(1, State.QUEUED, List.of(), 1), failure -> {}));
+        // Records of running jobs still find room.
+        assertTrue(journal.write(Op.update(1, State.QUEUED, List.of(), 1), failure -> {}));
         stuck.countDown();
         journal.close();
-        assertEquals(taken + 1, disk.written.size());
+        assertEquals(taken + 1, storage.written.size());
     }
 
-    /** Processes that write and compact are killed at random moments; what they acknowledged must be there. */
+    /** Kills processes that write and compact at random moments; acknowledged jobs must survive. */
     @Test
-    void aKillAtAnyMomentLeavesWhatWasAcknowledged() throws Exception {
+    void acknowledgedJobsSurviveAKillAtAnyMoment() throws Exception {
         java.util.Random random = new java.util.Random(7);
         long acknowledged = 0;
         for (int i = 0; i < 6; i++) {
-            Path said = folder.resolve("said");
-            long enough = 100 + random.nextInt(4000);
-            KilledProcess.run(said, enough, Writer.class, folder.toString(), String.valueOf(acknowledged));
-            List<String> lines = Files.readAllLines(said);
+            Path outputFile = folder.resolve("said");
+            long outputBytes = 100 + random.nextInt(4000);
+            KilledProcess.run(outputFile, outputBytes, Writer.class, folder.toString(), String.valueOf(acknowledged));
+            List<String> lines = Files.readAllLines(outputFile);
             for (String line : lines.subList(0, Math.max(0, lines.size() - 1))) {
                 acknowledged = Math.max(acknowledged, Long.parseLong(line));
             }
@@ -366,7 +367,7 @@
         assertTrue(acknowledged > 50, acknowledged + " acknowledged");
     }
 
-    /** Accepts jobs, drops older ones, compacts now and then, and says which commits returned. */
+    /** Accepts jobs, drops older ones, compacts now and then, and prints the id of each committed job. */
     static final class Writer {
         private Writer() {}
 
@@ -379,7 +380,7 @@
                     if (id % 40 == 0) {
                         store.compact();
                     } else if (id % 7 == 0) {
-                        store.tidy();
+                        store.vacuumIncrementally();
                     }
                 }
             }
