--- a/src/main/java/laneflow/durable/DurableJobs.java
+++ b/src/main/java/laneflow/durable/DurableJobs.java
@@ -592,7 +592,7 @@
         }
         job.setKnown(lease, served ? Known.DONE : Known.SAID_FAILED);
         if (served) {
-            end(job, State.DONE, "served, told when its lease had run out", result);
+            end(job, State.DONE, "served, reported after its lease had expired", result);
         } else if (job.state.isEnd() || job.pendingEnd != null) {
             settle(job, false);
         }
@@ -653,7 +653,7 @@
     private void settle(DurableJob job, boolean backoff) {
         if (job.lateResult != null) {
             job.setKnown(job.lateLease, Known.DONE);
-            end(job, State.DONE, "served, told when its lease had run out", job.lateResult);
+            end(job, State.DONE, "served, reported after its lease had expired", job.lateResult);
             return;
         }
         JobClass type = scheduler.settings().classes[job.jobClass];
--- a/src/main/java/laneflow/durable/Store.java
+++ b/src/main/java/laneflow/durable/Store.java
@@ -440,10 +440,10 @@
     /** Checks the whole store and reports each damage found, as text. */
     public void verify(Consumer<String> damage) throws StoreException {
         try (Statement statement = db.createStatement();
-                ResultSet said = statement.executeQuery("PRAGMA integrity_check")) {
-            while (said.next()) {
-                if (!"ok".equals(said.getString(1))) {
-                    damage.accept("database: " + said.getString(1));
+                ResultSet problems = statement.executeQuery("PRAGMA integrity_check")) {
+            while (problems.next()) {
+                if (!"ok".equals(problems.getString(1))) {
+                    damage.accept("database: " + problems.getString(1));
                 }
             }
         } catch (SQLException e) {
