--- a/src/main/java/laneflow/task/Recovery.java
+++ b/src/main/java/laneflow/task/Recovery.java
@@ -167,7 +167,7 @@
             return;
         }
         try (FileChannel lock = FileChannel.open(from.resolve("lock"), StandardOpenOption.WRITE)) {
-            if (!FolderLock.take(lock)) {
+            if (!FolderLock.tryLock(lock)) {
                 unlockedSince.remove(name);
                 return;
             }
@@ -232,7 +232,7 @@
                         results.put(row.id(), result);
                     }
                 }
-                List<Long> stored = callOnLoop(then -> jobs.takeOver(batch, results, then::complete));
+                List<Long> stored = callOnLoop(then -> jobs.adoptJobs(batch, results, then::complete));
                 StoreMaintenance.drop(store, stored);
                 taken += stored.size();
                 if (stored.size() < batch.size()) {
