--- a/src/main/java/laneflow/durable/DurableJobs.java
+++ b/src/main/java/laneflow/durable/DurableJobs.java
@@ -592,7 +592,7 @@
         }
         job.setKnown(lease, served ? Known.DONE : Known.SAID_FAILED);
         if (served) {
-            end(job, State.DONE, "served, reported after its lease had expired", result);
+            end(job, State.DONE, "served, told when its lease had run out", result);
         } else if (job.state.isEnd() || job.pendingEnd != null) {
             settle(job, false);
         }
@@ -653,7 +653,7 @@
     private void settle(DurableJob job, boolean backoff) {
         if (job.lateResult != null) {
             job.setKnown(job.lateLease, Known.DONE);
-            end(job, State.DONE, "served, reported after its lease had expired", job.lateResult);
+            end(job, State.DONE, "served, told when its lease had run out", job.lateResult);
             return;
         }
         JobClass type = scheduler.settings().classes[job.jobClass];
@@ -663,7 +663,7 @@
         switch (verdict.kind()) {
             case REQUEUE:
                 job.untilMs = verdict.untilMs();
-                job.reason = job.attempts.isEmpty() ? "" : "requeued: " + verdict.reason();
+                job.reason = job.attempts.isEmpty() ? "" : "again: " + verdict.reason();
                 if (backoff) {
                     long pause = Math.min(MAX_BACKOFF, MIN_BACKOFF << Math.min(10, job.backoffs++));
                     job.notBefore = clock.micros() + pause;
