--- a/src/main/java/laneflow/assembly/Durability.java
+++ b/src/main/java/laneflow/assembly/Durability.java
@@ -51,7 +51,7 @@
             jobs.recover(rows, latestMs);
             core.front().keepIn(jobs);
             if (core.gearman() != null) {
-                core.gearman().keepIn(jobs);
+                core.gearman().setDurableJobs(jobs);
             }
         });
         LOG.info("durable jobs: {} taken over in {} ms", rows.size(), (System.nanoTime() - openedAt) / 1_000_000);
--- a/src/main/java/laneflow/assembly/Serve.java
+++ b/src/main/java/laneflow/assembly/Serve.java
@@ -111,7 +111,7 @@
                         around.passed(),
                         new Operations.Served(this::serves, () -> stopping, this::replaced));
         if (gearman != null) {
-            connector.mostBody(gearmanConfig.mostBody);
+            connector.mostBody(gearmanConfig.maxBodyBytes);
         }
         subsystems.begin();
         if (around.passed()) {
@@ -188,7 +188,7 @@
         }
         serving.complete(serve);
         if (serve.gearman != null) {
-            serve.gearman.endWith(serve::exit);
+            serve.gearman.onShutdownCommand(serve::exit);
         }
         serve.drained.await();
     }
@@ -335,7 +335,7 @@
                 && !subsystems.isOwed()
                 && scheduler.openRequests() == 0
                 && front.busy() == 0
-                && (gearman == null || gearman.busy() == 0)) {
+                && (gearman == null || gearman.unflushedConnections() == 0)) {
             drained.countDown();
         } else {
             loop.deadlines().at(loop.micros() + LOOK_AGAIN, this::drainedYet);
--- a/src/main/java/laneflow/gearman/GearmanConfig.java
+++ b/src/main/java/laneflow/gearman/GearmanConfig.java
@@ -38,7 +38,7 @@
      */
     public final int mostQueued;
     /** The longest body of a job or a result, bytes. */
-    public final int mostBody;
+    public final int maxBodyBytes;
     /** Whether 'shutdown' on the text protocol ends the scheduler. */
     public final boolean mayShutdown;
     /** Functions that clients and workers have named, of {@link #unmapped}'s class. */
@@ -60,7 +60,7 @@
             from.wrong("unmapped_class", "'" + other + "' is none of " + classes);
         }
         mostQueued = (int) from.whole("most_queued", 0, 0, 10_000_000);
-        mostBody = (int) from.whole("most_body_kib", 1024, 1, 65_536) * 1024;
+        maxBodyBytes = (int) from.whole("most_body_kib", 1024, 1, 65_536) * 1024;
         mayShutdown = from.flag("shutdown", false);
         Map<String, Table> all = from.tables("functions");
         if (all.isEmpty() && other == null) {
@@ -94,7 +94,7 @@
         zone = other.zone;
         unmapped = other.unmapped;
         mostQueued = other.mostQueued;
-        mostBody = other.mostBody;
+        maxBodyBytes = other.maxBodyBytes;
         mayShutdown = other.mayShutdown;
         functions.putAll(other.functions);
     }
--- a/src/main/java/laneflow/gearman/GearmanFront.java
+++ b/src/main/java/laneflow/gearman/GearmanFront.java
@@ -71,7 +71,7 @@
 
     public void listen(InetSocketAddress at) throws IOException {
         // A packet of the greatest size must fit whole, and going out another one behind it.
-        int in = Integer.highestOneBit(config.mostBody + Packet.NAMES + Packet.HEADER) << 1;
+        int in = Integer.highestOneBit(config.maxBodyBytes + Packet.NAMES + Packet.HEADER) << 1;
         listener = loop.listen(at, in, Math.max(LEAST_RING, 2 * in), this::makeRoom, () -> new Peer(this, ++came));
         listener.begin();
         LOG.info("Gearman clients and workers at {}", listener.address());
@@ -97,7 +97,7 @@
     }
 
     /** Background jobs of durable functions go there. */
-    public void keepIn(DurableJobService given) {
+    public void setDurableJobs(DurableJobService given) {
         keeper = given;
     }
 
@@ -112,7 +112,7 @@
     }
 
     /** Connections with answers not written yet. */
-    public int busy() {
+    public int unflushedConnections() {
         int[] busy = new int[1];
         peers.forEach(peer -> busy[0] += peer.isWritten() ? 0 : 1);
         return busy[0];
@@ -146,9 +146,9 @@
             client.error("UNKNOWN_FUNCTION", "no function of that name is mapped here");
             return;
         }
-        if (data.length > config.mostBody) {
+        if (data.length > config.maxBodyBytes) {
             scheduler.counters().add("gearman.bad_request");
-            client.error("TOO_LARGE", "a job holds " + config.mostBody / 1024 + " KiB at most");
+            client.error("TOO_LARGE", "a job holds " + config.maxBodyBytes / 1024 + " KiB at most");
             return;
         }
         if (draining) {
@@ -210,8 +210,8 @@
             client.error("UNKNOWN_FUNCTION", "no function of that name is mapped here");
         } else if (!function.durable() || keeper == null) {
             client.error("NOT_DURABLE", "jobs for later are taken for functions that are durable");
-        } else if (data.length > config.mostBody) {
-            client.error("TOO_LARGE", "a job holds " + config.mostBody / 1024 + " KiB at most");
+        } else if (data.length > config.maxBodyBytes) {
+            client.error("TOO_LARGE", "a job holds " + config.maxBodyBytes / 1024 + " KiB at most");
         } else if (draining) {
             client.error("SHUTTING_DOWN", "no further jobs are taken");
         } else {
@@ -524,7 +524,7 @@
     }
 
     /** Called where an operator's word ends the program; null: such words are refused. */
-    public void endWith(Runnable end) {
+    public void onShutdownCommand(Runnable end) {
         ending = config.mayShutdown ? end : null;
     }
 }
--- a/src/main/java/laneflow/gearman/Peer.java
+++ b/src/main/java/laneflow/gearman/Peer.java
@@ -179,7 +179,7 @@
                     whole();
                     continue;
                 }
-                Packet packet = Packet.read(link.in, front.config.mostBody + Packet.NAMES);
+                Packet packet = Packet.read(link.in, front.config.maxBodyBytes + Packet.NAMES);
                 if (packet == null) {
                     break;
                 }
--- a/src/main/java/laneflow/gearman/Worker.java
+++ b/src/main/java/laneflow/gearman/Worker.java
@@ -352,9 +352,9 @@
     }
 
     private void append(byte[] said) {
-        if (call != null && data.size() + said.length > front.config.mostBody) {
+        if (call != null && data.size() + said.length > front.config.maxBodyBytes) {
             finish(Outcome.ERROR, null);
-        } else if (call != null || outlived != null && data.size() + said.length <= front.config.mostBody) {
+        } else if (call != null || outlived != null && data.size() + said.length <= front.config.maxBodyBytes) {
             data.writeBytes(said);
         }
         if (call != null) {
--- a/src/test/java/laneflow/control/ControlTypesStoryTest.java
+++ b/src/test/java/laneflow/control/ControlTypesStoryTest.java
@@ -162,7 +162,7 @@
             Peer peer = stream(service);
             begun(peer, "classes", "limits", "functions");
             Peer worker = Gearman.worker(stand, "check", "sum");
-            Gearman.sleep(worker);
+            Gearman.preSleep(worker);
             Peer client = stand.gearman();
             Gearman.send(client, 7, "sum", "", "1 2");
             assertEquals("UNKNOWN_FUNCTION", Gearman.expect(client, Gearman.ERROR)[0]);
@@ -324,7 +324,7 @@
             ask(peer, version("1-aa", "x", resource(one)));
             // A durable job is at work there while its endpoint drains and is then left out.
             Peer client = stand.gearman();
-            String handle = Gearman.keep(client, "kpost", "u1", "b");
+            String handle = Gearman.submitBackground(client, "kpost", "u1", "b");
             assertFalse(handle.isEmpty());
             Peer call = one.accept();
             String id = call(call);
@@ -356,7 +356,7 @@
         try (Stand stand = Stand.keeping(jobs, "")) {
             Peer client = stand.gearman();
             for (int i = 0; i < 5; i++) {
-                Gearman.keep(client, "kcapture", "u" + i, "job " + i);
+                Gearman.submitBackground(client, "kcapture", "u" + i, "job " + i);
             }
         }
         Endpoint service = new Endpoint("control");
--- a/src/test/java/laneflow/durable/DurableStoryTest.java
+++ b/src/test/java/laneflow/durable/DurableStoryTest.java
@@ -2,9 +2,9 @@
 
 import static laneflow.gearman.Gearman.expect;
 import static laneflow.gearman.Gearman.grab;
-import static laneflow.gearman.Gearman.keep;
+import static laneflow.gearman.Gearman.preSleep;
 import static laneflow.gearman.Gearman.send;
-import static laneflow.gearman.Gearman.sleep;
+import static laneflow.gearman.Gearman.submitBackground;
 import static laneflow.gearman.Gearman.worker;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -71,22 +71,22 @@
         String kept;
         try (Stand stand = Stand.keeping(folder, "[classes.basket-check]\n");
                 Peer client = stand.gearman()) {
-            handle = keep(client, "kcapture", "u1", "pay");
+            handle = submitBackground(client, "kcapture", "u1", "pay");
             kept = place(async(stand.http(), "basket-check", "", "price").message());
         }
         try (Stand stand = Stand.keeping(folder, "");
                 Peer client = stand.gearman();
                 Peer http = stand.http()) {
             // The same unique is the same job, also after the crash.
-            assertEquals(handle, keep(client, "kcapture", "u1", "pay"));
-            assertNotEquals(handle, keep(client, "kcapture", "u2", "pay"));
+            assertEquals(handle, submitBackground(client, "kcapture", "u1", "pay"));
+            assertNotEquals(handle, submitBackground(client, "kcapture", "u2", "pay"));
             Peer worker = worker(stand, "kcapture", "kcheck");
             List<String> ran = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
                 String[] job = grab(worker);
                 ran.add(job[2] + job[4]);
                 send(worker, Gearman.COMPLETE, job[0], "ok " + job[4]);
-                sleep(worker);
+                preSleep(worker);
             }
             assertTrue(ran.contains("u1pay") && ran.contains("u2pay"), ran.toString());
             assertTrue(until(http, id(handle), "done").contains("\"result\":\"ok pay\""));
@@ -109,7 +109,7 @@
         try (Stand stand = Stand.keeping(folder, "");
                 Peer client = stand.gearman()) {
             Peer worker = worker(stand, "kcapture");
-            handle = keep(client, "kcapture", "u1", "pay");
+            handle = submitBackground(client, "kcapture", "u1", "pay");
             job = grab(worker);
         }
         try (Stand stand = Stand.keeping(folder, "");
@@ -135,7 +135,7 @@
                 Peer client = stand.gearman();
                 Peer http = stand.http()) {
             Peer worker = worker(stand, "kcapture");
-            String handle = keep(client, "kcapture", "", "pay");
+            String handle = submitBackground(client, "kcapture", "", "pay");
             String[] job = grab(worker);
             stand.await("lease.expired", 1);
             until(http, id(handle), "unknown");
@@ -143,8 +143,8 @@
             assertTrue(until(http, id(handle), "done").contains("paid late"));
             assertEquals(1, stand.counter("call.sent"));
             // One that says it failed turns what was unknown into a failure.
-            sleep(worker);
-            handle = keep(client, "kcapture", "", "pay");
+            preSleep(worker);
+            handle = submitBackground(client, "kcapture", "", "pay");
             job = grab(worker);
             until(http, id(handle), "unknown");
             send(worker, Gearman.FAIL, job[0]);
@@ -185,7 +185,7 @@
                     Peer client = stand.gearman();
                     Peer http = stand.http()) {
                 Peer stalled = worker(stand, "kpost");
-                String handle = keep(client, "kpost", "u", "post");
+                String handle = submitBackground(client, "kpost", "u", "post");
                 String[] first = grab(stalled);
                 Peer other = worker(stand, "kpost");
                 String[] second = grab(other);
@@ -212,7 +212,7 @@
                 Peer client = stand.gearman();
                 Peer http = stand.http()) {
             Peer worker = worker(stand, "kcapture");
-            String handle = keep(client, "kcapture", "", "pay");
+            String handle = submitBackground(client, "kcapture", "", "pay");
             String[] job = grab(worker);
             for (int i = 1; i < 5; i++) {
                 Thread.sleep(120);
@@ -290,13 +290,13 @@
         try (Stand stand = Stand.keeping(folder, "");
                 Peer client = stand.gearman();
                 Peer http = stand.http()) {
-            String id = id(keep(client, "kcapture", "", "pay"));
+            String id = id(submitBackground(client, "kcapture", "", "pay"));
             assertTrue(http.write("DELETE /jobs/" + id + " HTTP/1.1\r\n\r\n")
                     .message()
                     .startsWith("HTTP/1.1 204 "));
             until(http, id, "cancelled");
             Peer worker = worker(stand, "kcapture");
-            String next = id(keep(client, "kcapture", "", "pay 2"));
+            String next = id(submitBackground(client, "kcapture", "", "pay 2"));
             String[] job = grab(worker);
             assertEquals("pay 2", job[4]);
             assertTrue(http.write("DELETE /jobs/" + next + " HTTP/1.1\r\n\r\n")
@@ -332,7 +332,7 @@
             Peer worker = worker(stand, "kcheck");
             for (int i = 0; i < taken.size(); i++) {
                 send(worker, Gearman.COMPLETE, grab(worker)[0], "ok");
-                sleep(worker);
+                preSleep(worker);
             }
             for (String id : taken) {
                 until(http, id, "done");
@@ -347,12 +347,12 @@
                 Peer http = stand.http();
                 Peer client = stand.gearman()) {
             place(async(http, "points-post", "k1", "").message());
-            keep(client, "kpost", "", "");
+            submitBackground(client, "kpost", "", "");
             String answer = async(http, "points-post", "k3", "").message();
             assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("Retry-After: 1.000"), answer);
             send(client, Gearman.SUBMIT_BG, "kpost", "", "");
             assertEquals("QUEUE_FULL", expect(client, Gearman.ERROR)[0]);
-            keep(client, "kcapture", "", "");
+            submitBackground(client, "kcapture", "", "");
         }
     }
 
@@ -363,9 +363,9 @@
         try (Stand stand = Stand.keeping(folder, "");
                 Peer client = stand.gearman()) {
             Peer worker = worker(stand, "kcapture");
-            out = keep(client, "kcapture", "", "pay");
+            out = submitBackground(client, "kcapture", "", "pay");
             grab(worker);
-            queued = keep(client, "kpost", "u", "post");
+            queued = submitBackground(client, "kpost", "u", "post");
             long from = System.nanoTime();
             stand.serve.stop(() -> false);
             assertTrue(System.nanoTime() - from < 6_000_000_000L);
@@ -386,10 +386,10 @@
                 Peer client = stand.gearman();
                 Peer http = stand.http()) {
             Peer worker = worker(stand, "kcapture");
-            String first = keep(client, "kcapture", "", "1");
+            String first = submitBackground(client, "kcapture", "", "1");
             String[] job = grab(worker);
-            String second = keep(client, "kcapture", "", "2");
-            worker.write(Gearman.reset());
+            String second = submitBackground(client, "kcapture", "", "2");
+            worker.write(Gearman.resetAbilities());
             Thread.sleep(600);
             send(worker, Gearman.COMPLETE, job[0], "done");
             until(http, id(first), "done");
--- a/src/test/java/laneflow/gearman/Gearman.java
+++ b/src/test/java/laneflow/gearman/Gearman.java
@@ -27,20 +27,20 @@
 
     /** The next packet's arguments; it must be of this type. */
     public static String[] expect(Peer peer, int type) throws IOException {
-        Said said = next(peer);
+        Received said = next(peer);
         assertEquals(type, said.type, String.join(" ", said.args));
         return said.args;
     }
 
     /** A packet. */
-    public record Said(int type, String[] args) {}
+    public record Received(int type, String[] args) {}
 
     /** The next packet, of whatever type. */
-    public static Said next(Peer peer) throws IOException {
+    public static Received next(Peer peer) throws IOException {
         ByteBuffer head = ByteBuffer.wrap(peer.read(Packet.HEADER));
         assertEquals(Packet.RESPONSE, head.getInt());
         int got = head.getInt();
-        return new Said(got, new String(peer.read(head.getInt()), StandardCharsets.UTF_8).split("\0", -1));
+        return new Received(got, new String(peer.read(head.getInt()), StandardCharsets.UTF_8).split("\0", -1));
     }
 
     /** The protocol's number of that name. */
@@ -76,16 +76,16 @@
     }
 
     /** The packet by which a worker takes its abilities back. */
-    public static byte[] reset() {
+    public static byte[] resetAbilities() {
         return Packet.encode(Packet.REQUEST, Packet.RESET_ABILITIES);
     }
 
-    public static void sleep(Peer worker) throws IOException {
+    public static void preSleep(Peer worker) throws IOException {
         send(worker, Packet.PRE_SLEEP);
     }
 
     /** Hands a background job in and returns its handle. */
-    public static String keep(Peer client, String function, String unique, String body) throws IOException {
+    public static String submitBackground(Peer client, String function, String unique, String body) throws IOException {
         send(client, Packet.SUBMIT_JOB_BG, function, unique, body);
         return expect(client, Packet.JOB_CREATED)[0];
     }
--- a/src/test/java/laneflow/gearman/LaterTest.java
+++ b/src/test/java/laneflow/gearman/LaterTest.java
@@ -82,7 +82,7 @@
             while (!job[4].equals("late")) {
                 // The one that was at work when the scheduler died may run again.
                 Gearman.send(worker, Packet.WORK_COMPLETE, job[0], "r");
-                Gearman.sleep(worker);
+                Gearman.preSleep(worker);
                 job = Gearman.grab(worker);
             }
             assertTrue(System.currentTimeMillis() >= due * 1000, "begun before its time");
@@ -94,7 +94,7 @@
     @Test
     void aStoreOfTheFirstFormatIsReadOn() throws Exception {
         try (Stand stand = Stand.keeping(folder, "")) {
-            Gearman.keep(stand.gearman(), "kcheck", "old", "from before");
+            Gearman.submitBackground(stand.gearman(), "kcheck", "old", "from before");
         }
         try (Connection db = DriverManager.getConnection("jdbc:sqlite:" + folder.resolve("jobs.db"));
                 Statement statement = db.createStatement()) {
--- a/src/test/java/laneflow/transcripts/GearmanParty.java
+++ b/src/test/java/laneflow/transcripts/GearmanParty.java
@@ -23,7 +23,7 @@
 
     /** The next packet's arguments; whatever it is, it is written down. */
     String[] hears() throws Exception {
-        Gearman.Said said = Gearman.next(peer);
+        Gearman.Received said = Gearman.next(peer);
         transcript.message("scheduler", name, shown(Gearman.name(said.type()), (Object[]) said.args()));
         return said.args();
     }
