--- a/src/main/java/laneflow/gearman/AdminText.java
+++ b/src/main/java/laneflow/gearman/AdminCommands.java
@@ -6,24 +6,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The text protocol: one line asked, an answer in the forms that tools of the protocol parse. Lists end
- * with a line that holds a dot alone. On the loop's thread.
+ * Administrative commands of the text protocol: one line per command, answered in the format that Gearman
+ * tools parse. Lists end with a line that holds a single dot. Runs on the loop's thread.
  */
-final class AdminText {
+final class AdminCommands {
     private static final String END = ".\n";
     private static final String OK = "OK\n";
-    private static final String UNKNOWN = "ERR UNKNOWN_COMMAND Unknown+server+command\n";
-    private static final String MISSING =
+    private static final String UNKNOWN_COMMAND = "ERR UNKNOWN_COMMAND Unknown+server+command\n";
+    private static final String MISSING_ARGUMENT =
             "ERR INCOMPLETE_ARGS" + " An+incomplete+set+of+arguments+was+sent+to+this+command\n";
 
     private final GearmanFront front;
 
-    AdminText(GearmanFront front) {
+    AdminCommands(GearmanFront front) {
         this.front = front;
     }
 
-    /** Answers a line. */
-    String answer(String line) {
+    /** Executes the command on a line and returns the reply, line end included. */
+    String execute(String line) {
         String[] words = line.strip().split("\\s+");
         switch (words[0].toLowerCase(Locale.ROOT)) {
             case "status":
@@ -31,74 +31,78 @@
             case "prioritystatus":
                 return priorities();
             case "workers":
-                StringBuilder all = new StringBuilder();
-                front.eachPeer(peer -> all.append(peer.describe()));
-                return all + END;
+                StringBuilder answer = new StringBuilder();
+                front.eachPeer(peer -> answer.append(peer.describe()));
+                return answer + END;
             case "version":
-                String version = AdminText.class.getPackage().getImplementationVersion();
+                String version = AdminCommands.class.getPackage().getImplementationVersion();
                 return "OK " + (version == null ? "laneflow" : version) + "\n";
             case "getpid":
                 return "OK " + ProcessHandle.current().pid() + "\n";
             case "verbose":
                 return "OK " + (LoggerFactory.getLogger(GearmanFront.class).isDebugEnabled() ? "DEBUG" : "INFO") + "\n";
             case "maxqueue":
-                return words.length < 2 ? MISSING : limit(words);
+                return words.length < 2 ? MISSING_ARGUMENT : setLimits(words);
             case "create":
             case "drop":
                 return words.length < 3
-                        ? MISSING
+                        ? MISSING_ARGUMENT
                         : !words[1].equals("function")
-                                ? UNKNOWN
+                                ? UNKNOWN_COMMAND
                                 : words[0].equals("create") ? create(words[2]) : drop(words[2]);
             case "show":
-                return words.length < 2 ? MISSING : show(words);
+                return words.length < 2 ? MISSING_ARGUMENT : show(words);
             case "cancel":
-                return words.length < 3 ? MISSING : !words[1].equals("job") ? UNKNOWN : cancel(words[2]);
+                return words.length < 3
+                        ? MISSING_ARGUMENT
+                        : !words[1].equals("job") ? UNKNOWN_COMMAND : cancel(words[2]);
             case "shutdown":
-                return words.length > 1 && !words[1].equals("graceful") ? UNKNOWN : shutdown();
+                return words.length > 1 && !words[1].equals("graceful") ? UNKNOWN_COMMAND : shutdown();
             default:
-                return UNKNOWN;
+                return UNKNOWN_COMMAND;
         }
     }
 
-    /** Function, jobs in all, running, workers. */
+    /** One line per function: name, queued and running jobs, running jobs, workers. */
     private String status() {
-        StringBuilder all = new StringBuilder();
-        for (Map.Entry<String, Queues.Row> one : front.queues.rows().entrySet()) {
-            Queues.Row row = one.getValue();
-            all.append(one.getKey())
+        StringBuilder answer = new StringBuilder();
+        for (Map.Entry<String, Queues.FunctionCounts> entry :
+                front.queues.byFunction().entrySet()) {
+            Queues.FunctionCounts counts = entry.getValue();
+            answer.append(entry.getKey())
                     .append('\t')
-                    .append(row.queued() + row.running())
+                    .append(counts.queued() + counts.running())
                     .append('\t')
-                    .append(row.running())
+                    .append(counts.running())
                     .append('\t')
-                    .append(row.workers())
+                    .append(counts.workers())
                     .append('\n');
         }
-        return all + END;
+        return answer + END;
     }
 
-    /** Function, waiting by priority, workers. */
+    /** One line per function: name, queued jobs by priority, workers. */
     private String priorities() {
-        StringBuilder all = new StringBuilder();
-        for (Map.Entry<String, Queues.Row> one : front.queues.rows().entrySet()) {
-            Queues.Row row = one.getValue();
-            all.append(one.getKey())
+        StringBuilder answer = new StringBuilder();
+        for (Map.Entry<String, Queues.FunctionCounts> entry :
+                front.queues.byFunction().entrySet()) {
+            Queues.FunctionCounts counts = entry.getValue();
+            answer.append(entry.getKey())
                     .append('\t')
-                    .append(row.queued(Queues.HIGH))
+                    .append(counts.queued(Queues.HIGH))
                     .append('\t')
-                    .append(row.queued(Queues.NORMAL))
+                    .append(counts.queued(Queues.NORMAL))
                     .append('\t')
-                    .append(row.queued(Queues.LOW))
+                    .append(counts.queued(Queues.LOW))
                     .append('\t')
-                    .append(row.workers())
+                    .append(counts.workers())
                     .append('\n');
         }
-        return all + END;
+        return answer + END;
     }
 
-    /** One limit for all priorities, or one each; none: any number may wait. */
-    private String limit(String[] words) {
+    /** Sets one limit for all priorities or one for each; a missing limit means unlimited. */
+    private String setLimits(String[] words) {
         if (front.config.function(words[1]) == null) {
             return "ERR UNKNOWN_FUNCTION function+not+found\n";
         }
@@ -108,8 +112,8 @@
             }
         }
         for (int priority = Queues.HIGH; priority <= Queues.LOW; priority++) {
-            String most = words.length == 3 ? words[2] : words.length > 3 + priority - 1 ? words[2 + priority] : "0";
-            front.queues.limit(words[1], priority, Integer.parseInt(most));
+            String limit = words.length == 3 ? words[2] : words.length > 3 + priority - 1 ? words[2 + priority] : "0";
+            front.queues.setLimit(words[1], priority, Integer.parseInt(limit));
         }
         return OK;
     }
@@ -118,51 +122,51 @@
         if (front.config.function(function) == null) {
             return "ERR UNKNOWN_FUNCTION no+class+is+mapped+for+it\n";
         }
-        front.queues.row(function);
+        front.queues.counts(function);
         return OK;
     }
 
     private String drop(String function) {
-        if (!front.queues.knows(function)) {
+        if (!front.queues.contains(function)) {
             return "ERR function not found\n";
         }
-        if (!front.queues.row(function).isIdle()) {
+        if (!front.queues.counts(function).isIdle()) {
             return "ERR there are still connected workers or executing clients\n";
         }
-        if (!front.config.forget(function)) {
+        if (!front.config.forgetUnmapped(function)) {
             return "ERR MAPPED the+configuration+maps+it\n";
         }
-        front.queues.drop(function);
+        front.queues.removeIfIdle(function);
         return OK;
     }
 
     /**
-     * 'show jobs': handle, retries, whether it is passed over, whether it waits. 'show unique jobs':
-     * uniques.
+     * 'show jobs': handle, retries, whether it is ignored (always 0), whether it is queued. 'show unique
+     * jobs': unique ids.
      */
     private String show(String[] words) {
-        StringBuilder all = new StringBuilder();
+        StringBuilder answer = new StringBuilder();
         if (words[1].equals("jobs")) {
-            front.eachJob(job -> all.append(job.handle)
+            front.eachJob(job -> answer.append(job.handle)
                     .append('\t')
                     .append(Math.max(0, job.attempts - 1))
                     .append("\t0\t")
                     .append(job.running ? 0 : 1)
                     .append('\n'));
-            return all + END;
+            return answer + END;
         }
         if (words.length > 2 && words[1].equals("unique") && words[2].equals("jobs")) {
-            front.eachJob(job -> all.append(job.unique.isEmpty() ? "" : job.unique + "\n"));
-            return all + END;
+            front.eachJob(job -> answer.append(job.unique.isEmpty() ? "" : job.unique + "\n"));
+            return answer + END;
         }
-        return UNKNOWN;
+        return UNKNOWN_COMMAND;
     }
 
     private String cancel(String handle) {
         switch (front.cancel(handle)) {
-            case YES:
+            case CANCELLED:
                 return OK;
-            case BEGUN:
+            case STARTED:
                 return "ERR JOB_RUNNING it+has+begun\n";
             default:
                 return "ERR NO_SUCH_JOB no+job+of+that+handle\n";
@@ -170,10 +174,10 @@
     }
 
     private String shutdown() {
-        if (front.ending == null) {
+        if (front.shutdownCommand == null) {
             return "ERR NOT_ALLOWED the+configuration+does+not+allow+it\n";
         }
-        front.loop.later(front.ending);
+        front.loop.later(front.shutdownCommand);
         return OK;
     }
 }
--- a/src/main/java/laneflow/gearman/GearmanConfig.java
+++ b/src/main/java/laneflow/gearman/GearmanConfig.java
@@ -12,37 +12,37 @@
 import laneflow.config.Table;
 import laneflow.decision.Dispatch.Settings;
 
-/** Where the Gearman front listens, and what each function is to the scheduler. */
+/** Settings of the Gearman front: its listen address, limits, and the job class of each function. */
 public final class GearmanConfig {
     private static final double HOUR_MS = 3_600_000;
-    private static final int MOST_NAMED = 10_000;
-    private static final int MOST_NAME = 512;
+    private static final int MAX_UNMAPPED_FUNCTIONS = 10_000;
+    private static final int MAX_NAME_LENGTH = 512;
 
     /**
-     * One function of the protocol; background jobs of a durable one outlive the process.
+     * A Gearman function; background jobs of a durable function survive a restart.
      *
-     * @param deadline microseconds, or 0: its class's, whatever that is when a job comes
+     * @param deadline microseconds, or 0 for the deadline that its class has when a job is submitted
      */
     public record Function(String name, int jobClass, long deadline, double hint, double slots, boolean durable) {}
 
     public final String listen;
-    /** The zone that connected workers count to. */
+    /** The zone assigned to connected workers. */
     public final int zone;
 
     public final Map<String, Function> functions = new TreeMap<>();
-    /** Functions that no table names are of this class; below 0: they are refused. */
-    public final int unmapped;
+    /** The class of functions without a table of their own; below 0: such functions are refused. */
+    public final int unmappedClass;
     /**
-     * The most jobs that wait of a function and priority where no client's 'maxqueue' says otherwise; 0:
-     * any.
+     * The default limit of queued jobs per function and priority, which the command 'maxqueue' overrides; 0:
+     * unlimited.
      */
-    public final int mostQueued;
-    /** The longest body of a job or a result, bytes. */
+    public final int maxQueued;
+    /** The maximum size of a job's data or result. */
     public final int maxBodyBytes;
-    /** Whether 'shutdown' on the text protocol ends the scheduler. */
-    public final boolean mayShutdown;
-    /** Functions that clients and workers have named, of {@link #unmapped}'s class. */
-    private final Map<String, Function> named = new HashMap<>();
+    /** Whether the text command 'shutdown' stops the scheduler. */
+    public final boolean shutdownAllowed;
+    /** Functions used by clients and workers that have no table, of class {@link #unmappedClass}. */
+    private final Map<String, Function> unmappedFunctions = new HashMap<>();
 
     private final List<String> classes;
 
@@ -55,13 +55,13 @@
             from.wrong("zone", "'" + zoneName + "' is none of " + zones);
         }
         String other = from.text("unmapped_class", null);
-        unmapped = other == null ? -1 : classes.indexOf(other);
-        if (other != null && unmapped < 0) {
+        unmappedClass = other == null ? -1 : classes.indexOf(other);
+        if (other != null && unmappedClass < 0) {
             from.wrong("unmapped_class", "'" + other + "' is none of " + classes);
         }
-        mostQueued = (int) from.whole("most_queued", 0, 0, 10_000_000);
+        maxQueued = (int) from.whole("most_queued", 0, 0, 10_000_000);
         maxBodyBytes = (int) from.whole("most_body_kib", 1024, 1, 65_536) * 1024;
-        mayShutdown = from.flag("shutdown", false);
+        shutdownAllowed = from.flag("shutdown", false);
         Map<String, Table> all = from.tables("functions");
         if (all.isEmpty() && other == null) {
             from.wrong("functions", "no [functions.NAME]");
@@ -92,58 +92,61 @@
         classes = other.classes;
         listen = other.listen;
         zone = other.zone;
-        unmapped = other.unmapped;
-        mostQueued = other.mostQueued;
+        unmappedClass = other.unmappedClass;
+        maxQueued = other.maxQueued;
         maxBodyBytes = other.maxBodyBytes;
-        mayShutdown = other.mayShutdown;
+        shutdownAllowed = other.shutdownAllowed;
         functions.putAll(other.functions);
     }
 
-    /** The same, on which later versions do not tell. */
+    /** A copy that later calls of {@link #adopt} on this one don't change. */
     public GearmanConfig copy() {
         return new GearmanConfig(this);
     }
 
     /**
-     * Takes over the functions of another reading, as far as jobs and workers that are here allow; tells
-     * what waits for a restart. On the loop's thread.
+     * Adopts the functions of a newer configuration, except changes that existing jobs and workers rule out,
+     * and returns the changes that need a restart. Called on the loop's thread.
      */
     List<String> adopt(GearmanConfig other) {
-        List<String> later = new ArrayList<>();
+        List<String> deferred = new ArrayList<>();
         if (!listen.equals(other.listen) || zone != other.zone) {
-            later.add("listen and zone: from the next start on");
+            deferred.add("listen and zone: from the next start on");
         }
         other.functions.forEach((name, next) -> {
             Function now = functions.get(name);
             if (now != null && (now.jobClass() != next.jobClass() || now.durable() != next.durable())) {
-                // Workers are listed by class, and a durable job must be found by the one that took it on.
-                later.add("functions." + name + ": class and durable from the next start on");
+                // Workers are listed by class, and a durable job must be found by the process that accepted it.
+                deferred.add("functions." + name + ": class and durable from the next start on");
                 next = new Function(name, now.jobClass(), next.deadline(), next.hint(), next.slots(), now.durable());
             }
             functions.put(name, next);
         });
         functions.keySet().stream()
                 .filter(name -> !other.functions.containsKey(name))
-                .forEach(name -> later.add("functions." + name + ": is mapped until the next start"));
-        return later;
+                .forEach(name -> deferred.add("functions." + name + ": is mapped until the next start"));
+        return deferred;
     }
 
-    /** What a name stands for, or null where it is refused. */
+    /** The function of that name, or null if it is refused. */
     Function function(String name) {
-        Function mapped = functions.get(name);
-        if (mapped == null && unmapped >= 0) {
-            mapped = named.get(name);
-            if (mapped == null && named.size() < MOST_NAMED && !name.isEmpty() && name.length() <= MOST_NAME) {
-                mapped = new Function(name, unmapped, 0, Double.NaN, 1, false);
-                named.put(name, mapped);
+        Function function = functions.get(name);
+        if (function == null && unmappedClass >= 0) {
+            function = unmappedFunctions.get(name);
+            if (function == null
+                    && unmappedFunctions.size() < MAX_UNMAPPED_FUNCTIONS
+                    && !name.isEmpty()
+                    && name.length() <= MAX_NAME_LENGTH) {
+                function = new Function(name, unmappedClass, 0, Double.NaN, 1, false);
+                unmappedFunctions.put(name, function);
             }
         }
-        return mapped;
+        return function;
     }
 
-    /** Forgets a name that was made known by being said; false where a table maps it. */
-    boolean forget(String name) {
-        named.remove(name);
+    /** Forgets a function without a table; false if the configuration maps it. */
+    boolean forgetUnmapped(String name) {
+        unmappedFunctions.remove(name);
         return !functions.containsKey(name);
     }
 
@@ -151,12 +154,12 @@
         return classes.get(function.jobClass());
     }
 
-    /** Reads a table against the scheduler's settings; what is wrong becomes findings of the table's. */
+    /** Reads a table against the scheduler's settings; errors are added to the table's findings. */
     public static GearmanConfig read(Table from, Settings settings, List<String> classes, List<String> zones) {
         return new GearmanConfig(from, settings, classes, zones);
     }
 
-    /** Reads a file of its own. */
+    /** Reads a separate Gearman file. */
     public static GearmanConfig read(Path file, Settings settings, List<String> classes, List<String> zones)
             throws IOException {
         return parse(Files.readString(file), file.toString(), settings, classes, zones);
--- a/src/main/java/laneflow/gearman/GearmanConnector.java
+++ b/src/main/java/laneflow/gearman/GearmanConnector.java
@@ -7,7 +7,7 @@
 import laneflow.core.Endpoint;
 import laneflow.decision.Dispatch.Outcome;
 
-/** Attempts at Gearman workers: one waits at its worker until that grabs it. */
+/** Sends attempts to Gearman workers: each is queued at its worker until the worker grabs it. */
 final class GearmanConnector implements Connector {
     private final GearmanFront front;
     private final Map<String, Worker> workers = new HashMap<>();
@@ -25,35 +25,35 @@
     }
 
     @Override
-    public void open(Attempt call) {
-        Worker worker = workers.get(call.endpoint.name);
+    public void open(Attempt attempt) {
+        Worker worker = workers.get(attempt.endpoint.name);
         if (worker == null) {
-            front.loop.later(() -> front.scheduler.ended(call, Outcome.CONNECT_FAILED, null, null));
+            front.loop.later(() -> front.scheduler.ended(attempt, Outcome.CONNECT_FAILED, null, null));
         } else {
-            worker.offer(call);
+            worker.enqueue(attempt);
         }
     }
 
     @Override
-    public boolean close(Attempt call) {
-        Worker worker = workers.get(call.endpoint.name);
-        return worker != null && worker.drop(call);
+    public boolean close(Attempt attempt) {
+        Worker worker = workers.get(attempt.endpoint.name);
+        return worker != null && worker.detach(attempt);
     }
 
     @Override
-    public boolean closeUnsent(Attempt call) {
-        Worker worker = workers.get(call.endpoint.name);
-        return worker != null && worker.dropWaiting(call);
+    public boolean closeUnsent(Attempt attempt) {
+        Worker worker = workers.get(attempt.endpoint.name);
+        return worker != null && worker.removeQueued(attempt);
     }
 
     @Override
     public void probe(Endpoint endpoint) {
-        // A worker has no word for its load; that it is connected is known already.
+        // The protocol has no load report, and a listed worker is known to be connected.
         front.loop.later(() -> front.scheduler.probed(endpoint, 0, Outcome.OK, null));
     }
 
     @Override
     public void closeIdle(Endpoint endpoint) {
-        // A worker's one connection is its own to close.
+        // A worker has a single connection and closes it itself.
     }
 }
--- a/src/main/java/laneflow/gearman/GearmanFront.java
+++ b/src/main/java/laneflow/gearman/GearmanFront.java
@@ -26,14 +26,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The Gearman front: its clients' jobs are requests of the core like any other, and its workers are endpoints
- * that the core may send any front's requests to.
+ * The Gearman front: jobs of Gearman clients become ordinary core requests, and connected workers become
+ * endpoints to which the core may send requests of any front.
  */
 public final class GearmanFront implements Front {
     private static final Logger LOG = LoggerFactory.getLogger(GearmanFront.class);
-    private static final int LEAST_RING = 1 << 20;
-    /** Handles of kept jobs: with an id for clients, with a lease's number behind it for workers. */
-    static final String KEPT = "H:laneflow:d";
+    private static final int MIN_OUTPUT_RING_BYTES = 1 << 20;
+    /** Prefix of durable jobs' handles: the job id follows, and for workers a dot and the lease number. */
+    static final String DURABLE_HANDLE_PREFIX = "H:laneflow:d";
 
     final Loop loop;
     final Scheduler scheduler;
@@ -43,21 +43,21 @@
     private final SlotTable<Peer> peers = new SlotTable<>();
     private final SlotTable<Job> jobs = new SlotTable<>();
     private final Map<String, Job> byHandle = new HashMap<>();
-    private final Map<String, Job> byKey = new HashMap<>();
-    /** Jobs by what their clients call unique, of all functions: a status is asked by that alone. */
+    private final Map<String, Job> byCoalescingKey = new HashMap<>();
+    /** Jobs by unique id across all functions, because GET_STATUS_UNIQUE names no function. */
     private final Map<String, List<Job>> byUnique = new HashMap<>();
 
     final Queues queues;
-    final AdminText text = new AdminText(this);
-    /** Null where operators may not end the program. */
-    Runnable ending;
-    /** Null where durable jobs are off. */
-    DurableJobService keeper;
+    final AdminCommands adminCommands = new AdminCommands(this);
+    /** Runs on the admin command "shutdown"; null where that is not allowed. */
+    Runnable shutdownCommand;
+    /** Null where durable jobs are disabled. */
+    DurableJobService durableJobs;
 
     private Loop.Listener listener;
     private boolean draining;
-    private long handles;
-    private long came;
+    private long handleCount;
+    private long connectionCount;
 
     public GearmanFront(Loop loop, Scheduler scheduler, GearmanConfig config, long seed) {
         this.loop = loop;
@@ -65,57 +65,63 @@
         this.config = config;
         random = new SplittableRandom(seed);
         connector = new GearmanConnector(this);
-        queues = new Queues(config.mostQueued);
-        config.functions.keySet().forEach(queues::row);
+        queues = new Queues(config.maxQueued);
+        config.functions.keySet().forEach(queues::counts);
     }
 
     public void listen(InetSocketAddress at) throws IOException {
-        // A packet of the greatest size must fit whole, and going out another one behind it.
-        int in = Integer.highestOneBit(config.maxBodyBytes + Packet.NAMES + Packet.HEADER) << 1;
-        listener = loop.listen(at, in, Math.max(LEAST_RING, 2 * in), this::makeRoom, () -> new Peer(this, ++came));
+        // The input ring must hold a packet of the maximum size, the output ring two of them.
+        int inputRingBytes =
+                Integer.highestOneBit(config.maxBodyBytes + Packet.MAX_NAMES_BYTES + Packet.HEADER_BYTES) << 1;
+        listener = loop.listen(
+                at,
+                inputRingBytes,
+                Math.max(MIN_OUTPUT_RING_BYTES, 2 * inputRingBytes),
+                this::closeOldestIncomplete,
+                () -> new Peer(this, ++connectionCount));
         listener.begin();
-        LOG.info("Gearman clients and workers at {}", listener.address());
+        LOG.info("Gearman front listens on {}", listener.address());
     }
 
-    /** Those that have not yet sent a whole packet give way, the one that came first before others. */
-    private boolean makeRoom() {
-        Peer[] first = new Peer[1];
+    /** Frees a connection by closing the one that has been receiving an incomplete packet for longest. */
+    private boolean closeOldestIncomplete() {
+        Peer[] oldest = new Peer[1];
         peers.forEach(peer -> {
-            if (peer.isBegun() && (first[0] == null || peer.before(first[0]))) {
-                first[0] = peer;
+            if (peer.isPacketIncomplete() && (oldest[0] == null || peer.startedBefore(oldest[0]))) {
+                oldest[0] = peer;
             }
         });
-        if (first[0] != null) {
+        if (oldest[0] != null) {
             scheduler.counters().add("gearman.gave_way");
-            first[0].leave();
+            oldest[0].disconnect();
         }
-        return first[0] != null;
+        return oldest[0] != null;
     }
 
     public InetSocketAddress address() {
         return listener.address();
     }
 
-    /** Background jobs of durable functions go there. */
-    public void setDurableJobs(DurableJobService given) {
-        keeper = given;
+    /** Sets the service that stores background jobs of durable functions. */
+    public void setDurableJobs(DurableJobService service) {
+        durableJobs = service;
     }
 
-    /** Takes no further jobs; those taken are still answered. */
+    /** Stops accepting new jobs; accepted jobs are still answered. */
     public void drain() {
         draining = true;
     }
 
-    /** Lets nobody in any more; those that are here go on. */
+    /** Stops accepting connections; open ones continue. */
     public void stopAccepting() {
         listener.close();
     }
 
-    /** Connections with answers not written yet. */
+    /** The number of connections with unwritten or pending replies. */
     public int unflushedConnections() {
-        int[] busy = new int[1];
-        peers.forEach(peer -> busy[0] += peer.isWritten() ? 0 : 1);
-        return busy[0];
+        int[] unflushed = new int[1];
+        peers.forEach(peer -> unflushed[0] += peer.isFlushed() ? 0 : 1);
+        return unflushed[0];
     }
 
     long add(Peer peer) {
@@ -124,15 +130,15 @@
 
     void remove(Peer peer, long slot) {
         peers.remove(slot);
-        List<Job> waited = new ArrayList<>(peer.waiting);
+        List<Job> awaited = new ArrayList<>(peer.waiting);
         peer.waiting.clear();
-        waited.forEach(job -> leave(job, peer));
+        awaited.forEach(job -> removeClient(job, peer));
     }
 
-    /** A client that leaves withdraws what nobody else waits for. */
-    private void leave(Job job, Peer peer) {
+    /** Withdraws a foreground job when its last client disconnects. */
+    private void removeClient(Job job, Peer peer) {
         if (job.clients.remove(peer) && job.clients.isEmpty() && !job.background) {
-            end(job);
+            removeJob(job);
             scheduler.withdraw(job.request);
         }
     }
@@ -160,14 +166,14 @@
                 || type == Packet.SUBMIT_JOB_HIGH_BG
                 || type == Packet.SUBMIT_JOB_LOW_BG
                 || type == Packet.SUBMIT_REDUCE_JOB_BG;
-        if (background && function.durable() && keeper != null) {
-            keep(client, function, unique, data, Queues.NORMAL - priority, 0);
+        if (background && function.durable() && durableJobs != null) {
+            storeDurable(client, function, unique, data, Queues.NORMAL - priority, 0);
             return;
         }
-        String key = key(name, unique, data);
-        Job same = key == null ? null : byKey.get(key);
-        if (same != null) {
-            join(client, same, background);
+        String key = coalescingKey(name, unique, data);
+        Job existing = key == null ? null : byCoalescingKey.get(key);
+        if (existing != null) {
+            joinExisting(client, existing, background);
             return;
         }
         if (!queues.admits(name, priority)) {
@@ -175,7 +181,7 @@
             client.error("QUEUE_FULL", "as many jobs of this function and priority wait as may");
             return;
         }
-        Job job = new Job("H:laneflow:" + ++handles, function, unique, key, reducer, priority, background);
+        Job job = new Job("H:laneflow:" + ++handleCount, function, unique, key, reducer, priority, background);
         if (!background) {
             job.clients.add(client);
             client.waiting.add(job);
@@ -183,19 +189,19 @@
         job.slot = jobs.add(job);
         byHandle.put(job.handle, job);
         if (key != null) {
-            byKey.put(key, job);
+            byCoalescingKey.put(key, job);
             byUnique.computeIfAbsent(unique, none -> new ArrayList<>(1)).add(job);
         }
-        queues.queued(name, priority);
-        // Before the core hears of it: its answer may come at once and must not overtake this.
+        queues.recordQueued(name, priority);
+        // Sent before the core gets the request, because its answer may come synchronously and must follow this packet.
         client.send(Packet.JOB_CREATED, job.handle);
         job.request = request(job, data);
         job.request.urgency = Queues.NORMAL - priority;
         scheduler.submit(job.request);
     }
 
-    /** A background job for later: only where it outlives the process, since the time may be days away. */
-    void submitLater(Peer client, String name, String unique, byte[] data, LongSupplier when) {
+    /** Accepts a scheduled background job, for durable functions only, since it may be due days from now. */
+    void submitScheduled(Peer client, String name, String unique, byte[] data, LongSupplier when) {
         GearmanConfig.Function function = config.function(name);
         long notBeforeMs;
         try {
@@ -208,14 +214,14 @@
         if (function == null) {
             scheduler.counters().add("gearman.bad_request");
             client.error("UNKNOWN_FUNCTION", "no function of that name is mapped here");
-        } else if (!function.durable() || keeper == null) {
+        } else if (!function.durable() || durableJobs == null) {
             client.error("NOT_DURABLE", "jobs for later are taken for functions that are durable");
         } else if (data.length > config.maxBodyBytes) {
             client.error("TOO_LARGE", "a job holds " + config.maxBodyBytes / 1024 + " KiB at most");
         } else if (draining) {
             client.error("SHUTTING_DOWN", "no further jobs are taken");
         } else {
-            keep(client, function, unique, data, 0, notBeforeMs);
+            storeDurable(client, function, unique, data, 0, notBeforeMs);
         }
     }
 
@@ -226,23 +232,24 @@
     }
 
     /**
-     * The same job again, while it is at work: one run answers all who asked for it. Once somebody handed it
-     * in as a background job it is run whoever leaves.
+     * Attaches a client to a job that is already queued or running, so that one run answers all its clients.
+     * Once submitted as a background job, it runs even if all clients disconnect.
      */
-    private void join(Peer client, Job same, boolean background) {
+    private void joinExisting(Peer client, Job existing, boolean background) {
         scheduler.counters().add("gearman.joined");
-        client.send(Packet.JOB_CREATED, same.handle);
+        client.send(Packet.JOB_CREATED, existing.handle);
         if (background) {
-            same.background = true;
-        } else if (client.waiting.add(same)) {
-            same.clients.add(client);
+            existing.background = true;
+        } else if (client.waiting.add(existing)) {
+            existing.clients.add(client);
         }
     }
 
     /**
-     * What marks the same job: its unique, or with "-" its data. By a digest: jobs of one mark are merged.
+     * The key under which equal jobs are coalesced: the function and the unique id, or a digest of the data
+     * where the unique id is "-". Null if the job can't be coalesced.
      */
-    private static String key(String function, String unique, byte[] data) {
+    private static String coalescingKey(String function, String unique, byte[] data) {
         if (unique.isEmpty() || unique.equals("-") && data.length == 0) {
             return null;
         }
@@ -260,13 +267,13 @@
         }
     }
 
-    /** Hands a job to whoever keeps it; the client hears of it once it is on disk. */
-    private void keep(
+    /** Stores a job durably; the client gets its reply once the job is on disk. */
+    private void storeDurable(
             Peer client, GearmanConfig.Function function, String unique, byte[] data, int urgency, long notBeforeMs) {
-        Peer.Owed word = client.owe();
-        String mark = unique.equals("-") ? digest(data) : unique;
-        String key = mark.isEmpty() ? "" : "gearman/" + function.name() + "/" + mark;
-        keeper.submit(
+        Peer.PendingReply reply = client.reserveReply();
+        String uniqueOrDigest = unique.equals("-") ? digest(data) : unique;
+        String key = uniqueOrDigest.isEmpty() ? "" : "gearman/" + function.name() + "/" + uniqueOrDigest;
+        durableJobs.submit(
                 new DurableJobService.Submission(
                         function.jobClass(),
                         function.name(),
@@ -276,33 +283,33 @@
                         function.hint(),
                         function.slots(),
                         0,
-                        subject(unique),
+                        routingKey(unique),
                         urgency,
                         notBeforeMs),
-                said -> {
-                    if (said.outcome() == DurableJobService.SubmissionOutcome.ACCEPTED) {
-                        word.is(Packet.JOB_CREATED, KEPT + hex(said.id()));
-                    } else if (said.outcome() == DurableJobService.SubmissionOutcome.FULL) {
-                        word.is(
+                submission -> {
+                    if (submission.outcome() == DurableJobService.SubmissionOutcome.ACCEPTED) {
+                        reply.complete(Packet.JOB_CREATED, DURABLE_HANDLE_PREFIX + hex(submission.id()));
+                    } else if (submission.outcome() == DurableJobService.SubmissionOutcome.FULL) {
+                        reply.complete(
                                 Packet.ERROR,
                                 "QUEUE_FULL",
-                                "come back in " + Math.ceil(said.retryAfter() * 1000) / 1000 + " s");
+                                "come back in " + Math.ceil(submission.retryAfter() * 1000) / 1000 + " s");
                     } else {
-                        word.is(Packet.ERROR, "STORE_FAILED", "no durable job is taken on until a restart");
+                        reply.complete(Packet.ERROR, "STORE_FAILED", "no durable job is taken on until a restart");
                     }
                 });
     }
 
-    private static long subject(String unique) {
+    private static long routingKey(String unique) {
         return unique.isEmpty() ? 0 : Endpoint.stableId(unique);
     }
 
-    /** The job in the words of the platform's wire too: an HTTP endpoint may be the one to run it. */
+    /** The payload in the platform's HTTP form, since an HTTP endpoint may run the job. */
     private Payload payload(GearmanConfig.Function function, String unique, byte[] data) {
         String id = hex(random.nextLong());
         boolean keyed = scheduler.settings().classes[function.jobClass()].effect == Effect.KEYED;
         String repeatKey = !keyed ? null : unique.matches("[!-~]{1,128}") ? unique : id;
-        long key = subject(unique);
+        long key = routingKey(unique);
         String target = "/" + config.className(function) + (key == 0 ? "" : "?key=" + hex(key));
         return new Payload("POST", target, id, repeatKey, data);
     }
@@ -313,12 +320,12 @@
                 : (long) (scheduler.settings().classes[function.jobClass()].deadline * 1e6);
     }
 
-    /** A version of the functions: workers that have named new ones already get their jobs at once. */
+    /** Adopts a new version of the functions; workers that have already announced new ones get their jobs at once. */
     public List<String> adopt(GearmanConfig other) {
-        List<String> later = config.adopt(other);
-        config.functions.keySet().forEach(queues::row);
+        List<String> deferred = config.adopt(other);
+        config.functions.keySet().forEach(queues::counts);
         peers.forEach(peer -> peer.worker.functionsChanged());
-        return later;
+        return deferred;
     }
 
     private Request request(Job job, byte[] data) {
@@ -340,36 +347,36 @@
     }
 
     /**
-     * The id of a kept job and the number of a lease, of a worker's handle; null if it is none of that
-     * kind.
+     * Parses a worker's handle of a durable job into job id and lease number; null if it is no such handle.
      */
-    static long[] lease(String handle) {
-        int point = handle.indexOf('.');
-        if (!handle.startsWith(KEPT) || point < 0) {
+    static long[] parseLeaseHandle(String handle) {
+        int dot = handle.indexOf('.');
+        if (!handle.startsWith(DURABLE_HANDLE_PREFIX) || dot < 0) {
             return null;
         }
         try {
             return new long[] {
-                Long.parseUnsignedLong(handle.substring(KEPT.length(), point), 16),
-                Integer.parseInt(handle.substring(point + 1))
+                Long.parseUnsignedLong(handle.substring(DURABLE_HANDLE_PREFIX.length(), dot), 16),
+                Integer.parseInt(handle.substring(dot + 1))
             };
         } catch (NumberFormatException e) {
             return null;
         }
     }
 
-    /** A client's handle of a kept job as its id, or 0. */
-    private static long kept(String handle) {
-        boolean is = handle.startsWith(KEPT) && handle.length() == KEPT.length() + 16;
+    /** Parses a client's handle of a durable job into the job id, or 0. */
+    private static long parseDurableHandle(String handle) {
+        boolean wellFormed =
+                handle.startsWith(DURABLE_HANDLE_PREFIX) && handle.length() == DURABLE_HANDLE_PREFIX.length() + 16;
         try {
-            return is ? Long.parseUnsignedLong(handle.substring(KEPT.length()), 16) : 0;
+            return wellFormed ? Long.parseUnsignedLong(handle.substring(DURABLE_HANDLE_PREFIX.length()), 16) : 0;
         } catch (NumberFormatException e) {
             return 0;
         }
     }
 
     void status(Peer client, String handle) {
-        DurableJobService.JobView view = keeper == null ? null : keeper.peek(kept(handle));
+        DurableJobService.JobView view = durableJobs == null ? null : durableJobs.peek(parseDurableHandle(handle));
         if (view != null) {
             boolean open = !view.ended();
             client.send(
@@ -383,31 +390,31 @@
                 job == null ? 0 : 1,
                 job != null && job.running ? 1 : 0,
                 job == null ? 0 : job.done,
-                job == null ? 0 : job.of);
+                job == null ? 0 : job.total);
     }
 
-    /** The same by a unique, of whatever function; with how many clients wait for it. */
-    void statusOf(Peer client, String unique) {
-        List<Job> all = byUnique.get(unique);
-        Job job = all == null ? null : all.get(all.size() - 1);
+    /** Replies with the status by unique id, of any function, and the number of waiting clients. */
+    void statusByUnique(Peer client, String unique) {
+        List<Job> sameUnique = byUnique.get(unique);
+        Job job = sameUnique == null ? null : sameUnique.get(sameUnique.size() - 1);
         client.send(
                 Packet.STATUS_RES_UNIQUE,
                 unique,
                 job == null ? 0 : 1,
                 job != null && job.running ? 1 : 0,
                 job == null ? 0 : job.done,
-                job == null ? 0 : job.of,
+                job == null ? 0 : job.total,
                 job == null ? 0 : job.clients.size());
     }
 
-    /** What a worker says while it works, to all who wait. */
-    void said(Job job, int type, byte[] said) {
+    /** Sends a worker's intermediate output to all waiting clients. */
+    void forwardOutput(Job job, int type, byte[] output) {
         for (Peer client : new ArrayList<>(job.clients)) {
-            client.send(type, job.handle, said);
+            client.send(type, job.handle, output);
         }
     }
 
-    /** The job that a request of this front stands for, or null. */
+    /** The job of a request of this front, or null. */
     Job job(Request request) {
         return request.front == this ? jobs.get(request.tag) : null;
     }
@@ -422,12 +429,12 @@
     @Override
     public void served(long tag, byte[] result) {
         Job job = jobs.get(tag);
-        for (Peer client : ended(job)) {
+        for (Peer client : removeAndGetClients(job)) {
             client.send(Packet.WORK_COMPLETE, job.handle, result);
         }
     }
 
-    /** The protocol has one word for both: a client can't be told when to come back. */
+    /** Sends WORK_FAIL as for a failure: the protocol has no refusal and no retry-after time. */
     @Override
     public void refused(long tag, double retryAfter) {
         failed(tag);
@@ -436,7 +443,7 @@
     @Override
     public void failed(long tag) {
         Job job = jobs.get(tag);
-        for (Peer client : ended(job)) {
+        for (Peer client : removeAndGetClients(job)) {
             if (job.exception != null && client.wantsExceptions) {
                 client.send(Packet.WORK_EXCEPTION, job.handle, job.exception);
             }
@@ -451,42 +458,42 @@
             job.attempts++;
             if (!job.running) {
                 job.running = true;
-                queues.started(job.function.name(), job.priority);
+                queues.recordStarted(job.function.name(), job.priority);
             }
         }
     }
 
     @Override
-    public void progress(long tag, long done, long of) {
+    public void progress(long tag, long done, long total) {
         Job job = jobs.get(tag);
         if (job != null) {
             job.done = done;
-            job.of = of;
+            job.total = total;
             for (Peer client : new ArrayList<>(job.clients)) {
-                client.send(Packet.WORK_STATUS, job.handle, done, of);
+                client.send(Packet.WORK_STATUS, job.handle, done, total);
             }
         }
     }
 
-    private List<Peer> ended(Job job) {
+    private List<Peer> removeAndGetClients(Job job) {
         List<Peer> clients = job == null ? List.of() : new ArrayList<>(job.clients);
         if (job != null) {
-            end(job);
+            removeJob(job);
         }
         return clients;
     }
 
-    private void end(Job job) {
+    private void removeJob(Job job) {
         job.clients.forEach(client -> client.waiting.remove(job));
         job.clients.clear();
         jobs.remove(job.slot);
         byHandle.remove(job.handle);
-        queues.ended(job.function.name(), job.priority, job.running);
-        if (job.key != null) {
-            byKey.remove(job.key, job);
-            byUnique.computeIfPresent(job.unique, (unique, all) -> {
-                all.remove(job);
-                return all.isEmpty() ? null : all;
+        queues.recordEnded(job.function.name(), job.priority, job.running);
+        if (job.coalescingKey != null) {
+            byCoalescingKey.remove(job.coalescingKey, job);
+            byUnique.computeIfPresent(job.unique, (unique, sameUnique) -> {
+                sameUnique.remove(job);
+                return sameUnique.isEmpty() ? null : sameUnique;
             });
         }
     }
@@ -501,30 +508,30 @@
         jobs.forEach(action);
     }
 
-    /** What became of a wish to cancel. */
-    enum Cancelled {
-        YES,
+    /** The result of cancelling a job. */
+    enum CancelResult {
+        CANCELLED,
         NO_SUCH_JOB,
-        BEGUN
+        STARTED
     }
 
-    /** Takes back a job that no endpoint has begun; whoever waits for it hears that it failed. */
-    Cancelled cancel(String handle) {
+    /** Cancels a job that no endpoint has started; waiting clients get WORK_FAIL. */
+    CancelResult cancel(String handle) {
         Job job = byHandle.get(handle);
         if (job == null) {
-            return Cancelled.NO_SUCH_JOB;
+            return CancelResult.NO_SUCH_JOB;
         }
         if (job.attempts > 0) {
-            return Cancelled.BEGUN;
+            return CancelResult.STARTED;
         }
-        List<Peer> clients = ended(job);
+        List<Peer> clients = removeAndGetClients(job);
         scheduler.withdraw(job.request);
         clients.forEach(client -> client.send(Packet.WORK_FAIL, job.handle));
-        return Cancelled.YES;
+        return CancelResult.CANCELLED;
     }
 
-    /** Called where an operator's word ends the program; null: such words are refused. */
-    public void onShutdownCommand(Runnable end) {
-        ending = config.mayShutdown ? end : null;
+    /** Sets the action of the admin command "shutdown"; ignored where the configuration does not allow it. */
+    public void onShutdownCommand(Runnable command) {
+        shutdownCommand = config.shutdownAllowed ? command : null;
     }
 }
--- a/src/main/java/laneflow/gearman/Job.java
+++ b/src/main/java/laneflow/gearman/Job.java
@@ -4,45 +4,45 @@
 import java.util.List;
 import laneflow.core.Request;
 
-/** A job that Gearman clients wait for: one request of the core, and whoever is to hear of it. */
+/** A job submitted by Gearman clients: one core request and the clients that wait for it. */
 final class Job {
     final String handle;
     final GearmanConfig.Function function;
     final String unique;
-    /** Under which the same job is found again, or null: nothing marks it. */
-    final String key;
-    /** The function that puts its parts together, of SUBMIT_REDUCE_JOB; empty for any other job. */
+    /** Equal jobs share this key and are coalesced; null if the job can't be coalesced. */
+    final String coalescingKey;
+    /** The reducer function of SUBMIT_REDUCE_JOB; empty for any other job. */
     final String reducer;
-    /** Its place among {@link laneflow.gearman.decision.Queues}' priorities. */
+    /** A priority of {@link laneflow.gearman.decision.Queues}. */
     final int priority;
-    /** Somebody wants it run whether any client stays or not. */
+    /** Runs even if all clients disconnect. */
     boolean background;
-    /** Clients that submitted it, those that joined by the same unique included. */
+    /** Waiting clients, including those that joined by the coalescing key. */
     final List<Peer> clients = new ArrayList<>();
 
     Request request;
     long slot;
-    /** An endpoint has begun its present attempt. */
+    /** Whether an endpoint has started the job. */
     boolean running;
 
     int attempts;
     long done;
-    long of;
-    /** What the last endpoint said when it failed, or null. */
+    long total;
+    /** The last WORK_EXCEPTION payload, or null. */
     byte[] exception;
 
     Job(
             String handle,
             GearmanConfig.Function function,
             String unique,
-            String key,
+            String coalescingKey,
             String reducer,
             int priority,
             boolean background) {
         this.handle = handle;
         this.function = function;
         this.unique = unique;
-        this.key = key;
+        this.coalescingKey = coalescingKey;
         this.reducer = reducer;
         this.priority = priority;
         this.background = background;
--- a/src/main/java/laneflow/gearman/Packet.java
+++ b/src/main/java/laneflow/gearman/Packet.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import laneflow.net.Ring;
 
-/** One packet of the binary protocol: a magic, a type, and arguments parted by NUL, the last of them free. */
+/** A packet of the binary protocol: magic, type, and arguments separated by NUL, which only the last may contain. */
 final class Packet {
     static final int CAN_DO = 1;
     static final int CANT_DO = 2;
@@ -50,12 +50,12 @@
     static final int GET_STATUS_UNIQUE = 41;
     static final int STATUS_RES_UNIQUE = 42;
 
-    static final int HEADER = 12;
-    /** What a job's names may add to its data. */
-    static final int NAMES = 2048;
+    static final int HEADER_BYTES = 12;
+    /** The maximum size of a job's arguments besides its data. */
+    static final int MAX_NAMES_BYTES = 2048;
 
-    static final int REQUEST = 0x00524551;
-    static final int RESPONSE = 0x00524553;
+    static final int REQUEST_MAGIC = 0x00524551;
+    static final int RESPONSE_MAGIC = 0x00524553;
 
     final int type;
     private final byte[] data;
@@ -65,68 +65,68 @@
         this.data = data;
     }
 
-    /** Bytes that are no packet. */
-    static final class Malformed extends Exception {
+    /** Thrown for bytes that are not a valid packet. */
+    static final class MalformedPacket extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Malformed(String message) {
+        MalformedPacket(String message) {
             super(message);
         }
     }
 
     /**
-     * The bytes of data that the packet at the ring's head announces; below 0 where that is not known yet.
+     * The data size in the header of the packet at the ring's head; below 0 while the header is incomplete.
      */
-    static long announced(Ring in) {
-        return in.size() < HEADER ? -1 : number(in, 8) & 0xffffffffL;
+    static long announcedBytes(Ring in) {
+        return in.size() < HEADER_BYTES ? -1 : readInt(in, 8) & 0xffffffffL;
     }
 
-    /** Takes the next packet off the ring, of so much data at most; null if it is not wholly there. */
-    static Packet read(Ring in, int most) throws Malformed {
-        if (in.size() < HEADER) {
+    /** Takes the next packet off the ring; null while it is incomplete. Data above {@code maxBytes} is malformed. */
+    static Packet read(Ring in, int maxBytes) throws MalformedPacket {
+        if (in.size() < HEADER_BYTES) {
             return null;
         }
-        if (number(in, 0) != REQUEST) {
-            throw new Malformed("no request's magic");
+        if (readInt(in, 0) != REQUEST_MAGIC) {
+            throw new MalformedPacket("no request's magic");
         }
-        int size = number(in, 8);
-        if (size < 0 || size > most) {
-            throw new Malformed("packet of " + (size & 0xffffffffL) + " bytes");
+        int size = readInt(in, 8);
+        if (size < 0 || size > maxBytes) {
+            throw new MalformedPacket("packet of " + (size & 0xffffffffL) + " bytes");
         }
-        if (in.size() < HEADER + size) {
+        if (in.size() < HEADER_BYTES + size) {
             return null;
         }
-        int type = number(in, 4);
-        in.skip(HEADER);
+        int type = readInt(in, 4);
+        in.skip(HEADER_BYTES);
         byte[] data = new byte[size];
         in.take(data, 0, size);
         return new Packet(type, data);
     }
 
-    private static int number(Ring in, int at) {
+    private static int readInt(Ring in, int at) {
         return (in.at(at) & 0xff) << 24
                 | (in.at(at + 1) & 0xff) << 16
                 | (in.at(at + 2) & 0xff) << 8
                 | in.at(at + 3) & 0xff;
     }
 
-    /** The data as so many arguments; what is missing makes it malformed. */
-    byte[][] arguments(int count) throws Malformed {
-        byte[][] found = new byte[count][];
-        int from = 0;
+    /** Splits the data into this number of arguments; fewer are malformed. */
+    byte[][] arguments(int count) throws MalformedPacket {
+        byte[][] parts = new byte[count][];
+        int start = 0;
         for (int i = 0; i < count - 1; i++) {
-            int end = from;
+            int end = start;
             while (end < data.length && data[end] != 0) {
                 end++;
             }
             if (end == data.length) {
-                throw new Malformed("type " + type + " with " + (i + 1) + " of " + count + " arguments");
+                throw new MalformedPacket("type " + type + " with " + (i + 1) + " of " + count + " arguments");
             }
-            found[i] = Arrays.copyOfRange(data, from, end);
-            from = end + 1;
+            parts[i] = Arrays.copyOfRange(data, start, end);
+            start = end + 1;
         }
-        found[count - 1] = Arrays.copyOfRange(data, from, data.length);
-        return found;
+        parts[count - 1] = Arrays.copyOfRange(data, start, data.length);
+        return parts;
     }
 
     byte[] data() {
@@ -137,12 +137,12 @@
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    /** A packet from the server; arguments are text or bytes. */
+    /** Encodes a packet from the server; arguments are byte arrays, or objects written as text. */
     static byte[] response(int type, Object... arguments) {
-        return encode(RESPONSE, type, arguments);
+        return encode(RESPONSE_MAGIC, type, arguments);
     }
 
-    /** A packet in either direction. */
+    /** Encodes a packet with the given magic. */
     static byte[] encode(int magic, int type, Object... arguments) {
         ByteArrayOutputStream data = new ByteArrayOutputStream();
         for (int i = 0; i < arguments.length; i++) {
@@ -155,7 +155,7 @@
                             ? (byte[]) argument
                             : String.valueOf(argument).getBytes(StandardCharsets.UTF_8));
         }
-        return ByteBuffer.allocate(HEADER + data.size())
+        return ByteBuffer.allocate(HEADER_BYTES + data.size())
                 .putInt(magic)
                 .putInt(type)
                 .putInt(data.size())
--- a/src/main/java/laneflow/gearman/Peer.java
+++ b/src/main/java/laneflow/gearman/Peer.java
@@ -11,45 +11,45 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One connection of the Gearman front: a client, a worker, an operator at the text protocol, or all. */
+/** A connection to the Gearman front, which may act as client, worker and text protocol session alike. */
 final class Peer implements LinkHandler {
     private static final Logger LOG = LoggerFactory.getLogger(Peer.class);
-    private static final int MOST_LINE = 1024;
-    /** Answers that wait for the disk, at one connection. */
-    private static final int MOST_OWED = 4096;
+    private static final int MAX_LINE_BYTES = 1024;
+    /** Replies per connection that may wait for the store before reads are held. */
+    private static final int MAX_PENDING_REPLIES = 4096;
     /**
-     * From the connection's coming up to its first whole packet, and from any later one's first byte to its
-     * last: no byte extends it. Between packets a worker may be silent for as long as it likes.
+     * Time from connect to the first complete packet, and from the first to the last byte of any later one,
+     * not restarted by received bytes. There is no limit between packets, where a worker may be silent.
      */
-    private static final long MESSAGE = 2_000_000;
-    /** Longer packets may take longer, at so many bytes a second. */
-    private static final int PLAIN = 64 * 1024;
+    private static final long PACKET_TIMEOUT_MICROS = 2_000_000;
+    /** Packets above this size get more time, at {@link #MIN_BYTES_PER_SECOND}. */
+    private static final int UNEXTENDED_BYTES = 64 * 1024;
 
-    private static final int LEAST_RATE = 256 * 1024;
+    private static final int MIN_BYTES_PER_SECOND = 256 * 1024;
 
     private final GearmanFront front;
     private Link link;
     private long slot;
     private String clientId = "-";
     private final Deadline timer;
-    private boolean begun = true;
-    private boolean allowed;
-    private long since;
-    /** Its place among those that came in one turn, and so at one instant. */
-    private final long order;
-    /** Answers in the order of what was asked, as long as the first one is not known yet. */
-    private final ArrayDeque<Owed> owed = new ArrayDeque<>();
+    private boolean packetIncomplete = true;
+    private boolean timeoutExtended;
+    private long packetStartMicros;
+    /** Orders connections accepted in the same loop turn, which share a timestamp. */
+    private final long sequence;
+    /** Replies in request order, held while the first is not complete. */
+    private final ArrayDeque<PendingReply> pendingReplies = new ArrayDeque<>();
 
     Worker worker;
-    /** Foreground jobs that it waits for. */
+    /** Foreground jobs whose results it waits for. */
     final Set<Job> waiting = new LinkedHashSet<>();
 
     boolean wantsExceptions;
 
-    Peer(GearmanFront front, long order) {
+    Peer(GearmanFront front, long sequence) {
         this.front = front;
-        this.order = order;
-        timer = front.loop.deadlines().create(this::late);
+        this.sequence = sequence;
+        timer = front.loop.deadlines().create(this::packetTimedOut);
     }
 
     @Override
@@ -57,87 +57,91 @@
         link = up;
         slot = front.add(this);
         worker = new Worker(front, this, "gearman-" + Long.toHexString(slot));
-        expect();
+        startPacketTimer();
     }
 
-    private void expect() {
-        begun = true;
-        since = front.loop.micros();
-        front.loop.deadlines().set(timer, since + MESSAGE);
+    private void startPacketTimer() {
+        packetIncomplete = true;
+        packetStartMicros = front.loop.micros();
+        front.loop.deadlines().set(timer, packetStartMicros + PACKET_TIMEOUT_MICROS);
     }
 
-    /** A large packet has the time that its announced length takes at the least rate. */
-    private void allow(long bytes) {
-        if (bytes > PLAIN && !allowed && link.in.at(0) == 0) {
-            allowed = true;
-            front.loop.deadlines().set(timer, since + MESSAGE + bytes * 1_000_000 / LEAST_RATE);
+    /** Extends the timeout of a large packet by the time its size takes at the minimum rate. */
+    private void extendTimeout(long bytes) {
+        if (bytes > UNEXTENDED_BYTES && !timeoutExtended && link.in.at(0) == 0) {
+            timeoutExtended = true;
+            front.loop
+                    .deadlines()
+                    .set(timer, packetStartMicros + PACKET_TIMEOUT_MICROS + bytes * 1_000_000 / MIN_BYTES_PER_SECOND);
         }
     }
 
-    private void whole() {
-        allowed = false;
-        begun = false;
+    private void packetComplete() {
+        timeoutExtended = false;
+        packetIncomplete = false;
         front.loop.deadlines().cancel(timer);
     }
 
-    private void late() {
+    private void packetTimedOut() {
         front.scheduler.counters().add("gearman.slow_packet");
-        leave();
+        disconnect();
     }
 
-    /** True while a packet has begun, or the first one is awaited. */
-    boolean isBegun() {
-        return begun;
+    /** True while a packet is partly received or the first one is awaited. */
+    boolean isPacketIncomplete() {
+        return packetIncomplete;
     }
 
-    boolean before(Peer other) {
-        return since != other.since ? since < other.since : order < other.order;
+    boolean startedBefore(Peer other) {
+        return packetStartMicros != other.packetStartMicros
+                ? packetStartMicros < other.packetStartMicros
+                : sequence < other.sequence;
     }
 
-    void leave() {
+    void disconnect() {
         link.close();
         broken(link);
     }
 
-    boolean isWritten() {
-        return link.out.isEmpty() && owed.isEmpty();
+    boolean isFlushed() {
+        return link.out.isEmpty() && pendingReplies.isEmpty();
     }
 
     void send(int type, Object... arguments) {
-        put(Packet.response(type, arguments));
+        enqueue(Packet.response(type, arguments));
     }
 
-    /** A packet of which the words come later; what is sent meanwhile waits behind it, in order. */
-    final class Owed {
+    /** A reply that is completed later; replies sent meanwhile wait behind it, in order. */
+    final class PendingReply {
         private byte[] packet;
 
-        void is(int type, Object... arguments) {
+        void complete(int type, Object... arguments) {
             packet = Packet.response(type, arguments);
-            while (!owed.isEmpty() && owed.peek().packet != null) {
-                write(owed.poll().packet);
+            while (!pendingReplies.isEmpty() && pendingReplies.peek().packet != null) {
+                write(pendingReplies.poll().packet);
             }
-            if (owed.size() < MOST_OWED / 2) {
+            if (pendingReplies.size() < MAX_PENDING_REPLIES / 2) {
                 link.resumeReads();
             }
             link.flush();
         }
     }
 
-    /** Keeps a place for a packet. A client that asks on and on meanwhile is not read further for a while. */
-    Owed owe() {
-        Owed place = new Owed();
-        owed.add(place);
-        if (owed.size() >= MOST_OWED) {
+    /** Reserves the place of a reply. Reads are held while too many replies are pending. */
+    PendingReply reserveReply() {
+        PendingReply reply = new PendingReply();
+        pendingReplies.add(reply);
+        if (pendingReplies.size() >= MAX_PENDING_REPLIES) {
             link.holdReads();
         }
-        return place;
+        return reply;
     }
 
-    private void put(byte[] packet) {
-        if (!owed.isEmpty()) {
-            Owed place = new Owed();
-            place.packet = packet;
-            owed.add(place);
+    private void enqueue(byte[] packet) {
+        if (!pendingReplies.isEmpty()) {
+            PendingReply reply = new PendingReply();
+            reply.packet = packet;
+            pendingReplies.add(reply);
             return;
         }
         write(packet);
@@ -151,8 +155,8 @@
             return;
         }
         if (!link.out.put(packet)) {
-            // It does not read what it asked for: its answers must not fill the memory.
-            LOG.warn("{} does not read its answers", clientId);
+            // A peer that does not read its replies is disconnected, so that they do not fill the memory.
+            LOG.warn("closing Gearman connection of {}: output buffer full, peer does not read its replies", clientId);
             front.scheduler.counters().add("gearman.slow_reader");
             link.close();
             front.loop.later(() -> broken(link));
@@ -163,9 +167,9 @@
         send(Packet.ERROR, code, text);
     }
 
-    /** Its line in the answer to 'workers', where stock servers list every connection. */
+    /** Its line in the reply to 'workers', which lists every connection as gearmand does. */
     String describe() {
-        return link.handle() + " " + link.peer() + " " + clientId + " :" + worker.functions() + "\n";
+        return link.handle() + " " + link.peer() + " " + clientId + " :" + worker.describeFunctions() + "\n";
     }
 
     @Override
@@ -173,27 +177,27 @@
         try {
             while (!link.in.isEmpty() && !link.isClosed()) {
                 if (link.in.at(0) != 0) {
-                    if (!line()) {
+                    if (!handleLine()) {
                         break;
                     }
-                    whole();
+                    packetComplete();
                     continue;
                 }
-                Packet packet = Packet.read(link.in, front.config.maxBodyBytes + Packet.NAMES);
+                Packet packet = Packet.read(link.in, front.config.maxBodyBytes + Packet.MAX_NAMES_BYTES);
                 if (packet == null) {
                     break;
                 }
-                whole();
-                take(packet);
+                packetComplete();
+                handlePacket(packet);
             }
             if (!link.in.isEmpty() && !link.isClosed()) {
-                if (!begun) {
-                    expect();
+                if (!packetIncomplete) {
+                    startPacketTimer();
                 }
-                allow(Packet.announced(link.in));
+                extendTimeout(Packet.announcedBytes(link.in));
             }
-        } catch (Packet.Malformed e) {
-            // Where the next packet begins is not known any more.
+        } catch (Packet.MalformedPacket e) {
+            // The start of the next packet is unknown.
             front.scheduler.counters().add("gearman.malformed");
             LOG.debug("{}: {}", clientId, e.getMessage());
             error("MALFORMED", e.getMessage());
@@ -202,30 +206,30 @@
         }
     }
 
-    private boolean line() throws Packet.Malformed {
+    private boolean handleLine() throws Packet.MalformedPacket {
         int end = link.in.find((byte) '\n', 0);
         if (end < 0) {
-            if (link.in.size() > MOST_LINE) {
-                throw new Packet.Malformed("neither a packet nor a line");
+            if (link.in.size() > MAX_LINE_BYTES) {
+                throw new Packet.MalformedPacket("neither a packet nor a line");
             }
             return false;
         }
         byte[] line = new byte[end + 1];
         link.in.take(line, 0, line.length);
-        String answer = front.text.answer(new String(line, StandardCharsets.UTF_8));
-        put(answer.getBytes(StandardCharsets.UTF_8));
+        String reply = front.adminCommands.execute(new String(line, StandardCharsets.UTF_8));
+        enqueue(reply.getBytes(StandardCharsets.UTF_8));
         return true;
     }
 
-    private void take(Packet packet) throws Packet.Malformed {
-        if (!servesClient(packet) && !servesWorker(packet)) {
+    private void handlePacket(Packet packet) throws Packet.MalformedPacket {
+        if (!handleClientPacket(packet) && !handleWorkerPacket(packet)) {
             front.scheduler.counters().add("gearman.unsupported");
             error("UNSUPPORTED", "packet type " + packet.type + " is not served here");
         }
     }
 
-    /** Serves a packet that a client or an administrator sends; false if it is none. */
-    private boolean servesClient(Packet packet) throws Packet.Malformed {
+    /** Handles a packet that a client sends; false for other types. */
+    private boolean handleClientPacket(Packet packet) throws Packet.MalformedPacket {
         byte[][] args;
         switch (packet.type) {
             case Packet.SUBMIT_JOB:
@@ -246,18 +250,22 @@
             case Packet.SUBMIT_JOB_EPOCH:
                 args = packet.arguments(4);
                 String seconds = Packet.text(args[2]);
-                front.submitLater(
-                        this, Packet.text(args[0]), Packet.text(args[1]), args[3], () -> Schedule.epoch(seconds));
+                front.submitScheduled(
+                        this,
+                        Packet.text(args[0]),
+                        Packet.text(args[1]),
+                        args[3],
+                        () -> Schedule.parseEpochSeconds(seconds));
                 break;
             case Packet.SUBMIT_JOB_SCHED:
                 args = packet.arguments(8);
                 byte[][] fields = args;
-                front.submitLater(
+                front.submitScheduled(
                         this,
                         Packet.text(args[0]),
                         Packet.text(args[1]),
                         args[7],
-                        () -> Schedule.next(
+                        () -> Schedule.nextRun(
                                 Packet.text(fields[2]),
                                 Packet.text(fields[3]),
                                 Packet.text(fields[4]),
@@ -266,7 +274,7 @@
                                 System.currentTimeMillis()));
                 break;
             case Packet.GET_STATUS_UNIQUE:
-                front.statusOf(this, Packet.text(packet.data()));
+                front.statusByUnique(this, Packet.text(packet.data()));
                 break;
             case Packet.GET_STATUS:
                 front.status(this, Packet.text(packet.data()));
@@ -275,7 +283,7 @@
                 send(Packet.ECHO_RES, (Object) packet.data());
                 break;
             case Packet.OPTION_REQ:
-                option(Packet.text(packet.data()));
+                setOption(Packet.text(packet.data()));
                 break;
             case Packet.SET_CLIENT_ID:
                 clientId = Packet.text(packet.data()).replaceAll("\\s", "_");
@@ -286,12 +294,12 @@
         return true;
     }
 
-    /** Serves a packet that a worker sends; false if it is none. */
-    private boolean servesWorker(Packet packet) throws Packet.Malformed {
+    /** Handles a packet that a worker sends; false for other types. */
+    private boolean handleWorkerPacket(Packet packet) throws Packet.MalformedPacket {
         byte[][] args;
         switch (packet.type) {
             case Packet.ALL_YOURS:
-                // A worker that serves this server alone: nothing follows from it here.
+                // The worker uses this server only; ignored.
                 break;
             case Packet.CAN_DO:
                 worker.canDo(Packet.text(packet.data()), 0);
@@ -299,7 +307,7 @@
             case Packet.CAN_DO_TIMEOUT:
                 args = packet.arguments(2);
                 if (!Packet.text(args[1]).matches("[0-9]{1,6}")) {
-                    throw new Packet.Malformed("a time-out that is no number of seconds");
+                    throw new Packet.MalformedPacket("a time-out that is no number of seconds");
                 }
                 worker.canDo(Packet.text(args[0]), Integer.parseInt(Packet.text(args[1])));
                 break;
@@ -319,7 +327,7 @@
                 worker.grab(Packet.JOB_ASSIGN_UNIQ);
                 break;
             case Packet.GRAB_JOB_ALL:
-                // What libgearman's workers ask with, from their first word on.
+                // The only grab that libgearman's workers send.
                 worker.grab(Packet.JOB_ASSIGN_ALL);
                 break;
             case Packet.WORK_STATUS:
@@ -328,10 +336,10 @@
             case Packet.WORK_COMPLETE:
             case Packet.WORK_EXCEPTION:
                 args = packet.arguments(2);
-                work(packet.type, args[0], args[1]);
+                handleWork(packet.type, args[0], args[1]);
                 break;
             case Packet.WORK_FAIL:
-                work(packet.type, packet.data(), new byte[0]);
+                handleWork(packet.type, packet.data(), new byte[0]);
                 break;
             default:
                 return false;
@@ -339,7 +347,7 @@
         return true;
     }
 
-    private void option(String name) {
+    private void setOption(String name) {
         if (name.equals("exceptions")) {
             wantsExceptions = true;
             send(Packet.OPTION_RES, name);
@@ -348,16 +356,16 @@
         }
     }
 
-    private void work(int type, byte[] handle, byte[] said) throws Packet.Malformed {
-        if (!worker.work(type, Packet.text(handle), said)) {
+    private void handleWork(int type, byte[] handle, byte[] payload) throws Packet.MalformedPacket {
+        if (!worker.handleWork(type, Packet.text(handle), payload)) {
             error("JOB_NOT_FOUND", "this worker has no such job");
         }
     }
 
     @Override
     public void broken(Link gone) {
-        whole();
-        worker.gone();
+        packetComplete();
+        worker.disconnected();
         front.remove(this, slot);
     }
 }
--- a/src/main/java/laneflow/gearman/Worker.java
+++ b/src/main/java/laneflow/gearman/Worker.java
@@ -13,93 +13,93 @@
 import laneflow.decision.Dispatch.LoadReport;
 import laneflow.decision.Dispatch.Outcome;
 import laneflow.decision.Dispatch.State;
-import laneflow.gearman.decision.Passing;
+import laneflow.gearman.decision.OutputForwarding;
 
-/** The worker's side of a connection: an endpoint with one slot, from its first ability to its leaving. */
+/** The worker role of a connection: an endpoint with one slot, from its first ability to its disconnect. */
 final class Worker {
-    private static final int MOST_UNMAPPED = 1000;
+    private static final int MAX_UNMAPPED = 1000;
 
     private final GearmanFront front;
     private final Scheduler scheduler;
     private final Peer peer;
     private final String name;
-    /** Functions and their time limits in seconds, 0 for none. */
+    /** Functions it can run, with time limits in seconds, 0 for none. */
     private final Map<String, Integer> abilities = new LinkedHashMap<>();
-    /** What it has named that no class stands for here; a later version may map it. */
+    /** Announced functions that are not mapped to a class, kept because a later configuration may map them. */
     private final Map<String, Integer> unmapped = new LinkedHashMap<>();
-    /** Calls that wait to be grabbed. */
+    /** Attempts that wait to be grabbed. */
     private final List<Attempt> queue = new ArrayList<>();
 
     private final ByteArrayOutputStream data = new ByteArrayOutputStream();
-    private final Deadline limit;
-    private final Deadline grace;
-    private final Deadline wake;
-    private boolean listed;
+    private final Deadline timeLimit;
+    private final Deadline drainTimer;
+    private final Deadline grabTimeout;
+    private boolean registered;
     private boolean asleep;
-    /** The handle of the job at work, also once nobody waits for it any more; null if there is none. */
+    /** The handle of the assigned job, kept even after its attempt was abandoned; null if there is none. */
     private String handle;
 
-    private String lastHandle = "";
-    private Attempt call;
-    /** The call of the job at work, where its lease has run out; null if there is none such. */
-    private Attempt outlived;
+    private String previousHandle = "";
+    private Attempt assigned;
+    /** The attempt of the assigned job if abandoned or timed out under a lease: a late outcome still counts. Else null. */
+    private Attempt abandonedAttempt;
 
     Worker(GearmanFront front, Peer peer, String name) {
         this.front = front;
         this.scheduler = front.scheduler;
         this.peer = peer;
         this.name = name;
-        limit = front.loop.deadlines().create(this::overLimit);
-        grace = front.loop.deadlines().create(() -> handBack(Outcome.MOOT, true));
-        wake = front.loop.deadlines().create(() -> handBack(Outcome.CONNECT_FAILED, true));
+        timeLimit = front.loop.deadlines().create(this::timeLimitExceeded);
+        drainTimer = front.loop.deadlines().create(() -> returnQueued(Outcome.MOOT, true));
+        grabTimeout = front.loop.deadlines().create(() -> returnQueued(Outcome.CONNECT_FAILED, true));
     }
 
-    boolean can(String function) {
+    boolean hasFunction(String function) {
         return abilities.containsKey(function);
     }
 
-    boolean isWorker() {
-        return listed;
+    boolean isRegistered() {
+        return registered;
     }
 
-    String functions() {
-        StringBuilder all = new StringBuilder();
-        abilities.keySet().forEach(function -> all.append(' ').append(function));
-        return all.toString();
+    String describeFunctions() {
+        StringBuilder names = new StringBuilder();
+        abilities.keySet().forEach(function -> names.append(' ').append(function));
+        return names.toString();
     }
 
     // ---- abilities ----
 
     void canDo(String function, int seconds) {
-        if (front.config.function(function) == null && unmapped.size() < MOST_UNMAPPED) {
+        if (front.config.function(function) == null && unmapped.size() < MAX_UNMAPPED) {
             unmapped.put(function, seconds);
         }
-        // A function that no class stands for is never asked of it.
+        // Unmapped functions are never assigned to it.
         if (front.config.function(function) != null) {
             if (abilities.put(function, seconds) == null) {
-                front.queues.worker(function, 1);
+                front.queues.adjustWorkers(function, 1);
             }
-            front.loop.deadlines().cancel(grace);
-            list();
+            front.loop.deadlines().cancel(drainTimer);
+            publish();
         }
     }
 
-    /** What it has named before may be mapped by now. */
+    /** Applies a new configuration, which may map functions announced earlier. */
     void functionsChanged() {
-        List<String> named = new ArrayList<>(unmapped.keySet());
-        named.removeIf(function -> front.config.function(function) == null);
-        named.forEach(function -> canDo(function, unmapped.remove(function)));
+        List<String> mapped = new ArrayList<>(unmapped.keySet());
+        mapped.removeIf(function -> front.config.function(function) == null);
+        mapped.forEach(function -> canDo(function, unmapped.remove(function)));
     }
 
     void cantDo(String function) {
         unmapped.remove(function);
         if (abilities.remove(function) != null) {
-            front.queues.worker(function, -1);
-            list();
+            front.queues.adjustWorkers(function, -1);
+            publish();
             if (abilities.isEmpty()) {
-                drains();
+                startDrain();
             } else {
-                handBack(Outcome.MOOT, false);
+                returnQueued(Outcome.MOOT, false);
             }
         }
     }
@@ -107,30 +107,30 @@
     void reset() {
         forgetAbilities();
         unmapped.clear();
-        if (listed) {
-            list();
-            drains();
+        if (registered) {
+            publish();
+            startDrain();
         }
     }
 
     /**
-     * Without abilities it drains. Clients of the protocol reset before they name their abilities anew: what
-     * waits here is given back only when the grace is over, and until then only a named function is assigned.
+     * Starts a drain once no abilities are left. Client libraries reset and then announce their abilities anew,
+     * so queued attempts are returned only after the grace period; until then only announced functions are assigned.
      */
-    private void drains() {
-        front.loop.deadlines().cancel(wake);
-        long within = (long) (scheduler.settings().drainGrace * 1e6);
-        front.loop.deadlines().set(grace, front.loop.micros() + within);
+    private void startDrain() {
+        front.loop.deadlines().cancel(grabTimeout);
+        long delayMicros = (long) (scheduler.settings().drainGrace * 1e6);
+        front.loop.deadlines().set(drainTimer, front.loop.micros() + delayMicros);
     }
 
     private void forgetAbilities() {
-        abilities.keySet().forEach(function -> front.queues.worker(function, -1));
+        abilities.keySet().forEach(function -> front.queues.adjustWorkers(function, -1));
         abilities.clear();
     }
 
-    private void list() {
-        if (!listed) {
-            listed = true;
+    private void publish() {
+        if (!registered) {
+            registered = true;
             front.connector.add(name, this);
         }
         Entry entry = new Entry();
@@ -142,7 +142,7 @@
         for (String function : abilities.keySet()) {
             entry.classes |= 1L << front.config.function(function).jobClass();
         }
-        // Which of a class's functions it has: sent to one that has not, a job would come back unbegun.
+        // Without the function ids, jobs would be sent to workers of the class that lack the function, and be returned.
         entry.abilities = abilities.keySet().stream()
                 .mapToLong(Endpoint::stableId)
                 .sorted()
@@ -150,42 +150,42 @@
         scheduler.list(front.connector, false, List.of(entry));
     }
 
-    /** Gives back what waits here: all of it, or what it has no function for. */
-    private void handBack(Outcome outcome, boolean all) {
-        for (Attempt waiting : new ArrayList<>(queue)) {
-            if (queue.contains(waiting) && (all || function(waiting) == null)) {
-                queue.remove(waiting);
-                scheduler.ended(waiting, outcome, null, null);
+    /** Returns queued attempts to the scheduler: all, or only those whose function it lacks. */
+    private void returnQueued(Outcome outcome, boolean all) {
+        for (Attempt queued : new ArrayList<>(queue)) {
+            if (queue.contains(queued) && (all || functionFor(queued) == null)) {
+                queue.remove(queued);
+                scheduler.ended(queued, outcome, null, null);
             }
         }
     }
 
-    // ---- calls ----
+    // ---- attempts ----
 
-    /** The function under which it can run the call's request, or null. */
-    private String function(Attempt of) {
-        if (of.request.function != null) {
-            return can(of.request.function) ? of.request.function : null;
+    /** The function under which it can run the attempt's request, or null. */
+    private String functionFor(Attempt attempt) {
+        if (attempt.request.function != null) {
+            return hasFunction(attempt.request.function) ? attempt.request.function : null;
         }
         for (String function : abilities.keySet()) {
-            if (front.config.function(function).jobClass() == of.request.jobClass) {
+            if (front.config.function(function).jobClass() == attempt.request.jobClass) {
                 return function;
             }
         }
         return null;
     }
 
-    void offer(Attempt offered) {
-        if (function(offered) == null) {
-            // Another function of the same class: it was never sent, and another worker may have it.
-            front.loop.later(() -> scheduler.ended(offered, Outcome.MOOT, null, null));
+    void enqueue(Attempt attempt) {
+        if (functionFor(attempt) == null) {
+            // It lacks the function: the attempt was never sent, and another worker may run it.
+            front.loop.later(() -> scheduler.ended(attempt, Outcome.MOOT, null, null));
             return;
         }
-        int at = queue.size();
-        while (at > 0 && queue.get(at - 1).request.urgency < offered.request.urgency) {
-            at--;
+        int position = queue.size();
+        while (position > 0 && queue.get(position - 1).request.urgency < attempt.request.urgency) {
+            position--;
         }
-        queue.add(at, offered);
+        queue.add(position, attempt);
         if (asleep) {
             wake();
         } else {
@@ -200,35 +200,35 @@
     }
 
     /**
-     * Awake and at no job it comes for what waits within the time that a connection has to come up. A
-     * vanished machine says nothing, and what waits there would wait for its client's deadline.
+     * Starts the timeout, as long as the connect timeout, for an idle awake worker to grab a queued attempt. The
+     * connection to a crashed machine need not break, and attempts queued there would wait for their deadline.
      */
     private void awaitGrab() {
-        if (handle == null && !queue.isEmpty() && !wake.isSet()) {
-            long within = (long) (scheduler.settings().connectTimeout * 1e6);
-            front.loop.deadlines().set(wake, front.loop.micros() + within);
+        if (handle == null && !queue.isEmpty() && !grabTimeout.isSet()) {
+            long delayMicros = (long) (scheduler.settings().connectTimeout * 1e6);
+            front.loop.deadlines().set(grabTimeout, front.loop.micros() + delayMicros);
         }
     }
 
-    /** Nobody waits for this call any more; what has been assigned runs on, unheard. */
-    boolean drop(Attempt given) {
-        boolean waited = dropWaiting(given);
-        if (call == given) {
-            // Under a lease its late word still counts.
-            outlived = given.lease > 0 ? given : null;
-            call = null;
-            front.loop.deadlines().cancel(limit);
+    /** Abandons the attempt; true if it was still queued. An assigned job runs on, and its outcome is ignored. */
+    boolean detach(Attempt attempt) {
+        boolean wasQueued = removeQueued(attempt);
+        if (assigned == attempt) {
+            // Under a lease a late outcome still counts.
+            abandonedAttempt = attempt.lease > 0 ? attempt : null;
+            assigned = null;
+            front.loop.deadlines().cancel(timeLimit);
         }
-        return waited;
+        return wasQueued;
     }
 
-    /** The same, unless it has been assigned: then it goes on, and this is false. */
-    boolean dropWaiting(Attempt given) {
-        boolean waited = queue.remove(given);
+    /** Removes the attempt if it is still queued; false if it has been assigned, which leaves it running. */
+    boolean removeQueued(Attempt attempt) {
+        boolean wasQueued = queue.remove(attempt);
         if (queue.isEmpty()) {
-            front.loop.deadlines().cancel(wake);
+            front.loop.deadlines().cancel(grabTimeout);
         }
-        return waited;
+        return wasQueued;
     }
 
     void preSleep() {
@@ -238,172 +238,176 @@
         }
     }
 
-    /** Assigns what waits in the form asked for: each has one argument more than the one before. */
-    void grab(int form) {
+    /** Assigns the next attempt with this JOB_ASSIGN packet type: _UNIQ adds the unique id, _ALL also the reducer. */
+    void grab(int assignType) {
         asleep = false;
-        front.loop.deadlines().cancel(wake);
-        Attempt next = handle == null ? next() : null;
+        front.loop.deadlines().cancel(grabTimeout);
+        Attempt next = handle == null ? pollRunnable() : null;
         if (next == null) {
             peer.send(Packet.NO_JOB);
             return;
         }
         Job job = front.job(next.request);
-        String function = function(next);
-        call = next;
-        outlived = null;
+        String function = functionFor(next);
+        assigned = next;
+        abandonedAttempt = null;
         handle = job != null
                 ? job.handle
                 : next.lease > 0
-                        ? String.format("%s%016x.%d", GearmanFront.KEPT, next.request.tag, next.lease)
+                        ? String.format("%s%016x.%d", GearmanFront.DURABLE_HANDLE_PREFIX, next.request.tag, next.lease)
                         : "H:laneflow:c" + Long.toHexString(next.handle());
         data.reset();
         int seconds = abilities.get(function);
         if (seconds > 0) {
-            front.loop.deadlines().set(limit, front.loop.micros() + seconds * 1_000_000L);
+            front.loop.deadlines().set(timeLimit, front.loop.micros() + seconds * 1_000_000L);
         }
         byte[] body = next.request.payload.body();
         String unique = job != null
                 ? job.unique
                 : next.request.unique != null ? next.request.unique : next.request.payload.requestId();
-        if (form == Packet.JOB_ASSIGN_ALL) {
-            peer.send(form, handle, function, unique, job != null ? job.reducer : "", body);
-        } else if (form == Packet.JOB_ASSIGN_UNIQ) {
-            peer.send(form, handle, function, unique, body);
+        if (assignType == Packet.JOB_ASSIGN_ALL) {
+            peer.send(assignType, handle, function, unique, job != null ? job.reducer : "", body);
+        } else if (assignType == Packet.JOB_ASSIGN_UNIQ) {
+            peer.send(assignType, handle, function, unique, body);
         } else {
-            peer.send(form, handle, function, body);
+            peer.send(assignType, handle, function, body);
         }
         scheduler.started(next);
     }
 
-    /** The first call waiting that it can run now, under the rule on drains. */
-    private Attempt next() {
-        for (Attempt waiting : queue) {
-            if (function(waiting) != null && scheduler.maySend(waiting)) {
-                queue.remove(waiting);
-                return waiting;
+    /** Removes and returns the first queued attempt that it can run and that the drain rules allow, or null. */
+    private Attempt pollRunnable() {
+        for (Attempt queued : queue) {
+            if (functionFor(queued) != null && scheduler.maySend(queued)) {
+                queue.remove(queued);
+                return queued;
             }
         }
         return null;
     }
 
-    // ---- words on the job at work ----
+    // ---- packets about the assigned job ----
 
-    /** False if it speaks of a job that it does not have. */
-    boolean work(int type, String of, byte[] said) throws Packet.Malformed {
-        if (!of.equals(handle)) {
-            // An exception ends a job here; the failure that libraries send behind it says nothing new.
-            return type == Packet.WORK_FAIL && of.equals(lastHandle) || late(type, of, said);
+    /** Handles a WORK_* packet; false if the handle is not that of its job. */
+    boolean handleWork(int type, String jobHandle, byte[] workData) throws Packet.MalformedPacket {
+        if (!jobHandle.equals(handle)) {
+            // WORK_EXCEPTION already ends the job; libraries send a redundant WORK_FAIL after it.
+            return type == Packet.WORK_FAIL && jobHandle.equals(previousHandle)
+                    || reportLateOutcome(type, jobHandle, workData);
         }
         switch (type) {
             case Packet.WORK_STATUS:
-                status(said);
+                status(workData);
                 break;
             case Packet.WORK_DATA:
             case Packet.WORK_WARNING:
-                if (!passOn(type, said)) {
-                    append(said);
+                if (!forwardOutput(type, workData)) {
+                    appendResult(workData);
                 }
                 break;
             case Packet.WORK_COMPLETE:
-                append(said);
-                over(Outcome.OK);
+                appendResult(workData);
+                complete(Outcome.OK);
                 break;
             case Packet.WORK_EXCEPTION:
-                Job job = call == null ? null : front.job(call.request);
+                Job job = assigned == null ? null : front.job(assigned.request);
                 if (job != null) {
-                    job.exception = said;
+                    job.exception = workData;
                 }
-                over(Outcome.ERROR);
+                complete(Outcome.ERROR);
                 break;
             default:
-                over(Outcome.ERROR);
+                complete(Outcome.ERROR);
                 break;
         }
         return true;
     }
 
-    /** A word on a lease of another connection, as of a worker that outlived a scheduler. */
-    private boolean late(int type, String of, byte[] said) {
-        long[] lease = front.keeper == null ? null : GearmanFront.lease(of);
+    /** Reports the outcome of a lease from another connection, as of a worker that survived a scheduler restart. */
+    private boolean reportLateOutcome(int type, String jobHandle, byte[] workData) {
+        long[] lease = front.durableJobs == null ? null : GearmanFront.parseLeaseHandle(jobHandle);
         boolean ends = type == Packet.WORK_COMPLETE || type == Packet.WORK_FAIL;
         return lease != null
                 && ends
-                && front.keeper.lateOutcome(lease[0], (int) lease[1], type == Packet.WORK_COMPLETE, said);
+                && front.durableJobs.lateOutcome(lease[0], (int) lease[1], type == Packet.WORK_COMPLETE, workData);
     }
 
-    private void status(byte[] said) throws Packet.Malformed {
-        String[] parts = Packet.text(said).split("\0", 2);
+    private void status(byte[] workData) throws Packet.MalformedPacket {
+        String[] parts = Packet.text(workData).split("\0", 2);
         if (parts.length < 2 || !parts[0].matches("[0-9]{1,15}") || !parts[1].matches("[0-9]{1,15}")) {
-            throw new Packet.Malformed("a status that is no part of a whole");
+            throw new Packet.MalformedPacket("a status that is no part of a whole");
         }
-        if (call != null) {
-            scheduler.progress(call, Long.parseLong(parts[0]), Long.parseLong(parts[1]));
+        if (assigned != null) {
+            scheduler.progress(assigned, Long.parseLong(parts[0]), Long.parseLong(parts[1]));
         }
     }
 
-    /** Where it can't be said twice, the clients hear it now. */
-    private boolean passOn(int type, byte[] said) {
-        Job job = call == null ? null : front.job(call.request);
-        if (job == null || !Passing.passesOn(scheduler.settings().classes[call.request.jobClass].effect)) {
+    /** Forwards output to the clients at once where the job can't be retried; false if it must be held. */
+    private boolean forwardOutput(int type, byte[] workData) {
+        Job job = assigned == null ? null : front.job(assigned.request);
+        if (job == null
+                || !OutputForwarding.forwardsImmediately(
+                        scheduler.settings().classes[assigned.request.jobClass].effect)) {
             return false;
         }
-        front.said(job, type, said);
+        front.forwardOutput(job, type, workData);
         return true;
     }
 
-    private void append(byte[] said) {
-        if (call != null && data.size() + said.length > front.config.maxBodyBytes) {
+    private void appendResult(byte[] workData) {
+        if (assigned != null && data.size() + workData.length > front.config.maxBodyBytes) {
             finish(Outcome.ERROR, null);
-        } else if (call != null || outlived != null && data.size() + said.length <= front.config.maxBodyBytes) {
-            data.writeBytes(said);
+        } else if (assigned != null
+                || abandonedAttempt != null && data.size() + workData.length <= front.config.maxBodyBytes) {
+            data.writeBytes(workData);
         }
-        if (call != null) {
-            scheduler.stillRunning(call);
+        if (assigned != null) {
+            scheduler.stillRunning(assigned);
         }
     }
 
-    private void over(Outcome outcome) {
-        lastHandle = handle;
+    private void complete(Outcome outcome) {
+        previousHandle = handle;
         handle = null;
         finish(outcome, outcome == Outcome.OK ? data.toByteArray() : null);
         awaitGrab();
     }
 
-    /** It takes longer than it said it would; under a lease a late word still counts. */
-    private void overLimit() {
-        Attempt slow = call;
+    /** The job exceeds the time limit of its CAN_DO_TIMEOUT; under a lease a late outcome still counts. */
+    private void timeLimitExceeded() {
+        Attempt timedOut = assigned;
         finish(Outcome.TIMEOUT, null);
-        outlived = slow != null && slow.lease > 0 ? slow : null;
+        abandonedAttempt = timedOut != null && timedOut.lease > 0 ? timedOut : null;
     }
 
-    /** Tells how the call at work ended; the worker may be at it still. */
+    /** Reports how the attempt ended; the worker may still be running the job. */
     private void finish(Outcome outcome, byte[] result) {
-        front.loop.deadlines().cancel(limit);
-        Attempt ended = call != null ? call : outlived;
-        call = null;
-        outlived = null;
-        if (ended != null) {
-            scheduler.ended(ended, outcome, result, report());
+        front.loop.deadlines().cancel(timeLimit);
+        Attempt finished = assigned != null ? assigned : abandonedAttempt;
+        assigned = null;
+        abandonedAttempt = null;
+        if (finished != null) {
+            scheduler.ended(finished, outcome, result, loadReport());
         }
     }
 
-    /** What its connection shows of its load: it has one slot. */
-    private LoadReport report() {
+    /** The load as known from the connection: it has one slot. */
+    private LoadReport loadReport() {
         LoadReport report = new LoadReport();
         report.freeSlots = handle == null ? 1 : 0;
         report.queue = queue.size();
         return report;
     }
 
-    /** Its connection has ended: what it was assigned it may have run, what waits for it never ran. */
-    void gone() {
-        front.loop.deadlines().cancel(grace);
-        front.loop.deadlines().cancel(wake);
+    /** The connection has ended: the assigned job may have run, queued attempts never ran. */
+    void disconnected() {
+        front.loop.deadlines().cancel(drainTimer);
+        front.loop.deadlines().cancel(grabTimeout);
         forgetAbilities();
-        if (!listed) {
+        if (!registered) {
             return;
         }
-        listed = false;
+        registered = false;
         front.connector.remove(name);
         Entry entry = new Entry();
         entry.name = name;
@@ -412,10 +416,10 @@
         scheduler.list(front.connector, false, List.of(entry));
         handle = null;
         finish(Outcome.RESET, null);
-        for (Attempt waiting : new ArrayList<>(queue)) {
-            queue.remove(waiting);
-            // Not a connect that failed: three of those make a zone suspect, and workers leave as they like.
-            scheduler.ended(waiting, Outcome.MOOT, null, null);
+        for (Attempt queued : new ArrayList<>(queue)) {
+            queue.remove(queued);
+            // Not CONNECT_FAILED: three of those make a zone suspect, and workers may disconnect at any time.
+            scheduler.ended(queued, Outcome.MOOT, null, null);
         }
     }
 }
--- a/src/main/java/laneflow/gearman/decision/Queues.java
+++ b/src/main/java/laneflow/gearman/decision/Queues.java
@@ -5,9 +5,10 @@
 import java.util.TreeMap;
 
 /**
- * How many jobs of each function wait, by priority, and how many run; and whether another may be taken.
- * Limits are those of the protocol's {@code maxqueue}: a job is turned away where as many of its function
- * and priority wait already. Counting is by changes: nothing here grows with jobs or workers. No I/O.
+ * Counts queued jobs per function and priority, and running jobs and workers per function, and decides
+ * whether another job may be queued. Limits follow the protocol's {@code maxqueue}: a job is refused when
+ * as many jobs of its function and priority are queued. Only counters are kept, so memory does not grow
+ * with jobs or workers. No I/O.
  */
 public final class Queues {
     public static final int HIGH = 0;
@@ -15,13 +16,13 @@
     public static final int LOW = 2;
     private static final int PRIORITIES = 3;
 
-    private final Map<String, Row> rows = new TreeMap<>();
-    private final int usual;
+    private final Map<String, FunctionCounts> byFunction = new TreeMap<>();
+    private final int defaultLimit;
 
-    /** One function's counts. */
-    public static final class Row {
+    /** The counts and limits of one function. */
+    public static final class FunctionCounts {
         private final int[] queued = new int[PRIORITIES];
-        private final int[] most = new int[PRIORITIES];
+        private final int[] limits = new int[PRIORITIES];
         private int running;
         private int workers;
 
@@ -47,81 +48,81 @@
     }
 
     /**
-     * @param usual the most that wait of a function and priority where nothing else is said; 0: any number
+     * @param defaultLimit default limit of queued jobs per function and priority; 0: unlimited
      */
-    public Queues(int usual) {
-        this.usual = usual;
+    public Queues(int defaultLimit) {
+        this.defaultLimit = defaultLimit;
     }
 
-    /** The function's counts, from now on if it has none yet. */
-    public Row row(String function) {
-        Row row = rows.get(function);
-        if (row == null) {
-            row = new Row();
-            Arrays.fill(row.most, usual);
-            rows.put(function, row);
+    /** Returns the function's counts; creates them on first use. */
+    public FunctionCounts counts(String function) {
+        FunctionCounts counts = byFunction.get(function);
+        if (counts == null) {
+            counts = new FunctionCounts();
+            Arrays.fill(counts.limits, defaultLimit);
+            byFunction.put(function, counts);
         }
-        return row;
+        return counts;
     }
 
-    /** All functions by their names. */
-    public Map<String, Row> rows() {
-        return rows;
+    /** The counts of all functions, sorted by name. */
+    public Map<String, FunctionCounts> byFunction() {
+        return byFunction;
     }
 
-    public boolean knows(String function) {
-        return rows.containsKey(function);
+    public boolean contains(String function) {
+        return byFunction.containsKey(function);
     }
 
-    /** Sets a limit; 0 or below: any number. */
-    public void limit(String function, int priority, int most) {
-        row(function).most[priority] = most;
+    /** Sets a limit; 0 or below: unlimited. */
+    public void setLimit(String function, int priority, int limit) {
+        counts(function).limits[priority] = limit;
     }
 
-    /** Whether another job of that priority may wait. */
+    /** Whether another job of that priority may be queued. */
     public boolean admits(String function, int priority) {
-        Row row = row(function);
-        return row.most[priority] <= 0 || row.queued[priority] < row.most[priority];
+        FunctionCounts counts = counts(function);
+        return counts.limits[priority] <= 0 || counts.queued[priority] < counts.limits[priority];
     }
 
-    public void queued(String function, int priority) {
-        row(function).queued[priority]++;
+    public void recordQueued(String function, int priority) {
+        counts(function).queued[priority]++;
     }
 
-    /** A worker has started on one. */
-    public void started(String function, int priority) {
-        Row row = row(function);
-        row.queued[priority]--;
-        row.running++;
+    /** A worker has started a queued job. */
+    public void recordStarted(String function, int priority) {
+        FunctionCounts counts = counts(function);
+        counts.queued[priority]--;
+        counts.running++;
     }
 
-    /** An attempt has failed, and the job waits again. */
-    public void requeued(String function, int priority) {
-        Row row = row(function);
-        row.queued[priority]++;
-        row.running--;
+    /** An attempt has failed, and the job is queued again. */
+    public void recordRequeued(String function, int priority) {
+        FunctionCounts counts = counts(function);
+        counts.queued[priority]++;
+        counts.running--;
     }
 
-    public void ended(String function, int priority, boolean running) {
-        Row row = row(function);
+    public void recordEnded(String function, int priority, boolean running) {
+        FunctionCounts counts = counts(function);
         if (running) {
-            row.running--;
+            counts.running--;
         } else {
-            row.queued[priority]--;
+            counts.queued[priority]--;
         }
     }
 
-    public void worker(String function, int change) {
-        row(function).workers += change;
+    public void adjustWorkers(String function, int delta) {
+        counts(function).workers += delta;
     }
 
-    /** Forgets a function that nobody names, and whose jobs are done; false if it is not idle. */
-    public boolean drop(String function) {
-        Row row = rows.get(function);
-        if (row != null && !row.isIdle()) {
+    /** Removes a function without jobs and workers; false if it is not idle. */
+    public boolean removeIfIdle(String function) {
+        FunctionCounts counts = byFunction.get(function);
+        if (counts != null && !counts.isIdle()) {
             return false;
         }
-        rows.remove(function);
+        byFunction.remove(function);
         return true;
     }
 }
--- a/src/main/java/laneflow/gearman/decision/Schedule.java
+++ b/src/main/java/laneflow/gearman/decision/Schedule.java
@@ -7,50 +7,51 @@
 import java.time.temporal.ChronoUnit;
 
 /**
- * When a job of SUBMIT_JOB_SCHED or SUBMIT_JOB_EPOCH is to run. The former names minute (0 to 59), hour (0 to
- * 23), day of the month (1 to 31), month (1 to 12) and day of the week (0, Monday, to 6), as the protocol
- * lists them; an empty one, or {@code *}, is any. It runs once, at the first such minute after now, by UTC.
+ * Computes when a job of SUBMIT_JOB_SCHED or SUBMIT_JOB_EPOCH is due. SUBMIT_JOB_SCHED carries minute (0 to
+ * 59), hour (0 to 23), day of the month (1 to 31), month (1 to 12) and day of the week (0, Monday, to 6), in the
+ * protocol's order; an empty field or {@code *} matches any value. The job runs once, at the first matching
+ * minute after now, in UTC.
  */
 public final class Schedule {
-    /** A 29th of February on a given day of the week comes within 40 years, but for a century's gap. */
-    private static final int MOST_DAYS = 366 * 41;
+    /** 29 February falls on any given weekday within 40 years, unless a century year without a leap day intervenes. */
+    private static final int MAX_SEARCH_DAYS = 366 * 41;
 
     private Schedule() {}
 
-    /** Unix time in milliseconds; what is no time is an IllegalArgumentException that says so. */
-    public static long epoch(String seconds) {
+    /** Parses Unix seconds into milliseconds; throws IllegalArgumentException with a message for the client. */
+    public static long parseEpochSeconds(String seconds) {
         if (!seconds.matches("[0-9]{1,11}")) {
             throw new IllegalArgumentException("'" + seconds + "' is no number of seconds since 1970");
         }
         return Long.parseLong(seconds) * 1000;
     }
 
-    /** The first minute after now that fits; Unix time in milliseconds. */
-    public static long next(String minute, String hour, String day, String month, String weekday, long nowMs) {
-        int atMinute = field("minute", minute, 0, 59);
-        int atHour = field("hour", hour, 0, 23);
-        int onDay = field("day of the month", day, 1, 31);
-        int inMonth = field("month", month, 1, 12);
-        int onWeekday = field("day of the week", weekday, 0, 6);
+    /** The first matching minute after now, as Unix time in milliseconds. */
+    public static long nextRun(String minute, String hour, String day, String month, String weekday, long nowMs) {
+        int runMinute = parseField("minute", minute, 0, 59);
+        int runHour = parseField("hour", hour, 0, 23);
+        int runDay = parseField("day of the month", day, 1, 31);
+        int runMonth = parseField("month", month, 1, 12);
+        int runWeekday = parseField("day of the week", weekday, 0, 6);
         ZonedDateTime at = Instant.ofEpochMilli(nowMs)
                 .atZone(ZoneOffset.UTC)
                 .truncatedTo(ChronoUnit.MINUTES)
                 .plusMinutes(1);
-        for (int days = 0; days < MOST_DAYS; days++) {
-            boolean fits = (onDay < 0 || at.getDayOfMonth() == onDay)
-                    && (inMonth < 0 || at.getMonthValue() == inMonth)
-                    && (onWeekday < 0 || at.getDayOfWeek().getValue() - 1 == onWeekday);
-            ZonedDateTime then = fits ? within(at, atMinute, atHour) : null;
-            if (then != null) {
-                return then.toInstant().toEpochMilli();
+        for (int days = 0; days < MAX_SEARCH_DAYS; days++) {
+            boolean dateMatches = (runDay < 0 || at.getDayOfMonth() == runDay)
+                    && (runMonth < 0 || at.getMonthValue() == runMonth)
+                    && (runWeekday < 0 || at.getDayOfWeek().getValue() - 1 == runWeekday);
+            ZonedDateTime match = dateMatches ? firstMatchOnDay(at, runMinute, runHour) : null;
+            if (match != null) {
+                return match.toInstant().toEpochMilli();
             }
             at = at.truncatedTo(ChronoUnit.DAYS).plusDays(1);
         }
         throw new IllegalArgumentException("no day is the " + day + ". of month " + month + " and weekday " + weekday);
     }
 
-    /** The first fitting minute of that day from then on, or null. */
-    private static ZonedDateTime within(ZonedDateTime from, int minute, int hour) {
+    /** The first matching minute of that day, not before {@code from}, or null. */
+    private static ZonedDateTime firstMatchOnDay(ZonedDateTime from, int minute, int hour) {
         ZonedDateTime at = from;
         try {
             if (hour >= 0 && at.getHour() != hour) {
@@ -72,13 +73,13 @@
         }
     }
 
-    private static int field(String what, String text, int least, int most) {
+    private static int parseField(String name, String text, int min, int max) {
         if (text.isEmpty() || text.equals("*")) {
             return -1;
         }
         int value = text.matches("[0-9]{1,3}") ? Integer.parseInt(text) : -1;
-        if (value < least || value > most) {
-            throw new IllegalArgumentException("'" + text + "' is no " + what + ": " + least + " to " + most);
+        if (value < min || value > max) {
+            throw new IllegalArgumentException("'" + text + "' is no " + name + ": " + min + " to " + max);
         }
         return value;
     }
--- a/src/main/java/laneflow/gearman/package-info.java
+++ b/src/main/java/laneflow/gearman/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The Gearman front and connector: clients submit jobs and workers take them, in the binary protocol,
- * beside the text protocol for administration. Runs on the I/O thread.
+ * The Gearman front and connector: clients submit jobs and workers grab them over the binary protocol;
+ * operators use the text protocol on the same port. Runs on the I/O thread.
  */
 package laneflow.gearman;
--- a/src/test/java/laneflow/gearman/Gearman.java
+++ b/src/test/java/laneflow/gearman/Gearman.java
@@ -22,7 +22,7 @@
     private Gearman() {}
 
     public static void send(Peer peer, int type, Object... args) throws IOException {
-        peer.write(Packet.encode(Packet.REQUEST, type, args));
+        peer.write(Packet.encode(Packet.REQUEST_MAGIC, type, args));
     }
 
     /** The next packet's arguments; it must be of this type. */
@@ -37,8 +37,8 @@
 
     /** The next packet, of whatever type. */
     public static Received next(Peer peer) throws IOException {
-        ByteBuffer head = ByteBuffer.wrap(peer.read(Packet.HEADER));
-        assertEquals(Packet.RESPONSE, head.getInt());
+        ByteBuffer head = ByteBuffer.wrap(peer.read(Packet.HEADER_BYTES));
+        assertEquals(Packet.RESPONSE_MAGIC, head.getInt());
         int got = head.getInt();
         return new Received(got, new String(peer.read(head.getInt()), StandardCharsets.UTF_8).split("\0", -1));
     }
@@ -77,7 +77,7 @@
 
     /** The packet by which a worker takes its abilities back. */
     public static byte[] resetAbilities() {
-        return Packet.encode(Packet.REQUEST, Packet.RESET_ABILITIES);
+        return Packet.encode(Packet.REQUEST_MAGIC, Packet.RESET_ABILITIES);
     }
 
     public static void preSleep(Peer worker) throws IOException {
--- a/src/test/java/laneflow/gearman/GearmanStoryTest.java
+++ b/src/test/java/laneflow/gearman/GearmanStoryTest.java
@@ -365,7 +365,7 @@
             Peer worker = worker(stand, "check");
             send(worker, Packet.SET_CLIENT_ID, "till 4");
             // A packet in pieces is a packet.
-            byte[] bytes = Packet.encode(Packet.REQUEST, Packet.SUBMIT_JOB, "check", "", "");
+            byte[] bytes = Packet.encode(Packet.REQUEST_MAGIC, Packet.SUBMIT_JOB, "check", "", "");
             client.write(new String(bytes, 0, 5, StandardCharsets.ISO_8859_1));
             send(worker, Packet.ECHO_REQ, "");
             expect(worker, Packet.ECHO_RES);
--- a/src/test/java/laneflow/gearman/LaterTest.java
+++ b/src/test/java/laneflow/gearman/LaterTest.java
@@ -23,7 +23,7 @@
     private Path folder;
 
     private static String next(String minute, String hour, String day, String month, String weekday, String now) {
-        return Instant.ofEpochMilli(Schedule.next(
+        return Instant.ofEpochMilli(Schedule.nextRun(
                         minute, hour, day, month, weekday, Instant.parse(now).toEpochMilli()))
                 .toString();
     }
@@ -54,8 +54,8 @@
         }) {
             assertThrows(IllegalArgumentException.class, () -> next(bad[0], bad[1], bad[2], bad[3], bad[4], now));
         }
-        assertThrows(IllegalArgumentException.class, () -> Schedule.epoch("1e9"));
-        assertEquals(1_764_600_000_000L, Schedule.epoch("1764600000"));
+        assertThrows(IllegalArgumentException.class, () -> Schedule.parseEpochSeconds("1e9"));
+        assertEquals(1_764_600_000_000L, Schedule.parseEpochSeconds("1764600000"));
     }
 
     private static String later(Peer client, long seconds, String unique, String body) throws Exception {
--- a/src/test/java/laneflow/gearman/ReaderFuzzTest.java
+++ b/src/test/java/laneflow/gearman/ReaderFuzzTest.java
@@ -32,7 +32,7 @@
         for (int i = random.nextInt(6); i >= 0; i--) {
             byte[] data = new byte[random.nextInt(300)];
             random.nextBytes(data);
-            byte[] packet = Packet.encode(Packet.REQUEST, random.nextInt(50), (Object) data);
+            byte[] packet = Packet.encode(Packet.REQUEST_MAGIC, random.nextInt(50), (Object) data);
             if (damaged && random.nextInt(3) == 0) {
                 packet[random.nextInt(packet.length)] ^= (byte) (1 << random.nextInt(8));
                 packet = Arrays.copyOf(packet, random.nextInt(packet.length + 1));
@@ -52,14 +52,14 @@
                         }
                         if (!damaged) {
                             assertArrayEquals(
-                                    Arrays.copyOfRange(sent.get(read), Packet.HEADER, sent.get(read).length),
+                                    Arrays.copyOfRange(sent.get(read), Packet.HEADER_BYTES, sent.get(read).length),
                                     one.data());
                         }
                         read++;
                     }
                 }
             }
-        } catch (Packet.Malformed e) {
+        } catch (Packet.MalformedPacket e) {
             assertTrue(damaged, e.getMessage());
             return;
         }
@@ -75,7 +75,7 @@
                 sum += one.length;
             }
             assertEquals(packet.data().length, sum);
-        } catch (Packet.Malformed e) {
+        } catch (Packet.MalformedPacket e) {
             assertTrue(count > 1);
         }
     }
@@ -96,7 +96,7 @@
                             for (int at = 0; at < data.length; at++) {
                                 data[at] = (byte) (random.nextInt(5) == 0 ? 0 : 'a' + random.nextInt(3));
                             }
-                            data = Packet.encode(Packet.REQUEST, random.nextInt(45), (Object) data);
+                            data = Packet.encode(Packet.REQUEST_MAGIC, random.nextInt(45), (Object) data);
                         }
                         peer.write(data);
                     }
@@ -139,23 +139,23 @@
                         .count();
                 assertEquals(waiting < 5, queues.admits("f", priority));
                 if (waiting < 5) {
-                    queues.queued("f", priority);
+                    queues.recordQueued("f", priority);
                     jobs.add(new int[] {priority, 0});
                 }
             } else if (what == 2 && job != null && job[1] == 0) {
-                queues.started("f", job[0]);
+                queues.recordStarted("f", job[0]);
                 job[1] = 1;
             } else if (job != null) {
-                queues.ended("f", job[0], job[1] == 1);
+                queues.recordEnded("f", job[0], job[1] == 1);
                 jobs.remove(job);
             }
             assertEquals(
                     jobs.stream().filter(one -> one[1] == 0).count(),
-                    queues.row("f").queued());
+                    queues.counts("f").queued());
             assertEquals(
                     jobs.stream().filter(one -> one[1] == 1).count(),
-                    queues.row("f").running());
-            assertEquals(jobs.isEmpty(), queues.row("f").isIdle());
+                    queues.counts("f").running());
+            assertEquals(jobs.isEmpty(), queues.counts("f").isIdle());
         }
     }
 }
