--- a/src/main/java/laneflow/wire/Codes.java
+++ b/src/main/java/laneflow/wire/Codes.java
@@ -5,7 +5,7 @@
 import laneflow.decision.Dispatch.Outcome;
 import laneflow.decision.Dispatch.State;
 
-/** The wire's numbers, and what they mean in the interface's words. */
+/** Record codes and sizes of the protocol, and the mapping of its codes to the types of the decision interface. */
 final class Codes {
     static final int PEER_MESSAGE = 1;
     static final int ABANDONED = 2;
@@ -30,10 +30,10 @@
     static final int PROBE = 74;
     static final int CANCEL = 76;
 
-    static final int BATCH_HEADER = 20;
-    static final int REPLY_HEADER = 12;
-    static final int LIST_ENTRY = 24;
-    static final int LIST_NUMBERS = 16;
+    static final int BATCH_HEADER_BYTES = 20;
+    static final int REPLY_HEADER_BYTES = 12;
+    static final int LIST_ENTRY_BYTES = 24;
+    static final int LIST_SLOTS = 16;
     static final int OPTION_HINT = 1;
 
     private Codes() {}
@@ -56,7 +56,7 @@
                 return Outcome.CANCELLED;
             case 409:
                 return Outcome.MOOT;
-            // An outcome this build has not heard of proves nothing: it is read as one that may have run.
+            // An unknown outcome counts as an error, after which the request may have run.
             default:
                 return Outcome.ERROR;
         }
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Null for a kind of note that this build has not heard of. */
+    /** Returns null for an unknown kind of note. */
     static Note note(int code) {
         return code == 1 ? Note.STARTED : code == 2 ? Note.PROGRESS : null;
     }
--- a/src/main/java/laneflow/wire/Record.java
+++ b/src/main/java/laneflow/wire/Record.java
@@ -4,112 +4,112 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 
-/** Reads the batches: the frame's bytes in a reused buffer, and a cursor that stays inside one record. */
+/** Reads the records of a frame from a reused buffer; reads never pass the end of the current record. */
 final class Record {
-    private ByteBuffer bytes = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
+    private ByteBuffer buffer = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
     private int frameEnd;
-    private int end;
-
-    /** Room for a frame of this size; the caller fills {@link #array} from 0 and calls {@link #open}. */
-    byte[] array(int size) {
-        if (bytes.capacity() < size) {
-            ByteBuffer larger = ByteBuffer.allocate(Math.max(size, bytes.capacity() * 2));
-            System.arraycopy(bytes.array(), 0, larger.array(), 0, Codes.BATCH_HEADER);
-            bytes = larger.order(ByteOrder.LITTLE_ENDIAN);
+    private int recordEnd;
+
+    /** Makes room for a frame of this size; the caller fills the returned array from 0 and calls {@link #open}. */
+    byte[] ensureCapacity(int size) {
+        if (buffer.capacity() < size) {
+            ByteBuffer larger = ByteBuffer.allocate(Math.max(size, buffer.capacity() * 2));
+            System.arraycopy(buffer.array(), 0, larger.array(), 0, Codes.BATCH_HEADER_BYTES);
+            buffer = larger.order(ByteOrder.LITTLE_ENDIAN);
         }
-        return bytes.array();
+        return buffer.array();
     }
 
-    /** Starts reading a frame of this size, behind its header. */
+    /** Starts reading a frame of this size, after its header. */
     void open(int size) {
         frameEnd = size;
-        bytes.clear();
-        bytes.position(Codes.BATCH_HEADER);
-        end = Codes.BATCH_HEADER;
+        buffer.clear();
+        buffer.position(Codes.BATCH_HEADER_BYTES);
+        recordEnd = Codes.BATCH_HEADER_BYTES;
     }
 
     int headerInt(int at) {
-        return bytes.getInt(at);
+        return buffer.getInt(at);
     }
 
     double headerDouble(int at) {
-        return bytes.getDouble(at);
+        return buffer.getDouble(at);
     }
 
     boolean atFrameEnd() {
-        return end == frameEnd;
+        return recordEnd == frameEnd;
     }
 
-    /** Steps to the next record, wherever reading stopped in the last one, and returns its code. */
+    /** Moves to the next record, skipping the unread rest of the current one, and returns its code. */
     int next() throws WireException {
-        int at = end;
+        int at = recordEnd;
         if (frameEnd - at < 5) {
-            throw new WireException("frame ends inside a record's head");
+            throw new WireException("frame ends inside a record's header");
         }
-        int length = bytes.getInt(at + 1);
+        int length = buffer.getInt(at + 1);
         if (length < 0 || length > frameEnd - at - 5) {
             throw new WireException("record of " + (length & 0xffffffffL) + " bytes does not fit its frame");
         }
-        bytes.position(at + 5);
-        end = at + 5 + length;
-        return bytes.get(at) & 0xff;
+        buffer.position(at + 5);
+        recordEnd = at + 5 + length;
+        return buffer.get(at) & 0xff;
     }
 
-    /** True if the record goes on: fields at its end may be absent. */
-    boolean more() {
-        return bytes.position() < end;
+    /** True if unread bytes remain in the record: trailing fields are optional. */
+    boolean hasMore() {
+        return buffer.position() < recordEnd;
     }
 
     int u8() throws WireException {
-        need(1);
-        return bytes.get() & 0xff;
+        require(1);
+        return buffer.get() & 0xff;
     }
 
     int u16() throws WireException {
-        need(2);
-        return bytes.getShort() & 0xffff;
+        require(2);
+        return buffer.getShort() & 0xffff;
     }
 
     int u32() throws WireException {
-        need(4);
-        return bytes.getInt();
+        require(4);
+        return buffer.getInt();
     }
 
     long u64() throws WireException {
-        need(8);
-        return bytes.getLong();
+        require(8);
+        return buffer.getLong();
     }
 
     double f32() throws WireException {
-        need(4);
-        return bytes.getFloat();
+        require(4);
+        return buffer.getFloat();
     }
 
     double f64() throws WireException {
-        need(8);
-        return bytes.getDouble();
+        require(8);
+        return buffer.getDouble();
     }
 
-    /** A worker's four address bytes and its port, as one number that {@link Reply} writes back unaltered. */
+    /** Reads a worker's four address bytes and port into one number, which {@link Reply} writes back unchanged. */
     long worker() throws WireException {
-        need(6);
-        long address = bytes.getInt() & 0xffffffffL;
-        return address << 16 | bytes.getShort() & 0xffffL;
+        require(6);
+        long address = buffer.getInt() & 0xffffffffL;
+        return address << 16 | buffer.getShort() & 0xffffL;
     }
 
     String text() throws WireException {
-        int n = u32();
-        if (n < 0) {
-            throw new WireException("text of " + (n & 0xffffffffL) + " bytes does not fit its record");
+        int length = u32();
+        if (length < 0) {
+            throw new WireException("text of " + (length & 0xffffffffL) + " bytes does not fit its record");
         }
-        need(n);
-        String text = new String(bytes.array(), bytes.position(), n, StandardCharsets.UTF_8);
-        bytes.position(bytes.position() + n);
+        require(length);
+        String text = new String(buffer.array(), buffer.position(), length, StandardCharsets.UTF_8);
+        buffer.position(buffer.position() + length);
         return text;
     }
 
-    void need(long n) throws WireException {
-        if (n > end - bytes.position()) {
+    void require(long n) throws WireException {
+        if (n > recordEnd - buffer.position()) {
             throw new WireException("record ends inside a field");
         }
     }
--- a/src/main/java/laneflow/wire/ReportFields.java
+++ b/src/main/java/laneflow/wire/ReportFields.java
@@ -2,11 +2,11 @@
 
 import laneflow.decision.Dispatch.LoadReport;
 
-/** The names of a load report's values: the settings' own and those that site files use. */
+/** Maps the field names of a load report, as used in settings and site files, to its values. */
 public final class ReportFields {
     private ReportFields() {}
 
-    /** Puts one value into the report; a name nobody knows is passed over. */
+    /** Sets one value of the report; unknown names are ignored. */
     public static void put(LoadReport report, String field, double value) {
         switch (field) {
             case "x0":
--- a/src/main/java/laneflow/wire/SettingsReader.java
+++ b/src/main/java/laneflow/wire/SettingsReader.java
@@ -13,11 +13,12 @@
 import laneflow.decision.Dispatch.Tenant;
 import laneflow.decision.Dispatch.WeightSource;
 
-/** Reads the settings text into {@link Settings}: unknown keys are skipped, absent ones keep defaults. */
+/** Parses the JSON settings into {@link Settings}: unknown keys are ignored, absent ones keep their defaults. */
 public final class SettingsReader {
-    /** The settings, and the names of the report's values in their order. */
+    /** The parsed settings. */
     public final Settings settings = new Settings();
 
+    /** The names of a load report's values, in wire order. */
     public final String[] reportFields;
 
     private SettingsReader(JsonObject root) throws WireException {
@@ -47,7 +48,7 @@
         }
     }
 
-    /** Reads them, or says what makes no sense. */
+    /** Parses the settings; throws WireException with the reason if they are invalid. */
     public static SettingsReader read(String text) throws WireException {
         try {
             JsonElement root = JsonParser.parseString(text);
@@ -56,8 +57,8 @@
             }
             return new SettingsReader(root.getAsJsonObject());
         } catch (JsonParseException | IllegalStateException | UnsupportedOperationException | NumberFormatException e) {
-            String why = String.valueOf(e.getMessage()).split("\n")[0];
-            throw new WireException("settings can't be read: " + why);
+            String reason = String.valueOf(e.getMessage()).split("\n")[0];
+            throw new WireException("invalid settings: " + reason);
         }
     }
 
@@ -123,8 +124,8 @@
         s.closeOnDrain = number(from, "closeOnDrainWithin", 0);
     }
 
-    private static Effect effect(String word) throws WireException {
-        switch (word) {
+    private static Effect effect(String value) throws WireException {
+        switch (value) {
             case "pure":
                 return Effect.SAFE;
             case "token":
@@ -132,46 +133,46 @@
             case "side_effect":
                 return Effect.UNSAFE;
             default:
-                throw new WireException("class semantics '" + word + "' are unknown");
+                throw new WireException("class semantics '" + value + "' are unknown");
         }
     }
 
-    private static Group group(String word) {
-        return word.equals("all") ? Group.ALL : word.equals("zone") ? Group.ZONE : Group.CELL;
+    private static Group group(String value) {
+        return value.equals("all") ? Group.ALL : value.equals("zone") ? Group.ZONE : Group.CELL;
     }
 
-    private static ReportSource reports(String word) {
-        return word.equals("answers")
+    private static ReportSource reports(String value) {
+        return value.equals("answers")
                 ? ReportSource.ANSWERS
-                : word.equals("probe") ? ReportSource.PROBES : ReportSource.NONE;
+                : value.equals("probe") ? ReportSource.PROBES : ReportSource.NONE;
     }
 
-    private static WeightSource weights(String word) {
-        return word.equals("nominal")
+    private static WeightSource weights(String value) {
+        return value.equals("nominal")
                 ? WeightSource.NOMINAL
-                : word.equals("rough")
+                : value.equals("rough")
                         ? WeightSource.ROUGH
-                        : word.equals("live") ? WeightSource.LIVE : WeightSource.NONE;
+                        : value.equals("live") ? WeightSource.LIVE : WeightSource.NONE;
     }
 
     private static boolean has(JsonObject from, String key) {
         return from.has(key) && !from.get(key).isJsonNull();
     }
 
-    private static double number(JsonObject from, String key, double absent) {
-        return has(from, key) ? from.get(key).getAsDouble() : absent;
+    private static double number(JsonObject from, String key, double fallback) {
+        return has(from, key) ? from.get(key).getAsDouble() : fallback;
     }
 
-    private static int integer(JsonObject from, String key, int absent) {
-        return (int) number(from, key, absent);
+    private static int integer(JsonObject from, String key, int fallback) {
+        return (int) number(from, key, fallback);
     }
 
-    private static boolean flag(JsonObject from, String key, boolean absent) {
-        return has(from, key) ? from.get(key).getAsBoolean() : absent;
+    private static boolean flag(JsonObject from, String key, boolean fallback) {
+        return has(from, key) ? from.get(key).getAsBoolean() : fallback;
     }
 
-    private static String text(JsonObject from, String key, String absent) {
-        return has(from, key) ? from.get(key).getAsString() : absent;
+    private static String text(JsonObject from, String key, String fallback) {
+        return has(from, key) ? from.get(key).getAsString() : fallback;
     }
 
     private static JsonObject object(JsonObject from, String key) {
@@ -182,8 +183,8 @@
         return has(from, key) ? from.get(key).getAsJsonArray() : new JsonArray();
     }
 
-    private static double at(JsonObject from, String key, int i, double absent) {
+    private static double at(JsonObject from, String key, int i, double fallback) {
         JsonArray values = array(from, key);
-        return i < values.size() && !values.get(i).isJsonNull() ? values.get(i).getAsDouble() : absent;
+        return i < values.size() && !values.get(i).isJsonNull() ? values.get(i).getAsDouble() : fallback;
     }
 }
--- a/src/main/java/laneflow/wire/WireHost.java
+++ b/src/main/java/laneflow/wire/WireHost.java
@@ -15,7 +15,7 @@
 import laneflow.decision.Logic;
 import org.agrona.collections.Int2ObjectHashMap;
 
-/** Serves the simulator's wire: reads batches, hands events to the instances, writes the replies. */
+/** Serves the simulator's protocol: reads batches, dispatches their events to instances, writes the replies. */
 public final class WireHost {
     private final InputStream in;
     private final OutputStream out;
@@ -31,53 +31,54 @@
     public WireHost(InputStream in, OutputStream out) {
         this.in = in;
         this.out = out;
-        for (int i = 0; i < Codes.LIST_NUMBERS; i++) {
+        for (int i = 0; i < Codes.LIST_SLOTS; i++) {
             lists.add(new ArrayList<>());
         }
     }
 
-    /** Answers batches until the input ends. */
+    /** Processes batches until the input ends. */
     public void run() throws IOException, WireException {
         while (readFrame()) {
             int batch = record.headerInt(0);
             int records = record.headerInt(8);
             now = record.headerDouble(12);
             reply.begin(batch);
-            int seen = 0;
+            int recordsRead = 0;
             while (!record.atFrameEnd()) {
-                event(record.next());
-                seen++;
+                handleEvent(record.next());
+                recordsRead++;
             }
-            if (seen != records) {
-                throw new WireException("frame holds " + seen + " records and announces " + (records & 0xffffffffL));
+            if (recordsRead != records) {
+                throw new WireException(
+                        "frame holds " + recordsRead + " records and announces " + (records & 0xffffffffL));
             }
             reply.flush(out);
         }
     }
 
     private boolean readFrame() throws IOException, WireException {
-        byte[] bytes = record.array(Codes.BATCH_HEADER);
-        int got = in.readNBytes(bytes, 0, Codes.BATCH_HEADER);
-        if (got == 0) {
+        byte[] bytes = record.ensureCapacity(Codes.BATCH_HEADER_BYTES);
+        int headerLength = in.readNBytes(bytes, 0, Codes.BATCH_HEADER_BYTES);
+        if (headerLength == 0) {
             return false;
         }
-        if (got < Codes.BATCH_HEADER) {
+        if (headerLength < Codes.BATCH_HEADER_BYTES) {
             throw new WireException("input ends inside a frame's header");
         }
         int size = record.headerInt(4);
-        if (size < Codes.BATCH_HEADER) {
+        if (size < Codes.BATCH_HEADER_BYTES) {
             throw new WireException("frame of " + (size & 0xffffffffL) + " bytes is shorter than its header");
         }
-        bytes = record.array(size);
-        int rest = size - Codes.BATCH_HEADER;
-        if (in.readNBytes(bytes, Codes.BATCH_HEADER, rest) < rest) {
+        bytes = record.ensureCapacity(size);
+        int rest = size - Codes.BATCH_HEADER_BYTES;
+        if (in.readNBytes(bytes, Codes.BATCH_HEADER_BYTES, rest) < rest) {
             throw new WireException("input ends inside a frame");
         }
         record.open(size);
         return true;
     }
 
-    private void event(int code) throws WireException {
+    private void handleEvent(int code) throws WireException {
         if (code == Codes.LIST_ENTRIES) {
             readList();
         } else if (code == Codes.START) {
@@ -97,24 +98,24 @@
     private void start(int number) throws WireException {
         long seed = record.u64();
         Instance instance = new Instance(number);
-        SettingsReader read = SettingsReader.read(record.text());
-        instance.reportFields = read.reportFields;
+        SettingsReader parsed = SettingsReader.read(record.text());
+        instance.reportFields = parsed.reportFields;
         instances.put(number, instance);
         try {
-            instance.logic = new Logic(read.settings, seed, instance);
+            instance.logic = new Logic(parsed.settings, seed, instance);
         } catch (IllegalArgumentException e) {
-            throw new WireException("settings make no sense: " + e.getMessage());
+            throw new WireException("invalid settings: " + e.getMessage());
         }
         instance.logic.start(now);
     }
 
-    /** An exception in the module is that instance's fault and is told as such, with its place. */
+    /** Reports an exception in the decision module as a fault of that instance, with its source location. */
     private void deliver(int code, Instance instance) throws WireException {
         try {
             dispatch(code, instance);
         } catch (RuntimeException e) {
-            StackTraceElement[] at = e.getStackTrace();
-            reply.fault(instance.number, e + (at.length > 0 ? " at " + at[0] : ""));
+            StackTraceElement[] trace = e.getStackTrace();
+            reply.fault(instance.number, e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 
@@ -129,60 +130,60 @@
                 logic.request(now, request);
                 break;
             case Codes.LIST:
-                list(logic);
+                handleList(logic);
                 break;
             case Codes.TIMER:
                 logic.timer(now, record.u64());
                 break;
             case Codes.PROBED:
-                probed(instance);
+                handleProbed(instance);
                 break;
             case Codes.OUTCOME:
-                outcome(instance);
+                handleOutcome(instance);
                 break;
             case Codes.STREAMING:
                 logic.streaming(now, record.u64(), record.u8());
                 break;
             case Codes.NOTE:
-                note(logic);
+                handleNote(logic);
                 break;
             default:
-                // A peer's message: dispatchers share nothing, so nobody listens.
+                // PEER_MESSAGE is ignored: dispatchers share no state.
                 break;
         }
     }
 
-    private void list(Dispatch logic) throws WireException {
+    private void handleList(Dispatch logic) throws WireException {
         ListKind kind = Codes.listKind(record.u8());
         record.u32();
-        int number = record.more() ? record.u8() : 0;
+        int number = record.hasMore() ? record.u8() : 0;
         if (number >= lists.size()) {
             throw new WireException("list number " + number + " is out of range");
         }
         logic.list(now, kind, kind == ListKind.FAILED ? List.of() : lists.get(number));
     }
 
-    private void probed(Instance instance) throws WireException {
+    private void handleProbed(Instance instance) throws WireException {
         long worker = record.worker();
-        double took = record.f64();
+        double duration = record.f64();
         Outcome outcome = Codes.outcome(record.u16());
-        instance.logic.probed(now, worker, took, outcome, readReport(instance.reportFields));
+        instance.logic.probed(now, worker, duration, outcome, readReport(instance.reportFields));
     }
 
-    private void outcome(Instance instance) throws WireException {
+    private void handleOutcome(Instance instance) throws WireException {
         long id = record.u64();
         int attempt = record.u8();
         long worker = record.worker();
         Outcome outcome = Codes.outcome(record.u16());
         record.f64();
         boolean over = record.u8() != 0;
-        if (record.more()) {
+        if (record.hasMore()) {
             record.u8();
         }
         instance.logic.outcome(now, id, attempt, worker, outcome, over, readReport(instance.reportFields));
     }
 
-    private void note(Dispatch logic) throws WireException {
+    private void handleNote(Dispatch logic) throws WireException {
         long id = record.u64();
         double share = record.f32();
         int attempt = record.u8();
@@ -196,26 +197,26 @@
     private void readRequest() throws WireException {
         request.id = record.u64();
         request.jobClass = record.u16();
-        request.tenant = record.more() ? record.u32() : -1;
-        // What the request is about: nothing is decided by it.
-        if (record.more()) {
+        request.tenant = record.hasMore() ? record.u32() : -1;
+        // The request's key, which no decision uses.
+        if (record.hasMore()) {
             record.u64();
         }
         request.deadline = record.f64();
-        double hint = record.more() ? record.f64() : Double.NaN;
-        double slots = record.more() ? record.f32() : 1;
+        double hint = record.hasMore() ? record.f64() : Double.NaN;
+        double slots = record.hasMore() ? record.f32() : 1;
         request.slots = slots > 0 ? slots : 1;
-        request.memory = record.more() ? record.f32() : 0;
-        int options = record.more() ? record.u16() : 0;
+        request.memory = record.hasMore() ? record.f32() : 0;
+        int options = record.hasMore() ? record.u16() : 0;
         request.hint = (options & Codes.OPTION_HINT) != 0 ? hint : Double.NaN;
     }
 
     private LoadReport readReport(String[] fields) throws WireException {
-        int n = record.more() ? record.u8() : 0;
+        int n = record.hasMore() ? record.u8() : 0;
         if (n == 0) {
             return null;
         }
-        record.need(4L * n);
+        record.require(4L * n);
         report.clear();
         for (int i = 0; i < n; i++) {
             double value = record.f32();
@@ -226,14 +227,14 @@
         return report;
     }
 
-    /** A list's entries, in objects that are reused when its number comes again. */
+    /** Reads the entries of a list into objects that are reused when the same list number is sent again. */
     private void readList() throws WireException {
         int number = record.u8();
         if (number >= lists.size()) {
             throw new WireException("list number " + number + " is out of range");
         }
         long n = record.u32() & 0xffffffffL;
-        record.need(n * Codes.LIST_ENTRY);
+        record.require(n * Codes.LIST_ENTRY_BYTES);
         List<Worker> list = lists.get(number);
         while (list.size() > n) {
             list.remove(list.size() - 1);
@@ -256,7 +257,7 @@
         worker.startedAt = record.f64();
     }
 
-    /** One dispatcher: its module, and its actions written under its number. */
+    /** One dispatcher: its decision module, whose actions are written as replies under its number. */
     private final class Instance implements Dispatch.Actions {
         private final int number;
         private Logic logic;
