--- a/src/test/java/laneflow/gearman/ConformanceTest.java
+++ b/src/test/java/laneflow/gearman/ConformanceTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The cases of the protocol against the front in this process; {@code lab conformance} plays them at another. */
+/** Runs the protocol cases against an in-process front; {@code lab conformance} runs them against another process. */
 @Timeout(120)
 class ConformanceTest {
     private static final String LOCAL =
             "listen = '127.0.0.1:0'\n" + Conformance.FUNCTIONS.replace("[gearman.functions", "[functions");
 
     @Test
-    void everyCaseGoesAsWritten() throws Exception {
+    void frontPassesAllCases() throws Exception {
         try (Stand stand = Stand.gearman(LOCAL)) {
             int port = stand.serve.gearman().address().getPort();
             Conformance.Result result = Conformance.play(port, "");
@@ -27,9 +27,9 @@
         }
     }
 
-    /** A case that is not kept is seen: the runner does not pass what differs. */
+    /** Guards against a case runner that passes replies which differ from the expected ones. */
     @Test
-    void aCaseThatIsNotKeptFails() throws Exception {
+    void runnerReportsADifferingReply() throws Exception {
         try (Stand stand = Stand.gearman(LOCAL)) {
             int port = stand.serve.gearman().address().getPort();
             for (String[] lines : new String[][] {
--- a/src/test/java/laneflow/gearman/Gearman.java
+++ b/src/test/java/laneflow/gearman/Gearman.java
@@ -9,7 +9,7 @@
 import laneflow.net.Stand;
 import laneflow.net.Stand.Peer;
 
-/** What stand-in Gearman clients and workers say and expect. */
+/** Sends and checks the packets of stand-in Gearman clients and workers. */
 public final class Gearman {
     public static final int COMPLETE = Packet.WORK_COMPLETE;
     public static final int FAIL = Packet.WORK_FAIL;
@@ -25,30 +25,30 @@
         peer.write(Packet.encode(Packet.REQUEST_MAGIC, type, args));
     }
 
-    /** The next packet's arguments; it must be of this type. */
+    /** Reads the next packet, which must be of this type, and returns its arguments. */
     public static String[] expect(Peer peer, int type) throws IOException {
-        Received said = next(peer);
-        assertEquals(type, said.type, String.join(" ", said.args));
-        return said.args;
+        Received packet = next(peer);
+        assertEquals(type, packet.type, String.join(" ", packet.args));
+        return packet.args;
     }
 
-    /** A packet. */
+    /** A packet from the server. */
     public record Received(int type, String[] args) {}
 
-    /** The next packet, of whatever type. */
+    /** Reads the next packet of any type. */
     public static Received next(Peer peer) throws IOException {
         ByteBuffer head = ByteBuffer.wrap(peer.read(Packet.HEADER_BYTES));
         assertEquals(Packet.RESPONSE_MAGIC, head.getInt());
-        int got = head.getInt();
-        return new Received(got, new String(peer.read(head.getInt()), StandardCharsets.UTF_8).split("\0", -1));
+        int type = head.getInt();
+        return new Received(type, new String(peer.read(head.getInt()), StandardCharsets.UTF_8).split("\0", -1));
     }
 
-    /** The protocol's number of that name. */
+    /** The packet type number of a protocol name. */
     public static int type(String name) throws ReflectiveOperationException {
         return Packet.class.getDeclaredField(name).getInt(null);
     }
 
-    /** The protocol's name of that number; such names are all in capitals and stand in front of lengths. */
+    /** The protocol name of a packet type number; {@link Packet} declares the types before its other int constants. */
     public static String name(int type) throws ReflectiveOperationException {
         for (Field field : Packet.class.getDeclaredFields()) {
             if (field.getType() == int.class && field.getInt(null) == type) {
@@ -58,7 +58,7 @@
         return "packet " + type;
     }
 
-    /** A worker with these abilities, asleep. */
+    /** Connects a worker with these functions that has sent PRE_SLEEP. */
     public static Peer worker(Stand stand, String... functions) throws IOException {
         Peer worker = stand.gearman();
         for (String function : functions) {
@@ -68,14 +68,14 @@
         return worker;
     }
 
-    /** The next job, once there is one: handle, function, unique, reducer, body. */
+    /** Waits for NOOP and grabs a job: handle, function, unique id, reducer, data. */
     public static String[] grab(Peer worker) throws IOException {
         expect(worker, Packet.NOOP);
         send(worker, Packet.GRAB_JOB_ALL);
         return expect(worker, Packet.JOB_ASSIGN_ALL);
     }
 
-    /** The packet by which a worker takes its abilities back. */
+    /** The packet by which a worker withdraws all its abilities. */
     public static byte[] resetAbilities() {
         return Packet.encode(Packet.REQUEST_MAGIC, Packet.RESET_ABILITIES);
     }
@@ -84,7 +84,7 @@
         send(worker, Packet.PRE_SLEEP);
     }
 
-    /** Hands a background job in and returns its handle. */
+    /** Submits a background job and returns its handle. */
     public static String submitBackground(Peer client, String function, String unique, String body) throws IOException {
         send(client, Packet.SUBMIT_JOB_BG, function, unique, body);
         return expect(client, Packet.JOB_CREATED)[0];
--- a/src/test/java/laneflow/gearman/GearmanStoryTest.java
+++ b/src/test/java/laneflow/gearman/GearmanStoryTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Stories of the Gearman front, with stand-in clients and workers. */
+/** Tests of the Gearman front with stand-in clients and workers. */
 @Timeout(30)
 class GearmanStoryTest {
-    /** A worker with these abilities, asleep. */
+    /** Connects a worker with these functions that has found no job and sent PRE_SLEEP. */
     private static Peer worker(Stand stand, String... functions) throws IOException {
         Peer worker = stand.gearman();
         for (String function : functions) {
@@ -28,7 +28,7 @@
         send(worker, Packet.GRAB_JOB);
         expect(worker, Packet.NO_JOB);
         send(worker, Packet.PRE_SLEEP);
-        // Packets are taken in order: the echo comes when the worker is listed and asleep.
+        // Packets are handled in order: after the echo the worker is listed and asleep.
         send(worker, Packet.ECHO_REQ, "there");
         assertEquals("there", expect(worker, Packet.ECHO_RES)[0]);
         return worker;
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void aJobGoesTheWholeWayAndItsClientHearsOfIt() throws Exception {
+    void jobIsServedAndItsClientsGetStatusAndResult() throws Exception {
         try (Stand stand = new Stand(null);
                 Peer client = stand.gearman()) {
             Peer worker = worker(stand, "check");
@@ -60,7 +60,7 @@
             assertArrayEquals(new String[] {handle, "1", "4"}, expect(client, Packet.WORK_STATUS));
             send(client, Packet.GET_STATUS, handle);
             assertArrayEquals(new String[] {handle, "1", "1", "1", "4"}, expect(client, Packet.STATUS_RES));
-            // The same unique while it runs joins it; both clients are answered.
+            // A submission with the unique id of a running job joins it; both clients are answered.
             Peer other = stand.gearman();
             assertEquals(handle, submit(other, Packet.SUBMIT_JOB_HIGH, "check", "u1", "basket\0of two"));
             send(worker, Packet.WORK_DATA, handle, "pri");
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void aWorkerThatVanishesMayHaveRunItsJob() throws Exception {
+    void jobOfAVanishedWorkerIsRetriedOnlyIfSafe() throws Exception {
         try (Stand stand = new Stand(null);
                 Peer client = stand.gearman()) {
             Peer first = worker(stand, "capture", "check");
@@ -84,7 +84,7 @@
             first.reset();
             assertEquals(handle, expect(client, Packet.WORK_FAIL)[0]);
             assertEquals(1, stand.counter("call.sent"));
-            // What is safe to repeat goes on to the other worker.
+            // A job that is safe to retry goes to the next worker.
             String again = submit(client, Packet.SUBMIT_JOB, "check", "", "");
             assertEquals(again, grab(second)[0]);
             Peer third = worker(stand, "check");
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void aJobThatWaitsAtAVanishedWorkerNeverRan() throws Exception {
+    void queuedJobOfAVanishedWorkerGoesToAnother() throws Exception {
         try (Stand stand = new Stand(null);
                 Peer client = stand.gearman()) {
             Peer first = worker(stand, "capture");
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void aWorkerThatDoesNotComeForItsJobLosesItToAnother() throws Exception {
+    void jobMovesFromAWorkerThatDoesNotGrabIt() throws Exception {
         try (Stand stand = new Stand(null);
                 Peer client = stand.gearman()) {
             Peer silent = worker(stand, "slow");
@@ -127,9 +127,9 @@
         }
     }
 
-    /** Its machine is gone amid its work, and no connection breaks: what waits there must not wait for its deadline. */
+    /** A worker's machine crashes without its connection breaking: jobs queued there must not wait for their deadline. */
     @Test
-    void aWorkerThatIsAwakeAndComesForNothingMoreLosesWhatWaitsThere() throws Exception {
+    void jobQueuedAtASilentAwakeWorkerIsReturned() throws Exception {
         try (Stand stand = new Stand(null);
                 Peer client = stand.gearman()) {
             Peer worker = worker(stand, "capture");
@@ -137,18 +137,18 @@
             assertEquals(first, grab(worker)[0]);
             send(worker, Packet.WORK_COMPLETE, first, "paid");
             expect(client, Packet.WORK_COMPLETE);
-            // No PRE_SLEEP, no GRAB_JOB, no word: the class itself would wait 6 s.
-            long from = System.nanoTime();
+            // The worker sends nothing, neither PRE_SLEEP nor GRAB_JOB; the class deadline is 6 s.
+            long startNanos = System.nanoTime();
             String second = submit(client, Packet.SUBMIT_JOB, "capture", "", "pay");
             assertEquals(second, expect(client, Packet.WORK_FAIL)[0]);
-            assertTrue(System.nanoTime() - from < 3_000_000_000L);
+            assertTrue(System.nanoTime() - startNanos < 3_000_000_000L);
             assertEquals(1, stand.counter("call.connect_failed"));
             assertEquals(1, stand.counter("gearman.refused"));
         }
     }
 
     @Test
-    void aClientThatLeavesWhileItsJobIsQueuedWithdrawsIt() throws Exception {
+    void disconnectOfTheClientWithdrawsItsQueuedJob() throws Exception {
         try (Stand stand = new Stand(null)) {
             Peer worker = worker(stand, "capture");
             Peer client = stand.gearman();
@@ -158,7 +158,7 @@
             stand.await("gearman.withdrawn", 1);
             send(worker, Packet.GRAB_JOB);
             expect(worker, Packet.NO_JOB);
-            // A background job stays when its client has gone.
+            // A background job remains when its client disconnects.
             Peer leaving = stand.gearman();
             send(worker, Packet.PRE_SLEEP);
             submit(leaving, Packet.SUBMIT_JOB_BG, "capture", "", "pay");
@@ -170,21 +170,21 @@
     }
 
     @Test
-    void aJobNobodyGrabsFailsByItsDeadline() throws Exception {
+    void jobThatIsNotGrabbedFailsAtItsDeadline() throws Exception {
         try (Stand stand = new Stand(null);
                 Peer client = stand.gearman()) {
             Peer worker = worker(stand, "hasty");
-            long from = System.nanoTime();
+            long startNanos = System.nanoTime();
             String handle = submit(client, Packet.SUBMIT_JOB, "hasty", "", "pay");
             assertEquals(handle, expect(client, Packet.WORK_FAIL)[0]);
-            assertTrue(System.nanoTime() - from < 350_000_000L);
+            assertTrue(System.nanoTime() - startNanos < 350_000_000L);
             expect(worker, Packet.NOOP);
             send(worker, Packet.GRAB_JOB);
             expect(worker, Packet.NO_JOB);
-            // It only waited there and never ran: refused, not failed.
+            // The job was queued and never ran: it counts as refused, not failed.
             assertEquals(1, stand.counter("gearman.refused"));
             assertEquals(0, stand.counter("gearman.failed"));
-            // No worker at all: refused at once.
+            // Without any worker a job is refused at once.
             submit(client, Packet.SUBMIT_JOB, "check", "", "");
             expect(client, Packet.WORK_FAIL);
             assertEquals(2, stand.counter("gearman.refused"));
@@ -192,21 +192,21 @@
     }
 
     @Test
-    void aDrainingWorkerIsAssignedNothingAfterItsGrace() throws Exception {
+    void drainingWorkerIsAssignedNothingAfterItsGracePeriod() throws Exception {
         try (Stand stand = new Stand(null);
                 Peer client = stand.gearman()) {
             Peer worker = worker(stand, "capture");
             String handle = submit(client, Packet.SUBMIT_JOB, "capture", "", "pay");
             expect(worker, Packet.NOOP);
-            long from = System.nanoTime();
+            long startNanos = System.nanoTime();
             send(worker, Packet.RESET_ABILITIES);
-            // Half a second later what waits there is given back unstarted, and nobody else has the ability.
+            // After half a second the queued job is returned unstarted, and no other worker has the function.
             assertEquals(handle, expect(client, Packet.WORK_FAIL)[0]);
-            assertTrue(System.nanoTime() - from > 400_000_000L);
+            assertTrue(System.nanoTime() - startNanos > 400_000_000L);
             send(worker, Packet.GRAB_JOB);
             expect(worker, Packet.NO_JOB);
             assertEquals(1, stand.counter("call.moot"));
-            // Abilities named anew within the grace, as libraries do at every start, lose nothing.
+            // Abilities announced again within the grace period, as libraries do at every start, lose no job.
             send(worker, Packet.CAN_DO, "capture");
             send(worker, Packet.PRE_SLEEP);
             send(worker, Packet.ECHO_REQ, "");
@@ -217,7 +217,7 @@
             send(worker, Packet.CAN_DO_TIMEOUT, "capture", "1");
             send(worker, Packet.GRAB_JOB);
             assertEquals(next, expect(worker, Packet.JOB_ASSIGN)[0]);
-            // The worker's own time limit ends the wait, and the job may have run.
+            // The worker's own time limit ends the attempt, and the job may have run.
             assertEquals(next, expect(client, Packet.WORK_FAIL)[0]);
             assertEquals(1, stand.counter("call.timeout"));
         }
@@ -248,9 +248,9 @@
         }
     }
 
-    /** The order of packets of libgearman's own worker: it asks before it sleeps, and with GRAB_JOB_ALL only. */
+    /** The packet order of libgearman's worker: it grabs before it sleeps, with GRAB_JOB_ALL only. */
     @Test
-    void aStockWorkerIsServed() throws Exception {
+    void libgearmanWorkerIsServed() throws Exception {
         try (Stand stand = new Stand(null);
                 Peer client = stand.gearman();
                 Peer worker = stand.gearman()) {
@@ -264,7 +264,7 @@
                 String unique = i == 0 ? "u1" : "";
                 String handle = submit(client, Packet.SUBMIT_JOB, i == 0 ? "check" : "post", unique, "a\0b");
                 expect(worker, Packet.NOOP);
-                // Another sleep before it grabs: it is woken again, not left asleep with a job waiting.
+                // PRE_SLEEP again before it grabs: it is woken again, not left asleep with a job queued.
                 send(worker, Packet.PRE_SLEEP);
                 expect(worker, Packet.NOOP);
                 send(worker, Packet.GRAB_JOB_ALL);
@@ -278,36 +278,36 @@
         }
     }
 
-    /** One day in small, over either wire: the counts of what the rules speak of must be the same. */
+    /** The same sequence of events over either front: the counters of outcomes and rules must be equal. */
     @Test
-    void theSameDayOverBothWiresGivesTheSameCounts() throws Exception {
+    void sameEventsOverBothFrontsGiveTheSameCounts() throws Exception {
         List<List<Long>> counts = new ArrayList<>();
         for (boolean gearman : new boolean[] {true, false}) {
             String front = gearman ? "gearman" : "http";
             try (Stand stand = new Stand(null)) {
-                Peer one = ask(stand, gearman, "check", "basket-check");
+                Peer one = submitOver(stand, gearman, "check", "basket-check");
                 one.close();
                 Peer worker = worker(stand, "check", "capture", "post");
-                Peer served = ask(stand, gearman, "capture", "card-capture");
+                Peer served = submitOver(stand, gearman, "capture", "card-capture");
                 send(worker, Packet.WORK_COMPLETE, grab(worker)[0], "");
                 stand.await(front + ".served", 1);
                 send(worker, Packet.PRE_SLEEP);
-                Peer failed = ask(stand, gearman, "post", "points-post");
+                Peer failed = submitOver(stand, gearman, "post", "points-post");
                 send(worker, Packet.WORK_FAIL, grab(worker)[0]);
                 stand.await("call.error", 1);
                 Peer other = worker(stand, "capture");
-                Peer left = ask(stand, gearman, "capture", "card-capture");
+                Peer left = submitOver(stand, gearman, "capture", "card-capture");
                 expect(other, Packet.NOOP);
                 left.close();
                 stand.await(front + ".withdrawn", 1);
-                Peer lost = ask(stand, gearman, "capture", "card-capture");
+                Peer lost = submitOver(stand, gearman, "capture", "card-capture");
                 send(other, Packet.GRAB_JOB);
                 expect(other, Packet.JOB_ASSIGN);
                 other.reset();
                 stand.await("call.reset", 1);
-                List<Long> these = new ArrayList<>();
+                List<Long> frontCounts = new ArrayList<>();
                 for (String name : new String[] {"taken", "served", "refused", "failed", "withdrawn"}) {
-                    these.add(stand.counter(front + "." + name));
+                    frontCounts.add(stand.counter(front + "." + name));
                 }
                 for (String name : new String[] {
                     "call.sent",
@@ -324,9 +324,9 @@
                     "core.kept.spent",
                     "core.overdue"
                 }) {
-                    these.add(stand.counter(name));
+                    frontCounts.add(stand.counter(name));
                 }
-                counts.add(these);
+                counts.add(frontCounts);
                 served.close();
                 failed.close();
                 lost.close();
@@ -336,7 +336,7 @@
         assertEquals(counts.get(0), counts.get(1));
     }
 
-    private static Peer ask(Stand stand, boolean gearman, String function, String jobClass) throws Exception {
+    private static Peer submitOver(Stand stand, boolean gearman, String function, String jobClass) throws Exception {
         Peer client = gearman ? stand.gearman() : stand.http();
         if (gearman) {
             submit(client, Packet.SUBMIT_JOB, function, "", "");
@@ -349,7 +349,7 @@
     }
 
     @Test
-    void whatIsNotServedGetsAnErrorAndWhatIsNoPacketIsCutOff() throws Exception {
+    void unsupportedPacketsGetAnErrorAndMalformedOnesEndTheConnection() throws Exception {
         try (Stand stand = new Stand(null);
                 Peer client = stand.gearman()) {
             send(client, 36, "check\0u\0" + 1 + "\0x");
@@ -364,7 +364,7 @@
             assertEquals("exceptions", expect(client, Packet.OPTION_RES)[0]);
             Peer worker = worker(stand, "check");
             send(worker, Packet.SET_CLIENT_ID, "till 4");
-            // A packet in pieces is a packet.
+            // A packet that arrives in two pieces.
             byte[] bytes = Packet.encode(Packet.REQUEST_MAGIC, Packet.SUBMIT_JOB, "check", "", "");
             client.write(new String(bytes, 0, 5, StandardCharsets.ISO_8859_1));
             send(worker, Packet.ECHO_REQ, "");
@@ -388,7 +388,7 @@
     }
 
     @Test
-    void whoSaysNothingOrHalfAPacketIsCutOffAndASilentWorkerIsNot() throws Exception {
+    void connectionWithoutACompletePacketIsClosedAndASilentWorkerIsNot() throws Exception {
         try (Stand stand = new Stand(null);
                 Peer silent = stand.gearman();
                 Peer half = stand.gearman()) {
@@ -402,9 +402,9 @@
         }
     }
 
-    /** Of many workers of one class only those with a job's function are asked, and nobody else is woken. */
+    /** Of many workers of one class only those with the job's function are woken and sent the job. */
     @Test
-    void aJobGoesStraightToAWorkerThatHasItsFunction() throws Exception {
+    void jobIsSentOnlyToAWorkerThatHasItsFunction() throws Exception {
         int count = 30;
         try (Stand stand = Stand.gearman("listen = '127.0.0.1:0'\nunmapped_class = 'basket-check'\n")) {
             Peer[] workers = new Peer[count];
@@ -422,14 +422,14 @@
             }
             assertEquals(count, stand.counter("call.sent"));
             assertEquals(0, stand.counter("call.moot"));
-            // Taken back it is not asked any more; what nobody has is refused at once and sent to nobody.
+            // After CANT_DO the worker is not used; a function without a worker is refused at once and sent nowhere.
             send(workers[3], Packet.CANT_DO, "g3");
             send(workers[3], Packet.ECHO_REQ, "");
             expect(workers[3], Packet.ECHO_RES);
             String handle = submit(client, Packet.SUBMIT_JOB, "g3", "", "x");
             assertEquals(handle, expect(client, Packet.WORK_FAIL)[0]);
             assertEquals(count, stand.counter("call.sent"));
-            // An HTTP client's job needs no function: any worker of its class will do.
+            // An HTTP client's job names no function: any worker of its class may run it.
             Peer http = stand.http().post("basket-check", "1", "", "x");
             stand.await("call.sent", count + 1);
             http.close();
--- a/src/test/java/laneflow/gearman/ReaderFuzzTest.java
+++ b/src/test/java/laneflow/gearman/ReaderFuzzTest.java
@@ -18,13 +18,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Bytes of every kind at the readers of packets and lines; seeds are fixed, so a verdict stays one. */
+/** Fuzz tests of the packet and line readers and of the queue counts; seeds are fixed, so results are repeatable. */
 class ReaderFuzzTest {
-    private static final int MOST = 4096;
+    private static final int MAX_DATA_BYTES = 4096;
 
-    /** Packets that came in any pieces come out whole and in order; damaged ones are Malformed, nothing else. */
+    /** Packets in arbitrary pieces are read whole and in order; damaged ones raise MalformedPacket and nothing else. */
     @Property(tries = 2000, seed = "7")
-    void anyBytesArePacketsOrMalformed(@ForAll long seed) {
+    void anyBytesParseAsPacketsOrAreMalformed(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Ring ring = new Ring(1 << 15);
         List<byte[]> sent = new ArrayList<>();
@@ -46,14 +46,16 @@
                     int piece = Math.min(packet.length - at, 1 + random.nextInt(64));
                     assertTrue(ring.put(packet, at, piece));
                     at += piece;
-                    for (Packet one = Packet.read(ring, MOST); one != null; one = Packet.read(ring, MOST)) {
+                    for (Packet packetRead = Packet.read(ring, MAX_DATA_BYTES);
+                            packetRead != null;
+                            packetRead = Packet.read(ring, MAX_DATA_BYTES)) {
                         for (int count = 1; count < 5; count++) {
-                            arguments(one, count);
+                            checkArguments(packetRead, count);
                         }
                         if (!damaged) {
                             assertArrayEquals(
                                     Arrays.copyOfRange(sent.get(read), Packet.HEADER_BYTES, sent.get(read).length),
-                                    one.data());
+                                    packetRead.data());
                         }
                         read++;
                     }
@@ -66,12 +68,12 @@
         assertTrue(damaged || read == sent.size(), read + " of " + sent.size());
     }
 
-    private static void arguments(Packet packet, int count) {
+    private static void checkArguments(Packet packet, int count) {
         try {
-            byte[][] found = packet.arguments(count);
-            assertEquals(count, found.length);
+            byte[][] arguments = packet.arguments(count);
+            assertEquals(count, arguments.length);
             int sum = count - 1;
-            for (byte[] one : found) {
+            for (byte[] one : arguments) {
                 sum += one.length;
             }
             assertEquals(packet.data().length, sum);
@@ -80,10 +82,10 @@
         }
     }
 
-    /** Connections that speak nonsense end or are answered; the front serves on, and holds nothing of them. */
+    /** Invalid input is answered or ends its connection; the front keeps serving and retains no jobs of it. */
     @Test
     @Timeout(60)
-    void nonsenseLeavesTheFrontAsItWas() throws Exception {
+    void frontServesAfterInvalidInput() throws Exception {
         SplittableRandom random = new SplittableRandom(11);
         try (Stand stand = Stand.gearman("listen = '127.0.0.1:0'\nunmapped_class = 'basket-check'\n")) {
             for (int i = 0; i < 150; i++) {
@@ -92,7 +94,7 @@
                         byte[] data = new byte[random.nextInt(40)];
                         random.nextBytes(data);
                         if (random.nextInt(4) > 0) {
-                            // Mostly what a packet may look like, of every type, with arguments that may fit.
+                            // Mostly well-formed packets of every type, some with a valid number of arguments.
                             for (int at = 0; at < data.length; at++) {
                                 data[at] = (byte) (random.nextInt(5) == 0 ? 0 : 'a' + random.nextInt(3));
                             }
@@ -104,7 +106,7 @@
                         peer.reset();
                     }
                 } catch (IOException e) {
-                    // Cut off in the middle of it.
+                    // The front has closed the connection.
                     continue;
                 }
             }
@@ -116,23 +118,23 @@
             assertEquals(handle, job[0]);
             Gearman.send(worker, Packet.WORK_COMPLETE, handle, "y");
             assertEquals("y", Gearman.expect(client, Packet.WORK_COMPLETE)[1]);
-            // Background jobs of the nonsense were refused by then or are: what is left in the queues is nothing.
+            // Waits until the background jobs of the random packets are refused, so that no queue holds any.
             for (String row = "\t1\t"; row.contains("\t1\t") || row.contains("\t2\t"); ) {
                 row = stand.gearman().write("status\n").readTo(".\n").replaceAll("\t[0-9]+\n", "\n");
             }
         }
     }
 
-    /** Counts by changes are what counting anew would say, whatever happens in whatever order. */
+    /** Incremental counts equal a recount after any sequence of events. */
     @Property(tries = 300, seed = "7")
-    void countsAreWhatIsThere(@ForAll long seed) {
+    void queueCountsMatchTheJobs(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Queues queues = new Queues(5);
         List<int[]> jobs = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            int what = random.nextInt(4);
+            int action = random.nextInt(4);
             int[] job = jobs.isEmpty() ? null : jobs.get(random.nextInt(jobs.size()));
-            if (what < 2) {
+            if (action < 2) {
                 int priority = random.nextInt(3);
                 long waiting = jobs.stream()
                         .filter(one -> one[0] == priority && one[1] == 0)
@@ -142,7 +144,7 @@
                     queues.recordQueued("f", priority);
                     jobs.add(new int[] {priority, 0});
                 }
-            } else if (what == 2 && job != null && job[1] == 0) {
+            } else if (action == 2 && job != null && job[1] == 0) {
                 queues.recordStarted("f", job[0]);
                 job[1] = 1;
             } else if (job != null) {
--- a/src/test/java/laneflow/gearman/LaterTest.java
+++ b/src/test/java/laneflow/gearman/ScheduledJobsTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Jobs for later: when they are due, and that they are kept until then. */
+/** Scheduled jobs: when they are due, and that they are kept until then. */
 @Timeout(300)
-class LaterTest {
+class ScheduledJobsTest {
     @TempDir
     private Path folder;
 
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void theNextMinuteThatFitsIsFound() {
+    void nextRunIsTheFirstMatchingMinute() {
         String now = "2026-12-01T15:07:30Z";
         assertEquals("2026-12-01T15:08:00Z", next("", "", "", "", "", now));
         assertEquals("2026-12-01T16:07:00Z", next("7", "*", "", "", "", now));
@@ -37,7 +37,7 @@
         assertEquals("2026-12-02T15:05:00Z", next("5", "15", "", "", "", now));
         assertEquals("2026-12-02T03:00:00Z", next("", "3", "", "", "", now));
         assertEquals("2027-01-01T00:00:00Z", next("", "", "", "1", "", now));
-        // The first of December 2026 is a Tuesday, number 1 of the week.
+        // 1 December 2026 is a Tuesday, day 1 of the week.
         assertEquals("2026-12-01T23:59:00Z", next("59", "23", "", "", "1", now));
         assertEquals("2026-12-07T00:00:00Z", next("0", "0", "", "", "0", now));
         assertEquals("2028-02-29T12:00:00Z", next("0", "12", "29", "2", "", now));
@@ -58,41 +58,41 @@
         assertEquals(1_764_600_000_000L, Schedule.parseEpochSeconds("1764600000"));
     }
 
-    private static String later(Peer client, long seconds, String unique, String body) throws Exception {
+    private static String submitAt(Peer client, long seconds, String unique, String body) throws Exception {
         Gearman.send(client, Packet.SUBMIT_JOB_EPOCH, "kcheck", unique, seconds, body);
         return Gearman.expect(client, Packet.JOB_CREATED)[0];
     }
 
     @Test
-    void aJobForLaterWaitsForItsTimeThroughARestart() throws Exception {
+    void scheduledJobIsKeptAcrossARestartUntilDue() throws Exception {
         long due = System.currentTimeMillis() / 1000 + 3;
         try (Stand stand = Stand.keeping(folder, "")) {
             Peer client = stand.gearman();
             Peer worker = Gearman.worker(stand, "kcheck");
-            String handle = later(client, due, "u1", "late");
-            // The same again is the same, and one that is due already goes before it.
-            assertEquals(handle, later(client, due, "u1", "late"));
-            later(client, 1, "u2", "now");
+            String handle = submitAt(client, due, "u1", "late");
+            // An equal job is coalesced, and a job that is already due runs first.
+            assertEquals(handle, submitAt(client, due, "u1", "late"));
+            submitAt(client, 1, "u2", "now");
             assertEquals("now", Gearman.grab(worker)[4]);
-            assertTrue(System.currentTimeMillis() < due * 1000, "too slow to tell");
+            assertTrue(System.currentTimeMillis() < due * 1000, "test too slow: the job is due already");
         }
         try (Stand stand = Stand.keeping(folder, "")) {
             Peer worker = Gearman.worker(stand, "kcheck");
             String[] job = Gearman.grab(worker);
             while (!job[4].equals("late")) {
-                // The one that was at work when the scheduler died may run again.
+                // The job that was running when the scheduler stopped may run again.
                 Gearman.send(worker, Packet.WORK_COMPLETE, job[0], "r");
                 Gearman.preSleep(worker);
                 job = Gearman.grab(worker);
             }
-            assertTrue(System.currentTimeMillis() >= due * 1000, "begun before its time");
+            assertTrue(System.currentTimeMillis() >= due * 1000, "job started before it was due");
             Gearman.send(worker, Packet.WORK_COMPLETE, job[0], "r");
             stand.await("durable.done", 1);
         }
     }
 
     @Test
-    void aStoreOfTheFirstFormatIsReadOn() throws Exception {
+    void storeOfFormatVersion1IsMigrated() throws Exception {
         try (Stand stand = Stand.keeping(folder, "")) {
             Gearman.submitBackground(stand.gearman(), "kcheck", "old", "from before");
         }
--- a/src/test/java/laneflow/transcripts/GearmanTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/GearmanTranscriptsTest.java
@@ -5,36 +5,38 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A job's life on the Gearman front, with each outcome and repeat. */
+/** Transcripts of jobs on the Gearman front: every outcome and retry. */
 @Timeout(120)
 class GearmanTranscriptsTest {
-    private static GearmanParty party(Transcript transcript, String name, Stand stand) throws Exception {
-        return new GearmanParty(transcript, name, stand.gearman());
+    private static RecordedGearmanPeer connect(Transcript transcript, String name, Stand stand) throws Exception {
+        return new RecordedGearmanPeer(transcript, name, stand.gearman());
     }
 
-    private static GearmanParty submitted(
+    private static RecordedGearmanPeer submit(
             Transcript transcript, String name, Stand stand, String function, String unique) throws Exception {
-        GearmanParty client = party(transcript, name, stand).says("SUBMIT_JOB", function, unique, "pay");
-        client.hears();
+        RecordedGearmanPeer client = connect(transcript, name, stand).send("SUBMIT_JOB", function, unique, "pay");
+        client.receive();
         return client;
     }
 
     @Test
     void served() throws Exception {
         Transcript.of(
-                "A job is served; its client hears how far it is; another joins it by its unique.", transcript -> {
+                "A job is served; its client gets its progress; another client joins it by its unique id.",
+                transcript -> {
                     try (Stand stand = new Stand(null)) {
-                        GearmanParty worker = party(transcript, "worker", stand).able("capture");
-                        GearmanParty client = submitted(transcript, "client", stand, "capture", "u1");
-                        String handle = worker.grabs();
-                        worker.says("WORK_STATUS", handle, 1, 4);
-                        client.hears();
-                        client.says("GET_STATUS", handle).hears();
-                        GearmanParty other = submitted(transcript, "another client", stand, "capture", "u1");
-                        worker.says("WORK_COMPLETE", handle, "paid");
-                        client.hears();
-                        other.hears();
-                        client.says("GET_STATUS", handle).hears();
+                        RecordedGearmanPeer worker =
+                                connect(transcript, "worker", stand).announce("capture");
+                        RecordedGearmanPeer client = submit(transcript, "client", stand, "capture", "u1");
+                        String handle = worker.grabJob();
+                        worker.send("WORK_STATUS", handle, 1, 4);
+                        client.receive();
+                        client.send("GET_STATUS", handle).receive();
+                        RecordedGearmanPeer other = submit(transcript, "another client", stand, "capture", "u1");
+                        worker.send("WORK_COMPLETE", handle, "paid");
+                        client.receive();
+                        other.receive();
+                        client.send("GET_STATUS", handle).receive();
                         transcript.note("calls sent: " + stand.counter("call.sent"));
                     }
                 });
@@ -42,49 +44,51 @@
 
     @Test
     void failed() throws Exception {
-        Transcript.of("The worker fails its job: it ran, and what must not run twice is failed.", transcript -> {
-            try (Stand stand = new Stand(null)) {
-                GearmanParty worker = party(transcript, "worker", stand).able("capture");
-                GearmanParty client = submitted(transcript, "client", stand, "capture", "");
-                worker.says("WORK_FAIL", worker.grabs());
-                client.hears();
-                transcript.note("failed: " + stand.counter("gearman.failed"));
-            }
-        });
-    }
-
-    @Test
-    void refused() throws Exception {
         Transcript.of(
-                "No worker has the function: refused at once; the protocol has no word for later.", transcript -> {
+                "The worker fails its job: the job ran, so a job that must not run twice is failed.", transcript -> {
                     try (Stand stand = new Stand(null)) {
-                        GearmanParty client = submitted(transcript, "client", stand, "capture", "");
-                        client.hears();
-                        transcript.note("refused: " + stand.counter("gearman.refused"));
+                        RecordedGearmanPeer worker =
+                                connect(transcript, "worker", stand).announce("capture");
+                        RecordedGearmanPeer client = submit(transcript, "client", stand, "capture", "");
+                        worker.send("WORK_FAIL", worker.grabJob());
+                        client.receive();
+                        transcript.note("failed: " + stand.counter("gearman.failed"));
                     }
                 });
     }
 
+    @Test
+    void refused() throws Exception {
+        Transcript.of("No worker has the function: refused at once; the protocol has no retry-after.", transcript -> {
+            try (Stand stand = new Stand(null)) {
+                RecordedGearmanPeer client = submit(transcript, "client", stand, "capture", "");
+                client.receive();
+                transcript.note("refused: " + stand.counter("gearman.refused"));
+            }
+        });
+    }
+
     @Test
     void workerVanishesAtWork() throws Exception {
         Transcript.of(
-                "A worker vanishes at work: what must not run twice is failed, what may goes to another.",
+                "A worker disconnects at work: a job that must not run twice is failed, another is retried.",
                 transcript -> {
                     try (Stand stand = new Stand(null)) {
-                        GearmanParty first = party(transcript, "worker", stand).able("capture", "check");
-                        GearmanParty client = submitted(transcript, "client", stand, "capture", "");
-                        first.grabs();
-                        first.resets();
-                        client.hears();
-                        GearmanParty second =
-                                party(transcript, "second worker", stand).able("check");
-                        client.says("SUBMIT_JOB", "check", "", "two").hears();
-                        second.grabs();
-                        GearmanParty third =
-                                party(transcript, "third worker", stand).able("check");
-                        second.resets();
-                        third.says("WORK_COMPLETE", third.grabs(), "priced");
-                        client.hears();
+                        RecordedGearmanPeer first =
+                                connect(transcript, "worker", stand).announce("capture", "check");
+                        RecordedGearmanPeer client = submit(transcript, "client", stand, "capture", "");
+                        first.grabJob();
+                        first.reset();
+                        client.receive();
+                        RecordedGearmanPeer second =
+                                connect(transcript, "second worker", stand).announce("check");
+                        client.send("SUBMIT_JOB", "check", "", "two").receive();
+                        second.grabJob();
+                        RecordedGearmanPeer third =
+                                connect(transcript, "third worker", stand).announce("check");
+                        second.reset();
+                        third.send("WORK_COMPLETE", third.grabJob(), "priced");
+                        client.receive();
                     }
                 });
     }
@@ -92,17 +96,17 @@
     @Test
     void workerVanishesBeforeItsJob() throws Exception {
         Transcript.of(
-                "A worker vanishes before it has come for its job: the job never ran, and goes to another.",
-                transcript -> {
+                "A worker disconnects before it grabs its job: the job never ran, and goes to another.", transcript -> {
                     try (Stand stand = new Stand(null)) {
-                        GearmanParty first = party(transcript, "worker", stand).able("capture");
-                        GearmanParty client = submitted(transcript, "client", stand, "capture", "");
-                        first.hears();
-                        GearmanParty second =
-                                party(transcript, "second worker", stand).able("capture");
-                        first.resets();
-                        second.says("WORK_COMPLETE", second.grabs(), "paid");
-                        client.hears();
+                        RecordedGearmanPeer first =
+                                connect(transcript, "worker", stand).announce("capture");
+                        RecordedGearmanPeer client = submit(transcript, "client", stand, "capture", "");
+                        first.receive();
+                        RecordedGearmanPeer second =
+                                connect(transcript, "second worker", stand).announce("capture");
+                        first.reset();
+                        second.send("WORK_COMPLETE", second.grabJob(), "paid");
+                        client.receive();
                     }
                 });
     }
@@ -110,14 +114,14 @@
     @Test
     void late() throws Exception {
         Transcript.of(
-                "Nobody comes for a job by its deadline: it never ran, and whoever comes later finds none.",
-                transcript -> {
+                "No worker grabs a job by its deadline: it never ran, and a later grab finds no job.", transcript -> {
                     try (Stand stand = new Stand(null)) {
-                        GearmanParty worker = party(transcript, "worker", stand).able("hasty");
-                        GearmanParty client = submitted(transcript, "client", stand, "hasty", "");
-                        worker.hears();
-                        client.hears();
-                        worker.says("GRAB_JOB").hears();
+                        RecordedGearmanPeer worker =
+                                connect(transcript, "worker", stand).announce("hasty");
+                        RecordedGearmanPeer client = submit(transcript, "client", stand, "hasty", "");
+                        worker.receive();
+                        client.receive();
+                        worker.send("GRAB_JOB").receive();
                         transcript.note("refused: " + stand.counter("gearman.refused") + ", failed: "
                                 + stand.counter("gearman.failed"));
                     }
@@ -127,15 +131,16 @@
     @Test
     void clientGone() throws Exception {
         Transcript.of(
-                "A client leaves before its job is taken: the job is withdrawn, and nobody is given it.",
+                "A client disconnects before its job is grabbed: the job is withdrawn and never assigned.",
                 transcript -> {
                     try (Stand stand = new Stand(null)) {
-                        GearmanParty worker = party(transcript, "worker", stand).able("capture");
-                        GearmanParty client = submitted(transcript, "client", stand, "capture", "");
-                        worker.hears();
-                        client.leaves();
+                        RecordedGearmanPeer worker =
+                                connect(transcript, "worker", stand).announce("capture");
+                        RecordedGearmanPeer client = submit(transcript, "client", stand, "capture", "");
+                        worker.receive();
+                        client.close();
                         stand.await("gearman.withdrawn", 1);
-                        worker.says("GRAB_JOB").hears();
+                        worker.send("GRAB_JOB").receive();
                     }
                 });
     }
@@ -143,15 +148,15 @@
     @Test
     void drained() throws Exception {
         Transcript.of(
-                "A worker takes its abilities back: what waits there is given back when the grace is over.",
-                transcript -> {
+                "A worker withdraws its abilities: queued jobs are returned after the grace period.", transcript -> {
                     try (Stand stand = new Stand(null)) {
-                        GearmanParty worker = party(transcript, "worker", stand).able("capture");
-                        GearmanParty client = submitted(transcript, "client", stand, "capture", "");
-                        worker.hears();
-                        worker.says("RESET_ABILITIES");
-                        client.hears();
-                        worker.says("GRAB_JOB").hears();
+                        RecordedGearmanPeer worker =
+                                connect(transcript, "worker", stand).announce("capture");
+                        RecordedGearmanPeer client = submit(transcript, "client", stand, "capture", "");
+                        worker.receive();
+                        worker.send("RESET_ABILITIES");
+                        client.receive();
+                        worker.send("GRAB_JOB").receive();
                     }
                 });
     }
@@ -162,18 +167,19 @@
                 "A Gearman client's job at an HTTP endpoint, and an HTTP client's at a Gearman worker.", transcript -> {
                     Endpoint endpoint = new Endpoint("e1");
                     try (Stand stand = new Stand(null, endpoint)) {
-                        GearmanParty client = submitted(transcript, "client", stand, "capture", "till-7");
+                        RecordedGearmanPeer client = submit(transcript, "client", stand, "capture", "till-7");
                         RecordedPeer call = new RecordedPeer(transcript, "e1", endpoint.accept());
                         String sent = call.message();
                         String id = sent.substring(sent.indexOf("Req-Id: ") + 8, sent.indexOf("\r\nReq-Deadline"));
                         call.reply("{'id':'" + id + "','state':'done','result':'paid'}");
-                        client.hears();
+                        client.receive();
                     }
                     try (Stand stand = new Stand(null);
                             RecordedPeer http = new RecordedPeer(transcript, "HTTP client", stand.http())) {
-                        GearmanParty worker = party(transcript, "worker", stand).able("capture");
+                        RecordedGearmanPeer worker =
+                                connect(transcript, "worker", stand).announce("capture");
                         http.post("card-capture", "1", "", "pay");
-                        worker.says("WORK_COMPLETE", worker.grabs(), "paid");
+                        worker.send("WORK_COMPLETE", worker.grabJob(), "paid");
                         http.message();
                     }
                 });
@@ -181,22 +187,22 @@
 
     @Test
     void errors() throws Exception {
-        Transcript.of("What is not served gets its error; what is no packet is cut off.", transcript -> {
+        Transcript.of("Unsupported requests get an error; a malformed packet ends the connection.", transcript -> {
             try (Stand stand = new Stand(null)) {
-                GearmanParty client = party(transcript, "client", stand);
-                client.says("SUBMIT_JOB_EPOCH", "check", "u", 1, "x").hears();
-                client.says("SUBMIT_JOB", "nothing", "", "").hears();
-                client.says("SUBMIT_JOB", "check", "", "x".repeat((1 << 20) + 1))
-                        .hears();
-                client.says("WORK_COMPLETE", "H:x:1", "").hears();
-                client.says("OPTION_REQ", "exceptions").hears();
-                client.says("OPTION_REQ", "colours").hears();
-                client.says("JOB_CREATED", "H:x:1").hears();
+                RecordedGearmanPeer client = connect(transcript, "client", stand);
+                client.send("SUBMIT_JOB_EPOCH", "check", "u", 1, "x").receive();
+                client.send("SUBMIT_JOB", "nothing", "", "").receive();
+                client.send("SUBMIT_JOB", "check", "", "x".repeat((1 << 20) + 1))
+                        .receive();
+                client.send("WORK_COMPLETE", "H:x:1", "").receive();
+                client.send("OPTION_REQ", "exceptions").receive();
+                client.send("OPTION_REQ", "colours").receive();
+                client.send("JOB_CREATED", "H:x:1").receive();
                 transcript.message("client", "scheduler", "(twelve bytes that are no head)");
                 client.peer.write("\0XYZ12345678");
-                client.hears();
+                client.receive();
                 if (!client.peer.ended()) {
-                    throw new AssertionError("it goes on");
+                    throw new AssertionError("the connection is still open");
                 }
                 transcript.note("scheduler ends the connection");
             }
@@ -205,9 +211,9 @@
 
     @Test
     void textCommands() throws Exception {
-        Transcript.of("The protocol's text commands, known and not.", transcript -> {
+        Transcript.of("Text protocol commands, known and unknown.", transcript -> {
             try (Stand stand = new Stand(null)) {
-                party(transcript, "worker", stand).able("check");
+                connect(transcript, "worker", stand).announce("check");
                 for (String command : new String[] {"status", "maxqueue check 9", "shutdown", "nonsense"}) {
                     try (RecordedPeer caller = new RecordedPeer(transcript, "caller", stand.gearman())) {
                         caller.write(command + "\n");
--- a/src/test/java/laneflow/wire/Hex.java
+++ b/src/test/java/laneflow/wire/Hex.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.util.HexFormat;
 
-/** Frames written out by hand, with blanks and line breaks for the reader. */
+/** Builds frames from hexadecimal text, in which white space is ignored. */
 final class Hex {
     private Hex() {}
 
@@ -31,12 +31,12 @@
     }
 
     /** A batch at clock 4.706 with these records. */
-    static String batch(int number, String... records) {
+    static String batch(int batchNumber, String... records) {
         String body = String.join("", records).replaceAll("\\s", "");
-        return u32(number) + u32(20 + body.length() / 2) + u32(records.length) + "508d976e12d31240" + body;
+        return u32(batchNumber) + u32(20 + body.length() / 2) + u32(records.length) + "508d976e12d31240" + body;
     }
 
-    /** What the host answers to these frames, as hex. */
+    /** The host's replies to these frames, in hexadecimal. */
     static String answer(String... frames) throws IOException, WireException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new WireHost(new ByteArrayInputStream(bytes(String.join("", frames))), out).run();
--- a/src/test/java/laneflow/wire/WireHostTest.java
+++ b/src/test/java/laneflow/wire/WireHostTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The host on frames written out by hand. */
+/** Tests of WireHost with hand-written frames. */
 class WireHostTest {
     private static final String EMPTY = "01000000 14000000 00000000 508d976e12d32040";
     private static final String SETTINGS =
@@ -35,11 +35,11 @@
         return record(7, String.format("%02x", number), u32(entries.length), String.join("", entries));
     }
 
-    private static String members(int instance, int mode, int number) {
+    private static String listEvent(int instance, int mode, int number) {
         return record(4, u32(instance), String.format("%02x", mode), "02000000", String.format("%02x", number));
     }
 
-    private static String ask(int instance, String id) {
+    private static String requestEvent(int instance, String id) {
         return record(
                 3,
                 u32(instance),
@@ -54,11 +54,11 @@
                 "0100");
     }
 
-    private static String tryRecord(int instance, String id, String worker) {
+    private static String sendRecord(int instance, String id, String worker) {
         return record(65, u32(instance), id, "0000000000000000", worker);
     }
 
-    private static String squeeze(String hex) {
+    private static String stripSpaces(String hex) {
         return hex.replaceAll("\\s", "");
     }
 
@@ -70,8 +70,8 @@
 
     @Test
     void requestGoesToTheListedWorkerByteForByte() throws IOException, WireException {
-        String reply = answer(batch(12, start(3), list(0, ENTRY), members(3, 2, 0), ask(3, REQUEST_ID)));
-        String send = squeeze("41 1a000000 03000000 c4913a5d492a0800 0000000000000000 0a124a07 5b1b");
+        String reply = answer(batch(12, start(3), list(0, ENTRY), listEvent(3, 2, 0), requestEvent(3, REQUEST_ID)));
+        String send = stripSpaces("41 1a000000 03000000 c4913a5d492a0800 0000000000000000 0a124a07 5b1b");
         assertTrue(reply.startsWith("0c000000"), reply);
         assertTrue(reply.contains(send), reply);
         assertEquals(reply.length() / 2, Integer.reverseBytes(Integer.parseUnsignedInt(reply.substring(16, 24), 16)));
@@ -80,45 +80,47 @@
     @Test
     void finalAnswersAndTimersByteForByte() throws IOException, WireException {
         String finished = record(8, "03000000", REQUEST_ID, "00", WORKER, "f601", "8b6ce7fba9f1923f", "00", "00", "00");
-        String reply =
-                answer(batch(1, start(3), list(0, ENTRY), members(3, 2, 0), ask(3, REQUEST_ID)), batch(2, finished));
-        assertTrue(reply.endsWith(squeeze("02000000 01000000 1d000000 42 0c000000 03000000 c4913a5d492a0800")), reply);
-        String refused = answer(batch(1, start(3), list(0), members(3, 2, 0), ask(3, REQUEST_ID)));
-        assertTrue(refused.contains(squeeze("49 14000000 03000000 c4913a5d492a0800 0000000000000000")), refused);
+        String reply = answer(
+                batch(1, start(3), list(0, ENTRY), listEvent(3, 2, 0), requestEvent(3, REQUEST_ID)),
+                batch(2, finished));
+        assertTrue(
+                reply.endsWith(stripSpaces("02000000 01000000 1d000000 42 0c000000 03000000 c4913a5d492a0800")), reply);
+        String refused = answer(batch(1, start(3), list(0), listEvent(3, 2, 0), requestEvent(3, REQUEST_ID)));
+        assertTrue(refused.contains(stripSpaces("49 14000000 03000000 c4913a5d492a0800 0000000000000000")), refused);
         assertTrue(refused.contains("47" + "14000000" + "03000000"), refused);
     }
 
     @Test
-    void listNumbersAreResolvedInTheOrderOfEvents() throws IOException, WireException {
+    void listNumbersAreResolvedInEventOrder() throws IOException, WireException {
         String reply = answer(batch(
                 1,
                 start(1),
                 start(2),
                 list(5, ENTRY),
-                members(1, 2, 5),
+                listEvent(1, 2, 5),
                 list(5, OTHER_ENTRY),
-                members(2, 2, 5),
-                ask(1, REQUEST_ID),
-                ask(2, REQUEST_ID)));
-        assertTrue(reply.contains(squeeze(tryRecord(1, REQUEST_ID, WORKER))), reply);
-        assertTrue(reply.contains(squeeze(tryRecord(2, REQUEST_ID, OTHER))), reply);
+                listEvent(2, 2, 5),
+                requestEvent(1, REQUEST_ID),
+                requestEvent(2, REQUEST_ID)));
+        assertTrue(reply.contains(stripSpaces(sendRecord(1, REQUEST_ID, WORKER))), reply);
+        assertTrue(reply.contains(stripSpaces(sendRecord(2, REQUEST_ID, OTHER))), reply);
     }
 
     @Test
     void listStaysKnownToLaterBatches() throws IOException, WireException {
         String reply = answer(
-                batch(1, start(1), list(5, ENTRY), members(1, 2, 5)),
-                batch(2, start(2), members(2, 2, 5), ask(2, REQUEST_ID)));
-        assertTrue(reply.contains(squeeze(tryRecord(2, REQUEST_ID, WORKER))), reply);
+                batch(1, start(1), list(5, ENTRY), listEvent(1, 2, 5)),
+                batch(2, start(2), listEvent(2, 2, 5), requestEvent(2, REQUEST_ID)));
+        assertTrue(reply.contains(stripSpaces(sendRecord(2, REQUEST_ID, WORKER))), reply);
     }
 
     @Test
-    void stoppedInstanceStartsAnewInTheSameBatch() throws IOException, WireException {
+    void stoppedInstanceRestartsInTheSameBatch() throws IOException, WireException {
         String reply = answer(
-                batch(1, start(1), list(0, ENTRY), members(1, 2, 0)),
-                batch(2, record(9, "01000000"), start(1), ask(1, REQUEST_ID)));
-        assertFalse(reply.contains(squeeze(tryRecord(1, REQUEST_ID, WORKER))), "the old list is forgotten");
-        assertTrue(reply.contains(squeeze("49 14000000 01000000") + REQUEST_ID), reply);
+                batch(1, start(1), list(0, ENTRY), listEvent(1, 2, 0)),
+                batch(2, record(9, "01000000"), start(1), requestEvent(1, REQUEST_ID)));
+        assertFalse(reply.contains(stripSpaces(sendRecord(1, REQUEST_ID, WORKER))), "the old list must be forgotten");
+        assertTrue(reply.contains(stripSpaces("49 14000000 01000000") + REQUEST_ID), reply);
     }
 
     @Test
@@ -128,12 +130,12 @@
         String probed =
                 record(6, "03000000", WORKER, "c7bab88d06f0563f", "c800", "04", "cdcccc3e00006841000040400000a03f");
         String peer = record(1, "03000000", "02000000", "0400", "68692037");
-        String flowing = record(10, "03000000", REQUEST_ID, "00", WORKER, "8b6ce7fba9f1823f");
-        String gone = record(2, "03000000", REQUEST_ID);
+        String streaming = record(10, "03000000", REQUEST_ID, "00", WORKER, "8b6ce7fba9f1823f");
+        String abandoned = record(2, "03000000", REQUEST_ID);
         String timer = record(5, "03000000", "4d00000000000000");
         String reply = answer(
-                batch(1, start(3), list(0, ENTRY), members(3, 2, 0), ask(3, REQUEST_ID)),
-                batch(2, note, newKind, probed, peer, flowing, gone, timer));
+                batch(1, start(3), list(0, ENTRY), listEvent(3, 2, 0), requestEvent(3, REQUEST_ID)),
+                batch(2, note, newKind, probed, peer, streaming, abandoned, timer));
         assertTrue(reply.endsWith("02000000" + "00000000" + "0c000000"), reply);
     }
 
@@ -143,8 +145,8 @@
     }
 
     @Test
-    void exceptionInTheModuleIsTheInstancesFault() throws IOException, WireException {
-        String wrongClass = ask(3, REQUEST_ID).replace(REQUEST_ID + "0000", REQUEST_ID + "0900");
+    void exceptionInTheModuleIsReportedAsAFault() throws IOException, WireException {
+        String wrongClass = requestEvent(3, REQUEST_ID).replace(REQUEST_ID + "0000", REQUEST_ID + "0900");
         String reply = answer(batch(1, start(3), wrongClass));
         assertTrue(reply.contains("44"), reply);
         assertTrue(reply.contains(hexOf("class 9 is out of range at laneflow.decision.Logic.request")), reply);
@@ -186,45 +188,45 @@
 
     @Test
     void settingsAreReadWithTheirDefaults() throws WireException {
-        SettingsReader read = SettingsReader.read("{\"classes\": [{\"semantics\": \"token\", \"group\": \"zone\","
+        SettingsReader parsed = SettingsReader.read("{\"classes\": [{\"semantics\": \"token\", \"group\": \"zone\","
                 + " \"dedupWindow\": 4, \"worth\": null}, {\"semantics\": \"pure\", \"aimStretch\": 3}],"
                 + " \"familyInfo\": {\"classStretch\": [1.5, 1.0], \"classKind\": [2, -1], \"queueOrder\": \"backfill\"},"
                 + " \"rules\": {\"lateShedding\": true, \"spareAttempts\": 3, \"repeatRatio\": 0.1, \"resendSpan\": 5.0,"
                 + " \"closeOnDrainWithin\": 0.3},"
                 + " \"reporting\": {\"source\": \"probe\", \"fields\": [\"x0\", \"lat_ms\"]}}");
-        assertEquals(laneflow.decision.Dispatch.Group.ZONE, read.settings.classes[0].group);
-        assertEquals(1.5, read.settings.classes[0].stretch);
-        assertEquals(2, read.settings.classes[0].kind);
-        assertEquals(1, read.settings.classes[0].worth);
-        assertEquals(3, read.settings.classes[1].stretch);
-        assertEquals(laneflow.decision.Dispatch.ReportSource.PROBES, read.settings.reports);
-        assertFalse(read.settings.headBlocks);
-        assertFalse(read.settings.mayProbe);
-        assertEquals("lat_ms", read.reportFields[1]);
-        assertTrue(read.settings.fullMayHaveRun);
-        assertEquals(3, read.settings.furtherFree);
-        assertEquals(0.1, read.settings.furtherShare);
-        assertEquals(5, read.settings.furtherWithin);
-        assertEquals(0.3, read.settings.closeOnDrain);
+        assertEquals(laneflow.decision.Dispatch.Group.ZONE, parsed.settings.classes[0].group);
+        assertEquals(1.5, parsed.settings.classes[0].stretch);
+        assertEquals(2, parsed.settings.classes[0].kind);
+        assertEquals(1, parsed.settings.classes[0].worth);
+        assertEquals(3, parsed.settings.classes[1].stretch);
+        assertEquals(laneflow.decision.Dispatch.ReportSource.PROBES, parsed.settings.reports);
+        assertFalse(parsed.settings.headBlocks);
+        assertFalse(parsed.settings.mayProbe);
+        assertEquals("lat_ms", parsed.reportFields[1]);
+        assertTrue(parsed.settings.fullMayHaveRun);
+        assertEquals(3, parsed.settings.furtherFree);
+        assertEquals(0.1, parsed.settings.furtherShare);
+        assertEquals(5, parsed.settings.furtherWithin);
+        assertEquals(0.3, parsed.settings.closeOnDrain);
         assertEquals(0, SettingsReader.read("{\"classes\": [{}]}").settings.furtherWithin);
     }
 
     @Test
-    void tenantsAreReadWithTheirSharesAndTheirPrice() throws WireException {
-        SettingsReader read = SettingsReader.read("{\"classes\": [{}], \"overShareWorth\": 0.2,"
+    void tenantsAreReadWithTheirQuotasAndOverShareWorth() throws WireException {
+        SettingsReader parsed = SettingsReader.read("{\"classes\": [{}], \"overShareWorth\": 0.2,"
                 + " \"customers\": [{\"name\": \"a\",\"quotaPerS\": 12.5, \"portion\": 0.7}, {\"name\": \"b\"}]}");
-        assertEquals(0.2, read.settings.overShareWorth);
-        assertEquals("a", read.settings.tenants[0].name);
-        assertEquals(12.5, read.settings.tenants[0].quota);
-        assertEquals(0.7, read.settings.tenants[0].portion);
-        assertEquals(0, read.settings.tenants[1].quota);
+        assertEquals(0.2, parsed.settings.overShareWorth);
+        assertEquals("a", parsed.settings.tenants[0].name);
+        assertEquals(12.5, parsed.settings.tenants[0].quota);
+        assertEquals(0.7, parsed.settings.tenants[0].portion);
+        assertEquals(0, parsed.settings.tenants[1].quota);
         SettingsReader none = SettingsReader.read("{\"classes\": [{}]}");
         assertEquals(0, none.settings.tenants.length);
         assertEquals(1, none.settings.overShareWorth);
     }
 
-    /** How many of 120 requests at once of that tenant are sent to one worker. */
-    private static int sentOf(String tenant) throws IOException, WireException {
+    /** The number of 120 concurrent requests of a tenant that are sent to a single worker. */
+    private static int sentFor(String tenant) throws IOException, WireException {
         String settings = SETTINGS.replace(
                 "\"limits\"",
                 "\"overShareWorth\": 0.0, \"customers\": ["
@@ -232,32 +234,32 @@
         String[] records = new String[123];
         records[0] = record(11, u32(3), "0700000000000000", u32(settings.length()), hexOf(settings));
         records[1] = list(0, ENTRY);
-        records[2] = members(3, 2, 0);
+        records[2] = listEvent(3, 2, 0);
         for (int i = 3; i < records.length; i++) {
             String id = String.format("%02x00000000000000", i);
-            records[i] = ask(3, id).replace(id + "0000" + "00000000", id + "0000" + tenant);
+            records[i] = requestEvent(3, id).replace(id + "0000" + "00000000", id + "0000" + tenant);
         }
         String reply = answer(batch(1, records));
         return (reply.length()
-                        - reply.replace(squeeze("41 1a000000 03000000"), "").length())
+                        - reply.replace(stripSpaces("41 1a000000 03000000"), "").length())
                 / 18;
     }
 
     @Test
-    void aTenantBeyondItsShareIsTurnedAwayFirst() throws IOException, WireException {
-        int beyond = sentOf("01000000");
-        assertTrue(beyond > 5 && beyond < 110, "sent " + beyond);
-        assertEquals(120, sentOf("00000000"), "within its share");
-        assertEquals(120, sentOf("09000000"), "of nobody that is known");
+    void tenantOverItsShareIsRefusedFirst() throws IOException, WireException {
+        int overShare = sentFor("01000000");
+        assertTrue(overShare > 5 && overShare < 110, "sent " + overShare);
+        assertEquals(120, sentFor("00000000"), "within its share");
+        assertEquals(120, sentFor("09000000"), "unknown tenant");
     }
 
     @Test
     void idleConnectionsToADrainingWorkerAreClosedByteForByte() throws IOException, WireException {
         String settings = SETTINGS.replace("\"limits\"", "\"rules\": {\"closeOnDrainWithin\": 0.5}, \"limits\"");
         String start = record(11, u32(3), "0700000000000000", u32(settings.length()), hexOf(settings));
-        String drains = WORKER + "00 0000 0000 00 0000803f 0000000000000000";
-        String reply =
-                answer(batch(1, start, list(0, ENTRY), members(3, 2, 0)), batch(2, list(1, drains), members(3, 4, 1)));
-        assertTrue(reply.contains(squeeze("48 0a000000 03000000 0a124a07 5b1b")), reply);
+        String draining = WORKER + "00 0000 0000 00 0000803f 0000000000000000";
+        String reply = answer(
+                batch(1, start, list(0, ENTRY), listEvent(3, 2, 0)), batch(2, list(1, draining), listEvent(3, 4, 1)));
+        assertTrue(reply.contains(stripSpaces("48 0a000000 03000000 0a124a07 5b1b")), reply);
     }
 }
