--- a/src/main/java/laneflow/gearman/AdminCommands.java
+++ b/src/main/java/laneflow/gearman/AdminCommands.java
@@ -31,9 +31,9 @@
             case "prioritystatus":
                 return priorities();
             case "workers":
-                StringBuilder answer = new StringBuilder();
-                front.eachPeer(peer -> answer.append(peer.describe()));
-                return answer + END;
+                StringBuilder reply = new StringBuilder();
+                front.eachPeer(peer -> reply.append(peer.describe()));
+                return reply + END;
             case "version":
                 String version = AdminCommands.class.getPackage().getImplementationVersion();
                 return "OK " + (version == null ? "laneflow" : version) + "\n";
@@ -65,11 +65,11 @@
 
     /** One line per function: name, queued and running jobs, running jobs, workers. */
     private String status() {
-        StringBuilder answer = new StringBuilder();
+        StringBuilder reply = new StringBuilder();
         for (Map.Entry<String, Queues.FunctionCounts> entry :
                 front.queues.byFunction().entrySet()) {
             Queues.FunctionCounts counts = entry.getValue();
-            answer.append(entry.getKey())
+            reply.append(entry.getKey())
                     .append('\t')
                     .append(counts.queued() + counts.running())
                     .append('\t')
@@ -78,16 +78,16 @@
                     .append(counts.workers())
                     .append('\n');
         }
-        return answer + END;
+        return reply + END;
     }
 
     /** One line per function: name, queued jobs by priority, workers. */
     private String priorities() {
-        StringBuilder answer = new StringBuilder();
+        StringBuilder reply = new StringBuilder();
         for (Map.Entry<String, Queues.FunctionCounts> entry :
                 front.queues.byFunction().entrySet()) {
             Queues.FunctionCounts counts = entry.getValue();
-            answer.append(entry.getKey())
+            reply.append(entry.getKey())
                     .append('\t')
                     .append(counts.queued(Queues.HIGH))
                     .append('\t')
@@ -98,7 +98,7 @@
                     .append(counts.workers())
                     .append('\n');
         }
-        return answer + END;
+        return reply + END;
     }
 
     /** Sets one limit for all priorities or one for each; a missing limit means unlimited. */
@@ -145,19 +145,19 @@
      * jobs': unique ids.
      */
     private String show(String[] words) {
-        StringBuilder answer = new StringBuilder();
+        StringBuilder reply = new StringBuilder();
         if (words[1].equals("jobs")) {
-            front.eachJob(job -> answer.append(job.handle)
+            front.eachJob(job -> reply.append(job.handle)
                     .append('\t')
                     .append(Math.max(0, job.attempts - 1))
                     .append("\t0\t")
                     .append(job.running ? 0 : 1)
                     .append('\n'));
-            return answer + END;
+            return reply + END;
         }
         if (words.length > 2 && words[1].equals("unique") && words[2].equals("jobs")) {
-            front.eachJob(job -> answer.append(job.unique.isEmpty() ? "" : job.unique + "\n"));
-            return answer + END;
+            front.eachJob(job -> reply.append(job.unique.isEmpty() ? "" : job.unique + "\n"));
+            return reply + END;
         }
         return UNKNOWN_COMMAND;
     }
--- a/src/main/java/laneflow/gearman/GearmanConfig.java
+++ b/src/main/java/laneflow/gearman/GearmanConfig.java
@@ -54,16 +54,16 @@
         if (zone < 0) {
             from.wrong("zone", "'" + zoneName + "' is none of " + zones);
         }
-        String other = from.text("unmapped_class", null);
-        unmappedClass = other == null ? -1 : classes.indexOf(other);
-        if (other != null && unmappedClass < 0) {
-            from.wrong("unmapped_class", "'" + other + "' is none of " + classes);
+        String unmappedName = from.text("unmapped_class", null);
+        unmappedClass = unmappedName == null ? -1 : classes.indexOf(unmappedName);
+        if (unmappedName != null && unmappedClass < 0) {
+            from.wrong("unmapped_class", "'" + unmappedName + "' is none of " + classes);
         }
         maxQueued = (int) from.whole("most_queued", 0, 0, 10_000_000);
         maxBodyBytes = (int) from.whole("most_body_kib", 1024, 1, 65_536) * 1024;
         shutdownAllowed = from.flag("shutdown", false);
         Map<String, Table> all = from.tables("functions");
-        if (all.isEmpty() && other == null) {
+        if (all.isEmpty() && unmappedName == null) {
             from.wrong("functions", "no [functions.NAME]");
         }
         all.forEach((name, one) -> {
@@ -72,15 +72,15 @@
             if (jobClass < 0) {
                 one.wrong("class", "'" + className + "' is none of " + classes);
             }
-            double wait = one.number("deadline_ms", 0, 1, HOUR_MS);
-            double cost = one.number("cost_ms", Double.NaN, 0, HOUR_MS) / 1000;
+            double deadlineMs = one.number("deadline_ms", 0, 1, HOUR_MS);
+            double hint = one.number("cost_ms", Double.NaN, 0, HOUR_MS) / 1000;
             functions.put(
                     name,
                     new Function(
                             name,
                             jobClass,
-                            (long) (wait * 1000),
-                            cost,
+                            (long) (deadlineMs * 1000),
+                            hint,
                             one.number("slots", 1, 0.01, 1024),
                             one.flag("durable", false)));
             one.close();
--- a/src/main/java/laneflow/gearman/GearmanFront.java
+++ b/src/main/java/laneflow/gearman/GearmanFront.java
@@ -247,7 +247,8 @@
 
     /**
      * The key under which equal jobs are coalesced: the function and the unique id, or a digest of the data
-     * where the unique id is "-". Null if the job can't be coalesced.
+     * where the unique id is "-". The digest is cryptographic, because jobs with equal keys are merged. Null if the
+     * job can't be coalesced.
      */
     private static String coalescingKey(String function, String unique, byte[] data) {
         if (unique.isEmpty() || unique.equals("-") && data.length == 0) {
@@ -283,24 +284,24 @@
                         function.hint(),
                         function.slots(),
                         0,
-                        routingKey(unique),
+                        subject(unique),
                         urgency,
                         notBeforeMs),
-                submission -> {
-                    if (submission.outcome() == DurableJobService.SubmissionOutcome.ACCEPTED) {
-                        reply.complete(Packet.JOB_CREATED, DURABLE_HANDLE_PREFIX + hex(submission.id()));
-                    } else if (submission.outcome() == DurableJobService.SubmissionOutcome.FULL) {
+                result -> {
+                    if (result.outcome() == DurableJobService.SubmissionOutcome.ACCEPTED) {
+                        reply.complete(Packet.JOB_CREATED, DURABLE_HANDLE_PREFIX + hex(result.id()));
+                    } else if (result.outcome() == DurableJobService.SubmissionOutcome.FULL) {
                         reply.complete(
                                 Packet.ERROR,
                                 "QUEUE_FULL",
-                                "come back in " + Math.ceil(submission.retryAfter() * 1000) / 1000 + " s");
+                                "come back in " + Math.ceil(result.retryAfter() * 1000) / 1000 + " s");
                     } else {
                         reply.complete(Packet.ERROR, "STORE_FAILED", "no durable job is taken on until a restart");
                     }
                 });
     }
 
-    private static long routingKey(String unique) {
+    private static long subject(String unique) {
         return unique.isEmpty() ? 0 : Endpoint.stableId(unique);
     }
 
@@ -309,7 +310,7 @@
         String id = hex(random.nextLong());
         boolean keyed = scheduler.settings().classes[function.jobClass()].effect == Effect.KEYED;
         String repeatKey = !keyed ? null : unique.matches("[!-~]{1,128}") ? unique : id;
-        long key = routingKey(unique);
+        long key = subject(unique);
         String target = "/" + config.className(function) + (key == 0 ? "" : "?key=" + hex(key));
         return new Payload("POST", target, id, repeatKey, data);
     }
--- a/src/main/java/laneflow/gearman/Worker.java
+++ b/src/main/java/laneflow/gearman/Worker.java
@@ -210,7 +210,7 @@
         }
     }
 
-    /** Abandons the attempt; true if it was still queued. An assigned job runs on, and its outcome is ignored. */
+    /** Abandons the attempt; true if it was still queued. An assigned job runs on; without a lease its outcome is ignored. */
     boolean detach(Attempt attempt) {
         boolean wasQueued = removeQueued(attempt);
         if (assigned == attempt) {
--- a/src/main/java/laneflow/wire/Codes.java
+++ b/src/main/java/laneflow/wire/Codes.java
@@ -33,7 +33,7 @@
     static final int BATCH_HEADER_BYTES = 20;
     static final int REPLY_HEADER_BYTES = 12;
     static final int LIST_ENTRY_BYTES = 24;
-    static final int LIST_SLOTS = 16;
+    static final int LIST_COUNT = 16;
     static final int OPTION_HINT = 1;
 
     private Codes() {}
--- a/src/main/java/laneflow/wire/SettingsReader.java
+++ b/src/main/java/laneflow/wire/SettingsReader.java
@@ -73,7 +73,7 @@
             JsonObject from = classes.get(i).getAsJsonObject();
             JobClass to = new JobClass();
             to.aim = number(from, "aim", to.aim);
-            to.stretch = number(from, "aimStretch", at(info, "classStretch", i, 0));
+            to.stretch = number(from, "aimStretch", elementAt(info, "classStretch", i, 0));
             to.deadline = number(from, "hardLimit", to.deadline);
             to.worth = number(from, "worth", to.worth);
             to.lateWorth = number(from, "lateWorth", 0);
@@ -81,7 +81,7 @@
             to.group = group(text(from, "group", "cell"));
             to.window = number(from, "dedupWindow", 0);
             to.stream = flag(from, "stream", false);
-            to.kind = (int) at(info, "classKind", i, -1);
+            to.kind = (int) elementAt(info, "classKind", i, -1);
             settings.classes[i] = to;
         }
     }
@@ -183,7 +183,7 @@
         return has(from, key) ? from.get(key).getAsJsonArray() : new JsonArray();
     }
 
-    private static double at(JsonObject from, String key, int i, double fallback) {
+    private static double elementAt(JsonObject from, String key, int i, double fallback) {
         JsonArray values = array(from, key);
         return i < values.size() && !values.get(i).isJsonNull() ? values.get(i).getAsDouble() : fallback;
     }
--- a/src/main/java/laneflow/wire/WireHost.java
+++ b/src/main/java/laneflow/wire/WireHost.java
@@ -31,7 +31,7 @@
     public WireHost(InputStream in, OutputStream out) {
         this.in = in;
         this.out = out;
-        for (int i = 0; i < Codes.LIST_SLOTS; i++) {
+        for (int i = 0; i < Codes.LIST_COUNT; i++) {
             lists.add(new ArrayList<>());
         }
     }
@@ -198,7 +198,7 @@
         request.id = record.u64();
         request.jobClass = record.u16();
         request.tenant = record.hasMore() ? record.u32() : -1;
-        // The request's key, which no decision uses.
+        // The request's subject, which no decision uses.
         if (record.hasMore()) {
             record.u64();
         }
