--- a/src/main/java/laneflow/importer/ApacheReader.java
+++ b/src/main/java/laneflow/importer/ApacheReader.java
@@ -14,123 +14,123 @@
 
 /**
  * Reads the balancers of an Apache httpd configuration: {@code BalancerMember} with its parameters, inside
- * {@code <Proxy balancer://NAME>} or naming its balancer itself. All other directives are passed over.
+ * {@code <Proxy balancer://NAME>} or with the balancer as its first argument. All other directives are ignored.
  */
 final class ApacheReader {
-    private static final String BALANCER = "balancer://";
-    private static final Map<String, Integer> PORTS = Map.of(
+    private static final String BALANCER_PREFIX = "balancer://";
+    private static final Map<String, Integer> DEFAULT_PORTS = Map.of(
             "http", 80, "https", 443, "ajp", 8009, "ws", 80, "wss", 443, "h2", 443, "h2c", 80, "fcgi", 8000, "scgi",
             4000, "uwsgi", 3031);
 
     private final String file;
-    private final Consumer<String> notes;
+    private final Consumer<String> warnings;
     private final List<Member> members = new ArrayList<>();
-    /** The balancer of the enclosing section, "" in a section that is none, null outside of all. */
-    private String section;
+    /** Balancer of the enclosing {@code <Proxy>}: "" if that is not a balancer, null outside of any {@code <Proxy>}. */
+    private String sectionBalancer;
 
     private int sectionLine;
 
-    ApacheReader(String file, Consumer<String> notes) {
+    ApacheReader(String file, Consumer<String> warnings) {
         this.file = file;
-        this.notes = notes;
+        this.warnings = warnings;
     }
 
     List<Member> read(List<String> lines) throws ImportException {
         for (int i = 0; i < lines.size(); i++) {
-            int first = i + 1;
+            int firstLine = i + 1;
             String line = lines.get(i).strip();
             while (line.endsWith("\\") && i + 1 < lines.size()) {
                 line = line.substring(0, line.length() - 1) + " "
                         + lines.get(++i).strip();
             }
             if (!line.isEmpty() && !line.startsWith("#")) {
-                directive(words(line, first), first);
+                readDirective(splitWords(line, firstLine), firstLine);
             }
         }
-        if (section != null) {
+        if (sectionBalancer != null) {
             throw new ImportException(file, sectionLine, "<Proxy> is not closed");
         }
         return members;
     }
 
-    private void directive(List<String> words, int line) throws ImportException {
+    private void readDirective(List<String> words, int line) throws ImportException {
         String name = words.get(0).toLowerCase(Locale.ROOT);
         if (name.equals("<proxy")) {
-            if (section != null) {
+            if (sectionBalancer != null) {
                 throw new ImportException(file, line, "<Proxy> inside <Proxy>");
             }
-            String of = words.size() > 1 ? words.get(1).replaceAll(">$", "") : "";
-            section = balancer(of);
+            String sectionAddress = words.size() > 1 ? words.get(1).replaceAll(">$", "") : "";
+            sectionBalancer = balancerName(sectionAddress);
             sectionLine = line;
         } else if (name.equals("</proxy>")) {
-            if (section == null) {
+            if (sectionBalancer == null) {
                 throw new ImportException(file, line, "</Proxy> without <Proxy>");
             }
-            section = null;
+            sectionBalancer = null;
         } else if (name.equals("balancermember")) {
-            member(words, line);
+            readMember(words, line);
         }
     }
 
-    /** A balancer's name, or "" if the address is none. */
-    private static String balancer(String address) {
-        boolean is = address.regionMatches(true, 0, BALANCER, 0, BALANCER.length());
-        return is ? address.substring(BALANCER.length()).replaceAll("/+$", "") : "";
+    /** Returns the name of the balancer, or "" if the address is not that of a balancer. */
+    private static String balancerName(String address) {
+        boolean isBalancer = address.regionMatches(true, 0, BALANCER_PREFIX, 0, BALANCER_PREFIX.length());
+        return isBalancer ? address.substring(BALANCER_PREFIX.length()).replaceAll("/+$", "") : "";
     }
 
-    private void member(List<String> words, int line) throws ImportException {
-        int at = 1;
-        String of = section;
-        if (words.size() > 1 && !balancer(words.get(1)).isEmpty()) {
-            of = balancer(words.get(at++));
+    private void readMember(List<String> words, int line) throws ImportException {
+        int next = 1;
+        String balancer = sectionBalancer;
+        if (words.size() > 1 && !balancerName(words.get(1)).isEmpty()) {
+            balancer = balancerName(words.get(next++));
         }
-        if (of == null || of.isEmpty()) {
+        if (balancer == null || balancer.isEmpty()) {
             throw new ImportException(file, line, "BalancerMember belongs to no balancer");
         }
-        if (at >= words.size()) {
+        if (next >= words.size()) {
             throw new ImportException(file, line, "BalancerMember without an address");
         }
-        String address = words.get(at++);
+        String address = words.get(next++);
         Map<String, String> parameters = new HashMap<>();
-        for (; at < words.size(); at++) {
-            String[] pair = words.get(at).split("=", 2);
+        for (; next < words.size(); next++) {
+            String[] pair = words.get(next).split("=", 2);
             if (pair.length < 2) {
-                throw new ImportException(file, line, "'" + words.get(at) + "' is not name=value");
+                throw new ImportException(file, line, "'" + words.get(next) + "' is not name=value");
             }
             parameters.put(pair[0].toLowerCase(Locale.ROOT), pair[1]);
         }
-        double weight = weight(parameters.getOrDefault("loadfactor", "1"), line);
-        boolean open = open(parameters.getOrDefault("status", ""), address, line);
+        double weight = parseWeight(parameters.getOrDefault("loadfactor", "1"), line);
+        boolean active = isActive(parameters.getOrDefault("status", ""), address, line);
         if (address.toLowerCase(Locale.ROOT).startsWith("unix:")) {
-            members.add(new Member(of, "unix", address, 0, null, weight, open, line));
+            members.add(new Member(balancer, "unix", address, 0, null, weight, active, line));
             return;
         }
-        URI uri = uri(address, line);
+        URI uri = parseUri(address, line);
         String scheme = uri.getScheme().toLowerCase(Locale.ROOT);
-        int port = uri.getPort() >= 0 ? uri.getPort() : PORTS.getOrDefault(scheme, 0);
+        int port = uri.getPort() >= 0 ? uri.getPort() : DEFAULT_PORTS.getOrDefault(scheme, 0);
         if (uri.getRawPath() != null && !uri.getRawPath().matches("/?")) {
-            note(line, "the path of " + address + " is dropped: targets pass unchanged");
+            warn(line, "the path of " + address + " is ignored: request targets are forwarded unchanged");
         }
-        members.add(new Member(of, scheme, uri.getHost(), port, parameters.get("route"), weight, open, line));
+        members.add(new Member(balancer, scheme, uri.getHost(), port, parameters.get("route"), weight, active, line));
     }
 
-    private void note(int line, String text) {
-        notes.accept(file + ":" + line + ": " + text);
+    private void warn(int line, String text) {
+        warnings.accept(file + ":" + line + ": " + text);
     }
 
-    private URI uri(String address, int line) throws ImportException {
+    private URI parseUri(String address, int line) throws ImportException {
         try {
             URI uri = new URI(address);
             if (uri.getScheme() != null && uri.getHost() != null && uri.getPort() <= 65535) {
                 return uri;
             }
         } catch (URISyntaxException e) {
-            // Said below.
+            // Reported below.
         }
-        throw new ImportException(file, line, "'" + address + "' is no address of a member");
+        throw new ImportException(file, line, "'" + address + "' is not a valid member address");
     }
 
-    private double weight(String text, int line) throws ImportException {
+    private double parseWeight(String text, int line) throws ImportException {
         double weight = text.matches("[0-9]{1,3}(\\.[0-9]{1,6})?") ? Double.parseDouble(text) : 0;
         if (weight < 1 || weight > 100) {
             throw new ImportException(file, line, "loadfactor '" + text + "' is not from 1 to 100");
@@ -138,54 +138,59 @@
         return weight;
     }
 
-    /** Flags in order, each set or, behind a minus, taken back; a plus or nothing before them sets. */
-    private boolean open(String status, String address, int line) throws ImportException {
-        boolean set = true;
+    /**
+     * Applies the status flags in order: a flag is set, or cleared if the sign before it is a minus. A sign holds for all
+     * flags up to the next sign.
+     *
+     * @return false if a flag that is set at the end keeps new requests from the member
+     */
+    private boolean isActive(String status, String address, int line) throws ImportException {
+        boolean setting = true;
         Set<Character> flags = new HashSet<>();
         for (char flag : status.toUpperCase(Locale.ROOT).toCharArray()) {
             if (flag == '+' || flag == '-') {
-                set = flag == '+';
+                setting = flag == '+';
             } else if ("DSNEHRIC".indexOf(flag) < 0) {
                 throw new ImportException(file, line, "status '" + status + "' has an unknown flag");
-            } else if (set) {
+            } else if (setting) {
                 flags.add(flag);
             } else {
                 flags.remove(flag);
             }
         }
         if (flags.contains('H') || flags.contains('R')) {
-            note(line, address + " is a spare; there are none here: it gets no jobs");
+            warn(line, address + " is a hot standby or hot spare, which is not supported: it gets no requests");
         }
         return Collections.disjoint(flags, Set.of('D', 'S', 'N', 'E', 'H', 'R'));
     }
 
-    /** Words, with quotes and backslashes as httpd reads them. */
-    private List<String> words(String line, int number) throws ImportException {
+    /** Splits a line into words by the quoting and escaping rules of httpd. */
+    private List<String> splitWords(String line, int lineNumber) throws ImportException {
         List<String> words = new ArrayList<>();
         StringBuilder word = new StringBuilder();
         char quote = 0;
-        boolean any = false;
+        boolean quoted = false;
         for (int i = 0; i < line.length(); i++) {
             char c = line.charAt(i);
             if (quote != 0 && c == '\\' && i + 1 < line.length() && line.charAt(i + 1) == quote) {
                 word.append(line.charAt(++i));
             } else if (quote != 0 ? c == quote : (c == '"' || c == '\'') && word.length() == 0) {
                 quote = quote != 0 ? 0 : c;
-                any = true;
+                quoted = true;
             } else if (quote == 0 && Character.isWhitespace(c)) {
-                if (any || word.length() > 0) {
+                if (quoted || word.length() > 0) {
                     words.add(word.toString());
                 }
                 word.setLength(0);
-                any = false;
+                quoted = false;
             } else {
                 word.append(c);
             }
         }
         if (quote != 0) {
-            throw new ImportException(file, number, "a quote is not closed");
+            throw new ImportException(file, lineNumber, "a quote is not closed");
         }
-        if (any || word.length() > 0) {
+        if (quoted || word.length() > 0) {
             words.add(word.toString());
         }
         return words;
--- a/src/main/java/laneflow/importer/ImportException.java
+++ b/src/main/java/laneflow/importer/ImportException.java
@@ -1,6 +1,6 @@
 package laneflow.importer;
 
-/** What in a file can't be taken over, with its place. */
+/** An error in the file to import, with its file name and line number. */
 public final class ImportException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/laneflow/importer/Importer.java
+++ b/src/main/java/laneflow/importer/Importer.java
@@ -28,7 +28,7 @@
 
 /**
  * The command {@code import}: reads an Apache balancer or a mod_jk worker file and writes its members as a
- * destination set in discovery's form, which {@code serve --destinations} loads.
+ * destination set in the discovery format, which {@code serve --destinations} loads.
  */
 @Command(
         name = "import",
@@ -36,7 +36,7 @@
         description = "Makes a destination set of an Apache balancer or a mod_jk worker file.")
 public final class Importer implements Callable<Integer> {
     private final PrintStream out;
-    private final PrintStream notes;
+    private final PrintStream err;
 
     @Spec
     private CommandSpec spec;
@@ -44,32 +44,32 @@
     @Parameters(paramLabel = "FILE", description = "The Apache configuration or workers.properties.")
     private String file;
 
-    @Option(names = "-o", paramLabel = "OUT", description = "Where the set is written; else standard output.")
-    private String target;
+    @Option(names = "-o", paramLabel = "OUT", description = "The file to write; standard output if absent.")
+    private String outputFile;
 
-    @Option(names = "--balancer", paramLabel = "NAME", description = "The one of several.")
+    @Option(names = "--balancer", paramLabel = "NAME", description = "The balancer to import, if FILE has several.")
     private String balancer;
 
-    @Option(names = "--zone", paramLabel = "ZONE", description = "The zone of its members.")
+    @Option(names = "--zone", paramLabel = "ZONE", description = "The zone of all members.")
     private String zone;
 
     @Option(names = "--ajp-as-http", description = "Call the members' AJP ports by HTTP.")
     private boolean ajpAsHttp;
 
-    @Option(names = "--address", paramLabel = "NAME=ADDRESS", description = "A host's address.")
+    @Option(names = "--address", paramLabel = "NAME=ADDRESS", description = "The IP address of a host name in FILE.")
     private Map<String, String> addresses = new HashMap<>();
 
-    /** The command, writing there. */
-    public Importer(PrintStream out, PrintStream notes) {
+    /** Creates the command, which writes the set to {@code out} and errors and warnings to {@code err}. */
+    public Importer(PrintStream out, PrintStream err) {
         this.out = out;
-        this.notes = notes;
+        this.err = err;
     }
 
-    /** Runs the command; 0 if a set was written, 1 if the file can't be taken over, 2 on a wrong call. */
-    public static int run(List<String> args, PrintStream out, PrintStream notes) {
-        return new CommandLine(new Importer(out, notes))
+    /** Runs the command and returns its exit code: 0 if a set was written, 1 if the import failed, 2 on a usage error. */
+    public static int run(List<String> args, PrintStream out, PrintStream err) {
+        return new CommandLine(new Importer(out, err))
                 .setOut(new PrintWriter(out, true))
-                .setErr(new PrintWriter(notes, true))
+                .setErr(new PrintWriter(err, true))
                 .execute(args.toArray(new String[0]));
     }
 
@@ -77,78 +77,80 @@
     public Integer call() {
         addresses.forEach((name, address) -> {
             if (!isAddress(address)) {
-                throw new ParameterException(spec.commandLine(), "'" + address + "' is no address");
+                throw new ParameterException(spec.commandLine(), "'" + address + "' is not an IP address");
             }
         });
         try {
             write(convert());
             return 0;
         } catch (ImportException e) {
-            notes.println(e.getMessage());
+            err.println(e.getMessage());
         } catch (NoSuchFileException e) {
-            notes.println(e.getFile() + ": there is no such file");
+            err.println(e.getFile() + ": there is no such file");
         } catch (CharacterCodingException e) {
-            notes.println(file + ": not a text in UTF-8");
+            err.println(file + ": not valid UTF-8");
         } catch (IOException e) {
-            notes.println(file + ": " + e.getMessage());
+            err.println(file + ": " + e.getMessage());
         }
         return 1;
     }
 
     private JsonObject convert() throws IOException, ImportException {
         List<String> lines = Files.readAllLines(Path.of(file));
-        boolean jk = file.endsWith(".properties")
+        boolean isModJk = file.endsWith(".properties")
                 || lines.stream().anyMatch(line -> line.strip().matches("workers?\\.[^<>]*=.*"));
-        List<Member> all = jk ? new JkReader(file).read(lines) : new ApacheReader(file, notes::println).read(lines);
-        Set<String> names = new TreeSet<>();
-        all.forEach(member -> names.add(member.balancer()));
-        if (balancer != null ? !names.contains(balancer) : names.size() > 1) {
-            // One set is one pool: members of different balancers do different work.
+        List<Member> members =
+                isModJk ? new JkReader(file).read(lines) : new ApacheReader(file, err::println).read(lines);
+        Set<String> balancers = new TreeSet<>();
+        members.forEach(member -> balancers.add(member.balancer()));
+        if (balancer != null ? !balancers.contains(balancer) : balancers.size() > 1) {
+            // A destination set is one pool, but members of different balancers serve different requests.
             throw new ImportException(
                     file,
-                    all.isEmpty() ? 1 : all.get(0).line(),
+                    members.isEmpty() ? 1 : members.get(0).line(),
                     balancer != null
-                            ? "no balancer '" + balancer + "' among " + names
-                            : "several balancers, choose one by --balancer: " + names);
+                            ? "no balancer '" + balancer + "' among " + balancers
+                            : "several balancers, choose one with --balancer: " + balancers);
         }
         JsonArray hosts = new JsonArray();
         Set<String> dials = new HashSet<>();
         Set<String> hostNames = new HashSet<>();
-        for (Member member : all) {
-            if ((balancer == null || balancer.equals(member.balancer())) && spoken(member)) {
+        for (Member member : members) {
+            if ((balancer == null || balancer.equals(member.balancer())) && isCallable(member)) {
                 String dial = dial(member);
                 if (!dials.add(dial)) {
-                    throw new ImportException(file, member.line(), dial + " is a member twice");
+                    throw new ImportException(file, member.line(), dial + " is a duplicate member");
                 }
                 String name = member.route() == null ? dial : member.route();
                 if (!hostNames.add(name)) {
-                    throw new ImportException(file, member.line(), "route '" + name + "' is taken twice");
+                    throw new ImportException(file, member.line(), "duplicate route '" + name + "'");
                 }
                 hosts.add(host(member, name, dial));
             }
         }
         if (hosts.isEmpty()) {
-            throw new ImportException(file, Math.max(1, lines.size()), "no member that can be called");
+            throw new ImportException(file, Math.max(1, lines.size()), "no member that can be imported");
         }
-        JsonObject set = new JsonObject();
-        set.addProperty("seq", 1);
-        set.addProperty("whole", true);
-        set.add("hosts", hosts);
-        return set;
+        JsonObject destinationSet = new JsonObject();
+        destinationSet.addProperty("seq", 1);
+        destinationSet.addProperty("whole", true);
+        destinationSet.add("hosts", hosts);
+        return destinationSet;
     }
 
-    private boolean spoken(Member member) {
-        String what = file + ":" + member.line() + ": " + member.host();
+    /** Tells whether the member can be called over HTTP, and prints a line if it is skipped or its protocol replaced. */
+    private boolean isCallable(Member member) {
+        String location = file + ":" + member.line() + ": " + member.host();
         if (member.scheme().equals("http")) {
             return true;
         }
         if (member.scheme().equals("ajp") && ajpAsHttp) {
-            notes.println(what + ": AJP taken for HTTP at the same port");
+            err.println(location + ": AJP replaced by HTTP at the same port");
             return true;
         }
-        String way = member.scheme().equals("ajp") ? " (--ajp-as-http calls the same port by HTTP)" : "";
+        String suggestion = member.scheme().equals("ajp") ? " (--ajp-as-http calls the same port by HTTP)" : "";
         String scheme = member.scheme().toUpperCase(Locale.ROOT);
-        notes.println(what + " skipped: " + scheme + " is not spoken here" + way);
+        err.println(location + " skipped: " + scheme + " is not supported" + suggestion);
         return false;
     }
 
@@ -159,10 +161,11 @@
             throw new ImportException(
                     file,
                     member.line(),
-                    "'" + host + "' is a name, and names are not looked up: give --address " + host + "=ADDRESS");
+                    "'" + host + "' is a host name, and host names are not resolved: pass --address " + host
+                            + "=ADDRESS");
         }
         if (member.port() < 1) {
-            throw new ImportException(file, member.line(), "port " + member.port() + " is none");
+            throw new ImportException(file, member.line(), "port " + member.port() + " is not from 1 to 65535");
         }
         return (host.contains(":") && !host.startsWith("[") ? "[" + host + "]" : host) + ":" + member.port();
     }
@@ -179,23 +182,23 @@
         if (zone != null) {
             host.addProperty("site", zone);
         }
-        host.addProperty("health", member.open() ? "Ready" : "Terminating");
+        host.addProperty("health", member.active() ? "Ready" : "Terminating");
         host.addProperty("share", member.weight());
         host.addProperty("born_ms", 0);
         return host;
     }
 
-    private void write(JsonObject set) throws IOException {
+    private void write(JsonObject destinationSet) throws IOException {
         String text = new GsonBuilder()
                         .setPrettyPrinting()
                         .disableHtmlEscaping()
                         .create()
-                        .toJson(set) + "\n";
-        if (target == null) {
+                        .toJson(destinationSet) + "\n";
+        if (outputFile == null) {
             out.print(text);
             out.flush();
         } else {
-            Files.writeString(Path.of(target), text);
+            Files.writeString(Path.of(outputFile), text);
         }
     }
 }
--- a/src/main/java/laneflow/importer/package-info.java
+++ b/src/main/java/laneflow/importer/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Import of Apache balancer and mod_jk configuration into a destination set. Errors are {@link
+ * Converts Apache balancer and mod_jk configuration to a destination set. Errors in the input are reported as {@link
  * laneflow.importer.ImportException}.
  */
 package laneflow.importer;
