--- a/src/main/java/laneflow/assembly/FleetSubsystem.java
+++ b/src/main/java/laneflow/assembly/FleetSubsystem.java
@@ -20,8 +20,8 @@
 import laneflow.fleet.Fleet;
 import laneflow.fleet.FleetConfig;
 import laneflow.http.Config;
-import laneflow.maintenance.Maintenance;
-import laneflow.maintenance.MaintenancePart;
+import laneflow.maintenance.MaintenanceExtension;
+import laneflow.maintenance.MaintenanceSubsystem;
 import laneflow.maintenance.decision.WindowLedger;
 import laneflow.membership.Members;
 import laneflow.membership.decision.Facts;
@@ -73,7 +73,7 @@
     /** Null where the fleet calls nothing. */
     private final Hooks hooks;
     /** Null where no policy is decided together. */
-    private final MaintenancePart maintenance;
+    private final MaintenanceSubsystem maintenance;
 
     /**
      * Links this scheduler with the others; before clients are let in.
@@ -114,9 +114,10 @@
         // Outside tests clocks run as they run.
         double clockRate = Double.parseDouble(System.getProperty(CLOCK_RATE, "1"));
         tasks = setup.policy() == null ? null : new Tasks(loop, fleet, counters);
-        Maintenance windows = setup.policy() == null
+        MaintenanceExtension windows = setup.policy() == null
                 ? null
-                : new Maintenance(loop, core.loop(), scheduler, counters, () -> policyInForce(), setup.maintenance());
+                : new MaintenanceExtension(
+                        loop, core.loop(), scheduler, counters, () -> policyInForce(), setup.maintenance());
         ExecutorService reading = Threads.inOrder("policy-reader");
         policy = setup.policy() == null
                 ? null
@@ -158,10 +159,10 @@
         listen();
     }
 
-    private MaintenancePart maintenance(Setup setup, Maintenance windows) throws InterruptedException {
-        MaintenancePart[] made = new MaintenancePart[1];
-        control.call(
-                () -> made[0] = new MaintenancePart(control, fleet, tasks, counters, windows, setup.maintenance()));
+    private MaintenanceSubsystem maintenance(Setup setup, MaintenanceExtension windows) throws InterruptedException {
+        MaintenanceSubsystem[] made = new MaintenanceSubsystem[1];
+        control.call(() ->
+                made[0] = new MaintenanceSubsystem(control, fleet, tasks, counters, windows, setup.maintenance()));
         return made[0];
     }
 
--- a/src/main/java/laneflow/cli/MaintenanceCommand.java
+++ b/src/main/java/laneflow/cli/MaintenanceCommand.java
@@ -18,7 +18,7 @@
 import java.util.stream.StreamSupport;
 import laneflow.config.ConfigException;
 import laneflow.maintenance.RequestFile;
-import laneflow.maintenance.decision.Forms;
+import laneflow.maintenance.decision.MaintenanceJson;
 import laneflow.maintenance.decision.Plan.Freeze;
 import laneflow.maintenance.decision.Request;
 import picocli.CommandLine.Command;
@@ -162,7 +162,7 @@
         JsonObject body = new JsonObject();
         JsonArray asked = new JsonArray();
         for (Request one : requests) {
-            asked.add(Forms.write(one.within(freezes)));
+            asked.add(MaintenanceJson.write(one.withFreezes(freezes)));
         }
         body.add("requests", asked);
         return body;
--- a/src/main/java/laneflow/lab/measure/MaintenanceHistory.java
+++ b/src/main/java/laneflow/lab/measure/MaintenanceHistory.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import laneflow.maintenance.decision.Estate;
 import laneflow.maintenance.decision.Fairness;
+import laneflow.maintenance.decision.Inventory;
 
 /**
  * Holds what endpoints, crews and clients have written down against what is promised of windows. It never
@@ -140,8 +140,8 @@
         works.forEach(this::gaps);
         long from = away.stream().mapToLong(Away::fromNs).min().orElse(0);
         long to = away.stream().mapToLong(Away::toNs).max().orElse(0);
-        Estate estate = fairness.estate();
-        double[] account = new double[estate.tenants().size()];
+        Inventory inventory = fairness.inventory();
+        double[] account = new double[inventory.tenants().size()];
         for (long at = from; at < to; at += STEP_NS) {
             long now = at;
             long disturbed = befell.stream()
@@ -153,30 +153,32 @@
                     .filter(one -> one.fromNs() <= now && now < one.toNs())
                     .toList();
             Set<Integer> out = new HashSet<>();
-            there.forEach(one -> out.add(estate.rack(one.rack())));
+            there.forEach(one -> out.add(inventory.rackIndex(one.rack())));
             losses.stream()
                     .filter(one -> one.fromNs() <= now && now < one.toNs())
-                    .forEach(one -> out.add(estate.rack(one.rack())));
+                    .forEach(one -> out.add(inventory.rackIndex(one.rack())));
             if (there.isEmpty()) {
                 continue;
             }
-            Fairness.Verdict verdict = fairness.judge(fairness.due(demand(now)), estate.without(out), null);
+            Fairness.Evaluation evaluation =
+                    fairness.evaluate(fairness.due(demand(now)), inventory.slotsWithout(out), null);
             for (int t = 0; t < account.length; t++) {
-                account[t] += verdict.loss()[t];
+                account[t] += evaluation.loss()[t];
             }
             if (there.stream().noneMatch(one -> one.leaveNs() > disturbed)) {
                 continue;
             }
             for (int t = 0; t < account.length; t++) {
-                worst = Math.max(worst, verdict.loss()[t] / Math.max(verdict.allowed()[t], 1e-9));
+                worst = Math.max(
+                        worst, evaluation.loss()[t] / Math.max(evaluation.allowed()[t], 1e-9));
             }
-            if (!verdict.fair()) {
+            if (!evaluation.fair()) {
                 unfair++;
-                found.add("unfair " + (now - from) / MS + " ms behind the first drain: " + verdict.against());
+                found.add("unfair " + (now - from) / MS + " ms behind the first drain: " + evaluation.violations());
             }
         }
         for (int t = 0; t < account.length; t++) {
-            account[t] /= Math.max(estate.entitlement(t), 1e-9);
+            account[t] /= Math.max(inventory.entitlement(t), 1e-9);
         }
         double mean = Arrays.stream(account).average().orElse(0);
         spread = mean == 0
@@ -202,13 +204,14 @@
 
     /** Slots that endpoints ran for each tenant around that instant. */
     private double[][] demand(long at) {
-        Estate estate = fairness.estate();
-        double[][] demand = new double[estate.tenants().size()][estate.classes().size()];
+        Inventory inventory = fairness.inventory();
+        double[][] demand =
+                new double[inventory.tenants().size()][inventory.classes().size()];
         for (Call call : calls) {
             long both = Math.min(call.endedNs(), at + SPAN_NS) - Math.max(call.beganNs(), at - SPAN_NS);
             if (both > 0 && classOf.containsKey(call.owner())) {
                 for (int t = 0; t < demand.length; t++) {
-                    if (estate.tenants().get(t).name().equals(call.owner())) {
+                    if (inventory.tenants().get(t).name().equals(call.owner())) {
                         demand[t][classOf.get(call.owner())] += both / (2.0 * SPAN_NS);
                     }
                 }
--- a/src/main/java/laneflow/lab/measure/MaintenanceMeasure.java
+++ b/src/main/java/laneflow/lab/measure/MaintenanceMeasure.java
@@ -29,10 +29,10 @@
 import laneflow.lab.rig.Trash;
 import laneflow.lab.standin.StandInRacks;
 import laneflow.lab.standin.StandInTenants;
-import laneflow.maintenance.decision.Estate;
 import laneflow.maintenance.decision.Fairness;
 import laneflow.maintenance.decision.Forecast;
-import laneflow.maintenance.decision.Forms;
+import laneflow.maintenance.decision.Inventory;
+import laneflow.maintenance.decision.MaintenanceJson;
 import laneflow.maintenance.decision.Planner;
 import laneflow.maintenance.decision.Request;
 
@@ -133,20 +133,22 @@
     }
 
     private static Fairness fairness() {
-        List<Estate.Rack> all = new ArrayList<>();
+        List<Inventory.Rack> all = new ArrayList<>();
         for (int i = 0; i < RACKS; i++) {
-            all.add(new Estate.Rack(rack(i), rack(i).substring(0, 1), List.of(new Estate.Part(3, EACH, 0))));
+            all.add(new Inventory.Rack(
+                    rack(i), rack(i).substring(0, 1), List.of(new Inventory.EndpointGroup(3, EACH, 0))));
         }
         return new Fairness(
-                new Estate(
+                new Inventory(
                         CLASSES,
                         new double[2],
                         all,
                         List.of(
-                                new Estate.Tenant("shops", 2, Set.of(), 3), new Estate.Tenant("web", 1, Set.of("a"), 3),
-                                new Estate.Tenant("mail", 1, Set.of(), 3),
-                                        new Estate.Tenant("others", 1, Set.of(), 3))),
-                new Fairness.Terms(TOLERANCE, 0.05, 0.001, 7 * 86_400_000.0));
+                                new Inventory.Tenant("shops", 2, Set.of(), 3),
+                                        new Inventory.Tenant("web", 1, Set.of("a"), 3),
+                                new Inventory.Tenant("mail", 1, Set.of(), 3),
+                                        new Inventory.Tenant("others", 1, Set.of(), 3))),
+                new Fairness.Limits(TOLERANCE, 0.05, 0.001, 7 * 86_400_000.0));
     }
 
     private int all() throws IOException, InterruptedException {
@@ -278,7 +280,7 @@
     private void ask(List<Request> requests) throws IOException, InterruptedException {
         JsonObject body = new JsonObject();
         JsonArray list = new JsonArray();
-        requests.forEach(one -> list.add(Forms.write(one)));
+        requests.forEach(one -> list.add(MaintenanceJson.write(one)));
         body.add("requests", list);
         rig.await("requests are taken", () -> {
             HttpResponse<String> answer = rig.ask(random.nextInt(SCHEDULERS), "/maintenance/requests", body.toString());
@@ -409,15 +411,15 @@
     // ---- what came of it ----
 
     private Planner.Input input(Fairness fairness, List<Request> requests) {
-        Estate estate = fairness.estate();
-        double[][] demand = new double[estate.tenants().size()][CLASSES.size()];
+        Inventory inventory = fairness.inventory();
+        double[][] demand = new double[inventory.tenants().size()][CLASSES.size()];
         for (int t = 0; t < demand.length; t++) {
             for (int k = 0; k < CLASSES.size(); k++) {
-                demand[t][k] = estate.entitlement(t) * DEMAND / CLASSES.size();
+                demand[t][k] = inventory.entitlement(t) * DEMAND / CLASSES.size();
             }
         }
         return new Planner.Input(
-                new Planner.Times(
+                new Planner.Parameters(
                         requests.get(0).earliestMs(),
                         STEP_MS,
                         (int) (AHEAD_MS / STEP_MS),
@@ -440,8 +442,8 @@
         double[] due = fairness.due(input.forecast().demands().get(0));
         Set<Integer> away = new HashSet<>();
         for (int i = 0; i < RACKS; i++) {
-            away.add(fairness.estate().rack(rack((i % 2) * RACKS / 2 + i / 2)));
-            if (!fairness.isFair(due, fairness.estate().without(away), null)) {
+            away.add(fairness.inventory().rackIndex(rack((i % 2) * RACKS / 2 + i / 2)));
+            if (!fairness.isFair(due, fairness.inventory().slotsWithout(away), null)) {
                 return i;
             }
         }
@@ -470,8 +472,10 @@
                 .forEach(one -> postponed.put(one.window(), one.steps()));
         Planner.Input input = input(fairness, requests);
         int planned = Planner.plan(fairness, input).windows().size();
-        int first = Planner.firstCome(fairness, input, false).windows().size();
-        int alone = Planner.firstCome(fairness, input, true).windows().size();
+        int first =
+                Planner.firstComeFirstServed(fairness, input, false).windows().size();
+        int alone =
+                Planner.firstComeFirstServed(fairness, input, true).windows().size();
         long last = works.stream().mapToLong(Work::finishedNs).max().orElse(asked);
         double bound = ended("done") * (double) (DRAIN_MS + WORK_MS + RETURN_MS) / together(fairness, input);
         int lost = history.lost() + tenants.silent();
--- a/src/main/java/laneflow/maintenance/EstateReader.java
+++ b/src/main/java/laneflow/maintenance/InventoryReader.java
@@ -10,17 +10,17 @@
 import java.util.Map;
 import java.util.Set;
 import laneflow.config.Findings;
-import laneflow.maintenance.decision.Estate;
-import laneflow.maintenance.decision.Estate.Part;
-import laneflow.maintenance.decision.Estate.Rack;
-import laneflow.maintenance.decision.Estate.Tenant;
+import laneflow.maintenance.decision.Inventory;
+import laneflow.maintenance.decision.Inventory.EndpointGroup;
+import laneflow.maintenance.decision.Inventory.Rack;
+import laneflow.maintenance.decision.Inventory.Tenant;
 
 /**
  * Reads racks and tenants out of settings in the platform's form, into which the operators' file is written
  * too: one reader for both. An endpoint without a rack is a rack of its own; a tenant that is not named
  * counts to {@link #OTHERS}.
  */
-public final class EstateReader {
+public final class InventoryReader {
     /** Who counts for all tenants that the settings do not name. */
     public static final String OTHERS = "others";
 
@@ -28,19 +28,19 @@
     private final List<String> classes = new ArrayList<>();
     private final List<String> zones = new ArrayList<>();
 
-    private EstateReader(Findings findings) {
+    private InventoryReader(Findings findings) {
         this.findings = findings;
     }
 
     /**
-     * The estate; what is wrong waits in the findings, and then the answer is null.
+     * The inventory; what is wrong waits in the findings, and then the answer is null.
      *
      * @param settings with {@code classes}, {@code areas}, {@code customers}
      * @param hosts the list of endpoints: {@code host}, {@code site}, {@code rack} or {@code block},
      * {@code slots}, {@code classes}
      */
-    public static Estate read(JsonObject settings, JsonArray hosts, Findings findings) {
-        EstateReader reader = new EstateReader(findings);
+    public static Inventory read(JsonObject settings, JsonArray hosts, Findings findings) {
+        InventoryReader reader = new InventoryReader(findings);
         each(settings, "classes", one -> reader.classes.add(text(one, "name", "")));
         if (settings.has("areas")) {
             settings.getAsJsonArray("areas").forEach(one -> reader.zones.add(one.getAsString()));
@@ -53,7 +53,7 @@
         if (!findings.isEmpty()) {
             return null;
         }
-        return new Estate(reader.classes, new double[reader.classes.size()], racks, tenants);
+        return new Inventory(reader.classes, new double[reader.classes.size()], racks, tenants);
     }
 
     private static void each(JsonObject from, String key, java.util.function.Consumer<JsonObject> take) {
@@ -98,15 +98,15 @@
         }
         List<Rack> racks = new ArrayList<>();
         slots.forEach((name, by) -> {
-            List<Part> parts = new ArrayList<>();
-            by.forEach((runs, sum) -> parts.add(new Part(runs, sum, 0)));
+            List<EndpointGroup> parts = new ArrayList<>();
+            by.forEach((runs, sum) -> parts.add(new EndpointGroup(runs, sum, 0)));
             racks.add(new Rack(name, zoneOf.get(name), parts));
         });
         return racks;
     }
 
     private long all() {
-        return classes.size() >= Estate.MOST ? -1 : (1L << classes.size()) - 1;
+        return classes.size() >= Inventory.MOST ? -1 : (1L << classes.size()) - 1;
     }
 
     private long mask(JsonObject from, String where) {
--- a/src/main/java/laneflow/maintenance/MaintenanceConfig.java
+++ b/src/main/java/laneflow/maintenance/MaintenanceConfig.java
@@ -12,8 +12,8 @@
 import java.util.TreeMap;
 import laneflow.config.Table;
 import laneflow.maintenance.decision.Coordinator;
-import laneflow.maintenance.decision.Estate;
 import laneflow.maintenance.decision.Fairness;
+import laneflow.maintenance.decision.Inventory;
 import laneflow.maintenance.decision.Planner;
 import laneflow.policy.PolicyConfig;
 import laneflow.task.TaskConfig;
@@ -26,12 +26,12 @@
     private static final int MOST_STEPS = 6_000;
 
     /** Null where endpoints or tenants are not sound: findings say why. */
-    public final Estate estate;
+    public final Inventory inventory;
     /** The endpoints of each rack. */
     public final SortedMap<String, List<String>> racks;
 
-    public final Fairness.Terms terms;
-    public final Planner.Times planning;
+    public final Fairness.Limits terms;
+    public final Planner.Parameters planning;
     public final Coordinator.Times times;
     /** The part of its entitlement that a tenant is expected to ask for. */
     public final double demand;
@@ -62,7 +62,7 @@
         if (tasks == null) {
             from.wrong("", "needs the table [tasks]: coordinating is a task that the fleet does once");
         }
-        estate = EstateReader.read(settings, hosts, from.findings());
+        inventory = InventoryReader.read(settings, hosts, from.findings());
         racks = racks(hosts);
         long step = millis(from, "step_ms", 15 * MINUTE, 10, DAY);
         long ahead = millis(from, "ahead_ms", 14 * DAY, 1000, MOST_AHEAD);
@@ -70,12 +70,12 @@
             from.wrong("ahead_ms", "is " + ahead / step + " times step_ms, and has to be 1 to " + MOST_STEPS);
         }
         long drain = millis(from, "drain_ms", 10 * MINUTE, 10, DAY);
-        terms = new Fairness.Terms(
+        terms = new Fairness.Limits(
                 from.number("tolerance", 0.02, 0, 1),
                 from.number("shortage", 0.05, 0, 1),
                 from.number("debt", 0.001, 1e-6, 1),
                 millis(from, "half_life_ms", 7 * DAY, 1000, MOST_AHEAD));
-        planning = new Planner.Times(
+        planning = new Planner.Parameters(
                 0,
                 step,
                 (int) Math.min(MOST_STEPS, Math.max(1, ahead / step)),
@@ -114,7 +114,7 @@
         SortedMap<String, List<String>> racks = new TreeMap<>();
         for (JsonElement each : hosts) {
             JsonObject host = each.getAsJsonObject();
-            racks.computeIfAbsent(EstateReader.rack(host), name -> new ArrayList<>())
+            racks.computeIfAbsent(InventoryReader.rack(host), name -> new ArrayList<>())
                     .add(host.get("host").getAsString());
         }
         return Collections.unmodifiableSortedMap(racks);
--- a/src/main/java/laneflow/maintenance/Maintenance.java
+++ b/src/main/java/laneflow/maintenance/MaintenanceExtension.java
@@ -27,8 +27,8 @@
  * things stand, and puts its orders into the log. On the control thread. Also where a file has no table for
  * windows: whoever decides by the fleet's policy has to say when it has stopped sending.
  */
-public final class Maintenance implements RenewalExtension {
-    private static final Logger LOG = LoggerFactory.getLogger(Maintenance.class);
+public final class MaintenanceExtension implements RenewalExtension {
+    private static final Logger LOG = LoggerFactory.getLogger(MaintenanceExtension.class);
     private static final int LOST_AFTER = 3;
     private static final double HALF_MS = 60_000;
     /** So soon a call that was out is looked for again. */
@@ -83,7 +83,7 @@
      * @param policy the one in force, on the traffic's thread
      * @param config null where this file has no table for windows
      */
-    public Maintenance(
+    public MaintenanceExtension(
             Loop loop,
             Loop traffic,
             Scheduler scheduler,
--- a/src/main/java/laneflow/maintenance/MaintenancePort.java
+++ b/src/main/java/laneflow/maintenance/MaintenancePort.java
@@ -14,7 +14,7 @@
 import laneflow.config.Findings;
 import laneflow.fleet.Fleet;
 import laneflow.http.StreamPort.Answer;
-import laneflow.maintenance.decision.Forms;
+import laneflow.maintenance.decision.MaintenanceJson;
 import laneflow.maintenance.decision.Request;
 import laneflow.maintenance.decision.WindowLedger;
 import laneflow.maintenance.decision.Windows;
@@ -38,7 +38,7 @@
 
     private final Loop loop;
     private final Fleet fleet;
-    private final Maintenance rider;
+    private final MaintenanceExtension rider;
     /** Null where this file has no table for windows. */
     private final MaintenanceConfig config;
 
@@ -48,7 +48,7 @@
     MaintenancePort(
             Loop loop,
             Fleet fleet,
-            Maintenance rider,
+            MaintenanceExtension rider,
             MaintenanceConfig config,
             ExecutorService thread,
             Planning planning) {
@@ -125,7 +125,7 @@
     }
 
     private JsonObject told(Window window) {
-        JsonObject all = Forms.write(window);
+        JsonObject all = MaintenanceJson.write(window);
         all.remove("request");
         JsonObject one = new JsonObject();
         one.addProperty("name", window.name());
@@ -179,7 +179,7 @@
             replicate(WindowLedger.requests(requests), answer, found -> {
                 JsonArray told = new JsonArray();
                 found.getAsJsonArray("windows").forEach(one -> {
-                    Window window = Forms.window(one.getAsJsonObject());
+                    Window window = MaintenanceJson.window(one.getAsJsonObject());
                     told.add(Planning.told(window.name(), window.state(), window.startMs(), window.reasons()));
                 });
                 say(told, answer);
--- a/src/main/java/laneflow/maintenance/MaintenancePart.java
+++ b/src/main/java/laneflow/maintenance/MaintenanceSubsystem.java
@@ -9,16 +9,21 @@
 import laneflow.task.Tasks;
 
 /** Windows put together at one scheduler: its part in coordinating, and its port. On the control thread. */
-public final class MaintenancePart {
+public final class MaintenanceSubsystem {
     /** Null where this file has no table for windows. */
     private final Coordination coordination;
 
     private final ExecutorService thread;
-    private final Maintenance rider;
+    private final MaintenanceExtension rider;
 
     /** @param config null where this file has no table for windows: the port is there all the same */
-    public MaintenancePart(
-            Loop loop, Fleet fleet, Tasks tasks, Counters counters, Maintenance rider, MaintenanceConfig config) {
+    public MaintenanceSubsystem(
+            Loop loop,
+            Fleet fleet,
+            Tasks tasks,
+            Counters counters,
+            MaintenanceExtension rider,
+            MaintenanceConfig config) {
         this.rider = rider;
         thread = config == null ? null : Threads.inOrder("maintenance-planner");
         coordination =
--- a/src/main/java/laneflow/maintenance/Planning.java
+++ b/src/main/java/laneflow/maintenance/Planning.java
@@ -11,9 +11,9 @@
 import java.util.TreeSet;
 import laneflow.maintenance.decision.Accounts;
 import laneflow.maintenance.decision.Coordinator;
-import laneflow.maintenance.decision.Estate;
 import laneflow.maintenance.decision.Fairness;
 import laneflow.maintenance.decision.Forecast;
+import laneflow.maintenance.decision.Inventory;
 import laneflow.maintenance.decision.Plan;
 import laneflow.maintenance.decision.Request;
 import laneflow.maintenance.decision.WindowLedger;
@@ -30,7 +30,7 @@
     private static final long FOREVER = 1L << 40;
 
     private final MaintenanceConfig config;
-    private final Estate estate;
+    private final Inventory inventory;
     private final Fairness fairness;
     private final Coordinator coordinator;
     /** Since when racks of windows that return are given back, as far as this process knows. */
@@ -44,21 +44,22 @@
 
     Planning(MaintenanceConfig config) {
         this.config = config;
-        estate = config.estate;
-        fairness = new Fairness(estate, config.terms);
+        inventory = config.inventory;
+        fairness = new Fairness(inventory, config.terms);
         coordinator = new Coordinator(fairness, config.planning, forecast(), config.times);
     }
 
     /** The same part of every entitlement, at all times, spread evenly over the classes that it may run. */
     private Forecast forecast() {
-        double[][] demand = new double[estate.tenants().size()][estate.classes().size()];
+        double[][] demand =
+                new double[inventory.tenants().size()][inventory.classes().size()];
         for (int t = 0; t < demand.length; t++) {
             int runs = 0;
             for (int k = 0; k < demand[t].length; k++) {
-                runs += estate.places(t, k) != 0 ? 1 : 0;
+                runs += inventory.places(t, k) != 0 ? 1 : 0;
             }
             for (int k = 0; k < demand[t].length; k++) {
-                demand[t][k] = estate.places(t, k) == 0 ? 0 : estate.entitlement(t) * config.demand / runs;
+                demand[t][k] = inventory.places(t, k) == 0 ? 0 : inventory.entitlement(t) * config.demand / runs;
             }
         }
         return new Forecast(0, FOREVER, List.<double[][]>of(demand));
@@ -108,7 +109,8 @@
     }
 
     private double[][] demand(CoordinatorSnapshot picture) {
-        double[][] demand = new double[estate.tenants().size()][estate.classes().size()];
+        double[][] demand =
+                new double[inventory.tenants().size()][inventory.classes().size()];
         CoordinatorSnapshot.add(demand, picture.demand());
         return demand;
     }
@@ -126,7 +128,7 @@
             writtenAtMs = nowMs;
         }
         List<JsonObject> all = new ArrayList<>();
-        Coordinator.Facts facts = facts(picture, nowMs, accounts.over(estate, nowMs));
+        Coordinator.Facts facts = facts(picture, nowMs, accounts.over(inventory, nowMs));
         account(view, facts, all);
         Coordinator.Orders orders = coordinator.orders(view.windows().copy(this::isKnown), facts, token);
         boolean moves = false;
@@ -199,15 +201,15 @@
         view.windows().all().stream()
                 .filter(one -> one.state().isAway())
                 .forEach(one -> names.addAll(one.request().racks()));
-        names.forEach(rack -> out.add(estate.rack(rack)));
+        names.forEach(rack -> out.add(inventory.rackIndex(rack)));
         out.remove(-1);
         double[] loss = out.isEmpty()
-                ? new double[estate.tenants().size()]
-                : fairness.judge(facts.due(), estate.without(out), facts.accounts())
+                ? new double[inventory.tenants().size()]
+                : fairness.evaluate(facts.due(), inventory.slotsWithout(out), facts.accounts())
                         .loss();
         long passed = facts.nowMs() - lostAtMs;
         for (int t = 0; t < loss.length; t++) {
-            accounts.add(estate.tenants().get(t).name(), loss[t], estate.entitlement(t), passed, facts.nowMs());
+            accounts.add(inventory.tenants().get(t).name(), loss[t], inventory.entitlement(t), passed, facts.nowMs());
         }
         lostAtMs = facts.nowMs();
         if (facts.nowMs() - writtenAtMs >= config.accounts && !out.isEmpty()) {
@@ -224,7 +226,7 @@
         requests.forEach(one -> copy.run(Windows.request(one), rack -> false));
         Accounts known = new Accounts(config.terms.halfLifeMs());
         known.restore(picture.view().accounts());
-        Plan plan = coordinator.plan(copy, facts(picture, nowMs, known.over(estate, nowMs)));
+        Plan plan = coordinator.plan(copy, facts(picture, nowMs, known.over(inventory, nowMs)));
         JsonArray all = new JsonArray();
         for (Request request : requests) {
             Window window = copy.window(request.name());
--- a/src/main/java/laneflow/maintenance/decision/Accounts.java
+++ b/src/main/java/laneflow/maintenance/decision/Accounts.java
@@ -79,18 +79,18 @@
     }
 
     /** Each tenant's rate over that of all together; over 0 for whoever has lost more than the others. */
-    public double[] over(Estate estate, long nowMs) {
+    public double[] over(Inventory inventory, long nowMs) {
         double lost = 0;
         double entitled = 0;
-        for (Estate.Tenant tenant : estate.tenants()) {
+        for (Inventory.Tenant tenant : inventory.tenants()) {
             Sums sums = at(tenant.name(), nowMs);
             lost += sums.lost;
             entitled += sums.entitled;
         }
         double mean = entitled <= 0 ? 0 : lost / entitled;
-        double[] over = new double[estate.tenants().size()];
+        double[] over = new double[inventory.tenants().size()];
         for (int t = 0; t < over.length; t++) {
-            over[t] = rate(estate.tenants().get(t).name(), nowMs) - mean;
+            over[t] = rate(inventory.tenants().get(t).name(), nowMs) - mean;
         }
         return over;
     }
--- a/src/main/java/laneflow/maintenance/decision/Coordinator.java
+++ b/src/main/java/laneflow/maintenance/decision/Coordinator.java
@@ -59,13 +59,13 @@
     public record Orders(List<JsonObject> steps, Set<String> banned) {}
 
     private final Fairness fairness;
-    private final Planner.Times planning;
+    private final Planner.Parameters planning;
     private final Forecast forecast;
     private final List<double[]> dues;
     private final Times times;
 
     /** @param planning as a plan is made by; its beginning is set anew each time */
-    public Coordinator(Fairness fairness, Planner.Times planning, Forecast forecast, Times times) {
+    public Coordinator(Fairness fairness, Planner.Parameters planning, Forecast forecast, Times times) {
         this.fairness = fairness;
         this.planning = planning;
         this.forecast = forecast;
@@ -96,12 +96,12 @@
         /** Racks that are away now, or lost, without those of one window. */
         private Set<Integer> out(Window without) {
             Set<Integer> out = new HashSet<>();
-            facts.lost().forEach(rack -> out.add(fairness.estate().rack(rack)));
+            facts.lost().forEach(rack -> out.add(fairness.inventory().rackIndex(rack)));
             for (Window one : windows.all()) {
                 if (one != without && one.state().isAway()) {
                     one.request()
                             .racks()
-                            .forEach(rack -> out.add(fairness.estate().rack(rack)));
+                            .forEach(rack -> out.add(fairness.inventory().rackIndex(rack)));
                 }
             }
             out.remove(-1);
@@ -109,16 +109,18 @@
         }
 
         private List<String> against(Set<Integer> out, double[] due) {
-            double[] left = fairness.estate().without(out);
+            double[] left = fairness.inventory().slotsWithout(out);
             return fairness.isFair(due, left, facts.accounts())
                     ? List.of()
-                    : fairness.judge(due, left, facts.accounts()).against();
+                    : fairness.evaluate(due, left, facts.accounts()).violations();
         }
 
         /** Who stands against a window now and to its end; by what is asked for now, and by the forecast. */
         private List<String> against(Window window) {
             Set<Integer> out = out(window);
-            window.request().racks().forEach(rack -> out.add(fairness.estate().rack(rack)));
+            window.request()
+                    .racks()
+                    .forEach(rack -> out.add(fairness.inventory().rackIndex(rack)));
             List<String> against = against(out, facts.due());
             long end = now + length(window.request());
             for (long ms = now; against.isEmpty() && ms < end; ms += planning.stepMs()) {
@@ -134,13 +136,13 @@
                 return false;
             }
             Set<Integer> without = out(window);
-            double[] left = fairness.estate().without(without);
+            double[] left = fairness.inventory().slotsWithout(without);
             return fairness.isFair(facts.due(), left, facts.accounts())
-                    || lost(left) < lost(fairness.estate().without(with)) - Fairness.LEAST_LOSS;
+                    || lost(left) < lost(fairness.inventory().slotsWithout(with)) - Fairness.LEAST_LOSS;
         }
 
         private double lost(double[] left) {
-            return fairness.judge(facts.due(), left, facts.accounts()).lost();
+            return fairness.evaluate(facts.due(), left, facts.accounts()).totalLoss();
         }
 
         private void look(Window window) {
@@ -282,7 +284,7 @@
             return Planner.plan(
                     fairness,
                     new Planner.Input(
-                            new Planner.Times(
+                            new Planner.Parameters(
                                     from,
                                     planning.stepMs(),
                                     planning.steps(),
--- a/src/main/java/laneflow/maintenance/decision/Cuts.java
+++ b/src/main/java/laneflow/maintenance/decision/Cuts.java
@@ -49,18 +49,19 @@
         least = new double[dues.size()][];
         dueAll = new double[dues.size()];
         double entitled = 0;
-        int tenants = fairness.estate().tenants().size();
+        int tenants = fairness.inventory().tenants().size();
         for (int t = 0; t < tenants; t++) {
-            entitled += fairness.estate().entitlement(t);
+            entitled += fairness.inventory().entitlement(t);
         }
-        most = entitled * fairness.terms().shortage();
+        most = entitled * fairness.limits().shortage();
         for (int span = 0; span < dues.size(); span++) {
             double[] full = dues.get(span);
             double[] byTenant = fairness.byTenant(full);
             double[] held = full.clone();
             for (int kind = 0; kind < held.length; kind++) {
                 int t = fairness.owner(kind);
-                double may = fairness.tolerance(accounts, t) * fairness.estate().entitlement(t);
+                double may =
+                        fairness.tolerance(accounts, t) * fairness.inventory().entitlement(t);
                 held[kind] *= byTenant[t] <= 0 ? 1 : Math.max(0, 1 - may / byTenant[t]);
             }
             due[span] = sums(full);
--- a/src/main/java/laneflow/maintenance/decision/Fairness.java
+++ b/src/main/java/laneflow/maintenance/decision/Fairness.java
@@ -27,16 +27,16 @@
      * @param debt the account over the others' at which nothing of the tolerance is left
      * @param halfLifeMs in which an account's old losses count half
      */
-    public record Terms(double tolerance, double shortage, double debt, double halfLifeMs) {
-        public Terms {
+    public record Limits(double tolerance, double shortage, double debt, double halfLifeMs) {
+        public Limits {
             if (!(tolerance >= 0 && shortage >= 0 && debt > 0 && halfLifeMs > 0)) {
                 throw new IllegalArgumentException("a term is below its least value");
             }
         }
 
         /** Two hundredths, five hundredths, a thousandth, a week. */
-        public static Terms usual() {
-            return new Terms(0.02, 0.05, 0.001, 7 * 86_400_000.0);
+        public static Limits defaults() {
+            return new Limits(0.02, 0.05, 0.001, 7 * 86_400_000.0);
         }
     }
 
@@ -48,17 +48,17 @@
      * @param shortage what would be lost were every slot fit for everybody, in slots
      * @param level its part of the entitlements of those who are due something
      * @param fair true if nobody loses more than allowed, and the shortage is within the terms
-     * @param against why not, in words; who is short of what
+     * @param violations why not, in words; who is short of what
      */
-    public record Verdict(
-            double[] loss, double[] allowed, double shortage, double level, boolean fair, List<String> against) {
-        public double lost() {
+    public record Evaluation(
+            double[] loss, double[] allowed, double shortage, double level, boolean fair, List<String> violations) {
+        public double totalLoss() {
             return Arrays.stream(loss).sum();
         }
     }
 
-    private final Estate estate;
-    private final Terms terms;
+    private final Inventory inventory;
+    private final Limits terms;
     /** A kind of work is a tenant's classes that may run in the same cells. */
     private final List<Placement.Kind> kinds = new ArrayList<>();
 
@@ -68,11 +68,11 @@
     private final Placement placement;
     private final boolean[] apart;
 
-    public Fairness(Estate estate, Terms terms) {
-        this.estate = estate;
+    public Fairness(Inventory inventory, Limits terms) {
+        this.inventory = inventory;
         this.terms = terms;
-        int tenants = estate.tenants().size();
-        kindOf = new int[tenants][estate.classes().size()];
+        int tenants = inventory.tenants().size();
+        kindOf = new int[tenants][inventory.classes().size()];
         kindsOf = new int[tenants][];
         apart = new boolean[tenants];
         weight = new double[tenants];
@@ -80,7 +80,7 @@
             int from = kinds.size();
             Map<Long, Integer> byPlaces = new LinkedHashMap<>();
             for (int k = 0; k < kindOf[t].length; k++) {
-                long places = estate.places(t, k);
+                long places = inventory.places(t, k);
                 kindOf[t][k] = places == 0 ? -1 : byPlaces.computeIfAbsent(places, mask -> from + byPlaces.size());
             }
             int owner = t;
@@ -92,16 +92,16 @@
                 apart[t] &= (seen & places) == 0;
                 seen |= places;
             }
-            weight[t] = Math.max(estate.entitlement(t), 1e-9);
+            weight[t] = Math.max(inventory.entitlement(t), 1e-9);
         }
-        placement = new Placement(kinds.toArray(Placement.Kind[]::new), tenants, estate.cells());
+        placement = new Placement(kinds.toArray(Placement.Kind[]::new), tenants, inventory.cells());
     }
 
-    public Estate estate() {
-        return estate;
+    public Inventory inventory() {
+        return inventory;
     }
 
-    public Terms terms() {
+    public Limits limits() {
         return terms;
     }
 
@@ -129,7 +129,7 @@
             double[] asked = new double[kinds.size()];
             for (int k = 0; k < kindOf[t].length; k++) {
                 if (kindOf[t][k] >= 0) {
-                    asked[kindOf[t][k]] += Math.max(0, demand[t][k]) * estate.stretch(k);
+                    asked[kindOf[t][k]] += Math.max(0, demand[t][k]) * inventory.stretch(k);
                 }
             }
             if (apart[t]) {
@@ -145,8 +145,8 @@
 
     private double own(int tenant, long places) {
         double own = 0;
-        for (int c = 0; c < estate.cells(); c++) {
-            own += (places & 1L << c) != 0 ? estate.part(tenant, c) : 0;
+        for (int c = 0; c < inventory.cells(); c++) {
+            own += (places & 1L << c) != 0 ? inventory.part(tenant, c) : 0;
         }
         return own;
     }
@@ -212,9 +212,9 @@
             work[i] = asked[kindsOf[tenant][i]];
             by[i] = Math.max(work[i], 1e-9);
         }
-        double[] room = new double[estate.cells()];
+        double[] room = new double[inventory.cells()];
         for (int c = 0; c < room.length; c++) {
-            room[c] = estate.part(tenant, c);
+            room[c] = inventory.part(tenant, c);
         }
         Placement classes = new Placement(own, n, room.length);
         classes.set(work, room);
@@ -245,7 +245,7 @@
     }
 
     /**
-     * True if what is left can be shared so that nobody loses more than allowed: what {@link #judge} says
+     * True if what is left can be shared so that nobody loses more than allowed: what {@link #evaluate} says
      * of fairness, by a single flow.
      *
      * @param left slots by cell
@@ -271,7 +271,7 @@
     }
 
     /** The losses of an instant, and whether they are fair. */
-    public Verdict judge(double[] due, double[] left, double[] accounts) {
+    public Evaluation evaluate(double[] due, double[] left, double[] accounts) {
         double[] dues = byTenant(due);
         double shortage = shortage(dues, left);
         double level = level(dues, shortage);
@@ -286,29 +286,29 @@
         }
         Levels levels = Levels.fill(placement, dues, by);
         double[] loss = levels.loss();
-        List<String> against = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         if (shortage > terms.shortage() * entitled + LEAST_LOSS) {
-            against.add(String.format(
+            violations.add(String.format(
                     Locale.ROOT,
                     "the fleet is %.1f slots short, at most %.1f are allowed",
                     shortage,
                     terms.shortage() * entitled));
         }
-        boolean fair = against.isEmpty();
+        boolean fair = violations.isEmpty();
         for (int t = 0; t < loss.length; t++) {
             loss[t] = loss[t] < LEAST_LOSS ? 0 : loss[t];
             if (loss[t] > allowed[t] + LEAST_LOSS * (1 + 1e-6)) {
                 fair = false;
-                against.add(String.format(
+                violations.add(String.format(
                         Locale.ROOT,
                         "tenant %s loses %.1f slots, its fair share" + " is %.1f%s",
-                        estate.tenants().get(t).name(),
+                        inventory.tenants().get(t).name(),
                         loss[t],
                         allowed[t],
                         where(levels.first(), t)));
             }
         }
-        return new Verdict(loss, allowed, shortage, level, fair, List.copyOf(against));
+        return new Evaluation(loss, allowed, shortage, level, fair, List.copyOf(violations));
     }
 
     private String where(Placement.Cut cut, int tenant) {
@@ -316,9 +316,9 @@
             return "";
         }
         List<String> full = new ArrayList<>();
-        for (int c = 0; c < estate.cells() && full.size() < 3; c++) {
+        for (int c = 0; c < inventory.cells() && full.size() < 3; c++) {
             if ((cut.places() & 1L << c) != 0) {
-                full.add(estate.cell(c));
+                full.add(inventory.cell(c));
             }
         }
         return full.isEmpty() ? "" : " (full: " + String.join("; ", full) + ")";
--- a/src/main/java/laneflow/maintenance/decision/Estate.java
+++ b/src/main/java/laneflow/maintenance/decision/Inventory.java
@@ -14,7 +14,7 @@
  * looks for room they are alike, and there are few cells where there are thousands of endpoints. Never
  * changed; no I/O. The terms are those of {@code docs/maintenance-windows.md}.
  */
-public final class Estate {
+public final class Inventory {
     /** The most classes, a bit each, and the most cells, a bit each too. */
     public static final int MOST = 64;
 
@@ -25,16 +25,16 @@
      * @param slots of all of them together
      * @param memory units of memory of all of them together; 0: not counted
      */
-    public record Part(long classes, double slots, double memory) {}
+    public record EndpointGroup(long classes, double slots, double memory) {}
 
     /** A rack: it goes down as one. */
-    public record Rack(String name, String zone, List<Part> parts) {
+    public record Rack(String name, String zone, List<EndpointGroup> parts) {
         public Rack {
             parts = List.copyOf(parts);
         }
 
         public double slots() {
-            return parts.stream().mapToDouble(Part::slots).sum();
+            return parts.stream().mapToDouble(EndpointGroup::slots).sum();
         }
     }
 
@@ -57,7 +57,7 @@
     private final double[] stretch;
     private final List<Rack> racks;
     private final List<Tenant> tenants;
-    private final Map<String, Integer> rackIndex = new HashMap<>();
+    private final Map<String, Integer> rackNumbers = new HashMap<>();
     private final List<Key> cells = new ArrayList<>();
     /** Slots of a rack in a cell, and of all racks. */
     private final double[][] rackSlots;
@@ -72,7 +72,7 @@
      * @throws IllegalArgumentException if there are more classes or cells than bits, a name twice, or a
      * share or size that is none
      */
-    public Estate(List<String> classes, double[] memory, List<Rack> racks, List<Tenant> tenants) {
+    public Inventory(List<String> classes, double[] memory, List<Rack> racks, List<Tenant> tenants) {
         if (classes.size() > MOST || memory.length != classes.size()) {
             throw new IllegalArgumentException(classes.size() + " classes, the most are " + MOST);
         }
@@ -81,10 +81,10 @@
         this.tenants = List.copyOf(tenants);
         Map<Key, Integer> index = new LinkedHashMap<>();
         for (Rack rack : racks) {
-            if (rackIndex.put(rack.name(), rackIndex.size()) != null) {
+            if (rackNumbers.put(rack.name(), rackNumbers.size()) != null) {
                 throw new IllegalArgumentException("rack " + rack.name() + " is there twice");
             }
-            for (Part part : rack.parts()) {
+            for (EndpointGroup part : rack.parts()) {
                 if (!(part.slots() >= 0 && part.memory() >= 0)) {
                     throw new IllegalArgumentException("rack " + rack.name() + ": " + part);
                 }
@@ -99,7 +99,7 @@
         whole = new double[cells.size()];
         double[] cellMemory = new double[cells.size()];
         for (int r = 0; r < racks.size(); r++) {
-            for (Part part : racks.get(r).parts()) {
+            for (EndpointGroup part : racks.get(r).parts()) {
                 int cell = index.get(new Key(racks.get(r).zone(), part.classes()));
                 rackSlots[r][cell] += part.slots();
                 whole[cell] += part.slots();
@@ -194,8 +194,8 @@
     }
 
     /** The rack's number, or -1. */
-    public int rack(String name) {
-        return rackIndex.getOrDefault(name, -1);
+    public int rackIndex(String name) {
+        return rackNumbers.getOrDefault(name, -1);
     }
 
     /** A rack's slots in a cell. */
@@ -204,13 +204,13 @@
     }
 
     /** Slots by cell with everything up. */
-    public double[] whole() {
+    public double[] totalSlots() {
         return whole.clone();
     }
 
     /** Slots by cell without these racks. */
-    public double[] without(Iterable<Integer> out) {
-        double[] left = whole();
+    public double[] slotsWithout(Iterable<Integer> out) {
+        double[] left = totalSlots();
         for (int rack : out) {
             for (int c = 0; c < left.length; c++) {
                 left[c] = Math.max(0, left[c] - rackSlots[rack][c]);
--- a/src/main/java/laneflow/maintenance/decision/Forms.java
+++ b/src/main/java/laneflow/maintenance/decision/MaintenanceJson.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 
 /** Requests and windows as JSON, for the ledger's log, its snapshots, and those who ask over HTTP. */
-public final class Forms {
-    private Forms() {}
+public final class MaintenanceJson {
+    private MaintenanceJson() {}
 
     /** A request as it goes over HTTP and into the log; instants and lengths in milliseconds. */
     public static JsonObject write(Request request) {
--- a/src/main/java/laneflow/maintenance/decision/Planner.java
+++ b/src/main/java/laneflow/maintenance/decision/Planner.java
@@ -34,7 +34,7 @@
      * @param reserve the part of all slots that no window may take: for what fails amid one
      * @param mostFlows bound of planning; past it, what sums can't tell counts against a window
      */
-    public record Times(
+    public record Parameters(
             long fromMs, long stepMs, int steps, long drainMs, long returnMs, double reserve, int mostFlows) {}
 
     /**
@@ -48,7 +48,7 @@
      * @param accounts each tenant's account over the mean, or null
      */
     public record Input(
-            Times times,
+            Parameters times,
             Forecast forecast,
             List<Request> requests,
             List<Window> fixed,
@@ -74,7 +74,7 @@
         this.fairness = fairness;
         this.input = input;
         List<Integer> lost = input.lost().stream()
-                .map(fairness.estate()::rack)
+                .map(fairness.inventory()::rackIndex)
                 .filter(i -> i >= 0)
                 .toList();
         line = new Timeline(
@@ -102,7 +102,7 @@
     }
 
     /** For comparison: each in the order in which they came, at the first time that is fair. */
-    public static Plan firstCome(Fairness fairness, Input input, boolean oneAtATime) {
+    public static Plan firstComeFirstServed(Fairness fairness, Input input, boolean oneAtATime) {
         Planner planner = new Planner(fairness, input);
         boolean again = true;
         // One that waits for another comes again behind it.
@@ -226,9 +226,9 @@
 
     private double slots(Request request) {
         return request.racks().stream()
-                .mapToDouble(rack -> fairness.estate()
+                .mapToDouble(rack -> fairness.inventory()
                         .racks()
-                        .get(fairness.estate().rack(rack))
+                        .get(fairness.inventory().rackIndex(rack))
                         .slots())
                 .sum();
     }
@@ -325,13 +325,13 @@
     private boolean shares(Window window, Request request) {
         for (String mine : request.racks()) {
             for (String other : window.request().racks()) {
-                int a = fairness.estate().rack(mine);
-                int b = fairness.estate().rack(other);
-                if (fairness.estate()
+                int a = fairness.inventory().rackIndex(mine);
+                int b = fairness.inventory().rackIndex(other);
+                if (fairness.inventory()
                         .racks()
                         .get(a)
                         .zone()
-                        .equals(fairness.estate().racks().get(b).zone())) {
+                        .equals(fairness.inventory().racks().get(b).zone())) {
                     return true;
                 }
             }
--- a/src/main/java/laneflow/maintenance/decision/Request.java
+++ b/src/main/java/laneflow/maintenance/decision/Request.java
@@ -53,7 +53,7 @@
     }
 
     /** The same with those of a calendar's freezes that touch its time. */
-    public Request within(List<Plan.Freeze> calendar) {
+    public Request withFreezes(List<Plan.Freeze> calendar) {
         return new Request(
                 name,
                 owner,
--- a/src/main/java/laneflow/maintenance/decision/Timeline.java
+++ b/src/main/java/laneflow/maintenance/decision/Timeline.java
@@ -19,7 +19,7 @@
     /** What a time costs: no loss is better than one that is fair. Below 0 where it can't be. */
     static final int UNFAIR = -1;
 
-    private final Planner.Times times;
+    private final Planner.Parameters times;
     private final Fairness fairness;
     private final Forecast forecast;
     private final List<double[]> dues;
@@ -41,7 +41,7 @@
     private int flows;
 
     Timeline(
-            Planner.Times times,
+            Planner.Parameters times,
             Fairness fairness,
             Forecast forecast,
             double[] accounts,
@@ -55,12 +55,12 @@
         this.freezes = freezes;
         dues = Cuts.dues(fairness, forecast);
         cuts = new Cuts(fairness, dues, accounts);
-        nothing = fairness.estate().whole();
+        nothing = fairness.inventory().totalSlots();
         left = new double[times.steps()][];
         standing = new int[times.steps()];
         spans = new int[times.steps()];
         frozen = new boolean[times.steps()];
-        double[] without = fairness.estate().without(lost);
+        double[] without = fairness.inventory().slotsWithout(lost);
         for (int i = 0; i < left.length; i++) {
             long ms = ms(i);
             boolean amid = ms < lostUntilMs && !lost.isEmpty();
@@ -123,9 +123,9 @@
         for (int i = from; i < to; i++) {
             standing[i] -= sign;
             for (String rack : window.request().racks()) {
-                int number = fairness.estate().rack(rack);
+                int number = fairness.inventory().rackIndex(rack);
                 for (int c = 0; c < left[i].length; c++) {
-                    left[i][c] += sign * fairness.estate().slots(number, c);
+                    left[i][c] += sign * fairness.inventory().slots(number, c);
                 }
             }
         }
@@ -237,9 +237,9 @@
     private double[] less(double[] from, Request request) {
         double[] less = from.clone();
         for (String rack : request.racks()) {
-            int number = fairness.estate().rack(rack);
+            int number = fairness.inventory().rackIndex(rack);
             for (int c = 0; c < less.length; c++) {
-                less[c] -= fairness.estate().slots(number, c);
+                less[c] -= fairness.inventory().slots(number, c);
             }
         }
         for (int c = 0; c < less.length; c++) {
@@ -293,7 +293,7 @@
                 String racks = with.isEmpty()
                         ? ""
                         : ", with " + String.join(" ", with.subList(0, Math.min(5, with.size()))) + " down";
-                fairness.judge(dues.get(spans[i]), without, accounts).against().stream()
+                fairness.evaluate(dues.get(spans[i]), without, accounts).violations().stream()
                         .limit(3)
                         .forEach(text -> all.add(text + racks));
                 break;
--- a/src/main/java/laneflow/maintenance/decision/WindowLedger.java
+++ b/src/main/java/laneflow/maintenance/decision/WindowLedger.java
@@ -141,7 +141,7 @@
         JsonObject op = op(new JsonObject());
         op.addProperty("op", "requests");
         JsonArray list = new JsonArray();
-        all.forEach(one -> list.add(Forms.write(one)));
+        all.forEach(one -> list.add(MaintenanceJson.write(one)));
         op.add("requests", list);
         return op;
     }
@@ -228,7 +228,7 @@
         long open = windows.all().stream().filter(one -> !one.state().isFinal()).count();
         List<Request> wanted = new ArrayList<>();
         for (JsonElement one : all) {
-            Request request = Forms.request(one.getAsJsonObject());
+            Request request = MaintenanceJson.request(one.getAsJsonObject());
             Window known = windows.window(request.name());
             if (known != null && !known.request().equals(request)) {
                 return error("the name '" + request.name() + "' is that of another request");
@@ -242,7 +242,7 @@
         JsonArray told = new JsonArray();
         for (Request request : wanted) {
             windows.run(Windows.request(request), this::isBanned);
-            told.add(Forms.write(windows.window(request.name())));
+            told.add(MaintenanceJson.write(windows.window(request.name())));
         }
         JsonObject answer = new JsonObject();
         answer.add("windows", told);
--- a/src/main/java/laneflow/maintenance/decision/Windows.java
+++ b/src/main/java/laneflow/maintenance/decision/Windows.java
@@ -111,7 +111,7 @@
     /** A request for a window, by its owner. */
     public static JsonObject request(Request request) {
         JsonObject op = op("request", request.name());
-        op.add("request", Forms.write(request));
+        op.add("request", MaintenanceJson.write(request));
         return op;
     }
 
@@ -184,7 +184,7 @@
         Window window = windows.get(name);
         String kind = op.get("op").getAsString();
         if (kind.equals("request")) {
-            return request(window, Forms.request(op.getAsJsonObject("request")));
+            return request(window, MaintenanceJson.request(op.getAsJsonObject("request")));
         }
         if (window == null) {
             return error("there is no window '" + name + "'");
@@ -392,7 +392,7 @@
     JsonObject snapshot(Predicate<Window> which) {
         JsonObject all = new JsonObject();
         JsonArray list = new JsonArray();
-        windows.values().stream().filter(which).forEach(one -> list.add(Forms.write(one)));
+        windows.values().stream().filter(which).forEach(one -> list.add(MaintenanceJson.write(one)));
         all.add("windows", list);
         all.addProperty("token", token);
         all.addProperty("away", away);
@@ -403,7 +403,7 @@
     public void restore(JsonObject from) {
         windows.clear();
         for (JsonElement one : from.getAsJsonArray("windows")) {
-            Window window = Forms.window(one.getAsJsonObject());
+            Window window = MaintenanceJson.window(one.getAsJsonObject());
             windows.put(window.name(), window);
         }
         token = from.get("token").getAsLong();
--- a/src/test/java/laneflow/lab/measure/MaintenanceHistoryTest.java
+++ b/src/test/java/laneflow/lab/measure/MaintenanceHistoryTest.java
@@ -11,8 +11,8 @@
 import laneflow.lab.measure.MaintenanceHistory.Loss;
 import laneflow.lab.measure.MaintenanceHistory.Shown;
 import laneflow.lab.measure.MaintenanceHistory.Work;
-import laneflow.maintenance.decision.Estate;
 import laneflow.maintenance.decision.Fairness;
+import laneflow.maintenance.decision.Inventory;
 import org.junit.jupiter.api.Test;
 
 /** A checker that finds nothing would be none: what is done wrong on purpose is found, and nothing else. */
@@ -42,17 +42,19 @@
     }
 
     private static Fairness fairness() {
-        List<Estate.Rack> racks = new ArrayList<>();
+        List<Inventory.Rack> racks = new ArrayList<>();
         for (int i = 1; i <= 4; i++) {
-            racks.add(new Estate.Rack("a" + i, "a", List.of(new Estate.Part(1, 2, 0))));
+            racks.add(new Inventory.Rack("a" + i, "a", List.of(new Inventory.EndpointGroup(1, 2, 0))));
         }
         return new Fairness(
-                new Estate(
+                new Inventory(
                         List.of("check"),
                         new double[1],
                         racks,
-                        List.of(new Estate.Tenant("shops", 1, Set.of(), 1), new Estate.Tenant("mail", 1, Set.of(), 1))),
-                Fairness.Terms.usual());
+                        List.of(
+                                new Inventory.Tenant("shops", 1, Set.of(), 1),
+                                new Inventory.Tenant("mail", 1, Set.of(), 1))),
+                Fairness.Limits.defaults());
     }
 
     private MaintenanceHistory checked(List<Shown> shown, List<Loss> losses, List<Long> befell) {
--- a/src/test/java/laneflow/maintenance/EstateReaderTest.java
+++ b/src/test/java/laneflow/maintenance/InventoryReaderTest.java
@@ -9,11 +9,11 @@
 import java.util.List;
 import laneflow.config.Findings;
 import laneflow.config.OperatorFile;
-import laneflow.maintenance.decision.Estate;
+import laneflow.maintenance.decision.Inventory;
 import org.junit.jupiter.api.Test;
 
 /** The operators' file and the platform's settings say the same of racks and tenants. */
-class EstateReaderTest {
+class InventoryReaderTest {
     private static final String FILE = "listen = \"127.0.0.1:0\"\nzones = [\"a\", \"b\"]\n[classes.quick]\n"
             + "[classes.batch]\n"
             + "[endpoints.e1]\ndial = \"127.0.0.1:9001\"\nrack = \"r1\"\nslots = 8\n"
@@ -21,24 +21,24 @@
             + "[endpoints.e3]\ndial = \"127.0.0.1:9003\"\nzone = \"b\"\nslots = 12\n"
             + "[tenants.shop]\nshare = 3\n[tenants.till]\nzones = [\"a\"]\nclasses = [\"quick\"]\n";
 
-    private static Estate read(JsonObject platform, Findings findings) {
-        return EstateReader.read(
+    private static Inventory read(JsonObject platform, Findings findings) {
+        return InventoryReader.read(
                 platform.getAsJsonObject("settings"),
                 platform.getAsJsonObject("known").getAsJsonArray("hosts"),
                 findings);
     }
 
-    private static void check(Estate estate) {
+    private static void check(Inventory inventory) {
         assertEquals(
                 List.of("r1", "e3"),
-                estate.racks().stream().map(Estate.Rack::name).toList());
-        assertEquals(12, estate.racks().get(0).slots());
+                inventory.racks().stream().map(Inventory.Rack::name).toList());
+        assertEquals(12, inventory.racks().get(0).slots());
         assertEquals(
                 List.of("shop", "till", "others"),
-                estate.tenants().stream().map(Estate.Tenant::name).toList());
+                inventory.tenants().stream().map(Inventory.Tenant::name).toList());
         // In zone a shop, till and others share 12 slots by 3 to 1 to 1, in zone b two share by 3 to 1.
-        assertEquals(12 * 0.6 + 12 * 0.75, estate.entitlement(0), 1e-9);
-        assertEquals(12 * 0.2, estate.entitlement(1), 1e-9);
+        assertEquals(12 * 0.6 + 12 * 0.75, inventory.entitlement(0), 1e-9);
+        assertEquals(12 * 0.2, inventory.entitlement(1), 1e-9);
     }
 
     @Test
@@ -66,8 +66,8 @@
                         "{\"settings\":{\"classes\":[{\"name\":\"quick\"}]},\"known\":"
                                 + "{\"hosts\":[{\"host\":\"s-1\",\"site\":\"a\",\"block\":3},{\"host\":\"s-2\",\"site\":\"a\",\"block\":3}]}}")
                 .getAsJsonObject();
-        Estate estate = read(platform, new Findings("settings"));
-        assertEquals(2, estate.racks().get(estate.rack("3")).slots());
+        Inventory inventory = read(platform, new Findings("settings"));
+        assertEquals(2, inventory.racks().get(inventory.rackIndex("3")).slots());
     }
 
     @Test
--- a/src/test/java/laneflow/maintenance/MaintenanceConfigTest.java
+++ b/src/test/java/laneflow/maintenance/MaintenanceConfigTest.java
@@ -41,7 +41,7 @@
         MaintenanceConfig usual = read(FLEET + "[tasks]\n[maintenance]\n").maintenance();
         assertEquals(Set.of("a", "t3"), usual.names());
         assertEquals(List.of("t1", "t2"), usual.racks.get("a"));
-        assertEquals(2, usual.estate.tenants().size());
+        assertEquals(2, usual.inventory.tenants().size());
         assertEquals(14 * 96, usual.planning.steps());
         assertEquals(1, usual.demand);
         MaintenanceConfig other = read(FLEET + "[tasks]\n[maintenance]\nstep_ms = 100\nahead_ms = 60000\n"
--- a/src/test/java/laneflow/maintenance/MaintenanceStories.java
+++ b/src/test/java/laneflow/maintenance/MaintenanceStories.java
@@ -21,7 +21,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.atomic.AtomicInteger;
 import laneflow.lab.rig.Rig;
-import laneflow.maintenance.decision.Forms;
+import laneflow.maintenance.decision.MaintenanceJson;
 import laneflow.maintenance.decision.Request;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -137,7 +137,7 @@
         JsonObject body = new JsonObject();
         JsonArray list = new JsonArray();
         for (Request one : all) {
-            list.add(Forms.write(one));
+            list.add(MaintenanceJson.write(one));
         }
         body.add("requests", list);
         body.addProperty("dry_run", dryRun);
--- a/src/test/java/laneflow/maintenance/RequestReaderTest.java
+++ b/src/test/java/laneflow/maintenance/RequestReaderTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Set;
 import laneflow.config.Findings;
-import laneflow.maintenance.decision.Forms;
+import laneflow.maintenance.decision.MaintenanceJson;
 import laneflow.maintenance.decision.Plan;
 import laneflow.maintenance.decision.Request;
 import org.junit.jupiter.api.Test;
@@ -36,7 +36,7 @@
                 List.of("v"),
                 List.of(new Plan.Freeze("sale", 100, 200)));
         JsonArray list = new JsonArray();
-        list.add(Forms.write(whole));
+        list.add(MaintenanceJson.write(whole));
         assertEquals(List.of(whole), read(list.toString()));
         assertEquals(List.of(), findings.all());
     }
--- a/src/test/java/laneflow/maintenance/decision/Drawn.java
+++ b/src/test/java/laneflow/maintenance/decision/Drawn.java
@@ -5,15 +5,15 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import laneflow.maintenance.decision.Estate.Part;
-import laneflow.maintenance.decision.Estate.Rack;
-import laneflow.maintenance.decision.Estate.Tenant;
+import laneflow.maintenance.decision.Inventory.EndpointGroup;
+import laneflow.maintenance.decision.Inventory.Rack;
+import laneflow.maintenance.decision.Inventory.Tenant;
 
 /** Estates and demands drawn from a seed: uneven racks, tenants bound to zones and classes. */
 final class Drawn {
     static final String[] ZONES = {"a", "b", "c", "d"};
 
-    final Estate estate;
+    final Inventory inventory;
     final double[] memory;
     private final SplittableRandom random;
 
@@ -24,7 +24,7 @@
             // Three kinds of endpoint; the third runs what the first two do.
             int kind = r % 5 == 0 ? 3 : 1 + r / 4 % 2;
             double slots = 8 * (2 + random.nextInt(5));
-            all.add(new Rack("r" + r, ZONES[r % ZONES.length], List.of(new Part(kind, slots, slots))));
+            all.add(new Rack("r" + r, ZONES[r % ZONES.length], List.of(new EndpointGroup(kind, slots, slots))));
         }
         List<Tenant> owners = new ArrayList<>();
         for (int t = 0; t < tenants; t++) {
@@ -36,18 +36,18 @@
             owners.add(new Tenant("t" + t, 1 + random.nextInt(5), zones, random.nextInt(6) == 0 ? 1 : 3));
         }
         memory = lean ? new double[] {0.5, 0.8} : new double[] {0.5, 1 + random.nextDouble()};
-        estate = new Estate(List.of("quick", "batch"), memory, all, owners);
+        inventory = new Inventory(List.of("quick", "batch"), memory, all, owners);
     }
 
     /** Slots by tenant and class: each at about this part of its entitlement, some far over it. */
     double[][] demand(double load) {
-        double[][] demand = new double[estate.tenants().size()][2];
+        double[][] demand = new double[inventory.tenants().size()][2];
         for (int t = 0; t < demand.length; t++) {
-            double all = estate.entitlement(t) * load * (0.5 + random.nextDouble());
+            double all = inventory.entitlement(t) * load * (0.5 + random.nextDouble());
             all *= random.nextInt(8) == 0 ? 3 : 1;
             double quick = random.nextDouble();
-            demand[t][0] = all * quick / estate.stretch(0);
-            demand[t][1] = all * (1 - quick) / estate.stretch(1);
+            demand[t][0] = all * quick / inventory.stretch(0);
+            demand[t][1] = all * (1 - quick) / inventory.stretch(1);
         }
         return demand;
     }
@@ -55,7 +55,7 @@
     List<Integer> some(int racks) {
         Set<Integer> out = new HashSet<>();
         while (out.size() < racks) {
-            out.add(random.nextInt(estate.racks().size()));
+            out.add(random.nextInt(inventory.racks().size()));
         }
         return new ArrayList<>(out);
     }
--- a/src/test/java/laneflow/maintenance/decision/DrawnPlan.java
+++ b/src/test/java/laneflow/maintenance/decision/DrawnPlan.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** Two weeks of requests drawn from a seed, over an estate whose nights have room and whose days have little. */
+/** Two weeks of requests drawn from a seed, over an inventory whose nights have room and whose days have little. */
 final class DrawnPlan {
     static final long HOUR = 3_600_000;
     static final long FROM = 1_800_000_000_000L / HOUR * HOUR;
@@ -18,7 +18,7 @@
 
     DrawnPlan(long seed, int racks, int tenants, int count, double busy) {
         drawn = new Drawn(seed, racks, tenants, true);
-        fairness = new Fairness(drawn.estate, Fairness.Terms.usual());
+        fairness = new Fairness(drawn.inventory, Fairness.Limits.defaults());
         List<double[][]> week = new ArrayList<>();
         double[][] base = drawn.demand(1);
         SplittableRandom random = new SplittableRandom(seed + 1);
@@ -68,7 +68,7 @@
 
     Planner.Input input(List<Request> asked, Plan before, List<Plan.Freeze> freezes, List<String> lost) {
         return new Planner.Input(
-                new Planner.Times(FROM, HOUR / 4, 14 * 24 * 4, HOUR / 4, HOUR / 4, 0.02, 1500),
+                new Planner.Parameters(FROM, HOUR / 4, 14 * 24 * 4, HOUR / 4, HOUR / 4, 0.02, 1500),
                 forecast,
                 asked,
                 List.of(),
--- a/src/test/java/laneflow/maintenance/decision/FairnessTest.java
+++ b/src/test/java/laneflow/maintenance/decision/FairnessTest.java
@@ -7,11 +7,11 @@
 
 import java.util.List;
 import java.util.Set;
-import laneflow.maintenance.decision.Estate.Part;
-import laneflow.maintenance.decision.Estate.Rack;
-import laneflow.maintenance.decision.Estate.Tenant;
-import laneflow.maintenance.decision.Fairness.Terms;
-import laneflow.maintenance.decision.Fairness.Verdict;
+import laneflow.maintenance.decision.Fairness.Evaluation;
+import laneflow.maintenance.decision.Fairness.Limits;
+import laneflow.maintenance.decision.Inventory.EndpointGroup;
+import laneflow.maintenance.decision.Inventory.Rack;
+import laneflow.maintenance.decision.Inventory.Tenant;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
@@ -25,24 +25,24 @@
 
 /** Losses and fairness against what the terms promise, and against a linear program that knows no flow. */
 class FairnessTest {
-    private static final Terms TERMS = Terms.usual();
+    private static final Limits TERMS = Limits.defaults();
 
     @Property(tries = 150, seed = "7")
     void nothingDownIsNothingLost(
             @ForAll @LongRange(min = 0, max = 100_000) long seed,
             @ForAll @DoubleRange(min = 0.1, max = 2) double load) {
         Drawn drawn = new Drawn(seed, 24, 9, false);
-        Fairness fairness = new Fairness(drawn.estate, TERMS);
+        Fairness fairness = new Fairness(drawn.inventory, TERMS);
         double[][] demand = drawn.demand(load);
         double[] due = fairness.due(demand);
         double[] dues = fairness.byTenant(due);
         for (int t = 0; t < dues.length; t++) {
-            double asked = demand[t][0] * drawn.estate.stretch(0) + demand[t][1] * drawn.estate.stretch(1);
-            assertTrue(dues[t] <= Math.min(asked, drawn.estate.entitlement(t)) + 0.01);
+            double asked = demand[t][0] * drawn.inventory.stretch(0) + demand[t][1] * drawn.inventory.stretch(1);
+            assertTrue(dues[t] <= Math.min(asked, drawn.inventory.entitlement(t)) + 0.01);
         }
-        Verdict verdict = fairness.judge(due, drawn.estate.whole(), null);
-        assertEquals(0, verdict.lost());
-        assertTrue(verdict.fair());
+        Evaluation evaluation = fairness.evaluate(due, drawn.inventory.totalSlots(), null);
+        assertEquals(0, evaluation.totalLoss());
+        assertTrue(evaluation.fair());
     }
 
     /** What a tenant is due is found by sums over unions; the flow over its own parts says the same. */
@@ -51,7 +51,7 @@
             @ForAll @LongRange(min = 0, max = 100_000) long seed,
             @ForAll @DoubleRange(min = 0.3, max = 2.5) double load) {
         Drawn drawn = new Drawn(seed, 24, 5, false);
-        Fairness fairness = new Fairness(drawn.estate, TERMS);
+        Fairness fairness = new Fairness(drawn.inventory, TERMS);
         double[][] demand = drawn.demand(load);
         double[] due = fairness.due(demand);
         for (int t = 0; t < 5; t++) {
@@ -59,17 +59,17 @@
             double[] asked = new double[2];
             double[] said = new double[2];
             for (int k = 0; k < 2; k++) {
-                kinds[k] = new Placement.Kind(k, drawn.estate.places(t, k));
-                asked[k] = kinds[k].places() == 0 ? 0 : demand[t][k] * drawn.estate.stretch(k);
+                kinds[k] = new Placement.Kind(k, drawn.inventory.places(t, k));
+                asked[k] = kinds[k].places() == 0 ? 0 : demand[t][k] * drawn.inventory.stretch(k);
             }
             for (int i = 0; i < due.length; i++) {
                 for (int k = 0; k < 2; k++) {
                     said[k] += fairness.owner(i) == t && fairness.places(i) == kinds[k].places() ? due[i] : 0;
                 }
             }
-            double[] room = new double[drawn.estate.cells()];
+            double[] room = new double[drawn.inventory.cells()];
             for (int c = 0; c < room.length; c++) {
-                room[c] = drawn.estate.part(t, c);
+                room[c] = drawn.inventory.part(t, c);
             }
             Placement own = new Placement(kinds, 2, room.length);
             own.set(asked, room);
@@ -118,25 +118,25 @@
             @ForAll @DoubleRange(min = 0.5, max = 1.2) double load,
             @ForAll @IntRange(min = 1, max = 10) int down) {
         Drawn drawn = new Drawn(seed, 20, 7, true);
-        Fairness fairness = new Fairness(drawn.estate, TERMS);
+        Fairness fairness = new Fairness(drawn.inventory, TERMS);
         double[] due = fairness.due(drawn.demand(load));
-        double[] left = drawn.estate.without(drawn.some(down));
-        Verdict verdict = fairness.judge(due, left, null);
-        double[] by = new double[verdict.allowed().length];
+        double[] left = drawn.inventory.slotsWithout(drawn.some(down));
+        Evaluation evaluation = fairness.evaluate(due, left, null);
+        double[] by = new double[evaluation.allowed().length];
         double largest = 0;
         for (int t = 0; t < by.length; t++) {
-            by[t] = verdict.allowed()[t] + Fairness.LEAST_LOSS;
-            largest = Math.max(largest, verdict.loss()[t] / by[t]);
+            by[t] = evaluation.allowed()[t] + Fairness.LEAST_LOSS;
+            largest = Math.max(largest, evaluation.loss()[t] / by[t]);
         }
         double program = levelByProgram(fairness, due, left, by);
         // Losses of under a twentieth of a slot are told as none.
         assertEquals(program, largest, largest == 0 ? 0.3 : 0.02 + 0.02 * program);
         double entitled = 0;
         for (int t = 0; t < by.length; t++) {
-            entitled += drawn.estate.entitlement(t);
+            entitled += drawn.inventory.entitlement(t);
         }
-        boolean fair = program <= 1 && verdict.shortage() <= TERMS.shortage() * entitled + Fairness.LEAST_LOSS;
-        assertTrue(Math.abs(program - 1) < 0.03 || fair == verdict.fair(), program + " " + verdict);
+        boolean fair = program <= 1 && evaluation.shortage() <= TERMS.shortage() * entitled + Fairness.LEAST_LOSS;
+        assertTrue(Math.abs(program - 1) < 0.03 || fair == evaluation.fair(), program + " " + evaluation);
     }
 
     /** Max-min: whoever lost less could give nothing up for whoever lost more without losing as much. */
@@ -144,38 +144,38 @@
     void nobodysLossCanBeEasedByOneWhoLosesLess(
             @ForAll @LongRange(min = 0, max = 100_000) long seed, @ForAll @IntRange(min = 1, max = 8) int down) {
         Drawn drawn = new Drawn(seed, 20, 7, true);
-        Fairness fairness = new Fairness(drawn.estate, TERMS);
+        Fairness fairness = new Fairness(drawn.inventory, TERMS);
         double[] due = fairness.due(drawn.demand(0.95));
-        double[] left = drawn.estate.without(drawn.some(down));
-        Verdict verdict = fairness.judge(due, left, null);
+        double[] left = drawn.inventory.slotsWithout(drawn.some(down));
+        Evaluation evaluation = fairness.evaluate(due, left, null);
         double[] dues = fairness.byTenant(due);
-        Placement placement = whole(fairness, due, left, drawn.estate);
+        Placement placement = whole(fairness, due, left, drawn.inventory);
         double[] least = new double[dues.length];
         for (int t = 0; t < least.length; t++) {
-            least[t] = dues[t] - verdict.loss()[t] - 0.05;
+            least[t] = dues[t] - evaluation.loss()[t] - 0.05;
         }
         assertTrue(placement.carries(least), "what is said to be placed can be placed");
         for (int one = 0; one < least.length; one++) {
-            double mine = verdict.loss()[one] / (verdict.allowed()[one] + Fairness.LEAST_LOSS);
-            if (verdict.loss()[one] < 0.5) {
+            double mine = evaluation.loss()[one] / (evaluation.allowed()[one] + Fairness.LEAST_LOSS);
+            if (evaluation.loss()[one] < 0.5) {
                 continue;
             }
             double[] eased = new double[dues.length];
             for (int t = 0; t < eased.length; t++) {
-                double by = verdict.allowed()[t] + Fairness.LEAST_LOSS;
-                double may = Math.max(verdict.loss()[t], Math.min(dues[t], 0.95 * mine * by));
-                eased[t] = Math.max(0, dues[t] - (t == one ? verdict.loss()[t] - 0.4 : may));
+                double by = evaluation.allowed()[t] + Fairness.LEAST_LOSS;
+                double may = Math.max(evaluation.loss()[t], Math.min(dues[t], 0.95 * mine * by));
+                eased[t] = Math.max(0, dues[t] - (t == one ? evaluation.loss()[t] - 0.4 : may));
             }
             assertFalse(placement.carries(eased), "tenant " + one + " could lose less");
         }
     }
 
-    private static Placement whole(Fairness fairness, double[] due, double[] left, Estate estate) {
+    private static Placement whole(Fairness fairness, double[] due, double[] left, Inventory inventory) {
         Placement.Kind[] kinds = new Placement.Kind[fairness.kinds()];
         for (int i = 0; i < kinds.length; i++) {
             kinds[i] = new Placement.Kind(fairness.owner(i), fairness.places(i));
         }
-        Placement placement = new Placement(kinds, estate.tenants().size(), estate.cells());
+        Placement placement = new Placement(kinds, inventory.tenants().size(), inventory.cells());
         placement.set(due, left);
         return placement;
     }
@@ -186,33 +186,33 @@
             @ForAll @DoubleRange(min = 0.4, max = 1.1) double load,
             @ForAll @IntRange(min = 1, max = 8) int down) {
         Drawn drawn = new Drawn(seed, 24, 9, true);
-        Fairness fairness = new Fairness(drawn.estate, new Terms(0.05, 0.2, 0.001, 1e9));
+        Fairness fairness = new Fairness(drawn.inventory, new Limits(0.05, 0.2, 0.001, 1e9));
         double[] due = fairness.due(drawn.demand(load));
-        double[] left = drawn.estate.without(drawn.some(down));
+        double[] left = drawn.inventory.slotsWithout(drawn.some(down));
         double[] accounts = new double[9];
         accounts[(int) (seed % 9)] = 0.0007;
-        Verdict verdict = fairness.judge(due, left, accounts);
+        Evaluation evaluation = fairness.evaluate(due, left, accounts);
         boolean close = false;
         for (int t = 0; t < accounts.length; t++) {
-            close |= Math.abs(verdict.loss()[t] - verdict.allowed()[t] - Fairness.LEAST_LOSS) < 0.05;
+            close |= Math.abs(evaluation.loss()[t] - evaluation.allowed()[t] - Fairness.LEAST_LOSS) < 0.05;
         }
-        assertTrue(close || fairness.isFair(due, left, accounts) == verdict.fair(), verdict.toString());
+        assertTrue(close || fairness.isFair(due, left, accounts) == evaluation.fair(), evaluation.toString());
     }
 
     @Property(tries = 80, seed = "7")
     void askingForMoreThanOnesPartMovesNothing(
             @ForAll @LongRange(min = 0, max = 100_000) long seed, @ForAll @IntRange(min = 1, max = 6) int down) {
         Drawn drawn = new Drawn(seed, 24, 6, true);
-        Fairness fairness = new Fairness(drawn.estate, TERMS);
+        Fairness fairness = new Fairness(drawn.inventory, TERMS);
         double[][] demand = drawn.demand(0.8);
-        double whole = drawn.estate.entitlement(0);
+        double whole = drawn.inventory.entitlement(0);
         demand[0][0] = whole;
         demand[0][1] = whole;
-        double[] left = drawn.estate.without(drawn.some(down));
-        Verdict honest = fairness.judge(fairness.due(demand), left, null);
+        double[] left = drawn.inventory.slotsWithout(drawn.some(down));
+        Evaluation honest = fairness.evaluate(fairness.due(demand), left, null);
         demand[0][0] = 50 * whole;
         demand[0][1] = 50 * whole;
-        Verdict greedy = fairness.judge(fairness.due(demand), left, null);
+        Evaluation greedy = fairness.evaluate(fairness.due(demand), left, null);
         assertArrayEquals(honest.loss(), greedy.loss(), 0.1);
     }
 
@@ -221,17 +221,17 @@
     void memoryIsNeverOverbooked(
             @ForAll @LongRange(min = 0, max = 100_000) long seed, @ForAll @IntRange(min = 0, max = 4) int down) {
         Drawn drawn = new Drawn(seed, 20, 5, false);
-        Fairness fairness = new Fairness(drawn.estate, TERMS);
+        Fairness fairness = new Fairness(drawn.inventory, TERMS);
         double[] due = fairness.due(drawn.demand(1));
-        double[] left = drawn.estate.without(drawn.some(down));
+        double[] left = drawn.inventory.slotsWithout(drawn.some(down));
         // Every slot of a cell has one unit of memory here: what fits by stretched slots fits by both.
-        double stretched = drawn.estate.stretch(1);
+        double stretched = drawn.inventory.stretch(1);
         assertEquals(Math.max(1, drawn.memory[1]), stretched, 1e-9);
-        Verdict verdict = fairness.judge(due, left, null);
+        Evaluation evaluation = fairness.evaluate(due, left, null);
         double placed = 0;
         double[] dues = fairness.byTenant(due);
         for (int t = 0; t < dues.length; t++) {
-            placed += dues[t] - verdict.loss()[t];
+            placed += dues[t] - evaluation.loss()[t];
         }
         double room = 0;
         for (double slots : left) {
@@ -240,30 +240,30 @@
         assertTrue(placed <= room + 0.5);
     }
 
-    private static Estate two(double memory) {
-        return new Estate(
+    private static Inventory two(double memory) {
+        return new Inventory(
                 List.of("quick"),
                 new double[] {memory},
                 List.of(
-                        new Rack("r0", "a", List.of(new Part(1, 50, 50))),
-                        new Rack("r1", "b", List.of(new Part(1, 50, 50)))),
+                        new Rack("r0", "a", List.of(new EndpointGroup(1, 50, 50))),
+                        new Rack("r1", "b", List.of(new EndpointGroup(1, 50, 50)))),
                 List.of(new Tenant("bound", 1, Set.of("a"), 1), new Tenant("free", 1, Set.of(), 1)));
     }
 
     @Test
     void whoIsBoundToAZonePaysForItsRackAndIsNamed() {
         Fairness fairness = new Fairness(two(0), TERMS);
-        assertEquals(25, fairness.estate().entitlement(0));
-        assertEquals(75, fairness.estate().entitlement(1));
+        assertEquals(25, fairness.inventory().entitlement(0));
+        assertEquals(75, fairness.inventory().entitlement(1));
         double[] due = fairness.due(new double[][] {{25}, {20}});
-        Verdict verdict = fairness.judge(due, fairness.estate().without(List.of(0)), null);
-        assertFalse(verdict.fair());
-        assertArrayEquals(new double[] {25, 0}, verdict.loss(), 0.1);
+        Evaluation evaluation = fairness.evaluate(due, fairness.inventory().slotsWithout(List.of(0)), null);
+        assertFalse(evaluation.fair());
+        assertArrayEquals(new double[] {25, 0}, evaluation.loss(), 0.1);
         assertTrue(
-                verdict.against().get(0).startsWith("tenant bound loses 25.0 slots, its fair share is 0.5"),
-                verdict.against().toString());
-        assertTrue(
-                fairness.judge(due, fairness.estate().without(List.of(1)), null).fair());
+                evaluation.violations().get(0).startsWith("tenant bound loses 25.0 slots, its fair share is 0.5"),
+                evaluation.violations().toString());
+        assertTrue(fairness.evaluate(due, fairness.inventory().slotsWithout(List.of(1)), null)
+                .fair());
     }
 
     @Test
@@ -275,14 +275,14 @@
 
     @Test
     void whoHasLostMoreBeforeHasNoToleranceLeft() {
-        Fairness fairness = new Fairness(two(0), new Terms(0.2, 0.5, 0.001, 1e9));
+        Fairness fairness = new Fairness(two(0), new Limits(0.2, 0.5, 0.001, 1e9));
         // 70 are due where 50 are left: all of them lose, the bound one what the free one leaves it.
         double[] due = fairness.due(new double[][] {{12}, {41}});
-        double[] left = fairness.estate().without(List.of(1));
-        Verdict even = fairness.judge(due, left, null);
-        Verdict after = fairness.judge(due, left, new double[] {0.002, -0.001});
+        double[] left = fairness.inventory().slotsWithout(List.of(1));
+        Evaluation even = fairness.evaluate(due, left, null);
+        Evaluation after = fairness.evaluate(due, left, new double[] {0.002, -0.001});
         assertTrue(after.loss()[0] < even.loss()[0], even + " and " + after);
-        assertEquals(even.lost(), after.lost(), 0.1);
+        assertEquals(even.totalLoss(), after.totalLoss(), 0.1);
         assertTrue(after.allowed()[0] < even.allowed()[0]);
     }
 }
--- a/src/test/java/laneflow/maintenance/decision/MaintenanceWorld.java
+++ b/src/test/java/laneflow/maintenance/decision/MaintenanceWorld.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import laneflow.maintenance.decision.Estate.Part;
-import laneflow.maintenance.decision.Estate.Rack;
-import laneflow.maintenance.decision.Estate.Tenant;
+import laneflow.maintenance.decision.Inventory.EndpointGroup;
+import laneflow.maintenance.decision.Inventory.Rack;
+import laneflow.maintenance.decision.Inventory.Tenant;
 import laneflow.maintenance.decision.Windows.State;
 import laneflow.maintenance.decision.Windows.Window;
 
@@ -82,20 +82,20 @@
         this.broken = broken;
         List<Rack> racks = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            racks.add(new Rack("r" + i, "a", List.of(new Part(1, SLOTS[i], 0))));
+            racks.add(new Rack("r" + i, "a", List.of(new EndpointGroup(1, SLOTS[i], 0))));
             names.add("r" + i);
         }
         // Any rack may go while 24 of 40 slots are due, two while 18 are, not the largest while 30 are.
         fairness = new Fairness(
-                new Estate(
+                new Inventory(
                         List.of("quick"),
                         new double[1],
                         racks,
                         List.of(new Tenant("one", 1, Set.of(), 1), new Tenant("other", 1, Set.of(), 1))),
-                Fairness.Terms.usual());
+                Fairness.Limits.defaults());
         coordinator = new Coordinator(
                 fairness,
-                new Planner.Times(START, 10 * MINUTE, 60, 5 * MINUTE, 5 * MINUTE, 0, 200),
+                new Planner.Parameters(START, 10 * MINUTE, 60, 5 * MINUTE, 5 * MINUTE, 0, 200),
                 new Forecast(START, 60 * MINUTE, List.<double[][]>of(new double[][] {{9}, {9}})),
                 new Coordinator.Times(
                         20 * MINUTE, 15 * MINUTE, 10 * MINUTE, 30 * MINUTE, 20 * MINUTE, 10 * MINUTE, 60 * MINUTE));
@@ -252,15 +252,15 @@
             Set<Integer> out = new HashSet<>();
             lost.floorEntry(at)
                     .getValue()
-                    .forEach(rack -> out.add(fairness.estate().rack(rack)));
+                    .forEach(rack -> out.add(fairness.inventory().rackIndex(rack)));
             for (Window one : windows.all()) {
                 if (one.state().isAway()) {
                     one.request()
                             .racks()
-                            .forEach(rack -> out.add(fairness.estate().rack(rack)));
+                            .forEach(rack -> out.add(fairness.inventory().rackIndex(rack)));
                 }
             }
-            if (!fairness.isFair(due(at), fairness.estate().without(out), null)) {
+            if (!fairness.isFair(due(at), fairness.inventory().slotsWithout(out), null)) {
                 throw new Violation("unfair: " + out + " are away since " + window.name());
             }
         }
--- a/src/test/java/laneflow/maintenance/decision/PlannerTest.java
+++ b/src/test/java/laneflow/maintenance/decision/PlannerTest.java
@@ -9,9 +9,9 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import laneflow.maintenance.decision.Estate.Part;
-import laneflow.maintenance.decision.Estate.Rack;
-import laneflow.maintenance.decision.Estate.Tenant;
+import laneflow.maintenance.decision.Inventory.EndpointGroup;
+import laneflow.maintenance.decision.Inventory.Rack;
+import laneflow.maintenance.decision.Inventory.Tenant;
 import laneflow.maintenance.decision.Plan.Freeze;
 import laneflow.maintenance.decision.Plan.Window;
 import org.junit.jupiter.api.Test;
@@ -30,7 +30,7 @@
     /** What is wrong with a plan, all of it. */
     private static List<String> wrong(DrawnPlan drawn, Plan plan, List<Freeze> freezes) {
         List<String> wrong = new ArrayList<>();
-        Fairness fairness = new Fairness(drawn.drawn.estate, Fairness.Terms.usual());
+        Fairness fairness = new Fairness(drawn.drawn.inventory, Fairness.Limits.defaults());
         List<double[]> dues = Cuts.dues(fairness, drawn.forecast);
         Set<Object> seen = new HashSet<>();
         for (long ms = FROM; ms < FROM + 14 * 24 * HOUR; ms += HOUR / 4) {
@@ -38,14 +38,16 @@
             for (Window window : plan.windows()) {
                 if (window.meets(ms, ms + HOUR / 4)) {
                     for (String rack : window.request().racks()) {
-                        if (!out.add(drawn.drawn.estate.rack(rack))) {
+                        if (!out.add(drawn.drawn.inventory.rackIndex(rack))) {
                             wrong.add(rack + " is away twice at " + ms);
                         }
                     }
                 }
             }
             boolean isNew = !out.isEmpty() && seen.add(List.of(drawn.forecast.at(ms), Set.copyOf(out)));
-            if (isNew && !fairness.isFair(dues.get(drawn.forecast.at(ms)), drawn.drawn.estate.without(out), null)) {
+            if (isNew
+                    && !fairness.isFair(
+                            dues.get(drawn.forecast.at(ms)), drawn.drawn.inventory.slotsWithout(out), null)) {
                 wrong.add("unfair at " + (ms - FROM) / HOUR + " h");
             }
         }
@@ -98,7 +100,7 @@
         List<Freeze> calendar = List.of(new Freeze("audit", amid.startMs() - 6 * HOUR, amid.endMs() + 6 * HOUR));
         List<Request> asked = new ArrayList<>();
         drawn.requests.forEach(one -> asked.add(
-                asked.size() % 2 == 0 || one.name().equals(amid.request().name()) ? one.within(calendar) : one));
+                asked.size() % 2 == 0 || one.name().equals(amid.request().name()) ? one.withFreezes(calendar) : one));
         Plan plan = Planner.plan(drawn.fairness, drawn.input(asked, null, List.of(), List.of()));
         Freeze audit = calendar.get(0);
         assertEquals(List.of(), wrong(drawn, plan, List.of()));
@@ -112,7 +114,7 @@
                 .findFirst()
                 .orElseThrow();
         assertEquals(calendar, bound.freezes());
-        assertEquals(bound, Forms.request(Forms.write(bound)));
+        assertEquals(bound, MaintenanceJson.request(MaintenanceJson.write(bound)));
         assertTrue(
                 Planner.against(drawn.fairness, drawn.input(asked, null, List.of(), List.of()), bound, amid.startMs())
                         .contains("freeze audit"));
@@ -144,7 +146,7 @@
         for (long seed = 1; seed <= 6; seed++) {
             DrawnPlan drawn = drawn(seed);
             int mine = Planner.plan(drawn.fairness, drawn.input()).windows().size();
-            int theirs = Planner.firstCome(drawn.fairness, drawn.input(), false)
+            int theirs = Planner.firstComeFirstServed(drawn.fairness, drawn.input(), false)
                     .windows()
                     .size();
             assertTrue(mine >= theirs, "seed " + seed + ": " + mine + " and " + theirs);
@@ -156,7 +158,7 @@
                 possible += at >= 0 && at <= line.last(request) ? 1 : 0;
             }
             firstCome += theirs;
-            oneAtATime += Planner.firstCome(drawn.fairness, drawn.input(), true)
+            oneAtATime += Planner.firstComeFirstServed(drawn.fairness, drawn.input(), true)
                     .windows()
                     .size();
         }
@@ -193,7 +195,7 @@
 
     private static Planner.Input input(double load, List<Freeze> freezes, Request... requests) {
         return new Planner.Input(
-                new Planner.Times(FROM, HOUR / 4, 40, 0, 0, 0, 100),
+                new Planner.Parameters(FROM, HOUR / 4, 40, 0, 0, 0, 100),
                 new Forecast(FROM, HOUR, List.<double[][]>of(new double[][] {{25 * load}, {75 * load}})),
                 List.of(requests),
                 List.of(),
@@ -207,15 +209,15 @@
     /** Three racks of 50; one tenant may run in the first zone only. */
     private static Fairness three() {
         return new Fairness(
-                new Estate(
+                new Inventory(
                         List.of("quick"),
                         new double[1],
                         List.of(
-                                new Rack("r0", "a", List.of(new Part(1, 50, 0))),
-                                new Rack("r1", "b", List.of(new Part(1, 50, 0))),
-                                new Rack("r2", "c", List.of(new Part(1, 50, 0)))),
+                                new Rack("r0", "a", List.of(new EndpointGroup(1, 50, 0))),
+                                new Rack("r1", "b", List.of(new EndpointGroup(1, 50, 0))),
+                                new Rack("r2", "c", List.of(new EndpointGroup(1, 50, 0)))),
                         List.of(new Tenant("bound", 1, Set.of("a"), 1), new Tenant("free", 1, Set.of(), 1))),
-                Fairness.Terms.usual());
+                Fairness.Limits.defaults());
     }
 
     @Test
--- a/src/test/java/laneflow/transcripts/MaintenanceTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/MaintenanceTranscriptsTest.java
@@ -13,7 +13,7 @@
 import laneflow.assembly.Setup;
 import laneflow.lab.rig.Await;
 import laneflow.lab.rig.Crew;
-import laneflow.maintenance.decision.Forms;
+import laneflow.maintenance.decision.MaintenanceJson;
 import laneflow.maintenance.decision.Request;
 import laneflow.net.Stand;
 import laneflow.net.Stand.Endpoint;
@@ -82,7 +82,7 @@
         void asksFor(String name, long workMs, long abortMs, long fromMs, String... racks) throws IOException {
             long now = System.currentTimeMillis();
             JsonArray all = new JsonArray();
-            all.add(Forms.write(new Request(
+            all.add(MaintenanceJson.write(new Request(
                     name,
                     "power crew",
                     List.of(racks),
