--- a/src/main/java/laneflow/maintenance/CoordinatorSnapshot.java
+++ b/src/main/java/laneflow/maintenance/CoordinatorSnapshot.java
@@ -8,43 +8,44 @@
 import laneflow.maintenance.decision.WindowLedger;
 
 /**
- * All that a coordinator goes by, as the leader knew it at one moment.
+ * The leader's state as a coordinator needs it.
  *
- * @param term the leader's; a view's version counts within it
- * @param view what the ledger holds
- * @param clear endpoints that the policy in force bans and to which nobody sends
- * @param begun true if all live schedulers have begun the policy in force
- * @param lost endpoints that schedulers can't reach
- * @param demand slots asked for, by tenant and class; the last row is that of tenants that are not known
- * @param done the number of the coordinator's last word that was carried out
+ * @param term the leader's term; the view's version counts within it
+ * @param view the content of the ledger
+ * @param drained endpoints that the policy in force bans and to which no scheduler sends
+ * @param policyApplied true if all live schedulers have applied the policy in force
+ * @param unreachable endpoints that schedulers cannot reach
+ * @param demand requested slots by tenant and class; the last row is for unknown tenants
+ * @param done id of the coordinator's last operations that were replicated
  */
 record CoordinatorSnapshot(
         int term,
         WindowLedger.View view,
-        Set<String> clear,
-        boolean begun,
-        Set<String> lost,
+        Set<String> drained,
+        boolean policyApplied,
+        Set<String> unreachable,
         double[][] demand,
         long done) {
 
-    /** @param known true if its reader has that view already */
-    JsonObject json(boolean known) {
+    /** @param known true if the receiver has that view already */
+    JsonObject toJson(boolean known) {
         JsonObject all = new JsonObject();
         all.addProperty("term", term);
         if (!known) {
-            all.add("view", view.json());
+            all.add("view", view.toJson());
         }
-        all.add("clear", texts(clear));
-        all.addProperty("begun", begun);
-        all.add("lost", texts(lost));
+        all.add("clear", texts(drained));
+        all.addProperty("begun", policyApplied);
+        all.add("lost", texts(unreachable));
         all.add("demand", rows(demand));
         all.addProperty("done", done);
         return all;
     }
 
-    /** @param before the one had before, for its view, or null */
-    static CoordinatorSnapshot of(JsonObject from, CoordinatorSnapshot before) {
-        WindowLedger.View view = from.has("view") ? WindowLedger.View.of(from.getAsJsonObject("view")) : before.view();
+    /** @param before the previous snapshot, for its view, or null */
+    static CoordinatorSnapshot fromJson(JsonObject from, CoordinatorSnapshot before) {
+        WindowLedger.View view =
+                from.has("view") ? WindowLedger.View.fromJson(from.getAsJsonObject("view")) : before.view();
         return new CoordinatorSnapshot(
                 from.get("term").getAsInt(),
                 view,
@@ -93,7 +94,7 @@
         return table;
     }
 
-    /** Adds another table, as far as it has the same form: files may differ amid an upgrade. */
+    /** Adds another table as far as the shapes agree: configuration files may differ during an upgrade. */
     static void add(double[][] to, double[][] more) {
         for (int i = 0; i < Math.min(to.length, more.length); i++) {
             for (int k = 0; k < Math.min(to[i].length, more[i].length); k++) {
--- a/src/main/java/laneflow/maintenance/InventoryReader.java
+++ b/src/main/java/laneflow/maintenance/InventoryReader.java
@@ -16,12 +16,12 @@
 import laneflow.maintenance.decision.Inventory.Tenant;
 
 /**
- * Reads racks and tenants out of settings in the platform's form, into which the operators' file is written
- * too: one reader for both. An endpoint without a rack is a rack of its own; a tenant that is not named
- * counts to {@link #OTHERS}.
+ * Reads racks and tenants from settings in the platform's form, into which the operators' file is converted
+ * too. An endpoint without a rack forms a rack of its own; a tenant that is not named counts as {@link
+ * #OTHERS}.
  */
 public final class InventoryReader {
-    /** Who counts for all tenants that the settings do not name. */
+    /** Tenant that stands for all tenants the settings do not name. */
     public static final String OTHERS = "others";
 
     private final Findings findings;
@@ -33,11 +33,11 @@
     }
 
     /**
-     * The inventory; what is wrong waits in the findings, and then the answer is null.
+     * Reads the inventory; on errors, adds them to the findings and returns null.
      *
      * @param settings with {@code classes}, {@code areas}, {@code customers}
-     * @param hosts the list of endpoints: {@code host}, {@code site}, {@code rack} or {@code block},
-     * {@code slots}, {@code classes}
+     * @param hosts the list of endpoints: {@code host}, {@code site}, {@code rack} or {@code block}, {@code
+     * slots}, {@code classes}
      */
     public static Inventory read(JsonObject settings, JsonArray hosts, Findings findings) {
         InventoryReader reader = new InventoryReader(findings);
@@ -48,7 +48,7 @@
         List<Rack> racks = reader.racks(hosts);
         List<Tenant> tenants = reader.tenants(settings);
         if (racks.isEmpty()) {
-            findings.add("endpoints", "", "there are none: nothing can be planned for");
+            findings.add("endpoints", "", "there are none, so nothing can be planned");
         }
         if (!findings.isEmpty()) {
             return null;
@@ -56,9 +56,9 @@
         return new Inventory(reader.classes, new double[reader.classes.size()], racks, tenants);
     }
 
-    private static void each(JsonObject from, String key, java.util.function.Consumer<JsonObject> take) {
+    private static void each(JsonObject from, String key, java.util.function.Consumer<JsonObject> action) {
         if (from.has(key) && from.get(key).isJsonArray()) {
-            from.getAsJsonArray(key).forEach(one -> take.accept(one.getAsJsonObject()));
+            from.getAsJsonArray(key).forEach(one -> action.accept(one.getAsJsonObject()));
         }
     }
 
@@ -70,8 +70,8 @@
         return from.has(key) && !from.get(key).isJsonNull() ? from.get(key).getAsDouble() : absent;
     }
 
-    /** The rack in which an endpoint of the list stands; left out, it is one by itself. */
-    static String rack(JsonObject host) {
+    /** The rack of an endpoint; without one, the endpoint is its own rack. */
+    static String rackOf(JsonObject host) {
         return text(host, "rack", text(host, "block", text(host, "host", "")));
     }
 
@@ -81,40 +81,39 @@
         for (JsonElement each : hosts) {
             JsonObject host = each.getAsJsonObject();
             String name = text(host, "host", "");
-            String rack = rack(host);
+            String rack = rackOf(host);
             String zone = text(host, "site", "");
-            String there = zoneOf.putIfAbsent(rack, zone);
-            if (there != null && !there.equals(zone)) {
+            String known = zoneOf.putIfAbsent(rack, zone);
+            if (known != null && !known.equals(zone)) {
                 findings.add(
                         "endpoints." + name,
                         "rack",
-                        "'" + rack + "' stands in zone " + there + " by another endpoint, and this one in zone "
-                                + zone);
+                        "'" + rack + "' is in zone " + known + " by another endpoint, but by this one in zone " + zone);
                 continue;
             }
-            long runs = host.has("classes") ? mask(host, "endpoints." + name) : all();
+            long classMask = host.has("classes") ? classMask(host, "endpoints." + name) : allClasses();
             slots.computeIfAbsent(rack, key -> new LinkedHashMap<>())
-                    .merge(runs, number(host, "slots", 1), Double::sum);
+                    .merge(classMask, number(host, "slots", 1), Double::sum);
         }
         List<Rack> racks = new ArrayList<>();
         slots.forEach((name, by) -> {
-            List<EndpointGroup> parts = new ArrayList<>();
-            by.forEach((runs, sum) -> parts.add(new EndpointGroup(runs, sum, 0)));
-            racks.add(new Rack(name, zoneOf.get(name), parts));
+            List<EndpointGroup> groups = new ArrayList<>();
+            by.forEach((classMask, sum) -> groups.add(new EndpointGroup(classMask, sum, 0)));
+            racks.add(new Rack(name, zoneOf.get(name), groups));
         });
         return racks;
     }
 
-    private long all() {
-        return classes.size() >= Inventory.MOST ? -1 : (1L << classes.size()) - 1;
+    private long allClasses() {
+        return classes.size() >= Inventory.MAX_BITS ? -1 : (1L << classes.size()) - 1;
     }
 
-    private long mask(JsonObject from, String where) {
+    private long classMask(JsonObject from, String path) {
         long mask = 0;
         for (JsonElement name : from.getAsJsonArray("classes")) {
             int at = classes.indexOf(name.getAsString());
             if (at < 0) {
-                findings.add(where, "classes", "'" + name.getAsString() + "' is none of " + classes);
+                findings.add(path, "classes", "'" + name.getAsString() + "' is none of " + classes);
             } else {
                 mask |= 1L << at;
             }
@@ -127,28 +126,29 @@
         Set<String> seen = new HashSet<>();
         each(settings, "customers", one -> {
             String name = text(one, "name", "");
-            String where = "tenants." + name;
+            String path = "tenants." + name;
             double share = number(one, "portion", 1);
             if (!seen.add(name)) {
-                findings.add(where, "", "is there twice");
+                findings.add(path, "", "is a duplicate");
             }
             if (!(share > 0)) {
-                findings.add(where, "share", "has to be over 0");
+                findings.add(path, "share", "has to be over 0");
             }
-            Set<String> may = new HashSet<>();
+            Set<String> allowedZones = new HashSet<>();
             if (one.has("zones")) {
-                one.getAsJsonArray("zones").forEach(zone -> may.add(zone.getAsString()));
+                one.getAsJsonArray("zones").forEach(zone -> allowedZones.add(zone.getAsString()));
             }
-            for (String zone : may) {
+            for (String zone : allowedZones) {
                 if (!zones.contains(zone)) {
-                    findings.add(where, "zones", "'" + zone + "' is none of " + zones);
+                    findings.add(path, "zones", "'" + zone + "' is none of " + zones);
                 }
             }
-            tenants.add(new Tenant(name, share, may, one.has("classes") ? mask(one, where) : all()));
+            tenants.add(
+                    new Tenant(name, share, allowedZones, one.has("classes") ? classMask(one, path) : allClasses()));
         });
         if (!seen.contains(OTHERS)) {
-            // Nobody who is not named is without a part: it weighs as one.
-            tenants.add(new Tenant(OTHERS, 1, Set.of(), all()));
+            // Unnamed tenants together have a share of 1.
+            tenants.add(new Tenant(OTHERS, 1, Set.of(), allClasses()));
         }
         return tenants;
     }
--- a/src/main/java/laneflow/maintenance/LocalTimes.java
+++ b/src/main/java/laneflow/maintenance/LocalTimes.java
@@ -13,18 +13,18 @@
 import org.dmfs.rfc5545.recur.RecurrenceRuleIterator;
 
 /**
- * Operators' times of day as instants. On the night that has two 02:30s, what begins then begins at the
- * first and what ends then ends at the second; on the one that has none, 02:30 is 03:30, as java.time has
- * it. Recurrences are counted on the local calendar (RFC 5545, lib-recur), so that 02:30 stays 02:30 when
- * the clocks change.
+ * Converts operators' local times to instants. In the night when 02:30 occurs twice, a period that starts then
+ * starts at the first 02:30 and one that ends then ends at the second; in the night when it does not occur,
+ * 02:30 is 03:30, as in java.time. Recurrences are counted on the local calendar (RFC 5545, lib-recur), so
+ * that 02:30 stays 02:30 when the clocks change.
  */
 final class LocalTimes {
-    /** The most occurrences that a rule may have within what is planned. */
-    static final int MOST = 500;
+    /** Maximum number of occurrences of a rule within the planned time. */
+    static final int MAX_OCCURRENCES = 500;
 
     private LocalTimes() {}
 
-    /** The zone of that name, or null. */
+    /** The time zone of that name, or null. */
     static ZoneId zone(String name) {
         try {
             return ZoneId.of(name);
@@ -34,7 +34,7 @@
     }
 
     /** A local time such as {@code 2026-12-10T22:00}, or null. */
-    static LocalDateTime read(String text) {
+    static LocalDateTime parse(String text) {
         try {
             return LocalDateTime.parse(text);
         } catch (DateTimeException e) {
@@ -42,11 +42,11 @@
         }
     }
 
-    static long begins(LocalDateTime at, ZoneId zone) {
+    static long startMillis(LocalDateTime at, ZoneId zone) {
         return at.atZone(zone).withEarlierOffsetAtOverlap().toInstant().toEpochMilli();
     }
 
-    static long ends(LocalDateTime at, ZoneId zone) {
+    static long endMillis(LocalDateTime at, ZoneId zone) {
         return at.atZone(zone).withLaterOffsetAtOverlap().toInstant().toEpochMilli();
     }
 
@@ -55,22 +55,22 @@
     }
 
     /**
-     * The times at which a rule has it happen, the first one included if the rule does.
+     * The occurrences of a rule, including the first time if the rule does.
      *
-     * @param until none is told from this instant on, Unix milliseconds
-     * @throws IllegalArgumentException if it is no rule
+     * @param until exclusive end, Unix milliseconds
+     * @throws IllegalArgumentException if the rule is invalid
      */
     static List<LocalDateTime> occurrences(String rule, LocalDateTime first, ZoneId zone, long until) {
         List<LocalDateTime> found = new ArrayList<>();
-        RecurrenceRule counted;
+        RecurrenceRule recurrence;
         try {
-            counted = new RecurrenceRule(rule);
+            recurrence = new RecurrenceRule(rule);
         } catch (InvalidRecurrenceRuleException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
-        RecurrenceRuleIterator days;
+        RecurrenceRuleIterator iterator;
         try {
-            days = counted.iterator(new DateTime(
+            iterator = recurrence.iterator(new DateTime(
                     first.getYear(),
                     first.getMonthValue() - 1,
                     first.getDayOfMonth(),
@@ -78,12 +78,12 @@
                     first.getMinute(),
                     0));
         } catch (IllegalArgumentException e) {
-            // The library gives up on a rule that passes a thousand times over, as 30 February does.
+            // lib-recur throws for a rule without an occurrence in a thousand intervals, such as 30 February.
             return found;
         }
-        while (found.size() <= MOST) {
-            LocalDateTime at = next(days);
-            if (at == null || begins(at, zone) >= until) {
+        while (found.size() <= MAX_OCCURRENCES) {
+            LocalDateTime at = next(iterator);
+            if (at == null || startMillis(at, zone) >= until) {
                 break;
             }
             found.add(at);
@@ -91,16 +91,16 @@
         return found;
     }
 
-    private static LocalDateTime next(RecurrenceRuleIterator days) {
+    private static LocalDateTime next(RecurrenceRuleIterator iterator) {
         try {
-            if (!days.hasNext()) {
+            if (!iterator.hasNext()) {
                 return null;
             }
-            DateTime day = days.nextDateTime();
+            DateTime day = iterator.nextDateTime();
             return LocalDateTime.of(
                     day.getYear(), day.getMonth() + 1, day.getDayOfMonth(), day.getHours(), day.getMinutes());
         } catch (IllegalArgumentException e) {
-            // As above.
+            // Same as in occurrences().
             return null;
         }
     }
--- a/src/main/java/laneflow/maintenance/MaintenancePort.java
+++ b/src/main/java/laneflow/maintenance/MaintenanceApi.java
@@ -24,11 +24,11 @@
 import laneflow.policy.RenewalExtension.Context;
 
 /**
- * What operators and crews ask and say of windows, at the address where schedulers reach each other. All of
- * it is the leader's to answer, from what a majority holds; others point there ({@code 307},
- * {@code Location}). On the control thread, but for what a request would get.
+ * HTTP API for operators and crews, at the address where schedulers reach each other. The leader answers every
+ * request from state that a majority holds; other schedulers redirect to it ({@code 307}, {@code Location}).
+ * On the control thread, except for dry runs.
  */
-final class MaintenancePort {
+final class MaintenanceApi {
     private static final String PATH = "/maintenance";
     private static final String REQUESTS = PATH + "/requests";
     private static final String WINDOWS = PATH + "/windows/";
@@ -38,32 +38,32 @@
 
     private final Loop loop;
     private final Fleet fleet;
-    private final MaintenanceExtension rider;
-    /** Null where this file has no table for windows. */
+    private final MaintenanceExtension extension;
+    /** Null if the configuration has no [maintenance] table. */
     private final MaintenanceConfig config;
 
-    private final ExecutorService thread;
-    private final Planning planning;
+    private final ExecutorService executor;
+    private final PlanningSession planning;
 
-    MaintenancePort(
+    MaintenanceApi(
             Loop loop,
             Fleet fleet,
-            MaintenanceExtension rider,
+            MaintenanceExtension extension,
             MaintenanceConfig config,
-            ExecutorService thread,
-            Planning planning) {
+            ExecutorService executor,
+            PlanningSession planning) {
         this.loop = loop;
         this.fleet = fleet;
-        this.rider = rider;
+        this.extension = extension;
         this.config = config;
-        this.thread = thread;
+        this.executor = executor;
         this.planning = planning;
-        fleet.serve(PATH, this::asked);
+        fleet.serve(PATH, this::handle);
     }
 
-    private void asked(String verb, String path, byte[] body, Answer answer) {
-        boolean post = verb.equals("POST");
-        if (path.equals(PATH) && verb.equals("GET")) {
+    private void handle(String method, String path, byte[] body, Answer answer) {
+        boolean post = method.equals("POST");
+        if (path.equals(PATH) && method.equals("GET")) {
             atLeader(path, answer, () -> show(answer));
         } else if (path.equals(REQUESTS) && post) {
             atLeader(path, answer, () -> request(body, answer));
@@ -72,7 +72,7 @@
             atLeader(path, answer, () -> order(name, body, answer));
         } else {
             answer.say(
-                    verb.equals("GET") || post ? 404 : 405,
+                    method.equals("GET") || post ? 404 : 405,
                     TEXT,
                     "",
                     "known are GET " + PATH + " and POST " + REQUESTS + ", " + WINDOWS + "NAME\n");
@@ -80,22 +80,22 @@
     }
 
     private void atLeader(String path, Answer answer, Runnable then) {
-        Context by = rider.carriage();
-        if (by.isLeader()) {
+        Context context = extension.context();
+        if (context.isLeader()) {
             then.run();
             return;
         }
-        LeaderRedirect.answer(fleet, by.leader(), path, answer, ASK_AGAIN);
+        LeaderRedirect.answer(fleet, context.leader(), path, answer, ASK_AGAIN);
     }
 
-    private void nobody(Answer answer) {
+    private void answerUnavailable(Answer answer) {
         LeaderRedirect.unavailable(answer, ASK_AGAIN);
     }
 
     private void read(Answer answer, Consumer<WindowLedger.View> then) {
-        rider.carriage().read(WindowLedger.NAME, found -> {
+        extension.context().read(WindowLedger.NAME, found -> {
             if (found == null) {
-                nobody(answer);
+                answerUnavailable(answer);
             } else {
                 then.accept((WindowLedger.View) found);
             }
@@ -108,23 +108,23 @@
         read(answer, view -> {
             JsonObject all = new JsonObject();
             all.addProperty("scheduler", fleet.self().name());
-            all.addProperty("leader", rider.carriage().leader());
-            Map.Entry<String, Long> coordinator = rider.coordinator();
+            all.addProperty("leader", extension.context().leader());
+            Map.Entry<String, Long> coordinator = extension.coordinator();
             all.addProperty("coordinator", coordinator == null ? "" : coordinator.getKey());
             all.addProperty("token", coordinator == null ? -1 : coordinator.getValue());
             all.addProperty("policy", view.inForce());
-            all.addProperty("away", view.windows().away());
+            all.addProperty("away", view.windows().awayChanges());
             if (config != null) {
-                all.add("racks", CoordinatorSnapshot.texts(config.names()));
+                all.add("racks", CoordinatorSnapshot.texts(config.rackNames()));
             }
             JsonArray windows = new JsonArray();
-            view.windows().all().forEach(one -> windows.add(told(one)));
+            view.windows().all().forEach(one -> windows.add(describe(one)));
             all.add("windows", windows);
             answer.say(200, JSON, "", all + "\n");
         });
     }
 
-    private JsonObject told(Window window) {
+    private JsonObject describe(Window window) {
         JsonObject all = MaintenanceJson.write(window);
         all.remove("request");
         JsonObject one = new JsonObject();
@@ -135,7 +135,8 @@
         if (window.state() == Windows.State.DRAINING) {
             one.add(
                     "sending",
-                    CoordinatorSnapshot.texts(rider.sends(window.request().racks())));
+                    CoordinatorSnapshot.texts(
+                            extension.possibleSenders(window.request().racks())));
         }
         return one;
     }
@@ -170,24 +171,25 @@
                 && asked.get("dry_run").isJsonPrimitive()
                 && asked.get("dry_run").getAsBoolean();
         Findings findings = Findings.paths();
-        List<Request> requests = RequestReader.read(list.getAsJsonArray(), config.names(), findings);
+        List<Request> requests = RequestReader.read(list.getAsJsonArray(), config.rackNames(), findings);
         if (!findings.isEmpty()) {
             answer.say(400, TEXT, "", String.join("\n", findings.all()) + "\n");
         } else if (dryRun) {
             read(answer, view -> dryRun(view, requests, answer));
         } else {
-            replicate(WindowLedger.requests(requests), answer, found -> {
-                JsonArray told = new JsonArray();
+            replicate(WindowLedger.requestsOp(requests), answer, found -> {
+                JsonArray described = new JsonArray();
                 found.getAsJsonArray("windows").forEach(one -> {
                     Window window = MaintenanceJson.window(one.getAsJsonObject());
-                    told.add(Planning.told(window.name(), window.state(), window.startMs(), window.reasons()));
+                    described.add(PlanningSession.describe(
+                            window.name(), window.state(), window.startMs(), window.reasons()));
                 });
-                say(told, answer);
+                sendWindows(described, answer);
             });
         }
     }
 
-    private static void say(JsonArray windows, Answer answer) {
+    private static void sendWindows(JsonArray windows, Answer answer) {
         JsonObject all = new JsonObject();
         all.add("windows", windows);
         answer.say(200, JSON, "", all + "\n");
@@ -201,24 +203,24 @@
                 return;
             }
         }
-        CoordinatorSnapshot picture = rider.picture(0);
-        if (picture == null) {
-            nobody(answer);
+        CoordinatorSnapshot snapshot = extension.snapshot(0);
+        if (snapshot == null) {
+            answerUnavailable(answer);
             return;
         }
         try {
-            thread.execute(() -> {
+            executor.execute(() -> {
                 JsonArray found;
                 try {
-                    found = planning.dryRun(picture, requests, System.currentTimeMillis());
+                    found = planning.dryRun(snapshot, requests, System.currentTimeMillis());
                 } catch (RuntimeException e) {
                     loop.later(() -> answer.say(500, TEXT, "", "planning failed: " + e + "\n"));
                     return;
                 }
-                loop.later(() -> say(found, answer));
+                loop.later(() -> sendWindows(found, answer));
             });
         } catch (RejectedExecutionException e) {
-            nobody(answer);
+            answerUnavailable(answer);
         }
     }
 
@@ -245,20 +247,20 @@
                 answer.say(404, TEXT, "", "there is no window '" + name + "'\n");
                 return;
             }
-            replicate(WindowLedger.op(op), answer, found -> {
-                JsonObject told = new JsonObject();
-                told.addProperty("name", name);
-                told.add("state", found.get("state"));
-                told.add("steps", found.get("steps"));
-                answer.say(200, JSON, "", told + "\n");
+            replicate(WindowLedger.partOp(op), answer, found -> {
+                JsonObject described = new JsonObject();
+                described.addProperty("name", name);
+                described.add("state", found.get("state"));
+                described.add("steps", found.get("steps"));
+                answer.say(200, JSON, "", described + "\n");
             });
         });
     }
 
     private void replicate(JsonObject op, Answer answer, Consumer<JsonObject> then) {
-        rider.carriage().replicate(op, found -> {
+        extension.context().replicate(op, found -> {
             if (found == null) {
-                nobody(answer);
+                answerUnavailable(answer);
             } else if (found.has("error")) {
                 answer.say(409, TEXT, "", found.get("error").getAsString() + "\n");
             } else {
--- a/src/main/java/laneflow/maintenance/MaintenanceConfig.java
+++ b/src/main/java/laneflow/maintenance/MaintenanceConfig.java
@@ -18,37 +18,37 @@
 import laneflow.policy.PolicyConfig;
 import laneflow.task.TaskConfig;
 
-/** What the operators set for maintenance windows: the table {@code [maintenance]}, racks and tenants. */
+/** Settings of the table {@code [maintenance]}, with racks and tenants. */
 public final class MaintenanceConfig {
-    private static final long MINUTE = 60_000;
-    private static final long DAY = 24 * 60 * MINUTE;
-    private static final long MOST_AHEAD = 60 * DAY;
-    private static final int MOST_STEPS = 6_000;
+    private static final long MINUTE_MS = 60_000;
+    private static final long DAY_MS = 24 * 60 * MINUTE_MS;
+    private static final long MAX_HORIZON_MS = 60 * DAY_MS;
+    private static final int MAX_STEPS = 6_000;
 
-    /** Null where endpoints or tenants are not sound: findings say why. */
+    /** Null if endpoints or tenants are invalid; the findings say why. */
     public final Inventory inventory;
-    /** The endpoints of each rack. */
+    /** Endpoints by rack. */
     public final SortedMap<String, List<String>> racks;
 
-    public final Fairness.Limits terms;
-    public final Planner.Parameters planning;
-    public final Coordinator.Times times;
-    /** The part of its entitlement that a tenant is expected to ask for. */
-    public final double demand;
-    /** Microseconds between two looks of the coordinator. */
-    public final long look;
-    /** Microseconds behind its lease for which one that is silent counts as sending; negative: not said. */
-    public final long silent;
-    /** How many calls in a row come to no connection until an endpoint counts as lost. */
+    public final Fairness.Limits fairnessLimits;
+    public final Planner.Parameters planningParameters;
+    public final Coordinator.Timeouts timeouts;
+    /** Fraction of its entitlement that each tenant is expected to request. */
+    public final double expectedDemand;
+    /** Interval between two polls of the coordinator, in microseconds. */
+    public final long pollMicros;
+    /** How long after its lease a silent scheduler counts as sending, in microseconds; negative: not set. */
+    public final long silenceMicros;
+    /** Number of consecutive failed connection attempts after which an endpoint counts as lost. */
     public final int lostAfter;
-    /** The part of a rack's endpoints that are lost from which it counts as lost. */
+    /** Fraction of a rack's endpoints that have to be lost for the rack to count as lost. */
     public final double lostShare;
-    /** Milliseconds for which a rack is left to warm up behind its return. */
-    public final long warm;
-    /** Milliseconds in which what was asked for at its most counts half. */
-    public final double demandHalf;
-    /** Milliseconds after which losses go into the ledger. */
-    public final long accounts;
+    /** Warm-up time of a rack after its return, in milliseconds. */
+    public final long warmUpMillis;
+    /** Half-life of the peak demand, in milliseconds. */
+    public final double demandHalfLifeMillis;
+    /** Interval at which losses are written to the ledger, in milliseconds. */
+    public final long accountsMillis;
 
     private MaintenanceConfig(Table from, PolicyConfig policy, TaskConfig tasks, JsonObject settings, JsonArray hosts) {
         if (policy == null) {
@@ -64,45 +64,46 @@
         }
         inventory = InventoryReader.read(settings, hosts, from.findings());
         racks = racks(hosts);
-        long step = millis(from, "step_ms", 15 * MINUTE, 10, DAY);
-        long ahead = millis(from, "ahead_ms", 14 * DAY, 1000, MOST_AHEAD);
-        if (ahead / step > MOST_STEPS || ahead < step) {
-            from.wrong("ahead_ms", "is " + ahead / step + " times step_ms, and has to be 1 to " + MOST_STEPS);
+        long step = millis(from, "step_ms", 15 * MINUTE_MS, 10, DAY_MS);
+        long horizon = millis(from, "ahead_ms", 14 * DAY_MS, 1000, MAX_HORIZON_MS);
+        if (horizon / step > MAX_STEPS || horizon < step) {
+            from.wrong("ahead_ms", "is " + horizon / step + " times step_ms, and has to be 1 to " + MAX_STEPS);
         }
-        long drain = millis(from, "drain_ms", 10 * MINUTE, 10, DAY);
-        terms = new Fairness.Limits(
+        long drain = millis(from, "drain_ms", 10 * MINUTE_MS, 10, DAY_MS);
+        fairnessLimits = new Fairness.Limits(
                 from.number("tolerance", 0.02, 0, 1),
                 from.number("shortage", 0.05, 0, 1),
                 from.number("debt", 0.001, 1e-6, 1),
-                millis(from, "half_life_ms", 7 * DAY, 1000, MOST_AHEAD));
-        planning = new Planner.Parameters(
+                millis(from, "half_life_ms", 7 * DAY_MS, 1000, MAX_HORIZON_MS));
+        planningParameters = new Planner.Parameters(
                 0,
                 step,
-                (int) Math.min(MOST_STEPS, Math.max(1, ahead / step)),
+                (int) Math.min(MAX_STEPS, Math.max(1, horizon / step)),
                 drain,
-                millis(from, "return_ms", 10 * MINUTE, 10, DAY),
+                millis(from, "return_ms", 10 * MINUTE_MS, 10, DAY_MS),
                 from.number("reserve", 0, 0, 1),
                 (int) from.whole("most_flows", 1500, 1, 100_000));
-        times = new Coordinator.Times(
+        timeouts = new Coordinator.Timeouts(
                 drain,
-                millis(from, "begin_ms", 30 * MINUTE, 10, DAY),
-                millis(from, "overrun_ms", 10 * MINUTE, 0, DAY),
-                millis(from, "give_back_ms", 30 * MINUTE, 10, DAY),
-                millis(from, "late_ms", 60 * MINUTE, 0, DAY),
-                millis(from, "early_ms", MINUTE, 0, DAY),
-                millis(from, "lost_ms", DAY, 1000, MOST_AHEAD));
-        demand = from.number("demand", 1, 0, 1);
-        look = millis(from, "look_ms", 1000, 10, 60_000) * 1000;
-        if (times.early() * 1000 < 2 * look) {
-            // It would miss its notice by a look, be planned anew, and miss that one too.
+                millis(from, "begin_ms", 30 * MINUTE_MS, 10, DAY_MS),
+                millis(from, "overrun_ms", 10 * MINUTE_MS, 0, DAY_MS),
+                millis(from, "give_back_ms", 30 * MINUTE_MS, 10, DAY_MS),
+                millis(from, "late_ms", 60 * MINUTE_MS, 0, DAY_MS),
+                millis(from, "early_ms", MINUTE_MS, 0, DAY_MS),
+                millis(from, "lost_ms", DAY_MS, 1000, MAX_HORIZON_MS));
+        expectedDemand = from.number("demand", 1, 0, 1);
+        pollMicros = millis(from, "look_ms", 1000, 10, 60_000) * 1000;
+        if (timeouts.early() * 1000 < 2 * pollMicros) {
+            // With a shorter lead the coordinator could miss the notice between two polls, plan the window
+            // again, and miss that notice too.
             from.wrong("early_ms", "is less than two looks, of look_ms each");
         }
-        silent = millis(from, "silent_ms", -1, 0, DAY) * 1000;
+        silenceMicros = millis(from, "silent_ms", -1, 0, DAY_MS) * 1000;
         lostAfter = (int) from.whole("lost_after", 3, 1, 1000);
         lostShare = from.number("lost_share", 0.25, 0.001, 1);
-        warm = millis(from, "warm_ms", 0, 0, DAY);
-        demandHalf = millis(from, "demand_half_ms", MINUTE, 10, DAY);
-        accounts = millis(from, "accounts_ms", MINUTE, 100, DAY);
+        warmUpMillis = millis(from, "warm_ms", 0, 0, DAY_MS);
+        demandHalfLifeMillis = millis(from, "demand_half_ms", MINUTE_MS, 10, DAY_MS);
+        accountsMillis = millis(from, "accounts_ms", MINUTE_MS, 100, DAY_MS);
         from.close();
     }
 
@@ -114,18 +115,18 @@
         SortedMap<String, List<String>> racks = new TreeMap<>();
         for (JsonElement each : hosts) {
             JsonObject host = each.getAsJsonObject();
-            racks.computeIfAbsent(InventoryReader.rack(host), name -> new ArrayList<>())
+            racks.computeIfAbsent(InventoryReader.rackOf(host), name -> new ArrayList<>())
                     .add(host.get("host").getAsString());
         }
         return Collections.unmodifiableSortedMap(racks);
     }
 
-    /** The racks that stand in the settings. */
-    public Set<String> names() {
+    /** Names of the racks in the settings. */
+    public Set<String> rackNames() {
         return racks.keySet();
     }
 
-    /** These racks' endpoints. */
+    /** Endpoints of these racks. */
     public Map<String, List<String>> endpoints(List<String> these) {
         Map<String, List<String>> all = new TreeMap<>(racks);
         all.keySet().retainAll(these);
@@ -133,7 +134,7 @@
     }
 
     /**
-     * Reads the table; what is wrong becomes findings of the table's.
+     * Reads the table; errors become findings of the table.
      *
      * @param settings in the platform's form, with classes, zones and customers
      * @param hosts the endpoints, in that form
--- a/src/main/java/laneflow/maintenance/MaintenanceExtension.java
+++ b/src/main/java/laneflow/maintenance/MaintenanceExtension.java
@@ -22,66 +22,67 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Maintenance windows in a process, as far as they ride on policy's renewals: each scheduler tells whether
- * it still has calls at what is banned, and a coordinator its orders; the leader tells a coordinator how
- * things stand, and puts its orders into the log. On the control thread. Also where a file has no table for
- * windows: whoever decides by the fleet's policy has to say when it has stopped sending.
+ * Exchanges maintenance data with policy renewals and grants: each scheduler reports whether it still has
+ * calls at banned endpoints, and the coordinator sends its operations; the leader replicates these and sends
+ * the coordinator a snapshot of its state. Runs also in a process without a [maintenance] table, since every
+ * scheduler that decides by the fleet's policy has to report when it has stopped sending. On the control
+ * thread.
  */
 public final class MaintenanceExtension implements RenewalExtension {
     private static final Logger LOG = LoggerFactory.getLogger(MaintenanceExtension.class);
-    private static final int LOST_AFTER = 3;
-    private static final double HALF_MS = 60_000;
-    /** So soon a call that was out is looked for again. */
-    private static final long AGAIN = 20_000;
+    private static final int UNREACHABLE_AFTER = 3;
+    private static final double DEMAND_HALF_LIFE_MS = 60_000;
+    /** Delay until the next sample while banned endpoints still have open calls. */
+    private static final long RESAMPLE_MICROS = 20_000;
 
     private final Loop loop;
     private final Scheduler scheduler;
     private final Counters counters;
-    /** Null where this file has no table for windows. */
+    /** Null if the configuration has no [maintenance] table. */
     private final MaintenanceConfig config;
 
-    private final CallWatch watch;
-    private final Deadline again;
-    private Context by;
-    /** What this process saw of itself last; null before the first look. */
-    private CallWatch.Seen seen;
+    private final CallSampler sampler;
+    private final Deadline resample;
+    private Context context;
+    /** The last sample of this process; null before the first. */
+    private CallSampler.Sample sample;
 
     private double[][] demand = new double[0][];
     private long demandAt;
-    private boolean toldOnce;
-    /** Null where this process coordinates nothing. */
-    private Coordination coordination;
-    /** Milliseconds of the longest deadline of a class that was ever in force here. */
-    private long longest;
+    private boolean hasReported;
+    /** Null if this process takes no part in coordination. */
+    private CoordinatorTask coordinatorTask;
+    /** Longest deadline of a class that was ever in force here, in milliseconds. */
+    private long longestDeadlineMillis;
 
     // ---- while this process leads ----
 
-    /** Null where it does not lead. */
+    /** Null if this process does not lead. */
     private Sending sending;
 
     private int term;
     private WindowLedger.View view;
-    private final Map<String, Follower> followers = new HashMap<>();
+    private final Map<String, SchedulerState> schedulers = new HashMap<>();
 
-    /** One that rides here, as the leader knows it. */
-    private static final class Follower {
+    /** A scheduler as the leader knows it. */
+    private static final class SchedulerState {
         private double[][] demand = new double[0][];
         private long heardAt;
-        /** The coordinator's token, or negative. */
+        /** The scheduler's coordinator token, or negative. */
         private long token = -1;
 
-        private String known = "";
-        private long taken;
-        private int open;
+        private String knownView = "";
+        private long acceptedId;
+        private int pendingOps;
         private long answeredAt;
-        private long done;
+        private long completedId;
     }
 
     /**
-     * Rides from here on.
+     * Creates the extension.
      *
-     * @param policy the one in force, on the traffic's thread
-     * @param config null where this file has no table for windows
+     * @param policy reads the version in force; called on the traffic thread
+     * @param config null if the configuration has no [maintenance] table
      */
     public MaintenanceExtension(
             Loop loop,
@@ -94,23 +95,28 @@
         this.scheduler = scheduler;
         this.counters = counters;
         this.config = config;
-        watch = new CallWatch(
-                loop, traffic, scheduler, policy, config == null ? LOST_AFTER : config.lostAfter, this::seen);
-        again = loop.deadlines().create(watch::look);
-        // One that leads before its first look must not hold calls for shorter than they are.
-        longest = CallWatch.longest(scheduler);
+        sampler = new CallSampler(
+                loop,
+                traffic,
+                scheduler,
+                policy,
+                config == null ? UNREACHABLE_AFTER : config.lostAfter,
+                this::onSample);
+        resample = loop.deadlines().create(sampler::request);
+        // A process that leads before its first sample must not assume shorter calls than there are.
+        longestDeadlineMillis = CallSampler.longestDeadlineMillis(scheduler);
     }
 
-    /** This process takes part in coordinating. */
-    void coordinate(Coordination by) {
-        coordination = by;
+    /** Sets the task with which this process takes part in coordination. */
+    void setCoordinatorTask(CoordinatorTask task) {
+        coordinatorTask = task;
     }
 
-    Context carriage() {
-        return by;
+    Context context() {
+        return context;
     }
 
-    // ---- as a rider: at a scheduler ----
+    // ---- at a scheduler ----
 
     @Override
     public String ledgerPart() {
@@ -118,97 +124,97 @@
     }
 
     @Override
-    public void start(Context carriage) {
-        by = carriage;
+    public void start(Context renewalContext) {
+        context = renewalContext;
     }
 
-    private void seen(CallWatch.Seen now) {
-        boolean news = seen == null
-                || seen.policy() != now.policy()
-                || !seen.busy().equals(now.busy())
-                || !seen.lost().equals(now.lost());
-        seen = now;
-        peak(now.demand());
-        longest = Math.max(longest, now.longest());
+    private void onSample(CallSampler.Sample now) {
+        boolean isChanged = sample == null
+                || sample.policy() != now.policy()
+                || !sample.busy().equals(now.busy())
+                || !sample.unreachable().equals(now.unreachable());
+        sample = now;
+        updatePeakDemand(now.demand());
+        longestDeadlineMillis = Math.max(longestDeadlineMillis, now.longest());
         if (sending != null) {
-            sending.longest(callsLast());
+            sending.raiseMaxCallDuration(maxCallMicros());
         }
         if (!now.busy().isEmpty()) {
-            loop.deadlines().set(again, loop.micros() + AGAIN);
+            loop.deadlines().set(resample, loop.micros() + RESAMPLE_MICROS);
         }
-        if (news) {
-            by.renewNow();
+        if (isChanged) {
+            context.renewNow();
         }
     }
 
     /**
-     * The most that was asked for of late, its memory decaying: in a shortage requests are refused at once,
-     * and what is open then says nothing of what is missing.
+     * Tracks the recent peak of the demand, which decays: in a shortage requests are refused at once, so the
+     * open ones do not show what is missing.
      */
-    private void peak(double[][] open) {
+    private void updatePeakDemand(double[][] current) {
         long passed = loop.micros() - demandAt;
         demandAt = loop.micros();
-        double half = 1000 * (config == null ? HALF_MS : config.demandHalf);
+        double half = 1000 * (config == null ? DEMAND_HALF_LIFE_MS : config.demandHalfLifeMillis);
         double left = Math.pow(0.5, passed / half);
-        for (int t = 0; t < open.length; t++) {
-            for (int k = 0; k < open[t].length; k++) {
+        for (int t = 0; t < current.length; t++) {
+            for (int k = 0; k < current[t].length; k++) {
                 boolean known = t < demand.length && k < demand[t].length;
-                open[t][k] = Math.max(open[t][k], known ? demand[t][k] * left : 0);
+                current[t][k] = Math.max(current[t][k], known ? demand[t][k] * left : 0);
             }
         }
-        demand = open;
+        demand = current;
     }
 
     @Override
     public JsonElement renewalData() {
-        if (config == null && scheduler.banned().isEmpty() && !toldOnce) {
+        if (config == null && scheduler.banned().isEmpty() && !hasReported) {
             return null;
         }
-        // Behind a first word it goes on: what was said once must not stand for ever.
-        toldOnce = config != null || !scheduler.banned().isEmpty();
-        watch.look();
-        if (seen == null) {
+        // Reports once more after the last ban is gone, so that an old report does not stay in effect.
+        hasReported = config != null || !scheduler.banned().isEmpty();
+        sampler.request();
+        if (sample == null) {
             return null;
         }
         JsonObject all = new JsonObject();
-        all.addProperty("policy", seen.policy());
-        all.add("busy", CoordinatorSnapshot.texts(seen.busy()));
-        all.add("lost", CoordinatorSnapshot.texts(seen.lost()));
+        all.addProperty("policy", sample.policy());
+        all.add("busy", CoordinatorSnapshot.texts(sample.busy()));
+        all.add("lost", CoordinatorSnapshot.texts(sample.unreachable()));
         all.add("demand", CoordinatorSnapshot.rows(demand));
-        if (coordination != null) {
-            coordination.say(all);
+        if (coordinatorTask != null) {
+            coordinatorTask.addRenewalData(all);
         }
         return all;
     }
 
     @Override
     public void onGrant(JsonElement word, long sentAt, long heardAt) {
-        if (coordination != null) {
-            coordination.told(word.getAsJsonObject());
+        if (coordinatorTask != null) {
+            coordinatorTask.onGrant(word.getAsJsonObject());
         }
     }
 
-    // ---- as a rider: at the leader ----
+    // ---- at the leader ----
 
     @Override
     public void onElected(int now) {
         term = now;
         view = null;
-        followers.clear();
-        sending = new Sending(by.now(), by.leaseMicros(), callsLast());
-        watch.look();
+        schedulers.clear();
+        sending = new Sending(context.now(), context.leaseMicros(), maxCallMicros());
+        sampler.request();
     }
 
-    /** Microseconds for which a call may be out. */
-    private long callsLast() {
-        return config == null || config.silent < 0 ? longest * 1000 : config.silent;
+    /** How long a call may be open, in microseconds. */
+    private long maxCallMicros() {
+        return config == null || config.silenceMicros < 0 ? longestDeadlineMillis * 1000 : config.silenceMicros;
     }
 
     @Override
     public void onLeadershipLost() {
         sending = null;
         view = null;
-        followers.clear();
+        schedulers.clear();
     }
 
     @Override
@@ -217,11 +223,11 @@
             return;
         }
         view = (WindowLedger.View) part;
-        for (Map.Entry<String, Follower> one : followers.entrySet()) {
-            Follower follower = one.getValue();
-            if (follower.open == 0 && follower.done < follower.taken && submittedAt >= follower.answeredAt) {
-                follower.done = follower.taken;
-                by.sendGrant(one.getKey());
+        for (Map.Entry<String, SchedulerState> one : schedulers.entrySet()) {
+            SchedulerState state = one.getValue();
+            if (state.pendingOps == 0 && state.completedId < state.acceptedId && submittedAt >= state.answeredAt) {
+                state.completedId = state.acceptedId;
+                context.sendGrant(one.getKey());
             }
         }
     }
@@ -232,40 +238,40 @@
             return;
         }
         JsonObject said = word.getAsJsonObject();
-        long now = by.now();
-        sending.heard(
+        long now = context.now();
+        sending.onReport(
                 now,
                 who,
-                new Sending.Said(
+                new Sending.Report(
                         said.get("policy").getAsLong(),
                         CoordinatorSnapshot.texts(said, "busy"),
                         CoordinatorSnapshot.texts(said, "lost")));
-        Follower follower = followers.computeIfAbsent(who, name -> new Follower());
-        follower.heardAt = now;
-        follower.demand = CoordinatorSnapshot.rows(said.getAsJsonArray("demand"));
-        follower.token = said.has("token") ? said.get("token").getAsLong() : -1;
-        follower.known = said.has("known") ? said.get("known").getAsString() : "";
-        if (said.has("ops") && said.get("id").getAsLong() > follower.taken && follower.open == 0) {
-            follower.taken = said.get("id").getAsLong();
-            carryOut(who, follower, said.getAsJsonArray("ops"));
+        SchedulerState state = schedulers.computeIfAbsent(who, name -> new SchedulerState());
+        state.heardAt = now;
+        state.demand = CoordinatorSnapshot.rows(said.getAsJsonArray("demand"));
+        state.token = said.has("token") ? said.get("token").getAsLong() : -1;
+        state.knownView = said.has("known") ? said.get("known").getAsString() : "";
+        if (said.has("ops") && said.get("id").getAsLong() > state.acceptedId && state.pendingOps == 0) {
+            state.acceptedId = said.get("id").getAsLong();
+            replicateOps(who, state, said.getAsJsonArray("ops"));
         }
     }
 
-    private void carryOut(String who, Follower follower, JsonArray ops) {
-        follower.open = ops.size();
+    private void replicateOps(String who, SchedulerState state, JsonArray ops) {
+        state.pendingOps = ops.size();
         for (JsonElement each : ops) {
             JsonObject op = each.getAsJsonObject();
             boolean own =
                     op.has(Ledger.PART) && op.get(Ledger.PART).getAsString().equals(WindowLedger.NAME);
             boolean bans = op.has("by") && op.get("by").getAsString().equals(WindowLedger.NAME);
             if (!own && !bans) {
-                follower.open--;
-                LOG.warn("maintenance: {} orders what is no coordinator's: {}", who, op);
+                state.pendingOps--;
+                LOG.warn("maintenance: ignored an operation of {} that is not a coordinator's: {}", who, op);
                 continue;
             }
-            by.replicate(op, answer -> {
-                follower.open--;
-                follower.answeredAt = by.now();
+            context.replicate(op, answer -> {
+                state.pendingOps--;
+                state.answeredAt = context.now();
                 counters.add(answer == null || answer.has("error") ? "maintenance.turned_down" : "maintenance.logged");
                 if (answer != null && answer.has("error")) {
                     LOG.info("maintenance: {}", answer.get("error").getAsString());
@@ -279,54 +285,61 @@
         if (sending == null) {
             return null;
         }
-        sending.told(by.now(), who);
-        Follower follower = followers.get(who);
-        if (follower == null || follower.token < 0 || view == null) {
+        sending.onGrant(context.now(), who);
+        SchedulerState state = schedulers.get(who);
+        if (state == null || state.token < 0 || view == null) {
             return null;
         }
-        CoordinatorSnapshot picture = picture(follower.done);
-        return picture.json(follower.known.equals(term + "/" + view.version()));
+        CoordinatorSnapshot snapshot = snapshot(state.completedId);
+        return snapshot.toJson(state.knownView.equals(term + "/" + view.version()));
     }
 
     @Override
     public void onSchedulerLeft(String who) {
         if (sending != null) {
-            sending.left(who);
-            followers.remove(who);
+            sending.onLeft(who);
+            schedulers.remove(who);
         }
     }
 
     // ---- what the leader knows ----
 
-    /** Null where this process does not lead, or no majority has confirmed it yet. */
-    CoordinatorSnapshot picture(long done) {
+    /** Null if this process does not lead or no majority has confirmed it yet. */
+    CoordinatorSnapshot snapshot(long done) {
         if (sending == null || view == null) {
             return null;
         }
-        long now = by.now();
-        Set<String> clear = new TreeSet<>();
+        long now = context.now();
+        Set<String> drained = new TreeSet<>();
         view.racks()
                 .values()
                 .forEach(names -> names.forEach(name -> {
                     if (view.bans().contains(name)
-                            && sending.sending(now, view.inForce(), name).isEmpty()) {
-                        clear.add(name);
+                            && sending.possibleSenders(now, view.inForce(), name)
+                                    .isEmpty()) {
+                        drained.add(name);
                     }
                 }));
         double[][] demand = new double[0][];
-        for (Follower one : followers.values()) {
-            if (now - one.heardAt <= by.leaseMicros()) {
-                demand = demand.length < one.demand.length ? larger(one.demand, demand) : demand;
+        for (SchedulerState one : schedulers.values()) {
+            if (now - one.heardAt <= context.leaseMicros()) {
+                demand = demand.length < one.demand.length ? withShapeOf(one.demand, demand) : demand;
                 if (demand != one.demand) {
                     CoordinatorSnapshot.add(demand, one.demand);
                 }
             }
         }
         return new CoordinatorSnapshot(
-                term, view, clear, sending.hasBegun(now, view.inForce()), sending.lost(now), demand, done);
+                term,
+                view,
+                drained,
+                sending.haveAllApplied(now, view.inForce()),
+                sending.unreachable(now),
+                demand,
+                done);
     }
 
-    private static double[][] larger(double[][] form, double[][] with) {
+    private static double[][] withShapeOf(double[][] form, double[][] with) {
         double[][] all = new double[form.length][];
         for (int i = 0; i < form.length; i++) {
             all[i] = new double[form[i].length];
@@ -335,23 +348,23 @@
         return all;
     }
 
-    /** Who still sends, or may, to racks of that window; at the leader. */
-    List<String> sends(List<String> racks) {
+    /** Schedulers that send, or may send, to these racks; at the leader. */
+    List<String> possibleSenders(List<String> racks) {
         Set<String> all = new TreeSet<>();
         for (String rack : view == null ? List.<String>of() : racks) {
             for (String name : view.racks().getOrDefault(rack, List.of())) {
-                all.addAll(sending.sending(by.now(), view.inForce(), name));
+                all.addAll(sending.possibleSenders(context.now(), view.inForce(), name));
             }
         }
         return new ArrayList<>(all);
     }
 
-    /** The process that coordinates, as the leader has heard, and its token; or null. */
+    /** The process that coordinates, as last reported to the leader, and its token; or null. */
     Map.Entry<String, Long> coordinator() {
         String who = null;
         long token = -1;
-        for (Map.Entry<String, Follower> one : followers.entrySet()) {
-            if (one.getValue().token > token && by.now() - one.getValue().heardAt <= by.leaseMicros()) {
+        for (Map.Entry<String, SchedulerState> one : schedulers.entrySet()) {
+            if (one.getValue().token > token && context.now() - one.getValue().heardAt <= context.leaseMicros()) {
                 who = one.getKey();
                 token = one.getValue().token;
             }
--- a/src/main/java/laneflow/maintenance/MaintenanceSubsystem.java
+++ b/src/main/java/laneflow/maintenance/MaintenanceSubsystem.java
@@ -8,37 +8,38 @@
 import laneflow.policy.RenewalExtension.Context;
 import laneflow.task.Tasks;
 
-/** Windows put together at one scheduler: its part in coordinating, and its port. On the control thread. */
+/** Wires maintenance windows into a scheduler: the coordinator task and the HTTP API. On the control thread. */
 public final class MaintenanceSubsystem {
-    /** Null where this file has no table for windows. */
-    private final Coordination coordination;
+    /** Null if the configuration has no [maintenance] table. */
+    private final CoordinatorTask coordinatorTask;
 
     private final ExecutorService thread;
-    private final MaintenanceExtension rider;
+    private final MaintenanceExtension extension;
 
-    /** @param config null where this file has no table for windows: the port is there all the same */
+    /** @param config null if the configuration has no [maintenance] table; the API is served all the same */
     public MaintenanceSubsystem(
             Loop loop,
             Fleet fleet,
             Tasks tasks,
             Counters counters,
-            MaintenanceExtension rider,
+            MaintenanceExtension extension,
             MaintenanceConfig config) {
-        this.rider = rider;
+        this.extension = extension;
         thread = config == null ? null : Threads.inOrder("maintenance-planner");
-        coordination =
-                config == null ? null : new Coordination(loop, tasks, counters, config, thread, new Planning(config));
-        new MaintenancePort(loop, fleet, rider, config, thread, config == null ? null : new Planning(config));
+        coordinatorTask = config == null
+                ? null
+                : new CoordinatorTask(loop, tasks, counters, config, thread, new PlanningSession(config));
+        new MaintenanceApi(loop, fleet, extension, config, thread, config == null ? null : new PlanningSession(config));
     }
 
-    /** From now on this process takes part in coordinating. */
+    /** Starts taking part in coordination. */
     public void begin() {
-        if (coordination == null) {
+        if (coordinatorTask == null) {
             return;
         }
-        rider.coordinate(coordination);
-        Context by = rider.carriage();
-        coordination.begin(new Coordination.Rider() {
+        extension.setCoordinatorTask(coordinatorTask);
+        Context by = extension.context();
+        coordinatorTask.start(new CoordinatorTask.Renewals() {
             @Override
             public void renewNow() {
                 by.renewNow();
@@ -51,10 +52,10 @@
         });
     }
 
-    /** Coordinates no more. */
+    /** Stops taking part in coordination. */
     public void close() {
-        if (coordination != null) {
-            coordination.close();
+        if (coordinatorTask != null) {
+            coordinatorTask.close();
         }
     }
 }
--- a/src/main/java/laneflow/maintenance/Planning.java
+++ b/src/main/java/laneflow/maintenance/PlanningSession.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import laneflow.maintenance.decision.Accounts;
 import laneflow.maintenance.decision.Coordinator;
 import laneflow.maintenance.decision.Fairness;
 import laneflow.maintenance.decision.Forecast;
 import laneflow.maintenance.decision.Inventory;
+import laneflow.maintenance.decision.LossAccounts;
 import laneflow.maintenance.decision.Plan;
 import laneflow.maintenance.decision.Request;
 import laneflow.maintenance.decision.WindowLedger;
@@ -23,59 +23,62 @@
 import laneflow.policy.decision.Ledger;
 
 /**
- * What follows from a picture of the fleet: steps for the ledger, a change of policy's bans, and what a
- * request would get. On a thread of its own, since a plan takes up to seconds; never on two at a time.
+ * Computes what follows from a snapshot of the fleet: steps for the ledger, a change of the policy's bans, and
+ * the result of a dry run. A plan takes up to seconds, so it runs on its own thread; not thread-safe.
  */
-final class Planning {
-    private static final long FOREVER = 1L << 40;
+final class PlanningSession {
+    private static final long FOREVER_MS = 1L << 40;
 
     private final MaintenanceConfig config;
     private final Inventory inventory;
     private final Fairness fairness;
     private final Coordinator coordinator;
-    /** Since when racks of windows that return are given back, as far as this process knows. */
+    /** When the racks of returning windows became available again, as far as this process knows. */
     private final Map<String, Long> backSince = new HashMap<>();
 
-    private Accounts accounts;
-    private long lostAtMs;
+    private LossAccounts accounts;
+    private long accountedAtMs;
     private long writtenAtMs;
     private long token = -1;
     private int proposals;
 
-    Planning(MaintenanceConfig config) {
+    PlanningSession(MaintenanceConfig config) {
         this.config = config;
         inventory = config.inventory;
-        fairness = new Fairness(inventory, config.terms);
-        coordinator = new Coordinator(fairness, config.planning, forecast(), config.times);
+        fairness = new Fairness(inventory, config.fairnessLimits);
+        coordinator = new Coordinator(fairness, config.planningParameters, forecast(), config.timeouts);
     }
 
-    /** The same part of every entitlement, at all times, spread evenly over the classes that it may run. */
+    /** A constant fraction of every entitlement, spread evenly over the classes that the tenant may run. */
     private Forecast forecast() {
         double[][] demand =
                 new double[inventory.tenants().size()][inventory.classes().size()];
         for (int t = 0; t < demand.length; t++) {
             int runs = 0;
             for (int k = 0; k < demand[t].length; k++) {
-                runs += inventory.places(t, k) != 0 ? 1 : 0;
+                runs += inventory.eligibleCells(t, k) != 0 ? 1 : 0;
             }
             for (int k = 0; k < demand[t].length; k++) {
-                demand[t][k] = inventory.places(t, k) == 0 ? 0 : inventory.entitlement(t) * config.demand / runs;
+                demand[t][k] = inventory.eligibleCells(t, k) == 0
+                        ? 0
+                        : inventory.entitlement(t) * config.expectedDemand / runs;
             }
         }
-        return new Forecast(0, FOREVER, List.<double[][]>of(demand));
+        return new Forecast(0, FOREVER_MS, List.<double[][]>of(demand));
     }
 
-    // ---- facts ----
+    // ---- observation ----
 
-    private Coordinator.Facts facts(CoordinatorSnapshot picture, long nowMs, double[] over) {
-        WindowLedger.View view = picture.view();
+    private Coordinator.Observation observe(CoordinatorSnapshot snapshot, long nowMs, double[] excess) {
+        WindowLedger.View view = snapshot.view();
         Set<String> lost = new HashSet<>();
         Set<String> banned = new HashSet<>();
-        Set<String> clear = new HashSet<>();
-        Set<String> well = new HashSet<>();
+        Set<String> drained = new HashSet<>();
+        Set<String> recovered = new HashSet<>();
         config.racks.forEach((rack, endpoints) -> {
-            long gone = endpoints.stream().filter(picture.lost()::contains).count();
-            if (gone >= Math.max(1, config.lostShare * endpoints.size())) {
+            long missing =
+                    endpoints.stream().filter(snapshot.unreachable()::contains).count();
+            if (missing >= Math.max(1, config.lostShare * endpoints.size())) {
                 lost.add(rack);
             }
         });
@@ -88,65 +91,70 @@
         for (String rack : view.racks().keySet()) {
             List<String> endpoints = view.racks().get(rack);
             boolean isBanned = view.isBanned(rack);
-            // What operators ban besides is not the window's to give back.
-            boolean keeps = endpoints.stream()
-                    .anyMatch(name -> view.own().contains(name) && view.bans().contains(name));
-            if (returning.contains(rack) ? keeps : isBanned) {
+            // Bans by operators are not removed when the window returns.
+            boolean isStillBanned = endpoints.stream()
+                    .anyMatch(name ->
+                            view.windowBans().contains(name) && view.bans().contains(name));
+            if (returning.contains(rack) ? isStillBanned : isBanned) {
                 banned.add(rack);
             }
-            if (isBanned && picture.clear().containsAll(endpoints)) {
-                clear.add(rack);
+            if (isBanned && snapshot.drained().containsAll(endpoints)) {
+                drained.add(rack);
             }
-            boolean back = returning.contains(rack) && !keeps && picture.begun();
-            if (!back) {
+            boolean isBack = returning.contains(rack) && !isStillBanned && snapshot.policyApplied();
+            if (!isBack) {
                 backSince.remove(rack);
-            } else if (nowMs >= backSince.computeIfAbsent(rack, name -> nowMs) + config.warm && !lost.contains(rack)) {
-                well.add(rack);
+            } else if (nowMs >= backSince.computeIfAbsent(rack, name -> nowMs) + config.warmUpMillis
+                    && !lost.contains(rack)) {
+                recovered.add(rack);
             }
         }
         backSince.keySet().retainAll(view.racks().keySet());
-        return new Coordinator.Facts(nowMs, fairness.due(demand(picture)), lost, banned, clear, well, over);
+        return new Coordinator.Observation(
+                nowMs, fairness.due(demand(snapshot)), lost, banned, drained, recovered, excess);
     }
 
-    private double[][] demand(CoordinatorSnapshot picture) {
+    private double[][] demand(CoordinatorSnapshot snapshot) {
         double[][] demand =
                 new double[inventory.tenants().size()][inventory.classes().size()];
-        CoordinatorSnapshot.add(demand, picture.demand());
+        CoordinatorSnapshot.add(demand, snapshot.demand());
         return demand;
     }
 
     // ---- the coordinator ----
 
-    /** What whoever holds that token has to have put into the log, in this order. */
-    List<JsonObject> orders(CoordinatorSnapshot picture, long byToken, long nowMs) {
-        WindowLedger.View view = picture.view();
+    /** The operations that the coordinator with that token has to replicate, in order. */
+    List<JsonObject> orders(CoordinatorSnapshot snapshot, long byToken, long nowMs) {
+        WindowLedger.View view = snapshot.view();
         if (byToken != token) {
             token = byToken;
-            accounts = new Accounts(config.terms.halfLifeMs());
+            accounts = new LossAccounts(config.fairnessLimits.halfLifeMs());
             accounts.restore(view.accounts());
-            lostAtMs = nowMs;
+            accountedAtMs = nowMs;
             writtenAtMs = nowMs;
         }
         List<JsonObject> all = new ArrayList<>();
-        Coordinator.Facts facts = facts(picture, nowMs, accounts.over(inventory, nowMs));
-        account(view, facts, all);
-        Coordinator.Orders orders = coordinator.orders(view.windows().copy(this::isKnown), facts, token);
+        Coordinator.Observation observed = observe(snapshot, nowMs, accounts.excessLossRates(inventory, nowMs));
+        updateAccounts(view, observed, all);
+        Coordinator.Orders orders = coordinator.orders(view.windows().copy(this::isKnown), observed, token);
         boolean moves = false;
         for (JsonObject step : orders.steps()) {
             String to = step.get("to").getAsString();
-            moves |= to.equals(State.RETURNING.word()) || to.equals(State.DRAINING.word());
-            if (to.equals(State.DRAINING.word())) {
+            moves |= to.equals(State.RETURNING.label()) || to.equals(State.DRAINING.label());
+            if (to.equals(State.DRAINING.label())) {
                 Window window = view.windows().window(step.get("name").getAsString());
-                all.add(WindowLedger.drains(
+                all.add(WindowLedger.drainStep(
                         step, config.endpoints(window.request().racks())));
             } else {
-                all.add(WindowLedger.op(step));
+                all.add(WindowLedger.partOp(step));
             }
         }
         Set<String> away = new TreeSet<>(orders.banned());
-        view.windows().all().stream().filter(one -> !isKnown(one)).forEach(one -> unknown(view, one, nowMs, away, all));
+        view.windows().all().stream()
+                .filter(one -> !isKnown(one))
+                .forEach(one -> handleUnknownRacks(view, one, nowMs, away, all));
         Set<String> bans = view.bansFor(away);
-        // Bans that a step of the same orders makes wrong are left to the next look.
+        // A drain or return among these steps changes the required bans, so the bans wait for the next poll.
         if (!moves && !bans.equals(view.bans()) && !view.undecided()) {
             all.add(bans(bans, view.inForce(), nowMs));
         }
@@ -157,24 +165,28 @@
         return config.racks.keySet().containsAll(window.request().racks());
     }
 
-    /** Its racks were taken out of the file: it gets no time, and what is away stays away. */
-    private void unknown(WindowLedger.View view, Window window, long nowMs, Set<String> away, List<JsonObject> all) {
+    /**
+     * Handles a window whose racks are no longer in the configuration: it is not planned, and racks that are
+     * away stay away.
+     */
+    private void handleUnknownRacks(
+            WindowLedger.View view, Window window, long nowMs, Set<String> away, List<JsonObject> all) {
         State to = switch (window.state()) {
             case REQUESTED, POSTPONED -> State.REFUSED;
             case PLANNED, ANNOUNCED -> State.POSTPONED;
             default -> null;
         };
         if (to != null) {
-            List<String> gone = new ArrayList<>(window.request().racks());
-            gone.removeAll(config.racks.keySet());
-            all.add(WindowLedger.op(Windows.step(
+            List<String> missing = new ArrayList<>(window.request().racks());
+            missing.removeAll(config.racks.keySet());
+            all.add(WindowLedger.partOp(Windows.step(
                     token,
                     window,
                     to,
-                    view.windows().away(),
+                    view.windows().awayChanges(),
                     window.startMs(),
                     State.DONE,
-                    List.of("the coordinator's file knows no rack " + String.join(", ", gone)),
+                    List.of("the coordinator's file knows no rack " + String.join(", ", missing)),
                     nowMs)));
         } else if (window.state().isAway()) {
             away.addAll(window.request().racks());
@@ -194,10 +206,10 @@
                 WindowLedger.NAME + "-" + token + "-" + ++proposals, types, WindowLedger.NAME, nowMs, inForce);
     }
 
-    /** What tenants lose now goes onto their accounts; these go into the ledger from time to time. */
-    private void account(WindowLedger.View view, Coordinator.Facts facts, List<JsonObject> all) {
+    /** Adds current losses to the accounts and writes these to the ledger from time to time. */
+    private void updateAccounts(WindowLedger.View view, Coordinator.Observation observed, List<JsonObject> all) {
         Set<Integer> out = new HashSet<>();
-        Set<String> names = new TreeSet<>(facts.lost());
+        Set<String> names = new TreeSet<>(observed.lost());
         view.windows().all().stream()
                 .filter(one -> one.state().isAway())
                 .forEach(one -> names.addAll(one.request().racks()));
@@ -205,35 +217,36 @@
         out.remove(-1);
         double[] loss = out.isEmpty()
                 ? new double[inventory.tenants().size()]
-                : fairness.evaluate(facts.due(), inventory.slotsWithout(out), facts.accounts())
+                : fairness.evaluate(observed.due(), inventory.slotsWithout(out), observed.accounts())
                         .loss();
-        long passed = facts.nowMs() - lostAtMs;
+        long passed = observed.nowMs() - accountedAtMs;
         for (int t = 0; t < loss.length; t++) {
-            accounts.add(inventory.tenants().get(t).name(), loss[t], inventory.entitlement(t), passed, facts.nowMs());
+            accounts.addLoss(
+                    inventory.tenants().get(t).name(), loss[t], inventory.entitlement(t), passed, observed.nowMs());
         }
-        lostAtMs = facts.nowMs();
-        if (facts.nowMs() - writtenAtMs >= config.accounts && !out.isEmpty()) {
-            writtenAtMs = facts.nowMs();
-            all.add(WindowLedger.accounts(token, accounts.state()));
+        accountedAtMs = observed.nowMs();
+        if (observed.nowMs() - writtenAtMs >= config.accountsMillis && !out.isEmpty()) {
+            writtenAtMs = observed.nowMs();
+            all.add(WindowLedger.accountsOp(token, accounts.state()));
         }
     }
 
-    // ---- without deciding ----
+    // ---- dry run ----
 
-    /** Which times these would get now, or who stands against them; nothing is decided. */
-    JsonArray dryRun(CoordinatorSnapshot picture, List<Request> requests, long nowMs) {
-        Windows copy = picture.view().windows().copy(this::isKnown);
-        requests.forEach(one -> copy.run(Windows.request(one), rack -> false));
-        Accounts known = new Accounts(config.terms.halfLifeMs());
-        known.restore(picture.view().accounts());
-        Plan plan = coordinator.plan(copy, facts(picture, nowMs, known.over(inventory, nowMs)));
+    /** Which times these requests would get now, or why they would be refused; nothing is decided. */
+    JsonArray dryRun(CoordinatorSnapshot snapshot, List<Request> requests, long nowMs) {
+        Windows copy = snapshot.view().windows().copy(this::isKnown);
+        requests.forEach(one -> copy.apply(Windows.request(one), rack -> false));
+        LossAccounts known = new LossAccounts(config.fairnessLimits.halfLifeMs());
+        known.restore(snapshot.view().accounts());
+        Plan plan = coordinator.plan(copy, observe(snapshot, nowMs, known.excessLossRates(inventory, nowMs)));
         JsonArray all = new JsonArray();
         for (Request request : requests) {
             Window window = copy.window(request.name());
             Plan.Window found = plan == null ? null : plan.window(request.name());
             boolean waits = window.state() == State.REQUESTED || window.state() == State.POSTPONED;
             State state = !waits ? window.state() : found == null ? State.REFUSED : State.PLANNED;
-            all.add(told(
+            all.add(describe(
                     request.name(),
                     state,
                     found == null ? window.startMs() : found.startMs(),
@@ -243,10 +256,10 @@
     }
 
     /** A window in the answer to a request. */
-    static JsonObject told(String name, State state, long startMs, List<String> reasons) {
+    static JsonObject describe(String name, State state, long startMs, List<String> reasons) {
         JsonObject one = new JsonObject();
         one.addProperty("name", name);
-        one.addProperty("state", state.word());
+        one.addProperty("state", state.label());
         one.addProperty("start_ms", startMs);
         one.add("reasons", CoordinatorSnapshot.texts(reasons));
         return one;
--- a/src/main/java/laneflow/maintenance/RequestFile.java
+++ b/src/main/java/laneflow/maintenance/RequestFile.java
@@ -14,13 +14,13 @@
 import laneflow.maintenance.decision.Request;
 
 /**
- * A request for maintenance in the operators' words, read from TOML. One file may ask for one window or, by
- * a rule, for many; each of these is a request of its own. What is wrong is told all at once.
+ * Reads maintenance requests and freeze calendars from TOML files. A file asks for one window or, by a
+ * recurrence rule, for many, each of which becomes a request of its own. All errors are reported at once.
  */
 public final class RequestFile {
     private static final String NAME = "[A-Za-z0-9_.-]{1,48}";
-    private static final long MINUTE = 60_000;
-    private static final double WEEK = 7 * 24 * 60;
+    private static final long MINUTE_MS = 60_000;
+    private static final double WEEK_MINUTES = 7 * 24 * 60;
     private static final DateTimeFormatter DAY = DateTimeFormatter.ofPattern("yyyyMMdd");
 
     private final Table from;
@@ -38,10 +38,10 @@
     /**
      * Reads requests.
      *
-     * @param file what the text is called in findings
-     * @param racks those that are known; null: whoever is asked knows them, and checks them
-     * @param until occurrences of a rule are told up to here, Unix milliseconds
-     * @throws laneflow.config.ConfigException with all that is wrong
+     * @param file name of the file in findings
+     * @param racks known racks; null if the receiver checks them
+     * @param until occurrences of a rule are expanded up to here, Unix milliseconds
+     * @throws laneflow.config.ConfigException with all errors
      */
     public static List<Request> read(String text, String file, Set<String> racks, long until) {
         Findings findings = new Findings(file);
@@ -53,10 +53,10 @@
     }
 
     /**
-     * Reads a calendar of freezes: tables {@code [freezes.NAME]} with {@code from}, {@code to} and perhaps a
+     * Reads a calendar of freezes: tables {@code [freezes.NAME]} with {@code from}, {@code to} and an optional
      * {@code rule}.
      *
-     * @throws laneflow.config.ConfigException with all that is wrong
+     * @throws laneflow.config.ConfigException with all errors
      */
     public static List<Freeze> freezes(String text, String file, long until) {
         Findings findings = new Findings(file);
@@ -79,7 +79,7 @@
 
     private static LocalDateTime time(Table table, String key) {
         String text = table.text(key);
-        LocalDateTime at = text.isEmpty() ? null : LocalTimes.read(text);
+        LocalDateTime at = text.isEmpty() ? null : LocalTimes.parse(text);
         if (at == null && !text.isEmpty()) {
             table.wrong(key, "'" + text + "' is no local time, such as 2026-12-10T22:00");
         }
@@ -95,12 +95,14 @@
             return;
         }
         if (!ends.isAfter(begins)) {
-            table.wrong("to", "is not behind from");
+            table.wrong("to", "is not after from");
             return;
         }
         for (LocalDateTime at : occurrences(table, rule, begins, zone)) {
             freezes.add(new Freeze(
-                    name, LocalTimes.begins(at, zone), LocalTimes.ends(at.plus(Duration.between(begins, ends)), zone)));
+                    name,
+                    LocalTimes.startMillis(at, zone),
+                    LocalTimes.endMillis(at.plus(Duration.between(begins, ends)), zone)));
         }
     }
 
@@ -112,8 +114,9 @@
             List<LocalDateTime> all = LocalTimes.occurrences(rule, first, zone, until);
             if (all.isEmpty()) {
                 table.wrong("rule", "never happens within what is planned");
-            } else if (all.size() > LocalTimes.MOST) {
-                table.wrong("rule", "happens more than " + LocalTimes.MOST + " times within what is planned");
+            } else if (all.size() > LocalTimes.MAX_OCCURRENCES) {
+                table.wrong(
+                        "rule", "happens more than " + LocalTimes.MAX_OCCURRENCES + " times within what is planned");
             }
             return all;
         } catch (IllegalArgumentException e) {
@@ -129,14 +132,14 @@
         }
         String owner = from.text("owner");
         List<String> down = racks();
-        long work = from.whole("work_minutes", 0, 1, (long) WEEK) * MINUTE;
+        long work = from.whole("work_minutes", 0, 1, (long) WEEK_MINUTES) * MINUTE_MS;
         if (!from.has("work_minutes")) {
             from.wrong("work_minutes", "is missing");
         }
-        long notice = from.whole("notice_minutes", 0, 0, (long) (8 * WEEK)) * MINUTE;
-        long abort = from.whole("abort_minutes", 0, 0, (long) WEEK) * MINUTE;
+        long notice = from.whole("notice_minutes", 0, 0, (long) (8 * WEEK_MINUTES)) * MINUTE_MS;
+        long abort = from.whole("abort_minutes", 0, 0, (long) WEEK_MINUTES) * MINUTE_MS;
         if (abort > work) {
-            from.wrong("abort_minutes", "is behind the end of the work");
+            from.wrong("abort_minutes", "is longer than the work");
         }
         Set<String> apart = new HashSet<>(from.texts("apart"));
         List<String> after = from.texts("after");
@@ -154,13 +157,13 @@
         Duration within = Duration.between(earliest, latest);
         long before = Long.MIN_VALUE;
         for (LocalDateTime at : all) {
-            long begins = LocalTimes.begins(at, zone);
-            long ends = LocalTimes.ends(at.plus(within), zone);
+            long begins = LocalTimes.startMillis(at, zone);
+            long ends = LocalTimes.endMillis(at.plus(within), zone);
             if (ends - begins < work) {
                 from.wrong(
                         "latest",
-                        "leaves " + Math.max(0, (ends - begins) / MINUTE) + " minutes from " + at + " on for "
-                                + work / MINUTE + " of work");
+                        "leaves " + Math.max(0, (ends - begins) / MINUTE_MS) + " minutes from " + at + " on for "
+                                + work / MINUTE_MS + " of work");
                 return;
             }
             if (begins < before) {
--- a/src/main/java/laneflow/maintenance/RequestReader.java
+++ b/src/main/java/laneflow/maintenance/RequestReader.java
@@ -12,24 +12,24 @@
 import laneflow.maintenance.decision.Plan;
 import laneflow.maintenance.decision.Request;
 
-/** Reads requests as they come over HTTP, in the form of the ledger; all that is wrong is told at once. */
+/** Reads requests from an HTTP body, in the form of the ledger; all errors are reported at once. */
 final class RequestReader {
-    /** The most that come in one body. */
-    static final int MOST = 500;
+    /** Maximum number of requests in one body. */
+    static final int MAX_REQUESTS = 500;
 
     private static final String NAME = "[A-Za-z0-9_.-]{1,64}";
-    private static final int MOST_TEXT = 200;
-    private static final int MOST_NAMES = 256;
-    private static final long WEEKS = 8L * 7 * 86_400_000;
+    private static final int MAX_TEXT_LENGTH = 200;
+    private static final int MAX_NAMES = 256;
+    private static final long EIGHT_WEEKS_MS = 8L * 7 * 86_400_000;
 
     private RequestReader() {}
 
-    /** @param racks those that are known */
+    /** @param racks the known racks */
     static List<Request> read(JsonArray from, Set<String> racks, Findings findings) {
         List<Request> all = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        if (from.isEmpty() || from.size() > MOST) {
-            findings.add("requests", "", "are " + from.size() + ", and have to be 1 to " + MOST);
+        if (from.isEmpty() || from.size() > MAX_REQUESTS) {
+            findings.add("requests", "", "are " + from.size() + ", and have to be 1 to " + MAX_REQUESTS);
             return all;
         }
         for (int i = 0; i < from.size(); i++) {
@@ -41,7 +41,7 @@
             }
             Request request = read(one.getAsJsonObject(), path, racks, findings);
             if (!names.add(request.name())) {
-                findings.add(path, "name", "'" + request.name() + "' is there twice");
+                findings.add(path, "name", "'" + request.name() + "' is a duplicate");
             }
             all.add(request);
         }
@@ -55,8 +55,8 @@
             table.wrong("name", "is up to 64 letters, digits, '_', '.' and '-'");
         }
         String owner = table.text("owner");
-        if (owner.length() > MOST_TEXT) {
-            table.wrong("owner", "is longer than " + MOST_TEXT + " characters");
+        if (owner.length() > MAX_TEXT_LENGTH) {
+            table.wrong("owner", "is longer than " + MAX_TEXT_LENGTH + " characters");
         }
         List<String> down = names(table, "racks");
         if (down.isEmpty()) {
@@ -70,18 +70,18 @@
                 table.wrong("racks", "'" + rack + "' is named twice");
             }
         }
-        long work = whole(table, "work_ms", 1, WEEKS);
+        long work = whole(table, "work_ms", 1, EIGHT_WEEKS_MS);
         long earliest = whole(table, "earliest_ms", 0, Long.MAX_VALUE / 4);
         long latest = whole(table, "latest_ms", 0, Long.MAX_VALUE / 4);
-        long notice = table.whole("notice_ms", 0, 0, WEEKS);
-        long abort = table.whole("abort_ms", 0, 0, WEEKS);
+        long notice = table.whole("notice_ms", 0, 0, EIGHT_WEEKS_MS);
+        long abort = table.whole("abort_ms", 0, 0, EIGHT_WEEKS_MS);
         List<String> apart = names(table, "apart");
         List<String> after = names(table, "after");
         if (after.contains(name)) {
             table.wrong("after", "'" + name + "' can't come after itself");
         }
         if (abort > work) {
-            table.wrong("abort_ms", "is behind the end of the work");
+            table.wrong("abort_ms", "is longer than the work");
         }
         if (work > 0 && latest > 0 && latest - earliest < work) {
             table.wrong("latest_ms", "leaves " + Math.max(0, latest - earliest) + " ms for " + work + " of work");
@@ -93,8 +93,8 @@
 
     private static List<Plan.Freeze> freezes(JsonElement from, String path, Findings findings) {
         List<Plan.Freeze> all = new ArrayList<>();
-        if (!from.isJsonArray() || from.getAsJsonArray().size() > MOST_NAMES) {
-            findings.add(path, "freezes", "must be a list of at most " + MOST_NAMES);
+        if (!from.isJsonArray() || from.getAsJsonArray().size() > MAX_NAMES) {
+            findings.add(path, "freezes", "must be a list of at most " + MAX_NAMES);
             return all;
         }
         for (int i = 0; i < from.getAsJsonArray().size(); i++) {
@@ -109,7 +109,7 @@
             long begins = whole(table, "from_ms", 0, Long.MAX_VALUE / 4);
             long ends = whole(table, "to_ms", 0, Long.MAX_VALUE / 4);
             if (ends <= begins) {
-                table.wrong("to_ms", "is not behind from_ms");
+                table.wrong("to_ms", "is not after from_ms");
             }
             table.close();
             all.add(new Plan.Freeze(name, begins, ends));
@@ -126,9 +126,10 @@
 
     private static List<String> names(Table table, String key) {
         List<String> all = table.texts(key);
-        if (all.size() > MOST_NAMES || all.stream().anyMatch(one -> one.length() > MOST_TEXT)) {
+        if (all.size() > MAX_NAMES || all.stream().anyMatch(one -> one.length() > MAX_TEXT_LENGTH)) {
             table.wrong(
-                    key, "holds more than " + MOST_NAMES + " names, or one of more than " + MOST_TEXT + " characters");
+                    key,
+                    "holds more than " + MAX_NAMES + " names, or one of more than " + MAX_TEXT_LENGTH + " characters");
         }
         return all;
     }
--- a/src/main/java/laneflow/maintenance/decision/Coordinator.java
+++ b/src/main/java/laneflow/maintenance/decision/Coordinator.java
@@ -11,92 +11,94 @@
 import laneflow.maintenance.decision.Windows.Window;
 
 /**
- * What whoever holds the task of coordinating has to do next, from what the ledger says and what is known of
- * the fleet. It keeps nothing between two questions: the next coordinator goes on from the ledger. Each step
- * is decided by what is there at this moment and by what the forecast says of the rest of the window. No
- * I/O, no clock of its own.
+ * Decides the next steps of all windows from the ledger and the observed state of the fleet. It keeps no state
+ * between calls, so a new coordinator continues from the ledger alone. Each step is decided by the current
+ * observation and by the forecast for the rest of the window. No I/O, no clock of its own.
  */
 public final class Coordinator {
     /**
-     * How long things may take, in ms.
+     * Timeouts, in ms.
      *
-     * @param drain from the beginning of a drain to leave; past it the window is turned back
-     * @param begin from leave to the crew's word; past it the window is turned back
-     * @param overrun beyond the work's own time, until it is called an overrun
-     * @param giveBack from the end of the work until racks that are not well are left to the view
-     * @param late how long behind its time a window may wait for its instant to be fair
-     * @param early how much sooner than its notice asks a window is announced
-     * @param lost for how long planning counts with the racks that are lost
+     * @param drain from the beginning of a drain to the permission to begin (leave); past it the window is
+     * turned back
+     * @param begin from leave to the crew's report that it begins; past it the window is turned back
+     * @param overrun time beyond the planned work until the window counts as overrun
+     * @param giveBack from the end of the work until the window ends even if its racks have not recovered
+     * @param late how far behind its planned start a window may wait for a fair instant
+     * @param early how much earlier than its notice requires a window is announced
+     * @param lost for how long planning assumes that lost racks stay down
      */
-    public record Times(long drain, long begin, long overrun, long giveBack, long late, long early, long lost) {}
+    public record Timeouts(long drain, long begin, long overrun, long giveBack, long late, long early, long lost) {}
 
     /**
-     * What is known of the fleet now. What is in doubt is left out of {@code clear} and {@code well}.
+     * Observed state of the fleet. Racks whose state is in doubt are left out of {@code drained} and {@code
+     * recovered}.
      *
-     * @param due what tenants are due now, as {@link Fairness#due} tells it
-     * @param lost racks that are down without a plan
+     * @param due capacity that tenants are due now, as {@link Fairness#due} computes it
+     * @param lost racks that are down without a window
      * @param banned racks that the policy in force bans
-     * @param clear racks to which no scheduler sends: each has begun a policy that bans them and its last
-     * call there has ended, or it has been silent for a lease and the longest deadline
-     * @param well racks that are back and warm
-     * @param accounts each tenant's account over the mean, or null
+     * @param drained racks to which no scheduler sends: each scheduler has applied a policy that bans them and
+     * its last call there has ended, or it has been silent for a lease plus the longest deadline
+     * @param recovered racks that are back and warmed up
+     * @param accounts each tenant's loss rate above the mean, or null
      */
-    public record Facts(
+    public record Observation(
             long nowMs,
             double[] due,
             Set<String> lost,
             Set<String> banned,
-            Set<String> clear,
-            Set<String> well,
+            Set<String> drained,
+            Set<String> recovered,
             double[] accounts) {}
 
     /**
-     * What is to be done.
+     * Steps to append to the ledger and the bans they require.
      *
-     * @param steps for the ledger
-     * @param banned the racks of windows that the policy has to ban, and no others of them
+     * @param steps operations for the ledger
+     * @param banned the racks of windows that the policy has to ban; racks of other windows are not to be
+     * banned
      */
     public record Orders(List<JsonObject> steps, Set<String> banned) {}
 
     private final Fairness fairness;
-    private final Planner.Parameters planning;
+    private final Planner.Parameters parameters;
     private final Forecast forecast;
     private final List<double[]> dues;
-    private final Times times;
+    private final Timeouts timeouts;
 
-    /** @param planning as a plan is made by; its beginning is set anew each time */
-    public Coordinator(Fairness fairness, Planner.Parameters planning, Forecast forecast, Times times) {
+    /** @param parameters planning parameters; the planned start is replaced on each call */
+    public Coordinator(Fairness fairness, Planner.Parameters parameters, Forecast forecast, Timeouts timeouts) {
         this.fairness = fairness;
-        this.planning = planning;
+        this.parameters = parameters;
         this.forecast = forecast;
-        this.times = times;
-        dues = Cuts.dues(fairness, forecast);
+        this.timeouts = timeouts;
+        dues = Cuts.dueBySpan(fairness, forecast);
     }
 
-    /** One question and its answer. */
+    /** State of one decision. */
     private final class Round {
         private final Windows windows;
-        private final Facts facts;
+        private final Observation observed;
         private final long token;
         private final long now;
         private final List<JsonObject> steps = new ArrayList<>();
 
-        private Round(Windows windows, Facts facts, long token) {
+        private Round(Windows windows, Observation observed, long token) {
             this.windows = windows;
-            this.facts = facts;
+            this.observed = observed;
             this.token = token;
-            now = facts.nowMs();
+            now = observed.nowMs();
         }
 
         private void step(Window window, State to, State outcome, String... reasons) {
-            steps.add(
-                    Windows.step(token, window, to, windows.away(), window.startMs(), outcome, List.of(reasons), now));
+            steps.add(Windows.step(
+                    token, window, to, windows.awayChanges(), window.startMs(), outcome, List.of(reasons), now));
         }
 
-        /** Racks that are away now, or lost, without those of one window. */
-        private Set<Integer> out(Window without) {
+        /** Indexes of the racks that are away or lost, except those of one window. */
+        private Set<Integer> racksOut(Window without) {
             Set<Integer> out = new HashSet<>();
-            facts.lost().forEach(rack -> out.add(fairness.inventory().rackIndex(rack)));
+            observed.lost().forEach(rack -> out.add(fairness.inventory().rackIndex(rack)));
             for (Window one : windows.all()) {
                 if (one != without && one.state().isAway()) {
                     one.request()
@@ -108,44 +110,47 @@
             return out;
         }
 
-        private List<String> against(Set<Integer> out, double[] due) {
+        private List<String> violations(Set<Integer> out, double[] due) {
             double[] left = fairness.inventory().slotsWithout(out);
-            return fairness.isFair(due, left, facts.accounts())
+            return fairness.isFair(due, left, observed.accounts())
                     ? List.of()
-                    : fairness.evaluate(due, left, facts.accounts()).violations();
+                    : fairness.evaluate(due, left, observed.accounts()).violations();
         }
 
-        /** Who stands against a window now and to its end; by what is asked for now, and by the forecast. */
-        private List<String> against(Window window) {
-            Set<Integer> out = out(window);
+        /**
+         * Fairness violations if the window's racks were away from now to its end, by current demand and by
+         * the forecast.
+         */
+        private List<String> violations(Window window) {
+            Set<Integer> out = racksOut(window);
             window.request()
                     .racks()
                     .forEach(rack -> out.add(fairness.inventory().rackIndex(rack)));
-            List<String> against = against(out, facts.due());
+            List<String> violations = violations(out, observed.due());
             long end = now + length(window.request());
-            for (long ms = now; against.isEmpty() && ms < end; ms += planning.stepMs()) {
-                against = against(out, dues.get(forecast.at(ms)));
+            for (long ms = now; violations.isEmpty() && ms < end; ms += parameters.stepMs()) {
+                violations = violations(out, dues.get(forecast.spanAt(ms)));
             }
-            return against;
+            return violations;
         }
 
-        /** True if it is unfair now, and less so without that window. */
-        private boolean helps(Window window) {
-            Set<Integer> with = out(null);
-            if (against(with, facts.due()).isEmpty()) {
+        /** True if the current state is unfair and would be less so without that window. */
+        private boolean improvesFairness(Window window) {
+            Set<Integer> with = racksOut(null);
+            if (violations(with, observed.due()).isEmpty()) {
                 return false;
             }
-            Set<Integer> without = out(window);
+            Set<Integer> without = racksOut(window);
             double[] left = fairness.inventory().slotsWithout(without);
-            return fairness.isFair(facts.due(), left, facts.accounts())
-                    || lost(left) < lost(fairness.inventory().slotsWithout(with)) - Fairness.LEAST_LOSS;
+            return fairness.isFair(observed.due(), left, observed.accounts())
+                    || totalLoss(left) < totalLoss(fairness.inventory().slotsWithout(with)) - Fairness.LOSS_EPSILON;
         }
 
-        private double lost(double[] left) {
-            return fairness.evaluate(facts.due(), left, facts.accounts()).totalLoss();
+        private double totalLoss(double[] left) {
+            return fairness.evaluate(observed.due(), left, observed.accounts()).totalLoss();
         }
 
-        private void look(Window window) {
+        private void advance(Window window) {
             switch (window.state()) {
                 case PLANNED -> planned(window);
                 case DRAINING -> draining(window);
@@ -159,32 +164,35 @@
             long announced = window.startMs() - window.request().noticeMs();
             if (now > announced) {
                 step(window, State.POSTPONED, State.DONE, "its notice could not be kept");
-            } else if (now >= announced - times.early()) {
+            } else if (now >= announced - timeouts.early()) {
                 step(window, State.ANNOUNCED, State.DONE);
             }
         }
 
-        /** At most one begins to drain in a round: the next is judged beside it. */
-        private boolean announced(Window window) {
+        /**
+         * Starts the drain if it would be fair. At most one window per call starts to drain, so that the next
+         * is judged with this one away.
+         */
+        private boolean tryDrain(Window window) {
             if (now < window.startMs()) {
                 return false;
             }
-            String never = now + length(window.request()) > window.request().latestMs() + times.late()
+            String reason = now + length(window.request()) > window.request().latestMs() + timeouts.late()
                     ? "there is no time left for it"
-                    : blocked(window);
-            List<String> against = never == null ? against(window) : List.of(never);
-            if (against.isEmpty()) {
+                    : blockedBy(window);
+            List<String> violations = reason == null ? violations(window) : List.of(reason);
+            if (violations.isEmpty()) {
                 step(window, State.DRAINING, State.DONE);
                 return true;
             }
-            if (now > window.startMs() + times.late()) {
-                step(window, State.POSTPONED, State.DONE, against.toArray(String[]::new));
+            if (now > window.startMs() + timeouts.late()) {
+                step(window, State.POSTPONED, State.DONE, violations.toArray(String[]::new));
             }
             return false;
         }
 
-        private String blocked(Window window) {
-            Plan.Freeze freeze = window.request().freeze(now, now + length(window.request()));
+        private String blockedBy(Window window) {
+            Plan.Freeze freeze = window.request().freezeDuring(now, now + length(window.request()));
             if (freeze != null) {
                 return "freeze " + freeze.name();
             }
@@ -203,47 +211,48 @@
         }
 
         private void draining(Window window) {
-            if (window.callOff()) {
+            if (window.calledOff()) {
                 step(window, State.RETURNING, State.ABORTED);
-            } else if (helps(window)) {
+            } else if (improvesFairness(window)) {
                 step(
                         window,
                         State.RETURNING,
                         State.POSTPONED,
-                        against(out(null), facts.due()).toArray(String[]::new));
-            } else if (now > window.startMs() + times.late() + times.drain()) {
+                        violations(racksOut(null), observed.due()).toArray(String[]::new));
+            } else if (now > window.startMs() + timeouts.late() + timeouts.drain()) {
                 step(window, State.RETURNING, State.POSTPONED, "its racks did not drain in time");
-            } else if (facts.banned().containsAll(window.request().racks())
-                    && facts.clear().containsAll(window.request().racks())) {
+            } else if (observed.banned().containsAll(window.request().racks())
+                    && observed.drained().containsAll(window.request().racks())) {
                 step(window, State.DOWN, State.DONE);
             }
         }
 
         private void down(Window window) {
             if (window.begun()) {
-                if (now > window.leaveMs() + times.begin() + window.request().workMs() + times.overrun()) {
+                if (now > window.leaveMs() + timeouts.begin() + window.request().workMs() + timeouts.overrun()) {
                     step(window, State.OVERRUN, State.DONE, "its crew has not finished in time");
                 }
-            } else if (window.callOff()) {
+            } else if (window.calledOff()) {
                 step(window, State.RETURNING, State.ABORTED);
-            } else if (helps(window)) {
+            } else if (improvesFairness(window)) {
                 step(
                         window,
                         State.RETURNING,
                         State.POSTPONED,
-                        against(out(null), facts.due()).toArray(String[]::new));
-            } else if (now > window.leaveMs() + times.begin()) {
+                        violations(racksOut(null), observed.due()).toArray(String[]::new));
+            } else if (now > window.leaveMs() + timeouts.begin()) {
                 step(window, State.RETURNING, State.POSTPONED, "its crew did not come in time");
             }
         }
 
         private void returning(Window window) {
-            boolean banned = window.request().racks().stream().anyMatch(facts.banned()::contains);
-            boolean well = facts.well().containsAll(window.request().racks());
-            // One that does not come back is lost, and the view counts it from here on.
-            boolean over = now > window.startMs() + length(window.request()) + times.giveBack();
-            if (!banned && (well || over)) {
-                // Why it was turned back is what its owner asks behind it.
+            boolean banned = window.request().racks().stream().anyMatch(observed.banned()::contains);
+            boolean recovered =
+                    observed.recovered().containsAll(window.request().racks());
+            // A rack that does not come back in time is treated as lost from here on.
+            boolean over = now > window.startMs() + length(window.request()) + timeouts.giveBack();
+            if (!banned && (recovered || over)) {
+                // The reasons for the return stay visible in the final state.
                 State end = window.outcome();
                 step(
                         window,
@@ -258,7 +267,7 @@
             List<Request> open = new ArrayList<>();
             List<Plan.Window> fixed = new ArrayList<>();
             List<Plan.Window> before = new ArrayList<>();
-            boolean any = false;
+            boolean isAnyWaiting = false;
             for (Window window : windows.all()) {
                 State state = window.state();
                 Request request = window.request();
@@ -267,55 +276,62 @@
                 }
                 if (state == State.REQUESTED || state == State.POSTPONED || state == State.PLANNED) {
                     open.add(request);
-                    any |= state != State.PLANNED;
+                    isAnyWaiting |= state != State.PLANNED;
                 } else if (!state.isFinal()) {
                     long end = Math.max(window.startMs(), now) + length(request);
                     fixed.add(new Plan.Window(request, Math.min(window.startMs(), now), end, true));
                 } else if (state == State.DONE) {
-                    // Over, and those that wait for it may come.
+                    // Done, so that windows ordered after it may be planned.
                     fixed.add(new Plan.Window(
                             request, window.startMs(), Math.min(now, window.startMs() + length(request)), true));
                 }
             }
-            if (!any) {
+            if (!isAnyWaiting) {
                 return null;
             }
-            long from = -Math.floorDiv(-now, planning.stepMs()) * planning.stepMs() + planning.stepMs();
+            long from = -Math.floorDiv(-now, parameters.stepMs()) * parameters.stepMs() + parameters.stepMs();
             return Planner.plan(
                     fairness,
                     new Planner.Input(
                             new Planner.Parameters(
                                     from,
-                                    planning.stepMs(),
-                                    planning.steps(),
-                                    planning.drainMs(),
-                                    planning.returnMs(),
-                                    planning.reserve(),
-                                    planning.mostFlows()),
+                                    parameters.stepMs(),
+                                    parameters.steps(),
+                                    parameters.drainMs(),
+                                    parameters.returnMs(),
+                                    parameters.reserve(),
+                                    parameters.maxFlows()),
                             forecast,
                             open,
                             fixed,
                             new Plan(before, Collections.emptySortedMap(), 0, 0, 0),
                             List.of(),
-                            List.copyOf(new TreeSet<>(facts.lost())),
-                            now + times.lost(),
-                            facts.accounts()));
+                            List.copyOf(new TreeSet<>(observed.lost())),
+                            now + timeouts.lost(),
+                            observed.accounts()));
         }
 
-        private void steps(Plan plan) {
+        private void addSteps(Plan plan) {
             for (Window window : windows.all()) {
                 Plan.Window found = plan.window(window.name());
-                boolean waits = window.state() == State.REQUESTED || window.state() == State.POSTPONED;
-                if (waits && found == null) {
+                boolean isWaiting = window.state() == State.REQUESTED || window.state() == State.POSTPONED;
+                if (isWaiting && found == null) {
                     step(
                             window,
                             State.REFUSED,
                             State.DONE,
                             plan.refused().get(window.name()).toArray(String[]::new));
-                } else if (waits
+                } else if (isWaiting
                         || window.state() == State.PLANNED && found != null && found.startMs() != window.startMs()) {
                     steps.add(Windows.step(
-                            token, window, State.PLANNED, windows.away(), found.startMs(), State.DONE, List.of(), now));
+                            token,
+                            window,
+                            State.PLANNED,
+                            windows.awayChanges(),
+                            found.startMs(),
+                            State.DONE,
+                            List.of(),
+                            now));
                 } else if (window.state() == State.PLANNED && found == null) {
                     step(window, State.POSTPONED, State.DONE, "its time had to go to others");
                 }
@@ -324,28 +340,28 @@
     }
 
     private long length(Request request) {
-        return planning.drainMs() + request.workMs() + planning.returnMs();
+        return parameters.drainMs() + request.workMs() + parameters.returnMs();
     }
 
-    /** Which times those would get now that wait for one; null: none waits. Nothing is decided. */
-    public Plan plan(Windows windows, Facts facts) {
-        return new Round(windows, facts, 0).plan();
+    /** Plans the windows that are waiting for a time, without changing anything; null if none is waiting. */
+    public Plan plan(Windows windows, Observation observed) {
+        return new Round(windows, observed, 0).plan();
     }
 
-    /** What is to be done now by whoever holds that token. */
-    public Orders orders(Windows windows, Facts facts, long token) {
-        Round round = new Round(windows, facts, token);
-        boolean one = false;
+    /** The steps and bans for the coordinator with that token. */
+    public Orders orders(Windows windows, Observation observed, long token) {
+        Round round = new Round(windows, observed, token);
+        boolean isDraining = false;
         for (Window window : windows.all()) {
             if (window.state() == State.ANNOUNCED) {
-                one = one || round.announced(window);
+                isDraining = isDraining || round.tryDrain(window);
             } else {
-                round.look(window);
+                round.advance(window);
             }
         }
         Plan plan = round.steps.isEmpty() ? round.plan() : null;
         if (plan != null) {
-            round.steps(plan);
+            round.addSteps(plan);
         }
         Set<String> banned = new TreeSet<>();
         for (Window window : windows.all()) {
--- a/src/main/java/laneflow/maintenance/decision/Fairness.java
+++ b/src/main/java/laneflow/maintenance/decision/Fairness.java
@@ -8,47 +8,50 @@
 import java.util.Map;
 
 /**
- * What tenants lose while racks are down, and whether that is fair: the formulas of
- * {@code docs/maintenance-windows.md}. Demand and losses are in slots; a level is a loss over an
- * entitlement, without a unit. Not thread-safe; the same questions have the same answers.
+ * Computes what tenants lose while racks are down and whether that is fair, by the formulas of {@code
+ * docs/maintenance-windows.md}. Demand and losses are in slots; a level is a loss divided by an entitlement.
+ * Deterministic; not thread-safe.
  */
 public final class Fairness {
-    /** A loss of less is none: amounts are whole thousandths of a slot, and a sum of many may be off. */
-    public static final double LEAST_LOSS = 0.05;
+    /**
+     * Losses below this, in slots, count as none: flow amounts are whole thousandths of a slot, and sums of
+     * many of them carry rounding errors.
+     */
+    public static final double LOSS_EPSILON = 0.05;
 
-    private static final int MOST_UNIONS = 6;
+    private static final int MAX_UNION_KINDS = 6;
 
     /**
-     * What is settled by the operators.
+     * Fairness limits set by the operators.
      *
-     * @param tolerance what a tenant may lose beyond its fair share, over its entitlement
-     * @param shortage how far the fleet as a whole may fall short, over all entitlements, for a window to
-     * be given
-     * @param debt the account over the others' at which nothing of the tolerance is left
-     * @param halfLifeMs in which an account's old losses count half
+     * @param tolerance what a tenant may lose beyond its fair share, as a fraction of its entitlement
+     * @param shortage the largest shortage of the whole fleet at which a window is granted, as a fraction of
+     * all entitlements
+     * @param debt loss rate above the mean at which no tolerance is left
+     * @param halfLifeMs half-life of old losses in the accounts
      */
     public record Limits(double tolerance, double shortage, double debt, double halfLifeMs) {
         public Limits {
             if (!(tolerance >= 0 && shortage >= 0 && debt > 0 && halfLifeMs > 0)) {
-                throw new IllegalArgumentException("a term is below its least value");
+                throw new IllegalArgumentException("a fairness limit is out of range");
             }
         }
 
-        /** Two hundredths, five hundredths, a thousandth, a week. */
+        /** Tolerance 0.02, shortage 0.05, debt 0.001, half-life one week. */
         public static Limits defaults() {
             return new Limits(0.02, 0.05, 0.001, 7 * 86_400_000.0);
         }
     }
 
     /**
-     * An instant judged.
+     * Evaluation of an instant.
      *
      * @param loss what each tenant loses, in slots
-     * @param allowed what each may lose, in slots
-     * @param shortage what would be lost were every slot fit for everybody, in slots
-     * @param level its part of the entitlements of those who are due something
-     * @param fair true if nobody loses more than allowed, and the shortage is within the terms
-     * @param violations why not, in words; who is short of what
+     * @param allowed what each tenant may lose, in slots
+     * @param shortage what would be lost if every slot suited every tenant, in slots
+     * @param level the shortage as a fraction of the entitlements of the tenants that are due something
+     * @param fair true if no tenant loses more than allowed and the shortage is within the limit
+     * @param violations why it is not fair, as text: which tenant is short of what
      */
     public record Evaluation(
             double[] loss, double[] allowed, double shortage, double level, boolean fair, List<String> violations) {
@@ -58,43 +61,44 @@
     }
 
     private final Inventory inventory;
-    private final Limits terms;
-    /** A kind of work is a tenant's classes that may run in the same cells. */
-    private final List<Placement.Kind> kinds = new ArrayList<>();
+    private final Limits limits;
+    /** A kind of work is the classes of one tenant that may run in the same cells. */
+    private final List<Placement.WorkKind> kinds = new ArrayList<>();
 
-    private final int[][] kindOf;
-    private final int[][] kindsOf;
+    private final int[][] kindByClass;
+    private final int[][] kindsByTenant;
     private final double[] weight;
     private final Placement placement;
-    private final boolean[] apart;
+    private final boolean[] isDisjoint;
 
-    public Fairness(Inventory inventory, Limits terms) {
+    public Fairness(Inventory inventory, Limits limits) {
         this.inventory = inventory;
-        this.terms = terms;
+        this.limits = limits;
         int tenants = inventory.tenants().size();
-        kindOf = new int[tenants][inventory.classes().size()];
-        kindsOf = new int[tenants][];
-        apart = new boolean[tenants];
+        kindByClass = new int[tenants][inventory.classes().size()];
+        kindsByTenant = new int[tenants][];
+        isDisjoint = new boolean[tenants];
         weight = new double[tenants];
         for (int t = 0; t < tenants; t++) {
             int from = kinds.size();
-            Map<Long, Integer> byPlaces = new LinkedHashMap<>();
-            for (int k = 0; k < kindOf[t].length; k++) {
-                long places = inventory.places(t, k);
-                kindOf[t][k] = places == 0 ? -1 : byPlaces.computeIfAbsent(places, mask -> from + byPlaces.size());
+            Map<Long, Integer> byCellMask = new LinkedHashMap<>();
+            for (int k = 0; k < kindByClass[t].length; k++) {
+                long cellMask = inventory.eligibleCells(t, k);
+                kindByClass[t][k] =
+                        cellMask == 0 ? -1 : byCellMask.computeIfAbsent(cellMask, key -> from + byCellMask.size());
             }
             int owner = t;
-            byPlaces.keySet().forEach(places -> kinds.add(new Placement.Kind(owner, places)));
-            kindsOf[t] = byPlaces.values().stream().mapToInt(i -> i).toArray();
+            byCellMask.keySet().forEach(cellMask -> kinds.add(new Placement.WorkKind(owner, cellMask)));
+            kindsByTenant[t] = byCellMask.values().stream().mapToInt(i -> i).toArray();
             long seen = 0;
-            apart[t] = true;
-            for (long places : byPlaces.keySet()) {
-                apart[t] &= (seen & places) == 0;
-                seen |= places;
+            isDisjoint[t] = true;
+            for (long cellMask : byCellMask.keySet()) {
+                isDisjoint[t] &= (seen & cellMask) == 0;
+                seen |= cellMask;
             }
             weight[t] = Math.max(inventory.entitlement(t), 1e-9);
         }
-        placement = new Placement(kinds.toArray(Placement.Kind[]::new), tenants, inventory.cells());
+        placement = new Placement(kinds.toArray(Placement.WorkKind[]::new), tenants, inventory.cells());
     }
 
     public Inventory inventory() {
@@ -102,15 +106,15 @@
     }
 
     public Limits limits() {
-        return terms;
+        return limits;
     }
 
     int kinds() {
         return kinds.size();
     }
 
-    long places(int kind) {
-        return kinds.get(kind).places();
+    long cellMask(int kind) {
+        return kinds.get(kind).cellMask();
     }
 
     int owner(int kind) {
@@ -118,43 +122,45 @@
     }
 
     /**
-     * What of a demand tenants are due, by kind of work: as much as their own parts of the whole carry.
-     * All tenants can have what they are due at once while nothing is down; asking for more gains nothing.
+     * Caps a demand to what tenants are due, by kind of work: as much as their own parts of the whole fleet
+     * carry. While nothing is down all tenants can have what they are due at once, and requesting more gains
+     * nothing.
      *
      * @param demand slots by tenant and class
      */
     public double[] due(double[][] demand) {
         double[] due = new double[kinds.size()];
-        for (int t = 0; t < kindsOf.length; t++) {
+        for (int t = 0; t < kindsByTenant.length; t++) {
             double[] asked = new double[kinds.size()];
-            for (int k = 0; k < kindOf[t].length; k++) {
-                if (kindOf[t][k] >= 0) {
-                    asked[kindOf[t][k]] += Math.max(0, demand[t][k]) * inventory.stretch(k);
+            for (int k = 0; k < kindByClass[t].length; k++) {
+                if (kindByClass[t][k] >= 0) {
+                    asked[kindByClass[t][k]] += Math.max(0, demand[t][k]) * inventory.slotFactor(k);
                 }
             }
-            if (apart[t]) {
-                for (int kind : kindsOf[t]) {
-                    due[kind] = Math.min(asked[kind], own(t, kinds.get(kind).places()));
+            if (isDisjoint[t]) {
+                for (int kind : kindsByTenant[t]) {
+                    due[kind] = Math.min(
+                            asked[kind], entitlementIn(t, kinds.get(kind).cellMask()));
                 }
             } else {
-                dueOf(t, asked, due);
+                addDue(t, asked, due);
             }
         }
         return due;
     }
 
-    private double own(int tenant, long places) {
-        double own = 0;
+    private double entitlementIn(int tenant, long cellMask) {
+        double slots = 0;
         for (int c = 0; c < inventory.cells(); c++) {
-            own += (places & 1L << c) != 0 ? inventory.part(tenant, c) : 0;
+            slots += (cellMask & 1L << c) != 0 ? inventory.cellEntitlement(tenant, c) : 0;
         }
-        return own;
+        return slots;
     }
 
-    /** Its classes share its own parts max-min fairly, each by what it asks for. */
-    private void dueOf(int tenant, double[] asked, double[] due) {
-        int n = kindsOf[tenant].length;
-        if (n <= MOST_UNIONS) {
+    /** Shares the tenant's own cell entitlements max-min fairly among its classes, weighted by demand. */
+    private void addDue(int tenant, double[] asked, double[] due) {
+        int n = kindsByTenant[tenant].length;
+        if (n <= MAX_UNION_KINDS) {
             dueByUnions(tenant, asked, due);
             return;
         }
@@ -162,142 +168,148 @@
     }
 
     /**
-     * By all unions of its kinds' places: the one that falls shortest binds its kinds, and the rest goes on
-     * with what these leave. There are two or three kinds as a rule, and this is asked for each span.
+     * Enumerates all unions of the kinds' cells: the one with the largest relative shortfall fixes its kinds,
+     * and the rest continues with the remaining capacity. A tenant usually has two or three kinds, and this
+     * runs for each span of the forecast.
      */
     private void dueByUnions(int tenant, double[] asked, double[] due) {
-        int n = kindsOf[tenant].length;
+        int n = kindsByTenant[tenant].length;
         double[] work = new double[1 << n];
-        double[] room = new double[1 << n];
-        for (int some = 1; some < 1 << n; some++) {
-            long places = 0;
+        double[] capacity = new double[1 << n];
+        for (int subset = 1; subset < 1 << n; subset++) {
+            long cellMask = 0;
             for (int i = 0; i < n; i++) {
-                if ((some & 1 << i) != 0) {
-                    work[some] += asked[kindsOf[tenant][i]];
-                    places |= kinds.get(kindsOf[tenant][i]).places();
+                if ((subset & 1 << i) != 0) {
+                    work[subset] += asked[kindsByTenant[tenant][i]];
+                    cellMask |= kinds.get(kindsByTenant[tenant][i]).cellMask();
                 }
             }
-            room[some] = own(tenant, places);
+            capacity[subset] = entitlementIn(tenant, cellMask);
         }
-        int bound = 0;
+        int boundMask = 0;
         double placed = 0;
-        while (bound < (1 << n) - 1) {
+        while (boundMask < (1 << n) - 1) {
             int worst = (1 << n) - 1;
             double level = 0;
-            for (int some = 1; some < 1 << n; some++) {
-                double more = work[some & ~bound];
-                double lost = (some & bound) != bound || more <= 0 ? 0 : (more - room[some] + placed) / more;
+            for (int subset = 1; subset < 1 << n; subset++) {
+                double more = work[subset & ~boundMask];
+                double lost =
+                        (subset & boundMask) != boundMask || more <= 0 ? 0 : (more - capacity[subset] + placed) / more;
                 if (lost > level) {
                     level = Math.min(1, lost);
-                    worst = some;
+                    worst = subset;
                 }
             }
             for (int i = 0; i < n; i++) {
-                if ((worst & ~bound & 1 << i) != 0) {
-                    due[kindsOf[tenant][i]] = asked[kindsOf[tenant][i]] * (1 - level);
-                    placed += due[kindsOf[tenant][i]];
+                if ((worst & ~boundMask & 1 << i) != 0) {
+                    due[kindsByTenant[tenant][i]] = asked[kindsByTenant[tenant][i]] * (1 - level);
+                    placed += due[kindsByTenant[tenant][i]];
                 }
             }
-            bound |= worst;
+            boundMask |= worst;
         }
     }
 
     private void dueByFlow(int tenant, double[] asked, double[] due) {
-        int n = kindsOf[tenant].length;
-        Placement.Kind[] own = new Placement.Kind[n];
+        int n = kindsByTenant[tenant].length;
+        Placement.WorkKind[] workKinds = new Placement.WorkKind[n];
         double[] work = new double[n];
-        double[] by = new double[n];
+        double[] scale = new double[n];
         for (int i = 0; i < n; i++) {
-            own[i] = new Placement.Kind(i, kinds.get(kindsOf[tenant][i]).places());
-            work[i] = asked[kindsOf[tenant][i]];
-            by[i] = Math.max(work[i], 1e-9);
+            workKinds[i] = new Placement.WorkKind(
+                    i, kinds.get(kindsByTenant[tenant][i]).cellMask());
+            work[i] = asked[kindsByTenant[tenant][i]];
+            scale[i] = Math.max(work[i], 1e-9);
         }
-        double[] room = new double[inventory.cells()];
-        for (int c = 0; c < room.length; c++) {
-            room[c] = inventory.part(tenant, c);
+        double[] capacity = new double[inventory.cells()];
+        for (int c = 0; c < capacity.length; c++) {
+            capacity[c] = inventory.cellEntitlement(tenant, c);
         }
-        Placement classes = new Placement(own, n, room.length);
-        classes.set(work, room);
-        double[] loss = Levels.fill(classes, work, by).loss();
+        Placement classes = new Placement(workKinds, n, capacity.length);
+        classes.set(work, capacity);
+        double[] loss = MaxMinLosses.fill(classes, work, scale).loss();
         for (int i = 0; i < n; i++) {
-            due[kindsOf[tenant][i]] = work[i] - loss[i];
+            due[kindsByTenant[tenant][i]] = work[i] - loss[i];
         }
     }
 
-    /** The same by tenant. */
-    public double[] byTenant(double[] due) {
-        double[] sum = new double[kindsOf.length];
+    /** Sums amounts by kind of work to amounts by tenant. */
+    public double[] sumByTenant(double[] due) {
+        double[] sum = new double[kindsByTenant.length];
         for (int i = 0; i < due.length; i++) {
             sum[kinds.get(i).owner()] += due[i];
         }
         return sum;
     }
 
-    /** The level at which a shortage is spread over those who are due something. */
+    /** The level at which a shortage is spread over the tenants that are due something. */
     double level(double[] dueByTenant, double shortage) {
-        return Levels.level(dueByTenant, weight, shortage);
+        return MaxMinLosses.level(dueByTenant, weight, shortage);
     }
 
-    /** What is left of a tenant's tolerance, over its entitlement; less if its account is over the mean. */
+    /**
+     * Remaining tolerance of a tenant, as a fraction of its entitlement; reduced if its loss rate is above the
+     * mean.
+     */
     double tolerance(double[] accounts, int tenant) {
         double over = accounts == null ? 0 : accounts[tenant];
-        return terms.tolerance() * Math.min(1, Math.max(0, 1 - over / terms.debt()));
+        return limits.tolerance() * Math.min(1, Math.max(0, 1 - over / limits.debt()));
     }
 
     /**
-     * True if what is left can be shared so that nobody loses more than allowed: what {@link #evaluate} says
-     * of fairness, by a single flow.
+     * True if the remaining slots can be shared so that no tenant loses more than allowed: the {@code fair}
+     * result of {@link #evaluate}, computed with a single flow.
      *
      * @param left slots by cell
-     * @param accounts each tenant's account over the mean, or null
+     * @param accounts each tenant's loss rate above the mean, or null
      */
     public boolean isFair(double[] due, double[] left, double[] accounts) {
-        double[] dues = byTenant(due);
+        double[] dues = sumByTenant(due);
         double shortage = shortage(dues, left);
         double level = level(dues, shortage);
         placement.set(due, left);
-        double[] least = new double[dues.length];
+        double[] minimums = new double[dues.length];
         double entitled = 0;
-        for (int t = 0; t < least.length; t++) {
-            double allowed = (level + tolerance(accounts, t)) * weight[t] + LEAST_LOSS;
-            least[t] = Math.max(0, dues[t] - allowed);
+        for (int t = 0; t < minimums.length; t++) {
+            double allowed = (level + tolerance(accounts, t)) * weight[t] + LOSS_EPSILON;
+            minimums[t] = Math.max(0, dues[t] - allowed);
             entitled += weight[t];
         }
-        return shortage <= terms.shortage() * entitled + LEAST_LOSS && placement.carries(least);
+        return shortage <= limits.shortage() * entitled + LOSS_EPSILON && placement.isFeasible(minimums);
     }
 
     private static double shortage(double[] dues, double[] left) {
         return Math.max(0, Arrays.stream(dues).sum() - Arrays.stream(left).sum());
     }
 
-    /** The losses of an instant, and whether they are fair. */
+    /** Computes the losses at an instant and whether they are fair. */
     public Evaluation evaluate(double[] due, double[] left, double[] accounts) {
-        double[] dues = byTenant(due);
+        double[] dues = sumByTenant(due);
         double shortage = shortage(dues, left);
         double level = level(dues, shortage);
         placement.set(due, left);
-        double[] by = new double[dues.length];
+        double[] scale = new double[dues.length];
         double[] allowed = new double[dues.length];
         double entitled = 0;
-        for (int t = 0; t < by.length; t++) {
+        for (int t = 0; t < scale.length; t++) {
             allowed[t] = (level + tolerance(accounts, t)) * weight[t];
-            by[t] = allowed[t] + LEAST_LOSS;
+            scale[t] = allowed[t] + LOSS_EPSILON;
             entitled += weight[t];
         }
-        Levels levels = Levels.fill(placement, dues, by);
+        MaxMinLosses levels = MaxMinLosses.fill(placement, dues, scale);
         double[] loss = levels.loss();
         List<String> violations = new ArrayList<>();
-        if (shortage > terms.shortage() * entitled + LEAST_LOSS) {
+        if (shortage > limits.shortage() * entitled + LOSS_EPSILON) {
             violations.add(String.format(
                     Locale.ROOT,
                     "the fleet is %.1f slots short, at most %.1f are allowed",
                     shortage,
-                    terms.shortage() * entitled));
+                    limits.shortage() * entitled));
         }
         boolean fair = violations.isEmpty();
         for (int t = 0; t < loss.length; t++) {
-            loss[t] = loss[t] < LEAST_LOSS ? 0 : loss[t];
-            if (loss[t] > allowed[t] + LEAST_LOSS * (1 + 1e-6)) {
+            loss[t] = loss[t] < LOSS_EPSILON ? 0 : loss[t];
+            if (loss[t] > allowed[t] + LOSS_EPSILON * (1 + 1e-6)) {
                 fair = false;
                 violations.add(String.format(
                         Locale.ROOT,
@@ -305,27 +317,27 @@
                         inventory.tenants().get(t).name(),
                         loss[t],
                         allowed[t],
-                        where(levels.first(), t)));
+                        describeFullCells(levels.firstCut(), t)));
             }
         }
         return new Evaluation(loss, allowed, shortage, level, fair, List.copyOf(violations));
     }
 
-    private String where(Placement.Cut cut, int tenant) {
+    private String describeFullCells(Placement.Cut cut, int tenant) {
         if (cut == null || !cut.in()[tenant]) {
             return "";
         }
         List<String> full = new ArrayList<>();
         for (int c = 0; c < inventory.cells() && full.size() < 3; c++) {
-            if ((cut.places() & 1L << c) != 0) {
-                full.add(inventory.cell(c));
+            if ((cut.cellMask() & 1L << c) != 0) {
+                full.add(inventory.describeCell(c));
             }
         }
         return full.isEmpty() ? "" : " (full: " + String.join("; ", full) + ")";
     }
 
-    /** Flows asked for so far. */
-    int flows() {
-        return placement.asked();
+    /** Number of flows computed so far. */
+    int flowCount() {
+        return placement.flowCount();
     }
 }
--- a/src/main/java/laneflow/maintenance/decision/Forecast.java
+++ b/src/main/java/laneflow/maintenance/decision/Forecast.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * What is expected to be asked for, as a cycle of spans: 168 hours of a week. Never changed.
+ * Expected demand as a repeating cycle of spans, such as the 168 hours of a week. Immutable.
  *
- * @param originMs where a cycle begins, Unix milliseconds
- * @param spanMs how long a span is
+ * @param originMs start of a cycle, Unix milliseconds
+ * @param spanMs length of a span
  * @param demands slots by tenant and class, for each span
  */
 public record Forecast(long originMs, long spanMs, List<double[][]> demands) {
@@ -14,8 +14,8 @@
         demands = List.copyOf(demands);
     }
 
-    /** The span of an instant. */
-    public int at(long ms) {
+    /** Index of the span that contains an instant. */
+    public int spanAt(long ms) {
         return (int) Math.floorMod(Math.floorDiv(ms - originMs, spanMs), (long) demands.size());
     }
 }
--- a/src/main/java/laneflow/maintenance/decision/MaintenanceJson.java
+++ b/src/main/java/laneflow/maintenance/decision/MaintenanceJson.java
@@ -9,11 +9,11 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Requests and windows as JSON, for the ledger's log, its snapshots, and those who ask over HTTP. */
+/** JSON form of requests and windows, for the ledger's log and snapshots and for the HTTP API. */
 public final class MaintenanceJson {
     private MaintenanceJson() {}
 
-    /** A request as it goes over HTTP and into the log; instants and lengths in milliseconds. */
+    /** Writes a request; times and durations in milliseconds. */
     public static JsonObject write(Request request) {
         JsonObject to = new JsonObject();
         to.addProperty("name", request.name());
@@ -55,9 +55,10 @@
     }
 
     /**
-     * Reads one that is sound.
+     * Reads a request that is known to be valid.
      *
-     * @throws RuntimeException of any kind if it is not: what comes from elsewhere goes by {@code Requests}
+     * @throws RuntimeException of any kind if it is not; input from outside is validated by {@code
+     * RequestReader}
      */
     public static Request request(JsonObject from) {
         return new Request(
@@ -74,22 +75,22 @@
                 freezes(from));
     }
 
-    /** A window in full. */
+    /** Writes a window with its request. */
     public static JsonObject write(Windows.Window window) {
         JsonObject to = new JsonObject();
         to.add("request", write(window.request()));
-        to.addProperty("state", window.state().word());
+        to.addProperty("state", window.state().label());
         to.addProperty("steps", window.steps());
         to.addProperty("start_ms", window.startMs());
         to.addProperty("leave_ms", window.leaveMs());
         to.addProperty("begun", window.begun());
-        to.addProperty("call_off", window.callOff());
-        to.addProperty("outcome", window.outcome().word());
+        to.addProperty("call_off", window.calledOff());
+        to.addProperty("outcome", window.outcome().label());
         to.add("reasons", texts(window.reasons()));
         return to;
     }
 
-    /** Reads one that {@link #write} has written. */
+    /** Reads what {@link #write} has written. */
     public static Windows.Window window(JsonObject from) {
         return new Windows.Window(
                 request(from.getAsJsonObject("request")),
--- a/src/main/java/laneflow/maintenance/decision/Levels.java
+++ b/src/main/java/laneflow/maintenance/decision/MaxMinLosses.java
@@ -3,23 +3,23 @@
 import java.util.Arrays;
 
 /**
- * Losses shared max-min fairly: the largest loss, told in the loser's weight, is as small as can be, then
- * the next largest, and so on. By levels, as in progressive filling (Bertsekas and Gallager, Data Networks,
- * 6.5.2), each level found by Newton's steps over smallest cuts (Megiddo, 1974): a cut says how far the
- * level has to rise for it, and the last one says whom the level binds.
+ * Max-min fair sharing of losses: minimises the largest weighted loss, then the next largest, and so on.
+ * Progressive filling (Bertsekas and Gallager, Data Networks, 6.5.2), where each level is found by Newton
+ * steps over minimum cuts (Megiddo, 1974): a cut gives the level it requires, and the last cut gives the
+ * owners that the level binds.
  */
-final class Levels {
-    private static final double NONE = 1e-9;
+final class MaxMinLosses {
+    private static final double EPSILON = 1e-9;
 
     private final Placement placement;
     private final double[] due;
     private final double[] weight;
     private final double[] loss;
     private final boolean[] bound;
-    /** The cut that bound the first level, or null where nobody loses. */
-    private Placement.Cut first;
+    /** The cut that bound the first level, or null if nobody loses anything. */
+    private Placement.Cut firstCut;
 
-    private Levels(Placement placement, double[] due, double[] weight) {
+    private MaxMinLosses(Placement placement, double[] due, double[] weight) {
         this.placement = placement;
         this.due = due;
         this.weight = weight;
@@ -28,40 +28,40 @@
     }
 
     /**
-     * What each owner loses, in slots. The placement has its work and room set.
+     * Computes what each owner loses, in slots. The placement has its work and capacity set.
      *
-     * @param due what each is to have
-     * @param weight by which losses are compared, over 0
+     * @param due what each owner is due
+     * @param weight by which losses are compared, greater than 0
      */
-    static Levels fill(Placement placement, double[] due, double[] weight) {
-        Levels levels = new Levels(placement, due, weight);
-        while (levels.nextLevel()) {
-            levels.first = levels.first == null ? levels.last : levels.first;
+    static MaxMinLosses fill(Placement placement, double[] due, double[] weight) {
+        MaxMinLosses losses = new MaxMinLosses(placement, due, weight);
+        while (losses.nextLevel()) {
+            losses.firstCut = losses.firstCut == null ? losses.lastCut : losses.firstCut;
         }
-        return levels;
+        return losses;
     }
 
-    private Placement.Cut last;
+    private Placement.Cut lastCut;
 
-    /** Binds those whom the next level holds; false where nobody who is not bound loses anything. */
+    /** Binds the owners that the next level fixes; false if no unbound owner loses anything. */
     private boolean nextLevel() {
         double level = 0;
-        last = null;
-        while (!placement.carries(least(level))) {
-            Placement.Cut cut = placement.cut();
-            double higher = levelFor(cut);
-            last = cut;
-            if (higher <= level + NONE) {
+        lastCut = null;
+        while (!placement.isFeasible(minimums(level))) {
+            Placement.Cut cut = placement.minCut();
+            double next = levelFor(cut);
+            lastCut = cut;
+            if (next <= level + EPSILON) {
                 break;
             }
-            level = higher;
+            level = next;
         }
-        if (last == null) {
+        if (lastCut == null) {
             return false;
         }
         boolean any = false;
         for (int i = 0; i < due.length; i++) {
-            if (last.in()[i] && !bound[i]) {
+            if (lastCut.in()[i] && !bound[i]) {
                 bound[i] = true;
                 loss[i] = Math.min(due[i], level * weight[i]);
                 any |= due[i] > 0;
@@ -70,35 +70,35 @@
         return any;
     }
 
-    private double[] least(double level) {
-        double[] least = new double[due.length];
+    private double[] minimums(double level) {
+        double[] minimums = new double[due.length];
         for (int i = 0; i < due.length; i++) {
-            least[i] = due[i] - (bound[i] ? loss[i] : Math.min(due[i], level * weight[i]));
+            minimums[i] = due[i] - (bound[i] ? loss[i] : Math.min(due[i], level * weight[i]));
         }
-        return least;
+        return minimums;
     }
 
-    /** The lowest level at which those of the cut who are not bound fit into its room. */
+    /** The lowest level at which the unbound owners of the cut fit into its capacity. */
     private double levelFor(Placement.Cut cut) {
-        double over = -cut.room();
+        double excess = -cut.capacity();
         double[] dues = new double[due.length];
         double[] weights = new double[due.length];
         int n = 0;
         for (int i = 0; i < due.length; i++) {
             if (cut.in()[i]) {
-                over += due[i] - loss[i];
+                excess += due[i] - loss[i];
                 if (!bound[i]) {
                     dues[n] = due[i];
                     weights[n++] = weight[i];
                 }
             }
         }
-        return level(Arrays.copyOf(dues, n), Arrays.copyOf(weights, n), over);
+        return level(Arrays.copyOf(dues, n), Arrays.copyOf(weights, n), excess);
     }
 
     /**
-     * The level at which losses of min(due, level x weight) add up to that much; if they never do, the one
-     * at which all is lost.
+     * The level at which losses of min(due, level x weight) add up to {@code loss}; if they never do, the
+     * level at which everything is lost.
      */
     static double level(double[] due, double[] weight, double loss) {
         if (loss <= 0) {
@@ -126,8 +126,8 @@
         return loss.clone();
     }
 
-    /** Who stood in each other's way first; null where nobody loses. */
-    Placement.Cut first() {
-        return first;
+    /** The first cut that was binding; null if nobody loses anything. */
+    Placement.Cut firstCut() {
+        return firstCut;
     }
 }
--- a/src/main/java/laneflow/maintenance/decision/Placement.java
+++ b/src/main/java/laneflow/maintenance/decision/Placement.java
@@ -7,131 +7,132 @@
 import org.jgrapht.graph.DefaultWeightedEdge;
 
 /**
- * Who can be placed where, as a flow: from each owner over its kinds of work to the cells in which that may
- * run. Says whether all owners can have a least amount at once, and if not which of them are in each
- * other's way (the smallest cut). The flow is JGraphT's (push and relabel, Goldberg and Tarjan, 1988);
- * amounts go in as whole thousandths of a slot, so that no sum depends on an order. Not thread-safe.
+ * Feasibility of placing work in cells, as a maximum flow from each owner over its kinds of work to the cells
+ * in which these may run. Decides whether all owners can have a minimum amount at once, and if not, which of
+ * them compete (the minimum cut). The flow is JGraphT's push-relabel implementation (Goldberg and Tarjan,
+ * 1988); amounts are whole thousandths of a slot, so that no sum depends on the order of addition. Not
+ * thread-safe.
  */
 final class Placement {
-    private static final double UNIT = 1000;
+    private static final double UNITS_PER_SLOT = 1000;
 
     /** Work of an owner that may run in the same cells. */
-    record Kind(int owner, long places) {}
+    record WorkKind(int owner, long cellMask) {}
 
-    private final Kind[] kinds;
+    private final WorkKind[] kinds;
     private final int owners;
     private final int cells;
     private final DefaultDirectedWeightedGraph<Integer, DefaultWeightedEdge> graph =
             new DefaultDirectedWeightedGraph<>(DefaultWeightedEdge.class);
-    private final DefaultWeightedEdge[] ofOwner;
-    private final DefaultWeightedEdge[] ofKind;
-    private final DefaultWeightedEdge[] ofCell;
-    private final double[] roomOfKind;
-    private final double[] roomOfCell;
+    private final DefaultWeightedEdge[] ownerEdges;
+    private final DefaultWeightedEdge[] kindEdges;
+    private final DefaultWeightedEdge[] cellEdges;
+    private final double[] kindCapacity;
+    private final double[] cellCapacity;
     private PushRelabelMFImpl<Integer, DefaultWeightedEdge> flow;
-    private int asked;
+    private int flowCount;
 
-    Placement(Kind[] kinds, int owners, int cells) {
+    Placement(WorkKind[] kinds, int owners, int cells) {
         this.kinds = kinds.clone();
         this.owners = owners;
         this.cells = cells;
-        ofOwner = new DefaultWeightedEdge[owners];
-        ofKind = new DefaultWeightedEdge[kinds.length];
-        ofCell = new DefaultWeightedEdge[cells];
-        roomOfKind = new double[kinds.length];
-        roomOfCell = new double[cells];
+        ownerEdges = new DefaultWeightedEdge[owners];
+        kindEdges = new DefaultWeightedEdge[kinds.length];
+        cellEdges = new DefaultWeightedEdge[cells];
+        kindCapacity = new double[kinds.length];
+        cellCapacity = new double[cells];
         for (int i = 0; i < 2 + owners + kinds.length + cells; i++) {
             graph.addVertex(i);
         }
         for (int i = 0; i < owners; i++) {
-            ofOwner[i] = graph.addEdge(0, owner(i));
+            ownerEdges[i] = graph.addEdge(0, ownerVertex(i));
         }
         for (int i = 0; i < kinds.length; i++) {
-            ofKind[i] = graph.addEdge(owner(kinds[i].owner()), kind(i));
+            kindEdges[i] = graph.addEdge(ownerVertex(kinds[i].owner()), kindVertex(i));
             for (int c = 0; c < cells; c++) {
-                if ((kinds[i].places() & 1L << c) != 0) {
-                    graph.setEdgeWeight(graph.addEdge(kind(i), cell(c)), 1e12);
+                if ((kinds[i].cellMask() & 1L << c) != 0) {
+                    graph.setEdgeWeight(graph.addEdge(kindVertex(i), cellVertex(c)), 1e12);
                 }
             }
         }
         for (int c = 0; c < cells; c++) {
-            ofCell[c] = graph.addEdge(cell(c), 1);
+            cellEdges[c] = graph.addEdge(cellVertex(c), 1);
         }
     }
 
-    private static int owner(int i) {
+    private static int ownerVertex(int i) {
         return 2 + i;
     }
 
-    private int kind(int i) {
+    private int kindVertex(int i) {
         return 2 + owners + i;
     }
 
-    private int cell(int c) {
+    private int cellVertex(int c) {
         return 2 + owners + kinds.length + c;
     }
 
-    /** What there is of each kind of work, and what room in each cell, both in slots. */
-    void set(double[] work, double[] room) {
+    /** Sets the amount of each kind of work and the capacity of each cell, both in slots. */
+    void set(double[] work, double[] capacity) {
         for (int i = 0; i < kinds.length; i++) {
-            roomOfKind[i] = Math.ceil(work[i] * UNIT);
-            graph.setEdgeWeight(ofKind[i], roomOfKind[i]);
+            kindCapacity[i] = Math.ceil(work[i] * UNITS_PER_SLOT);
+            graph.setEdgeWeight(kindEdges[i], kindCapacity[i]);
         }
         for (int c = 0; c < cells; c++) {
-            roomOfCell[c] = Math.floor(room[c] * UNIT + 1e-6);
-            graph.setEdgeWeight(ofCell[c], roomOfCell[c]);
+            cellCapacity[c] = Math.floor(capacity[c] * UNITS_PER_SLOT + 1e-6);
+            graph.setEdgeWeight(cellEdges[c], cellCapacity[c]);
         }
     }
 
-    /** True if every owner can have at least so many slots at once, to a thousandth each. */
-    boolean carries(double[] least) {
+    /** True if every owner can have at least its minimum at once, to a thousandth of a slot each. */
+    boolean isFeasible(double[] minimums) {
         double sum = 0;
         for (int i = 0; i < owners; i++) {
-            double want = Math.floor(least[i] * UNIT + 1e-6);
-            sum += want;
-            graph.setEdgeWeight(ofOwner[i], want);
+            double minimum = Math.floor(minimums[i] * UNITS_PER_SLOT + 1e-6);
+            sum += minimum;
+            graph.setEdgeWeight(ownerEdges[i], minimum);
         }
-        asked++;
+        flowCount++;
         flow = new PushRelabelMFImpl<>(graph);
         return flow.calculateMaximumFlow(0, 1) >= sum - owners;
     }
 
-    /** The flow's source side behind {@link #carries} was false: who is in each other's way. */
-    Cut cut() {
+    /** The minimum cut after {@link #isFeasible} returned false. */
+    Cut minCut() {
         flow.calculateMinCut(0, 1);
-        Set<Integer> side = flow.getSourcePartition();
+        Set<Integer> sourceSide = flow.getSourcePartition();
         boolean[] in = new boolean[owners];
-        double room = 0;
+        double capacity = 0;
         for (int i = 0; i < owners; i++) {
-            in[i] = side.contains(owner(i));
+            in[i] = sourceSide.contains(ownerVertex(i));
         }
         for (int i = 0; i < kinds.length; i++) {
-            room += in[kinds[i].owner()] && !side.contains(kind(i)) ? roomOfKind[i] : 0;
+            capacity += in[kinds[i].owner()] && !sourceSide.contains(kindVertex(i)) ? kindCapacity[i] : 0;
         }
-        long places = 0;
+        long cellMask = 0;
         for (int c = 0; c < cells; c++) {
-            places |= side.contains(cell(c)) ? 1L << c : 0;
-            room += side.contains(cell(c)) ? roomOfCell[c] : 0;
+            cellMask |= sourceSide.contains(cellVertex(c)) ? 1L << c : 0;
+            capacity += sourceSide.contains(cellVertex(c)) ? cellCapacity[c] : 0;
         }
-        return new Cut(in, places, room / UNIT);
+        return new Cut(in, cellMask, capacity / UNITS_PER_SLOT);
     }
 
     /**
-     * Owners whose least amounts together exceed what can be had.
+     * Owners whose minimums together exceed their capacity.
      *
-     * @param in who is one of them
-     * @param places the cells that are full, a bit each
-     * @param room what all of them can have together, in slots
+     * @param in whether each owner is one of them
+     * @param cellMask the full cells, a bit each
+     * @param capacity what all of them can have together, in slots
      */
-    record Cut(boolean[] in, long places, double room) {
+    record Cut(boolean[] in, long cellMask, double capacity) {
         @Override
         public String toString() {
-            return Arrays.toString(in) + " share " + room;
+            return Arrays.toString(in) + " share " + capacity;
         }
     }
 
-    /** How often a flow was asked for. */
-    int asked() {
-        return asked;
+    /** Number of flows computed so far. */
+    int flowCount() {
+        return flowCount;
     }
 }
--- a/src/main/java/laneflow/maintenance/decision/Plan.java
+++ b/src/main/java/laneflow/maintenance/decision/Plan.java
@@ -4,40 +4,40 @@
 import java.util.Map;
 
 /**
- * When which rack goes.
+ * A plan of maintenance windows.
  *
- * @param windows in the order of their beginnings, then by name
- * @param refused why the others found no time, by request
- * @param moved windows of the plan before that begin at another time now, or not at all
- * @param asked how often an instant was looked at; the bound of planning is told in these
+ * @param windows by start time, then by name
+ * @param refused reasons why the other requests found no time, by request name
+ * @param moved number of windows of the previous plan that now start at another time or not at all
+ * @param evaluations number of instants evaluated, which is the measure of planning effort
  * @param flows how many of them needed a flow
  */
-public record Plan(List<Window> windows, Map<String, List<String>> refused, int moved, long asked, int flows) {
+public record Plan(List<Window> windows, Map<String, List<String>> refused, int moved, long evaluations, int flows) {
     /**
-     * A window: its racks count as away for the whole of it.
+     * A planned window; its racks count as away for the whole of it.
      *
-     * @param startMs its racks begin to drain, Unix milliseconds
-     * @param endMs its racks are back
-     * @param isFixed it can't be moved any more: announced, or begun
+     * @param startMs when its racks begin to drain, Unix milliseconds
+     * @param endMs when its racks are back
+     * @param isFixed true if it can no longer be moved, because it is announced or begun
      */
     public record Window(Request request, long startMs, long endMs, boolean isFixed) {
-        boolean meets(long from, long to) {
+        boolean overlaps(long from, long to) {
             return startMs < to && from < endMs;
         }
     }
 
     /**
-     * A time at which nothing is begun and nothing is down.
+     * A period in which no window begins and no rack is down.
      *
-     * @param name as it is told to whoever is turned down for it
+     * @param name shown in the reasons of refused requests
      */
     public record Freeze(String name, long fromMs, long toMs) {
-        boolean meets(long from, long to) {
+        boolean overlaps(long from, long to) {
             return fromMs < to && from < toMs;
         }
     }
 
-    /** The window of that request, or null. */
+    /** The window of a request, or null. */
     public Window window(String request) {
         return windows.stream()
                 .filter(one -> one.request().name().equals(request))
--- a/src/main/java/laneflow/maintenance/decision/Request.java
+++ b/src/main/java/laneflow/maintenance/decision/Request.java
@@ -4,19 +4,19 @@
 import java.util.Set;
 
 /**
- * That racks are to go down once, as its owner asked for it. Instants are Unix milliseconds.
+ * A request to take racks down once. Times are Unix milliseconds.
  *
- * @param name the same name is the same request
- * @param owner who asked, and answers for the work
- * @param racks all of them are down at once, for the whole of the window
- * @param workMs how long the work takes
- * @param earliestMs not before
+ * @param name identifies the request: the same name is the same request
+ * @param owner who asked and is responsible for the work
+ * @param racks all of them are down for the whole of the window
+ * @param workMs duration of the work
+ * @param earliestMs earliest start
  * @param latestMs the racks are back by then
- * @param noticeMs how long before its beginning it has to be announced
+ * @param noticeMs how long before its start it has to be announced
  * @param abortMs how far into the work it can still be called off; 0: once begun it has to be finished
- * @param apart labels: two requests that share one are never down at once
+ * @param apart labels: two requests that share one are never down at the same time
  * @param after requests that have to be done before this one begins
- * @param freezes in which nothing of it is down
+ * @param freezes periods in which its racks are not down
  */
 public record Request(
         String name,
@@ -37,7 +37,7 @@
         freezes = List.copyOf(freezes);
     }
 
-    /** One that nothing freezes. */
+    /** A request without freezes. */
     public Request(
             String name,
             String owner,
@@ -52,7 +52,7 @@
         this(name, owner, racks, workMs, earliestMs, latestMs, noticeMs, abortMs, apart, after, List.of());
     }
 
-    /** The same with those of a calendar's freezes that touch its time. */
+    /** A copy with the freezes of a calendar that overlap its time. */
     public Request withFreezes(List<Plan.Freeze> calendar) {
         return new Request(
                 name,
@@ -65,13 +65,15 @@
                 abortMs,
                 apart,
                 after,
-                calendar.stream().filter(one -> one.meets(earliestMs, latestMs)).toList());
+                calendar.stream()
+                        .filter(one -> one.overlaps(earliestMs, latestMs))
+                        .toList());
     }
 
-    /** The first of its freezes that touches these instants, or null. */
-    Plan.Freeze freeze(long fromMs, long toMs) {
+    /** The first of its freezes that overlaps this period, or null. */
+    Plan.Freeze freezeDuring(long fromMs, long toMs) {
         return freezes.stream()
-                .filter(one -> one.meets(fromMs, toMs))
+                .filter(one -> one.overlaps(fromMs, toMs))
                 .findFirst()
                 .orElse(null);
     }
--- a/src/main/java/laneflow/maintenance/decision/Sending.java
+++ b/src/main/java/laneflow/maintenance/decision/Sending.java
@@ -9,120 +9,120 @@
 import laneflow.policy.decision.Lease;
 
 /**
- * What the leader of one term knows of who may still have calls at endpoints that the policy in force bans.
- * Whoever has said that it has begun that policy, and that no call of its is out there, never has one again
- * while the policy bans them. Of all others the longest counts: whoever is silent may decide until its lease
- * is over, and may have a call out for the longest deadline behind that; and so may those that only a former
- * leader has heard of. No I/O, no clock of its own; microseconds.
+ * The leader's knowledge, for one term, of which schedulers may still have calls at endpoints that the policy
+ * in force bans. A scheduler that has reported that it applied that policy and has no call there will not have
+ * one again while the policy bans them. For all others the worst case counts: a silent scheduler may decide
+ * until its lease ends, and may then have a call open for the longest deadline; this includes schedulers that
+ * only a former leader knew. No I/O, no clock of its own; times in microseconds.
  */
 public final class Sending {
-    private static final long SLACK = 5_000;
+    private static final long SLACK_MICROS = 5_000;
 
     /**
-     * A scheduler's word.
+     * A scheduler's report on its calls.
      *
-     * @param policy the one that it had begun when it looked
-     * @param busy endpoints that this policy bans and to which a call was out
-     * @param lost endpoints that it can't reach
+     * @param policy the version that it had applied when it looked
+     * @param busy endpoints that this policy bans and that still have an open call
+     * @param unreachable endpoints that it cannot reach
      */
-    public record Said(long policy, Set<String> busy, Set<String> lost) {}
+    public record Report(long policy, Set<String> busy, Set<String> unreachable) {}
 
-    private static final class Holder {
-        private Said said;
+    private static final class SchedulerState {
+        private Report report;
         private long at;
         private long heardAt;
     }
 
     private final long electedAt;
-    private final long lasts;
-    private long outlives;
-    private final long live;
-    private final Map<String, Holder> holders = new TreeMap<>();
+    private final long grantMicros;
+    private long maxSilence;
+    private final long leaseMicros;
+    private final Map<String, SchedulerState> schedulers = new TreeMap<>();
 
     /**
-     * @param electedAt an instant behind the election
-     * @param lease how long a grant lasts
-     * @param longest how long a call may be out
+     * @param electedAt a time after the election
+     * @param lease duration of a grant
+     * @param longestCall longest duration of a call
      */
-    public Sending(long electedAt, long lease, long longest) {
+    public Sending(long electedAt, long lease, long longestCall) {
         this.electedAt = electedAt;
-        lasts = (long) (lease * (1 + 2 * Lease.MAX_DRIFT)) + SLACK;
-        outlives = lasts + longest;
-        live = lease;
+        grantMicros = (long) (lease * (1 + 2 * Lease.MAX_DRIFT)) + SLACK_MICROS;
+        maxSilence = grantMicros + longestCall;
+        leaseMicros = lease;
     }
 
-    /** Calls may be out for so long now, if that is longer than what was known. */
-    public void longest(long now) {
-        outlives = Math.max(outlives, lasts + now);
+    /** Raises the assumed maximum duration of a call, if the given one is longer. */
+    public void raiseMaxCallDuration(long duration) {
+        maxSilence = Math.max(maxSilence, grantMicros + duration);
     }
 
-    private Holder holder(String who) {
-        return holders.computeIfAbsent(who, name -> new Holder());
+    private SchedulerState scheduler(String who) {
+        return schedulers.computeIfAbsent(who, name -> new SchedulerState());
     }
 
-    /** A scheduler has said how things stand with its calls. */
-    public void heard(long now, String who, Said said) {
-        Holder holder = holder(who);
-        holder.said = said;
-        holder.heardAt = now;
-        holder.at = now;
+    /** Records a scheduler's report on its calls. */
+    public void onReport(long now, String who, Report report) {
+        SchedulerState scheduler = scheduler(who);
+        scheduler.report = report;
+        scheduler.heardAt = now;
+        scheduler.at = now;
     }
 
-    /** A scheduler was told something, and may have been granted a lease by it. */
-    public void told(long now, String who) {
-        holder(who).at = now;
-        holders.values().removeIf(one -> now > one.at + 2 * outlives);
+    /** Records a message to a scheduler that may have granted it a lease. */
+    public void onGrant(long now, String who) {
+        scheduler(who).at = now;
+        schedulers.values().removeIf(one -> now > one.at + 2 * maxSilence);
     }
 
-    /** A scheduler ends in order: all its calls are over, and it has said so. */
-    public void left(String who) {
-        holders.remove(who);
+    /** Removes a scheduler that shut down cleanly, with all its calls over. */
+    public void onLeft(String who) {
+        schedulers.remove(who);
     }
 
-    /** Who may have a call out at an endpoint that this policy, in force, bans; empty: nobody has. */
-    public List<String> sending(long now, long policy, String endpoint) {
+    /** Schedulers that may have a call open at an endpoint that this policy, in force, bans; empty if none may. */
+    public List<String> possibleSenders(long now, long policy, String endpoint) {
         List<String> all = new ArrayList<>();
-        if (now < electedAt + outlives) {
-            // Those that this leader has heard of need not be all.
+        if (now < electedAt + maxSilence) {
+            // There may be schedulers that this leader has not heard of.
             all.add("those that a former leader knew");
         }
-        holders.forEach((who, holder) -> {
-            boolean ended = holder.said != null
-                    && holder.said.policy() == policy
-                    && !holder.said.busy().contains(endpoint);
-            if (!ended && now < holder.at + outlives) {
+        schedulers.forEach((who, scheduler) -> {
+            boolean ended = scheduler.report != null
+                    && scheduler.report.policy() == policy
+                    && !scheduler.report.busy().contains(endpoint);
+            if (!ended && now < scheduler.at + maxSilence) {
                 all.add(who);
             }
         });
         return all;
     }
 
-    /** True if all that are live have begun that policy. */
-    public boolean hasBegun(long now, long policy) {
-        // A leader that has just been elected has not heard of all yet.
-        return now > electedAt + live
-                && holders.values().stream()
-                        .allMatch(holder ->
-                                now - holder.at > live || holder.said != null && holder.said.policy() == policy);
+    /** True if all live schedulers have applied that policy. */
+    public boolean haveAllApplied(long now, long policy) {
+        // A newly elected leader has not heard of all schedulers yet.
+        return now > electedAt + leaseMicros
+                && schedulers.values().stream()
+                        .allMatch(scheduler -> now - scheduler.at > leaseMicros
+                                || scheduler.report != null && scheduler.report.policy() == policy);
     }
 
-    /** Endpoints that at least half of those that are live can't reach. */
-    public Set<String> lost(long now) {
-        Map<String, Integer> against = new TreeMap<>();
-        int voices = 0;
-        for (Holder holder : holders.values()) {
-            if (holder.said != null && now - holder.heardAt <= live) {
-                voices++;
-                holder.said.lost().forEach(name -> against.merge(name, 1, Integer::sum));
+    /** Endpoints that at least half of the live schedulers cannot reach. */
+    public Set<String> unreachable(long now) {
+        Map<String, Integer> counts = new TreeMap<>();
+        int reporting = 0;
+        for (SchedulerState scheduler : schedulers.values()) {
+            if (scheduler.report != null && now - scheduler.heardAt <= leaseMicros) {
+                reporting++;
+                scheduler.report.unreachable().forEach(name -> counts.merge(name, 1, Integer::sum));
             }
         }
-        int all = voices;
-        Set<String> lost = new TreeSet<>();
-        against.forEach((name, count) -> {
+        int all = reporting;
+        Set<String> unreachable = new TreeSet<>();
+        counts.forEach((name, count) -> {
             if (2 * count >= all) {
-                lost.add(name);
+                unreachable.add(name);
             }
         });
-        return lost;
+        return unreachable;
     }
 }
--- a/src/main/java/laneflow/maintenance/decision/Timeline.java
+++ b/src/main/java/laneflow/maintenance/decision/Timeline.java
@@ -12,94 +12,98 @@
 import laneflow.maintenance.decision.Plan.Window;
 
 /**
- * The time that is planned, in steps, with the windows that stand in it: what is left at each step, and
- * whether one more window would be fair throughout. Not thread-safe.
+ * The planned time in steps, with the windows placed in it: what is left at each step, and whether one more
+ * window would be fair throughout. Not thread-safe.
  */
 final class Timeline {
-    /** What a time costs: no loss is better than one that is fair. Below 0 where it can't be. */
+    /**
+     * Cost of a time at which some instant would be unfair; a fair time costs 0 or more, less if fewer tenants
+     * lose something.
+     */
     static final int UNFAIR = -1;
 
-    private final Planner.Parameters times;
+    private final Planner.Parameters parameters;
     private final Fairness fairness;
     private final Forecast forecast;
     private final List<double[]> dues;
     private final Cuts cuts;
     private final double[] accounts;
     private final List<Freeze> freezes;
-    private final double[] nothing;
+    private final double[] allUp;
     private final double[][] left;
-    private final int[] standing;
+    private final int[] windowCounts;
     private final int[] spans;
     private final boolean[] frozen;
     private final Map<String, Window> windows = new LinkedHashMap<>();
-    /** Flows are dear: answers are kept by span and what is left. */
-    private final Map<List<Object>, Boolean> known = new HashMap<>();
+    /** Flows are expensive, so results are cached by span and remaining slots. */
+    private final Map<List<Object>, Boolean> cachedFairness = new HashMap<>();
 
-    private final Map<List<Object>, byte[]> alone = new HashMap<>();
+    private final Map<List<Object>, byte[]> aloneByRacks = new HashMap<>();
     private final Map<String, BitSet> starts = new HashMap<>();
-    private long asked;
+    private long evaluations;
     private int flows;
 
     Timeline(
-            Planner.Parameters times,
+            Planner.Parameters parameters,
             Fairness fairness,
             Forecast forecast,
             double[] accounts,
             List<Freeze> freezes,
             List<Integer> lost,
             long lostUntilMs) {
-        this.times = times;
+        this.parameters = parameters;
         this.fairness = fairness;
         this.forecast = forecast;
         this.accounts = accounts;
         this.freezes = freezes;
-        dues = Cuts.dues(fairness, forecast);
+        dues = Cuts.dueBySpan(fairness, forecast);
         cuts = new Cuts(fairness, dues, accounts);
-        nothing = fairness.inventory().totalSlots();
-        left = new double[times.steps()][];
-        standing = new int[times.steps()];
-        spans = new int[times.steps()];
-        frozen = new boolean[times.steps()];
+        allUp = fairness.inventory().totalSlots();
+        left = new double[parameters.steps()][];
+        windowCounts = new int[parameters.steps()];
+        spans = new int[parameters.steps()];
+        frozen = new boolean[parameters.steps()];
         double[] without = fairness.inventory().slotsWithout(lost);
         for (int i = 0; i < left.length; i++) {
             long ms = ms(i);
-            boolean amid = ms < lostUntilMs && !lost.isEmpty();
-            left[i] = (amid ? without : nothing).clone();
-            // Headroom that is not lent out: what may fail amid a window has to have gone beforehand.
+            boolean isLost = ms < lostUntilMs && !lost.isEmpty();
+            left[i] = (isLost ? without : allUp).clone();
+            // The reserve is subtracted in advance, so that a failure during a window still finds its slots.
             for (int c = 0; c < left[i].length; c++) {
-                left[i][c] -= times.reserve() * nothing[c];
+                left[i][c] -= parameters.reserve() * allUp[c];
             }
-            standing[i] = amid ? 1 : 0;
-            spans[i] = forecast.at(ms);
+            windowCounts[i] = isLost ? 1 : 0;
+            spans[i] = forecast.spanAt(ms);
             for (Freeze freeze : freezes) {
-                frozen[i] |= freeze.fromMs() < ms + times.stepMs() && ms < freeze.toMs();
+                frozen[i] |= freeze.fromMs() < ms + parameters.stepMs() && ms < freeze.toMs();
             }
         }
     }
 
     long ms(int step) {
-        return times.fromMs() + step * times.stepMs();
+        return parameters.fromMs() + step * parameters.stepMs();
     }
 
     int steps() {
         return left.length;
     }
 
-    /** The steps that a request takes. */
-    int length(Request request) {
-        long whole = times.drainMs() + request.workMs() + times.returnMs();
-        return (int) ((whole + times.stepMs() - 1) / times.stepMs());
+    /** Number of steps that a request takes. */
+    int stepCount(Request request) {
+        long whole = parameters.drainMs() + request.workMs() + parameters.returnMs();
+        return (int) ((whole + parameters.stepMs() - 1) / parameters.stepMs());
     }
 
-    /** The first step at which it may begin, by its own words and its notice. */
-    int first(Request request) {
-        long from = Math.max(request.earliestMs(), times.fromMs() + request.noticeMs());
-        return (int) Math.max(0, (from - times.fromMs() + times.stepMs() - 1) / times.stepMs());
+    /** The first step at which a request may begin, by its earliest time and its notice. */
+    int firstStep(Request request) {
+        long from = Math.max(request.earliestMs(), parameters.fromMs() + request.noticeMs());
+        return (int) Math.max(0, (from - parameters.fromMs() + parameters.stepMs() - 1) / parameters.stepMs());
     }
 
-    /** The last such step. */
-    int last(Request request) {
-        return (int) Math.min(left.length, (request.latestMs() - times.fromMs()) / times.stepMs()) - length(request);
+    /** The last step at which a request may begin. */
+    int lastStep(Request request) {
+        return (int) Math.min(left.length, (request.latestMs() - parameters.fromMs()) / parameters.stepMs())
+                - stepCount(request);
     }
 
     Map<String, Window> windows() {
@@ -108,20 +112,21 @@
 
     void add(Window window) {
         windows.put(window.request().name(), window);
-        lay(window, -1);
+        adjust(window, -1);
     }
 
     Window remove(String request) {
         Window window = windows.remove(request);
-        lay(window, 1);
+        adjust(window, 1);
         return window;
     }
 
-    private void lay(Window window, int sign) {
-        int from = (int) Math.max(0, (window.startMs() - times.fromMs()) / times.stepMs());
-        int to = (int) Math.min(left.length, (window.endMs() - times.fromMs() + times.stepMs() - 1) / times.stepMs());
+    private void adjust(Window window, int sign) {
+        int from = (int) Math.max(0, (window.startMs() - parameters.fromMs()) / parameters.stepMs());
+        int to = (int) Math.min(
+                left.length, (window.endMs() - parameters.fromMs() + parameters.stepMs() - 1) / parameters.stepMs());
         for (int i = from; i < to; i++) {
-            standing[i] -= sign;
+            windowCounts[i] -= sign;
             for (String rack : window.request().racks()) {
                 int number = fairness.inventory().rackIndex(rack);
                 for (int c = 0; c < left[i].length; c++) {
@@ -131,48 +136,50 @@
         }
     }
 
-    Window at(Request request, int step) {
-        return new Window(request, ms(step), ms(step + length(request)), false);
+    Window windowAt(Request request, int step) {
+        return new Window(request, ms(step), ms(step + stepCount(request)), false);
     }
 
-    /** The windows that may be in a request's way by order or company, whatever the time. */
+    /** The windows that may conflict with a request by order or exclusion, whatever the time. */
     List<Window> related(Request request) {
         List<Window> related = new ArrayList<>();
         for (Window other : windows.values()) {
             Request one = other.request();
-            if (request.after().contains(one.name()) || one.after().contains(request.name()) || isApart(request, one)) {
+            if (request.after().contains(one.name())
+                    || one.after().contains(request.name())
+                    || mustNotOverlap(request, one)) {
                 related.add(other);
             }
         }
         return related;
     }
 
-    private static boolean isApart(Request a, Request b) {
+    private static boolean mustNotOverlap(Request a, Request b) {
         return a.apart().stream().anyMatch(b.apart()::contains)
                 || a.racks().stream().anyMatch(b.racks()::contains);
     }
 
-    /** Why order or company forbid that time, in words; null if they don't. */
-    String forbids(Request request, int step) {
-        return forbids(request, step, related(request));
+    /** Why order, exclusion or a freeze rules out a time, as text; null if nothing does. */
+    String conflict(Request request, int step) {
+        return conflict(request, step, related(request));
     }
 
-    /** The same among windows that are known to be related. */
-    String forbids(Request request, int step, List<Window> related) {
+    /** The same, given the related windows. */
+    String conflict(Request request, int step, List<Window> related) {
         long from = ms(step);
-        long to = ms(step + length(request));
-        for (int i = step; i < step + length(request); i++) {
+        long to = ms(step + stepCount(request));
+        for (int i = step; i < step + stepCount(request); i++) {
             if (frozen[i]) {
                 long ms = ms(i);
                 return "freeze "
                         + freezes.stream()
-                                .filter(one -> one.fromMs() < ms + times.stepMs() && ms < one.toMs())
+                                .filter(one -> one.fromMs() < ms + parameters.stepMs() && ms < one.toMs())
                                 .findFirst()
                                 .orElseThrow()
                                 .name();
             }
         }
-        Freeze own = request.freeze(from, to);
+        Freeze own = request.freezeDuring(from, to);
         if (own != null) {
             return "freeze " + own.name();
         }
@@ -184,7 +191,7 @@
             if (one.after().contains(request.name()) && other.startMs() < to) {
                 return "has to come before " + one.name();
             }
-            if (other.meets(from, to) && isApart(request, one)) {
+            if (other.overlaps(from, to) && mustNotOverlap(request, one)) {
                 return "not together with " + one.name();
             }
         }
@@ -196,18 +203,21 @@
         return null;
     }
 
-    /** The steps of that time at which somebody loses, all fairly; {@link #UNFAIR} if it can't be. */
+    /**
+     * Number of steps at which some tenant loses something, all of it fairly; {@link #UNFAIR} if any step is
+     * unfair.
+     */
     int cost(Request request, int step) {
-        byte[] by = alone(request);
+        byte[] answers = answersAlone(request);
         int cost = 0;
         double[] before = null;
         Answer answer = null;
-        for (int i = step; i < step + length(request); i++) {
-            if (standing[i] == 0) {
-                answer = Answer.values()[by[spans[i]]];
+        for (int i = step; i < step + stepCount(request); i++) {
+            if (windowCounts[i] == 0) {
+                answer = Answer.values()[answers[spans[i]]];
                 before = null;
             } else if (before == null || spans[i] != spans[i - 1] || !Arrays.equals(left[i], before)) {
-                answer = answer(i, less(left[i], request));
+                answer = classifyStep(i, minusRacks(left[i], request));
                 before = left[i];
             }
             if (answer == Answer.UNFAIR) {
@@ -218,75 +228,76 @@
         return cost;
     }
 
-    /** The same racks with nothing else down, for each span. */
-    private byte[] alone(Request request) {
-        return alone.computeIfAbsent(List.copyOf(request.racks()), racks -> {
-            byte[] by = new byte[dues.size()];
-            double[] base = nothing.clone();
+    /** Answers for the request's racks with nothing else down, for each span. */
+    private byte[] answersAlone(Request request) {
+        return aloneByRacks.computeIfAbsent(List.copyOf(request.racks()), racks -> {
+            byte[] answers = new byte[dues.size()];
+            double[] base = allUp.clone();
             for (int c = 0; c < base.length; c++) {
-                base[c] *= 1 - times.reserve();
+                base[c] *= 1 - parameters.reserve();
             }
-            double[] without = less(base, request);
-            for (int span = 0; span < by.length; span++) {
-                by[span] = (byte) judge(span, without).ordinal();
+            double[] without = minusRacks(base, request);
+            for (int span = 0; span < answers.length; span++) {
+                answers[span] = (byte) classify(span, without).ordinal();
             }
-            return by;
+            return answers;
         });
     }
 
-    private double[] less(double[] from, Request request) {
-        double[] less = from.clone();
+    private double[] minusRacks(double[] from, Request request) {
+        double[] remaining = from.clone();
         for (String rack : request.racks()) {
             int number = fairness.inventory().rackIndex(rack);
-            for (int c = 0; c < less.length; c++) {
-                less[c] -= fairness.inventory().slots(number, c);
+            for (int c = 0; c < remaining.length; c++) {
+                remaining[c] -= fairness.inventory().slots(number, c);
             }
         }
-        for (int c = 0; c < less.length; c++) {
-            less[c] = Math.max(0, less[c]);
+        for (int c = 0; c < remaining.length; c++) {
+            remaining[c] = Math.max(0, remaining[c]);
         }
-        return less;
+        return remaining;
     }
 
-    private Answer answer(int step, double[] without) {
-        return judge(spans[step], without);
+    private Answer classifyStep(int step, double[] without) {
+        return classify(spans[step], without);
     }
 
-    private Answer judge(int span, double[] without) {
-        asked++;
-        Answer quick = cuts.ask(span, without);
-        if (quick != Answer.UNKNOWN) {
-            return quick;
+    private Answer classify(int span, double[] without) {
+        evaluations++;
+        Answer bySums = cuts.classify(span, without);
+        if (bySums != Answer.UNKNOWN) {
+            return bySums;
         }
         List<Object> key = new ArrayList<>(without.length + 1);
         key.add(span);
         for (double slots : without) {
             key.add(Math.round(slots * 1000));
         }
-        Boolean fair = known.get(key);
+        Boolean fair = cachedFairness.get(key);
         if (fair == null) {
-            // The bound is a count and no clock: the same input has the same plan on every machine.
-            boolean may = flows < times.mostFlows();
-            flows += may ? 1 : 0;
-            fair = may && fairness.isFair(dues.get(span), without, accounts);
-            known.put(key, fair);
+            // The limit is a count and not a time, so that the same input gives the same plan on every
+            // machine.
+            boolean withinBound = flows < parameters.maxFlows();
+            flows += withinBound ? 1 : 0;
+            fair = withinBound && fairness.isFair(dues.get(span), without, accounts);
+            cachedFairness.put(key, fair);
         }
         return fair ? Answer.FAIR : Answer.UNFAIR;
     }
 
-    /** Who stands against that time, in words; empty if nobody does. */
-    List<String> against(Request request, int step) {
+    /** Why that time is ruled out, as text; empty if it is not. */
+    List<String> objections(Request request, int step) {
         List<String> all = new ArrayList<>();
-        String forbids = forbids(request, step);
-        if (forbids != null) {
-            all.add(forbids);
+        String conflict = conflict(request, step);
+        if (conflict != null) {
+            all.add(conflict);
         }
-        for (int i = step; i < step + length(request) && all.size() < 8; i++) {
-            double[] without = less(left[i], request);
-            if (answer(i, without) == Answer.UNFAIR) {
+        for (int i = step; i < step + stepCount(request) && all.size() < 8; i++) {
+            double[] without = minusRacks(left[i], request);
+            if (classifyStep(i, without) == Answer.UNFAIR) {
                 List<String> with = new ArrayList<>();
                 for (Window other : windows.values()) {
-                    if (other.meets(ms(i), ms(i + 1))) {
+                    if (other.overlaps(ms(i), ms(i + 1))) {
                         with.addAll(other.request().racks());
                     }
                 }
@@ -302,30 +313,30 @@
         return all;
     }
 
-    /** The steps at which it could begin if no other window stood; freezes and what is lost count. */
-    BitSet starts(Request request) {
+    /** The steps at which a request could begin if no other window were placed; freezes count. */
+    BitSet feasibleStarts(Request request) {
         return starts.computeIfAbsent(request.name(), name -> {
-            byte[] by = alone(request);
+            byte[] answers = answersAlone(request);
             BitSet found = new BitSet();
             int run = 0;
             for (int i = 0; i < left.length; i++) {
-                boolean not = frozen[i] || request.freeze(ms(i), ms(i + 1)) != null;
-                run = not || by[spans[i]] == Answer.UNFAIR.ordinal() ? 0 : run + 1;
-                if (run >= length(request)) {
-                    found.set(i + 1 - length(request));
+                boolean excluded = frozen[i] || request.freezeDuring(ms(i), ms(i + 1)) != null;
+                run = excluded || answers[spans[i]] == Answer.UNFAIR.ordinal() ? 0 : run + 1;
+                if (run >= stepCount(request)) {
+                    found.set(i + 1 - stepCount(request));
                 }
             }
             return found;
         });
     }
 
-    /** Slots that are left at a step beyond all that is due, wherever they are. */
+    /** Slots left at a step beyond all that is due, in any cell. */
     double headroom(int step) {
-        return Arrays.stream(left[step]).sum() - cuts.due(spans[step]);
+        return Arrays.stream(left[step]).sum() - cuts.totalDue(spans[step]);
     }
 
-    long asked() {
-        return asked;
+    long evaluations() {
+        return evaluations;
     }
 
     int flows() {
