--- a/src/main/java/laneflow/maintenance/decision/WindowLedger.java
+++ b/src/main/java/laneflow/maintenance/decision/WindowLedger.java
@@ -17,25 +17,25 @@
 import laneflow.policy.decision.Ledger;
 
 /**
- * Windows as a part of the voters' ledger, beside changes of policy, so that neither moves without the
- * other: leave is given only while the policy in force bans a window's racks, and no change comes into force
- * that would give them back. Which endpoints stand in a rack is said by the step with which it begins to
- * drain, so all voters judge alike whatever their files say. Not thread-safe; no I/O, no clock.
+ * Maintenance windows as a part of the voters' ledger, next to policy changes, so that each is checked against
+ * the other: leave is given only while the policy in force bans a window's racks, and no policy change that
+ * would give them back comes into force. The step that starts a drain lists the endpoints of each rack, so all
+ * voters decide alike whatever their configuration files say. Not thread-safe; no I/O, no clock.
  */
 public final class WindowLedger implements Ledger.Part {
-    /** By this name it stands in the ledger. */
+    /** Name of this part in the ledger. */
     public static final String NAME = "maintenance";
-    /** The most windows that are not over. */
-    public static final int MOST_OPEN = 1000;
+    /** Maximum number of windows that are not final. */
+    public static final int MAX_OPEN = 1000;
 
     private static final String BANS = "bans";
 
     private final Windows windows = new Windows();
-    /** The endpoints of each rack of a window that is away, as the step said that made it drain. */
+    /** Endpoints of each rack that is away, as listed by the step that started the drain. */
     private final SortedMap<String, List<String>> racks = new TreeMap<>();
-    /** Endpoints that a change of the coordinator's bans, or is about to, and none had banned before. */
-    private final SortedSet<String> own = new TreeSet<>();
-    /** What each tenant has lost, as {@link Accounts#state} tells it. */
+    /** Endpoints banned by the coordinator, in force or undecided, that no earlier policy banned. */
+    private final SortedSet<String> windowBans = new TreeSet<>();
+    /** Losses of each tenant, as given by {@link LossAccounts#state}. */
     private final SortedMap<String, double[]> accounts = new TreeMap<>();
 
     private Set<String> bans = Set.of();
@@ -46,49 +46,50 @@
     private View view;
 
     /**
-     * All of it at one moment; never changed.
+     * Immutable copy of the state.
      *
      * @param version counts operations
-     * @param inForce the number of the policy in force
-     * @param undecided true if a change of policy is
-     * @param bans the endpoints that the policy in force bans
-     * @param own those of them, and of a change that is undecided, that are banned for windows only
-     * @param racks the endpoints of racks that are away
-     * @param windows a copy; nobody changes it
+     * @param inForce number of the policy in force
+     * @param undecided true if a policy change is undecided
+     * @param bans endpoints that the policy in force bans
+     * @param windowBans endpoints of the policy in force or an undecided change that are banned for windows
+     * only
+     * @param racks endpoints of the racks that are away
+     * @param windows a copy that is never modified
      */
     public record View(
             long version,
             long inForce,
             boolean undecided,
             Set<String> bans,
-            Set<String> own,
+            Set<String> windowBans,
             SortedMap<String, List<String>> racks,
             Windows windows,
             SortedMap<String, double[]> accounts) {
-        /** True if the policy in force bans all of a rack that is away. */
+        /** True if the rack is away and the policy in force bans all its endpoints. */
         public boolean isBanned(String rack) {
             return racks.containsKey(rack) && bans.containsAll(racks.get(rack));
         }
 
         /**
-         * What a policy has to ban so that these racks are banned, and no others that windows alone have
-         * banned; in order.
+         * The endpoints that a policy has to ban, in order: those of these racks, and all current bans except
+         * those that exist for windows only.
          */
         public SortedSet<String> bansFor(Set<String> away) {
             SortedSet<String> all = new TreeSet<>(bans);
-            all.removeAll(own);
+            all.removeAll(windowBans);
             away.forEach(rack -> all.addAll(racks.getOrDefault(rack, List.of())));
             return all;
         }
 
-        /** As it goes to a coordinator: of the windows, those that it may have anything to do with. */
-        public JsonObject json() {
+        /** JSON for a coordinator, limited to the windows that are not final and those that they come after. */
+        public JsonObject toJson() {
             Set<String> named = new TreeSet<>();
             windows.all().stream().filter(one -> !one.state().isFinal()).forEach(one -> {
                 named.add(one.name());
                 named.addAll(one.request().after());
             });
-            JsonObject all = state(windows.snapshot(one -> named.contains(one.name())), racks, own, accounts);
+            JsonObject all = state(windows.snapshot(one -> named.contains(one.name())), racks, windowBans, accounts);
             all.addProperty("version", version);
             all.addProperty("in_force", inForce);
             all.addProperty("undecided", undecided);
@@ -96,8 +97,8 @@
             return all;
         }
 
-        /** Reads what {@link #json} has written. */
-        public static View of(JsonObject from) {
+        /** Reads what {@link #toJson} has written. */
+        public static View fromJson(JsonObject from) {
             Windows windows = new Windows();
             windows.restore(from);
             SortedMap<String, List<String>> racks = new TreeMap<>();
@@ -110,35 +111,35 @@
                     new TreeSet<>(texts(from.get("own"))),
                     racks,
                     windows,
-                    sums(from.getAsJsonObject("accounts")));
+                    readAccounts(from.getAsJsonObject("accounts")));
         }
     }
 
     private static JsonObject state(
-            JsonObject all, Map<String, List<String>> racks, Set<String> own, Map<String, double[]> accounts) {
+            JsonObject all, Map<String, List<String>> racks, Set<String> windowBans, Map<String, double[]> accounts) {
         JsonObject endpoints = new JsonObject();
         racks.forEach((rack, names) -> endpoints.add(rack, array(names)));
         all.add("racks", endpoints);
-        all.add("own", array(own));
-        all.add("accounts", write(accounts));
+        all.add("own", array(windowBans));
+        all.add("accounts", accountsJson(accounts));
         return all;
     }
 
     public WindowLedger() {
-        look();
+        publishView();
     }
 
     // ---- operations ----
 
-    /** An operation on one window, as {@link Windows} makes it, for the ledger's log. */
-    public static JsonObject op(JsonObject of) {
-        of.addProperty(Ledger.PART, NAME);
-        return of;
+    /** Addresses an operation of {@link Windows} to this part of the ledger. */
+    public static JsonObject partOp(JsonObject op) {
+        op.addProperty(Ledger.PART, NAME);
+        return op;
     }
 
-    /** Requests that are taken together or not at all. */
-    public static JsonObject requests(List<Request> all) {
-        JsonObject op = op(new JsonObject());
+    /** Requests that are accepted all together or not at all. */
+    public static JsonObject requestsOp(List<Request> all) {
+        JsonObject op = partOp(new JsonObject());
         op.addProperty("op", "requests");
         JsonArray list = new JsonArray();
         all.forEach(one -> list.add(MaintenanceJson.write(one)));
@@ -146,20 +147,20 @@
         return op;
     }
 
-    /** A step that makes racks drain: these are their endpoints. */
-    public static JsonObject drains(JsonObject step, Map<String, List<String>> endpoints) {
+    /** A step that starts a drain, with the endpoints of each rack. */
+    public static JsonObject drainStep(JsonObject step, Map<String, List<String>> endpoints) {
         JsonObject to = new JsonObject();
         endpoints.forEach((rack, names) -> to.add(rack, array(names)));
         step.add("endpoints", to);
-        return op(step);
+        return partOp(step);
     }
 
-    /** What tenants have lost, by the coordinator of that token. */
-    public static JsonObject accounts(long token, Map<String, double[]> state) {
-        JsonObject op = op(new JsonObject());
+    /** Losses of tenants, written by the coordinator with that token. */
+    public static JsonObject accountsOp(long token, Map<String, double[]> state) {
+        JsonObject op = partOp(new JsonObject());
         op.addProperty("op", "accounts");
         op.addProperty("token", token);
-        op.add("accounts", write(state));
+        op.add("accounts", accountsJson(state));
         return op;
     }
 
@@ -175,7 +176,7 @@
         return List.copyOf(all);
     }
 
-    private static JsonObject write(Map<String, double[]> state) {
+    private static JsonObject accountsJson(Map<String, double[]> state) {
         JsonObject to = new JsonObject();
         state.forEach((tenant, sums) -> {
             JsonArray list = new JsonArray();
@@ -187,7 +188,7 @@
         return to;
     }
 
-    private static SortedMap<String, double[]> sums(JsonObject from) {
+    private static SortedMap<String, double[]> readAccounts(JsonObject from) {
         SortedMap<String, double[]> all = new TreeMap<>();
         from.entrySet().forEach(one -> {
             JsonArray list = one.getValue().getAsJsonArray();
@@ -212,11 +213,11 @@
             case "requests" -> request(op.getAsJsonArray("requests"));
             case "accounts" -> accounts(op);
             case "step" -> step(op);
-            default -> windows.run(op, this::isBanned);
+            default -> windows.apply(op, this::isBanned);
         };
         version++;
-        clean();
-        look();
+        prune();
+        publishView();
         return answer;
     }
 
@@ -236,35 +237,35 @@
             open += known == null ? 1 : 0;
             wanted.add(request);
         }
-        if (open > MOST_OPEN) {
-            return error("there would be " + open + " windows that are not over, the most are " + MOST_OPEN);
+        if (open > MAX_OPEN) {
+            return error("there would be " + open + " open windows, the limit is " + MAX_OPEN);
         }
-        JsonArray told = new JsonArray();
+        JsonArray accepted = new JsonArray();
         for (Request request : wanted) {
-            windows.run(Windows.request(request), this::isBanned);
-            told.add(MaintenanceJson.write(windows.window(request.name())));
+            windows.apply(Windows.request(request), this::isBanned);
+            accepted.add(MaintenanceJson.write(windows.window(request.name())));
         }
         JsonObject answer = new JsonObject();
-        answer.add("windows", told);
+        answer.add("windows", accepted);
         return answer;
     }
 
     private JsonObject step(JsonObject op) {
         Window window = windows.window(op.get("name").getAsString());
-        boolean drains = op.get("to").getAsString().equals(State.DRAINING.word());
+        boolean drains = op.get("to").getAsString().equals(State.DRAINING.label());
         if (!drains || window == null) {
-            return windows.run(op, this::isBanned);
+            return windows.apply(op, this::isBanned);
         }
         SortedMap<String, List<String>> named = new TreeMap<>();
         JsonObject endpoints = op.has("endpoints") ? op.getAsJsonObject("endpoints") : new JsonObject();
         for (String rack : window.request().racks()) {
             List<String> names = endpoints.has(rack) ? texts(endpoints.get(rack)) : List.of();
             if (names.isEmpty()) {
-                return error("it is not said which endpoints stand in rack '" + rack + "'");
+                return error("no endpoints are given for rack '" + rack + "'");
             }
             named.put(rack, names);
         }
-        JsonObject answer = windows.run(op, this::isBanned);
+        JsonObject answer = windows.apply(op, this::isBanned);
         if (!answer.has("error")) {
             racks.putAll(named);
         }
@@ -273,14 +274,14 @@
 
     private JsonObject accounts(JsonObject op) {
         if (op.get("token").getAsLong() < windows.token()) {
-            return error("token " + op.get("token") + " is over: " + windows.token() + " has been seen");
+            return error("token " + op.get("token") + " is superseded: " + windows.token() + " has been seen");
         }
         accounts.clear();
-        accounts.putAll(sums(op.getAsJsonObject("accounts")));
+        accounts.putAll(readAccounts(op.getAsJsonObject("accounts")));
         return new JsonObject();
     }
 
-    // ---- beside changes of policy ----
+    // ---- policy changes ----
 
     @Override
     public void onPolicyChanged(Ledger.View now) {
@@ -289,19 +290,19 @@
         undecided = now.open() != null;
         undecidedBans = undecided ? names(now.openMerged()) : Set.of();
         if (undecided && now.open().proposer().equals(NAME)) {
-            // What operators ban already stays theirs, and stays banned behind the window.
-            undecidedBans.stream().filter(name -> !bans.contains(name)).forEach(own::add);
+            // Endpoints that operators had banned already stay banned after the window.
+            undecidedBans.stream().filter(name -> !bans.contains(name)).forEach(windowBans::add);
         }
         version++;
-        clean();
-        look();
+        prune();
+        publishView();
     }
 
     private static Set<String> names(JsonObject policy) {
         Set<String> all = new TreeSet<>();
         if (policy.has(BANS)) {
             policy.getAsJsonArray(BANS).forEach(one -> {
-                // What no scheduler can read is turned down by them; here it bans nothing.
+                // Schedulers reject entries that they cannot read; here these ban nothing.
                 boolean named = one.isJsonObject()
                         && one.getAsJsonObject().has("name")
                         && one.getAsJsonObject().get("name").isJsonPrimitive();
@@ -325,7 +326,7 @@
                 banned.add(rack);
             }
         });
-        List<String> missing = windows.missing(banned);
+        List<String> missing = windows.missingBans(banned);
         if (missing.isEmpty()) {
             return null;
         }
@@ -336,8 +337,8 @@
                 + String.join(", ", names);
     }
 
-    /** What stands in no rack that is away, and what no policy bans or is about to, is forgotten. */
-    private void clean() {
+    /** Drops racks that are no longer away and bans that are neither in force nor undecided. */
+    private void prune() {
         Set<String> away = new TreeSet<>();
         Set<String> kept = new TreeSet<>(bans);
         kept.addAll(undecidedBans);
@@ -347,16 +348,16 @@
             }
         }
         racks.keySet().retainAll(away);
-        own.retainAll(kept);
+        windowBans.retainAll(kept);
     }
 
-    private void look() {
+    private void publishView() {
         view = new View(
                 version,
                 inForce,
                 undecided,
                 bans,
-                Collections.unmodifiableSet(new TreeSet<>(own)),
+                Collections.unmodifiableSet(new TreeSet<>(windowBans)),
                 Collections.unmodifiableSortedMap(new TreeMap<>(racks)),
                 windows.copy(one -> true),
                 Collections.unmodifiableSortedMap(new TreeMap<>(accounts)));
@@ -371,7 +372,7 @@
 
     @Override
     public JsonObject snapshot() {
-        JsonObject all = state(windows.snapshot(), racks, own, accounts);
+        JsonObject all = state(windows.snapshot(), racks, windowBans, accounts);
         all.addProperty("version", version);
         return all;
     }
@@ -379,7 +380,7 @@
     @Override
     public void restore(JsonObject from) {
         racks.clear();
-        own.clear();
+        windowBans.clear();
         accounts.clear();
         version = 0;
         if (from == null) {
@@ -387,10 +388,10 @@
         } else {
             windows.restore(from);
             from.getAsJsonObject("racks").entrySet().forEach(one -> racks.put(one.getKey(), texts(one.getValue())));
-            own.addAll(texts(from.get("own")));
-            accounts.putAll(sums(from.getAsJsonObject("accounts")));
+            windowBans.addAll(texts(from.get("own")));
+            accounts.putAll(readAccounts(from.getAsJsonObject("accounts")));
             version = from.get("version").getAsLong();
         }
-        look();
+        publishView();
     }
 }
--- a/src/main/java/laneflow/maintenance/decision/Windows.java
+++ b/src/main/java/laneflow/maintenance/decision/Windows.java
@@ -12,20 +12,21 @@
 import java.util.function.Predicate;
 
 /**
- * Windows as the voters agree on them, a state machine: the same operations in the same order lead to the
- * same state at each voter. Each step of a window names the state and the count of steps that it goes out
- * from and the coordinator's fencing token; a step that was taken already, or comes from a coordinator that
- * has been followed by another, changes nothing. What a crew says (begun, finished) bears no token: a person
- * at a rack is no coordinator. No I/O, no clock: instants come with the operations. Not thread-safe.
+ * State machine of maintenance windows, replicated by the voters: the same operations in the same order give
+ * the same state at each voter. Each step of a window names the number of steps the window had taken when it
+ * was decided, and the coordinator's fencing token; a repeated step, or one from a superseded coordinator,
+ * changes nothing. A crew's operations (begin, finish) carry no token, since they do not come from a
+ * coordinator. Leave is the permission to begin work. No I/O, no clock: times come with the operations. Not
+ * thread-safe.
  */
 public final class Windows {
-    /** The most windows that are kept; the oldest that are over give way. */
-    public static final int MOST_KEPT = 5_000;
+    /** Maximum number of windows kept; the oldest final ones are evicted first. */
+    public static final int MAX_WINDOWS = 5_000;
 
-    private static final int MOST_REASONS = 16;
-    private static final int MOST_REASON = 300;
+    private static final int MAX_REASONS = 16;
+    private static final int MAX_REASON_LENGTH = 300;
 
-    /** Where a window stands. Those from DONE on are final, but for POSTPONED, which is planned anew. */
+    /** State of a window. DONE, REFUSED and ABORTED are final; a POSTPONED window is planned again. */
     public enum State {
         REQUESTED,
         PLANNED,
@@ -39,7 +40,7 @@
         REFUSED,
         ABORTED;
 
-        /** True if nothing follows any more. */
+        /** True if no step can follow. */
         public boolean isFinal() {
             return this == DONE || this == REFUSED || this == ABORTED;
         }
@@ -49,19 +50,19 @@
             return this == DRAINING || this == DOWN || this == OVERRUN || this == RETURNING;
         }
 
-        /** True while somebody may be at work there. */
+        /** True while a crew may be at work. */
         public boolean isWorkedOn() {
             return this == DOWN || this == OVERRUN;
         }
 
-        /** As it is written in the log and told to people. */
-        public String word() {
+        /** Name in the log and in messages to operators. */
+        public String label() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
 
-    /** Which steps there are; all else is refused, whoever asks. */
-    private static final Map<State, Set<State>> NEXT = Map.of(
+    /** Valid transitions; every other step is refused. */
+    private static final Map<State, Set<State>> TRANSITIONS = Map.of(
             State.REQUESTED, Set.of(State.PLANNED, State.REFUSED, State.ABORTED),
             State.PLANNED, Set.of(State.ANNOUNCED, State.PLANNED, State.POSTPONED, State.ABORTED),
             State.ANNOUNCED, Set.of(State.DRAINING, State.POSTPONED, State.ABORTED),
@@ -72,15 +73,15 @@
             State.POSTPONED, Set.of(State.PLANNED, State.REFUSED, State.ABORTED));
 
     /**
-     * A window at one moment; never changed.
+     * Immutable state of a window.
      *
-     * @param steps how many it has taken: the next one names this number
-     * @param startMs when its racks begin to drain by the plan, Unix milliseconds; 0: no time yet
-     * @param leaveMs when leave was given to begin; 0: none
-     * @param begun true if the crew has said that it is at work
-     * @param callOff true if it is to be turned back or called off: its return ends in ABORTED or POSTPONED
-     * @param outcome of its return: DONE, POSTPONED or ABORTED
-     * @param reasons why it stands where it does, if not by plan
+     * @param steps number of steps taken; the next step names this number
+     * @param startMs planned start of the drain, Unix milliseconds; 0: not planned
+     * @param leaveMs when leave to begin was given; 0: not given
+     * @param begun true if the crew has reported that it is at work
+     * @param calledOff true if it was called off; its return then ends in ABORTED
+     * @param outcome final state of its return: DONE, POSTPONED or ABORTED
+     * @param reasons why it is in this state, if not according to plan
      */
     public record Window(
             Request request,
@@ -89,7 +90,7 @@
             long startMs,
             long leaveMs,
             boolean begun,
-            boolean callOff,
+            boolean calledOff,
             State outcome,
             List<String> reasons) {
         public String name() {
@@ -104,7 +105,7 @@
 
     private final Map<String, Window> windows = new LinkedHashMap<>();
     private long token;
-    private long away;
+    private long awayChanges;
 
     // ---- operations, as they stand in the log ----
 
@@ -119,15 +120,15 @@
      * A step of a window.
      *
      * @param from the window as the coordinator knows it
-     * @param away what {@link #away} was when it was decided
-     * @param startMs its time, where it is planned; else as it was
-     * @param outcome what its return is to end in
+     * @param awayChanges value of {@link #awayChanges} when the step was decided
+     * @param startMs the planned start if the step plans the window, else unchanged
+     * @param outcome the final state of its return
      */
     public static JsonObject step(
             long token,
             Window from,
             State to,
-            long away,
+            long awayChanges,
             long startMs,
             State outcome,
             List<String> reasons,
@@ -135,31 +136,31 @@
         JsonObject op = op("step", from.name());
         op.addProperty("token", token);
         op.addProperty("steps", from.steps());
-        op.addProperty("to", to.word());
-        op.addProperty("away", away);
+        op.addProperty("to", to.label());
+        op.addProperty("away", awayChanges);
         op.addProperty("start_ms", startMs);
-        op.addProperty("outcome", outcome.word());
+        op.addProperty("outcome", outcome.label());
         op.addProperty("ms", nowMs);
         JsonArray texts = new JsonArray();
         reasons.stream()
-                .limit(MOST_REASONS)
-                .map(text -> text.length() > MOST_REASON ? text.substring(0, MOST_REASON) : text)
+                .limit(MAX_REASONS)
+                .map(text -> text.length() > MAX_REASON_LENGTH ? text.substring(0, MAX_REASON_LENGTH) : text)
                 .forEach(texts::add);
         op.add("reasons", texts);
         return op;
     }
 
-    /** The crew begins: only behind leave. */
+    /** The crew begins; accepted only after leave was given. */
     public static JsonObject begin(String name) {
         return op("begin", name);
     }
 
-    /** The crew has finished: its racks may come back. */
+    /** The crew has finished: its racks may return. */
     public static JsonObject finish(String name) {
         return op("finish", name);
     }
 
-    /** It is called off by its owner. */
+    /** The owner calls the window off. */
     public static JsonObject abort(String name, long nowMs) {
         JsonObject op = op("abort", name);
         op.addProperty("ms", nowMs);
@@ -174,12 +175,12 @@
     }
 
     /**
-     * Carries out an operation. The answer holds {@code state} and {@code steps} as they then stand, or
-     * {@code error} with the reason why nothing was changed.
+     * Applies an operation. The answer holds {@code state} and {@code steps} after it, or {@code error} with
+     * the reason why nothing was changed.
      *
-     * @param isBanned whether the policy that is in force, by the same log, bans all of a rack
+     * @param isBanned whether the policy in force, by the same log, bans a whole rack
      */
-    public JsonObject run(JsonObject op, Predicate<String> isBanned) {
+    public JsonObject apply(JsonObject op, Predicate<String> isBanned) {
         String name = op.get("name").getAsString();
         Window window = windows.get(name);
         String kind = op.get("op").getAsString();
@@ -200,21 +201,21 @@
 
     private JsonObject request(Window known, Request request) {
         if (known != null) {
-            // Asked again: the same request is the same window, another one needs another name.
+            // A repeated request is the same window; a different one needs another name.
             return known.request().equals(request)
-                    ? told(known)
+                    ? answer(known)
                     : error("the name '" + request.name() + "' is that of another request");
         }
-        forget();
-        if (windows.size() >= MOST_KEPT) {
-            return error(MOST_KEPT + " windows are open already");
+        evictFinished();
+        if (windows.size() >= MAX_WINDOWS) {
+            return error(MAX_WINDOWS + " windows are open, which is the limit");
         }
         return put(new Window(request, State.REQUESTED, 1, 0, 0, false, false, State.DONE, List.of()));
     }
 
-    private void forget() {
+    private void evictFinished() {
         var oldest = windows.values().iterator();
-        for (int over = windows.size() + 1 - MOST_KEPT; over > 0 && oldest.hasNext(); ) {
+        for (int over = windows.size() + 1 - MAX_WINDOWS; over > 0 && oldest.hasNext(); ) {
             if (oldest.next().state().isFinal()) {
                 oldest.remove();
                 over--;
@@ -223,54 +224,56 @@
     }
 
     private JsonObject step(Window window, JsonObject op, Predicate<String> isBanned) {
-        long by = op.get("token").getAsLong();
-        if (by < token) {
-            return error("token " + by + " is over: " + token + " has been seen");
+        long stepToken = op.get("token").getAsLong();
+        if (stepToken < token) {
+            return error("token " + stepToken + " is superseded: " + token + " has been seen");
         }
-        token = by;
+        token = stepToken;
         State to = State.valueOf(op.get("to").getAsString().toUpperCase(Locale.ROOT));
         if (op.get("steps").getAsLong() != window.steps()) {
             return error(window.name() + " has taken " + window.steps() + " steps, and is "
-                    + window.state().word());
+                    + window.state().label());
         }
-        if (!NEXT.getOrDefault(window.state(), Set.of()).contains(to)) {
-            return error(window.name() + " is " + window.state().word() + " and can't become " + to.word());
+        if (!TRANSITIONS.getOrDefault(window.state(), Set.of()).contains(to)) {
+            return error(window.name() + " is " + window.state().label() + " and can't become " + to.label());
         }
         State outcome = State.valueOf(op.get("outcome").getAsString().toUpperCase(Locale.ROOT));
-        if (to == State.DRAINING && op.get("away").getAsLong() != away) {
-            // Two that are fair alone may not be so together: each is judged beside all others or not at all.
-            return error("what is away has changed since " + window.name() + " was judged");
+        if (to == State.DRAINING && op.get("away").getAsLong() != awayChanges) {
+            // Two drains may each be fair alone but not together, so a drain is refused if the set of racks
+            // away has changed since it was judged.
+            return error("the racks that are away have changed since " + window.name() + " was judged");
         }
         if (to == State.DOWN
-                && (window.callOff() || !window.request().racks().stream().allMatch(isBanned))) {
+                && (window.calledOff() || !window.request().racks().stream().allMatch(isBanned))) {
             return error(window.name()
-                    + (window.callOff() ? " was called off" : ": the policy in force does not ban all of its racks"));
+                    + (window.calledOff() ? " was called off" : ": the policy in force does not ban all of its racks"));
         }
         if (to == State.RETURNING && window.state().isWorkedOn() && window.begun()) {
             return error(window.name() + ": its crew is at work and has not said that it has finished");
         }
         boolean ends = window.state() == State.RETURNING;
         if (ends && to != window.outcome()) {
-            return error(window.name() + " returns to be " + window.outcome().word());
+            return error(window.name() + " returns as " + window.outcome().label());
         }
         List<String> reasons = new ArrayList<>();
         op.getAsJsonArray("reasons").forEach(one -> reasons.add(one.getAsString()));
         long start = to == State.PLANNED ? op.get("start_ms").getAsLong() : window.startMs();
         long leave = to == State.DOWN ? op.get("ms").getAsLong() : to == State.PLANNED ? 0 : window.leaveMs();
-        boolean keeps = window.callOff() && to != State.PLANNED;
+        boolean stillCalledOff = window.calledOff() && to != State.PLANNED;
         State end = to == State.RETURNING
-                ? keeps ? State.ABORTED : outcome
+                ? stillCalledOff ? State.ABORTED : outcome
                 : to == State.PLANNED ? State.DONE : window.outcome();
-        return put(window.with(to, start, leave, to.isWorkedOn() && window.begun(), keeps, end, List.copyOf(reasons)));
+        return put(window.with(
+                to, start, leave, to.isWorkedOn() && window.begun(), stillCalledOff, end, List.copyOf(reasons)));
     }
 
     private JsonObject begin(Window window) {
         if (window.begun() && window.state().isWorkedOn()) {
-            return told(window);
+            return answer(window);
         }
-        if (window.state() != State.DOWN || window.callOff()) {
-            return error("no leave: " + window.name() + " is " + window.state().word()
-                    + (window.callOff() ? " and was called off" : ""));
+        if (window.state() != State.DOWN || window.calledOff()) {
+            return error("no leave: " + window.name() + " is " + window.state().label()
+                    + (window.calledOff() ? " and was called off" : ""));
         }
         return put(window.with(
                 window.state(), window.startMs(), window.leaveMs(), true, false, window.outcome(), window.reasons()));
@@ -280,18 +283,18 @@
         if (!window.state().isWorkedOn()) {
             boolean over = window.state() == State.RETURNING || window.state().isFinal();
             return over
-                    ? told(window)
-                    : error(window.name() + " is " + window.state().word());
+                    ? answer(window)
+                    : error(window.name() + " is " + window.state().label());
         }
-        State end = window.callOff() ? State.ABORTED : State.DONE;
+        State end = window.calledOff() ? State.ABORTED : State.DONE;
         return put(window.with(
-                State.RETURNING, window.startMs(), window.leaveMs(), false, window.callOff(), end, window.reasons()));
+                State.RETURNING, window.startMs(), window.leaveMs(), false, window.calledOff(), end, window.reasons()));
     }
 
     private JsonObject abort(Window window, long nowMs) {
         State state = window.state();
-        if (state.isFinal() || window.callOff()) {
-            return told(window);
+        if (state.isFinal() || window.calledOff()) {
+            return answer(window);
         }
         if (window.begun()
                 && state.isWorkedOn()
@@ -308,7 +311,7 @@
                     State.ABORTED,
                     List.of("called off by its owner")));
         }
-        // Away already: it comes back in order. Who is at work there says when it can.
+        // Its racks are away, so it returns in order; a crew at work reports when it can.
         return put(window.with(
                 state,
                 window.startMs(),
@@ -321,13 +324,13 @@
 
     private JsonObject put(Window window) {
         Window was = windows.put(window.name(), window);
-        away += was != null && was.state().isAway() != window.state().isAway() ? 1 : 0;
-        return told(window);
+        awayChanges += was != null && was.state().isAway() != window.state().isAway() ? 1 : 0;
+        return answer(window);
     }
 
-    private static JsonObject told(Window window) {
+    private static JsonObject answer(Window window) {
         JsonObject answer = new JsonObject();
-        answer.addProperty("state", window.state().word());
+        answer.addProperty("state", window.state().label());
         answer.addProperty("steps", window.steps());
         return answer;
     }
@@ -345,18 +348,18 @@
         return windows.get(name);
     }
 
-    /** All of them, in the order in which they were asked for. */
+    /** All windows, in the order of their requests. */
     public List<Window> all() {
         return List.copyOf(windows.values());
     }
 
     /**
-     * Racks that a policy has to ban and does not: a change that would give them back amid a window is
-     * turned down by whoever keeps both in one log.
+     * Racks that have to stay banned and are not in {@code banned}. The ledger refuses a policy change that
+     * would give them back during a window.
      *
-     * @param banned the racks that it bans
+     * @param banned the racks that a policy bans
      */
-    public List<String> missing(Set<String> banned) {
+    public List<String> missingBans(Set<String> banned) {
         return windows.values().stream()
                 .filter(one -> one.state().isWorkedOn() || one.state() == State.DRAINING)
                 .flatMap(one -> one.request().racks().stream())
@@ -364,42 +367,42 @@
                 .toList();
     }
 
-    /** Counts the times at which a window's racks began or ended to be away. */
-    public long away() {
-        return away;
+    /** Number of times that a window's racks went away or stopped being away. */
+    public long awayChanges() {
+        return awayChanges;
     }
 
-    /** The highest token that a step has borne. */
+    /** The highest fencing token seen in a step. */
     public long token() {
         return token;
     }
 
-    /** The same at this moment, of its own from here on, with these windows only. */
+    /** An independent copy with the selected windows only. */
     public Windows copy(Predicate<Window> which) {
         Windows copy = new Windows();
         windows.values().stream().filter(which).forEach(one -> copy.windows.put(one.name(), one));
         copy.token = token;
-        copy.away = away;
+        copy.awayChanges = awayChanges;
         return copy;
     }
 
-    /** All of it, for a snapshot of the log. */
+    /** Full state for a snapshot of the log. */
     public JsonObject snapshot() {
         return snapshot(one -> true);
     }
 
-    /** The same of some windows only. */
+    /** State for a snapshot with the selected windows only. */
     JsonObject snapshot(Predicate<Window> which) {
         JsonObject all = new JsonObject();
         JsonArray list = new JsonArray();
         windows.values().stream().filter(which).forEach(one -> list.add(MaintenanceJson.write(one)));
         all.add("windows", list);
         all.addProperty("token", token);
-        all.addProperty("away", away);
+        all.addProperty("away", awayChanges);
         return all;
     }
 
-    /** Takes a snapshot's state in place of its own. */
+    /** Replaces the state by that of a snapshot. */
     public void restore(JsonObject from) {
         windows.clear();
         for (JsonElement one : from.getAsJsonArray("windows")) {
@@ -407,6 +410,6 @@
             windows.put(window.name(), window);
         }
         token = from.get("token").getAsLong();
-        away = from.get("away").getAsLong();
+        awayChanges = from.get("away").getAsLong();
     }
 }
--- a/src/main/java/laneflow/maintenance/decision/package-info.java
+++ b/src/main/java/laneflow/maintenance/decision/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Planning of maintenance windows: placement under constraints, fairness between tenants, forecasts of
- * load, and what the coordinator orders. Without I/O, threads or a clock of its own.
+ * Planning of maintenance windows: placement under constraints, fairness between tenants, demand forecasts,
+ * and the decisions of the coordinator. No I/O, no threads, no clock of its own.
  */
 package laneflow.maintenance.decision;
--- a/src/main/java/laneflow/maintenance/package-info.java
+++ b/src/main/java/laneflow/maintenance/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Maintenance windows: requests of tenants, planning, notices, and drains at the planned time. Plans
- * and their state are kept in the replicated log of {@link laneflow.policy}.
+ * Maintenance windows: requests by operators, planning, notices, and drains at the planned time. Windows and
+ * their state are kept in the replicated log of {@link laneflow.policy}.
  */
 package laneflow.maintenance;
--- a/src/test/java/laneflow/maintenance/InventoryReaderTest.java
+++ b/src/test/java/laneflow/maintenance/InventoryReaderTest.java
@@ -12,7 +12,7 @@
 import laneflow.maintenance.decision.Inventory;
 import org.junit.jupiter.api.Test;
 
-/** The operators' file and the platform's settings say the same of racks and tenants. */
+/** The operators' file and the platform's settings give the same racks and tenants. */
 class InventoryReaderTest {
     private static final String FILE = "listen = \"127.0.0.1:0\"\nzones = [\"a\", \"b\"]\n[classes.quick]\n"
             + "[classes.batch]\n"
@@ -36,7 +36,8 @@
         assertEquals(
                 List.of("shop", "till", "others"),
                 inventory.tenants().stream().map(Inventory.Tenant::name).toList());
-        // In zone a shop, till and others share 12 slots by 3 to 1 to 1, in zone b two share by 3 to 1.
+        // In zone a, shop, till and others share 12 slots 3:1:1; in zone b, shop and others share 12 slots
+        // 3:1.
         assertEquals(12 * 0.6 + 12 * 0.75, inventory.entitlement(0), 1e-9);
         assertEquals(12 * 0.2, inventory.entitlement(1), 1e-9);
     }
@@ -49,7 +50,7 @@
     }
 
     @Test
-    void thePlatformsWordsSayTheSame() {
+    void platformSettingsGiveTheSameInventory() {
         JsonObject platform = JsonParser.parseString("{\"settings\":{\"areas\":[\"a\",\"b\"],\"classes\":[{\"name\":"
                         + "\"quick\"},{\"name\":\"batch\"}],\"customers\":[{\"name\":\"shop\",\"portion\":3},{\"name\":\"till\","
                         + "\"portion\":1,\"zones\":[\"a\"],\"classes\":[\"quick\"]}]},\"known\":{\"hosts\":["
@@ -71,7 +72,7 @@
     }
 
     @Test
-    void everyReasonIsToldAtOnce() {
+    void allErrorsAreReportedAtOnce() {
         OperatorFile bad = OperatorFile.parse(
                 FILE.replace("share = 3", "share = 0")
                         .replace("zones = [\"a\"]\nc", "zones = [\"x\"]\nc")
@@ -88,6 +89,7 @@
         OperatorFile apart =
                 OperatorFile.parse(FILE.replace("zone = \"b\"\n", "zone = \"b\"\nrack = \"r1\"\n"), "f.toml");
         assertNull(read(apart.platform(), findings));
-        assertTrue(findings.all().toString().contains("'r1' stands in zone a by another endpoint"));
+        assertTrue(
+                findings.all().toString().contains("'r1' is in zone a by another endpoint, but by this one in zone b"));
     }
 }
--- a/src/test/java/laneflow/maintenance/MaintenanceConfigTest.java
+++ b/src/test/java/laneflow/maintenance/MaintenanceConfigTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The operators' file on windows: what is wrong is told, all of it, with its place. */
+/** The [maintenance] table: all errors are reported, each with its place. */
 class MaintenanceConfigTest {
     private static final String FLEET = "[fleet]\nlisten = \"127.0.0.1:0\"\n[policy]\nvoters = [\"n1\"]\ndir = \"v\"\n";
 
@@ -38,22 +38,22 @@
     @Test
     void racksTenantsAndTimesAreRead() throws Exception {
         assertEquals(null, read(FLEET + "[tasks]\n").maintenance());
-        MaintenanceConfig usual = read(FLEET + "[tasks]\n[maintenance]\n").maintenance();
-        assertEquals(Set.of("a", "t3"), usual.names());
-        assertEquals(List.of("t1", "t2"), usual.racks.get("a"));
-        assertEquals(2, usual.inventory.tenants().size());
-        assertEquals(14 * 96, usual.planning.steps());
-        assertEquals(1, usual.demand);
+        MaintenanceConfig defaults = read(FLEET + "[tasks]\n[maintenance]\n").maintenance();
+        assertEquals(Set.of("a", "t3"), defaults.rackNames());
+        assertEquals(List.of("t1", "t2"), defaults.racks.get("a"));
+        assertEquals(2, defaults.inventory.tenants().size());
+        assertEquals(14 * 96, defaults.planningParameters.steps());
+        assertEquals(1, defaults.expectedDemand);
         MaintenanceConfig other = read(FLEET + "[tasks]\n[maintenance]\nstep_ms = 100\nahead_ms = 60000\n"
                         + "tolerance = 0.1\nsilent_ms = 7\n")
                 .maintenance();
-        assertEquals(600, other.planning.steps());
-        assertEquals(0.1, other.terms.tolerance());
-        assertEquals(7000, other.silent);
+        assertEquals(600, other.planningParameters.steps());
+        assertEquals(0.1, other.fairnessLimits.tolerance());
+        assertEquals(7000, other.silenceMicros);
     }
 
     @Test
-    void whatIsWrongIsToldAtOnce() {
+    void allErrorsAreReportedAtOnce() {
         String alone =
                 wrong("[maintenance]\nstep_ms = 5\nahead_ms = 1000\ndemand = 2\nearly_ms = 1999\n" + "more = 1\n");
         for (String part : List.of(
--- a/src/test/java/laneflow/maintenance/MaintenanceFaultStoryTest.java
+++ b/src/test/java/laneflow/maintenance/MaintenanceFaultStoryTest.java
@@ -10,38 +10,38 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Windows amid what goes wrong: coordinators, paths, crews and racks. */
+/** Windows under failures of coordinators, connections, crews and racks. */
 @Timeout(120)
-class MaintenanceFaultStoryTest extends MaintenanceStories {
+class MaintenanceFaultStoryTest extends MaintenanceStorySupport {
     @Override
-    String more() {
+    String extraSettings() {
         return "begin_ms = 3000\n";
     }
 
     @Test
-    void theCoordinatorIsKilledAmidADrainAndTheNextOneGoesOnFromTheLedger() throws Exception {
+    void aDrainWhoseCoordinatorIsKilledContinuesFromTheLedger() throws Exception {
         traffic();
-        served("b");
+        awaitCalls("b");
         int first = coordinator();
         long token = show().get("token").getAsLong();
-        // Calls that are out hold the drain up long enough to be met in it.
-        tills.run(900);
+        // Open calls delay the drain long enough for the coordinator to be killed in it.
+        backends.setJobMillis(900);
         request(window("power-b", 300, "b"));
         await("power-b", "draining");
         rig.kill(first);
-        tills.run(20);
+        backends.setJobMillis(20);
         int next = coordinator();
         assertNotEquals(first, next);
         assertTrue(show().get("token").getAsLong() > token);
-        work("power-b", "b");
+        completeWork("power-b", "b");
         await("power-b", "done");
-        served("b");
+        awaitCalls("b");
     }
 
     @Test
     void aCoordinatorThatIsCutOffMovesNothingAndTheOthersKeepTheBans() throws Exception {
         traffic();
-        served("c");
+        awaitCalls("c");
         request(window("power-c", 300, "c"));
         await("power-c", "down");
         assertEquals(200, order("power-c", "begin").statusCode());
@@ -60,20 +60,20 @@
         assertEquals("down", state("power-c"));
         long to = System.nanoTime();
         assertEquals(200, order("power-c", "finish").statusCode());
-        quiet(from, to, "c");
+        assertNoCalls(from, to, "c");
         await("power-c", "done");
-        served("c");
+        awaitCalls("c");
     }
 
     @Test
     void aCrewThatNeverSaysFinishIsShownAndNothingComesBackBeforeItDoes() throws Exception {
         traffic();
-        served("d");
+        awaitCalls("d");
         request(window("power-d", 200, "d"), window("late-b", 200, "b"));
         await("power-d", "down");
         assertEquals(200, order("power-d", "begin").statusCode());
         long from = System.nanoTime();
-        // Whose crew never comes at all is turned back: nobody is at work there.
+        // A window whose crew never begins is turned back, since nobody is at work there.
         await("late-b", "down");
         await("late-b", "returning", "postponed", "refused", "planned");
         assertEquals(409, order("late-b", "begin").statusCode());
@@ -84,28 +84,28 @@
         assertEquals(409, order("power-d", "abort").statusCode());
         long to = System.nanoTime();
         assertEquals(200, order("power-d", "finish").statusCode());
-        quiet(from, to, "d");
+        assertNoCalls(from, to, "d");
         await("power-d", "done");
-        served("d");
+        awaitCalls("d");
     }
 
     @Test
     void racksThatAreLostTurnADrainBackAndGiveItsRacksToThoseWhoNeedThem() throws Exception {
         traffic();
-        served("a");
-        // Calls that are out hold the drain up.
-        tills.run(1200);
+        awaitCalls("a");
+        // Open calls delay the drain.
+        backends.setJobMillis(1200);
         request(window("power-a", 300, "a"));
         await("power-a", "draining");
-        tills.lose("till-2");
-        tills.lose("till-3");
+        backends.fail("till-2");
+        backends.fail("till-3");
         await("power-a", "returning", "postponed", "refused", "planned");
         assertTrue(
                 shown("power-a").get("reasons").toString().contains("short"),
                 shown("power-a").toString());
         assertEquals(409, order("power-a", "begin").statusCode());
-        tills.run(20);
-        served("a");
+        backends.setJobMillis(20);
+        awaitCalls("a");
         await("power-a", "refused", "postponed", "planned");
     }
 }
--- a/src/test/java/laneflow/maintenance/MaintenanceStories.java
+++ b/src/test/java/laneflow/maintenance/MaintenanceStorySupport.java
@@ -27,36 +27,36 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What stories of windows begin with: schedulers as processes, endpoints that write their calls down, clients. */
-abstract class MaintenanceStories {
+/** Fixture of the window stories: schedulers as processes, endpoints that record their calls, and clients. */
+abstract class MaintenanceStorySupport {
     private static final Map<String, List<Integer>> RACKS =
             new TreeMap<>(Map.of("a", List.of(0, 1), "b", List.of(2), "c", List.of(3), "d", List.of(4)));
 
     @TempDir
     Path folder;
 
-    Tills tills;
+    RecordingEndpoints backends;
     Rig rig;
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private volatile boolean over;
+    private volatile boolean isStopping;
     private final List<Thread> clients = new ArrayList<>();
     final AtomicInteger served = new AtomicInteger();
 
-    /** What the table says besides; later words win. */
-    String more() {
+    /** Further lines of the [maintenance] table. */
+    String extraSettings() {
         return "";
     }
 
     @BeforeEach
     void begin() throws Exception {
-        tills = new Tills(5, 20);
+        backends = new RecordingEndpoints(5, 20);
         StringBuilder file = new StringBuilder("zones = [\"z\"]\n[classes.check]\ndeadline_ms = 1500\n"
                 + "repeat = \"safe\"\n[tenants.shop]\nshare = 2\n[tenants.web]\n");
         RACKS.forEach((rack, numbers) -> numbers.forEach(i -> file.append("[endpoints.till-")
                 .append(i)
                 .append("]\ndial = \"")
-                .append(tills.dial("till-" + i))
+                .append(backends.dial("till-" + i))
                 .append("\"\nslots = 4\nrack = \"")
                 .append(rack)
                 .append("\"\n")));
@@ -64,8 +64,8 @@
                         + "lost_after = 1\nstep_ms = 400\nahead_ms = 60000\nreturn_ms = 200\nearly_ms = 500\nlate_ms = 4000\nlook_ms = 50\n"
                         + "drain_ms = 4000\ngive_back_ms = 4000\noverrun_ms = 100\nlost_ms = 60000\ndemand = 0.3\n"
                         + "tolerance = 0.1\nshortage = 0.05\n")
-                .append(more().contains("begin_ms") ? "" : "begin_ms = 6000\n")
-                .append(more());
+                .append(extraSettings().contains("begin_ms") ? "" : "begin_ms = 6000\n")
+                .append(extraSettings());
         rig = new Rig(folder, 3, 3, 7, file.toString());
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
@@ -73,12 +73,12 @@
 
     @AfterEach
     void end() throws Exception {
-        over = true;
+        isStopping = true;
         for (Thread thread : clients) {
             thread.join();
         }
         rig.close();
-        tills.close();
+        backends.close();
     }
 
     /** The endpoints of a rack. */
@@ -88,7 +88,7 @@
 
     // ---- clients ----
 
-    /** Clients at all schedulers from now on, each with one request at a time. */
+    /** Starts clients at all schedulers, each with one request at a time. */
     void traffic() {
         for (int i = 0; i < rig.size(); i++) {
             for (int k = 0; k < 4; k++) {
@@ -102,7 +102,7 @@
     }
 
     private void ask(int i, String id) {
-        for (int n = 0; !over; n++) {
+        for (int n = 0; !isStopping; n++) {
             try {
                 HttpResponse<String> answer = client.send(
                         HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + rig.clientPort(i) + "/check"))
@@ -117,7 +117,7 @@
                 }
                 Thread.sleep(40);
             } catch (IOException e) {
-                // Its scheduler is killed, or stands still.
+                // Its scheduler is killed or paused.
                 Thread.onSpinWait();
             } catch (InterruptedException e) {
                 return;
@@ -144,7 +144,7 @@
         return body.toString();
     }
 
-    /** Asks any scheduler that is up; asked again while nobody leads. */
+    /** Asks any scheduler that is up, and retries while there is no leader. */
     HttpResponse<String> ask(String path, String body) throws IOException, InterruptedException {
         List<HttpResponse<String>> found = new ArrayList<>();
         rig.await(path + " is answered", () -> {
@@ -193,7 +193,7 @@
                 () -> List.of(states).contains(state(name)));
     }
 
-    /** The number of the scheduler that coordinates, once one does. */
+    /** The number of the coordinating scheduler, once there is one. */
     int coordinator() throws IOException, InterruptedException {
         int[] found = {-1};
         rig.await("somebody coordinates", () -> {
@@ -206,8 +206,8 @@
         return found[0];
     }
 
-    /** The crew's whole work between leave and its word; nobody calls there meanwhile. */
-    void work(String name, String... racks) throws IOException, InterruptedException {
+    /** The crew's work from leave to its end; no call may reach the racks meanwhile. */
+    void completeWork(String name, String... racks) throws IOException, InterruptedException {
         await(name, "down");
         HttpResponse<String> leave = order(name, "begin");
         long from = System.nanoTime();
@@ -215,29 +215,29 @@
         Thread.sleep(300);
         long to = System.nanoTime();
         assertEquals(200, order(name, "finish").statusCode());
-        quiet(from, to, racks);
+        assertNoCalls(from, to, racks);
     }
 
-    void quiet(long from, long to, String... racks) {
+    void assertNoCalls(long from, long to, String... racks) {
         for (String rack : racks) {
             assertEquals(
                     List.of(),
-                    tills.amid(endpoints(rack), from, to).stream()
-                            .map(call -> call.till)
+                    backends.openDuring(endpoints(rack), from, to).stream()
+                            .map(call -> call.endpoint)
                             .toList(),
                     "calls to a rack that is down");
         }
     }
 
-    /** Calls come to all endpoints of that rack again. */
-    void served(String rack) throws IOException, InterruptedException {
+    /** Waits until calls reach all endpoints of the rack again. */
+    void awaitCalls(String rack) throws IOException, InterruptedException {
         long from = System.nanoTime();
-        for (String till : endpoints(rack)) {
-            rig.await(till + " is called again", () -> tills.since(till, from) > 0);
+        for (String endpoint : endpoints(rack)) {
+            rig.await(endpoint + " is called again", () -> backends.countSince(endpoint, from) > 0);
         }
     }
 
-    static void assertTells(HttpResponse<String> answer, int status, String... words) {
+    static void assertAnswer(HttpResponse<String> answer, int status, String... words) {
         assertEquals(status, answer.statusCode(), answer.body());
         for (String word : words) {
             assertTrue(answer.body().contains(word), answer.body());
--- a/src/test/java/laneflow/maintenance/MaintenanceStoryTest.java
+++ b/src/test/java/laneflow/maintenance/MaintenanceStoryTest.java
@@ -9,13 +9,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Windows run by processes, without faults and with operators who want what can't be. */
+/** Windows in real processes, without faults but with requests that have to be refused. */
 @Timeout(120)
-class MaintenanceStoryTest extends MaintenanceStories {
+class MaintenanceStoryTest extends MaintenanceStorySupport {
     @Test
     void aWindowGoesFromRequestToDoneUnderTrafficAndNobodyCallsWhatIsDown() throws Exception {
         traffic();
-        served("a");
+        awaitCalls("a");
         HttpResponse<String> dry = ask(
                 "/maintenance/requests",
                 body(true, window("firmware-a", 300, "a"), window("all", 300, "a", "b", "c", "d")));
@@ -28,7 +28,7 @@
         assertEquals("planned", first.get("state").getAsString(), dry.body());
         assertTrue(dry.body().contains("\"refused\"") && dry.body().contains("slots short"), dry.body());
         assertEquals(0, show().getAsJsonArray("windows").size(), "a dry run decides nothing");
-        assertTells(
+        assertAnswer(
                 ask("/maintenance/requests", body(false, window("x y", 0, "a", "a", "z"))),
                 400,
                 "name",
@@ -37,17 +37,17 @@
                 "'z' is not known");
 
         request(window("firmware-a", 300, "a"));
-        assertTells(ask("/maintenance/requests", body(false, window("firmware-a", 500, "a"))), 409, "another request");
-        assertTells(order("nobody", "begin"), 404, "no window");
+        assertAnswer(ask("/maintenance/requests", body(false, window("firmware-a", 500, "a"))), 409, "another request");
+        assertAnswer(order("nobody", "begin"), 404, "no window");
         await("firmware-a", "draining", "down");
-        assertTells(
+        assertAnswer(
                 rig.ask(0, "/policy/changes", "{\"name\":\"give-back\",\"types\":{\"bans\":[]}}"),
                 409,
                 "rack a is away",
                 "till-0, till-1");
-        work("firmware-a", "a");
+        completeWork("firmware-a", "a");
         await("firmware-a", "done");
-        served("a");
+        awaitCalls("a");
         assertTrue(served.get() > 50, "clients were served");
     }
 }
--- a/src/test/java/laneflow/maintenance/Tills.java
+++ b/src/test/java/laneflow/maintenance/RecordingEndpoints.java
@@ -15,16 +15,16 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import laneflow.lab.standin.HttpText;
 
-/** Stand-in endpoints that write down each call with its beginning and end on the machine's one clock. */
-final class Tills implements AutoCloseable {
-    /** A call; its end is the largest number while it goes on. */
+/** Stand-in endpoints that record the start and end of each call on the machine's monotonic clock. */
+final class RecordingEndpoints implements AutoCloseable {
+    /** A call; its end is Long.MAX_VALUE while it is open. */
     static final class Call {
-        final String till;
+        final String endpoint;
         final long beganNs = System.nanoTime();
         volatile long endedNs = Long.MAX_VALUE;
 
-        private Call(String till) {
-            this.till = till;
+        private Call(String endpoint) {
+            this.endpoint = endpoint;
         }
     }
 
@@ -33,19 +33,19 @@
     private final Map<String, Integer> ports = new HashMap<>();
     private final ConcurrentLinkedQueue<Call> calls = new ConcurrentLinkedQueue<>();
     private final ConcurrentLinkedQueue<Socket> sockets = new ConcurrentLinkedQueue<>();
-    private volatile int runMs;
+    private volatile int jobMillis;
 
-    Tills(int count, int runMs) throws IOException {
-        this.runMs = runMs;
+    RecordingEndpoints(int count, int jobMillis) throws IOException {
+        this.jobMillis = jobMillis;
         for (int i = 0; i < count; i++) {
             names.add("till-" + i);
             open("till-" + i, 0);
         }
     }
 
-    /** From now on each job takes so long. */
-    void run(int ms) {
-        runMs = ms;
+    /** Sets the duration of each job. */
+    void setJobMillis(int ms) {
+        jobMillis = ms;
     }
 
     private void open(String name, int port) throws IOException {
@@ -57,8 +57,8 @@
         daemon(() -> accept(name, server));
     }
 
-    /** It is gone, without a word: connections break, and none comes up any more. */
-    void lose(String name) throws IOException {
+    /** The endpoint fails without notice: connections break and no new ones are accepted. */
+    void fail(String name) throws IOException {
         servers.get(name).close();
         for (Socket socket : sockets) {
             if (socket.getLocalPort() == ports.get(name)) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /** It is there again, under its old address. */
+    /** The endpoint is back at its old address. */
     void bringBack(String name) throws IOException {
         open(name, ports.get(name));
     }
@@ -76,17 +76,17 @@
         return "127.0.0.1:" + ports.get(name);
     }
 
-    /** Calls there that went on at any instant of that span. */
-    List<Call> amid(List<String> these, long fromNs, long toNs) {
+    /** Calls to these endpoints that were open at any time in the period. */
+    List<Call> openDuring(List<String> these, long fromNs, long toNs) {
         return calls.stream()
-                .filter(call -> these.contains(call.till) && call.beganNs < toNs && call.endedNs > fromNs)
+                .filter(call -> these.contains(call.endpoint) && call.beganNs < toNs && call.endedNs > fromNs)
                 .toList();
     }
 
-    /** How many began there since. */
-    long since(String till, long ns) {
+    /** Number of calls that began there since. */
+    long countSince(String endpoint, long ns) {
         return calls.stream()
-                .filter(call -> call.till.equals(till) && call.beganNs > ns)
+                .filter(call -> call.endpoint.equals(endpoint) && call.beganNs > ns)
                 .count();
     }
 
@@ -118,9 +118,9 @@
                 calls.add(call[0]);
                 String id = HttpText.field(head, "Req-Id", "0");
                 in.readNBytes(Integer.parseInt(HttpText.field(head, "Content-Length", "0")));
-                Thread.sleep(runMs);
+                Thread.sleep(jobMillis);
                 String line = "{\"id\":\"" + id + "\",\"state\":\"done\",\"result\":\"" + name + "\"}\n";
-                // Over before its caller can know.
+                // Ends before the caller can know.
                 call[0].endedNs = System.nanoTime();
                 socket.getOutputStream()
                         .write(("HTTP/1.1 200 OK\r\nContent-Length: " + line.length() + "\r\n\r\n" + line)
--- a/src/test/java/laneflow/maintenance/RequestFileTest.java
+++ b/src/test/java/laneflow/maintenance/RequestFileTest.java
@@ -12,7 +12,7 @@
 import laneflow.maintenance.decision.Request;
 import org.junit.jupiter.api.Test;
 
-/** Requests in the operators' words, nights with two 02:30s and with none, and every reason at once. */
+/** Request files: fields, the nights of clock changes, and all errors at once. */
 class RequestFileTest {
     private static final Set<String> RACKS = Set.of("a1", "a2");
     private static final long UNTIL = ms("2027-12-31T00:00:00Z");
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void allOfItIsRead() {
+    void allFieldsAreRead() {
         Request one = read(
                         "2026-12-10T22:00",
                         "2026-12-11T06:00",
@@ -55,17 +55,17 @@
     }
 
     @Test
-    void theNightWithTwoHalfPastTwosIsAsLongAsItCanBe() {
+    void aRepeatedLocalTimeGivesTheLongestPeriod() {
         Request one = read("2026-10-25T02:30", "2026-10-25T02:45", "").get(0);
         assertEquals(ms("2026-10-25T00:30:00Z"), one.earliestMs());
         assertEquals(ms("2026-10-25T01:45:00Z"), one.latestMs());
     }
 
     @Test
-    void theNightWithNoHalfPastTwoBeginsAnHourLater() {
+    void aSkippedLocalTimeBeginsAnHourLater() {
         Request one = read("2026-03-29T02:30", "2026-03-29T05:00", "").get(0);
         assertEquals(ms("2026-03-29T01:30:00Z"), one.earliestMs());
-        // Four hours by the clock on the wall are three of that night.
+        // Four hours by local time are three real hours in that night.
         assertEquals(
                 3 * 3_600_000L,
                 read("2026-03-29T01:00", "2026-03-29T05:00", "").get(0).latestMs()
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void whatComesEachMonthKeepsItsTimeOfDay() {
+    void monthlyOccurrencesKeepTheirLocalTime() {
         List<Request> all = read("2026-09-01T02:30", "2026-09-01T06:00", "rule = \"FREQ=MONTHLY;BYDAY=-1SU;COUNT=3\"");
         assertEquals(
                 List.of("fw-20260927", "fw-20261025", "fw-20261129"),
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void everyReasonIsToldAtOnce() {
+    void allErrorsAreReportedAtOnce() {
         ConfigException e = assertThrows(
                 ConfigException.class,
                 () -> RequestFile.read(
@@ -105,7 +105,7 @@
                 "'a1' is named twice",
                 "'x9' is not known",
                 "work_minutes: 0 is not between",
-                "abort_minutes: is behind the end",
+                "abort_minutes: is longer than the work",
                 "earliest: 'soon' is no local time",
                 "time_zone: 'Mars/Base' is no zone",
                 "after: 'a b' can't come after itself",
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void rulesThatMakeNoSenseAreTurnedDown() {
+    void invalidRulesAreRefused() {
         for (String[] one : new String[][] {
             {"FREQ=OFTEN", "is no rule of RFC 5545"},
             {"FREQ=HOURLY", "before the one before it has to end"},
@@ -148,6 +148,6 @@
                                 "calendar.toml",
                                 UNTIL))
                 .getMessage()
-                .contains("[freezes.x] to: is not behind from"));
+                .contains("[freezes.x] to: is not after from"));
     }
 }
--- a/src/test/java/laneflow/maintenance/RequestReaderTest.java
+++ b/src/test/java/laneflow/maintenance/RequestReaderTest.java
@@ -13,7 +13,7 @@
 import laneflow.maintenance.decision.Request;
 import org.junit.jupiter.api.Test;
 
-/** Requests as they come over HTTP: what the ledger writes is read, and all else is told at once. */
+/** Requests over HTTP: what the ledger writes can be read, and all errors are reported at once. */
 class RequestReaderTest {
     private final Findings findings = Findings.paths();
 
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void whatIsWrittenIsRead() {
+    void writtenRequestsAreReadBack() {
         Request whole = new Request(
                 "w",
                 "crew",
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void allThatIsWrongIsToldWithItsPlace() {
+    void allErrorsAreReportedWithTheirPlace() {
         read("[{'name':'a b','owner':'c','racks':['a','a','z'],'work_ms':0,'earliest_ms':10,'latest_ms':5,'more':1,"
                 + "'abort_ms':9,'after':['a b'],'freezes':[{'name':'f','from_ms':5,'to_ms':5},7]},7,"
                 + "{'name':'x','owner':'c','racks':['a'],'work_ms':10,'earliest_ms':1,'latest_ms':5},"
@@ -54,13 +54,13 @@
                 "'z' is not known",
                 "work_ms: 0 is not between 1",
                 "requests[0].more: is unknown here",
-                "abort_ms: is behind",
+                "abort_ms: is longer than the work",
                 "can't come after itself",
-                "freezes[0].to_ms: is not behind",
+                "freezes[0].to_ms: is not after from_ms",
                 "freezes[1]: is no object",
                 "requests[1]: is no object",
                 "requests[2].latest_ms: leaves 4 ms for 10 of work",
-                "requests[3].name: 'x' is there twice",
+                "requests[3].name: 'x' is a duplicate",
                 "requests[3].racks: names none",
                 "requests[3].work_ms: is missing",
                 "earliest_ms: must be a whole")) {
--- a/src/test/java/laneflow/maintenance/decision/MaintenanceWorld.java
+++ b/src/test/java/laneflow/maintenance/decision/MaintenanceSimulation.java
@@ -16,20 +16,20 @@
 import laneflow.maintenance.decision.Windows.Window;
 
 /**
- * Windows, coordinators that follow one another and don't know it, a policy that schedulers begin with when
- * they hear of it, calls, crews, racks that fail, demand that moves, in virtual time. Operations on the log
- * are held, lost, doubled, and overtake each other. The checker looks at racks and calls, not at what the
- * ledger says of them.
+ * Simulation in virtual time of windows, successive coordinators that may not know of each other, a policy
+ * that schedulers apply when they hear of it, calls, crews, rack failures and changing demand. Operations on
+ * the log are delayed, lost, duplicated and reordered. The checker looks at racks and calls, not at what the
+ * ledger says about them.
  */
-final class MaintenanceWorld {
+final class MaintenanceSimulation {
     static final long MINUTE = 60_000;
     private static final long LEASE = 6 * MINUTE;
     private static final double[] SLOTS = {14, 10, 10, 6};
     private static final long DEADLINE = 3 * MINUTE;
     static final long START = 1_800_000_000_000L / (60 * MINUTE) * 60 * MINUTE;
 
-    /** What is done wrong on purpose, to see that it is found. */
-    enum Broken {
+    /** Deliberate faults that the checker has to find. */
+    enum Fault {
         NOTHING,
         JUDGED_APART,
         TOKENS_IGNORED,
@@ -41,7 +41,7 @@
         NEVER_GIVEN_BACK
     }
 
-    /** A promise is broken. */
+    /** An invariant is violated. */
     static final class Violation extends AssertionError {
         private static final long serialVersionUID = 1L;
 
@@ -52,25 +52,25 @@
 
     private static final class Scheduler {
         private Set<String> bans = Set.of();
-        private boolean cut;
+        private boolean isCutOff;
         private long heardAt;
-        /** Calls out there, and when each is over at the latest. */
+        /** Open calls by rack, with the latest time at which each ends. */
         private final Map<String, Long> calls = new HashMap<>();
     }
 
-    final Broken broken;
+    final Fault fault;
     final Fairness fairness;
     private final Coordinator coordinator;
     private final Set<String> names = new TreeSet<>();
     private Windows windows = new Windows();
     private Set<String> banned = new TreeSet<>();
     private final List<Scheduler> schedulers = List.of(new Scheduler(), new Scheduler());
-    private final List<JsonObject> flying = new ArrayList<>();
-    private final List<JsonObject> held = new ArrayList<>();
+    private final List<JsonObject> inFlight = new ArrayList<>();
+    private final List<JsonObject> delayed = new ArrayList<>();
     private final Set<String> working = new HashSet<>();
     private final TreeMap<Long, Double> demand = new TreeMap<>();
     private final TreeMap<Long, Set<String>> lost = new TreeMap<>();
-    private final Set<String> taken = new HashSet<>();
+    private final Set<String> stepsTaken = new HashSet<>();
     private long highest;
     private long token = 1;
     long now = START;
@@ -78,14 +78,14 @@
     int turnedBack;
     int overruns;
 
-    MaintenanceWorld(Broken broken) {
-        this.broken = broken;
+    MaintenanceSimulation(Fault fault) {
+        this.fault = fault;
         List<Rack> racks = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             racks.add(new Rack("r" + i, "a", List.of(new EndpointGroup(1, SLOTS[i], 0))));
             names.add("r" + i);
         }
-        // Any rack may go while 24 of 40 slots are due, two while 18 are, not the largest while 30 are.
+        // Of 40 slots: any rack may go while 24 are due, two while 18 are, but not the largest while 30 are.
         fairness = new Fairness(
                 new Inventory(
                         List.of("quick"),
@@ -97,7 +97,7 @@
                 fairness,
                 new Planner.Parameters(START, 10 * MINUTE, 60, 5 * MINUTE, 5 * MINUTE, 0, 200),
                 new Forecast(START, 60 * MINUTE, List.<double[][]>of(new double[][] {{9}, {9}})),
-                new Coordinator.Times(
+                new Coordinator.Timeouts(
                         20 * MINUTE, 15 * MINUTE, 10 * MINUTE, 30 * MINUTE, 20 * MINUTE, 10 * MINUTE, 60 * MINUTE));
         demand.put(0L, 24.0);
         lost.put(0L, Set.of());
@@ -106,7 +106,7 @@
     // ---- events ----
 
     void request(String name, String... racks) {
-        take(Windows.request(new Request(
+        apply(Windows.request(new Request(
                 name,
                 "ops",
                 List.of(racks),
@@ -119,46 +119,47 @@
                 List.of())));
     }
 
-    /** A coordinator looks; what it decides is under way to the log. One that was followed acts late. */
-    void look(boolean isFormer) {
+    /** A coordinator decides, and its operations are sent to the log. A superseded coordinator acts late. */
+    void decide(boolean isFormer) {
         long by = isFormer ? Math.max(1, token - 1) : token;
-        Coordinator.Orders orders = coordinator.orders(windows, facts(), by);
-        flying.addAll(orders.steps());
+        Coordinator.Orders orders = coordinator.orders(windows, observe(), by);
+        inFlight.addAll(orders.steps());
         Set<String> bans = new TreeSet<>(orders.banned());
-        if (broken == Broken.NEVER_GIVEN_BACK) {
+        if (fault == Fault.NEVER_GIVEN_BACK) {
             bans.addAll(banned);
         }
         if (!bans.equals(banned)) {
             JsonObject change = new JsonObject();
             change.addProperty("op", "bans");
             change.addProperty("racks", String.join(" ", bans));
-            flying.add(change);
+            inFlight.add(change);
         }
         now++;
     }
 
-    private Coordinator.Facts facts() {
-        Set<String> clear = new HashSet<>();
+    private Coordinator.Observation observe() {
+        Set<String> drained = new HashSet<>();
         for (String rack : names) {
             boolean all = true;
             for (Scheduler one : schedulers) {
-                boolean silent = one.cut && (now > one.heardAt + LEASE + DEADLINE || broken == Broken.SILENT_IS_CLEAR);
-                all &= silent || !one.cut && one.bans.contains(rack) && !one.calls.containsKey(rack);
+                boolean silent =
+                        one.isCutOff && (now > one.heardAt + LEASE + DEADLINE || fault == Fault.SILENT_IS_CLEAR);
+                all &= silent || !one.isCutOff && one.bans.contains(rack) && !one.calls.containsKey(rack);
             }
-            if (all || broken == Broken.LEAVE_BEFORE_BANS) {
-                clear.add(rack);
+            if (all || fault == Fault.LEAVE_BEFORE_BANS) {
+                drained.add(rack);
             }
         }
         Set<String> down = lost.lastEntry().getValue();
-        Set<String> well = new HashSet<>(names);
-        well.removeAll(down);
-        return new Coordinator.Facts(
+        Set<String> recovered = new HashSet<>(names);
+        recovered.removeAll(down);
+        return new Coordinator.Observation(
                 now,
                 due(now),
-                broken == Broken.LOST_UNSEEN ? Set.of() : down,
-                broken == Broken.LEAVE_BEFORE_BANS ? names : Set.copyOf(banned),
-                clear,
-                well,
+                fault == Fault.LOST_UNSEEN ? Set.of() : down,
+                fault == Fault.LEAVE_BEFORE_BANS ? names : Set.copyOf(banned),
+                drained,
+                recovered,
                 null);
     }
 
@@ -167,52 +168,52 @@
         return fairness.due(new double[][] {{each}, {each}});
     }
 
-    /** The log takes one that is under way: the oldest or the newest. */
+    /** The log applies an operation in flight: the oldest or the newest. */
     void arrive(boolean newest, boolean again) {
-        if (!flying.isEmpty()) {
-            JsonObject op = flying.remove(newest ? flying.size() - 1 : 0);
-            take(op);
+        if (!inFlight.isEmpty()) {
+            JsonObject op = inFlight.remove(newest ? inFlight.size() - 1 : 0);
+            apply(op);
             if (again) {
-                take(op);
+                apply(op);
             }
         }
-        look();
+        checkCalls();
     }
 
-    /** One is held back, and comes when others have long been carried out. */
-    void hold() {
-        if (!flying.isEmpty()) {
-            held.add(flying.remove(0));
+    /** Delays an operation until after others have been applied. */
+    void delay() {
+        if (!inFlight.isEmpty()) {
+            delayed.add(inFlight.remove(0));
         }
     }
 
     void release(int which) {
-        if (!held.isEmpty()) {
-            take(held.remove(which % held.size()));
+        if (!delayed.isEmpty()) {
+            apply(delayed.remove(which % delayed.size()));
         }
-        look();
+        checkCalls();
     }
 
-    void lose() {
-        if (!flying.isEmpty()) {
-            flying.remove(0);
+    void drop() {
+        if (!inFlight.isEmpty()) {
+            inFlight.remove(0);
         }
     }
 
-    /** A change of bans that was proposed before any window was away comes to the log only now. */
-    void oldBans() {
+    /** A change of bans that was proposed before any window was away reaches the log only now. */
+    void applyStaleBans() {
         JsonObject change = new JsonObject();
         change.addProperty("op", "bans");
         change.addProperty("racks", "");
-        take(change);
+        apply(change);
     }
 
-    private JsonObject take(JsonObject op) {
+    private JsonObject apply(JsonObject op) {
         if (op.get("op").getAsString().equals("bans")) {
             Set<String> bans =
                     new TreeSet<>(List.of(op.get("racks").getAsString().split(" ")));
             bans.remove("");
-            if (windows.missing(bans).isEmpty() || broken == Broken.BANS_TAKEN_BACK) {
+            if (windows.missingBans(bans).isEmpty() || fault == Fault.BANS_TAKEN_BACK) {
                 banned = bans;
             }
             return op;
@@ -220,27 +221,27 @@
         JsonObject as = op.deepCopy();
         Window window = windows.window(op.get("name").getAsString());
         boolean step = op.get("op").getAsString().equals("step");
-        if (step && broken == Broken.JUDGED_APART) {
-            as.addProperty("away", windows.away());
-        } else if (step && broken == Broken.TOKENS_IGNORED) {
+        if (step && fault == Fault.JUDGED_APART) {
+            as.addProperty("away", windows.awayChanges());
+        } else if (step && fault == Fault.TOKENS_IGNORED) {
             as.addProperty("token", windows.token());
-        } else if (step && broken == Broken.STEPS_IGNORED) {
+        } else if (step && fault == Fault.STEPS_IGNORED) {
             as.addProperty("steps", window.steps());
         }
-        JsonObject answer = windows.run(as, broken == Broken.LEAVE_BEFORE_BANS ? rack -> true : banned::contains);
+        JsonObject answer = windows.apply(as, fault == Fault.LEAVE_BEFORE_BANS ? rack -> true : banned::contains);
         if (step && !answer.has("error")) {
-            stepped(op, window);
+            checkStep(op, window);
         }
         return answer;
     }
 
-    private void stepped(JsonObject op, Window before) {
+    private void checkStep(JsonObject op, Window before) {
         long by = op.get("token").getAsLong();
         if (by < highest) {
             throw new Violation("token " + by + " was taken behind " + highest);
         }
         highest = by;
-        if (!taken.add(op.get("name").getAsString() + "/" + op.get("steps"))) {
+        if (!stepsTaken.add(op.get("name").getAsString() + "/" + op.get("steps"))) {
             throw new Violation("a step was taken twice: " + op);
         }
         Window window = windows.window(before.name());
@@ -266,69 +267,69 @@
         }
     }
 
-    /** Another coordinator; a voter that takes part from here on has its state from a snapshot. */
-    void elect() {
+    /** Another coordinator takes over; a new voter starts from a snapshot. */
+    void replaceCoordinator() {
         token++;
         Windows next = new Windows();
         next.restore(windows.snapshot());
         windows = next;
     }
 
-    void hear(int scheduler) {
+    void applyPolicy(int scheduler) {
         Scheduler one = schedulers.get(scheduler);
-        if (!one.cut) {
+        if (!one.isCutOff) {
             one.bans = Set.copyOf(banned);
             one.heardAt = now;
         }
-        look();
+        checkCalls();
     }
 
-    void cut(int scheduler, boolean is) {
+    void setCutOff(int scheduler, boolean is) {
         Scheduler one = schedulers.get(scheduler);
-        if (is && !one.cut) {
+        if (is && !one.isCutOff) {
             one.heardAt = now;
         }
-        one.cut = is;
+        one.isCutOff = is;
         if (!is) {
-            // It has no lease before it has heard what is in force.
-            hear(scheduler);
+            // It has no lease before it has heard the policy in force.
+            applyPolicy(scheduler);
         }
     }
 
-    /** A scheduler sends wherever it may. */
+    /** A scheduler sends to every rack that it may. */
     void send(int scheduler) {
         Scheduler one = schedulers.get(scheduler);
         for (String rack : names) {
-            boolean may = !one.cut || now < one.heardAt + LEASE;
+            boolean may = !one.isCutOff || now < one.heardAt + LEASE;
             if (may && !one.bans.contains(rack) && !lost.lastEntry().getValue().contains(rack)) {
                 one.calls.put(rack, now + DEADLINE);
             }
         }
-        look();
+        checkCalls();
     }
 
     void end(int scheduler) {
         schedulers.get(scheduler).calls.clear();
     }
 
-    void crew(String name) {
+    void crewActs(String name) {
         Window window = windows.window(name);
         if (window == null) {
             return;
         }
         if (working.contains(name)) {
             working.remove(name);
-            take(Windows.finish(name));
-        } else if (!take(Windows.begin(name)).has("error")
+            apply(Windows.finish(name));
+        } else if (!apply(Windows.begin(name)).has("error")
                 && windows.window(name).state().isWorkedOn()) {
             working.add(name);
         }
-        look();
+        checkCalls();
     }
 
     void abort(String name) {
         if (windows.window(name) != null) {
-            take(Windows.abort(name, now));
+            apply(Windows.abort(name, now));
         }
     }
 
@@ -343,17 +344,17 @@
         demand.put(now, slots);
     }
 
-    void pass(long ms) {
+    void advance(long ms) {
         now += ms;
         for (Scheduler one : schedulers) {
             one.calls.values().removeIf(ends -> ends <= now);
         }
-        look();
+        checkCalls();
     }
 
-    // ---- promises ----
+    // ---- invariants ----
 
-    private void look() {
+    private void checkCalls() {
         for (String name : working) {
             for (String rack : windows.window(name).request().racks()) {
                 for (int i = 0; i < schedulers.size(); i++) {
@@ -366,18 +367,18 @@
         }
     }
 
-    /** All that is well from here on: looked at, heard, carried out in order. */
-    void calm(int rounds) {
+    /** Rounds without faults: decisions are made, heard and applied in order. */
+    void runCalmly(int rounds) {
         for (int i = 0; i < rounds; i++) {
-            look(false);
-            while (!flying.isEmpty()) {
+            decide(false);
+            while (!inFlight.isEmpty()) {
                 arrive(false, false);
             }
-            hear(0);
-            hear(1);
+            applyPolicy(0);
+            applyPolicy(1);
             send(0);
             send(1);
-            pass(MINUTE + 1);
+            advance(MINUTE + 1);
         }
     }
 
@@ -389,18 +390,18 @@
         return windows.window(name).state();
     }
 
-    /** Everything is mended and every crew does its work; nothing may be stuck behind it. */
+    /** Repairs all faults and lets every crew do its work; every window has to reach a final state. */
     void heal() {
-        cut(0, false);
-        cut(1, false);
+        setCutOff(0, false);
+        setCutOff(1, false);
         names.forEach(rack -> fail(rack, false));
         demand(24);
         for (int i = 0; i < 900; i++) {
-            calm(1);
+            runCalmly(1);
             if (i % 5 == 0) {
                 windows.all().forEach(one -> {
                     if (working.contains(one.name()) || one.state() == State.DOWN) {
-                        crew(one.name());
+                        crewActs(one.name());
                     }
                 });
             }
--- a/src/test/java/laneflow/maintenance/decision/PlannerTest.java
+++ b/src/test/java/laneflow/maintenance/decision/PlannerTest.java
@@ -18,37 +18,37 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Plans are held against the terms by a checker that knows nothing of steps, cuts and swaps. */
+/** Checks plans against the limits with a checker that is independent of steps, cuts and swaps. */
 class PlannerTest {
-    private static final long HOUR = DrawnPlan.HOUR;
-    private static final long FROM = DrawnPlan.FROM;
+    private static final long HOUR = RandomPlanInput.HOUR;
+    private static final long FROM = RandomPlanInput.FROM;
 
-    private static DrawnPlan drawn(long seed) {
-        return new DrawnPlan(seed, 60, 15, 50, 1.5);
+    private static RandomPlanInput random(long seed) {
+        return new RandomPlanInput(seed, 60, 15, 50, 1.5);
     }
 
-    /** What is wrong with a plan, all of it. */
-    private static List<String> wrong(DrawnPlan drawn, Plan plan, List<Freeze> freezes) {
-        List<String> wrong = new ArrayList<>();
-        Fairness fairness = new Fairness(drawn.drawn.inventory, Fairness.Limits.defaults());
-        List<double[]> dues = Cuts.dues(fairness, drawn.forecast);
+    /** All rules that a plan violates. */
+    private static List<String> violations(RandomPlanInput random, Plan plan, List<Freeze> freezes) {
+        List<String> violations = new ArrayList<>();
+        Fairness fairness = new Fairness(random.generated.inventory, Fairness.Limits.defaults());
+        List<double[]> dues = Cuts.dueBySpan(fairness, random.forecast);
         Set<Object> seen = new HashSet<>();
         for (long ms = FROM; ms < FROM + 14 * 24 * HOUR; ms += HOUR / 4) {
             Set<Integer> out = new HashSet<>();
             for (Window window : plan.windows()) {
-                if (window.meets(ms, ms + HOUR / 4)) {
+                if (window.overlaps(ms, ms + HOUR / 4)) {
                     for (String rack : window.request().racks()) {
-                        if (!out.add(drawn.drawn.inventory.rackIndex(rack))) {
-                            wrong.add(rack + " is away twice at " + ms);
+                        if (!out.add(random.generated.inventory.rackIndex(rack))) {
+                            violations.add(rack + " is away twice at " + ms);
                         }
                     }
                 }
             }
-            boolean isNew = !out.isEmpty() && seen.add(List.of(drawn.forecast.at(ms), Set.copyOf(out)));
+            boolean isNew = !out.isEmpty() && seen.add(List.of(random.forecast.spanAt(ms), Set.copyOf(out)));
             if (isNew
                     && !fairness.isFair(
-                            dues.get(drawn.forecast.at(ms)), drawn.drawn.inventory.slotsWithout(out), null)) {
-                wrong.add("unfair at " + (ms - FROM) / HOUR + " h");
+                            dues.get(random.forecast.spanAt(ms)), random.generated.inventory.slotsWithout(out), null)) {
+                violations.add("unfair at " + (ms - FROM) / HOUR + " h");
             }
         }
         for (Window one : plan.windows()) {
@@ -57,55 +57,55 @@
                     || one.startMs() < FROM + request.noticeMs()
                     || one.endMs() > request.latestMs()
                     || one.endMs() - one.startMs() < request.workMs()) {
-                wrong.add(request.name() + " is out of its time");
+                violations.add(request.name() + " is out of its time");
             }
             freezes.stream()
-                    .filter(freeze -> one.meets(freeze.fromMs(), freeze.toMs()))
-                    .forEach(freeze -> wrong.add(request.name() + " is in a freeze"));
+                    .filter(freeze -> one.overlaps(freeze.fromMs(), freeze.toMs()))
+                    .forEach(freeze -> violations.add(request.name() + " is in a freeze"));
             for (String before : request.after()) {
                 Window first = plan.window(before);
                 if (first == null || first.endMs() > one.startMs()) {
-                    wrong.add(request.name() + " comes before " + before);
+                    violations.add(request.name() + " comes before " + before);
                 }
             }
             for (Window other : plan.windows()) {
                 boolean share = other.request().apart().stream().anyMatch(request.apart()::contains);
-                if (other != one && share && other.meets(one.startMs(), one.endMs())) {
-                    wrong.add(request.name() + " goes together with "
+                if (other != one && share && other.overlaps(one.startMs(), one.endMs())) {
+                    violations.add(request.name() + " goes together with "
                             + other.request().name());
                 }
             }
         }
-        return wrong;
+        return violations;
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 6})
-    void everyInstantIsFairAndEveryWordIsKept(long seed) {
-        DrawnPlan drawn = drawn(seed);
+    void everyInstantIsFairAndEveryConstraintIsMet(long seed) {
+        RandomPlanInput random = random(seed);
         List<Freeze> freezes = List.of(new Freeze("season", FROM + 100 * HOUR, FROM + 120 * HOUR));
-        Plan plan = Planner.plan(drawn.fairness, drawn.input(drawn.requests, null, freezes, List.of()));
-        assertEquals(List.of(), wrong(drawn, plan, freezes));
+        Plan plan = Planner.plan(random.fairness, random.input(random.requests, null, freezes, List.of()));
+        assertEquals(List.of(), violations(random, plan, freezes));
         assertEquals(50, plan.windows().size() + plan.refused().size());
         plan.refused().forEach((name, reasons) -> assertFalse(reasons.isEmpty(), name));
-        assertTrue(plan.asked() < 100_000, plan.asked() + " instants looked at");
+        assertTrue(plan.evaluations() < 100_000, plan.evaluations() + " instants looked at");
     }
 
-    /** A calendar that came with some requests binds these and no others. */
+    /** A calendar binds only the requests that it was sent with. */
     @Test
     void aCalendarBindsTheRequestsThatItCameWith() {
-        DrawnPlan drawn = new DrawnPlan(1, 40, 6, 24, 1.2);
-        List<Window> free = Planner.plan(drawn.fairness, drawn.input()).windows();
+        RandomPlanInput random = new RandomPlanInput(1, 40, 6, 24, 1.2);
+        List<Window> free = Planner.plan(random.fairness, random.input()).windows();
         Window amid = free.get(free.size() / 2);
         List<Freeze> calendar = List.of(new Freeze("audit", amid.startMs() - 6 * HOUR, amid.endMs() + 6 * HOUR));
         List<Request> asked = new ArrayList<>();
-        drawn.requests.forEach(one -> asked.add(
+        random.requests.forEach(one -> asked.add(
                 asked.size() % 2 == 0 || one.name().equals(amid.request().name()) ? one.withFreezes(calendar) : one));
-        Plan plan = Planner.plan(drawn.fairness, drawn.input(asked, null, List.of(), List.of()));
+        Plan plan = Planner.plan(random.fairness, random.input(asked, null, List.of(), List.of()));
         Freeze audit = calendar.get(0);
-        assertEquals(List.of(), wrong(drawn, plan, List.of()));
+        assertEquals(List.of(), violations(random, plan, List.of()));
         List<Window> within = plan.windows().stream()
-                .filter(one -> one.meets(audit.fromMs(), audit.toMs()))
+                .filter(one -> one.overlaps(audit.fromMs(), audit.toMs()))
                 .toList();
         assertTrue(within.stream().allMatch(one -> one.request().freezes().isEmpty()), within.toString());
         assertFalse(within.isEmpty());
@@ -115,50 +115,53 @@
                 .orElseThrow();
         assertEquals(calendar, bound.freezes());
         assertEquals(bound, MaintenanceJson.request(MaintenanceJson.write(bound)));
-        assertTrue(
-                Planner.against(drawn.fairness, drawn.input(asked, null, List.of(), List.of()), bound, amid.startMs())
-                        .contains("freeze audit"));
+        assertTrue(Planner.objections(
+                        random.fairness, random.input(asked, null, List.of(), List.of()), bound, amid.startMs())
+                .contains("freeze audit"));
     }
 
     @Test
-    void aCheckerThatFindsNothingWouldBeNone() {
-        DrawnPlan drawn = drawn(1);
+    void theCheckerFindsEveryKindOfViolation() {
+        RandomPlanInput random = random(1);
         List<Window> all = new ArrayList<>();
-        drawn.requests.forEach(
+        random.requests.forEach(
                 one -> all.add(new Window(one, FROM + 60 * HOUR, FROM + 60 * HOUR + one.workMs(), false)));
-        List<String> wrong = wrong(
-                drawn,
+        List<String> violations = violations(
+                random,
                 new Plan(all, new java.util.TreeMap<>(), 0, 0, 0),
                 List.of(new Freeze("one", FROM + 60 * HOUR, FROM + 61 * HOUR)));
         for (String fault :
                 List.of("unfair at", "is away twice", "is out of its time", "is in a freeze", "goes together with")) {
-            assertTrue(wrong.stream().anyMatch(text -> text.contains(fault)), fault);
+            assertTrue(violations.stream().anyMatch(text -> text.contains(fault)), fault);
         }
     }
 
-    /** Of what could be done alone and first come first served turns away, at least a third finds a time. */
+    /**
+     * Of the requests that are possible alone and that first come, first served turns away, at least a third
+     * gets a time.
+     */
     @Test
-    void moreIsDoneThanByTheOrderOfComing() {
+    void moreRequestsArePlannedThanFirstComeFirstServed() {
         int planned = 0;
         int firstCome = 0;
         int oneAtATime = 0;
         int possible = 0;
         for (long seed = 1; seed <= 6; seed++) {
-            DrawnPlan drawn = drawn(seed);
-            int mine = Planner.plan(drawn.fairness, drawn.input()).windows().size();
-            int theirs = Planner.firstComeFirstServed(drawn.fairness, drawn.input(), false)
+            RandomPlanInput random = random(seed);
+            int mine = Planner.plan(random.fairness, random.input()).windows().size();
+            int theirs = Planner.firstComeFirstServed(random.fairness, random.input(), false)
                     .windows()
                     .size();
             assertTrue(mine >= theirs, "seed " + seed + ": " + mine + " and " + theirs);
             planned += mine;
-            Timeline line =
-                    new Timeline(drawn.input().times(), drawn.fairness, drawn.forecast, null, List.of(), List.of(), 0);
-            for (Request request : drawn.requests) {
-                int at = line.starts(request).nextSetBit(line.first(request));
-                possible += at >= 0 && at <= line.last(request) ? 1 : 0;
+            Timeline timeline = new Timeline(
+                    random.input().parameters(), random.fairness, random.forecast, null, List.of(), List.of(), 0);
+            for (Request request : random.requests) {
+                int at = timeline.feasibleStarts(request).nextSetBit(timeline.firstStep(request));
+                possible += at >= 0 && at <= timeline.lastStep(request) ? 1 : 0;
             }
             firstCome += theirs;
-            oneAtATime += Planner.firstComeFirstServed(drawn.fairness, drawn.input(), true)
+            oneAtATime += Planner.firstComeFirstServed(random.fairness, random.input(), true)
                     .windows()
                     .size();
         }
@@ -170,22 +173,22 @@
 
     @Test
     void theSameInputHasTheSamePlan() {
-        Plan one = Planner.plan(drawn(2).fairness, drawn(2).input());
-        Plan other = Planner.plan(drawn(2).fairness, drawn(2).input());
+        Plan one = Planner.plan(random(2).fairness, random(2).input());
+        Plan other = Planner.plan(random(2).fairness, random(2).input());
         assertEquals(one, other);
     }
 
     @Test
     void littleIsMovedWhenLittleChanges() {
-        DrawnPlan drawn = drawn(4);
-        List<Request> first = drawn.requests.subList(0, 45);
-        Plan before = Planner.plan(drawn.fairness, drawn.input(first, null, List.of(), List.of()));
-        Plan same = Planner.plan(drawn.fairness, drawn.input(first, before, List.of(), List.of()));
+        RandomPlanInput random = random(4);
+        List<Request> first = random.requests.subList(0, 45);
+        Plan before = Planner.plan(random.fairness, random.input(first, null, List.of(), List.of()));
+        Plan same = Planner.plan(random.fairness, random.input(first, before, List.of(), List.of()));
         assertEquals(0, same.moved());
-        Plan more = Planner.plan(drawn.fairness, drawn.input(drawn.requests, before, List.of(), List.of()));
-        assertEquals(List.of(), wrong(drawn, more, List.of()));
+        Plan more = Planner.plan(random.fairness, random.input(random.requests, before, List.of(), List.of()));
+        assertEquals(List.of(), violations(random, more, List.of()));
         assertTrue(more.moved() <= 6, more.moved() + " moved for 5 new ones");
-        Plan lost = Planner.plan(drawn.fairness, drawn.input(first, before, List.of(), List.of("r0", "r1")));
+        Plan lost = Planner.plan(random.fairness, random.input(first, before, List.of(), List.of("r0", "r1")));
         assertTrue(lost.moved() <= 6, lost.moved() + " moved for two racks lost on the first day");
     }
 
@@ -206,7 +209,7 @@
                 null);
     }
 
-    /** Three racks of 50; one tenant may run in the first zone only. */
+    /** Three racks of 50 slots; one tenant may run in the first zone only. */
     private static Fairness three() {
         return new Fairness(
                 new Inventory(
@@ -221,30 +224,30 @@
     }
 
     @Test
-    void twoThatAreFairAloneAndNotTogetherGoOneBehindTheOther() {
+    void windowsThatAreUnfairTogetherRunInSequence() {
         Plan plan = Planner.plan(three(), input(0.9, List.of(), request("one", "r1"), request("other", "r2")));
         assertEquals(2, plan.windows().size());
         assertTrue(plan.windows().get(0).endMs() <= plan.windows().get(1).startMs());
     }
 
     @Test
-    void aDryRunNamesWhoStandsAgainstATime() {
+    void aDryRunNamesTheObjections() {
         Freeze freeze = new Freeze("year's end", FROM, FROM + HOUR);
         Planner.Input input = input(0.9, List.of(freeze), request("one", "r1"));
-        assertEquals(List.of("freeze year's end"), Planner.against(three(), input, request("two", "r2", "x"), FROM));
-        List<String> zone = Planner.against(three(), input, request("two", "r0"), FROM + 5 * HOUR);
+        assertEquals(List.of("freeze year's end"), Planner.objections(three(), input, request("two", "r2", "x"), FROM));
+        List<String> zone = Planner.objections(three(), input, request("two", "r0"), FROM + 5 * HOUR);
         assertTrue(
                 zone.get(0).startsWith("tenant bound loses 22.5 slots, its fair share is 0.5 (full: zone a"),
                 zone.toString());
-        assertEquals(List.of(), Planner.against(three(), input, request("two", "r2"), FROM + 5 * HOUR));
+        assertEquals(List.of(), Planner.objections(three(), input, request("two", "r2"), FROM + 5 * HOUR));
         Plan plan = Planner.plan(three(), input(0.9, List.of(freeze), request("two", "r0")));
         assertNull(plan.window("two"));
         assertTrue(
                 plan.refused().get("two").stream().anyMatch(text -> text.startsWith("tenant bound loses")),
                 plan.refused().toString());
-        // Nobody's window is moved for a question, and what is planned already stands in its way.
+        // A dry run moves no window, and windows that are already planned stand in its way.
         Planner.Input planned = new Planner.Input(
-                input.times(),
+                input.parameters(),
                 input.forecast(),
                 List.of(request("one", "r1")),
                 List.of(),
@@ -253,17 +256,17 @@
                 List.of(),
                 0,
                 null);
-        long at = planned.before().window("one").startMs();
+        long at = planned.previous().window("one").startMs();
         assertTrue(
-                Planner.against(three(), planned, request("two", "r2"), at)
+                Planner.objections(three(), planned, request("two", "r2"), at)
                         .toString()
                         .contains("with r1 down"),
-                Planner.against(three(), planned, request("two", "r2"), at).toString());
+                Planner.objections(three(), planned, request("two", "r2"), at).toString());
     }
 
-    /** Who is turned down hears by how little more it would have been given a time. */
+    /** A refused request is told the smallest change that would have given it a time. */
     @Test
-    void theSmallestChangeIsTold() {
+    void aRefusalNamesTheSmallestChange() {
         Freeze morning = new Freeze("morning", FROM, FROM + 5 * HOUR);
         Request soon =
                 new Request("soon", "ops", List.of("r1"), HOUR, FROM, FROM + 4 * HOUR, 0, 0, Set.of(), List.of());
--- a/src/test/java/laneflow/maintenance/decision/Drawn.java
+++ b/src/test/java/laneflow/maintenance/decision/RandomInventory.java
@@ -9,19 +9,19 @@
 import laneflow.maintenance.decision.Inventory.Rack;
 import laneflow.maintenance.decision.Inventory.Tenant;
 
-/** Estates and demands drawn from a seed: uneven racks, tenants bound to zones and classes. */
-final class Drawn {
+/** Inventories and demands generated from a seed: uneven racks, tenants restricted to zones and classes. */
+final class RandomInventory {
     static final String[] ZONES = {"a", "b", "c", "d"};
 
     final Inventory inventory;
     final double[] memory;
     private final SplittableRandom random;
 
-    Drawn(long seed, int racks, int tenants, boolean lean) {
+    RandomInventory(long seed, int racks, int tenants, boolean lean) {
         random = new SplittableRandom(seed);
         List<Rack> all = new ArrayList<>();
         for (int r = 0; r < racks; r++) {
-            // Three kinds of endpoint; the third runs what the first two do.
+            // Three kinds of endpoint; the third runs the classes of both others.
             int kind = r % 5 == 0 ? 3 : 1 + r / 4 % 2;
             double slots = 8 * (2 + random.nextInt(5));
             all.add(new Rack("r" + r, ZONES[r % ZONES.length], List.of(new EndpointGroup(kind, slots, slots))));
@@ -39,20 +39,20 @@
         inventory = new Inventory(List.of("quick", "batch"), memory, all, owners);
     }
 
-    /** Slots by tenant and class: each at about this part of its entitlement, some far over it. */
+    /** Slots by tenant and class: each tenant at about this fraction of its entitlement, some far above it. */
     double[][] demand(double load) {
         double[][] demand = new double[inventory.tenants().size()][2];
         for (int t = 0; t < demand.length; t++) {
             double all = inventory.entitlement(t) * load * (0.5 + random.nextDouble());
             all *= random.nextInt(8) == 0 ? 3 : 1;
             double quick = random.nextDouble();
-            demand[t][0] = all * quick / inventory.stretch(0);
-            demand[t][1] = all * (1 - quick) / inventory.stretch(1);
+            demand[t][0] = all * quick / inventory.slotFactor(0);
+            demand[t][1] = all * (1 - quick) / inventory.slotFactor(1);
         }
         return demand;
     }
 
-    List<Integer> some(int racks) {
+    List<Integer> randomRacks(int racks) {
         Set<Integer> out = new HashSet<>();
         while (out.size() < racks) {
             out.add(random.nextInt(inventory.racks().size()));
--- a/src/test/java/laneflow/maintenance/decision/DrawnPlan.java
+++ b/src/test/java/laneflow/maintenance/decision/RandomPlanInput.java
@@ -6,21 +6,24 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** Two weeks of requests drawn from a seed, over an inventory whose nights have room and whose days have little. */
-final class DrawnPlan {
+/**
+ * Two weeks of requests generated from a seed, over an inventory with spare capacity at night and little by
+ * day.
+ */
+final class RandomPlanInput {
     static final long HOUR = 3_600_000;
     static final long FROM = 1_800_000_000_000L / HOUR * HOUR;
 
     final Fairness fairness;
-    final Drawn drawn;
+    final RandomInventory generated;
     final Forecast forecast;
     final List<Request> requests = new ArrayList<>();
 
-    DrawnPlan(long seed, int racks, int tenants, int count, double busy) {
-        drawn = new Drawn(seed, racks, tenants, true);
-        fairness = new Fairness(drawn.inventory, Fairness.Limits.defaults());
+    RandomPlanInput(long seed, int racks, int tenants, int count, double busy) {
+        generated = new RandomInventory(seed, racks, tenants, true);
+        fairness = new Fairness(generated.inventory, Fairness.Limits.defaults());
         List<double[][]> week = new ArrayList<>();
-        double[][] base = drawn.demand(1);
+        double[][] base = generated.demand(1);
         SplittableRandom random = new SplittableRandom(seed + 1);
         for (int hour = 0; hour < 168; hour++) {
             double day = 0.5 - 0.5 * Math.cos(2 * Math.PI * (hour % 24 - 3) / 24.0);
@@ -66,13 +69,13 @@
         }
     }
 
-    Planner.Input input(List<Request> asked, Plan before, List<Plan.Freeze> freezes, List<String> lost) {
+    Planner.Input input(List<Request> asked, Plan previous, List<Plan.Freeze> freezes, List<String> lost) {
         return new Planner.Input(
                 new Planner.Parameters(FROM, HOUR / 4, 14 * 24 * 4, HOUR / 4, HOUR / 4, 0.02, 1500),
                 forecast,
                 asked,
                 List.of(),
-                before,
+                previous,
                 freezes,
                 lost,
                 FROM + 24 * HOUR,
--- a/src/test/java/laneflow/maintenance/decision/WindowLedgerTest.java
+++ b/src/test/java/laneflow/maintenance/decision/WindowLedgerTest.java
@@ -14,7 +14,7 @@
 import laneflow.policy.decision.Ledger;
 import org.junit.jupiter.api.Test;
 
-/** Windows and changes of policy in one log: neither moves without the other. */
+/** Windows and policy changes in one log are checked against each other. */
 class WindowLedgerTest {
     private final Ledger ledger = new Ledger(Map.of(WindowLedger.NAME, new WindowLedger()));
     private long token = 1;
@@ -47,15 +47,15 @@
                 token,
                 window(name),
                 to,
-                view().windows().away(),
+                view().windows().awayChanges(),
                 10,
                 to == State.RETURNING ? State.DONE : window(name).outcome(),
                 List.of(),
                 10);
         return ledger.run(
                 to == State.DRAINING
-                        ? WindowLedger.drains(step, Map.of("a", List.of("a1", "a2"), "b", List.of("b1")))
-                        : WindowLedger.op(step));
+                        ? WindowLedger.drainStep(step, Map.of("a", List.of("a1", "a2"), "b", List.of("b1")))
+                        : WindowLedger.partOp(step));
     }
 
     private void ok(JsonObject answer) {
@@ -79,7 +79,7 @@
 
     @Test
     void leaveIsGivenOnlyWhileThePolicyInForceBansAllOfTheRack() {
-        ok(ledger.run(WindowLedger.requests(List.of(request("w", "a")))));
+        ok(ledger.run(WindowLedger.requestsOp(List.of(request("w", "a")))));
         drains("w");
         assertTrue(step("w", State.DOWN).get("error").getAsString().contains("does not ban"));
         apply("half", bans("a1", "a2", "x"));
@@ -88,9 +88,9 @@
     }
 
     @Test
-    void aChangeThatGivesRacksBackIsTurnedDownWhenItIsProposedAndWhenItIsApplied() {
-        ok(ledger.run(WindowLedger.requests(List.of(request("w", "a")))));
-        // It was proposed while nothing was away, and is to be applied amid the drain.
+    void aChangeThatUnbansRacksOfAWindowIsRefusedWhenProposedAndWhenApplied() {
+        ok(ledger.run(WindowLedger.requestsOp(List.of(request("w", "a")))));
+        // Proposed while no rack was away, applied during the drain.
         ok(ledger.run(Ledger.propose("early", bans("x"), "test", 1)));
         drains("w");
         JsonObject early = ledger.run(Ledger.apply("early", 2));
@@ -104,7 +104,7 @@
             assertTrue(
                     error.contains("bans have to hold " + (types.toString().contains("a1") ? "a2" : "a1, a2")), error);
         }
-        // What names no bans, or holds these too, is nobody's harm.
+        // A change without bans, or with these bans included, is accepted.
         apply("limits", JsonParser.parseString("{\"limits\":[]}").getAsJsonObject());
         apply("more", bans("a1", "a2", "x"));
         ok(step("w", State.DOWN));
@@ -113,63 +113,66 @@
     }
 
     @Test
-    void whatOperatorsBannedStaysBannedBehindTheWindow() {
+    void endpointsBannedByOperatorsStayBannedAfterTheWindow() {
         apply("operators", bans("a1", "x"));
-        ok(ledger.run(WindowLedger.requests(List.of(request("w", "a"), request("v", "b")))));
+        ok(ledger.run(WindowLedger.requestsOp(List.of(request("w", "a"), request("v", "b")))));
         drains("w");
         assertEquals(Set.of("a1", "a2", "x"), view().bansFor(Set.of("a")));
         apply("bans", bans("a1", "a2", "x"), WindowLedger.NAME);
-        assertEquals(Set.of("a2"), view().own());
+        assertEquals(Set.of("a2"), view().windowBans());
         ok(step("w", State.DOWN));
         ok(step("w", State.RETURNING));
         assertEquals(Set.of("a1", "x"), view().bansFor(Set.of()));
         apply("back", bans("a1", "x"), WindowLedger.NAME);
-        assertEquals(Set.of(), view().own());
+        assertEquals(Set.of(), view().windowBans());
     }
 
-    /** In a story all bans of two windows stayed for ever, as they were put into the log behind the return. */
+    /**
+     * Bans proposed after the window had begun to return were not recognised as its own, so nothing ever
+     * removed them.
+     */
     @Test
-    void aBanThatTakesHoldBehindItsWindowsReturnIsKnownAsTheWindows() {
-        ok(ledger.run(WindowLedger.requests(List.of(request("w", "a")))));
+    void aBanAppliedAfterItsWindowsReturnStillBelongsToTheWindow() {
+        ok(ledger.run(WindowLedger.requestsOp(List.of(request("w", "a")))));
         drains("w");
         ok(step("w", State.RETURNING));
         ok(ledger.run(Ledger.propose("bans", bans("a1", "a2"), WindowLedger.NAME, 1)));
-        assertEquals(Set.of("a1", "a2"), view().own());
+        assertEquals(Set.of("a1", "a2"), view().windowBans());
         ok(step("w", State.DONE));
         ledger.run(Ledger.apply("bans", 2));
-        assertEquals(Set.of("a1", "a2"), view().own());
+        assertEquals(Set.of("a1", "a2"), view().windowBans());
         assertEquals(Set.of(), view().bansFor(Set.of()));
         ok(ledger.run(Ledger.propose("abandoned", bans("a1", "a2", "a3"), WindowLedger.NAME, 1)));
         ledger.run(Ledger.abandon("abandoned", List.of(), 2));
-        assertEquals(Set.of("a1", "a2"), view().own());
+        assertEquals(Set.of("a1", "a2"), view().windowBans());
     }
 
     @Test
-    void whatIsProposedOnOneChangeIsNotTakenBehindAnother() {
+    void aProposalBasedOnAnOlderPolicyIsRefused() {
         ok(ledger.run(Ledger.propose("one", bans("x"), "test", 1, 0)));
         assertTrue(ledger.run(Ledger.propose("two", bans("y"), "test", 1, 0)).has("error"));
         ledger.run(Ledger.apply("one", 1));
         assertTrue(ledger.run(Ledger.propose("two", bans("y"), "test", 1, 0)).has("error"));
         ok(ledger.run(Ledger.propose("two", bans("y"), "test", 1, 1)));
-        // Asked again it is the same change still.
+        // A repeated proposal is the same change.
         ok(ledger.run(Ledger.propose("two", bans("y"), "test", 1, 1)));
     }
 
     @Test
-    void requestsAreTakenTogetherOrNotAtAll() {
-        ok(ledger.run(WindowLedger.requests(List.of(request("w", "a")))));
-        JsonObject answer = ledger.run(WindowLedger.requests(List.of(request("v", "b"), request("w", "b"))));
+    void requestsAreAcceptedTogetherOrNotAtAll() {
+        ok(ledger.run(WindowLedger.requestsOp(List.of(request("w", "a")))));
+        JsonObject answer = ledger.run(WindowLedger.requestsOp(List.of(request("v", "b"), request("w", "b"))));
         assertTrue(answer.has("error"));
         assertEquals(1, view().windows().all().size());
         assertTrue(step("w", State.DRAINING).get("error").getAsString().contains("can't become"));
     }
 
     @Test
-    void aSnapshotHoldsAllOfItAndOneOfAnEarlierBuildHoldsNone() {
+    void aSnapshotIsCompleteAndOneOfAnEarlierBuildRestoresEmptyState() {
         apply("operators", bans("x"));
-        ok(ledger.run(WindowLedger.requests(List.of(request("w", "a")))));
+        ok(ledger.run(WindowLedger.requestsOp(List.of(request("w", "a")))));
         drains("w");
-        ok(ledger.run(WindowLedger.accounts(1, Map.of("shop", new double[] {1, 2, 3, 4}))));
+        ok(ledger.run(WindowLedger.accountsOp(1, Map.of("shop", new double[] {1, 2, 3, 4}))));
         Ledger other = new Ledger(Map.of(WindowLedger.NAME, new WindowLedger()));
         other.restore(JsonParser.parseString(ledger.snapshot().toString()).getAsJsonObject());
         assertEquals(
@@ -188,14 +191,15 @@
     }
 
     @Test
-    void whatGoesToACoordinatorIsReadAsItWas() {
-        ok(ledger.run(WindowLedger.requests(List.of(request("w", "a"), request("v", "b")))));
+    void theViewForACoordinatorRoundTrips() {
+        ok(ledger.run(WindowLedger.requestsOp(List.of(request("w", "a"), request("v", "b")))));
         drains("w");
         ok(step("v", State.REFUSED));
-        View read = View.of(JsonParser.parseString(view().json().toString()).getAsJsonObject());
+        View read =
+                View.fromJson(JsonParser.parseString(view().toJson().toString()).getAsJsonObject());
         assertEquals(List.of(window("w")), read.windows().all());
         assertEquals(view().racks(), read.racks());
-        assertEquals(view().windows().away(), read.windows().away());
+        assertEquals(view().windows().awayChanges(), read.windows().awayChanges());
         assertEquals(view().bansFor(Set.of("a")), read.bansFor(Set.of("a")));
     }
 }
--- a/src/test/java/laneflow/maintenance/decision/WindowsTest.java
+++ b/src/test/java/laneflow/maintenance/decision/WindowsTest.java
@@ -10,27 +10,27 @@
 import laneflow.maintenance.decision.Windows.State;
 import org.junit.jupiter.api.Test;
 
-/** The ledger of windows: what it takes, what it turns down and with which words. */
+/** The state machine of windows: which operations it accepts, which it refuses and with which message. */
 class WindowsTest {
     private static final Request REQUEST =
             new Request("w", "ops", List.of("r0"), 1000, 0, 9000, 100, 500, Set.of(), List.of());
     private final Windows windows = new Windows();
 
     private JsonObject step(long token, State to) {
-        return windows.run(
-                Windows.step(token, windows.window("w"), to, windows.away(), 1000, State.DONE, List.of(), 2000),
+        return windows.apply(
+                Windows.step(token, windows.window("w"), to, windows.awayChanges(), 1000, State.DONE, List.of(), 2000),
                 rack -> true);
     }
 
     private void to(State... states) {
-        windows.run(Windows.request(REQUEST), rack -> true);
+        windows.apply(Windows.request(REQUEST), rack -> true);
         for (State state : states) {
             assertFalse(step(1, state).has("error"), state.toString());
         }
     }
 
     private JsonObject run(JsonObject op) {
-        return windows.run(op, rack -> true);
+        return windows.apply(op, rack -> true);
     }
 
     private static String error(JsonObject answer) {
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void askedTwiceIsOneWindowAndAnotherNeedsAnotherName() {
+    void aRepeatedRequestIsOneWindowAndADifferentOneNeedsAnotherName() {
         to();
         assertEquals("requested", run(Windows.request(REQUEST)).get("state").getAsString());
         Request other = new Request("w", "ops", List.of("r1"), 1000, 0, 9000, 100, 500, Set.of(), List.of());
@@ -51,26 +51,26 @@
         to(State.PLANNED, State.ANNOUNCED, State.DRAINING);
         assertEquals("no leave: w is draining", error(run(Windows.begin("w"))));
         JsonObject down = Windows.step(1, windows.window("w"), State.DOWN, 0, 0, State.DONE, List.of(), 2000);
-        assertEquals("w: the policy in force does not ban all of its racks", error(windows.run(down, rack -> false)));
-        assertEquals(List.of("r0"), windows.missing(Set.of("r1")));
+        assertEquals("w: the policy in force does not ban all of its racks", error(windows.apply(down, rack -> false)));
+        assertEquals(List.of("r0"), windows.missingBans(Set.of("r1")));
         step(1, State.DOWN);
         assertFalse(run(Windows.begin("w")).has("error"));
         assertFalse(run(Windows.begin("w")).has("error"));
     }
 
     @Test
-    void aFormerCoordinatorsStepAndOneTakenAlreadyChangeNothing() {
+    void supersededAndRepeatedStepsChangeNothing() {
         to(State.PLANNED);
         JsonObject old = Windows.step(1, windows.window("w"), State.ANNOUNCED, 0, 0, State.DONE, List.of(), 0);
         assertFalse(step(2, State.ANNOUNCED).has("error"));
-        assertEquals("token 1 is over: 2 has been seen", error(run(old)));
+        assertEquals("token 1 is superseded: 2 has been seen", error(run(old)));
         old.addProperty("token", 2);
         assertEquals("w has taken 3 steps, and is announced", error(run(old)));
         assertEquals("w is announced and can't become done", error(step(2, State.DONE)));
     }
 
     @Test
-    void aCrewAtWorkIsNotWishedAway() {
+    void aWindowWithACrewAtWorkCannotReturn() {
         to(State.PLANNED, State.ANNOUNCED, State.DRAINING, State.DOWN);
         run(Windows.begin("w"));
         assertTrue(error(step(1, State.RETURNING)).contains("its crew is at work"));
@@ -79,12 +79,12 @@
         assertEquals(State.DOWN, windows.window("w").state());
         run(Windows.finish("w"));
         assertEquals(State.RETURNING, windows.window("w").state());
-        assertEquals("w returns to be aborted", error(step(1, State.DONE)));
+        assertEquals("w returns as aborted", error(step(1, State.DONE)));
         assertFalse(step(1, State.ABORTED).has("error"));
     }
 
     @Test
-    void aSnapshotIsTheWholeOfIt() {
+    void aSnapshotIsComplete() {
         to(State.PLANNED, State.ANNOUNCED, State.DRAINING, State.DOWN);
         run(Windows.begin("w"));
         Windows other = new Windows();
@@ -92,6 +92,6 @@
         assertEquals(windows.all(), other.all());
         assertEquals(windows.snapshot(), other.snapshot());
         assertEquals(1, other.token());
-        assertEquals(1, other.away());
+        assertEquals(1, other.awayChanges());
     }
 }
--- a/src/test/java/laneflow/transcripts/MaintenanceTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/MaintenanceTranscriptsTest.java
@@ -22,26 +22,29 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A window's life, as its owner, its crew, a client and endpoints see it, at one scheduler that votes alone. */
+/**
+ * The life of a window as its owner, its crew, a client and endpoints see it, at a single scheduler that is
+ * the only voter.
+ */
 @Timeout(300)
 class MaintenanceTranscriptsTest {
     private static final long LATER = 40_000;
-    /** So far ahead that a machine which stands still for a while still keeps the plan's first word. */
+    /** Far enough ahead that the planned time can be kept even if the machine stalls for a while. */
     private static final long SOON = 3000;
 
     @TempDir
     private Path folder;
 
-    /** What happens at a scheduler that coordinates; one endpoint in each of two racks. */
-    private interface Story {
-        void tell(Operator operator, int clients, Endpoint a, Endpoint b) throws Exception;
+    /** A scenario at a coordinating scheduler, with one endpoint in each of two racks. */
+    private interface Scenario {
+        void run(Operator operator, int clients, Endpoint a, Endpoint b) throws Exception;
     }
 
-    private void told(Transcript transcript, Story story) throws Exception {
-        told(transcript, 60_000, story);
+    private void runScenario(Transcript transcript, Scenario scenario) throws Exception {
+        runScenario(transcript, 60_000, scenario);
     }
 
-    private void told(Transcript transcript, int beginMs, Story story) throws Exception {
+    private void runScenario(Transcript transcript, int beginMs, Scenario scenario) throws Exception {
         Path own = Files.createTempDirectory(folder, "n1");
         Endpoint a = new Endpoint("e1");
         Endpoint b = new Endpoint("e2");
@@ -61,9 +64,10 @@
         try {
             Await.until(
                     "it coordinates",
-                    () -> raw(fleet, "/maintenance").contains("\"coordinator\":\"n1#"),
-                    () -> raw(fleet, "/maintenance"));
-            story.tell(new Operator(transcript, fleet), serve.front().address().getPort(), a, b);
+                    () -> get(fleet, "/maintenance").contains("\"coordinator\":\"n1#"),
+                    () -> get(fleet, "/maintenance"));
+            scenario.run(
+                    new Operator(transcript, fleet), serve.front().address().getPort(), a, b);
         } finally {
             serve.halt();
             a.close();
@@ -71,15 +75,15 @@
         }
     }
 
-    private static String raw(int port, String path) throws IOException {
+    private static String get(int port, String path) throws IOException {
         try (Peer peer = Stand.peer("127.0.0.1", port)) {
             return peer.write("GET " + path + " HTTP/1.1\r\nHost: f\r\n\r\n").message();
         }
     }
 
-    /** An owner, a crew: one question a connection. */
+    /** An owner or a crew, with one request per connection. */
     private record Operator(Transcript transcript, int fleet) {
-        void asksFor(String name, long workMs, long abortMs, long fromMs, String... racks) throws IOException {
+        void requests(String name, long workMs, long abortMs, long fromMs, String... racks) throws IOException {
             long now = System.currentTimeMillis();
             JsonArray all = new JsonArray();
             all.add(MaintenanceJson.write(new Request(
@@ -98,22 +102,25 @@
             posts("owner", "/maintenance/requests", body.toString());
         }
 
-        void says(String who, String what, String name) throws IOException {
+        void orders(String who, String what, String name) throws IOException {
             posts(who, "/maintenance/windows/" + name, "{\"do\":\"" + what + "\"}");
         }
 
         private void posts(String who, String path, String body) throws IOException {
-            asks(who, "POST " + path + " HTTP/1.1\r\nHost: f\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+            sends(who, "POST " + path + " HTTP/1.1\r\nHost: f\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
         }
 
-        /** Waits until it is there, unrecorded, since how often one asks is free; then asks once more. */
+        /**
+         * Waits until the window is in that state, without recording since the number of polls varies; then
+         * asks once more, recorded.
+         */
         void awaits(String name, String state) throws Exception {
-            Await.until(name + " is " + state, () -> state(name).equals(state), () -> raw(fleet, "/maintenance"));
-            asks("owner", "GET /maintenance HTTP/1.1\r\nHost: f\r\n\r\n");
+            Await.until(name + " is " + state, () -> state(name).equals(state), () -> get(fleet, "/maintenance"));
+            sends("owner", "GET /maintenance HTTP/1.1\r\nHost: f\r\n\r\n");
         }
 
         private String state(String name) throws IOException {
-            String said = raw(fleet, "/maintenance");
+            String said = get(fleet, "/maintenance");
             JsonObject all = JsonParser.parseString(said.substring(said.indexOf("\r\n\r\n")))
                     .getAsJsonObject();
             for (JsonElement one : all.getAsJsonArray("windows")) {
@@ -124,14 +131,14 @@
             return "unknown";
         }
 
-        private void asks(String who, String request) throws IOException {
+        private void sends(String who, String request) throws IOException {
             try (RecordedPeer operator = new RecordedPeer(transcript, who, Stand.peer("127.0.0.1", fleet))) {
                 operator.write(request).message();
             }
         }
     }
 
-    /** A client's request, and the call that it leads to, at whichever endpoint is to have it. */
+    /** A client's request and the resulting call at the expected endpoint. */
     private static void served(Transcript transcript, int clients, String id, Endpoint at) throws IOException {
         try (RecordedPeer client = new RecordedPeer(transcript, "client", Stand.peer("127.0.0.1", clients))) {
             client.post("capture", id, "Req-Owner: shops\r\n", "pay");
@@ -146,16 +153,16 @@
     void fromRequestToReturn() throws Exception {
         Transcript.of(
                 "A window from request to return: no leave while it is planned; nobody is sent to its rack.",
-                transcript -> told(transcript, (operator, clients, a, b) -> {
-                    operator.asksFor("w", 500, 500, 8000, "a");
+                transcript -> runScenario(transcript, (operator, clients, a, b) -> {
+                    operator.requests("w", 500, 500, 8000, "a");
                     operator.awaits("w", "planned");
-                    operator.says("crew", "begin", "w");
+                    operator.orders("crew", "begin", "w");
                     operator.awaits("w", "down");
-                    operator.says("crew", "begin", "w");
+                    operator.orders("crew", "begin", "w");
                     served(transcript, clients, "1", b);
-                    operator.says("crew", "finish", "w");
+                    operator.orders("crew", "finish", "w");
                     operator.awaits("w", "done");
-                    operator.says("crew", "begin", "w");
+                    operator.orders("crew", "begin", "w");
                 }));
     }
 
@@ -163,14 +170,14 @@
     void turnedDown() throws Exception {
         Transcript.of(
                 "Windows that are turned down, with who stands against them; and what is no request.",
-                transcript -> told(transcript, (operator, clients, a, b) -> {
-                    operator.asksFor("both", 300, 0, 0, "a", "b");
+                transcript -> runScenario(transcript, (operator, clients, a, b) -> {
+                    operator.requests("both", 300, 0, 0, "a", "b");
                     operator.awaits("both", "refused");
-                    operator.asksFor("w x", 0, 5, 0, "a", "a", "c");
+                    operator.requests("w x", 0, 5, 0, "a", "a", "c");
                     operator.posts("owner", "/maintenance/requests", "no JSON");
                     operator.posts("owner", "/maintenance/windows/both", "{\"do\":\"dance\"}");
-                    operator.says("crew", "begin", "none");
-                    operator.says("crew", "begin", "both");
+                    operator.orders("crew", "begin", "none");
+                    operator.orders("crew", "begin", "both");
                 }));
     }
 
@@ -178,13 +185,13 @@
     void overrun() throws Exception {
         Transcript.of(
                 "A crew that does not say that it has finished: shown as overrun, ended by its word alone.",
-                transcript -> told(transcript, 3000, (operator, clients, a, b) -> {
-                    operator.asksFor("w", 300, 300, SOON, "a");
+                transcript -> runScenario(transcript, 3000, (operator, clients, a, b) -> {
+                    operator.requests("w", 300, 300, SOON, "a");
                     operator.awaits("w", "down");
-                    operator.says("crew", "begin", "w");
+                    operator.orders("crew", "begin", "w");
                     operator.awaits("w", "overrun");
-                    operator.says("owner", "abort", "w");
-                    operator.says("crew", "finish", "w");
+                    operator.orders("owner", "abort", "w");
+                    operator.orders("crew", "finish", "w");
                     operator.awaits("w", "done");
                 }));
     }
@@ -193,16 +200,16 @@
     void calledOff() throws Exception {
         Transcript.of(
                 "Windows that are called off: one that is planned, and one whose rack is down and no crew there.",
-                transcript -> told(transcript, (operator, clients, a, b) -> {
-                    operator.asksFor("later", 300, 300, LATER, "a");
+                transcript -> runScenario(transcript, (operator, clients, a, b) -> {
+                    operator.requests("later", 300, 300, LATER, "a");
                     operator.awaits("later", "planned");
-                    operator.says("owner", "abort", "later");
-                    operator.says("owner", "abort", "later");
-                    operator.asksFor("now", 300, 300, SOON, "b");
+                    operator.orders("owner", "abort", "later");
+                    operator.orders("owner", "abort", "later");
+                    operator.requests("now", 300, 300, SOON, "b");
                     operator.awaits("now", "down");
-                    operator.says("owner", "abort", "now");
+                    operator.orders("owner", "abort", "now");
                     operator.awaits("now", "aborted");
-                    operator.says("crew", "begin", "now");
+                    operator.orders("crew", "begin", "now");
                 }));
     }
 
@@ -210,18 +217,18 @@
     void abortedPastItsPoint() throws Exception {
         Transcript.of(
                 "A crew at work: called off within the abort point it ends with the crew's word; past it, not at all.",
-                transcript -> told(transcript, (operator, clients, a, b) -> {
-                    operator.asksFor("early", 30_000, 30_000, SOON, "a");
+                transcript -> runScenario(transcript, (operator, clients, a, b) -> {
+                    operator.requests("early", 30_000, 30_000, SOON, "a");
                     operator.awaits("early", "down");
-                    operator.says("crew", "begin", "early");
-                    operator.says("owner", "abort", "early");
-                    operator.says("crew", "finish", "early");
+                    operator.orders("crew", "begin", "early");
+                    operator.orders("owner", "abort", "early");
+                    operator.orders("crew", "finish", "early");
                     operator.awaits("early", "aborted");
-                    operator.asksFor("past", 30_000, 0, SOON, "a");
+                    operator.requests("past", 30_000, 0, SOON, "a");
                     operator.awaits("past", "down");
-                    operator.says("crew", "begin", "past");
-                    operator.says("owner", "abort", "past");
-                    operator.says("crew", "finish", "past");
+                    operator.orders("crew", "begin", "past");
+                    operator.orders("owner", "abort", "past");
+                    operator.orders("crew", "finish", "past");
                     operator.awaits("past", "done");
                 }));
     }
