--- a/src/main/java/laneflow/maintenance/decision/Timeline.java
+++ b/src/main/java/laneflow/maintenance/decision/Timeline.java
@@ -16,10 +16,7 @@
  * window would be fair throughout. Not thread-safe.
  */
 final class Timeline {
-    /**
-     * Cost of a time at which some instant would be unfair; a fair time costs 0 or more, less if fewer tenants
-     * lose something.
-     */
+    /** Cost of a time that is unfair at some step. Otherwise the cost is the number of steps with a fair loss. */
     static final int UNFAIR = -1;
 
     private final Planner.Parameters parameters;
--- a/src/main/java/laneflow/maintenance/decision/WindowLedger.java
+++ b/src/main/java/laneflow/maintenance/decision/WindowLedger.java
@@ -82,7 +82,7 @@
             return all;
         }
 
-        /** JSON for a coordinator, limited to the windows that are not final and those that they come after. */
+        /** JSON for a coordinator, limited to the windows that are not final and their predecessors. */
         public JsonObject toJson() {
             Set<String> named = new TreeSet<>();
             windows.all().stream().filter(one -> !one.state().isFinal()).forEach(one -> {
--- a/src/test/java/laneflow/maintenance/decision/MaintenanceSimulation.java
+++ b/src/test/java/laneflow/maintenance/decision/MaintenanceSimulation.java
@@ -30,15 +30,15 @@
 
     /** Deliberate faults that the checker has to find. */
     enum Fault {
-        NOTHING,
-        JUDGED_APART,
+        NONE,
+        DRAINS_JUDGED_SEPARATELY,
         TOKENS_IGNORED,
         STEPS_IGNORED,
         LEAVE_BEFORE_BANS,
-        SILENT_IS_CLEAR,
-        BANS_TAKEN_BACK,
-        LOST_UNSEEN,
-        NEVER_GIVEN_BACK
+        SILENT_COUNTS_AS_DRAINED,
+        BANS_REVOKED,
+        LOST_RACKS_IGNORED,
+        BANS_NEVER_REMOVED
     }
 
     /** An invariant is violated. */
@@ -125,7 +125,7 @@
         Coordinator.Orders orders = coordinator.orders(windows, observe(), by);
         inFlight.addAll(orders.steps());
         Set<String> bans = new TreeSet<>(orders.banned());
-        if (fault == Fault.NEVER_GIVEN_BACK) {
+        if (fault == Fault.BANS_NEVER_REMOVED) {
             bans.addAll(banned);
         }
         if (!bans.equals(banned)) {
@@ -142,8 +142,8 @@
         for (String rack : names) {
             boolean all = true;
             for (Scheduler one : schedulers) {
-                boolean silent =
-                        one.isCutOff && (now > one.heardAt + LEASE + DEADLINE || fault == Fault.SILENT_IS_CLEAR);
+                boolean silent = one.isCutOff
+                        && (now > one.heardAt + LEASE + DEADLINE || fault == Fault.SILENT_COUNTS_AS_DRAINED);
                 all &= silent || !one.isCutOff && one.bans.contains(rack) && !one.calls.containsKey(rack);
             }
             if (all || fault == Fault.LEAVE_BEFORE_BANS) {
@@ -156,7 +156,7 @@
         return new Coordinator.Observation(
                 now,
                 due(now),
-                fault == Fault.LOST_UNSEEN ? Set.of() : down,
+                fault == Fault.LOST_RACKS_IGNORED ? Set.of() : down,
                 fault == Fault.LEAVE_BEFORE_BANS ? names : Set.copyOf(banned),
                 drained,
                 recovered,
@@ -213,7 +213,7 @@
             Set<String> bans =
                     new TreeSet<>(List.of(op.get("racks").getAsString().split(" ")));
             bans.remove("");
-            if (windows.missingBans(bans).isEmpty() || fault == Fault.BANS_TAKEN_BACK) {
+            if (windows.missingBans(bans).isEmpty() || fault == Fault.BANS_REVOKED) {
                 banned = bans;
             }
             return op;
@@ -221,7 +221,7 @@
         JsonObject as = op.deepCopy();
         Window window = windows.window(op.get("name").getAsString());
         boolean step = op.get("op").getAsString().equals("step");
-        if (step && fault == Fault.JUDGED_APART) {
+        if (step && fault == Fault.DRAINS_JUDGED_SEPARATELY) {
             as.addProperty("away", windows.awayChanges());
         } else if (step && fault == Fault.TOKENS_IGNORED) {
             as.addProperty("token", windows.token());
--- a/src/test/java/laneflow/maintenance/decision/WindowOrdersTest.java
+++ b/src/test/java/laneflow/maintenance/decision/WindowOrdersTest.java
@@ -25,18 +25,18 @@
     }
 
     private static final List<Event> EVENTS = List.of(
-            new Event("look", simulation -> simulation.decide(false)),
-            new Event("the former looks", simulation -> simulation.decide(true)),
-            new Event("oldest arrives", simulation -> simulation.arrive(false, false)),
-            new Event("newest arrives twice", simulation -> simulation.arrive(true, true)),
-            new Event("elect", MaintenanceSimulation::replaceCoordinator),
-            new Event("s0 hears", simulation -> simulation.applyPolicy(0)),
-            new Event("s1 cut", simulation -> simulation.setCutOff(1, true)),
+            new Event("coordinator decides", simulation -> simulation.decide(false)),
+            new Event("former coordinator decides", simulation -> simulation.decide(true)),
+            new Event("oldest operation arrives", simulation -> simulation.arrive(false, false)),
+            new Event("newest operation arrives twice", simulation -> simulation.arrive(true, true)),
+            new Event("coordinator replaced", MaintenanceSimulation::replaceCoordinator),
+            new Event("s0 applies policy", simulation -> simulation.applyPolicy(0)),
+            new Event("s1 cut off", simulation -> simulation.setCutOff(1, true)),
             new Event("s1 sends", simulation -> simulation.send(1)),
-            new Event("crew", simulation -> simulation.crewActs("w0")),
+            new Event("crew acts", simulation -> simulation.crewActs("w0")),
             new Event("abort", simulation -> simulation.abort("w0")),
             new Event("r3 fails", simulation -> simulation.fail("r3", true)),
-            new Event("minutes", simulation -> simulation.advance(4 * MaintenanceSimulation.MINUTE)));
+            new Event("minutes pass", simulation -> simulation.advance(4 * MaintenanceSimulation.MINUTE)));
 
     /** State in which the events begin. */
     private enum From {
@@ -51,8 +51,8 @@
         }
     }
 
-    private static MaintenanceSimulation simulationIn(From from, Fault broken) {
-        MaintenanceSimulation simulation = new MaintenanceSimulation(broken);
+    private static MaintenanceSimulation simulationIn(From from, Fault fault) {
+        MaintenanceSimulation simulation = new MaintenanceSimulation(fault);
         simulation.request("w0", "r0");
         simulation.request("w1", "r1");
         int rounds = 0;
@@ -81,7 +81,7 @@
             }
             return;
         }
-        MaintenanceSimulation simulation = simulationIn(from, Fault.NOTHING);
+        MaintenanceSimulation simulation = simulationIn(from, Fault.NONE);
         try {
             before.forEach(event -> event.act().accept(simulation));
             if (executed++ % 50 == 0) {
@@ -101,13 +101,13 @@
 
     private record Totals(int done, int turnedBack, int overruns) {}
 
-    private static Totals runRandomly(Fault broken, int runs, long seed) {
+    private static Totals runRandomly(Fault fault, int runs, long seed) {
         int done = 0;
         int turnedBack = 0;
         int overruns = 0;
         SplittableRandom random = new SplittableRandom(seed);
         for (int run = 0; run < runs; run++) {
-            MaintenanceSimulation simulation = new MaintenanceSimulation(broken);
+            MaintenanceSimulation simulation = new MaintenanceSimulation(fault);
             for (int i = 0; i < 4; i++) {
                 simulation.request("w" + i, "r" + i);
             }
@@ -157,21 +157,21 @@
 
     @Test
     void randomRunsKeepAllInvariantsAndSettle() {
-        Totals runs = runRandomly(Fault.NOTHING, 120, 7);
+        Totals runs = runRandomly(Fault.NONE, 120, 7);
         assertTrue(runs.done() > 200 && runs.turnedBack() > 20 && runs.overruns() > 2, runs.toString());
     }
 
     @ParameterizedTest
     @EnumSource(
             value = Fault.class,
-            names = {"NOTHING", "BANS_TAKEN_BACK"},
+            names = {"NONE", "BANS_REVOKED"},
             mode = EnumSource.Mode.EXCLUDE)
-    void everyInjectedFaultIsFound(Fault broken) {
-        assertThrows(Violation.class, () -> runRandomly(broken, 400, 7));
+    void everyInjectedFaultIsFound(Fault fault) {
+        assertThrows(Violation.class, () -> runRandomly(fault, 400, 7));
     }
 
-    private static void staleBansDuringWork(Fault broken) {
-        MaintenanceSimulation simulation = simulationIn(From.DOWN, broken);
+    private static void staleBansDuringWork(Fault fault) {
+        MaintenanceSimulation simulation = simulationIn(From.DOWN, fault);
         simulation.crewActs("w0");
         assertTrue(simulation.window("w0").begun());
         simulation.applyStaleBans();
@@ -183,7 +183,7 @@
     /** The log refuses a policy change that would give a rack back while its crew is at work. */
     @Test
     void bansHoldUntilTheCrewHasFinished() {
-        staleBansDuringWork(Fault.NOTHING);
-        assertThrows(Violation.class, () -> staleBansDuringWork(Fault.BANS_TAKEN_BACK));
+        staleBansDuringWork(Fault.NONE);
+        assertThrows(Violation.class, () -> staleBansDuringWork(Fault.BANS_REVOKED));
     }
 }
