--- a/src/main/java/laneflow/assembly/PersistedSettings.java
+++ b/src/main/java/laneflow/assembly/PersistedSettings.java
@@ -26,7 +26,7 @@
     static Map<String, JsonArray> read(ControlConfig config) {
         Map<String, JsonArray> all = new LinkedHashMap<>();
         for (String type : TYPES) {
-            LastGood.Kept kept = config.folder == null || !Files.isDirectory(config.folder)
+            LastGood.SavedVersion kept = config.folder == null || !Files.isDirectory(config.folder)
                     ? null
                     : read(new LastGood(config.folder, type));
             if (kept != null) {
@@ -52,7 +52,7 @@
     }
 
     /** What a file holds, or null. */
-    static LastGood.Kept read(LastGood file) {
+    static LastGood.SavedVersion read(LastGood file) {
         try {
             return file.read();
         } catch (IOException e) {
--- a/src/main/java/laneflow/assembly/Setup.java
+++ b/src/main/java/laneflow/assembly/Setup.java
@@ -107,7 +107,7 @@
             if (settings.has("rules")) {
                 fixed.put("module", PLATFORM);
             }
-            all = operators.under(named);
+            all = operators.withDefaults(named);
         }
         if (all.has("discovery")) {
             // Two sources of one set would undo each other's changes.
@@ -122,7 +122,7 @@
         }
         if (settings == null || !settings.has("classes")) {
             findings.add("", "classes", "no [classes.NAME]");
-            findings.raise();
+            findings.throwIfAny();
         }
         Config config = Config.parse(all.toString());
         List<String> classes = List.of(config.classNames);
@@ -164,7 +164,7 @@
         if (policy != null && policy.tellsPolicy && control != null && control.tellVersions) {
             findings.add("policy", "tell_policy", "and [control] tell_versions name one header: only one of them");
         }
-        findings.raise();
+        findings.throwIfAny();
         return new Setup(
                 config, gearman, durable, control, fleet, policy, members, tasks, capacity, maintenance, fixed);
     }
--- a/src/main/java/laneflow/assembly/StreamedTypes.java
+++ b/src/main/java/laneflow/assembly/StreamedTypes.java
@@ -85,8 +85,9 @@
     }
 
     /** What this process can hold. */
-    static SettingTypes.Ceilings ceilings() throws IOException {
-        return new SettingTypes.Ceilings(descriptors(), Runtime.getRuntime().maxMemory());
+    static SettingTypes.ProcessLimits ceilings() throws IOException {
+        return new SettingTypes.ProcessLimits(
+                descriptors(), Runtime.getRuntime().maxMemory());
     }
 
     /** What the kernel lets this process open; where it does not say, as many as there are numbers. */
--- a/src/main/java/laneflow/assembly/Streaming.java
+++ b/src/main/java/laneflow/assembly/Streaming.java
@@ -55,16 +55,16 @@
             Files.createDirectories(config.folder);
         }
         Map<ResourceType, LastGood> types = new LinkedHashMap<>();
-        Map<String, LastGood.Kept> kept = new LinkedHashMap<>();
+        Map<String, LastGood.SavedVersion> kept = new LinkedHashMap<>();
         for (ResourceType type : StreamedTypes.all(setup, new Live())) {
             LastGood file = config.folder == null ? null : new LastGood(config.folder, type.name());
             types.put(type, file);
-            LastGood.Kept found = file == null ? null : PersistedSettings.read(file);
+            LastGood.SavedVersion found = file == null ? null : PersistedSettings.read(file);
             if (found != null) {
                 kept.put(type.name(), found);
             }
         }
-        ControlClient.Surroundings around = new ControlClient.Surroundings(
+        ControlClient.Context around = new ControlClient.Context(
                 setup.config().name,
                 token,
                 List.of(setup.config().classNames),
@@ -74,7 +74,7 @@
                 new SecureRandom().nextLong());
         core.loop().call(() -> {
             ControlClient client = new ControlClient(core.loop(), core.scheduler(), config, around, types);
-            setup.notStreamed().forEach(client::fix);
+            setup.notStreamed().forEach(client::rejectType);
             BiConsumer<String, Supplier<String>> reports = port == null ? core.front()::report : port::report;
             reports.accept("/config", client::report);
             reports.accept("/config/history", client::history);
--- a/src/main/java/laneflow/capacity/CapacityConfig.java
+++ b/src/main/java/laneflow/capacity/CapacityConfig.java
@@ -12,10 +12,10 @@
 
     private CapacityConfig(Table from, MembersConfig members) {
         if (members == null) {
-            from.wrong("", "needs the table [members]: news goes with the view's datagrams");
+            from.addFinding("", "needs the table [members]: news goes with the view's datagrams");
         }
-        round = from.whole("round_ms", 100, 20, 60_000) * 1000;
-        fanout = (int) from.whole("fanout", 2, 1, 8);
+        round = from.integer("round_ms", 100, 20, 60_000) * 1000;
+        fanout = (int) from.integer("fanout", 2, 1, 8);
         from.close();
     }
 
--- a/src/main/java/laneflow/cli/ConfigCommand.java
+++ b/src/main/java/laneflow/cli/ConfigCommand.java
@@ -284,12 +284,12 @@
                 .orElseThrow(() -> new IOException("type '" + named + "' is not taken here; taken are "
                         + String.join(
                                 ", ", types.stream().map(ResourceType::name).toList())));
-        ResourceType.Reading read = taken.read(resources(file, all));
+        ResourceType.ParsedResources read = taken.read(resources(file, all));
         PrintWriter out = spec.commandLine().getOut();
         read.findings.forEach(out::println);
         if (read.findings.isEmpty()) {
             out.println("sound: " + read.count + " " + named);
-            if (taken.isReadAtStart()) {
+            if (taken.isAppliedAtStart()) {
                 read.adopt().forEach(waits -> out.println("waits for a restart: " + waits));
             }
         }
@@ -311,8 +311,8 @@
                     Locale.ROOT,
                     "%s %s (%.4f)%n",
                     name,
-                    Rollout.takesPart(name, seed, share) ? "takes part" : "is held back",
-                    Rollout.place(name, seed));
+                    Rollout.includes(name, seed, share) ? "takes part" : "is held back",
+                    Rollout.position(name, seed));
         }
         out.flush();
         return 0;
--- a/src/main/java/laneflow/config/AddressRange.java
+++ b/src/main/java/laneflow/config/AddressRange.java
@@ -30,7 +30,7 @@
         throw new IllegalArgumentException("'" + text + "' is no range: ADDRESS/BITS");
     }
 
-    public boolean holds(InetAddress address) {
+    public boolean contains(InetAddress address) {
         byte[] bytes = address.getAddress();
         if (bytes.length != first.length) {
             return false;
--- a/src/main/java/laneflow/config/Canonical.java
+++ b/src/main/java/laneflow/config/Canonical.java
@@ -14,17 +14,17 @@
     private Canonical() {}
 
     /** The same with keys in order; numbers as they were written. */
-    public static JsonElement ordered(JsonElement value) {
+    public static JsonElement sortKeys(JsonElement value) {
         if (value.isJsonArray()) {
             JsonArray all = new JsonArray();
-            value.getAsJsonArray().forEach(one -> all.add(ordered(one)));
+            value.getAsJsonArray().forEach(one -> all.add(sortKeys(one)));
             return all;
         }
         if (!value.isJsonObject()) {
             return value;
         }
         JsonObject all = new JsonObject();
-        new TreeMap<>(value.getAsJsonObject().asMap()).forEach((key, one) -> all.add(key, ordered(one)));
+        new TreeMap<>(value.getAsJsonObject().asMap()).forEach((key, one) -> all.add(key, sortKeys(one)));
         return all;
     }
 
@@ -32,7 +32,7 @@
     public static String digest(JsonElement value) {
         try {
             byte[] sum = MessageDigest.getInstance("SHA-256")
-                    .digest(ordered(value).toString().getBytes(StandardCharsets.UTF_8));
+                    .digest(sortKeys(value).toString().getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(sum);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every Java platform has SHA-256", e);
--- a/src/main/java/laneflow/config/Findings.java
+++ b/src/main/java/laneflow/config/Findings.java
@@ -46,7 +46,7 @@
     }
 
     /** Throws them, if there are any. */
-    public void raise() {
+    public void throwIfAny() {
         if (!all.isEmpty()) {
             throw new ConfigException(all);
         }
--- a/src/main/java/laneflow/config/OperatorFile.java
+++ b/src/main/java/laneflow/config/OperatorFile.java
@@ -141,7 +141,7 @@
     }
 
     /** The platform's file decides what it names; the rest is taken from here. */
-    public JsonObject under(JsonObject named) {
+    public JsonObject withDefaults(JsonObject named) {
         return merge(named, platform);
     }
 
@@ -171,7 +171,7 @@
         for (String key : new String[] {"listen", "discovery"}) {
             String text = root.text(key, null);
             if (text != null && !text.matches("[0-9.]+:[0-9]{1,5}|\\[[0-9a-fA-F:.]+\\]:[0-9]{1,5}")) {
-                root.wrong(key, "'" + text + "' is not an address and port in figures");
+                root.addFinding(key, "'" + text + "' is not an address and port in figures");
             } else if (text != null) {
                 platform.addProperty(key, text);
             }
@@ -179,7 +179,7 @@
         List<String> zones = root.texts("zones");
         String zone = root.text("zone", zones.isEmpty() ? null : zones.get(0));
         if (zone != null && !zones.contains(zone)) {
-            root.wrong("zone", "'" + zone + "' is none of the zones " + zones);
+            root.addFinding("zone", "'" + zone + "' is none of the zones " + zones);
         }
         if (!zones.isEmpty()) {
             JsonArray areas = new JsonArray();
@@ -196,7 +196,7 @@
         List.of("busy", "q", "rate", "x0").forEach(fields::add);
         JsonObject reporting = new JsonObject();
         reporting.add("fields", fields);
-        reporting.addProperty("source", root.word("load_reports", "answers", "answers", "none"));
+        reporting.addProperty("source", root.choice("load_reports", "answers", "answers", "none"));
         settings.add("reporting", reporting);
         platform.add("settings", settings);
     }
@@ -210,14 +210,14 @@
     /** Reads a table of limits into the platform's form: the scheduler's own, and those of its settings. */
     public static void limits(Table from, JsonObject platform, JsonObject settings) {
         JsonObject own = new JsonObject();
-        own.addProperty("sockets", from.whole("sockets", 1024, 96, 1 << 20));
+        own.addProperty("sockets", from.integer("sockets", 1024, 96, 1 << 20));
         platform.add("limits", own);
         JsonObject to = new JsonObject();
         to.addProperty("cancel", from.flag("cancel", true));
         to.addProperty("probes", from.flag("probes", false));
         to.addProperty("connectTimeout", from.number("connect_timeout_ms", 1000, 1, HOUR_MS) / 1000);
         to.addProperty("connIdle", from.number("endpoint_idle_ms", 10_000, 10, HOUR_MS) / 1000);
-        to.addProperty("maxAttempts", from.whole("attempts", 5, 1, 5));
+        to.addProperty("maxAttempts", from.integer("attempts", 5, 1, 5));
         to.addProperty("retryAfter", from.flag("retry_after", true));
         to.addProperty("maxRetryAfter", from.number("longest_retry_after_ms", 2000, 0, HOUR_MS) / 1000);
         settings.add("limits", to);
@@ -250,7 +250,7 @@
         to.addProperty("repeatRatio", from.number("retry_share", 0, 0, 5));
         double window = from.number("retry_window_ms", 0, 0, HOUR_MS);
         if (window == 0 && (from.has("retry_free") || from.has("retry_share"))) {
-            from.wrong("retry_window_ms", "is missing: in which time retry_free and retry_share are counted");
+            from.addFinding("retry_window_ms", "is missing: in which time retry_free and retry_share are counted");
         }
         to.addProperty("resendSpan", window / 1000);
         from.close();
@@ -279,22 +279,22 @@
     public static void classOf(String name, Table from, JsonArray classes, JsonArray stretches) {
         JsonObject to = new JsonObject();
         if (!name.matches(NAME)) {
-            from.wrong("", "is no name of a class: letters, digits, '_', '.' and '-'");
+            from.addFinding("", "is no name of a class: letters, digits, '_', '.' and '-'");
         }
         to.addProperty("name", name);
         double aim = from.number("aim_ms", 200, 1, HOUR_MS);
         double deadline = from.number("deadline_ms", 5000, 1, HOUR_MS);
         if (deadline < aim) {
-            from.wrong("deadline_ms", "is under aim_ms: nothing would be served in time");
+            from.addFinding("deadline_ms", "is under aim_ms: nothing would be served in time");
         }
         to.addProperty("aim", aim / 1000);
         to.addProperty("hardLimit", deadline / 1000);
         to.addProperty("worth", from.number("worth", 1, 0, 1e6));
-        String repeat = from.word("repeat", "never", "safe", "keyed", "never");
+        String repeat = from.choice("repeat", "never", "safe", "keyed", "never");
         to.addProperty("semantics", repeat.equals("safe") ? "pure" : repeat.equals("keyed") ? "token" : "side_effect");
         double window = from.number("window_ms", 0, 0, HOUR_MS);
         if (repeat.equals("keyed") && window == 0) {
-            from.wrong("window_ms", "is missing: how long endpoints drop a repeat of the key");
+            from.addFinding("window_ms", "is missing: how long endpoints drop a repeat of the key");
         }
         to.addProperty("dedupWindow", window / 1000);
         to.addProperty("group", "all");
@@ -311,16 +311,16 @@
             to.addProperty("dial", from.text("dial"));
             String zone = from.text("zone", zones.isEmpty() ? null : zones.get(0));
             if (zone != null && !zones.contains(zone)) {
-                from.wrong("zone", "'" + zone + "' is none of the zones " + zones);
+                from.addFinding("zone", "'" + zone + "' is none of the zones " + zones);
             }
             to.addProperty("site", zone);
-            boolean ready = from.word("state", "ready", "ready", "draining").equals("ready");
+            boolean ready = from.choice("state", "ready", "ready", "draining").equals("ready");
             to.addProperty("health", ready ? "Ready" : "Terminating");
             to.addProperty("share", from.number("weight", 1, 0, 1e6));
             to.addProperty("slots", from.number("slots", 1, 0.01, 1024));
             String rack = from.text("rack", null);
             if (rack != null && !rack.matches(NAME)) {
-                from.wrong("rack", "is no name: letters, digits, '_', '.' and '-'");
+                from.addFinding("rack", "is no name: letters, digits, '_', '.' and '-'");
             } else if (rack != null) {
                 to.addProperty("rack", rack);
             }
@@ -356,7 +356,7 @@
         JsonArray all = new JsonArray();
         for (String one : named) {
             if (!known.contains(one)) {
-                from.wrong(key, "'" + one + "' is none of " + known);
+                from.addFinding(key, "'" + one + "' is none of " + known);
             }
             all.add(one);
         }
--- a/src/main/java/laneflow/config/Table.java
+++ b/src/main/java/laneflow/config/Table.java
@@ -85,7 +85,7 @@
     }
 
     /** Notes what is wrong with one of its keys. */
-    public void wrong(String key, String what) {
+    public void addFinding(String key, String what) {
         findings.add(path, key, what);
     }
 
@@ -109,7 +109,7 @@
     public String text(String key, String absent) {
         Object value = value(key);
         if (value != null && !(value instanceof String)) {
-            wrong(key, "must be a text, in quotes");
+            addFinding(key, "must be a text, in quotes");
             return absent;
         }
         return value == null ? absent : (String) value;
@@ -118,17 +118,17 @@
     /** A text that must be there. */
     public String text(String key) {
         if (!has(key)) {
-            wrong(key, "is missing");
+            addFinding(key, "is missing");
             return "";
         }
         return text(key, "");
     }
 
     /** One of these words, or the default. */
-    public String word(String key, String absent, String... words) {
+    public String choice(String key, String absent, String... words) {
         String text = text(key, absent);
         if (text != null && !text.equals(absent) && !List.of(words).contains(text)) {
-            wrong(key, "'" + text + "' is none of " + String.join(", ", words));
+            addFinding(key, "'" + text + "' is none of " + String.join(", ", words));
             return absent;
         }
         return text;
@@ -141,22 +141,22 @@
             return absent;
         }
         if (!(value instanceof Number)) {
-            wrong(key, "must be a number");
+            addFinding(key, "must be a number");
             return absent;
         }
         double number = ((Number) value).doubleValue();
         if (!(number >= least && number <= most)) {
-            wrong(key, plain(number) + " is not between " + plain(least) + " and " + plain(most));
+            addFinding(key, plain(number) + " is not between " + plain(least) + " and " + plain(most));
             return absent;
         }
         return number;
     }
 
     /** A whole number within these bounds, or the default. */
-    public long whole(String key, long absent, long least, long most) {
+    public long integer(String key, long absent, long least, long most) {
         Object value = value(key);
         if (value != null && !(value instanceof Integer || value instanceof Long)) {
-            wrong(key, "must be a whole number");
+            addFinding(key, "must be a whole number");
             return absent;
         }
         return (long) number(key, absent, least, most);
@@ -165,7 +165,7 @@
     public boolean flag(String key, boolean absent) {
         Object value = value(key);
         if (value != null && !(value instanceof Boolean)) {
-            wrong(key, "must be true or false");
+            addFinding(key, "must be true or false");
             return absent;
         }
         return value == null ? absent : (Boolean) value;
@@ -176,13 +176,13 @@
         Object value = value(key);
         List<String> texts = new ArrayList<>();
         if (value != null && !(value instanceof List)) {
-            wrong(key, "must be a list of texts");
+            addFinding(key, "must be a list of texts");
         } else if (value != null) {
             for (Object one : (List<?>) value) {
                 if (one instanceof String) {
                     texts.add((String) one);
                 } else {
-                    wrong(key, "must be a list of texts");
+                    addFinding(key, "must be a list of texts");
                 }
             }
         }
@@ -193,7 +193,7 @@
     public Table table(String key) {
         Object value = value(key);
         if (value != null && !(value instanceof UnmodifiableConfig)) {
-            wrong(key, "must be a table");
+            addFinding(key, "must be a table");
             return null;
         }
         return value == null ? null : new Table((UnmodifiableConfig) value, join(key), findings);
@@ -218,7 +218,7 @@
     public void close() {
         for (UnmodifiableConfig.Entry entry : from.entrySet()) {
             if (!asked.contains(entry.getKey())) {
-                wrong(
+                addFinding(
                         entry.getKey(),
                         "is unknown here; known are "
                                 + String.join(", ", asked.stream().sorted().toList()));
--- a/src/main/java/laneflow/control/ControlClient.java
+++ b/src/main/java/laneflow/control/ControlClient.java
@@ -100,7 +100,7 @@
     private long[][] group;
 
     /** What the client is given besides its settings. */
-    public record Surroundings(
+    public record Context(
             String name,
             String token,
             List<String> classNames,
@@ -115,11 +115,7 @@
      * @param types what is taken, in the order in which it is asked for, with their files or nulls
      */
     public ControlClient(
-            Loop loop,
-            Scheduler scheduler,
-            ControlConfig config,
-            Surroundings around,
-            Map<ResourceType, LastGood> types) {
+            Loop loop, Scheduler scheduler, ControlConfig config, Context around, Map<ResourceType, LastGood> types) {
         this.loop = loop;
         this.scheduler = scheduler;
         this.config = config;
@@ -140,15 +136,15 @@
     }
 
     /** A type that something else decides here: it is turned down with that reason. */
-    public void fix(String type, String reason) {
+    public void rejectType(String type, String reason) {
         fixed.put(ResourceType.PREFIX + type, reason);
     }
 
     /** Runs what a type's file holds until the service speaks; before {@link #begin}. */
-    public void startFrom(String type, LastGood.Kept kept) {
+    public void startFrom(String type, LastGood.SavedVersion kept) {
         TypeRun run = types.get(ResourceType.PREFIX + type);
         JsonArray resources = kept.resources().getAsJsonArray("resources");
-        ResourceType.Reading read = run.type.read(resources);
+        ResourceType.ParsedResources read = run.type.read(resources);
         if (!read.findings.isEmpty()) {
             history.add(run.type.url(), kept.version().toString(), "passed_over", "last-good", read.findings.get(0));
             return;
@@ -332,7 +328,7 @@
         }
         JsonObject rollout = given.getAsJsonObject();
         double share = Message.number(rollout, "share", 1);
-        double place = Rollout.place(name, (long) Message.number(rollout, "seed", 0));
+        double place = Rollout.position(name, (long) Message.number(rollout, "seed", 0));
         return place < share ? null : "held back: " + name + " stands at " + place + ", the share is " + share;
     }
 
@@ -341,7 +337,7 @@
         reading.execute(() -> {
             List<String> findings = new ArrayList<>();
             JsonArray resources = null;
-            ResourceType.Reading read = null;
+            ResourceType.ParsedResources read = null;
             try {
                 resources = message.resources(runs, findings);
                 String digest = findings.isEmpty() ? Message.digestFinding(offered.digest(), resources) : null;
@@ -356,7 +352,7 @@
                 findings.add("resources: can't be read: " + e);
             }
             JsonArray whole = resources;
-            ResourceType.Reading sound = read;
+            ResourceType.ParsedResources sound = read;
             back(() -> checked(of, run, offered, whole, sound, findings));
         });
     }
@@ -366,7 +362,7 @@
             TypeRun run,
             Version offered,
             JsonArray resources,
-            ResourceType.Reading read,
+            ResourceType.ParsedResources read,
             List<String> findings) {
         if (findings.isEmpty()) {
             steps(read::prepare, () -> decided(of, run, offered, resources, read, findings));
@@ -394,7 +390,7 @@
             TypeRun run,
             Version offered,
             JsonArray resources,
-            ResourceType.Reading read,
+            ResourceType.ParsedResources read,
             List<String> findings) {
         // Meanwhile the stream may have ended, or what ran been taken back.
         if (of == generation && isUp && run.track.whole(offered).kind() == Kind.LOOK) {
@@ -402,7 +398,7 @@
                 adopt(run, offered, resources, read);
                 ack(run, offered);
                 // Before the next line: what is left over is nobody's to speak for but this one's.
-                steps(read::tidy, this::done);
+                steps(read::cleanUp, this::done);
                 return;
             } else {
                 String reason = String.join("\n", findings);
@@ -419,7 +415,7 @@
     // ---- adopting and taking back ----
 
     /** All of it in this turn: what comes in later sees the new state, what is open goes on. */
-    private void adopt(TypeRun run, Version offered, JsonArray resources, ResourceType.Reading read) {
+    private void adopt(TypeRun run, Version offered, JsonArray resources, ResourceType.ParsedResources read) {
         long began = System.nanoTime();
         long ran = CPU.getCurrentThreadCpuTime();
         boolean first = !run.hasGood();
@@ -433,7 +429,7 @@
         history.add(run.type.url(), offered.toString(), "adopted", streamAt, String.join(";", run.later));
         stamp();
         if (config.probation > 0 && !first) {
-            trial.adopted(loop.micros(), scheduler.countsByClass(), group);
+            trial.versionAdopted(loop.micros(), scheduler.countsByClass(), group);
         } else {
             run.settle();
         }
@@ -442,7 +438,7 @@
     private void look() {
         long now = loop.micros();
         boolean running = trial.isRunning();
-        Probation.Finding finding = trial.look(now, scheduler.countsByClass(), group);
+        Probation.Finding finding = trial.evaluate(now, scheduler.countsByClass(), group);
         if (running && finding.verdict() == Verdict.TAKE_BACK) {
             takeBack(finding.figures());
         } else if (running && finding.verdict() == Verdict.KEEP) {
@@ -451,7 +447,7 @@
                 history.add(run.type.url(), run.track.running().toString(), "settled", run.from, finding.figures());
             });
         }
-        loop.deadlines().set(look, trial.nextLook(now));
+        loop.deadlines().set(look, trial.nextEvaluation(now));
     }
 
     /** All that is on trial goes: which of several broke service can't be told. */
--- a/src/main/java/laneflow/control/ControlConfig.java
+++ b/src/main/java/laneflow/control/ControlConfig.java
@@ -36,13 +36,13 @@
     private ControlConfig(Table from) {
         addresses = from.texts("addresses");
         if (addresses.isEmpty()) {
-            from.wrong("addresses", "is missing: where control services listen");
+            from.addFinding("addresses", "is missing: where control services listen");
         }
         for (String address : addresses) {
             try {
                 Loop.address(address);
             } catch (IllegalArgumentException e) {
-                from.wrong("addresses", e.getMessage());
+                from.addFinding("addresses", e.getMessage());
             }
         }
         String token = from.text("token_file", null);
@@ -54,24 +54,24 @@
             try {
                 allowed.add(AddressRange.parse(range));
             } catch (IllegalArgumentException e) {
-                from.wrong("allowed_endpoints", e.getMessage());
+                from.addFinding("allowed_endpoints", e.getMessage());
             }
         }
-        silence = from.whole("silence_ms", 10_000, 50, 3_600_000) * 1000;
-        longestBackoff = from.whole("longest_backoff_ms", 10_000, 10, 3_600_000) * 1000;
-        probation = from.whole("probation_ms", 30_000, 0, 3_600_000) * 1000;
+        silence = from.integer("silence_ms", 10_000, 50, 3_600_000) * 1000;
+        longestBackoff = from.integer("longest_backoff_ms", 10_000, 10, 3_600_000) * 1000;
+        probation = from.integer("probation_ms", 30_000, 0, 3_600_000) * 1000;
         bound = from.number("worse_by", 0.02, 0.001, 1);
-        mostLine = (int) from.whole("most_line_kib", 8192, 1, 65_536) * 1024;
+        mostLine = (int) from.integer("most_line_kib", 8192, 1, 65_536) * 1024;
         listen = from.text("listen", null);
         try {
             if (listen != null) {
                 Loop.address(listen);
             }
         } catch (IllegalArgumentException e) {
-            from.wrong("listen", e.getMessage());
+            from.addFinding("listen", e.getMessage());
         }
         tellVersions = from.flag("tell_versions", false);
-        figures = from.whole("figures_ms", 1000, 0, 3_600_000) * 1000;
+        figures = from.integer("figures_ms", 1000, 0, 3_600_000) * 1000;
         from.close();
     }
 
--- a/src/main/java/laneflow/control/DestinationType.java
+++ b/src/main/java/laneflow/control/DestinationType.java
@@ -56,12 +56,12 @@
     }
 
     @Override
-    public boolean isReadAtStart() {
+    public boolean isAppliedAtStart() {
         return false;
     }
 
     @Override
-    public Reading read(JsonArray resources) {
+    public ParsedResources read(JsonArray resources) {
         List<String> findings = form.findings(resources);
         List<Entry> entries = new ArrayList<>();
         if (findings.isEmpty()) {
@@ -74,7 +74,7 @@
         }
         Set<String> named = new HashSet<>();
         entries.forEach(entry -> named.add(entry.name));
-        return new Reading(findings, entries.size()) {
+        return new ParsedResources(findings, entries.size()) {
             private StagedUpdate next;
             private StagedUpdate last;
 
@@ -94,7 +94,7 @@
             }
 
             @Override
-            public boolean tidy() {
+            public boolean cleanUp() {
                 return last != null && last.removeDrained();
             }
         };
@@ -136,7 +136,7 @@
             var address = Loop.address(dial);
             if (address.getPort() == 0) {
                 findings.add(path + ".dial: port 0 is none");
-            } else if (allowed.stream().noneMatch(range -> range.holds(address.getAddress()))) {
+            } else if (allowed.stream().noneMatch(range -> range.contains(address.getAddress()))) {
                 findings.add(path + ".dial: " + dial + " is in none of the allowed ranges");
             }
         } catch (IllegalArgumentException e) {
--- a/src/main/java/laneflow/control/LastGood.java
+++ b/src/main/java/laneflow/control/LastGood.java
@@ -31,7 +31,7 @@
     private final Path beside;
 
     /** What was kept: which version, since when (Unix time in milliseconds), and its resources. */
-    public record Kept(String type, Version version, long adoptedMs, JsonObject resources) {}
+    public record SavedVersion(String type, Version version, long adoptedMs, JsonObject resources) {}
 
     /** A file that is there and can't be used; the message says why. */
     public static final class Unusable extends IOException {
@@ -48,7 +48,7 @@
     }
 
     /** Puts it in the old one's place; it is on disk when this returns. */
-    public void write(Kept kept) throws IOException {
+    public void write(SavedVersion kept) throws IOException {
         JsonObject all = new JsonObject();
         all.addProperty("type", kept.type());
         all.addProperty("version", kept.version().toString());
@@ -75,12 +75,12 @@
     }
 
     /** Reads it; null where there is none. What is damaged or of another format is {@link Unusable}. */
-    public Kept read() throws IOException {
+    public SavedVersion read() throws IOException {
         return Files.exists(file) ? parse(Files.readAllBytes(file), file.toString()) : null;
     }
 
     /** Reads what such a file holds; the name is for messages. */
-    static Kept parse(byte[] all, String file) throws Unusable {
+    static SavedVersion parse(byte[] all, String file) throws Unusable {
         int end = 0;
         while (end < all.length && all[end] != '\n') {
             end++;
@@ -99,7 +99,7 @@
         try {
             JsonObject from = JsonParser.parseString(new String(body, StandardCharsets.UTF_8))
                     .getAsJsonObject();
-            return new Kept(
+            return new SavedVersion(
                     from.get("type").getAsString(),
                     Version.parse(from.get("version").getAsString()),
                     from.get("adopted_ms").getAsLong(),
--- a/src/main/java/laneflow/control/ResourceType.java
+++ b/src/main/java/laneflow/control/ResourceType.java
@@ -15,13 +15,13 @@
      * What a whole state of the type was read as. All but its making happens on the loop's thread; it may be
      * adopted as often as wanted, as when a later one is taken back.
      */
-    abstract class Reading {
+    abstract class ParsedResources {
         /** All that is wrong, each with the path to its value; adopted is only what has none. */
         public final List<String> findings;
         /** How many resources there are. */
         public final int count;
 
-        protected Reading(List<String> findings, int count) {
+        protected ParsedResources(List<String> findings, int count) {
             this.findings = findings;
             this.count = count;
         }
@@ -38,7 +38,7 @@
         public abstract List<String> adopt();
 
         /** A step of what can be done behind adopting; false once there is nothing left. */
-        public boolean tidy() {
+        public boolean cleanUp() {
             return false;
         }
     }
@@ -52,15 +52,15 @@
     }
 
     /** What runs before any version has come, or null where nothing does. */
-    default Reading base() {
+    default ParsedResources initial() {
         return null;
     }
 
     /** True if the next start does with it what adopting did: what is kept was laid under the file then. */
-    default boolean isReadAtStart() {
+    default boolean isAppliedAtStart() {
         return true;
     }
 
     /** Reads a whole state, in form and in sense. Any thread; nothing that runs is touched. */
-    Reading read(JsonArray resources);
+    ParsedResources read(JsonArray resources);
 }
--- a/src/main/java/laneflow/control/SettingTypes.java
+++ b/src/main/java/laneflow/control/SettingTypes.java
@@ -27,7 +27,7 @@
 public final class SettingTypes {
 
     /** What this process can hold: descriptors, and bytes of heap. */
-    public record Ceilings(long descriptors, long heap) {}
+    public record ProcessLimits(long descriptors, long heap) {}
 
     /** A connection's two rings, as they begin. */
     private static final long CONNECTION_BYTES = 2 * 2048;
@@ -53,8 +53,8 @@
             return name;
         }
 
-        private static Reading reading(List<String> findings, int count, Adopting adopting) {
-            return new Reading(findings, count) {
+        private static ParsedResources reading(List<String> findings, int count, Adopting adopting) {
+            return new ParsedResources(findings, count) {
                 @Override
                 public List<String> adopt() {
                     return adopting.run();
@@ -63,12 +63,12 @@
         }
 
         @Override
-        public Reading base() {
+        public ParsedResources initial() {
             return reading(List.of(), 0, base);
         }
 
         @Override
-        public Reading read(JsonArray resources) {
+        public ParsedResources read(JsonArray resources) {
             List<String> findings = form.findings(resources);
             Adopting adopting = findings.isEmpty() ? reader.apply(resources, findings) : null;
             return reading(findings, resources.size(), adopting);
@@ -167,7 +167,7 @@
     }
 
     /** Limits: those on retries and refusals change under traffic, the rest waits for a restart. */
-    public static ResourceType limits(Settings settings, Config runs, Ceilings ceilings) {
+    public static ResourceType limits(Settings settings, Config runs, ProcessLimits ceilings) {
         int attempts = settings.maxAttempts;
         boolean toldWhen = settings.retryAfter;
         double longest = settings.maxRetryAfter;
--- a/src/main/java/laneflow/control/TypeRun.java
+++ b/src/main/java/laneflow/control/TypeRun.java
@@ -30,8 +30,8 @@
     String nonce = "";
 
     private JsonArray good;
-    private ResourceType.Reading runningRead;
-    private ResourceType.Reading goodRead;
+    private ResourceType.ParsedResources runningRead;
+    private ResourceType.ParsedResources goodRead;
     private String goodFrom = "";
     private long since;
     private long goodSince;
@@ -43,7 +43,7 @@
         this.type = type;
         this.lastGood = lastGood;
         this.disk = disk;
-        runningRead = type.base();
+        runningRead = type.initial();
         goodRead = runningRead;
     }
 
@@ -53,7 +53,7 @@
     }
 
     /** At the start: what the file holds runs, as good. */
-    void startAt(LastGood.Kept kept, ResourceType.Reading read) {
+    void startAt(LastGood.SavedVersion kept, ResourceType.ParsedResources read) {
         runningRead = read;
         goodRead = read;
         track.startAt(kept.version());
@@ -67,7 +67,7 @@
         goodSince = since;
     }
 
-    void adopt(Version version, JsonArray resources, ResourceType.Reading read, String at, long nowMs) {
+    void adopt(Version version, JsonArray resources, ResourceType.ParsedResources read, String at, long nowMs) {
         later = read.adopt();
         runningRead = read;
         track.accept(version);
@@ -88,7 +88,7 @@
         }
         JsonObject all = new JsonObject();
         all.add("resources", running);
-        LastGood.Kept kept = new LastGood.Kept(type.url(), track.running(), since, all);
+        LastGood.SavedVersion kept = new LastGood.SavedVersion(type.url(), track.running(), since, all);
         disk.execute(() -> {
             try {
                 lastGood.write(kept);
--- a/src/main/java/laneflow/control/Warmup.java
+++ b/src/main/java/laneflow/control/Warmup.java
@@ -48,12 +48,13 @@
     }
 
     private void adopt(String text) {
-        ResourceType.Reading read = type.read(JsonParser.parseString(text).getAsJsonArray());
+        ResourceType.ParsedResources read =
+                type.read(JsonParser.parseString(text).getAsJsonArray());
         while (read.prepare()) {
             continue;
         }
         read.adopt();
-        while (read.tidy()) {
+        while (read.cleanUp()) {
             continue;
         }
     }
--- a/src/main/java/laneflow/control/decision/Probation.java
+++ b/src/main/java/laneflow/control/decision/Probation.java
@@ -14,7 +14,7 @@
  */
 public final class Probation {
     /** Fewer requests than that on either side tell nothing. */
-    public static final int LEAST = 50;
+    public static final int MIN_REQUESTS = 50;
     /** One-sided, a false alarm in about 700 looks. */
     public static final double Z = 3.0;
     /** Looks before the end are many, and each may be wrong by chance. */
@@ -51,21 +51,22 @@
      * @param controlBefore of the control group, or null with {@code controlAfter}
      * @param bound the growth of a share that is too much, such as 0.02
      */
-    public static Finding judge(Counts before, Counts after, Counts controlBefore, Counts controlAfter, double bound) {
-        return judge(before, after, controlBefore, controlAfter, bound, Z);
+    public static Finding evaluate(
+            Counts before, Counts after, Counts controlBefore, Counts controlAfter, double bound) {
+        return evaluate(before, after, controlBefore, controlAfter, bound, Z);
     }
 
     /** The same, with so many standard deviations between chance and blame. */
-    public static Finding judge(
+    public static Finding evaluate(
             Counts before, Counts after, Counts controlBefore, Counts controlAfter, double bound, double z) {
-        if (before.requests() < LEAST || after.requests() < LEAST) {
+        if (before.requests() < MIN_REQUESTS || after.requests() < MIN_REQUESTS) {
             return new Finding(
                     Verdict.TOO_EARLY, after.requests() + " requests since, " + before.requests() + " before");
         }
         boolean control = controlBefore != null
                 && controlAfter != null
-                && controlBefore.requests() >= LEAST
-                && controlAfter.requests() >= LEAST;
+                && controlBefore.requests() >= MIN_REQUESTS
+                && controlAfter.requests() >= MIN_REQUESTS;
         double common = control ? Math.max(0, controlAfter.bad() - controlBefore.bad()) : 0;
         if (worse(before.bad() + common, before.requests(), after.bad(), after.requests(), bound, z)) {
             return new Finding(
--- a/src/main/java/laneflow/control/decision/Rollout.java
+++ b/src/main/java/laneflow/control/decision/Rollout.java
@@ -12,12 +12,12 @@
     private Rollout() {}
 
     /** The scheduler's place in the order of this seed, 0 to 1; those below the share take part. */
-    public static double place(String scheduler, long seed) {
+    public static double position(String scheduler, long seed) {
         // FNV leaves the high bits of short names alike: the generator's own mixing spreads them.
         return new SplittableRandom(Endpoint.stableId(scheduler) ^ seed * 0x9e3779b97f4a7c15L).nextDouble();
     }
 
-    public static boolean takesPart(String scheduler, long seed, double share) {
-        return place(scheduler, seed) < share;
+    public static boolean includes(String scheduler, long seed, double share) {
+        return position(scheduler, seed) < share;
     }
 }
--- a/src/main/java/laneflow/control/decision/Trial.java
+++ b/src/main/java/laneflow/control/decision/Trial.java
@@ -55,7 +55,7 @@
     }
 
     /** A version was adopted, after another had run: it is on trial from here on. */
-    public void adopted(long now, long[][] own, long[][] group) {
+    public void versionAdopted(long now, long[][] own, long[][] group) {
         if (begun == null) {
             begun = new Snapshot(now, copy(own), copy(group));
             if (usualTo == null || now - calmFrom.at >= length) {
@@ -67,12 +67,12 @@
     }
 
     /** When to look next, running or not. */
-    public long nextLook(long now) {
+    public long nextEvaluation(long now) {
         return now + Math.max(1, length / LOOKS);
     }
 
     /** Looks: while none runs the time to compare with moves along, else it may end in a verdict. */
-    public Finding look(long now, long[][] own, long[][] group) {
+    public Finding evaluate(long now, long[][] own, long[][] group) {
         if (begun == null) {
             roll(now, own, group);
             return new Finding(Verdict.KEEP, "");
@@ -81,7 +81,7 @@
         Snapshot is = new Snapshot(now, own, group);
         Finding all = new Finding(Verdict.TOO_EARLY, "");
         for (int i = classes.length - 1; i >= -1; i--) {
-            Finding found = Probation.judge(
+            Finding found = Probation.evaluate(
                     counts(usualFrom, usualTo, i, false),
                     counts(begun, is, i, false),
                     counts(usualFrom, usualTo, i, true),
--- a/src/main/java/laneflow/durable/DurableConfig.java
+++ b/src/main/java/laneflow/durable/DurableConfig.java
@@ -45,11 +45,11 @@
         classNames = names;
         String folder = from.text("dir");
         dir = Path.of(folder.isEmpty() ? "." : folder);
-        storeBytes = from.whole("store_mib", 1024, 1, 1 << 20) * MIB;
-        mostJobs = from.whole("most_jobs", 250_000, 1, 10_000_000);
-        mostBytes = from.whole("most_mib", 64, 1, 1 << 16) * MIB;
+        storeBytes = from.integer("store_mib", 1024, 1, 1 << 20) * MIB;
+        mostJobs = from.integer("most_jobs", 250_000, 1, 10_000_000);
+        mostBytes = from.integer("most_mib", 64, 1, 1 << 16) * MIB;
         retentionMs = (long) (from.number("retention_s", 3600, 1, 30 * DAY_MS / 1000) * 1000);
-        mostAtWork = (int) from.whole("most_at_work", 64, 1, 10_000);
+        mostAtWork = (int) from.integer("most_at_work", 64, 1, 10_000);
         classes = new OfClass[names.size()];
         for (int i = 0; i < classes.length; i++) {
             classes[i] = new OfClass();
@@ -61,14 +61,14 @@
         from.tables("classes").forEach((name, one) -> {
             int at = names.indexOf(name);
             if (at < 0) {
-                one.wrong("", "'" + name + "' is none of the classes " + names);
+                one.addFinding("", "'" + name + "' is none of the classes " + names);
                 return;
             }
             OfClass to = classes[at];
             to.leaseMs = (long) one.number("lease_ms", to.leaseMs, 50, DAY_MS);
             to.longestMs = (long) one.number("longest_ms", 10 * to.leaseMs, to.leaseMs, 30 * DAY_MS);
-            to.mostJobs = one.whole("most_jobs", mostJobs, 0, mostJobs);
-            to.mostBytes = one.whole("most_mib", mostBytes / MIB, 0, mostBytes / MIB) * MIB;
+            to.mostJobs = one.integer("most_jobs", mostJobs, 0, mostJobs);
+            to.mostBytes = one.integer("most_mib", mostBytes / MIB, 0, mostBytes / MIB) * MIB;
             to.respondAsync = one.flag("respond_async", true);
             one.close();
         });
--- a/src/main/java/laneflow/fleet/FleetConfig.java
+++ b/src/main/java/laneflow/fleet/FleetConfig.java
@@ -29,15 +29,15 @@
     private FleetConfig(Table from, String ownName) {
         name = from.text("name", ownName);
         if (!name.matches(NAME)) {
-            from.wrong("name", "'" + name + "' is no name: up to 64 letters, digits, '_', '.' and '-'");
+            from.addFinding("name", "'" + name + "' is no name: up to 64 letters, digits, '_', '.' and '-'");
         }
         listen = from.text("listen");
         address(from, "listen", listen);
         String token = from.text("token_file", null);
         tokenFile = token == null ? null : Path.of(token);
-        silence = from.whole("silence_ms", 3000, 50, 3_600_000) * 1000;
-        longestBackoff = from.whole("longest_backoff_ms", 500, 10, 3_600_000) * 1000;
-        mostLinks = (int) from.whole("most_links", 1024, 8, 1 << 16);
+        silence = from.integer("silence_ms", 3000, 50, 3_600_000) * 1000;
+        longestBackoff = from.integer("longest_backoff_ms", 500, 10, 3_600_000) * 1000;
+        mostLinks = (int) from.integer("most_links", 1024, 8, 1 << 16);
         Table named = from.table("peers");
         if (named != null) {
             for (String peer : named.keys()) {
@@ -54,7 +54,7 @@
         try {
             return text == null || text.isEmpty() ? null : Loop.address(text);
         } catch (IllegalArgumentException e) {
-            from.wrong(key, e.getMessage());
+            from.addFinding(key, e.getMessage());
             return null;
         }
     }
--- a/src/main/java/laneflow/gearman/GearmanConfig.java
+++ b/src/main/java/laneflow/gearman/GearmanConfig.java
@@ -52,25 +52,25 @@
         String zoneName = from.text("zone", null);
         zone = zoneName == null ? settings.zone : zones.indexOf(zoneName);
         if (zone < 0) {
-            from.wrong("zone", "'" + zoneName + "' is none of " + zones);
+            from.addFinding("zone", "'" + zoneName + "' is none of " + zones);
         }
         String other = from.text("unmapped_class", null);
         unmapped = other == null ? -1 : classes.indexOf(other);
         if (other != null && unmapped < 0) {
-            from.wrong("unmapped_class", "'" + other + "' is none of " + classes);
+            from.addFinding("unmapped_class", "'" + other + "' is none of " + classes);
         }
-        mostQueued = (int) from.whole("most_queued", 0, 0, 10_000_000);
-        mostBody = (int) from.whole("most_body_kib", 1024, 1, 65_536) * 1024;
+        mostQueued = (int) from.integer("most_queued", 0, 0, 10_000_000);
+        mostBody = (int) from.integer("most_body_kib", 1024, 1, 65_536) * 1024;
         mayShutdown = from.flag("shutdown", false);
         Map<String, Table> all = from.tables("functions");
         if (all.isEmpty() && other == null) {
-            from.wrong("functions", "no [functions.NAME]");
+            from.addFinding("functions", "no [functions.NAME]");
         }
         all.forEach((name, one) -> {
             String className = one.text("class");
             int jobClass = classes.indexOf(className);
             if (jobClass < 0) {
-                one.wrong("class", "'" + className + "' is none of " + classes);
+                one.addFinding("class", "'" + className + "' is none of " + classes);
             }
             double wait = one.number("deadline_ms", 0, 1, HOUR_MS);
             double cost = one.number("cost_ms", Double.NaN, 0, HOUR_MS) / 1000;
@@ -170,9 +170,9 @@
             String text, String name, Settings settings, List<String> classes, List<String> zones) {
         Findings findings = new Findings(name);
         Table table = Table.parse(text, findings);
-        findings.raise();
+        findings.throwIfAny();
         GearmanConfig config = read(table, settings, classes, zones);
-        findings.raise();
+        findings.throwIfAny();
         return config;
     }
 }
--- a/src/main/java/laneflow/maintenance/MaintenanceConfig.java
+++ b/src/main/java/laneflow/maintenance/MaintenanceConfig.java
@@ -52,22 +52,22 @@
 
     private MaintenanceConfig(Table from, PolicyConfig policy, TaskConfig tasks, JsonObject settings, JsonArray hosts) {
         if (policy == null) {
-            from.wrong("", "needs the table [policy], whose voters keep windows");
+            from.addFinding("", "needs the table [policy], whose voters keep windows");
         } else if (policy.servesWithoutLease) {
-            from.wrong(
+            from.addFinding(
                     "",
                     "needs [policy] cut_off = \"stop\": one that serves on while it is cut off would"
                             + " send to racks that are down");
         }
         if (tasks == null) {
-            from.wrong("", "needs the table [tasks]: coordinating is a task that the fleet does once");
+            from.addFinding("", "needs the table [tasks]: coordinating is a task that the fleet does once");
         }
         estate = EstateReader.read(settings, hosts, from.findings());
         racks = racks(hosts);
         long step = millis(from, "step_ms", 15 * MINUTE, 10, DAY);
         long ahead = millis(from, "ahead_ms", 14 * DAY, 1000, MOST_AHEAD);
         if (ahead / step > MOST_STEPS || ahead < step) {
-            from.wrong("ahead_ms", "is " + ahead / step + " times step_ms, and has to be 1 to " + MOST_STEPS);
+            from.addFinding("ahead_ms", "is " + ahead / step + " times step_ms, and has to be 1 to " + MOST_STEPS);
         }
         long drain = millis(from, "drain_ms", 10 * MINUTE, 10, DAY);
         terms = new Fairness.Terms(
@@ -82,7 +82,7 @@
                 drain,
                 millis(from, "return_ms", 10 * MINUTE, 10, DAY),
                 from.number("reserve", 0, 0, 1),
-                (int) from.whole("most_flows", 1500, 1, 100_000));
+                (int) from.integer("most_flows", 1500, 1, 100_000));
         times = new Coordinator.Times(
                 drain,
                 millis(from, "begin_ms", 30 * MINUTE, 10, DAY),
@@ -95,10 +95,10 @@
         look = millis(from, "look_ms", 1000, 10, 60_000) * 1000;
         if (times.early() * 1000 < 2 * look) {
             // It would miss its notice by a look, be planned anew, and miss that one too.
-            from.wrong("early_ms", "is less than two looks, of look_ms each");
+            from.addFinding("early_ms", "is less than two looks, of look_ms each");
         }
         silent = millis(from, "silent_ms", -1, 0, DAY) * 1000;
-        lostAfter = (int) from.whole("lost_after", 3, 1, 1000);
+        lostAfter = (int) from.integer("lost_after", 3, 1, 1000);
         lostShare = from.number("lost_share", 0.25, 0.001, 1);
         warm = millis(from, "warm_ms", 0, 0, DAY);
         demandHalf = millis(from, "demand_half_ms", MINUTE, 10, DAY);
@@ -107,7 +107,7 @@
     }
 
     private static long millis(Table from, String key, long absent, long least, long most) {
-        return from.whole(key, absent, least, most);
+        return from.integer(key, absent, least, most);
     }
 
     private static SortedMap<String, List<String>> racks(JsonArray hosts) {
--- a/src/main/java/laneflow/maintenance/RequestFile.java
+++ b/src/main/java/laneflow/maintenance/RequestFile.java
@@ -48,7 +48,7 @@
         RequestFile one = new RequestFile(Table.parse(text, findings), racks, until);
         one.request();
         one.from.close();
-        findings.raise();
+        findings.throwIfAny();
         return List.copyOf(one.requests);
     }
 
@@ -64,7 +64,7 @@
         ZoneId zone = one.zone();
         one.from.tables("freezes").forEach((name, table) -> one.freeze(name, table, zone));
         one.from.close();
-        findings.raise();
+        findings.throwIfAny();
         return List.copyOf(one.freezes);
     }
 
@@ -72,7 +72,7 @@
         String name = from.text("time_zone");
         ZoneId zone = name.isEmpty() ? null : LocalTimes.zone(name);
         if (zone == null && !name.isEmpty()) {
-            from.wrong("time_zone", "'" + name + "' is no zone of the tz database, such as Europe/Ljubljana");
+            from.addFinding("time_zone", "'" + name + "' is no zone of the tz database, such as Europe/Ljubljana");
         }
         return zone;
     }
@@ -81,7 +81,7 @@
         String text = table.text(key);
         LocalDateTime at = text.isEmpty() ? null : LocalTimes.read(text);
         if (at == null && !text.isEmpty()) {
-            table.wrong(key, "'" + text + "' is no local time, such as 2026-12-10T22:00");
+            table.addFinding(key, "'" + text + "' is no local time, such as 2026-12-10T22:00");
         }
         return at;
     }
@@ -95,7 +95,7 @@
             return;
         }
         if (!ends.isAfter(begins)) {
-            table.wrong("to", "is not behind from");
+            table.addFinding("to", "is not behind from");
             return;
         }
         for (LocalDateTime at : occurrences(table, rule, begins, zone)) {
@@ -111,13 +111,13 @@
         try {
             List<LocalDateTime> all = LocalTimes.occurrences(rule, first, zone, until);
             if (all.isEmpty()) {
-                table.wrong("rule", "never happens within what is planned");
+                table.addFinding("rule", "never happens within what is planned");
             } else if (all.size() > LocalTimes.MOST) {
-                table.wrong("rule", "happens more than " + LocalTimes.MOST + " times within what is planned");
+                table.addFinding("rule", "happens more than " + LocalTimes.MOST + " times within what is planned");
             }
             return all;
         } catch (IllegalArgumentException e) {
-            table.wrong("rule", "is no rule of RFC 5545: " + e.getMessage());
+            table.addFinding("rule", "is no rule of RFC 5545: " + e.getMessage());
             return List.of();
         }
     }
@@ -125,23 +125,23 @@
     private void request() {
         String name = from.text("name");
         if (!name.isEmpty() && !name.matches(NAME)) {
-            from.wrong("name", "is up to 48 letters, digits, '_', '.' and '-'");
+            from.addFinding("name", "is up to 48 letters, digits, '_', '.' and '-'");
         }
         String owner = from.text("owner");
         List<String> down = racks();
-        long work = from.whole("work_minutes", 0, 1, (long) WEEK) * MINUTE;
+        long work = from.integer("work_minutes", 0, 1, (long) WEEK) * MINUTE;
         if (!from.has("work_minutes")) {
-            from.wrong("work_minutes", "is missing");
+            from.addFinding("work_minutes", "is missing");
         }
-        long notice = from.whole("notice_minutes", 0, 0, (long) (8 * WEEK)) * MINUTE;
-        long abort = from.whole("abort_minutes", 0, 0, (long) WEEK) * MINUTE;
+        long notice = from.integer("notice_minutes", 0, 0, (long) (8 * WEEK)) * MINUTE;
+        long abort = from.integer("abort_minutes", 0, 0, (long) WEEK) * MINUTE;
         if (abort > work) {
-            from.wrong("abort_minutes", "is behind the end of the work");
+            from.addFinding("abort_minutes", "is behind the end of the work");
         }
         Set<String> apart = new HashSet<>(from.texts("apart"));
         List<String> after = from.texts("after");
         if (after.contains(name)) {
-            from.wrong("after", "'" + name + "' can't come after itself");
+            from.addFinding("after", "'" + name + "' can't come after itself");
         }
         ZoneId zone = zone();
         LocalDateTime earliest = time(from, "earliest");
@@ -157,14 +157,14 @@
             long begins = LocalTimes.begins(at, zone);
             long ends = LocalTimes.ends(at.plus(within), zone);
             if (ends - begins < work) {
-                from.wrong(
+                from.addFinding(
                         "latest",
                         "leaves " + Math.max(0, (ends - begins) / MINUTE) + " minutes from " + at + " on for "
                                 + work / MINUTE + " of work");
                 return;
             }
             if (begins < before) {
-                from.wrong("rule", "one begins at " + at + ", before the one before it has to end");
+                from.addFinding("rule", "one begins at " + at + ", before the one before it has to end");
                 return;
             }
             before = ends;
@@ -185,14 +185,14 @@
     private List<String> racks() {
         List<String> down = from.texts("racks");
         if (down.isEmpty()) {
-            from.wrong("racks", "names none");
+            from.addFinding("racks", "names none");
         }
         Set<String> seen = new HashSet<>();
         for (String rack : down) {
             if (racks != null && !racks.contains(rack)) {
-                from.wrong("racks", "'" + rack + "' is not known");
+                from.addFinding("racks", "'" + rack + "' is not known");
             } else if (!seen.add(rack)) {
-                from.wrong("racks", "'" + rack + "' is named twice");
+                from.addFinding("racks", "'" + rack + "' is named twice");
             }
         }
         return down;
--- a/src/main/java/laneflow/maintenance/RequestReader.java
+++ b/src/main/java/laneflow/maintenance/RequestReader.java
@@ -52,39 +52,39 @@
         Table table = Table.of(from, path, findings);
         String name = table.text("name");
         if (!name.isEmpty() && !name.matches(NAME)) {
-            table.wrong("name", "is up to 64 letters, digits, '_', '.' and '-'");
+            table.addFinding("name", "is up to 64 letters, digits, '_', '.' and '-'");
         }
         String owner = table.text("owner");
         if (owner.length() > MOST_TEXT) {
-            table.wrong("owner", "is longer than " + MOST_TEXT + " characters");
+            table.addFinding("owner", "is longer than " + MOST_TEXT + " characters");
         }
         List<String> down = names(table, "racks");
         if (down.isEmpty()) {
-            table.wrong("racks", "names none");
+            table.addFinding("racks", "names none");
         }
         Set<String> seen = new HashSet<>();
         for (String rack : down) {
             if (!racks.contains(rack)) {
-                table.wrong("racks", "'" + rack + "' is not known");
+                table.addFinding("racks", "'" + rack + "' is not known");
             } else if (!seen.add(rack)) {
-                table.wrong("racks", "'" + rack + "' is named twice");
+                table.addFinding("racks", "'" + rack + "' is named twice");
             }
         }
         long work = whole(table, "work_ms", 1, WEEKS);
         long earliest = whole(table, "earliest_ms", 0, Long.MAX_VALUE / 4);
         long latest = whole(table, "latest_ms", 0, Long.MAX_VALUE / 4);
-        long notice = table.whole("notice_ms", 0, 0, WEEKS);
-        long abort = table.whole("abort_ms", 0, 0, WEEKS);
+        long notice = table.integer("notice_ms", 0, 0, WEEKS);
+        long abort = table.integer("abort_ms", 0, 0, WEEKS);
         List<String> apart = names(table, "apart");
         List<String> after = names(table, "after");
         if (after.contains(name)) {
-            table.wrong("after", "'" + name + "' can't come after itself");
+            table.addFinding("after", "'" + name + "' can't come after itself");
         }
         if (abort > work) {
-            table.wrong("abort_ms", "is behind the end of the work");
+            table.addFinding("abort_ms", "is behind the end of the work");
         }
         if (work > 0 && latest > 0 && latest - earliest < work) {
-            table.wrong("latest_ms", "leaves " + Math.max(0, latest - earliest) + " ms for " + work + " of work");
+            table.addFinding("latest_ms", "leaves " + Math.max(0, latest - earliest) + " ms for " + work + " of work");
         }
         List<Plan.Freeze> freezes = table.has("freezes") ? freezes(from.get("freezes"), path, findings) : List.of();
         table.close();
@@ -109,7 +109,7 @@
             long begins = whole(table, "from_ms", 0, Long.MAX_VALUE / 4);
             long ends = whole(table, "to_ms", 0, Long.MAX_VALUE / 4);
             if (ends <= begins) {
-                table.wrong("to_ms", "is not behind from_ms");
+                table.addFinding("to_ms", "is not behind from_ms");
             }
             table.close();
             all.add(new Plan.Freeze(name, begins, ends));
@@ -119,15 +119,15 @@
 
     private static long whole(Table table, String key, long least, long most) {
         if (!table.has(key)) {
-            table.wrong(key, "is missing");
+            table.addFinding(key, "is missing");
         }
-        return table.whole(key, 0, least, most);
+        return table.integer(key, 0, least, most);
     }
 
     private static List<String> names(Table table, String key) {
         List<String> all = table.texts(key);
         if (all.size() > MOST_NAMES || all.stream().anyMatch(one -> one.length() > MOST_TEXT)) {
-            table.wrong(
+            table.addFinding(
                     key, "holds more than " + MOST_NAMES + " names, or one of more than " + MOST_TEXT + " characters");
         }
         return all;
--- a/src/main/java/laneflow/membership/Members.java
+++ b/src/main/java/laneflow/membership/Members.java
@@ -274,7 +274,7 @@
             return true;
         }
         for (AddressRange range : config.allowed) {
-            if (range.holds(from.getAddress())) {
+            if (range.contains(from.getAddress())) {
                 return true;
             }
         }
--- a/src/main/java/laneflow/membership/MembersConfig.java
+++ b/src/main/java/laneflow/membership/MembersConfig.java
@@ -25,13 +25,13 @@
 
     private MembersConfig(Table from, FleetConfig fleet) {
         if (fleet == null) {
-            from.wrong("", "needs the table [fleet], which gives this scheduler its name");
+            from.addFinding("", "needs the table [fleet], which gives this scheduler its name");
         }
         listen = FleetConfig.address(from, "listen", from.text("listen"));
         String other = from.text("advertise", null);
         advertise = other == null ? listen : FleetConfig.address(from, "advertise", other);
         if (advertise != null && other == null && advertise.getAddress().isAnyLocalAddress()) {
-            from.wrong("advertise", "is missing: nobody can send to " + listen);
+            from.addFinding("advertise", "is missing: nobody can send to " + listen);
         }
         seeds = new ArrayList<>();
         for (String seed : from.texts("seeds")) {
@@ -45,15 +45,15 @@
             try {
                 allowed.add(AddressRange.parse(range));
             } catch (IllegalArgumentException e) {
-                from.wrong("allowed", e.getMessage());
+                from.addFinding("allowed", e.getMessage());
             }
         }
         String key = from.text("key_file", null);
         if (key == null) {
-            from.wrong("key_file", "is missing: datagrams are sealed with a key that all members know");
+            from.addFinding("key_file", "is missing: datagrams are sealed with a key that all members know");
         }
         keyFile = key == null ? null : Path.of(key);
-        period = from.whole("period_ms", 250, 20, 60_000) * 1000;
+        period = from.integer("period_ms", 250, 20, 60_000) * 1000;
         from.close();
     }
 
--- a/src/main/java/laneflow/policy/BansType.java
+++ b/src/main/java/laneflow/policy/BansType.java
@@ -27,8 +27,8 @@
         return "bans";
     }
 
-    private Reading reading(List<String> findings, Set<String> names) {
-        return new Reading(findings, names.size()) {
+    private ParsedResources reading(List<String> findings, Set<String> names) {
+        return new ParsedResources(findings, names.size()) {
             @Override
             public List<String> adopt() {
                 banEndpoints.accept(names);
@@ -38,12 +38,12 @@
     }
 
     @Override
-    public Reading base() {
+    public ParsedResources initial() {
         return reading(List.of(), Set.of());
     }
 
     @Override
-    public Reading read(JsonArray resources) {
+    public ParsedResources read(JsonArray resources) {
         Findings findings = Findings.paths();
         Set<String> names = new TreeSet<>();
         for (int i = 0; i < resources.size(); i++) {
--- a/src/main/java/laneflow/policy/FleetTrial.java
+++ b/src/main/java/laneflow/policy/FleetTrial.java
@@ -92,7 +92,7 @@
         for (String type : before.open().types().keySet()) {
             rollback.add(type, before.merged().has(type) ? before.merged().get(type) : new JsonArray());
         }
-        trial.adopted(now, totals(), null);
+        trial.versionAdopted(now, totals(), null);
     }
 
     /**
@@ -103,9 +103,9 @@
         if (trial == null || now < nextCheckAt) {
             return null;
         }
-        nextCheckAt = trial.nextLook(now);
+        nextCheckAt = trial.nextEvaluation(now);
         boolean running = trial.isRunning();
-        Finding finding = trial.look(now, totals(), null);
+        Finding finding = trial.evaluate(now, totals(), null);
         if (!running || finding.verdict() != Verdict.TAKE_BACK || rollback == null) {
             return null;
         }
--- a/src/main/java/laneflow/policy/PolicyConfig.java
+++ b/src/main/java/laneflow/policy/PolicyConfig.java
@@ -32,31 +32,31 @@
     private PolicyConfig(Table from, FleetConfig fleet) {
         voters = from.texts("voters");
         if (voters.isEmpty() || voters.size() > MAX_VOTERS || voters.size() % 2 == 0) {
-            from.wrong("voters", "names " + voters.size() + " schedulers: must be 1, 3, 5 or 7");
+            from.addFinding("voters", "names " + voters.size() + " schedulers: must be 1, 3, 5 or 7");
         }
         if (new HashSet<>(voters).size() < voters.size()) {
-            from.wrong("voters", "names a scheduler twice");
+            from.addFinding("voters", "names a scheduler twice");
         }
         if (fleet == null) {
-            from.wrong("", "needs the table [fleet], which says how schedulers reach each other");
+            from.addFinding("", "needs the table [fleet], which says how schedulers reach each other");
         } else {
             for (String voter : voters) {
                 if (!voter.equals(fleet.name) && !fleet.peers.containsKey(voter)) {
-                    from.wrong("voters", "'" + voter + "' is neither this scheduler nor one of [fleet.peers]");
+                    from.addFinding("voters", "'" + voter + "' is neither this scheduler nor one of [fleet.peers]");
                 }
             }
         }
         String folder = from.text("dir", null);
         boolean votes = fleet != null && voters.contains(fleet.name);
         if (votes && folder == null) {
-            from.wrong("dir", "is missing: this scheduler votes and must store its votes");
+            from.addFinding("dir", "is missing: this scheduler votes and must store its votes");
         }
         dir = folder != null ? Path.of(folder) : null;
-        leaseMicros = from.whole("lease_ms", 1000, 100, 600_000) * 1000;
-        prepareMicros = from.whole("prepare_ms", 2000, 10, 600_000) * 1000;
-        servesWithoutLease = from.word("cut_off", "stop", "stop", "serve").equals("serve");
+        leaseMicros = from.integer("lease_ms", 1000, 100, 600_000) * 1000;
+        prepareMicros = from.integer("prepare_ms", 2000, 10, 600_000) * 1000;
+        servesWithoutLease = from.choice("cut_off", "stop", "stop", "serve").equals("serve");
         tellsPolicy = from.flag("tell_policy", false);
-        trialMicros = from.whole("probation_ms", 0, 0, 3_600_000) * 1000;
+        trialMicros = from.integer("probation_ms", 0, 0, 3_600_000) * 1000;
         maxWorsening = from.number("worse_by", 0.02, 0.001, 1);
         from.close();
     }
--- a/src/main/java/laneflow/policy/PolicyTypes.java
+++ b/src/main/java/laneflow/policy/PolicyTypes.java
@@ -28,9 +28,9 @@
         /** The problems found; only a policy without any can be adopted. */
         public final List<String> findings;
 
-        private final List<ResourceType.Reading> readings;
+        private final List<ResourceType.ParsedResources> readings;
 
-        private Prepared(List<String> findings, List<ResourceType.Reading> readings) {
+        private Prepared(List<String> findings, List<ResourceType.ParsedResources> readings) {
             this.findings = findings;
             this.readings = readings;
         }
@@ -54,7 +54,7 @@
     /** Reads and validates a whole policy, without any effect on the running configuration. */
     Prepared read(JsonObject policy) {
         List<String> findings = new ArrayList<>();
-        List<ResourceType.Reading> readings = new ArrayList<>();
+        List<ResourceType.ParsedResources> readings = new ArrayList<>();
         for (String name : policy.keySet()) {
             if (!types.containsKey(name)) {
                 findings.add(name + ": "
@@ -66,7 +66,7 @@
         }
         for (ResourceType type : types.values()) {
             JsonElement resources = policy.get(type.name());
-            ResourceType.Reading reading = resources == null ? type.base() : read(type, resources, findings);
+            ResourceType.ParsedResources reading = resources == null ? type.initial() : read(type, resources, findings);
             if (reading != null) {
                 readings.add(reading);
             }
@@ -74,9 +74,9 @@
         return new Prepared(findings, readings);
     }
 
-    private static ResourceType.Reading read(ResourceType type, JsonElement resources, List<String> findings) {
+    private static ResourceType.ParsedResources read(ResourceType type, JsonElement resources, List<String> findings) {
         try {
-            ResourceType.Reading reading = type.read((JsonArray) resources);
+            ResourceType.ParsedResources reading = type.read((JsonArray) resources);
             reading.findings.forEach(finding -> findings.add(type.name() + ": " + finding));
             return reading;
         } catch (RuntimeException | StackOverflowError e) {
--- a/src/main/java/laneflow/task/TaskConfig.java
+++ b/src/main/java/laneflow/task/TaskConfig.java
@@ -29,37 +29,37 @@
 
     private TaskConfig(Table from, PolicyConfig policy) {
         if (policy == null) {
-            from.wrong("", "needs the table [policy], whose voters give tasks out");
+            from.addFinding("", "needs the table [policy], whose voters give tasks out");
         }
         long lease = policy == null ? Long.MAX_VALUE : policy.leaseMicros;
         String folder = from.text("stores", null);
         stores = folder == null ? null : Path.of(folder);
-        after = from.whole("adopt_after_ms", 60_000, 100, 86_400_000) * 1000;
+        after = from.integer("adopt_after_ms", 60_000, 100, 86_400_000) * 1000;
         from.tables("hooks").forEach((name, one) -> {
             if (!name.matches(NAME)) {
-                one.wrong("", "'" + name + "' is no name: up to 64 letters, digits, '_', '.' and '-'");
+                one.addFinding("", "'" + name + "' is no name: up to 64 letters, digits, '_', '.' and '-'");
             }
             String at = one.text("at");
             try {
                 Loop.address(at);
             } catch (IllegalArgumentException e) {
-                one.wrong("at", e.getMessage());
+                one.addFinding("at", e.getMessage());
             }
             String path = one.text("path", "/");
             if (!path.matches("/[!-~]*")) {
-                one.wrong("path", "'" + path + "' is no path: it begins with '/' and has no blanks");
+                one.addFinding("path", "'" + path + "' is no path: it begins with '/' and has no blanks");
             }
-            long every = one.whole("every_ms", 1000, 10, 86_400_000) * 1000;
-            long most = one.whole("most_ms", 250, 1, 600_000) * 1000;
+            long every = one.integer("every_ms", 1000, 10, 86_400_000) * 1000;
+            long most = one.integer("most_ms", 250, 1, 600_000) * 1000;
             if (most > lease / 2) {
-                one.wrong(
+                one.addFinding(
                         "most_ms",
                         "is more than half of [policy] lease_ms: a call must be over within its"
                                 + " lease, and a renewed one has that much left for sure");
             }
-            String late = one.word("late_calls", "", "checked", "harmless");
+            String late = one.choice("late_calls", "", "checked", "harmless");
             if (late.isEmpty()) {
-                one.wrong(
+                one.addFinding(
                         "late_calls",
                         "must say what becomes of a call that comes behind its lease, as of a"
                                 + " process that stood still: 'checked', its receiver turns down a Task-Token"
--- a/src/test/java/laneflow/control/ControlStoryTest.java
+++ b/src/test/java/laneflow/control/ControlStoryTest.java
@@ -41,7 +41,7 @@
             assertTrue(call.message().contains("Req-Id: " + id + "\r\n"));
             call.says("{'id':'" + id + "','state':'done','result':'priced'}");
             assertTrue(client.message().endsWith("priced"));
-            // Kept, the connection would carry the next story's call too.
+            // Kept alive, the connection would carry the next story's call too.
             call.close();
         }
     }
--- a/src/test/java/laneflow/control/ControlTypesStoryTest.java
+++ b/src/test/java/laneflow/control/ControlTypesStoryTest.java
@@ -429,20 +429,20 @@
         JsonObject limits = new JsonObject();
         limits.add("resources", JsonParser.parseString("[{'name':'limits','sockets':512,'attempts':3}]"));
         new LastGood(folder, "limits")
-                .write(new LastGood.Kept("type.laneflow/limits", new Version(4, "aa"), 1, limits));
+                .write(new LastGood.SavedVersion("type.laneflow/limits", new Version(4, "aa"), 1, limits));
         JsonObject classes = new JsonObject();
         classes.add("resources", JsonParser.parseString("[{'name':'check','aim_ms':100},{'name':'sweep'}]"));
         new LastGood(folder, "classes")
-                .write(new LastGood.Kept("type.laneflow/classes", new Version(2, "aa"), 1, classes));
+                .write(new LastGood.SavedVersion("type.laneflow/classes", new Version(2, "aa"), 1, classes));
         Setup setup = Setup.operators(file, null, null);
         assertEquals(512, setup.config().sockets);
         assertEquals(3, setup.config().settings.maxAttempts);
         assertEquals(List.of("check", "sweep"), List.of(setup.config().classNames));
         assertEquals(0.1, setup.config().settings.classes[0].aim, 1e-9);
-        // Kept by another build, and none for this one: the file is used alone, and says nothing of it.
+        // Written by another build, and none for this one: the file is used alone, and says nothing of it.
         classes.add("resources", JsonParser.parseString("[{'name':'check','colour':1}]"));
         new LastGood(folder, "classes")
-                .write(new LastGood.Kept("type.laneflow/classes", new Version(3, "aa"), 1, classes));
+                .write(new LastGood.SavedVersion("type.laneflow/classes", new Version(3, "aa"), 1, classes));
         assertEquals(List.of("check"), List.of(Setup.operators(file, null, null).config().classNames));
         // The platform's file decides what it names.
         Path platform = folder.resolve("platform.json");
--- a/src/test/java/laneflow/control/LastGoodTest.java
+++ b/src/test/java/laneflow/control/LastGoodTest.java
@@ -12,7 +12,7 @@
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.Random;
-import laneflow.control.LastGood.Kept;
+import laneflow.control.LastGood.SavedVersion;
 import laneflow.control.decision.Version;
 import laneflow.testing.KilledProcess;
 import org.junit.jupiter.api.Test;
@@ -25,11 +25,11 @@
     @TempDir
     private Path folder;
 
-    private static Kept kept(long number) {
+    private static SavedVersion kept(long number) {
         JsonObject resources = new JsonObject();
         resources.addProperty("filler", "x".repeat((int) (number % 7) * 3000));
         resources.addProperty("number", number);
-        return new Kept("destinations", new Version(number, "ab"), 1000 + number, resources);
+        return new SavedVersion("destinations", new Version(number, "ab"), 1000 + number, resources);
     }
 
     @Test
@@ -79,7 +79,7 @@
             KilledProcess.run(said, enough, Writer.class, folder.toString(), String.valueOf(last));
             String[] lines = Files.readString(said).split("\n");
             long acknowledged = lines.length < 2 ? last : Long.parseLong(lines[lines.length - 2]);
-            Kept found = file.read();
+            SavedVersion found = file.read();
             assertEquals(kept(found.version().number()), found);
             assertTrue(found.version().number() >= acknowledged, found.version() + " of " + acknowledged);
             last = found.version().number();
--- a/src/test/java/laneflow/control/ModuleTypeTest.java
+++ b/src/test/java/laneflow/control/ModuleTypeTest.java
@@ -22,7 +22,7 @@
         settings.crossEachWay = 0.25;
         settings.furtherWithin = 3;
         ResourceType type = SettingTypes.module(settings);
-        ResourceType.Reading read = type.read(
+        ResourceType.ParsedResources read = type.read(
                 one(",\"cross_each_way\":0.7,\"retry_free\":4,\"retry_share\":0.1," + "\"retry_window_ms\":1500"));
         assertEquals(List.of(), read.findings);
         assertEquals(0.25, settings.crossEachWay, "reading alone changes nothing");
@@ -31,7 +31,7 @@
         assertEquals(4, settings.furtherFree);
         assertEquals(0.1, settings.furtherShare);
         assertEquals(1.5, settings.furtherWithin);
-        type.base().adopt();
+        type.initial().adopt();
         assertEquals(0.25, settings.crossEachWay);
         assertEquals(3, settings.furtherWithin);
         assertEquals(0, settings.furtherFree);
--- a/src/test/java/laneflow/control/TrialTest.java
+++ b/src/test/java/laneflow/control/TrialTest.java
@@ -34,7 +34,7 @@
             count(own[0], checks, badChecks, refused);
             count(own[1], captures, badCaptures, refused);
             count(group[0], checks, badGroup, 0);
-            Finding found = trial.look(now, own, group);
+            Finding found = trial.evaluate(now, own, group);
             verdict = found.verdict() == Verdict.TOO_EARLY || !trial.isRunning() && verdict != null ? verdict : found;
         }
     }
@@ -49,7 +49,7 @@
 
     private void adopt() {
         verdict = null;
-        trial.adopted(now, own, group);
+        trial.versionAdopted(now, own, group);
     }
 
     @Test
@@ -90,7 +90,7 @@
         pass(30, 200, 0, 0, 0, 0, 0);
         adopt();
         pass(8, 200, 0.01, 0, 0, 0, 0);
-        trial.adopted(now, own, group);
+        trial.versionAdopted(now, own, group);
         pass(8, 200, 0.01, 0, 0, 0, 0);
         // The first one's length is over, the second's is not.
         assertTrue(trial.isRunning());
@@ -99,7 +99,7 @@
         // However many join, it ends.
         adopt();
         for (int i = 0; i < 20 && trial.isRunning(); i++) {
-            trial.adopted(now, own, group);
+            trial.versionAdopted(now, own, group);
             pass(4, 200, 0, 0, 0, 0, 0);
         }
         assertFalse(trial.isRunning());
@@ -122,13 +122,13 @@
     void aBurstRefusesUnderAnyVersionWhereNoGroupIsKnown() {
         Trial alone = new Trial(new String[] {"check"}, 10 * SECOND, 0.02, 0, new long[1][4]);
         long[][] counts = {{4000, 10, 0, 20}};
-        alone.look(20 * SECOND, counts, null);
-        alone.adopted(20 * SECOND, counts, null);
+        alone.evaluate(20 * SECOND, counts, null);
+        alone.versionAdopted(20 * SECOND, counts, null);
         long[][] burst = {{4000 + 6000, 10 + 15, 0, 20 + 2500}};
-        assertEquals(Verdict.KEEP, alone.look(31 * SECOND, burst, null).verdict());
-        alone.adopted(40 * SECOND, burst, null);
+        assertEquals(Verdict.KEEP, alone.evaluate(31 * SECOND, burst, null).verdict());
+        alone.versionAdopted(40 * SECOND, burst, null);
         long[][] same = {{10_000 + 3000, 25 + 8, 0, 2520 + 2400}};
-        assertEquals(Verdict.TAKE_BACK, alone.look(51 * SECOND, same, null).verdict());
+        assertEquals(Verdict.TAKE_BACK, alone.evaluate(51 * SECOND, same, null).verdict());
     }
 
     @Test
--- a/src/test/java/laneflow/control/VersionTrackerTest.java
+++ b/src/test/java/laneflow/control/VersionTrackerTest.java
@@ -117,15 +117,15 @@
         int part = 0;
         for (int i = 0; i < 1000; i++) {
             String name = "n" + i;
-            part += Rollout.takesPart(name, 5, 0.2) ? 1 : 0;
-            assertTrue(!Rollout.takesPart(name, 5, 0.2) || Rollout.takesPart(name, 5, 0.5));
-            assertFalse(Rollout.takesPart(name, 5, 0));
-            assertTrue(Rollout.takesPart(name, 5, 1));
+            part += Rollout.includes(name, 5, 0.2) ? 1 : 0;
+            assertTrue(!Rollout.includes(name, 5, 0.2) || Rollout.includes(name, 5, 0.5));
+            assertFalse(Rollout.includes(name, 5, 0));
+            assertTrue(Rollout.includes(name, 5, 1));
         }
         assertEquals(200, part, 45);
         int both = 0;
         for (int i = 0; i < 1000; i++) {
-            both += Rollout.takesPart("n" + i, 5, 0.5) && Rollout.takesPart("n" + i, 6, 0.5) ? 1 : 0;
+            both += Rollout.includes("n" + i, 5, 0.5) && Rollout.includes("n" + i, 6, 0.5) ? 1 : 0;
         }
         // Another seed draws others: it is not always the same ones that go first.
         assertEquals(250, both, 60);
@@ -140,35 +140,39 @@
         Counts calm = counts(1000, 5, 10, 100);
         assertEquals(
                 Verdict.TOO_EARLY,
-                Probation.judge(calm, counts(49, 49, 0, 100), null, null, 0.02).verdict());
+                Probation.evaluate(calm, counts(49, 49, 0, 100), null, null, 0.02)
+                        .verdict());
         assertEquals(
                 Verdict.KEEP,
-                Probation.judge(calm, counts(1000, 12, 20, 100), null, null, 0.02)
+                Probation.evaluate(calm, counts(1000, 12, 20, 100), null, null, 0.02)
                         .verdict());
-        Probation.Finding broken = Probation.judge(calm, counts(500, 60, 0, 100), null, null, 0.02);
+        Probation.Finding broken = Probation.evaluate(calm, counts(500, 60, 0, 100), null, null, 0.02);
         assertEquals(Verdict.TAKE_BACK, broken.verdict());
         assertEquals("failures and connect errors went from 0.50 % to 12.00 %", broken.figures());
         // Refusals at the same load are the version's, in a burst they are not; failures are in either.
         assertEquals(
                 Verdict.TAKE_BACK,
-                Probation.judge(calm, counts(500, 2, 100, 100), null, null, 0.02)
+                Probation.evaluate(calm, counts(500, 2, 100, 100), null, null, 0.02)
                         .verdict());
         assertEquals(
                 Verdict.KEEP,
-                Probation.judge(calm, counts(900, 4, 300, 180), null, null, 0.02)
+                Probation.evaluate(calm, counts(900, 4, 300, 180), null, null, 0.02)
                         .verdict());
         assertEquals(
                 Verdict.TAKE_BACK,
-                Probation.judge(calm, counts(900, 90, 0, 180), null, null, 0.02).verdict());
+                Probation.evaluate(calm, counts(900, 90, 0, 180), null, null, 0.02)
+                        .verdict());
         // A zone is lost, for everybody: the control group shows it.
         Counts lost = counts(1000, 200, 100, 100);
-        assertEquals(Verdict.KEEP, Probation.judge(calm, lost, calm, lost, 0.02).verdict());
         assertEquals(
-                Verdict.TAKE_BACK, Probation.judge(calm, lost, calm, calm, 0.02).verdict());
+                Verdict.KEEP, Probation.evaluate(calm, lost, calm, lost, 0.02).verdict());
+        assertEquals(
+                Verdict.TAKE_BACK,
+                Probation.evaluate(calm, lost, calm, calm, 0.02).verdict());
         // A few requests that went wrong by chance take nothing back.
         assertEquals(
                 Verdict.KEEP,
-                Probation.judge(counts(60, 0, 0, 5), counts(60, 3, 0, 5), null, null, 0.02)
+                Probation.evaluate(counts(60, 0, 0, 5), counts(60, 3, 0, 5), null, null, 0.02)
                         .verdict());
     }
 }
--- a/src/test/java/laneflow/durable/DurableJobsTest.java
+++ b/src/test/java/laneflow/durable/DurableJobsTest.java
@@ -71,7 +71,7 @@
         Findings findings = new Findings("test");
         DurableConfig config = DurableConfig.read(
                 Table.parse("dir = 'x'\n", findings), scheduler.settings(), List.of("check", "post", "capture"));
-        findings.raise();
+        findings.throwIfAny();
         Entry entry = new Entry();
         entry.name = "e1";
         scheduler.start(this, List.of(entry));
--- a/src/test/java/laneflow/fleet/FleetTest.java
+++ b/src/test/java/laneflow/fleet/FleetTest.java
@@ -43,7 +43,7 @@
                                     + "silence_ms = 400\nlongest_backoff_ms = 30\n[peers]\n" + peers,
                             findings),
                     "");
-            findings.raise();
+            findings.throwIfAny();
             Fleet[] made = new Fleet[1];
             loop.call(() -> {
                 made[0] = new Fleet(loop, config, new Fleet.Self(name, "life-" + name, "b"), token, counters, 5);
--- a/src/test/java/laneflow/net/Stand.java
+++ b/src/test/java/laneflow/net/Stand.java
@@ -144,7 +144,7 @@
                 DurableConfig.read(
                         Table.parse("dir = '" + folder + "'\n" + durable, findings), config.settings, classes),
                 null);
-        findings.raise();
+        findings.throwIfAny();
         return new Stand(new Serve(setup));
     }
 
@@ -153,7 +153,7 @@
         Config config = Config.parse(json("{'name':'n3'" + OWN));
         Findings findings = new Findings("the stand's file");
         Setup setup = new Setup(config, null, null, ControlConfig.read(Table.parse(control, findings)));
-        findings.raise();
+        findings.throwIfAny();
         return new Stand(new Serve(setup));
     }
 
@@ -180,7 +180,7 @@
                         : DurableConfig.read(
                                 Table.parse("dir = '" + durable + "'\n", findings), config.settings, classes),
                 ControlConfig.read(Table.parse(control, findings)));
-        findings.raise();
+        findings.throwIfAny();
         return new Stand(new Serve(setup));
     }
 
