--- a/src/main/java/laneflow/control/ControlClient.java
+++ b/src/main/java/laneflow/control/ControlClient.java
@@ -22,7 +22,7 @@
 import laneflow.control.decision.Trial;
 import laneflow.control.decision.Version;
 import laneflow.control.decision.VersionTracker.Kind;
-import laneflow.control.decision.VersionTracker.Word;
+import laneflow.control.decision.VersionTracker.Reply;
 import laneflow.core.Counters;
 import laneflow.core.Deadlines.Deadline;
 import laneflow.core.Scheduler;
@@ -305,14 +305,14 @@
             done();
             return;
         }
-        Word word = from == null ? run.track.whole(offered) : run.track.change(from, offered);
-        String heldBack = word.kind() == Kind.LOOK ? heldBack(message.all) : null;
-        if (word.isAck()) {
+        Reply reply = from == null ? run.track.classifyFull(offered) : run.track.classifyDelta(from, offered);
+        String heldBack = reply.kind() == Kind.CHECK ? heldBack(message.all) : null;
+        if (reply.isAck()) {
             ack(run, offered);
-        } else if (word.kind() == Kind.WHOLE_WANTED) {
-            wantWhole(run, word.reason());
-        } else if (word.kind() != Kind.LOOK || heldBack != null) {
-            nack(run, FAILED_PRECONDITION, heldBack != null ? heldBack : word.reason());
+        } else if (reply.kind() == Kind.FULL_STATE_NEEDED) {
+            wantWhole(run, reply.reason());
+        } else if (reply.kind() != Kind.CHECK || heldBack != null) {
+            nack(run, FAILED_PRECONDITION, heldBack != null ? heldBack : reply.reason());
         } else {
             check(of, run, offered, message);
             return;
@@ -393,7 +393,7 @@
             ResourceType.ParsedResources read,
             List<String> findings) {
         // Meanwhile the stream may have ended, or what ran been taken back.
-        if (of == generation && isUp && run.track.whole(offered).kind() == Kind.LOOK) {
+        if (of == generation && isUp && run.track.classifyFull(offered).kind() == Kind.CHECK) {
             if (findings.isEmpty()) {
                 adopt(run, offered, resources, read);
                 ack(run, offered);
@@ -407,7 +407,7 @@
                 nack(run, INVALID_ARGUMENT, reason);
             }
         } else if (of == generation && isUp) {
-            nack(run, FAILED_PRECONDITION, run.track.whole(offered).reason());
+            nack(run, FAILED_PRECONDITION, run.track.classifyFull(offered).reason());
         }
         done();
     }
--- a/src/main/java/laneflow/control/decision/Probation.java
+++ b/src/main/java/laneflow/control/decision/Probation.java
@@ -3,28 +3,29 @@
 import java.util.Locale;
 
 /**
- * Whether an adopted version has made service worse. Compared are the shares of requests that ended badly
- * before and after, with a two-proportion z-test to tell a change from chance, and a bound to tell one that
- * matters.
+ * Decides whether an adopted version has degraded service. It compares the shares of failed and refused
+ * requests before and after adoption: a two-proportion z-test rules out chance, and a bound rules out changes
+ * too small to matter.
  *
- * <p>Two things are kept apart. Failures and connect errors are blamed on the version whatever the load.
- * Refusals are blamed only while the load has not grown: a burst refuses more under any configuration. Where
- * a control group's figures are known (schedulers that run the version before), its change in the same time
- * is taken off first, so that what happens to all is blamed on nobody. No I/O, no clock.
+ * <p>Failures and connect errors are attributed to the version at any load. Refusals are attributed to it
+ * only if the load has not loadGrown, because a burst causes more refusals under any configuration. If the counts
+ * of a control group are known (schedulers that still run the previous version), the change seen there over
+ * the same time is subtracted first, so that a fleet-wide fault is not attributed to the version. No I/O, no
+ * clock.
  */
 public final class Probation {
-    /** Fewer requests than that on either side tell nothing. */
+    /** Samples with fewer requests are too small for the test. */
     public static final int MIN_REQUESTS = 50;
-    /** One-sided, a false alarm in about 700 looks. */
-    public static final double Z = 3.0;
-    /** Looks before the end are many, and each may be wrong by chance. */
-    public static final double EARLY_Z = 4.0;
-    /** A load so many times the one before explains refusals. */
-    private static final double GROWN = 1.2;
+    /** Standard deviations, one-sided: one false positive in about 700 evaluations. */
+    public static final double Z_THRESHOLD = 3.0;
+    /** Threshold before the end of a trial; higher, because every repeated evaluation may be a false positive. */
+    public static final double EARLY_Z_THRESHOLD = 4.0;
+    /** Load growth, as a factor, from which refusals are attributed to the load. */
+    private static final double LOAD_GROWTH = 1.2;
 
-    /** Counts of one class over a time. */
+    /** Counts of one class over an interval. */
     public record Counts(long requests, long failed, long connectErrors, long refused, double perSecond) {
-        double bad() {
+        double failureShare() {
             return requests == 0 ? 0 : (double) (failed + connectErrors) / requests;
         }
 
@@ -33,30 +34,30 @@
         }
     }
 
-    /** What is to be done. */
+    /** The decision on a version. */
     public enum Verdict {
         TOO_EARLY,
         KEEP,
         TAKE_BACK
     }
 
-    /** A verdict, and its figures for the NACK. */
+    /** A verdict and the figures behind it, for the NACK. */
     public record Finding(Verdict verdict, String figures) {}
 
     private Probation() {}
 
     /**
-     * Judges one class.
+     * Compares the counts of one class before and after adoption.
      *
-     * @param controlBefore of the control group, or null with {@code controlAfter}
-     * @param bound the growth of a share that is too much, such as 0.02
+     * @param controlBefore the control group's counts; null, like {@code controlAfter}, if they are unknown
+     * @param bound the largest acceptable increase of a share, such as 0.02
      */
     public static Finding evaluate(
             Counts before, Counts after, Counts controlBefore, Counts controlAfter, double bound) {
-        return evaluate(before, after, controlBefore, controlAfter, bound, Z);
+        return evaluate(before, after, controlBefore, controlAfter, bound, Z_THRESHOLD);
     }
 
-    /** The same, with so many standard deviations between chance and blame. */
+    /** As above, with the z-test's threshold in standard deviations. */
     public static Finding evaluate(
             Counts before, Counts after, Counts controlBefore, Counts controlAfter, double bound, double z) {
         if (before.requests() < MIN_REQUESTS || after.requests() < MIN_REQUESTS) {
@@ -67,51 +68,65 @@
                 && controlAfter != null
                 && controlBefore.requests() >= MIN_REQUESTS
                 && controlAfter.requests() >= MIN_REQUESTS;
-        double common = control ? Math.max(0, controlAfter.bad() - controlBefore.bad()) : 0;
-        if (worse(before.bad() + common, before.requests(), after.bad(), after.requests(), bound, z)) {
+        double commonFailures = control ? Math.max(0, controlAfter.failureShare() - controlBefore.failureShare()) : 0;
+        if (isWorse(
+                before.failureShare() + commonFailures,
+                before.requests(),
+                after.failureShare(),
+                after.requests(),
+                bound,
+                z)) {
             return new Finding(
                     Verdict.TAKE_BACK,
-                    figures("failures and connect errors", before.bad(), after.bad(), common, control));
+                    describe(
+                            "failures and connect errors",
+                            before.failureShare(),
+                            after.failureShare(),
+                            commonFailures,
+                            control));
         }
-        double shed = control ? Math.max(0, controlAfter.refusedShare() - controlBefore.refusedShare()) : 0;
-        boolean grown = !control && after.perSecond() > GROWN * before.perSecond();
-        if (!grown
-                && worse(
-                        before.refusedShare() + shed,
+        double commonRefusals = control ? Math.max(0, controlAfter.refusedShare() - controlBefore.refusedShare()) : 0;
+        boolean loadGrown = !control && after.perSecond() > LOAD_GROWTH * before.perSecond();
+        if (!loadGrown
+                && isWorse(
+                        before.refusedShare() + commonRefusals,
                         before.requests(),
                         after.refusedShare(),
                         after.requests(),
                         bound,
                         z)) {
             return new Finding(
-                    Verdict.TAKE_BACK, figures("refusals", before.refusedShare(), after.refusedShare(), shed, control));
+                    Verdict.TAKE_BACK,
+                    describe("refusals", before.refusedShare(), after.refusedShare(), commonRefusals, control));
         }
         return new Finding(
                 Verdict.KEEP,
-                grown
+                loadGrown
                         ? "the load grew to "
                                 + String.format(Locale.ROOT, "%.1f", after.perSecond() / before.perSecond())
                                 + " times: refusals are not blamed on the version"
                         : "");
     }
 
-    private static boolean worse(double was, long wasOf, double is, long isOf, double bound, double z) {
-        double grown = is - was;
-        if (grown <= bound) {
+    private static boolean isWorse(
+            double beforeShare, long beforeRequests, double afterShare, long afterRequests, double bound, double z) {
+        double increase = afterShare - beforeShare;
+        if (increase <= bound) {
             return false;
         }
-        double pooled = Math.min(1, (was * wasOf + is * isOf) / (wasOf + isOf));
-        double deviation = Math.sqrt(pooled * (1 - pooled) * (1.0 / wasOf + 1.0 / isOf));
-        return grown > z * deviation;
+        double pooled = Math.min(
+                1, (beforeShare * beforeRequests + afterShare * afterRequests) / (beforeRequests + afterRequests));
+        double deviation = Math.sqrt(pooled * (1 - pooled) * (1.0 / beforeRequests + 1.0 / afterRequests));
+        return increase > z * deviation;
     }
 
-    private static String figures(String what, double was, double is, double common, boolean control) {
+    private static String describe(String what, double beforeShare, double afterShare, double common, boolean control) {
         return String.format(
                 Locale.ROOT,
                 "%s went from %.2f %% to %.2f %%%s",
                 what,
-                was * 100,
-                is * 100,
+                beforeShare * 100,
+                afterShare * 100,
                 control
                         ? String.format(Locale.ROOT, ", %.2f points of it at the control group too", common * 100)
                         : "");
--- a/src/main/java/laneflow/control/decision/Rollout.java
+++ b/src/main/java/laneflow/control/decision/Rollout.java
@@ -4,16 +4,16 @@
 import laneflow.core.Endpoint;
 
 /**
- * Which schedulers take part in a version that is held back to a share of them. The choice follows from the
- * scheduler's name and the version's seed alone: the control service, the scheduler and an operator's
- * command come to the same answer, and who takes part in a fifth takes part in a half too.
+ * Selects the schedulers of a staged rollout. The selection depends only on the scheduler's name and the
+ * rollout's seed, so the control service, the scheduler and the command line agree on it. A scheduler that is
+ * selected at a share of 0.2 is selected at 0.5 as well.
  */
 public final class Rollout {
     private Rollout() {}
 
-    /** The scheduler's place in the order of this seed, 0 to 1; those below the share take part. */
+    /** Returns the scheduler's position for this seed, from 0 to 1; positions below the share are selected. */
     public static double position(String scheduler, long seed) {
-        // FNV leaves the high bits of short names alike: the generator's own mixing spreads them.
+        // FNV hashes of short names differ little in their high bits; the generator's mixing spreads them.
         return new SplittableRandom(Endpoint.stableId(scheduler) ^ seed * 0x9e3779b97f4a7c15L).nextDouble();
     }
 
--- a/src/main/java/laneflow/control/decision/Trial.java
+++ b/src/main/java/laneflow/control/decision/Trial.java
@@ -6,125 +6,129 @@
 import laneflow.control.decision.Probation.Verdict;
 
 /**
- * The trial of what has been adopted: service since then against service just before, class by class and all
- * together, with the change at the control group taken off. Versions adopted while a trial runs join it, with
- * the same time before it to compare with: a second version must not make the first one's damage the usual
- * state. The trial then ends a whole length behind the last of them, but no later than four lengths behind
- * the first.
+ * The trial of adopted versions: compares service since adoption with a baseline from just before, for each
+ * class and for all classes together, less the change seen at the control group. A version adopted during a
+ * trial joins it and shares its baseline, so that damage done by the first version does not become the
+ * baseline of the second. The trial ends one trial length after the last adoption, but no later than four
+ * lengths after the first.
  *
- * <p>Counts are cumulative, one row a class: taken, failed, connects failed, refused. The caller's rows may
- * change behind a call: they are copied. Instants are microseconds. No I/O, no clock of its own.
+ * <p>Counts are cumulative, with one row per class: requests, failures, connect errors, refusals. Rows are
+ * copied, so the caller may change them after a call. Instants are microseconds. No I/O, no clock of its own.
  */
 public final class Trial {
-    private static final int LOOKS = 10;
-    private static final int MOST_LENGTHS = 4;
+    private static final int EVALUATIONS_PER_LENGTH = 10;
+    private static final int MAX_LENGTHS = 4;
 
     private final String[] classes;
     private final long length;
     private final double bound;
-    /** The usual state is counted from there: between one and two lengths ago while no trial runs. */
-    private Snapshot calmFrom;
+    /** Start of the rolling baseline: one to two trial lengths ago while no trial runs. */
+    private Snapshot rollingBaseline;
 
-    private Snapshot calmNext;
-    /** What is compared with where that time is too short yet, as behind a version that was taken back. */
-    private Snapshot usualFrom;
+    private Snapshot nextRollingBaseline;
+    /** Baseline of the trial; the former one stays while the rolling one is too short, as after a rollback. */
+    private Snapshot baselineFrom;
 
-    private Snapshot usualTo;
-    private Snapshot begun;
-    private long ends;
+    private Snapshot baselineTo;
+    private Snapshot trialStart;
+    private long endsAt;
 
-    /** Own counts and the control group's, which may be null, at an instant. */
+    /** This scheduler's counts and the control group's, which may be null, at an instant. */
     private record Snapshot(long at, long[][] own, long[][] group) {}
 
     /**
-     * None runs yet.
+     * Creates a tracker with no trial running.
      *
-     * @param length microseconds
-     * @param bound the growth of a share of requests that ends badly which is too much, such as 0.02
+     * @param length of a trial, in microseconds
+     * @param bound the largest acceptable increase of the share of failed or refused requests, such as 0.02
      */
     public Trial(String[] classes, long length, double bound, long now, long[][] own) {
         this.classes = classes.clone();
         this.length = length;
         this.bound = bound;
-        calmFrom = new Snapshot(now, copy(own), null);
-        calmNext = calmFrom;
+        rollingBaseline = new Snapshot(now, copy(own), null);
+        nextRollingBaseline = rollingBaseline;
     }
 
     public boolean isRunning() {
-        return begun != null;
+        return trialStart != null;
     }
 
-    /** A version was adopted, after another had run: it is on trial from here on. */
+    /** Puts a version that replaced another one on trial, or adds it to the running trial. */
     public void versionAdopted(long now, long[][] own, long[][] group) {
-        if (begun == null) {
-            begun = new Snapshot(now, copy(own), copy(group));
-            if (usualTo == null || now - calmFrom.at >= length) {
-                usualFrom = calmFrom;
-                usualTo = begun;
+        if (trialStart == null) {
+            trialStart = new Snapshot(now, copy(own), copy(group));
+            if (baselineTo == null || now - rollingBaseline.at >= length) {
+                baselineFrom = rollingBaseline;
+                baselineTo = trialStart;
             }
         }
-        ends = Math.min(now + length, begun.at + MOST_LENGTHS * length);
+        endsAt = Math.min(now + length, trialStart.at + MAX_LENGTHS * length);
     }
 
-    /** When to look next, running or not. */
+    /** Returns when to call {@link #evaluate} next, whether or not a trial runs. */
     public long nextEvaluation(long now) {
-        return now + Math.max(1, length / LOOKS);
+        return now + Math.max(1, length / EVALUATIONS_PER_LENGTH);
     }
 
-    /** Looks: while none runs the time to compare with moves along, else it may end in a verdict. */
+    /** Evaluates the running trial, which may end it; without one, advances the rolling baseline. */
     public Finding evaluate(long now, long[][] own, long[][] group) {
-        if (begun == null) {
-            roll(now, own, group);
+        if (trialStart == null) {
+            advanceBaseline(now, own, group);
             return new Finding(Verdict.KEEP, "");
         }
-        boolean last = now >= ends;
-        Snapshot is = new Snapshot(now, own, group);
-        Finding all = new Finding(Verdict.TOO_EARLY, "");
+        boolean last = now >= endsAt;
+        Snapshot current = new Snapshot(now, own, group);
+        Finding overall = new Finding(Verdict.TOO_EARLY, "");
         for (int i = classes.length - 1; i >= -1; i--) {
             Finding found = Probation.evaluate(
-                    counts(usualFrom, usualTo, i, false),
-                    counts(begun, is, i, false),
-                    counts(usualFrom, usualTo, i, true),
-                    counts(begun, is, i, true),
+                    counts(baselineFrom, baselineTo, i, false),
+                    counts(trialStart, current, i, false),
+                    counts(baselineFrom, baselineTo, i, true),
+                    counts(trialStart, current, i, true),
                     bound,
-                    last ? Probation.Z : Probation.EARLY_Z);
+                    last ? Probation.Z_THRESHOLD : Probation.EARLY_Z_THRESHOLD);
             if (found.verdict() == Verdict.TAKE_BACK) {
-                long began = begun.at;
-                begun = null;
-                // What broke is nobody's usual state: until there is a new one, the former is.
-                calmFrom = new Snapshot(now, copy(own), copy(group));
-                calmNext = calmFrom;
+                long startedAt = trialStart.at;
+                trialStart = null;
+                // The degraded interval is no baseline: the former one stays in use until a new one is long enough.
+                rollingBaseline = new Snapshot(now, copy(own), copy(group));
+                nextRollingBaseline = rollingBaseline;
                 return new Finding(
                         Verdict.TAKE_BACK,
                         (i < 0 ? "" : classes[i] + ": ")
                                 + found.figures()
                                 + String.format(
-                                        Locale.ROOT, ", %.1f s after the first that is on trial", (now - began) / 1e6));
+                                        Locale.ROOT,
+                                        ", %.1f s after the first that is on trial",
+                                        (now - startedAt) / 1e6));
             }
-            all = i < 0 ? found : all;
+            overall = i < 0 ? found : overall;
         }
         if (last) {
-            // With too few requests to tell it is kept: nothing speaks against it.
-            calmFrom = begun;
-            calmNext = new Snapshot(now, copy(own), copy(group));
-            begun = null;
-            return new Finding(Verdict.KEEP, all.figures());
+            // Without enough requests for a verdict the version is kept.
+            rollingBaseline = trialStart;
+            nextRollingBaseline = new Snapshot(now, copy(own), copy(group));
+            trialStart = null;
+            return new Finding(Verdict.KEEP, overall.figures());
         }
-        return new Finding(Verdict.TOO_EARLY, all.figures());
+        return new Finding(Verdict.TOO_EARLY, overall.figures());
     }
 
-    private void roll(long now, long[][] own, long[][] group) {
-        if (now - calmNext.at >= length) {
-            calmFrom = calmNext;
-            calmNext = new Snapshot(now, copy(own), copy(group));
-        } else if (calmNext.group == null && group != null) {
-            // The group spoke late: from here on there is something to compare with.
-            calmNext = new Snapshot(calmNext.at, calmNext.own, copy(group));
-            calmFrom = calmFrom.group == null ? new Snapshot(calmFrom.at, calmFrom.own, calmNext.group) : calmFrom;
+    private void advanceBaseline(long now, long[][] own, long[][] group) {
+        if (now - nextRollingBaseline.at >= length) {
+            rollingBaseline = nextRollingBaseline;
+            nextRollingBaseline = new Snapshot(now, copy(own), copy(group));
+        } else if (nextRollingBaseline.group == null && group != null) {
+            // The control group's first counts came after the snapshot was taken: they complete it.
+            nextRollingBaseline = new Snapshot(nextRollingBaseline.at, nextRollingBaseline.own, copy(group));
+            rollingBaseline = rollingBaseline.group == null
+                    ? new Snapshot(rollingBaseline.at, rollingBaseline.own, nextRollingBaseline.group)
+                    : rollingBaseline;
         }
     }
 
-    /** What happened between two snapshots in one class, or in all where that is -1; null without a group. */
+    /** Counts between two snapshots for a class, or for all if it is -1; null if the group's are unknown. */
     private static Counts counts(Snapshot from, Snapshot to, int jobClass, boolean group) {
         long[][] was = group ? from.group : from.own;
         long[][] is = group ? to.group : to.own;
--- a/src/main/java/laneflow/control/decision/Version.java
+++ b/src/main/java/laneflow/control/decision/Version.java
@@ -1,29 +1,29 @@
 package laneflow.control.decision;
 
 /**
- * A version of one type's resources: the control service's number and the digest of what it holds. Versions
- * have a total order, by number and then by digest. Where two services give one number to different
- * contents, every scheduler that has seen both ends at the same one, whichever came first.
+ * A version of one type's resources: the number given by the control service and a digest of the contents.
+ * Versions are totally ordered by number, then by digest. If two services give the same number to different
+ * contents, all schedulers that receive both settle on the same one, in whichever order they arrive.
  *
  * @param digest lower-case hex
  */
 public record Version(long number, String digest) implements Comparable<Version> {
-    /** Before any. */
+    /** No version; orders before all others. */
     public static final Version NONE = new Version(0, "");
 
     @Override
     public int compareTo(Version other) {
-        int by = Long.compare(number, other.number);
-        return by != 0 ? by : digest.compareTo(other.digest);
+        int byNumber = Long.compare(number, other.number);
+        return byNumber != 0 ? byNumber : digest.compareTo(other.digest);
     }
 
-    /** As {@code version_info} has it. */
+    /** Formats the version as in {@code version_info}. */
     @Override
     public String toString() {
         return number + (digest.isEmpty() ? "" : "-" + digest);
     }
 
-    /** Reads the form of {@link #toString}; what is none is an IllegalArgumentException that says so. */
+    /** Parses the format of {@link #toString}; throws IllegalArgumentException if the text is malformed. */
     public static Version parse(String text) {
         int dash = text.indexOf('-');
         String digits = dash < 0 ? text : text.substring(0, dash);
--- a/src/main/java/laneflow/control/decision/VersionTracker.java
+++ b/src/main/java/laneflow/control/decision/VersionTracker.java
@@ -6,20 +6,20 @@
 import java.util.Map;
 
 /**
- * The versions of one type at one scheduler: which one runs, what was turned down and why, and what each
- * message of the control service is answered. The transport's semantics are xDS's (state of the world and
- * incremental): a response is acknowledged by echoing its version, or turned down by echoing the version
- * that runs, with the reason; both carry the response's nonce. No I/O, no clock: the same messages in any
- * order end at the same version, the greatest that is acceptable and was not taken back.
+ * Tracks the versions of one resource type at one scheduler: the running one, the rejected ones with their
+ * reasons, and the reply to each message of the control service. The protocol follows xDS (state of the world
+ * and incremental): an ACK echoes the version of the response, a NACK echoes the running version and gives
+ * the reason, and both carry the response's nonce. No I/O, no clock. The same messages in any order lead to
+ * the same version: the greatest that is acceptable and was not rolled back.
  */
 public final class VersionTracker {
-    /** Refusals remembered; the oldest is forgotten first, and its version would be looked at again. */
-    private static final int MOST_REFUSED = 256;
+    /** Rejected versions remembered; the oldest is evicted first and would be checked again if offered. */
+    private static final int MAX_REFUSED = 256;
 
     private Version running = Version.NONE;
-    /** The last one that has stood its trial: what runs again where a later one has not. */
-    private Version good = Version.NONE;
-    /** Adopted behind that one, and on trial. */
+    /** The last version that passed its trial; the target of a rollback. */
+    private Version lastGoodVersion = Version.NONE;
+    /** Versions adopted after the last good one and still on trial. */
     private final List<Version> onTrial = new ArrayList<>();
 
     private final Map<Version, String> refused = new LinkedHashMap<>() {
@@ -27,120 +27,120 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Version, String> eldest) {
-            return size() > MOST_REFUSED;
+            return size() > MAX_REFUSED;
         }
     };
     private long gaps;
 
-    /** What a message is. */
+    /** How a message relates to the running version. */
     public enum Kind {
-        /** Newer than what runs: to be looked at, then {@link #accept} or {@link #refuse}. */
-        LOOK,
-        /** What runs already: acknowledged again, nothing changes. */
+        /** Newer than the running version: to be checked, then passed to {@link #accept} or {@link #refuse}. */
+        CHECK,
+        /** The running version: acknowledged again without a change. */
         REPEAT,
-        /** Before what runs: turned down, since going back is the service's to say under a new number. */
+        /** Older than the running version: rejected, since the service reverts by sending a new number. */
         OLDER,
-        /** Turned down before: the same answer again, it is not looked at twice. */
+        /** Rejected before: rejected again for the same reason, without another check. */
         REFUSED,
-        /** A change from a version that does not run here: the whole is asked for. */
-        WHOLE_WANTED
+        /** A delta from a version that is not the running one: the full state is requested. */
+        FULL_STATE_NEEDED
     }
 
     /**
-     * What a message is answered, as far as that is known before its content is looked at.
+     * The reply to a message, as far as it is known before the contents are checked.
      *
-     * @param reason for NACKs, else empty
+     * @param reason for a NACK; empty otherwise
      */
-    public record Word(Kind kind, String reason) {
+    public record Reply(Kind kind, String reason) {
         public boolean isAck() {
             return kind == Kind.REPEAT;
         }
     }
 
-    /** A whole state of the type, under that version. */
-    public Word whole(Version offered) {
-        int by = offered.compareTo(running);
-        String why = refused.get(offered);
-        if (by == 0) {
-            return new Word(Kind.REPEAT, "");
+    /** Classifies a full state of the type. */
+    public Reply classifyFull(Version offered) {
+        int order = offered.compareTo(running);
+        String refusal = refused.get(offered);
+        if (order == 0) {
+            return new Reply(Kind.REPEAT, "");
         }
-        if (why != null) {
-            return new Word(Kind.REFUSED, why);
+        if (refusal != null) {
+            return new Reply(Kind.REFUSED, refusal);
         }
-        if (by < 0) {
+        if (order < 0) {
             String what = offered.number() == running.number()
                     ? "version " + running + " runs, of the same number"
                     : "version " + running + " runs, which is newer";
-            return new Word(Kind.OLDER, what);
+            return new Reply(Kind.OLDER, what);
         }
-        return new Word(Kind.LOOK, "");
+        return new Reply(Kind.CHECK, "");
     }
 
-    /** A change of the type from one version to another. */
-    public Word change(Version from, Version to) {
-        Word word = whole(to);
-        if (word.kind() == Kind.LOOK && !from.equals(running)) {
-            return new Word(Kind.WHOLE_WANTED, "a change from version " + from + ", and " + running + " runs");
+    /** Classifies a delta of the type from one version to another. */
+    public Reply classifyDelta(Version from, Version to) {
+        Reply reply = classifyFull(to);
+        if (reply.kind() == Kind.CHECK && !from.equals(running)) {
+            return new Reply(Kind.FULL_STATE_NEEDED, "a change from version " + from + ", and " + running + " runs");
         }
-        return word;
+        return reply;
     }
 
-    /** What was looked at runs from now on. */
+    /** Makes a checked version the running one. */
     public void accept(Version offered) {
-        if (whole(offered).kind() != Kind.LOOK) {
-            throw new IllegalStateException("version " + offered + " was not to be looked at");
+        if (classifyFull(offered).kind() != Kind.CHECK) {
+            throw new IllegalStateException("version " + offered + " is not one to check");
         }
         if (offered.number() > running.number() + 1 && !running.equals(Version.NONE)) {
-            // Each version is whole, so one that was never seen is not missed; that it happened is counted.
+            // Every version holds the full state, so a skipped one loses nothing; it is only counted.
             gaps++;
         }
         running = offered;
         onTrial.add(offered);
     }
 
-    /** What runs has stood its trial. */
+    /** Marks the running version as good after it has passed its trial. */
     public void settle() {
-        good = running;
+        lastGoodVersion = running;
         onTrial.clear();
     }
 
-    /** True if something runs that has not stood its trial. */
+    /** Returns whether the running version has yet to pass its trial. */
     public boolean isOnTrial() {
         return !onTrial.isEmpty();
     }
 
-    /** What was looked at is turned down, and not looked at again. */
+    /** Rejects a checked version; it is not checked again. */
     public void refuse(Version offered, String reason) {
         refused.put(offered, reason);
     }
 
     /**
-     * What is on trial has broken something: the last good one runs again, and none of those adopted since
-     * is tried twice. Which of several it was can't be told, and a new number costs the service little.
+     * Rolls back to the last good version and rejects every version on trial. It is unknown which of several
+     * caused the fault, and the service can offer the harmless ones again under a new number.
      */
     public Version takeBack(String reason) {
         onTrial.forEach(version -> refused.put(version, reason));
         onTrial.clear();
-        running = good;
+        running = lastGoodVersion;
         return running;
     }
 
-    /** At the start, from the file of the last good ones. */
+    /** Sets the initial version, read from the last-good file. */
     public void startAt(Version lastGood) {
         running = lastGood;
-        good = lastGood;
+        lastGoodVersion = lastGood;
     }
 
     public Version running() {
         return running;
     }
 
-    /** Versions that were never seen here, because a later one came first. */
+    /** Number of times that version numbers were skipped. */
     public long gaps() {
         return gaps;
     }
 
-    /** The last one turned down, with the reason, or null. */
+    /** The last rejected version with its reason, or null. */
     public Map.Entry<Version, String> lastRefused() {
         Map.Entry<Version, String> last = null;
         for (Map.Entry<Version, String> entry : refused.entrySet()) {
--- a/src/test/java/laneflow/control/VersionTrackerTest.java
+++ b/src/test/java/laneflow/control/VersionTrackerTest.java
@@ -34,7 +34,7 @@
     }
 
     private static void hear(VersionTracker track, Version offered) {
-        if (track.whole(offered).kind() == Kind.LOOK) {
+        if (track.classifyFull(offered).kind() == Kind.CHECK) {
             if (bad(offered)) {
                 track.refuse(offered, "bad");
             } else {
@@ -46,40 +46,42 @@
     @Test
     void eachMessageHasOneAnswer() {
         VersionTracker track = new VersionTracker();
-        assertEquals(Kind.LOOK, track.whole(version(4, "aa")).kind());
+        assertEquals(Kind.CHECK, track.classifyFull(version(4, "aa")).kind());
         track.accept(version(4, "aa"));
         track.settle();
-        assertTrue(track.whole(version(4, "aa")).isAck());
-        assertEquals(Kind.OLDER, track.whole(version(2, "ff")).kind());
+        assertTrue(track.classifyFull(version(4, "aa")).isAck());
+        assertEquals(Kind.OLDER, track.classifyFull(version(2, "ff")).kind());
         assertEquals(
                 "version 4-aa runs, of the same number",
-                track.whole(version(4, "a9")).reason());
-        assertEquals(Kind.LOOK, track.whole(version(4, "ab")).kind());
+                track.classifyFull(version(4, "a9")).reason());
+        assertEquals(Kind.CHECK, track.classifyFull(version(4, "ab")).kind());
         track.refuse(version(5, "bb"), "no live endpoint in zone celje-1");
-        assertEquals(Kind.REFUSED, track.whole(version(5, "bb")).kind());
+        assertEquals(Kind.REFUSED, track.classifyFull(version(5, "bb")).kind());
         assertEquals(
                 "no live endpoint in zone celje-1",
-                track.whole(version(5, "bb")).reason());
-        assertEquals(Kind.LOOK, track.whole(version(5, "bc")).kind());
+                track.classifyFull(version(5, "bb")).reason());
+        assertEquals(Kind.CHECK, track.classifyFull(version(5, "bc")).kind());
         assertEquals(
-                Kind.WHOLE_WANTED,
-                track.change(version(3, "aa"), version(6, "cc")).kind());
-        assertEquals(Kind.LOOK, track.change(version(4, "aa"), version(6, "cc")).kind());
+                Kind.FULL_STATE_NEEDED,
+                track.classifyDelta(version(3, "aa"), version(6, "cc")).kind());
+        assertEquals(
+                Kind.CHECK,
+                track.classifyDelta(version(4, "aa"), version(6, "cc")).kind());
         track.accept(version(6, "cc"));
         assertEquals(1, track.gaps());
         assertThrows(IllegalStateException.class, () -> track.accept(version(5, "bc")));
         // What broke service goes, and is not tried again; a later one is.
         assertEquals(version(4, "aa"), track.takeBack("failures went up"));
-        assertEquals(Kind.REFUSED, track.whole(version(6, "cc")).kind());
+        assertEquals(Kind.REFUSED, track.classifyFull(version(6, "cc")).kind());
         assertEquals("failures went up", track.lastRefused().getValue());
-        assertEquals(Kind.LOOK, track.whole(version(7, "dd")).kind());
+        assertEquals(Kind.CHECK, track.classifyFull(version(7, "dd")).kind());
         // Two on trial together go together, to the last that has stood its trial.
         track.accept(version(7, "dd"));
         track.accept(version(8, "ee"));
         assertTrue(track.isOnTrial());
         assertEquals(version(4, "aa"), track.takeBack("again"));
-        assertEquals("again", track.whole(version(7, "dd")).reason());
-        assertEquals("again", track.whole(version(8, "ee")).reason());
+        assertEquals("again", track.classifyFull(version(7, "dd")).reason());
+        assertEquals("again", track.classifyFull(version(8, "ee")).reason());
         assertFalse(track.isOnTrial());
         assertEquals(version(12, "0f"), Version.parse("12-0f"));
         assertEquals(Version.NONE, Version.parse("0"));
