--- a/src/main/java/laneflow/config/Canonical.java
+++ b/src/main/java/laneflow/config/Canonical.java
@@ -9,26 +9,26 @@
 import java.util.HexFormat;
 import java.util.TreeMap;
 
-/** One form for JSON that says the same, so that a digest of it tells contents apart and nothing else. */
+/** The canonical form of JSON: a digest of it depends on the content alone, not on the order of keys. */
 public final class Canonical {
     private Canonical() {}
 
-    /** The same with keys in order; numbers as they were written. */
+    /** Returns the value with all object keys sorted; numbers keep their original notation. */
     public static JsonElement sortKeys(JsonElement value) {
         if (value.isJsonArray()) {
-            JsonArray all = new JsonArray();
-            value.getAsJsonArray().forEach(one -> all.add(sortKeys(one)));
-            return all;
+            JsonArray sorted = new JsonArray();
+            value.getAsJsonArray().forEach(one -> sorted.add(sortKeys(one)));
+            return sorted;
         }
         if (!value.isJsonObject()) {
             return value;
         }
-        JsonObject all = new JsonObject();
-        new TreeMap<>(value.getAsJsonObject().asMap()).forEach((key, one) -> all.add(key, sortKeys(one)));
-        return all;
+        JsonObject sorted = new JsonObject();
+        new TreeMap<>(value.getAsJsonObject().asMap()).forEach((key, one) -> sorted.add(key, sortKeys(one)));
+        return sorted;
     }
 
-    /** SHA-256, in lower-case hex, of a value's canonical form without white space. */
+    /** Returns the SHA-256, in lower-case hex, of the canonical form without white space. */
     public static String digest(JsonElement value) {
         try {
             byte[] sum = MessageDigest.getInstance("SHA-256")
--- a/src/main/java/laneflow/config/ConfigException.java
+++ b/src/main/java/laneflow/config/ConfigException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A configuration that can't be used: its message holds a line for each thing that is wrong. */
+/** An invalid configuration; the message has one line for each finding. */
 public final class ConfigException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/laneflow/config/Findings.java
+++ b/src/main/java/laneflow/config/Findings.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * What is wrong with a file, all of it: who mends one line must not have to start again to hear of the
- * next.
+ * Collects all errors of a file or a message, so that an operator sees them together instead of one at each
+ * start.
  */
 public final class Findings {
     private final String file;
     private final boolean paths;
     private final List<String> all = new ArrayList<>();
 
-    /** Findings on that file. */
+    /** Creates findings on a file; each begins with the file's name. */
     public Findings(String file) {
         this(file, false);
     }
@@ -22,12 +22,12 @@
         this.paths = paths;
     }
 
-    /** Findings on a message: each begins with the path to its value. */
+    /** Creates findings on a message; each begins with the path to its value. */
     public static Findings paths() {
         return new Findings("", true);
     }
 
-    /** Notes what is wrong with a key of a table; the empty text is the file's own top. */
+    /** Adds a finding on a key of a table; an empty table name stands for the top level. */
     public void add(String table, String key, String what) {
         if (paths) {
             all.add(table + (table.isEmpty() || key.isEmpty() ? "" : ".") + key + ": " + what);
@@ -45,7 +45,7 @@
         return List.copyOf(all);
     }
 
-    /** Throws them, if there are any. */
+    /** Throws a {@link ConfigException} if there are findings. */
     public void throwIfAny() {
         if (!all.isEmpty()) {
             throw new ConfigException(all);
--- a/src/main/java/laneflow/config/OperatorFile.java
+++ b/src/main/java/laneflow/config/OperatorFile.java
@@ -10,13 +10,13 @@
 import java.util.Map;
 
 /**
- * The operators' own file, {@code deploy/laneflow.toml}: what the platform's file says of a scheduler in the
- * operators' words, and the tables of the subsystems. This class reads the first part and writes it in the
- * platform's form, so that one reader makes settings of both; the tables are left to their subsystems.
+ * The operators' configuration file, {@code deploy/laneflow.toml}. It holds the scheduler's settings and the
+ * tables of the subsystems. This class translates the settings into the format of the platform's file, so that
+ * one reader serves both formats; each subsystem reads its own table.
  */
 public final class OperatorFile {
     private static final double HOUR_MS = 3_600_000;
-    private static final String NAME = "[A-Za-z0-9_.-]{1,64}";
+    private static final String NAME_PATTERN = "[A-Za-z0-9_.-]{1,64}";
 
     private final Table root;
     private final JsonObject platform = new JsonObject();
@@ -41,31 +41,31 @@
         tasks = root.table("tasks");
         capacity = root.table("capacity");
         maintenance = root.table("maintenance");
-        top();
+        readTopLevel();
         root.close();
     }
 
-    /** Reads the file; what is wrong with it waits in {@link #findings}. */
+    /** Reads the file; errors are collected in {@link #findings}. */
     public static OperatorFile read(Path file) throws IOException {
         return parse(Files.readString(file), file.toString());
     }
 
     /**
-     * The same file with streamed resources in the place of what it says of them, by type: classes, limits,
-     * functions, durable.
+     * Reads the file with streamed resources, by type, in place of its own tables: classes, limits, functions,
+     * durable.
      */
     public static OperatorFile read(Path file, Map<String, JsonArray> streamed) throws IOException {
         Table root = Table.parse(Files.readString(file), new Findings(file + " under the last good versions"));
-        streamed.forEach((type, resources) -> lay(root, type, resources));
+        streamed.forEach((type, resources) -> replaceTable(root, type, resources));
         return new OperatorFile(root);
     }
 
-    private static void lay(Table root, String type, JsonArray resources) {
+    private static void replaceTable(Table root, String type, JsonArray resources) {
         JsonObject named = new JsonObject();
-        JsonObject only = new JsonObject();
+        JsonObject resourceTable = new JsonObject();
         for (JsonElement resource : resources) {
-            only = resource.getAsJsonObject().deepCopy();
-            named.add(only.remove("name").getAsString(), only);
+            resourceTable = resource.getAsJsonObject().deepCopy();
+            named.add(resourceTable.remove("name").getAsString(), resourceTable);
         }
         if (type.equals("functions")) {
             if (root.has("gearman")) {
@@ -74,14 +74,14 @@
         } else if (type.equals("classes")) {
             root.put("classes", named);
         } else {
-            if (only.has("listen")) {
-                root.put("listen", only.remove("listen"));
+            if (resourceTable.has("listen")) {
+                root.put("listen", resourceTable.remove("listen"));
             }
-            root.put(type, only);
+            root.put(type, resourceTable);
         }
     }
 
-    /** Reads a text that goes by that name. */
+    /** Parses a text; the name is used in findings. */
     public static OperatorFile parse(String text, String name) {
         return new OperatorFile(Table.parse(text, new Findings(name)));
     }
@@ -90,57 +90,57 @@
         return root.findings();
     }
 
-    /** The table of the Gearman front, or null where it is off. */
+    /** The table of the Gearman front, or null if it is disabled. */
     public Table gearman() {
         return gearman;
     }
 
-    /** The table of durable jobs, or null where they are off. */
+    /** The table of durable jobs, or null if they are disabled. */
     public Table durable() {
         return durable;
     }
 
-    /** The table of streamed configuration, or null where it is off. */
+    /** The table of streamed configuration, or null if it is disabled. */
     public Table control() {
         return control;
     }
 
-    /** The table of the link between schedulers, or null where there is none. */
+    /** The table of the links between schedulers, or null if there are none. */
     public Table fleet() {
         return fleet;
     }
 
-    /** The table of changes of policy over the whole fleet, or null where they are off. */
+    /** The table of fleet-wide policy changes, or null if they are disabled. */
     public Table policy() {
         return policy;
     }
 
-    /** The table of the view that schedulers keep of each other, or null where it is off. */
+    /** The table of the schedulers' membership, or null if it is disabled. */
     public Table members() {
         return members;
     }
 
-    /** The table of tasks that the fleet does once, or null. */
+    /** The table of tasks that run once in the fleet, or null if there is none. */
     public Table tasks() {
         return tasks;
     }
 
-    /** The table of free capacity told among schedulers, or null where it is off. */
+    /** The table of free capacity shared among schedulers, or null if it is disabled. */
     public Table capacity() {
         return capacity;
     }
 
-    /** The table of maintenance windows, or null where they are off. */
+    /** The table of maintenance windows, or null if they are disabled. */
     public Table maintenance() {
         return maintenance;
     }
 
-    /** What is said of the scheduler, in the platform's form. */
+    /** The scheduler's settings in the format of the platform's file. */
     public JsonObject platform() {
         return platform;
     }
 
-    /** The platform's file decides what it names; the rest is taken from here. */
+    /** Merges the platform's file with this one: its values take precedence, missing ones come from here. */
     public JsonObject withDefaults(JsonObject named) {
         return merge(named, platform);
     }
@@ -160,7 +160,7 @@
         return all;
     }
 
-    private void top() {
+    private void readTopLevel() {
         JsonObject settings = new JsonObject();
         for (String key : new String[] {"name", "seed"}) {
             String text = root.text(key, null);
@@ -203,11 +203,11 @@
 
     private void limits(JsonObject settings) {
         Table from = root.table("limits");
-        // Left out, it is as an empty one: no retries and no cancelling is nobody's wish.
+        // A missing table counts as an empty one, so that retries and cancelling stay enabled by default.
         limits(from != null ? from : Table.of(new JsonObject(), "limits", root.findings()), platform, settings);
     }
 
-    /** Reads a table of limits into the platform's form: the scheduler's own, and those of its settings. */
+    /** Translates a table of limits into the platform's format: process limits and limits of the settings. */
     public static void limits(Table from, JsonObject platform, JsonObject settings) {
         JsonObject own = new JsonObject();
         own.addProperty("sockets", from.integer("sockets", 1024, 96, 1 << 20));
@@ -227,7 +227,7 @@
     private void rules(JsonObject settings) {
         JsonObject to = new JsonObject();
         Table from = root.table("rules");
-        // Left out, a drain must not be without its grace.
+        // Without the table a drain still gets its grace period.
         to.addProperty("stopSendingWithin", from == null ? 0.5 : from.number("drain_grace_ms", 500, 0, 500) / 1000);
         if (from != null) {
             to.addProperty("coldFrom", from.number("cold_share", 1, 0.01, 1));
@@ -243,7 +243,7 @@
         settings.add("rules", to);
     }
 
-    /** Reads the table of the module's own choices into the platform's form, among its rules. */
+    /** Translates the module's table into rules of the platform's format. */
     public static void module(Table from, JsonObject to) {
         to.addProperty("crossEachWay", from.number("cross_each_way", 0.5, 0, 1));
         to.addProperty("spareAttempts", from.number("retry_free", 0, 0, 1e6));
@@ -267,7 +267,7 @@
         }
     }
 
-    /** What the platform's form says of all classes together. */
+    /** Returns the part of the platform's format that describes all classes together. */
     public static JsonObject familyInfo(JsonArray stretches) {
         JsonObject info = new JsonObject();
         info.add("classStretch", stretches);
@@ -275,10 +275,10 @@
         return info;
     }
 
-    /** Reads a class's table into the platform's form, its stretch apart. */
+    /** Translates a class's table into the platform's format, which lists stretches separately. */
     public static void classOf(String name, Table from, JsonArray classes, JsonArray stretches) {
         JsonObject to = new JsonObject();
-        if (!name.matches(NAME)) {
+        if (!name.matches(NAME_PATTERN)) {
             from.addFinding("", "is no name of a class: letters, digits, '_', '.' and '-'");
         }
         to.addProperty("name", name);
@@ -319,7 +319,7 @@
             to.addProperty("share", from.number("weight", 1, 0, 1e6));
             to.addProperty("slots", from.number("slots", 1, 0.01, 1024));
             String rack = from.text("rack", null);
-            if (rack != null && !rack.matches(NAME)) {
+            if (rack != null && !rack.matches(NAME_PATTERN)) {
                 from.addFinding("rack", "is no name: letters, digits, '_', '.' and '-'");
             } else if (rack != null) {
                 to.addProperty("rack", rack);
@@ -334,15 +334,15 @@
         platform.add("known", known);
     }
 
-    /** Tenants are the platform's customers, told where they may run besides. */
+    /** Translates tenants into the platform's customers, with the zones and classes they may use. */
     private void tenants(JsonObject settings, List<String> zones) {
         JsonArray customers = new JsonArray();
         root.tables("tenants").forEach((name, from) -> {
             JsonObject to = new JsonObject();
             to.addProperty("name", name);
             to.addProperty("portion", from.number("share", 1, 1e-6, 1e6));
-            among(from, "zones", zones, to);
-            among(from, "classes", List.copyOf(root.tables("classes").keySet()), to);
+            copyKnownNames(from, "zones", zones, to);
+            copyKnownNames(from, "classes", List.copyOf(root.tables("classes").keySet()), to);
             customers.add(to);
             from.close();
         });
@@ -351,7 +351,7 @@
         }
     }
 
-    private static void among(Table from, String key, List<String> known, JsonObject to) {
+    private static void copyKnownNames(Table from, String key, List<String> known, JsonObject to) {
         List<String> named = from.texts(key);
         JsonArray all = new JsonArray();
         for (String one : named) {
--- a/src/main/java/laneflow/config/Table.java
+++ b/src/main/java/laneflow/config/Table.java
@@ -18,23 +18,23 @@
 import java.util.Set;
 
 /**
- * One table of an operator's file (TOML, read by night-config). Each value is asked for once with its type
- * and range; what does not fit becomes a finding and its default is returned, so that reading goes on. What
- * nobody has asked for by {@link #close} is a finding too: a mistyped key must not be passed over.
+ * One table of an operator's file (TOML, parsed by night-config). Getters check the type and range of a value;
+ * an invalid value becomes a finding and the default is returned, so that reading continues. {@link #close}
+ * reports every key that was never requested, so that a mistyped key is not ignored silently.
  */
 public final class Table {
-    private final UnmodifiableConfig from;
+    private final UnmodifiableConfig values;
     private final String path;
     private final Findings findings;
-    private final Set<String> asked = new HashSet<>();
+    private final Set<String> requestedKeys = new HashSet<>();
 
-    private Table(UnmodifiableConfig from, String path, Findings findings) {
-        this.from = from;
+    private Table(UnmodifiableConfig values, String path, Findings findings) {
+        this.values = values;
         this.path = path;
         this.findings = findings;
     }
 
-    /** The whole of a text; what is no TOML is a finding, and the table is empty. */
+    /** Parses a text; if it is not valid TOML, that is a finding and the table is empty. */
     public static Table parse(String text, Findings findings) {
         Config config = TomlFormat.newConfig(LinkedHashMap::new);
         try {
@@ -46,14 +46,14 @@
         return new Table(config, "", findings);
     }
 
-    /** A JSON object as a table, so that one reader serves files and messages; the path leads to it. */
-    public static Table of(JsonObject from, String path, Findings findings) {
-        return new Table(plain(from), path, findings);
+    /** Wraps a JSON object at that path as a table, so that one reader serves files and messages. */
+    public static Table of(JsonObject json, String path, Findings findings) {
+        return new Table(plain(json), path, findings);
     }
 
-    private static Config plain(JsonObject from) {
+    private static Config plain(JsonObject json) {
         Config config = TomlFormat.newConfig(LinkedHashMap::new);
-        from.entrySet().forEach(entry -> config.set(List.of(entry.getKey()), plain(entry.getValue())));
+        json.entrySet().forEach(entry -> config.set(List.of(entry.getKey()), plain(entry.getValue())));
         return config;
     }
 
@@ -75,16 +75,16 @@
                 : value.isJsonNull() ? null : value.getAsString();
     }
 
-    /** Puts a value in the place of the key's, as if the file had said so. */
+    /** Replaces the key's value as if it had been read from the file. */
     public void put(String key, JsonElement value) {
-        ((Config) from).set(List.of(key), plain(value));
+        ((Config) values).set(List.of(key), plain(value));
     }
 
     public Findings findings() {
         return findings;
     }
 
-    /** Notes what is wrong with one of its keys. */
+    /** Adds a finding on a key of this table. */
     public void addFinding(String key, String what) {
         findings.add(path, key, what);
     }
@@ -93,29 +93,29 @@
         return value(key) != null;
     }
 
-    /** The keys that are there, in the file's order. */
+    /** Returns the keys present, in the file's order. */
     public List<String> keys() {
         List<String> keys = new ArrayList<>();
-        from.entrySet().forEach(entry -> keys.add(entry.getKey()));
+        values.entrySet().forEach(entry -> keys.add(entry.getKey()));
         return keys;
     }
 
     private Object value(String key) {
-        asked.add(key);
-        return from.get(List.of(key));
+        requestedKeys.add(key);
+        return values.get(List.of(key));
     }
 
-    /** A text, or the default. */
-    public String text(String key, String absent) {
+    /** Returns a string, or the default if it is missing or invalid. */
+    public String text(String key, String defaultValue) {
         Object value = value(key);
         if (value != null && !(value instanceof String)) {
             addFinding(key, "must be a text, in quotes");
-            return absent;
+            return defaultValue;
         }
-        return value == null ? absent : (String) value;
+        return value == null ? defaultValue : (String) value;
     }
 
-    /** A text that must be there. */
+    /** Returns a required string; a finding and an empty string if it is missing. */
     public String text(String key) {
         if (!has(key)) {
             addFinding(key, "is missing");
@@ -124,54 +124,55 @@
         return text(key, "");
     }
 
-    /** One of these words, or the default. */
-    public String choice(String key, String absent, String... words) {
-        String text = text(key, absent);
-        if (text != null && !text.equals(absent) && !List.of(words).contains(text)) {
+    /** Returns one of the given words, or the default if it is missing or invalid. */
+    public String choice(String key, String defaultValue, String... words) {
+        String text = text(key, defaultValue);
+        if (text != null && !text.equals(defaultValue) && !List.of(words).contains(text)) {
             addFinding(key, "'" + text + "' is none of " + String.join(", ", words));
-            return absent;
+            return defaultValue;
         }
         return text;
     }
 
-    /** A number within these bounds, or the default. */
-    public double number(String key, double absent, double least, double most) {
+    /** Returns a number within the bounds, or the default if it is missing or invalid. */
+    public double number(String key, double defaultValue, double min, double max) {
         Object value = value(key);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (!(value instanceof Number)) {
             addFinding(key, "must be a number");
-            return absent;
+            return defaultValue;
         }
         double number = ((Number) value).doubleValue();
-        if (!(number >= least && number <= most)) {
-            addFinding(key, plain(number) + " is not between " + plain(least) + " and " + plain(most));
-            return absent;
+        if (!(number >= min && number <= max)) {
+            addFinding(
+                    key, formatNumber(number) + " is not between " + formatNumber(min) + " and " + formatNumber(max));
+            return defaultValue;
         }
         return number;
     }
 
-    /** A whole number within these bounds, or the default. */
-    public long integer(String key, long absent, long least, long most) {
+    /** Returns an integer within the bounds, or the default if it is missing or invalid. */
+    public long integer(String key, long defaultValue, long min, long max) {
         Object value = value(key);
         if (value != null && !(value instanceof Integer || value instanceof Long)) {
             addFinding(key, "must be a whole number");
-            return absent;
+            return defaultValue;
         }
-        return (long) number(key, absent, least, most);
+        return (long) number(key, defaultValue, min, max);
     }
 
-    public boolean flag(String key, boolean absent) {
+    public boolean flag(String key, boolean defaultValue) {
         Object value = value(key);
         if (value != null && !(value instanceof Boolean)) {
             addFinding(key, "must be true or false");
-            return absent;
+            return defaultValue;
         }
-        return value == null ? absent : (Boolean) value;
+        return value == null ? defaultValue : (Boolean) value;
     }
 
-    /** A list of texts; empty where there is none. */
+    /** Returns a list of strings; empty if it is missing. */
     public List<String> texts(String key) {
         Object value = value(key);
         List<String> texts = new ArrayList<>();
@@ -189,7 +190,7 @@
         return texts;
     }
 
-    /** An inner table, or null. */
+    /** Returns a nested table, or null if it is missing or invalid. */
     public Table table(String key) {
         Object value = value(key);
         if (value != null && !(value instanceof UnmodifiableConfig)) {
@@ -199,12 +200,12 @@
         return value == null ? null : new Table((UnmodifiableConfig) value, join(key), findings);
     }
 
-    /** The tables below this key by name, in the file's order. */
+    /** Returns the tables below a key by name, in the file's order. */
     public Map<String, Table> tables(String key) {
         Map<String, Table> found = new LinkedHashMap<>();
         Table outer = table(key);
         if (outer != null) {
-            for (UnmodifiableConfig.Entry entry : outer.from.entrySet()) {
+            for (UnmodifiableConfig.Entry entry : outer.values.entrySet()) {
                 Table one = outer.table(entry.getKey());
                 if (one != null) {
                     found.put(entry.getKey(), one);
@@ -214,14 +215,15 @@
         return found;
     }
 
-    /** All that was to be asked has been: what is left over is unknown. */
+    /** Ends reading: every key that was not requested becomes a finding. */
     public void close() {
-        for (UnmodifiableConfig.Entry entry : from.entrySet()) {
-            if (!asked.contains(entry.getKey())) {
+        for (UnmodifiableConfig.Entry entry : values.entrySet()) {
+            if (!requestedKeys.contains(entry.getKey())) {
                 addFinding(
                         entry.getKey(),
                         "is unknown here; known are "
-                                + String.join(", ", asked.stream().sorted().toList()));
+                                + String.join(
+                                        ", ", requestedKeys.stream().sorted().toList()));
             }
         }
     }
@@ -230,7 +232,7 @@
         return path.isEmpty() ? key : path + "." + key;
     }
 
-    private static String plain(double number) {
+    private static String formatNumber(double number) {
         boolean whole = number == Math.rint(number) && Math.abs(number) < 1e15;
         return whole ? String.format(Locale.ROOT, "%.0f", number) : String.valueOf(number);
     }
