--- a/src/main/java/laneflow/control/ControlClient.java
+++ b/src/main/java/laneflow/control/ControlClient.java
@@ -33,43 +33,43 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Configuration streamed from a control service in versions of several types, each acknowledged, or turned
- * down with every reason. A line is read and checked on a thread of its own, one line after the other, and
- * adopted whole within one turn of the loop. While no service speaks, the last good versions run on for as
- * long as it takes. On the loop's thread, but for the reading and the files.
+ * The client of a control service that streams versioned configuration of several resource types. Each version
+ * is acknowledged, or rejected with all reasons. Lines are parsed and checked one after the other on a reading
+ * thread; a version is adopted as a whole within one turn of the event loop. If no service is reachable, the
+ * last good versions stay in use indefinitely. Runs on the loop's thread, except for reading and file I/O.
  */
 public final class ControlClient implements LineStream.Reader {
-    /** A type of messages that carries the control group's counts; it is not acknowledged. */
+    /** The type of messages that carry the control group's counts; they are not acknowledged. */
     public static final String GROUP = ResourceType.PREFIX + "group";
-    /** The type of this scheduler's own counts, told to the service now and then. */
+    /** The type of messages that report this scheduler's counts to the service at intervals. */
     public static final String FIGURES = ResourceType.PREFIX + "figures";
 
     private static final Logger LOG = LoggerFactory.getLogger(ControlClient.class);
-    /** Where others need the cores, wall time tells more of them than of the work done here. */
+    /** CPU time, since wall time includes waiting for cores that other processes use. */
     private static final ThreadMXBean CPU = ManagementFactory.getThreadMXBean();
 
     private static final String PATH = "/v3/discovery:stream";
-    private static final long CONNECT = 1_000_000;
-    private static final long FIRST_BACKOFF = 100_000;
+    private static final long CONNECT_TIMEOUT_US = 1_000_000;
+    private static final long FIRST_BACKOFF_US = 100_000;
     private static final int INVALID_ARGUMENT = 3;
     private static final int FAILED_PRECONDITION = 9;
-    /** Longer reasons are cut: they are for people, and go over the wire and into the log. */
-    private static final int MOST_REASON = 4000;
-    /** Lines that wait to be read; with more, or more bytes than two longest lines, no more is taken in. */
-    private static final int MOST_WAITING = 256;
-    /** Microseconds: others have their turns there. */
-    private static final long BETWEEN_STEPS = 100;
-    /** Header texts of states of the settings that requests still open may have come under. */
-    private static final int MOST_STAMPS = 4096;
+    /** Characters; longer reasons are truncated, as they are sent on the wire and logged for people to read. */
+    private static final int MAX_REASON_LENGTH = 4000;
+    /** Lines queued for reading; the stream is paused above this, or above the bytes of two maximum lines. */
+    private static final int MAX_WAITING_LINES = 256;
+    /** Pause between two steps, so that other work gets its turns. */
+    private static final long STEP_INTERVAL_US = 100;
+    /** Version headers kept for the settings epochs of requests that may still be open. */
+    private static final int MAX_VERSION_HEADERS = 4096;
 
-    private static final String[] COUNTS = {"requests", "failed", "connect_errors", "refused"};
+    private static final String[] COUNT_KEYS = {"requests", "failed", "connect_errors", "refused"};
 
     private final Loop loop;
     private final Scheduler scheduler;
     private final ControlConfig config;
     private final Map<String, TypeRun> types = new LinkedHashMap<>();
-    /** Types that the platform's file decides here, by their names on the stream. */
-    private final Map<String, String> fixed = new LinkedHashMap<>();
+    /** Types that are not streamed here, by their names on the stream, with the reason. */
+    private final Map<String, String> rejectedTypes = new LinkedHashMap<>();
 
     private final String[] classNames;
     private final String name;
@@ -80,26 +80,26 @@
     private final Counters counters;
     private final History history;
     private final Trial trial;
-    private final Deadline again;
-    private final Deadline look;
-    private final Deadline tell;
+    private final Deadline reconnectTimer;
+    private final Deadline trialTimer;
+    private final Deadline figuresTimer;
     private final ArrayDeque<byte[]> waiting = new ArrayDeque<>();
-    private final Map<Integer, String> stamps = new LinkedHashMap<>();
+    private final Map<Integer, String> versionHeaders = new LinkedHashMap<>();
     private final Histogram adoptions = new Histogram(3);
     private long waitingBytes;
-    private boolean busy;
-    private boolean held;
-    /** Which stream it is: what was read of an earlier one is passed over. */
+    private boolean lineInProgress;
+    private boolean paused;
+    /** Number of the current stream; results from an earlier one are dropped. */
     private int generation;
 
     private LineStream stream;
     private boolean isUp;
-    private int next;
+    private int nextAddress;
     private int failures;
-    private String streamAt = "";
+    private String streamAddress = "";
     private long[][] group;
 
-    /** What the client is given besides its settings. */
+    /** The client's environment apart from its configuration. */
     public record Context(
             String name,
             String token,
@@ -110,9 +110,9 @@
             long seed) {}
 
     /**
-     * A client that has not begun. Executors run one task after the other; what blocks is run there.
+     * Creates a client; {@link #begin} starts it. The executors run blocking work, one task after the other.
      *
-     * @param types what is taken, in the order in which it is asked for, with their files or nulls
+     * @param types the accepted types, in the order of subscription, each with its last-good file or null
      */
     public ControlClient(
             Loop loop, Scheduler scheduler, ControlConfig config, Context around, Map<ResourceType, LastGood> types) {
@@ -130,17 +130,17 @@
         types.forEach((type, file) -> this.types.put(type.url(), new TypeRun(type, file, around.disk())));
         trial = new Trial(
                 classNames, Math.max(1, config.probation), config.bound, loop.micros(), scheduler.countsByClass());
-        again = loop.deadlines().create(this::connect);
-        look = loop.deadlines().create(this::look);
-        tell = loop.deadlines().create(this::tellFigures);
+        reconnectTimer = loop.deadlines().create(this::connect);
+        trialTimer = loop.deadlines().create(this::evaluateTrial);
+        figuresTimer = loop.deadlines().create(this::sendFigures);
     }
 
-    /** A type that something else decides here: it is turned down with that reason. */
+    /** Makes the client reject a type for that reason, because its values are set elsewhere. */
     public void rejectType(String type, String reason) {
-        fixed.put(ResourceType.PREFIX + type, reason);
+        rejectedTypes.put(ResourceType.PREFIX + type, reason);
     }
 
-    /** Runs what a type's file holds until the service speaks; before {@link #begin}. */
+    /** Applies a type's saved version until the service sends one; called before {@link #begin}. */
     public void startFrom(String type, LastGood.SavedVersion kept) {
         TypeRun run = types.get(ResourceType.PREFIX + type);
         JsonArray resources = kept.resources().getAsJsonArray("resources");
@@ -156,40 +156,41 @@
                 "running",
                 "last-good",
                 "age_s=" + (wall.getAsLong() - kept.adoptedMs()) / 1000);
-        stamp();
+        startEpoch();
     }
 
     public void begin() {
         if (config.probation > 0) {
-            look();
+            evaluateTrial();
         }
         if (config.figures > 0) {
-            tellFigures();
+            sendFigures();
         }
         connect();
-        reading.execute(() -> warm(new Warmup()));
+        reading.execute(() -> runWarmup(new Warmup()));
     }
 
-    /** A part, and the next behind the lines that wait by then. */
-    private void warm(Warmup warmup) {
+    /** Runs one part and queues the next behind the lines that wait by then. */
+    private void runWarmup(Warmup warmup) {
         if (warmup.part()) {
-            reading.execute(() -> warm(warmup));
+            reading.execute(() -> runWarmup(warmup));
         }
     }
 
     // ---- the stream ----
 
     private void connect() {
-        String address = config.addresses.get(next++ % config.addresses.size());
+        String address = config.addresses.get(nextAddress++ % config.addresses.size());
         counters.add("config.streams");
         String headers = token == null ? "" : "Authorization: Bearer " + token + "\r\n";
         generation++;
         waiting.clear();
         waitingBytes = 0;
-        held = false;
-        streamAt = address;
+        paused = false;
+        streamAddress = address;
         types.values().forEach(run -> run.nonce = "");
-        stream = new LineStream(loop, address, PATH, headers, CONNECT, config.silence, config.mostLine, this);
+        stream =
+                new LineStream(loop, address, PATH, headers, CONNECT_TIMEOUT_US, config.silence, config.mostLine, this);
     }
 
     @Override
@@ -205,11 +206,11 @@
     @Override
     public void over(String why) {
         isUp = false;
-        // Full jitter: schedulers that lost one service together must not come back to it together.
-        long cap = Math.min(config.longestBackoff, FIRST_BACKOFF << Math.min(20, failures++));
+        // Full jitter, so that schedulers that lost a service together do not reconnect together.
+        long cap = Math.min(config.longestBackoff, FIRST_BACKOFF_US << Math.min(20, failures++));
         long wait = (long) (random.nextDouble() * cap);
-        loop.deadlines().set(again, loop.micros() + wait);
-        LOG.debug("control service {}: {}; the next is asked in {} us", streamAt, why, wait);
+        loop.deadlines().set(reconnectTimer, loop.micros() + wait);
+        LOG.debug("control service {}: {}; connecting to the next one in {} us", streamAddress, why, wait);
         counters.add("config.streams_ended");
     }
 
@@ -217,26 +218,26 @@
     public void line(byte[] text) {
         waiting.add(text);
         waitingBytes += text.length;
-        if (waiting.size() > MOST_WAITING || waitingBytes > 2L * config.mostLine) {
-            held = true;
+        if (waiting.size() > MAX_WAITING_LINES || waitingBytes > 2L * config.mostLine) {
+            paused = true;
             stream.hold();
         }
         readNext();
     }
 
-    /** One line is read at a time: what it leads to holds before the next one is looked at. */
+    /** Reads one line at a time: its effects are in place before the next line is checked. */
     private void readNext() {
-        if (busy || waiting.isEmpty()) {
+        if (lineInProgress || waiting.isEmpty()) {
             return;
         }
-        busy = true;
+        lineInProgress = true;
         byte[] text = waiting.poll();
         waitingBytes -= text.length;
-        if (held && waiting.size() < MOST_WAITING / 2 && waitingBytes <= config.mostLine) {
-            held = false;
+        if (paused && waiting.size() < MAX_WAITING_LINES / 2 && waitingBytes <= config.mostLine) {
+            paused = false;
             stream.resume();
         }
-        int of = generation;
+        int streamGeneration = generation;
         reading.execute(() -> {
             Message message;
             try {
@@ -245,30 +246,30 @@
                 message = null;
             }
             Message read = message;
-            back(() -> take(of, read));
+            runOnLoop(() -> handle(streamGeneration, read));
         });
     }
 
-    private void back(Runnable call) {
+    private void runOnLoop(Runnable call) {
         try {
             loop.later(call);
         } catch (RejectedExecutionException e) {
-            LOG.debug("the loop has ended: what was read is nobody's any more");
+            LOG.debug("the event loop has stopped: a read message is dropped");
         }
     }
 
     private void done() {
-        busy = false;
+        lineInProgress = false;
         readNext();
     }
 
-    private void take(int of, Message message) {
-        if (of != generation || !isUp) {
+    private void handle(int streamGeneration, Message message) {
+        if (streamGeneration != generation || !isUp) {
             done();
             return;
         }
         if (message == null) {
-            // Where a line is cut nothing says which answer it would want: the stream begins anew.
+            // A garbled line has no nonce to reply to, so the stream is restarted.
             counters.add("config.garbled");
             stream.close();
             over("a line that is no JSON object");
@@ -276,23 +277,25 @@
             return;
         }
         if (message.type.equals(GROUP)) {
-            takeGroup(message.all);
+            readGroup(message.all);
             done();
             return;
         }
         TypeRun run = types.get(message.type);
         if (run == null) {
-            String why = fixed.get(message.type);
+            String refusal = rejectedTypes.get(message.type);
             nack(
                     null,
                     message.type,
                     message.nonce,
-                    why != null ? FAILED_PRECONDITION : INVALID_ARGUMENT,
-                    why != null ? why : "this type is not taken here; taken are " + String.join(", ", types.keySet()));
+                    refusal != null ? FAILED_PRECONDITION : INVALID_ARGUMENT,
+                    refusal != null
+                            ? refusal
+                            : "this type is not taken here; taken are " + String.join(", ", types.keySet()));
             done();
             return;
         }
-        // Only what makes sense shows that the service is well.
+        // Only a message of a known type shows that the service works: it resets the backoff.
         failures = 0;
         run.nonce = message.nonce;
         Version offered;
@@ -310,17 +313,17 @@
         if (reply.isAck()) {
             ack(run, offered);
         } else if (reply.kind() == Kind.FULL_STATE_NEEDED) {
-            wantWhole(run, reply.reason());
+            requestFullState(run, reply.reason());
         } else if (reply.kind() != Kind.CHECK || heldBack != null) {
             nack(run, FAILED_PRECONDITION, heldBack != null ? heldBack : reply.reason());
         } else {
-            check(of, run, offered, message);
+            check(streamGeneration, run, offered, message);
             return;
         }
         done();
     }
 
-    /** Why this scheduler does not take part in it yet, or null. */
+    /** Returns why the rollout does not include this scheduler yet, or null if it does. */
     private String heldBack(JsonObject message) {
         JsonElement given = message.get("rollout");
         if (given == null || !given.isJsonObject()) {
@@ -332,7 +335,7 @@
         return place < share ? null : "held back: " + name + " stands at " + place + ", the share is " + share;
     }
 
-    private void check(int of, TypeRun run, Version offered, Message message) {
+    private void check(int streamGeneration, TypeRun run, Version offered, Message message) {
         JsonArray runs = run.running;
         reading.execute(() -> {
             List<String> findings = new ArrayList<>();
@@ -347,87 +350,89 @@
                 read = findings.isEmpty() ? run.type.read(resources) : null;
                 findings.addAll(read == null ? List.of() : read.findings);
             } catch (RuntimeException | StackOverflowError e) {
-                // A reader's fault must end in an answer: without one, every later line would wait.
-                LOG.error("a {} could not be read", run.type.name(), e);
+                // A fault of a reader must still produce a reply: without one, all later lines would wait.
+                LOG.error("a {} resource could not be read", run.type.name(), e);
                 findings.add("resources: can't be read: " + e);
             }
             JsonArray whole = resources;
             ResourceType.ParsedResources sound = read;
-            back(() -> checked(of, run, offered, whole, sound, findings));
+            runOnLoop(() -> checked(streamGeneration, run, offered, whole, sound, findings));
         });
     }
 
     private void checked(
-            int of,
+            int streamGeneration,
             TypeRun run,
             Version offered,
             JsonArray resources,
             ResourceType.ParsedResources read,
             List<String> findings) {
         if (findings.isEmpty()) {
-            steps(read::prepare, () -> decided(of, run, offered, resources, read, findings));
+            steps(read::prepare, () -> conclude(streamGeneration, run, offered, resources, read, findings));
         } else {
-            decided(of, run, offered, resources, read, findings);
+            conclude(streamGeneration, run, offered, resources, read, findings);
         }
     }
 
-    /** A step a turn, and I/O between them, until one says false: a large set must not hold the loop. */
+    /** Runs one step per turn, with I/O in between, until one returns false: a large set must not block the loop. */
     private void steps(BooleanSupplier step, Runnable then) {
         long began = System.nanoTime();
         long ran = CPU.getCurrentThreadCpuTime();
         boolean more = step.getAsBoolean();
-        most("config.step_most_us", (System.nanoTime() - began) / 1000);
-        most("config.step_cpu_most_us", (CPU.getCurrentThreadCpuTime() - ran) / 1000);
-        loop.deadlines().at(loop.micros() + BETWEEN_STEPS, more ? () -> steps(step, then) : then);
+        recordMax("config.step_most_us", (System.nanoTime() - began) / 1000);
+        recordMax("config.step_cpu_most_us", (CPU.getCurrentThreadCpuTime() - ran) / 1000);
+        loop.deadlines().at(loop.micros() + STEP_INTERVAL_US, more ? () -> steps(step, then) : then);
     }
 
-    private void most(String name, long value) {
+    private void recordMax(String name, long value) {
         counters.set(name, Math.max(value, counters.get(name)));
     }
 
-    private void decided(
-            int of,
+    private void conclude(
+            int streamGeneration,
             TypeRun run,
             Version offered,
             JsonArray resources,
             ResourceType.ParsedResources read,
             List<String> findings) {
-        // Meanwhile the stream may have ended, or what ran been taken back.
-        if (of == generation && isUp && run.track.classifyFull(offered).kind() == Kind.CHECK) {
+        // The stream may have ended, or the running version been rolled back, in the meantime.
+        if (streamGeneration == generation
+                && isUp
+                && run.track.classifyFull(offered).kind() == Kind.CHECK) {
             if (findings.isEmpty()) {
                 adopt(run, offered, resources, read);
                 ack(run, offered);
-                // Before the next line: what is left over is nobody's to speak for but this one's.
+                // Clean-up finishes before the next line is read, since it belongs to this version alone.
                 steps(read::cleanUp, this::done);
                 return;
             } else {
                 String reason = String.join("\n", findings);
                 run.track.refuse(offered, reason);
-                history.add(run.type.url(), offered.toString(), "refused", streamAt, reason);
+                history.add(run.type.url(), offered.toString(), "refused", streamAddress, reason);
                 nack(run, INVALID_ARGUMENT, reason);
             }
-        } else if (of == generation && isUp) {
+        } else if (streamGeneration == generation && isUp) {
             nack(run, FAILED_PRECONDITION, run.track.classifyFull(offered).reason());
         }
         done();
     }
 
-    // ---- adopting and taking back ----
+    // ---- adoption and rollback ----
 
-    /** All of it in this turn: what comes in later sees the new state, what is open goes on. */
+    /** Adopts the version within this turn: later requests see the new state, open ones continue. */
     private void adopt(TypeRun run, Version offered, JsonArray resources, ResourceType.ParsedResources read) {
         long began = System.nanoTime();
         long ran = CPU.getCurrentThreadCpuTime();
         boolean first = !run.hasGood();
-        run.adopt(offered, resources, read, streamAt, wall.getAsLong());
+        run.adopt(offered, resources, read, streamAddress, wall.getAsLong());
         long took = (System.nanoTime() - began) / 1000;
         adoptions.recordValue(took);
         counters.set("config.adopt_p99_us", adoptions.getValueAtPercentile(99));
         counters.set("config.adopt_most_us", adoptions.getMaxValue());
-        most("config.adopt_cpu_most_us", (CPU.getCurrentThreadCpuTime() - ran) / 1000);
+        recordMax("config.adopt_cpu_most_us", (CPU.getCurrentThreadCpuTime() - ran) / 1000);
         counters.add("config.adopted");
-        history.add(run.type.url(), offered.toString(), "adopted", streamAt, String.join(";", run.later));
-        stamp();
+        history.add(run.type.url(), offered.toString(), "adopted", streamAddress, String.join(";", run.needRestart));
+        startEpoch();
         if (config.probation > 0 && !first) {
             trial.versionAdopted(loop.micros(), scheduler.countsByClass(), group);
         } else {
@@ -435,7 +440,7 @@
         }
     }
 
-    private void look() {
+    private void evaluateTrial() {
         long now = loop.micros();
         boolean running = trial.isRunning();
         Probation.Finding finding = trial.evaluate(now, scheduler.countsByClass(), group);
@@ -447,10 +452,10 @@
                 history.add(run.type.url(), run.track.running().toString(), "settled", run.from, finding.figures());
             });
         }
-        loop.deadlines().set(look, trial.nextEvaluation(now));
+        loop.deadlines().set(trialTimer, trial.nextEvaluation(now));
     }
 
-    /** All that is on trial goes: which of several broke service can't be told. */
+    /** Rolls back every version on trial, since it is unknown which of them degraded service. */
     private void takeBack(String figures) {
         for (TypeRun run : types.values()) {
             if (!run.track.isOnTrial()) {
@@ -462,34 +467,34 @@
             history.add(run.type.url(), broken.toString(), "taken_back", run.from, figures);
             nack(run, FAILED_PRECONDITION, "version " + broken + " was taken back: " + figures);
         }
-        stamp();
+        startEpoch();
     }
 
     // ---- counts ----
 
-    private void takeGroup(JsonObject message) {
+    private void readGroup(JsonObject message) {
         JsonElement classes = message.get("classes");
         if (classes == null || !classes.isJsonObject()) {
             counters.add("config.bad_group");
             return;
         }
-        long[][] given = new long[classNames.length][COUNTS.length];
+        long[][] given = new long[classNames.length][COUNT_KEYS.length];
         for (int i = 0; i < classNames.length; i++) {
             JsonElement one = classes.getAsJsonObject().get(classNames[i]);
-            for (int k = 0; k < COUNTS.length && one != null && one.isJsonObject(); k++) {
-                given[i][k] = (long) Message.number(one.getAsJsonObject(), COUNTS[k], 0);
+            for (int k = 0; k < COUNT_KEYS.length && one != null && one.isJsonObject(); k++) {
+                given[i][k] = (long) Message.number(one.getAsJsonObject(), COUNT_KEYS[k], 0);
             }
         }
         group = given;
     }
 
-    private void tellFigures() {
+    private void sendFigures() {
         if (isUp) {
             JsonObject classes = new JsonObject();
             for (int i = 0; i < classNames.length; i++) {
                 JsonObject one = new JsonObject();
-                for (int k = 0; k < COUNTS.length; k++) {
-                    one.addProperty(COUNTS[k], scheduler.countsByClass()[i][k]);
+                for (int k = 0; k < COUNT_KEYS.length; k++) {
+                    one.addProperty(COUNT_KEYS[k], scheduler.countsByClass()[i][k]);
                 }
                 classes.add(classNames[i], one);
             }
@@ -498,10 +503,10 @@
             message.add("classes", classes);
             stream.send(message.toString());
         }
-        loop.deadlines().set(tell, loop.micros() + config.figures);
+        loop.deadlines().set(figuresTimer, loop.micros() + config.figures);
     }
 
-    // ---- words ----
+    // ---- messages ----
 
     private JsonObject node() {
         JsonObject request = new JsonObject();
@@ -523,14 +528,14 @@
     private void ack(TypeRun run, Version offered) {
         counters.add("config.acked");
         JsonObject request = request(run);
-        if (!run.later.isEmpty()) {
-            // No word of xDS says so; silence would have the service believe that all of it runs.
-            request.add("restart_needed", TypeRun.words(run.later));
+        if (!run.needRestart.isEmpty()) {
+            // An extension to xDS: without it the service would take all of the version to be in effect.
+            request.add("restart_needed", TypeRun.toJson(run.needRestart));
         }
         stream.send(request.toString());
     }
 
-    private void wantWhole(TypeRun run, String reason) {
+    private void requestFullState(TypeRun run, String reason) {
         counters.add("config.nacked");
         JsonObject request = request(run);
         JsonArray all = new JsonArray();
@@ -546,7 +551,7 @@
 
     private void nack(TypeRun run, String url, String nonce, int code, String reason) {
         if (!isUp) {
-            // The next stream begins with what runs.
+            // The next stream starts with the running versions.
             return;
         }
         counters.add("config.nacked");
@@ -563,14 +568,15 @@
     private static JsonObject detail(int code, String reason) {
         JsonObject detail = new JsonObject();
         detail.addProperty("code", code);
-        detail.addProperty("message", reason.length() > MOST_REASON ? reason.substring(0, MOST_REASON) : reason);
+        detail.addProperty(
+                "message", reason.length() > MAX_REASON_LENGTH ? reason.substring(0, MAX_REASON_LENGTH) : reason);
         return detail;
     }
 
     // ---- reports ----
 
-    /** From now on requests come under another state of the settings. */
-    private void stamp() {
+    /** Starts a new settings epoch and records the versions that apply to its requests. */
+    private void startEpoch() {
         int epoch = scheduler.settingsChanged();
         if (!config.tellVersions) {
             return;
@@ -584,29 +590,29 @@
                         .append(run.track.running());
             }
         });
-        stamps.put(epoch, all.toString());
-        if (stamps.size() > MOST_STAMPS) {
-            stamps.remove(stamps.keySet().iterator().next());
+        versionHeaders.put(epoch, all.toString());
+        if (versionHeaders.size() > MAX_VERSION_HEADERS) {
+            versionHeaders.remove(versionHeaders.keySet().iterator().next());
         }
     }
 
-    /** The versions that a request of that epoch came under; empty where there were none. */
+    /** Returns the versions that applied to requests of an epoch; empty if there were none. */
     public String versions(int epoch) {
-        return stamps.getOrDefault(epoch, "");
+        return versionHeaders.getOrDefault(epoch, "");
     }
 
-    /** What runs here, for whoever asks. */
+    /** Returns the running versions as JSON. */
     public String report() {
         JsonObject all = new JsonObject();
         all.addProperty("scheduler", name);
-        all.addProperty("stream", isUp ? streamAt : "");
+        all.addProperty("stream", isUp ? streamAddress : "");
         JsonObject each = new JsonObject();
         types.forEach((url, run) -> each.add(url, run.report()));
         all.add("types", each);
         return all + "\n";
     }
 
-    /** The last changes of what runs, for whoever asks. */
+    /** Returns the latest version changes as JSON. */
     public String history() {
         return history.report();
     }
--- a/src/main/java/laneflow/control/ControlConfig.java
+++ b/src/main/java/laneflow/control/ControlConfig.java
@@ -7,30 +7,30 @@
 import laneflow.config.Table;
 import laneflow.net.Loop;
 
-/** What the operators set for streamed configuration. */
+/** The operators' settings of streamed configuration. */
 public final class ControlConfig {
-    /** Control services, tried in turn. */
+    /** Addresses of control services, tried in turn. */
     public final List<String> addresses;
-    /** Where the bearer token is read from, or null; the token itself is never logged or told. */
+    /** File with the bearer token, or null; the token itself is never logged or reported. */
     public final Path tokenFile;
-    /** The folder of the last good versions, or null: none are kept. */
+    /** Folder of the last good versions; null if none are saved. */
     public final Path folder;
-    /** Address ranges that endpoints may lie in. */
+    /** Address ranges allowed for endpoints. */
     public final List<AddressRange> allowed = new ArrayList<>();
-    /** Microseconds. */
+    /** Microseconds without input after which a stream is closed. */
     public final long silence;
 
     public final long longestBackoff;
     public final long probation;
-    /** The growth of a share of requests that ends badly which takes a version back. */
+    /** Increase of the share of failed or refused requests that causes a rollback. */
     public final double bound;
 
     public final int mostLine;
-    /** Where operators ask what runs, or null: at the clients' port. */
+    /** Address for operators' queries, or null to answer them on the clients' port. */
     public final String listen;
-    /** Answers to clients carry the versions that their requests came under. */
+    /** Whether answers to clients carry the versions that applied to their requests. */
     public final boolean tellVersions;
-    /** Microseconds between two words of this scheduler's counts to the service; 0: none. */
+    /** Microseconds between two reports of this scheduler's counts to the service; 0 disables them. */
     public final long figures;
 
     private ControlConfig(Table from) {
@@ -75,7 +75,7 @@
         from.close();
     }
 
-    /** Reads the table; what is wrong becomes findings of the table's. */
+    /** Reads the table; errors are added to its findings. */
     public static ControlConfig read(Table from) {
         return new ControlConfig(from);
     }
--- a/src/main/java/laneflow/control/DestinationType.java
+++ b/src/main/java/laneflow/control/DestinationType.java
@@ -14,16 +14,16 @@
 import laneflow.net.Loop;
 
 /**
- * Destination sets as a type of the stream: what a whole one must be in sense, once its form is right. A set
- * that would leave a zone without a live endpoint, or a class without one that runs it, is none. No I/O.
+ * Destination sets as a resource type. After the schema check, a set is validated as a whole: every zone must
+ * keep a live endpoint, and every class a live endpoint that runs it. No I/O.
  */
 public final class DestinationType implements ResourceType {
     /** The type's name on the stream. */
     public static final String URL = PREFIX + "destinations";
 
-    /** Who puts sets to work. */
+    /** Applies destination sets. */
     public interface Adopter {
-        /** The set, whole, with the names of all that are in it; to be prepared and adopted. */
+        /** Creates the staged update to a complete set of endpoints; {@code named} holds their names. */
         StagedUpdate replacement(List<Entry> entries, Set<String> named);
     }
 
@@ -35,11 +35,11 @@
     private final Adopter adopter;
 
     /**
-     * The type for these zones and classes.
+     * Creates the type for these zones and classes.
      *
-     * @param allowed ranges that endpoints may lie in
-     * @param othersRun true where classes may also be run by who is in no set, as Gearman workers are
-     * @param adopter puts a sound set to work, on the loop's thread
+     * @param allowed address ranges allowed for endpoints
+     * @param othersRun whether classes may also run outside the sets, as on Gearman workers
+     * @param adopter applies a valid set, on the loop's thread
      */
     public DestinationType(
             List<String> zones, List<String> classes, List<AddressRange> allowed, boolean othersRun, Adopter adopter) {
@@ -65,12 +65,12 @@
         List<String> findings = form.findings(resources);
         List<Entry> entries = new ArrayList<>();
         if (findings.isEmpty()) {
-            for (int i = 0; i < resources.size() && findings.size() < Form.MOST_FINDINGS; i++) {
+            for (int i = 0; i < resources.size() && findings.size() < Form.MAX_FINDINGS; i++) {
                 entries.add(entry(resources.get(i).getAsJsonObject(), "resources[" + i + "]", findings));
             }
         }
         if (findings.isEmpty()) {
-            sense(entries, findings);
+            checkCoverage(entries, findings);
         }
         Set<String> named = new HashSet<>();
         entries.forEach(entry -> named.add(entry.name));
@@ -104,7 +104,7 @@
         Entry entry = new Entry();
         entry.name = from.get("name").getAsString();
         entry.dial = from.get("dial").getAsString();
-        dial(entry.dial, path, findings);
+        checkDial(entry.dial, path, findings);
         if (from.has("zone") && !zones.isEmpty()) {
             entry.zone = zones.indexOf(from.get("zone").getAsString());
             if (entry.zone < 0) {
@@ -131,7 +131,7 @@
         return entry;
     }
 
-    private void dial(String dial, String path, List<String> findings) {
+    private void checkDial(String dial, String path, List<String> findings) {
         try {
             var address = Loop.address(dial);
             if (address.getPort() == 0) {
@@ -144,8 +144,8 @@
         }
     }
 
-    /** Well formed and no sense: such a set would stop a zone, a class, or everything. */
-    private void sense(List<Entry> entries, List<String> findings) {
+    /** Rejects sets that match the schema but would leave a zone or a class without a live endpoint. */
+    private void checkCoverage(List<Entry> entries, List<String> findings) {
         for (int zone = 0; zone < Math.max(1, zones.size()); zone++) {
             int at = zone;
             List<Entry> here =
--- a/src/main/java/laneflow/control/Form.java
+++ b/src/main/java/laneflow/control/Form.java
@@ -18,18 +18,17 @@
 import java.util.Map;
 
 /**
- * The first look at a message: its form, by the type's JSON schema (draft 2020-12), which is published with
- * the program for whoever writes a control service. Besides, no two resources have one name. Not for two
- * threads at a time.
+ * Checks the resources of a message against the type's JSON schema (draft 2020-12), which ships with the
+ * program for authors of control services, and that resource names are unique. Not thread-safe.
  */
 final class Form {
-    /** A message that is wrong throughout need not be told of in full. */
-    static final int MOST_FINDINGS = 50;
+    /** Limit for messages with errors throughout. */
+    static final int MAX_FINDINGS = 50;
 
     private final Validator validator;
     private final URI schema;
 
-    /** The form of that type. */
+    /** Loads the schema of a type. */
     Form(String type) {
         try (InputStream in = Form.class.getResourceAsStream(type + ".schema.json")) {
             validator = new ValidatorFactory()
@@ -42,34 +41,34 @@
         }
     }
 
-    /** What is wrong with it, by path; at most {@link #MOST_FINDINGS}. */
+    /** Returns the errors, each with its path; at most {@link #MAX_FINDINGS}. */
     List<String> findings(JsonArray resources) {
         List<String> findings = new ArrayList<>();
         for (Error error : validator.validate(schema, (Object) resources).getErrors()) {
-            if (findings.size() >= MOST_FINDINGS) {
+            if (findings.size() >= MAX_FINDINGS) {
                 break;
             }
             String at = path(error.getInstanceLocation());
-            // An applicator's own error only repeats that something below it is wrong.
+            // An applicator's own error only repeats that a value below it is invalid.
             if (!"items".equals(error.getKeyword()) && !"properties".equals(error.getKeyword())) {
-                findings.add(at + ": " + words(error, value(resources, error.getInstanceLocation())));
+                findings.add(at + ": " + describe(error, value(resources, error.getInstanceLocation())));
             }
         }
-        names(resources, findings);
+        checkUniqueNames(resources, findings);
         return findings;
     }
 
-    private static String words(Error error, JsonElement value) {
+    private static String describe(Error error, JsonElement value) {
         if (error.getSchemaLocation().endsWith("/additionalProperties")) {
             return "is unknown";
         }
-        String is = value == null || !value.isJsonPrimitive() ? "" : value + " ";
-        return (is.length() > 80 ? is.substring(0, 77) + "... " : is) + "- " + error.getError();
+        String shown = value == null || !value.isJsonPrimitive() ? "" : value + " ";
+        return (shown.length() > 80 ? shown.substring(0, 77) + "... " : shown) + "- " + error.getError();
     }
 
-    private static void names(JsonArray resources, List<String> findings) {
+    private static void checkUniqueNames(JsonArray resources, List<String> findings) {
         Map<String, Integer> seen = new HashMap<>();
-        for (int i = 0; i < resources.size() && findings.size() < MOST_FINDINGS; i++) {
+        for (int i = 0; i < resources.size() && findings.size() < MAX_FINDINGS; i++) {
             JsonElement one = resources.get(i);
             JsonElement name = one.isJsonObject() ? one.getAsJsonObject().get("name") : null;
             if (name != null && name.isJsonPrimitive()) {
@@ -82,7 +81,7 @@
         }
     }
 
-    /** A JSON pointer as people write paths: /3/weight is resources[3].weight. */
+    /** Converts a JSON pointer to a readable path: /3/weight becomes resources[3].weight. */
     private static String path(String pointer) {
         StringBuilder path = new StringBuilder("resources");
         for (String part : pointer.split("/")) {
--- a/src/main/java/laneflow/control/History.java
+++ b/src/main/java/laneflow/control/History.java
@@ -14,29 +14,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What was adopted, turned down and taken back, when and why: one log line a change, the last ones in memory
- * for whoever asks, and a line each in a file where there is a folder. The file is for people: it is appended
- * to without a sync, and begun anew once it is large, with one former part kept. On the loop's thread, but
- * for the file.
+ * The history of adopted, rejected and rolled-back versions with their reasons. Each change is logged, kept in
+ * memory for queries and, if a folder is configured, appended to a file. The file is informational: it is not
+ * synced, and it is rotated by size with one earlier part kept. Runs on the loop's thread, except for file I/O.
  */
 final class History {
     private static final Logger LOG = LoggerFactory.getLogger(History.class);
-    private static final int MOST_HELD = 200;
-    private static final long MOST_BYTES = 1 << 20;
+    private static final int MAX_RECENT = 200;
+    private static final long MAX_FILE_BYTES = 1 << 20;
 
-    private final ArrayDeque<JsonObject> held = new ArrayDeque<>();
+    private final ArrayDeque<JsonObject> recent = new ArrayDeque<>();
     private final Path file;
     private final Executor disk;
     private final LongSupplier wall;
 
-    /** @param folder where the file lies; null: none is written */
+    /** @param folder of the file; null if none is written */
     History(Path folder, Executor disk, LongSupplier wall) {
         file = folder == null ? null : folder.resolve("history.jsonl");
         this.disk = disk;
         this.wall = wall;
     }
 
-    /** A change; empty texts are left out. */
+    /** Records a change; empty values are omitted. */
     void add(String type, String version, String verdict, String from, String reason) {
         JsonObject change = new JsonObject();
         change.addProperty("at_ms", wall.getAsLong());
@@ -49,16 +48,16 @@
         if (!reason.isEmpty()) {
             change.addProperty("reason", reason);
         }
-        held.addLast(change);
-        if (held.size() > MOST_HELD) {
-            held.removeFirst();
+        recent.addLast(change);
+        if (recent.size() > MAX_RECENT) {
+            recent.removeFirst();
         }
-        String said =
+        String reasonField =
                 reason.isEmpty() ? "" : " reason=\"" + reason.replace('\n', ';').replace('"', '\'') + "\"";
         if (verdict.equals("adopted") || verdict.equals("running") || verdict.equals("settled")) {
-            LOG.info("config type={} version={} verdict={} from={}{}", type, version, verdict, from, said);
+            LOG.info("config type={} version={} verdict={} from={}{}", type, version, verdict, from, reasonField);
         } else {
-            LOG.warn("config type={} version={} verdict={} from={}{}", type, version, verdict, from, said);
+            LOG.warn("config type={} version={} verdict={} from={}{}", type, version, verdict, from, reasonField);
         }
         if (file != null) {
             disk.execute(() -> append(change + "\n"));
@@ -67,7 +66,7 @@
 
     private void append(String line) {
         try {
-            if (Files.exists(file) && Files.size(file) > MOST_BYTES) {
+            if (Files.exists(file) && Files.size(file) > MAX_FILE_BYTES) {
                 Files.move(file, file.resolveSibling("history.1.jsonl"), StandardCopyOption.REPLACE_EXISTING);
             }
             Files.writeString(file, line, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
@@ -76,10 +75,10 @@
         }
     }
 
-    /** The last changes, the oldest first. */
+    /** Returns the latest changes as JSON, the oldest first. */
     String report() {
         JsonArray all = new JsonArray();
-        held.forEach(all::add);
+        recent.forEach(all::add);
         return all + "\n";
     }
 }
--- a/src/main/java/laneflow/control/LastGood.java
+++ b/src/main/java/laneflow/control/LastGood.java
@@ -15,25 +15,25 @@
 import laneflow.control.decision.Version;
 
 /**
- * The file of the last good version of a type, from which a scheduler starts until its control service
- * speaks. A kill at any step of writing leaves the old file or the new one, whole: the new content goes to a
- * file beside it, is synced, takes the old one's name, and the folder is synced, so that the name outlives a
- * loss of power too.
+ * The file of the last good version of a type, used from the start of a scheduler until its control service
+ * sends a version. Writing is atomic: the content is written to a temporary file, synced and renamed, and the
+ * folder is synced so that the rename survives a power loss. A kill at any step leaves the complete old or new
+ * file.
  *
- * <p>One line of text as a head, {@code laneflow-config FORMAT CRC LENGTH}, and behind it the JSON. Blocks
- * on the disk: on no I/O thread.
+ * <p>The file has a header line, {@code laneflow-config FORMAT CRC LENGTH}, followed by the JSON. The methods
+ * block on the disk and must not run on an I/O thread.
  */
 public final class LastGood {
     private static final String MAGIC = "laneflow-config";
     private static final int FORMAT = 1;
 
     private final Path file;
-    private final Path beside;
+    private final Path temporary;
 
-    /** What was kept: which version, since when (Unix time in milliseconds), and its resources. */
+    /** A saved version, its time of adoption (Unix time in milliseconds) and its resources. */
     public record SavedVersion(String type, Version version, long adoptedMs, JsonObject resources) {}
 
-    /** A file that is there and can't be used; the message says why. */
+    /** The file exists but is damaged or of another format; the message says why. */
     public static final class Unusable extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -44,10 +44,10 @@
 
     public LastGood(Path folder, String type) {
         file = folder.resolve(type + ".last-good");
-        beside = folder.resolve(type + ".last-good.new");
+        temporary = folder.resolve(type + ".last-good.new");
     }
 
-    /** Puts it in the old one's place; it is on disk when this returns. */
+    /** Replaces the file's content, which is on disk when this returns. */
     public void write(SavedVersion kept) throws IOException {
         JsonObject all = new JsonObject();
         all.addProperty("type", kept.type());
@@ -55,12 +55,12 @@
         all.addProperty("adopted_ms", kept.adoptedMs());
         all.add("resources", kept.resources());
         byte[] body = all.toString().getBytes(StandardCharsets.UTF_8);
-        byte[] head =
-                (MAGIC + " " + FORMAT + " " + sum(body) + " " + body.length + "\n").getBytes(StandardCharsets.US_ASCII);
+        byte[] header = (MAGIC + " " + FORMAT + " " + checksum(body) + " " + body.length + "\n")
+                .getBytes(StandardCharsets.US_ASCII);
         try (FileChannel out = FileChannel.open(
-                beside, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
-            ByteBuffer bytes = ByteBuffer.allocate(head.length + body.length)
-                    .put(head)
+                temporary, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
+            ByteBuffer bytes = ByteBuffer.allocate(header.length + body.length)
+                    .put(header)
                     .put(body)
                     .flip();
             while (bytes.hasRemaining()) {
@@ -68,32 +68,32 @@
             }
             out.force(true);
         }
-        Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         try (FileChannel folder = FileChannel.open(file.toAbsolutePath().getParent(), StandardOpenOption.READ)) {
             folder.force(true);
         }
     }
 
-    /** Reads it; null where there is none. What is damaged or of another format is {@link Unusable}. */
+    /** Reads the file, or returns null if there is none; {@link Unusable} if it is damaged or of another format. */
     public SavedVersion read() throws IOException {
         return Files.exists(file) ? parse(Files.readAllBytes(file), file.toString()) : null;
     }
 
-    /** Reads what such a file holds; the name is for messages. */
+    /** Parses the content of a file; the name is used in messages. */
     static SavedVersion parse(byte[] all, String file) throws Unusable {
         int end = 0;
         while (end < all.length && all[end] != '\n') {
             end++;
         }
-        String[] head = new String(all, 0, end, StandardCharsets.US_ASCII).split(" ");
-        if (head.length != 4 || !head[0].equals(MAGIC)) {
+        String[] header = new String(all, 0, end, StandardCharsets.US_ASCII).split(" ");
+        if (header.length != 4 || !header[0].equals(MAGIC)) {
             throw new Unusable(file + ": is no file of a last good version");
         }
-        if (!head[1].equals(String.valueOf(FORMAT))) {
-            throw new Unusable(file + ": has format " + head[1] + ", this build reads " + FORMAT);
+        if (!header[1].equals(String.valueOf(FORMAT))) {
+            throw new Unusable(file + ": has format " + header[1] + ", this build reads " + FORMAT);
         }
         byte[] body = java.util.Arrays.copyOfRange(all, Math.min(all.length, end + 1), all.length);
-        if (!head[3].equals(String.valueOf(body.length)) || !head[2].equals(sum(body))) {
+        if (!header[3].equals(String.valueOf(body.length)) || !header[2].equals(checksum(body))) {
             throw new Unusable(file + ": is damaged, its content is not what was written");
         }
         try {
@@ -109,7 +109,7 @@
         }
     }
 
-    private static String sum(byte[] bytes) {
+    private static String checksum(byte[] bytes) {
         CRC32C crc = new CRC32C();
         crc.update(bytes);
         return Long.toHexString(crc.getValue());
--- a/src/main/java/laneflow/control/Message.java
+++ b/src/main/java/laneflow/control/Message.java
@@ -13,17 +13,17 @@
 import laneflow.config.Canonical;
 
 /**
- * One line of a control service, read off the loop: a whole state of a type ({@code version_info},
- * {@code resources}), or a change ({@code system_version_info}, {@code from_version}, {@code resources} with
- * a {@code resource} each, {@code removed_resources}), in the JSON forms of xDS.
+ * A message of a control service in the JSON format of xDS, parsed off the event loop. It carries the full
+ * state of a type ({@code version_info}, {@code resources}) or a delta ({@code system_version_info},
+ * {@code from_version}, {@code resources} with a {@code resource} each, {@code removed_resources}).
  */
 public final class Message {
-    private static final int FULL_DIGEST = 64;
+    private static final int SHA256_HEX_LENGTH = 64;
 
     final String type;
     final String version;
     final String nonce;
-    /** The version that a change is a change of; null for a whole state. */
+    /** The version that a delta is based on; null for a full state. */
     final String from;
 
     final JsonObject all;
@@ -32,12 +32,12 @@
         this.all = all;
         type = text(all, "type_url");
         nonce = text(all, "nonce");
-        boolean change = all.has("system_version_info");
-        version = text(all, change ? "system_version_info" : "version_info");
-        from = change ? text(all, "from_version") : null;
+        boolean isDelta = all.has("system_version_info");
+        version = text(all, isDelta ? "system_version_info" : "version_info");
+        from = isDelta ? text(all, "from_version") : null;
     }
 
-    /** Reads a line; what is no JSON object is a JsonParseException. */
+    /** Parses a line; throws JsonParseException if it is not a JSON object. */
     static Message read(byte[] line) {
         JsonElement read = JsonParser.parseString(new String(line, StandardCharsets.UTF_8));
         if (!read.isJsonObject()) {
@@ -47,10 +47,10 @@
     }
 
     /**
-     * The whole state that it means.
+     * Returns the full state that results from the message.
      *
-     * @param runs the resources that a change is applied to; null where there are none
-     * @param findings what is wrong with its frame, by path
+     * @param runs the running resources, to which a delta is applied; null if there are none
+     * @param findings receives the errors in the message's structure, each with its path
      */
     JsonArray resources(JsonArray runs, List<String> findings) {
         JsonElement given = all.get("resources");
@@ -65,7 +65,7 @@
         for (JsonElement one : runs == null ? new JsonArray() : runs) {
             byName.put(one.getAsJsonObject().get("name").getAsString(), one);
         }
-        removed(byName, findings);
+        applyRemovals(byName, findings);
         if (given != null && !given.isJsonArray()) {
             findings.add("resources: must be a list");
         } else if (given != null) {
@@ -78,7 +78,7 @@
         return whole;
     }
 
-    private void removed(Map<String, JsonElement> byName, List<String> findings) {
+    private void applyRemovals(Map<String, JsonElement> byName, List<String> findings) {
         JsonElement removed = all.get("removed_resources");
         if (removed != null && !removed.isJsonArray()) {
             findings.add("removed_resources: must be a list of names");
@@ -107,20 +107,20 @@
     }
 
     /**
-     * What speaks against the version's digest, or null. One of 64 digits is the SHA-256 of the state's
-     * canonical form and is checked; a shorter one is only a name.
+     * Returns an error if the digest does not match the resources, or null. A digest of 64 digits is the SHA-256
+     * of the canonical form and is verified; a shorter one is an opaque identifier.
      */
     static String digestFinding(String digest, JsonArray resources) {
-        if (digest.length() != FULL_DIGEST) {
+        if (digest.length() != SHA256_HEX_LENGTH) {
             return null;
         }
-        String is = digest(resources);
-        return is.equals(digest) ? null : "version_info: its digest is not that of its resources, " + is;
+        String actual = digest(resources);
+        return actual.equals(digest) ? null : "version_info: its digest is not that of its resources, " + actual;
     }
 
     /**
-     * SHA-256, in hex, of a state's canonical form: resources by name, keys in order, no white space, numbers
-     * as they were written.
+     * Returns the SHA-256, in hex, of a state's canonical form: resources sorted by name, keys sorted, no white
+     * space, numbers in their original notation.
      */
     public static String digest(JsonArray resources) {
         List<JsonElement> all = new ArrayList<>();
@@ -142,9 +142,9 @@
 
     static double number(JsonObject from, String key, double absent) {
         JsonElement value = from.get(key);
-        boolean is = value != null
+        boolean isNumber = value != null
                 && value.isJsonPrimitive()
                 && value.getAsJsonPrimitive().isNumber();
-        return is ? value.getAsDouble() : absent;
+        return isNumber ? value.getAsDouble() : absent;
     }
 }
--- a/src/main/java/laneflow/control/ResourceType.java
+++ b/src/main/java/laneflow/control/ResourceType.java
@@ -4,21 +4,21 @@
 import java.util.List;
 
 /**
- * One type of resources on the stream. Reading is apart from adopting: it is done on a thread of its own,
- * touches nothing that runs, and says all that is wrong; adopting happens on the loop, within one turn.
+ * A resource type of the stream. Reading and adopting are separate: reading runs on its own thread, reports all
+ * errors and changes no running state; adopting happens on the event loop, within one turn.
  */
 public interface ResourceType {
-    /** All types' names on the stream begin so. */
+    /** Prefix of all type names on the stream. */
     String PREFIX = "type.laneflow/";
 
     /**
-     * What a whole state of the type was read as. All but its making happens on the loop's thread; it may be
-     * adopted as often as wanted, as when a later one is taken back.
+     * The parsed full state of a type. Created on the reading thread, otherwise used on the loop's thread. It may
+     * be adopted several times, for example when a later version is rolled back.
      */
     abstract class ParsedResources {
-        /** All that is wrong, each with the path to its value; adopted is only what has none. */
+        /** All errors, each with the path to its value; only a state without any is adopted. */
         public final List<String> findings;
-        /** How many resources there are. */
+        /** Number of resources. */
         public final int count;
 
         protected ParsedResources(List<String> findings, int count) {
@@ -27,23 +27,23 @@
         }
 
         /**
-         * A step, in a turn of its own, that makes adopting a short one and changes nothing that runs; false
-         * once there is nothing left to prepare.
+         * Runs one step of preparation, in its own turn, that shortens adoption and changes no running state;
+         * returns false once nothing is left to prepare.
          */
         public boolean prepare() {
             return false;
         }
 
-        /** Puts it to work, whole; returns what of it waits for a restart, and why. */
+        /** Adopts the whole state; returns the parts that need a restart, with reasons. */
         public abstract List<String> adopt();
 
-        /** A step of what can be done behind adopting; false once there is nothing left. */
+        /** Runs one step of the work deferred until after adoption; returns false once nothing is left. */
         public boolean cleanUp() {
             return false;
         }
     }
 
-    /** The type's short name: of its file, and behind {@link #PREFIX} on the stream. */
+    /** The type's short name: used for its file, and after {@link #PREFIX} on the stream. */
     String name();
 
     /** The type's name on the stream. */
@@ -51,16 +51,16 @@
         return PREFIX + name();
     }
 
-    /** What runs before any version has come, or null where nothing does. */
+    /** The state in effect before the first version, or null if there is none. */
     default ParsedResources initial() {
         return null;
     }
 
-    /** True if the next start does with it what adopting did: what is kept was laid under the file then. */
+    /** Whether the saved version is merged into the operators' file at the next start, as adoption applied it. */
     default boolean isAppliedAtStart() {
         return true;
     }
 
-    /** Reads a whole state, in form and in sense. Any thread; nothing that runs is touched. */
+    /** Parses and validates a full state. Callable on any thread; changes no running state. */
     ParsedResources read(JsonArray resources);
 }
--- a/src/main/java/laneflow/control/SettingTypes.java
+++ b/src/main/java/laneflow/control/SettingTypes.java
@@ -19,22 +19,22 @@
 import laneflow.wire.WireException;
 
 /**
- * The types of the stream besides destination sets: classes, limits, functions of the Gearman front, settings
- * of durable jobs. A resource is what the operators' file has as a table, and is read by the same readers:
- * ranges and words are the same in both. What can't change under open requests is said to wait for a restart,
- * and the next start begins with it.
+ * The resource types other than destination sets: classes, limits, functions of the Gearman front, settings of
+ * durable jobs. A resource corresponds to a table of the operators' file and is read by the same reader, so
+ * ranges and keywords are the same in both. Settings that can't change under open requests are reported as
+ * needing a restart and take effect at the next start.
  */
 public final class SettingTypes {
 
-    /** What this process can hold: descriptors, and bytes of heap. */
+    /** Limits of this process: file descriptors, and bytes of heap. */
     public record ProcessLimits(long descriptors, long heap) {}
 
-    /** A connection's two rings, as they begin. */
+    /** Initial size of a connection's two ring buffers. */
     private static final long CONNECTION_BYTES = 2 * 2048;
 
     private SettingTypes() {}
 
-    /** A type whose reading is a function; what that adds to the findings turns it down. */
+    /** A type read by a function; a resource is rejected if the function adds findings. */
     private static final class Setting implements ResourceType {
         private final String name;
         private final Form form;
@@ -75,16 +75,16 @@
         }
     }
 
-    /** Adopts, and returns what waits for a restart. */
+    /** Adopts the settings and returns what needs a restart. */
     private interface Adopting {
         List<String> run();
     }
 
     /**
-     * Classes: aims, deadlines, stretches and worths change under traffic, and hold for requests that come
-     * from then on. Effects and windows do not: open requests and kept jobs were promised them.
+     * The type of classes. Aims, deadlines, stretches and worths change under traffic and apply to later requests.
+     * Effects and deduplication windows need a restart: open requests and durable jobs rely on them.
      *
-     * @param settings what runs; its classes are replaced, on the loop's thread
+     * @param settings the running settings, whose classes are replaced on the loop's thread
      */
     public static ResourceType classes(Settings settings, List<String> names) {
         JobClass[] first = settings.classes.clone();
@@ -92,7 +92,7 @@
             System.arraycopy(first, 0, settings.classes, 0, first.length);
             return List.of();
         };
-        return new Setting("classes", base, (resources, said) -> {
+        return new Setting("classes", base, (resources, errors) -> {
             Findings findings = Findings.paths();
             JsonArray classes = new JsonArray();
             JsonArray stretches = new JsonArray();
@@ -118,8 +118,8 @@
                     findings.add("resources", "", "class '" + name + "' is missing: it may have open requests");
                 }
             }
-            said.addAll(findings.all());
-            if (!said.isEmpty()) {
+            errors.addAll(findings.all());
+            if (!errors.isEmpty()) {
                 return null;
             }
             JsonObject all = new JsonObject();
@@ -129,28 +129,28 @@
             try {
                 read = SettingsReader.read(all.toString()).settings.classes;
             } catch (WireException e) {
-                said.add("resources: " + e.getMessage());
+                errors.add("resources: " + e.getMessage());
                 return null;
             }
             return () -> {
-                List<String> later = new ArrayList<>();
+                List<String> needRestart = new ArrayList<>();
                 for (int i = 0; i < read.length; i++) {
                     int at = names.indexOf(named.get(i));
                     if (at < 0) {
-                        later.add(named.get(i) + ": is a class from the next start on");
+                        needRestart.add(named.get(i) + ": is a class from the next start on");
                     } else {
-                        adopt(named.get(i), settings.classes, at, read[i], later);
+                        adopt(named.get(i), settings.classes, at, read[i], needRestart);
                     }
                 }
-                return later;
+                return needRestart;
             };
         });
     }
 
-    private static void adopt(String name, JobClass[] classes, int at, JobClass to, List<String> later) {
+    private static void adopt(String name, JobClass[] classes, int at, JobClass to, List<String> needRestart) {
         JobClass from = classes[at];
         if (from.effect != to.effect || from.window != to.window) {
-            later.add(name + ": repeat and window_ms from the next start on");
+            needRestart.add(name + ": repeat and window_ms from the next start on");
         }
         JobClass next = new JobClass();
         next.aim = to.aim;
@@ -166,84 +166,84 @@
         classes[at] = next;
     }
 
-    /** Limits: those on retries and refusals change under traffic, the rest waits for a restart. */
+    /** The type of limits: those on retries and refusals change under traffic, the others need a restart. */
     public static ResourceType limits(Settings settings, Config runs, ProcessLimits ceilings) {
-        int attempts = settings.maxAttempts;
-        boolean toldWhen = settings.retryAfter;
-        double longest = settings.maxRetryAfter;
+        int maxAttempts = settings.maxAttempts;
+        boolean retryAfter = settings.retryAfter;
+        double maxRetryAfter = settings.maxRetryAfter;
         int sockets = runs.sockets;
         Adopting base = () -> {
-            settings.maxAttempts = attempts;
-            settings.retryAfter = toldWhen;
-            settings.maxRetryAfter = longest;
+            settings.maxAttempts = maxAttempts;
+            settings.retryAfter = retryAfter;
+            settings.maxRetryAfter = maxRetryAfter;
             return List.of();
         };
-        return new Setting("limits", base, (resources, said) -> {
+        return new Setting("limits", base, (resources, errors) -> {
             Findings findings = Findings.paths();
             JsonObject one = resources.get(0).getAsJsonObject().deepCopy();
             one.remove("name");
             JsonElement listen = one.remove("listen");
-            listen(listen, findings);
+            checkListen(listen, findings);
             JsonObject platform = new JsonObject();
             JsonObject read = new JsonObject();
             OperatorFile.limits(Table.of(one, "resources[0]", findings), platform, read);
-            int most = platform.getAsJsonObject("limits").get("sockets").getAsInt();
-            if (most > ceilings.descriptors()) {
+            int newSockets = platform.getAsJsonObject("limits").get("sockets").getAsInt();
+            if (newSockets > ceilings.descriptors()) {
                 findings.add(
                         "resources[0]",
                         "sockets",
-                        most + " is more than the " + ceilings.descriptors()
+                        newSockets + " is more than the " + ceilings.descriptors()
                                 + " descriptors that this process may have");
             }
-            if (most * CONNECTION_BYTES > ceilings.heap() / 2) {
+            if (newSockets * CONNECTION_BYTES > ceilings.heap() / 2) {
                 findings.add(
                         "resources[0]",
                         "sockets",
-                        most + " connections begin with "
-                                + most * CONNECTION_BYTES + " bytes, more than half of the " + ceilings.heap()
+                        newSockets + " connections begin with "
+                                + newSockets * CONNECTION_BYTES + " bytes, more than half of the " + ceilings.heap()
                                 + " that this process may have");
             }
-            said.addAll(findings.all());
+            errors.addAll(findings.all());
             JsonObject limits = read.getAsJsonObject("limits");
             return () -> {
-                List<String> later = new ArrayList<>();
+                List<String> needRestart = new ArrayList<>();
                 settings.maxAttempts = limits.get("maxAttempts").getAsInt();
                 settings.retryAfter = limits.get("retryAfter").getAsBoolean();
                 settings.maxRetryAfter = limits.get("maxRetryAfter").getAsDouble();
                 if (listen != null && !listen.getAsString().equals(runs.listen)) {
-                    later.add("listen: from the next start on");
+                    needRestart.add("listen: from the next start on");
                 }
-                if (most != sockets) {
-                    later.add("sockets: " + most + " from the next start on, " + sockets + " until then");
+                if (newSockets != sockets) {
+                    needRestart.add("sockets: " + newSockets + " from the next start on, " + sockets + " until then");
                 }
                 if (limits.get("connectTimeout").getAsDouble() != settings.connectTimeout) {
-                    later.add("connect_timeout_ms: from the next start on");
+                    needRestart.add("connect_timeout_ms: from the next start on");
                 }
                 if (limits.get("cancel").getAsBoolean() != settings.mayCancel
                         || limits.get("probes").getAsBoolean() != settings.mayProbe) {
-                    later.add("cancel and probes: from the next start on");
+                    needRestart.add("cancel and probes: from the next start on");
                 }
                 if (limits.get("connIdle").getAsDouble() != runs.connIdle) {
-                    later.add("endpoint_idle_ms: from the next start on");
+                    needRestart.add("endpoint_idle_ms: from the next start on");
                 }
-                return later;
+                return needRestart;
             };
         });
     }
 
     /**
-     * The module's own choices, a resource of the name {@code module}: the coin between neighbouring zones
-     * and the budget of further attempts. They hold for the requests that come from then on.
+     * The type of the module's settings, a resource named {@code module}: the probability of choosing the
+     * neighbouring zone and the retry budget. They apply to later requests.
      */
     public static ResourceType module(Settings settings) {
         double[] first = {settings.crossEachWay, settings.furtherFree, settings.furtherShare, settings.furtherWithin};
-        return new Setting("module", () -> adopt(settings, first), (resources, said) -> {
+        return new Setting("module", () -> adopt(settings, first), (resources, errors) -> {
             Findings findings = Findings.paths();
             JsonObject one = resources.get(0).getAsJsonObject().deepCopy();
             one.remove("name");
             JsonObject rules = new JsonObject();
             OperatorFile.module(Table.of(one, "resources[0]", findings), rules);
-            said.addAll(findings.all());
+            errors.addAll(findings.all());
             double[] read = {
                 rules.get("crossEachWay").getAsDouble(),
                 rules.get("spareAttempts").getAsDouble(),
@@ -262,7 +262,7 @@
         return List.of();
     }
 
-    private static void listen(JsonElement listen, Findings findings) {
+    private static void checkListen(JsonElement listen, Findings findings) {
         try {
             if (listen != null) {
                 Loop.address(listen.getAsString());
@@ -273,12 +273,12 @@
     }
 
     /**
-     * A type whose resources are the tables of a subsystem, read by its own reader.
+     * A type whose resources are tables of a subsystem, read by that subsystem.
      *
-     * @param shape makes the subsystem's table of the resources
-     * @param base what runs before any version
-     * @param reader reads that table; what is wrong becomes findings of the table's
-     * @param adopting takes what was read, on the loop's thread, and tells what waits for a restart
+     * @param shape converts the resources to the subsystem's table
+     * @param base the settings in effect before the first version
+     * @param reader reads that table and adds errors to its findings
+     * @param adopting adopts the result on the loop's thread and returns what needs a restart
      */
     public static <T> ResourceType table(
             String name,
@@ -286,15 +286,15 @@
             Function<Table, T> reader,
             T base,
             Function<T, List<String>> adopting) {
-        return new Setting(name, () -> adopting.apply(base), (resources, said) -> {
+        return new Setting(name, () -> adopting.apply(base), (resources, errors) -> {
             Findings findings = Findings.paths();
             T read = reader.apply(Table.of(shape.apply(resources), "resources", findings));
-            said.addAll(findings.all());
+            errors.addAll(findings.all());
             return () -> adopting.apply(read);
         });
     }
 
-    /** Resources by their names, which are taken out of them. */
+    /** Returns the resources keyed by name, with the name removed from each. */
     public static JsonObject byName(JsonArray resources) {
         JsonObject all = new JsonObject();
         resources.forEach(resource -> {
--- a/src/main/java/laneflow/control/TypeRun.java
+++ b/src/main/java/laneflow/control/TypeRun.java
@@ -12,24 +12,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One type at this scheduler: which version runs, since when and from where, the last one that stood its
- * trial, and the file that keeps it. On the loop's thread, but for the file.
+ * The state of one resource type at this scheduler: the running version with its time and source, the last good
+ * version, and the file that saves it. Runs on the loop's thread, except for file I/O.
  */
 final class TypeRun {
     private static final Logger LOG = LoggerFactory.getLogger(TypeRun.class);
 
     final ResourceType type;
     final VersionTracker track = new VersionTracker();
-    /** What runs; null where nothing does that came by a version. Its content is never changed. */
+    /** The running resources; null before the first version. Never modified. */
     JsonArray running;
 
     String from = "";
-    /** What of it waits for a restart. */
-    List<String> later = List.of();
-    /** The newest response's nonce on the present stream. */
+    /** Parts of the running version that need a restart. */
+    List<String> needRestart = List.of();
+    /** Nonce of the latest response on the current stream. */
     String nonce = "";
 
-    private JsonArray good;
+    private JsonArray goodResources;
     private ResourceType.ParsedResources runningRead;
     private ResourceType.ParsedResources goodRead;
     private String goodFrom = "";
@@ -38,7 +38,7 @@
     private final LastGood lastGood;
     private final Executor disk;
 
-    /** @param lastGood null where none is kept */
+    /** @param lastGood null if versions are not saved */
     TypeRun(ResourceType type, LastGood lastGood, Executor disk) {
         this.type = type;
         this.lastGood = lastGood;
@@ -47,12 +47,12 @@
         goodRead = runningRead;
     }
 
-    /** True if something runs that a version can be compared with and taken back to. */
+    /** Returns whether there is a good state to compare a version with and to roll back to. */
     boolean hasGood() {
         return goodRead != null;
     }
 
-    /** At the start: what the file holds runs, as good. */
+    /** Starts with the saved version, which counts as good. */
     void startAt(LastGood.SavedVersion kept, ResourceType.ParsedResources read) {
         runningRead = read;
         goodRead = read;
@@ -60,15 +60,15 @@
         running = kept.resources().getAsJsonArray("resources");
         from = "last-good";
         since = kept.adoptedMs();
-        // Where the start itself was made with it, adopting it again tells that nothing waits any more.
-        later = read.adopt();
-        good = running;
+        // If the settings were already loaded from this version, adopting it reports nothing that needs a restart.
+        needRestart = read.adopt();
+        goodResources = running;
         goodFrom = from;
         goodSince = since;
     }
 
     void adopt(Version version, JsonArray resources, ResourceType.ParsedResources read, String at, long nowMs) {
-        later = read.adopt();
+        needRestart = read.adopt();
         runningRead = read;
         track.accept(version);
         running = resources;
@@ -76,10 +76,10 @@
         since = nowMs;
     }
 
-    /** What runs is good: the next start may begin with it. */
+    /** Marks the running version as good and saves it for the next start. */
     void settle() {
         track.settle();
-        good = running;
+        goodResources = running;
         goodRead = runningRead;
         goodFrom = from;
         goodSince = since;
@@ -93,17 +93,17 @@
             try {
                 lastGood.write(kept);
             } catch (IOException e) {
-                LOG.error("the last good {} could not be kept: {}", type.name(), e.getMessage());
+                LOG.error("the last good version of {} could not be saved: {}", type.name(), e.getMessage());
             }
         });
     }
 
-    /** Back to the last good one, or to what ran before any version. */
+    /** Rolls back to the last good version, or to the state before the first version. */
     void takeBack(String reason) {
         track.takeBack(reason);
-        running = good;
+        running = goodResources;
         runningRead = goodRead;
-        later = goodRead.adopt();
+        needRestart = goodRead.adopt();
         from = goodFrom;
         since = goodSince;
     }
@@ -115,8 +115,8 @@
         one.addProperty("from", from);
         one.addProperty("on_trial", track.isOnTrial());
         one.addProperty("gaps", track.gaps());
-        if (!later.isEmpty()) {
-            one.add("restart_needed", words(later));
+        if (!needRestart.isEmpty()) {
+            one.add("restart_needed", toJson(needRestart));
         }
         Map.Entry<Version, String> last = track.lastRefused();
         if (last != null) {
@@ -128,7 +128,7 @@
         return one;
     }
 
-    static JsonArray words(List<String> texts) {
+    static JsonArray toJson(List<String> texts) {
         JsonArray all = new JsonArray();
         texts.forEach(all::add);
         return all;
--- a/src/main/java/laneflow/control/Warmup.java
+++ b/src/main/java/laneflow/control/Warmup.java
@@ -15,10 +15,10 @@
 import laneflow.decision.Dispatch.Settings;
 
 /**
- * Reads and adopts sets that nobody sent, at a scheduler that serves nobody, on the reading thread: what the
- * machine has compiled and loaded by then takes a tenth of the time when a large set comes. Measured with
- * 2,000 endpoints: 240 ms to read the first and 20 ms the fifth; 8.6 ms to adopt the first and 2.2 ms the
- * fifth. A part at a time, so that a line that comes meanwhile waits for one part only.
+ * Warms up the JVM's code for reading and adopting destination sets, on the reading thread, with generated sets
+ * and a scheduler that serves no requests. Code that is loaded and compiled by then reads a large set in a tenth
+ * of the time: with 2,000 endpoints, the first set took 240 ms to read and 8.6 ms to adopt, the fifth 20 ms and
+ * 2.2 ms. The work is split into parts, so that a line received meanwhile waits for one part only.
  */
 final class Warmup {
     private static final int ENDPOINTS = 250;
@@ -31,18 +31,18 @@
         Settings settings = new Settings();
         settings.classes = new JobClass[] {new JobClass()};
         Scheduler scratch = new Scheduler(settings, 1, () -> 0, new Deadlines(), new Counters());
-        Connector nobody = new Nobody();
+        Connector connector = new UnusedConnector();
         type = new DestinationType(
                 List.of("a"),
                 List.of("c"),
                 List.of(AddressRange.parse("127.0.0.0/8")),
                 false,
-                (entries, named) -> scratch.stageUpdate(nobody, entries, named));
+                (entries, named) -> scratch.stageUpdate(connector, entries, named));
     }
 
-    /** Does a part; false once there is nothing left to do. */
+    /** Runs one part; returns false once nothing is left to do. */
     boolean part() {
-        // In turn a large set and a small one: leaving is a path of its own.
+        // Large and small sets alternate, so that the removal of endpoints is warmed up as well.
         adopt(resources(round % 2 == 0 ? ENDPOINTS : 1));
         return ++round < ROUNDS;
     }
@@ -73,16 +73,16 @@
         return all.toString();
     }
 
-    /** The connector of endpoints that are never called. */
-    private static final class Nobody implements Connector {
+    /** A connector for endpoints that are never called. */
+    private static final class UnusedConnector implements Connector {
         @Override
         public void open(Attempt call) {
-            throw new IllegalStateException("nobody asks here");
+            throw new IllegalStateException("the warm-up opens no attempts");
         }
 
         @Override
         public boolean close(Attempt call) {
-            throw new IllegalStateException("nobody asks here");
+            throw new IllegalStateException("the warm-up opens no attempts");
         }
 
         @Override
