--- a/src/main/java/laneflow/capacity/CapacityConfig.java
+++ b/src/main/java/laneflow/capacity/CapacityConfig.java
@@ -12,10 +12,10 @@
 
     private CapacityConfig(Table from, MembersConfig members) {
         if (members == null) {
-            from.wrong("", "needs the table [members]: capacity reports are sent with the membership datagrams");
+            from.addFinding("", "needs the table [members]: capacity reports are sent with the membership datagrams");
         }
-        roundMicros = from.whole("round_ms", 100, 20, 60_000) * 1000;
-        fanout = (int) from.whole("fanout", 2, 1, 8);
+        roundMicros = from.integer("round_ms", 100, 20, 60_000) * 1000;
+        fanout = (int) from.integer("fanout", 2, 1, 8);
         from.close();
     }
 
--- a/src/main/java/laneflow/config/Canonical.java
+++ b/src/main/java/laneflow/config/Canonical.java
@@ -9,30 +9,30 @@
 import java.util.HexFormat;
 import java.util.TreeMap;
 
-/** One form for JSON that says the same, so that a digest of it tells contents apart and nothing else. */
+/** The canonical form of JSON: a digest of it depends on the content alone, not on the order of keys. */
 public final class Canonical {
     private Canonical() {}
 
-    /** The same with keys in order; numbers as they were written. */
-    public static JsonElement ordered(JsonElement value) {
+    /** Returns the value with all object keys sorted; numbers keep their original notation. */
+    public static JsonElement sortKeys(JsonElement value) {
         if (value.isJsonArray()) {
-            JsonArray all = new JsonArray();
-            value.getAsJsonArray().forEach(one -> all.add(ordered(one)));
-            return all;
+            JsonArray sorted = new JsonArray();
+            value.getAsJsonArray().forEach(one -> sorted.add(sortKeys(one)));
+            return sorted;
         }
         if (!value.isJsonObject()) {
             return value;
         }
-        JsonObject all = new JsonObject();
-        new TreeMap<>(value.getAsJsonObject().asMap()).forEach((key, one) -> all.add(key, ordered(one)));
-        return all;
+        JsonObject sorted = new JsonObject();
+        new TreeMap<>(value.getAsJsonObject().asMap()).forEach((key, one) -> sorted.add(key, sortKeys(one)));
+        return sorted;
     }
 
-    /** SHA-256, in lower-case hex, of a value's canonical form without white space. */
+    /** Returns the SHA-256, in lower-case hex, of the canonical form without white space. */
     public static String digest(JsonElement value) {
         try {
             byte[] sum = MessageDigest.getInstance("SHA-256")
-                    .digest(ordered(value).toString().getBytes(StandardCharsets.UTF_8));
+                    .digest(sortKeys(value).toString().getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(sum);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every Java platform has SHA-256", e);
--- a/src/main/java/laneflow/config/OperatorFile.java
+++ b/src/main/java/laneflow/config/OperatorFile.java
@@ -10,13 +10,13 @@
 import java.util.Map;
 
 /**
- * The operators' own file, {@code deploy/laneflow.toml}: what the platform's file says of a scheduler in the
- * operators' words, and the tables of the subsystems. This class reads the first part and writes it in the
- * platform's form, so that one reader makes settings of both; the tables are left to their subsystems.
+ * The operators' configuration file, {@code deploy/laneflow.toml}. It holds the scheduler's settings and the
+ * tables of the subsystems. This class translates the settings into the format of the platform's file, so that
+ * one reader serves both formats; each subsystem reads its own table.
  */
 public final class OperatorFile {
     private static final double HOUR_MS = 3_600_000;
-    private static final String NAME = "[A-Za-z0-9_.-]{1,64}";
+    private static final String NAME_PATTERN = "[A-Za-z0-9_.-]{1,64}";
 
     private final Table root;
     private final JsonObject platform = new JsonObject();
@@ -41,31 +41,31 @@
         tasks = root.table("tasks");
         capacity = root.table("capacity");
         maintenance = root.table("maintenance");
-        top();
+        readTopLevel();
         root.close();
     }
 
-    /** Reads the file; what is wrong with it waits in {@link #findings}. */
+    /** Reads the file; errors are collected in {@link #findings}. */
     public static OperatorFile read(Path file) throws IOException {
         return parse(Files.readString(file), file.toString());
     }
 
     /**
-     * The same file with streamed resources in the place of what it says of them, by type: classes, limits,
-     * functions, durable.
+     * Reads the file with streamed resources, by type, in place of its own tables: classes, limits, functions,
+     * durable.
      */
     public static OperatorFile read(Path file, Map<String, JsonArray> streamed) throws IOException {
         Table root = Table.parse(Files.readString(file), new Findings(file + " under the last good versions"));
-        streamed.forEach((type, resources) -> lay(root, type, resources));
+        streamed.forEach((type, resources) -> replaceTable(root, type, resources));
         return new OperatorFile(root);
     }
 
-    private static void lay(Table root, String type, JsonArray resources) {
+    private static void replaceTable(Table root, String type, JsonArray resources) {
         JsonObject named = new JsonObject();
-        JsonObject only = new JsonObject();
+        JsonObject resourceTable = new JsonObject();
         for (JsonElement resource : resources) {
-            only = resource.getAsJsonObject().deepCopy();
-            named.add(only.remove("name").getAsString(), only);
+            resourceTable = resource.getAsJsonObject().deepCopy();
+            named.add(resourceTable.remove("name").getAsString(), resourceTable);
         }
         if (type.equals("functions")) {
             if (root.has("gearman")) {
@@ -74,14 +74,14 @@
         } else if (type.equals("classes")) {
             root.put("classes", named);
         } else {
-            if (only.has("listen")) {
-                root.put("listen", only.remove("listen"));
+            if (resourceTable.has("listen")) {
+                root.put("listen", resourceTable.remove("listen"));
             }
-            root.put(type, only);
+            root.put(type, resourceTable);
         }
     }
 
-    /** Reads a text that goes by that name. */
+    /** Parses a text; the name is used in findings. */
     public static OperatorFile parse(String text, String name) {
         return new OperatorFile(Table.parse(text, new Findings(name)));
     }
@@ -90,58 +90,58 @@
         return root.findings();
     }
 
-    /** The table of the Gearman front, or null where it is off. */
+    /** The table of the Gearman front, or null if it is disabled. */
     public Table gearman() {
         return gearman;
     }
 
-    /** The table of durable jobs, or null where they are off. */
+    /** The table of durable jobs, or null if they are disabled. */
     public Table durable() {
         return durable;
     }
 
-    /** The table of streamed configuration, or null where it is off. */
+    /** The table of streamed configuration, or null if it is disabled. */
     public Table control() {
         return control;
     }
 
-    /** The table of the link between schedulers, or null where there is none. */
+    /** The table of the links between schedulers, or null if there are none. */
     public Table fleet() {
         return fleet;
     }
 
-    /** The table of changes of policy over the whole fleet, or null where they are off. */
+    /** The table of fleet-wide policy changes, or null if they are disabled. */
     public Table policy() {
         return policy;
     }
 
-    /** The table of the view that schedulers keep of each other, or null where it is off. */
+    /** The table of the schedulers' membership, or null if it is disabled. */
     public Table members() {
         return members;
     }
 
-    /** The table of tasks that the fleet does once, or null. */
+    /** The table of tasks that run once in the fleet, or null if there is none. */
     public Table tasks() {
         return tasks;
     }
 
-    /** The table of free capacity told among schedulers, or null where it is off. */
+    /** The table of free capacity shared among schedulers, or null if it is disabled. */
     public Table capacity() {
         return capacity;
     }
 
-    /** The table of maintenance windows, or null where they are off. */
+    /** The table of maintenance windows, or null if they are disabled. */
     public Table maintenance() {
         return maintenance;
     }
 
-    /** What is said of the scheduler, in the platform's form. */
+    /** The scheduler's settings in the format of the platform's file. */
     public JsonObject platform() {
         return platform;
     }
 
-    /** The platform's file decides what it names; the rest is taken from here. */
-    public JsonObject under(JsonObject named) {
+    /** Merges the platform's file with this one: its values take precedence, missing ones come from here. */
+    public JsonObject withDefaults(JsonObject named) {
         return merge(named, platform);
     }
 
@@ -160,7 +160,7 @@
         return all;
     }
 
-    private void top() {
+    private void readTopLevel() {
         JsonObject settings = new JsonObject();
         for (String key : new String[] {"name", "seed"}) {
             String text = root.text(key, null);
@@ -171,7 +171,7 @@
         for (String key : new String[] {"listen", "discovery"}) {
             String text = root.text(key, null);
             if (text != null && !text.matches("[0-9.]+:[0-9]{1,5}|\\[[0-9a-fA-F:.]+\\]:[0-9]{1,5}")) {
-                root.wrong(key, "'" + text + "' is not an address and port in figures");
+                root.addFinding(key, "'" + text + "' is not an address and port in figures");
             } else if (text != null) {
                 platform.addProperty(key, text);
             }
@@ -179,7 +179,7 @@
         List<String> zones = root.texts("zones");
         String zone = root.text("zone", zones.isEmpty() ? null : zones.get(0));
         if (zone != null && !zones.contains(zone)) {
-            root.wrong("zone", "'" + zone + "' is none of the zones " + zones);
+            root.addFinding("zone", "'" + zone + "' is none of the zones " + zones);
         }
         if (!zones.isEmpty()) {
             JsonArray areas = new JsonArray();
@@ -196,28 +196,28 @@
         List.of("busy", "q", "rate", "x0").forEach(fields::add);
         JsonObject reporting = new JsonObject();
         reporting.add("fields", fields);
-        reporting.addProperty("source", root.word("load_reports", "answers", "answers", "none"));
+        reporting.addProperty("source", root.choice("load_reports", "answers", "answers", "none"));
         settings.add("reporting", reporting);
         platform.add("settings", settings);
     }
 
     private void limits(JsonObject settings) {
         Table from = root.table("limits");
-        // Left out, it is as an empty one: no retries and no cancelling is nobody's wish.
+        // A missing table counts as an empty one, so that retries and cancelling stay enabled by default.
         limits(from != null ? from : Table.of(new JsonObject(), "limits", root.findings()), platform, settings);
     }
 
-    /** Reads a table of limits into the platform's form: the scheduler's own, and those of its settings. */
+    /** Translates a table of limits into the platform's format: process limits and limits of the settings. */
     public static void limits(Table from, JsonObject platform, JsonObject settings) {
         JsonObject own = new JsonObject();
-        own.addProperty("sockets", from.whole("sockets", 1024, 96, 1 << 20));
+        own.addProperty("sockets", from.integer("sockets", 1024, 96, 1 << 20));
         platform.add("limits", own);
         JsonObject to = new JsonObject();
         to.addProperty("cancel", from.flag("cancel", true));
         to.addProperty("probes", from.flag("probes", false));
         to.addProperty("connectTimeout", from.number("connect_timeout_ms", 1000, 1, HOUR_MS) / 1000);
         to.addProperty("connIdle", from.number("endpoint_idle_ms", 10_000, 10, HOUR_MS) / 1000);
-        to.addProperty("maxAttempts", from.whole("attempts", 5, 1, 5));
+        to.addProperty("maxAttempts", from.integer("attempts", 5, 1, 5));
         to.addProperty("retryAfter", from.flag("retry_after", true));
         to.addProperty("maxRetryAfter", from.number("longest_retry_after_ms", 2000, 0, HOUR_MS) / 1000);
         settings.add("limits", to);
@@ -227,7 +227,7 @@
     private void rules(JsonObject settings) {
         JsonObject to = new JsonObject();
         Table from = root.table("rules");
-        // Left out, a drain must not be without its grace.
+        // Without the table a drain still gets its grace period.
         to.addProperty("stopSendingWithin", from == null ? 0.5 : from.number("drain_grace_ms", 500, 0, 500) / 1000);
         if (from != null) {
             to.addProperty("coldFrom", from.number("cold_share", 1, 0.01, 1));
@@ -243,14 +243,14 @@
         settings.add("rules", to);
     }
 
-    /** Reads the table of the module's own choices into the platform's form, among its rules. */
+    /** Translates the module's table into rules of the platform's format. */
     public static void module(Table from, JsonObject to) {
         to.addProperty("crossEachWay", from.number("cross_each_way", 0.5, 0, 1));
         to.addProperty("spareAttempts", from.number("retry_free", 0, 0, 1e6));
         to.addProperty("repeatRatio", from.number("retry_share", 0, 0, 5));
         double window = from.number("retry_window_ms", 0, 0, HOUR_MS);
         if (window == 0 && (from.has("retry_free") || from.has("retry_share"))) {
-            from.wrong("retry_window_ms", "is missing: in which time retry_free and retry_share are counted");
+            from.addFinding("retry_window_ms", "is missing: in which time retry_free and retry_share are counted");
         }
         to.addProperty("resendSpan", window / 1000);
         from.close();
@@ -267,7 +267,7 @@
         }
     }
 
-    /** What the platform's form says of all classes together. */
+    /** Returns the part of the platform's format that describes all classes together. */
     public static JsonObject familyInfo(JsonArray stretches) {
         JsonObject info = new JsonObject();
         info.add("classStretch", stretches);
@@ -275,26 +275,26 @@
         return info;
     }
 
-    /** Reads a class's table into the platform's form, its stretch apart. */
+    /** Translates a class's table into the platform's format, which lists stretches separately. */
     public static void classOf(String name, Table from, JsonArray classes, JsonArray stretches) {
         JsonObject to = new JsonObject();
-        if (!name.matches(NAME)) {
-            from.wrong("", "is no name of a class: letters, digits, '_', '.' and '-'");
+        if (!name.matches(NAME_PATTERN)) {
+            from.addFinding("", "is no name of a class: letters, digits, '_', '.' and '-'");
         }
         to.addProperty("name", name);
         double aim = from.number("aim_ms", 200, 1, HOUR_MS);
         double deadline = from.number("deadline_ms", 5000, 1, HOUR_MS);
         if (deadline < aim) {
-            from.wrong("deadline_ms", "is under aim_ms: nothing would be served in time");
+            from.addFinding("deadline_ms", "is under aim_ms: nothing would be served in time");
         }
         to.addProperty("aim", aim / 1000);
         to.addProperty("hardLimit", deadline / 1000);
         to.addProperty("worth", from.number("worth", 1, 0, 1e6));
-        String repeat = from.word("repeat", "never", "safe", "keyed", "never");
+        String repeat = from.choice("repeat", "never", "safe", "keyed", "never");
         to.addProperty("semantics", repeat.equals("safe") ? "pure" : repeat.equals("keyed") ? "token" : "side_effect");
         double window = from.number("window_ms", 0, 0, HOUR_MS);
         if (repeat.equals("keyed") && window == 0) {
-            from.wrong("window_ms", "is missing: how long endpoints drop a repeat of the key");
+            from.addFinding("window_ms", "is missing: how long endpoints drop a repeat of the key");
         }
         to.addProperty("dedupWindow", window / 1000);
         to.addProperty("group", "all");
@@ -311,16 +311,16 @@
             to.addProperty("dial", from.text("dial"));
             String zone = from.text("zone", zones.isEmpty() ? null : zones.get(0));
             if (zone != null && !zones.contains(zone)) {
-                from.wrong("zone", "'" + zone + "' is none of the zones " + zones);
+                from.addFinding("zone", "'" + zone + "' is none of the zones " + zones);
             }
             to.addProperty("site", zone);
-            boolean ready = from.word("state", "ready", "ready", "draining").equals("ready");
+            boolean ready = from.choice("state", "ready", "ready", "draining").equals("ready");
             to.addProperty("health", ready ? "Ready" : "Terminating");
             to.addProperty("share", from.number("weight", 1, 0, 1e6));
             to.addProperty("slots", from.number("slots", 1, 0.01, 1024));
             String rack = from.text("rack", null);
-            if (rack != null && !rack.matches(NAME)) {
-                from.wrong("rack", "is no name: letters, digits, '_', '.' and '-'");
+            if (rack != null && !rack.matches(NAME_PATTERN)) {
+                from.addFinding("rack", "is no name: letters, digits, '_', '.' and '-'");
             } else if (rack != null) {
                 to.addProperty("rack", rack);
             }
@@ -334,15 +334,15 @@
         platform.add("known", known);
     }
 
-    /** Tenants are the platform's customers, told where they may run besides. */
+    /** Translates tenants into the platform's customers, with the zones and classes they may use. */
     private void tenants(JsonObject settings, List<String> zones) {
         JsonArray customers = new JsonArray();
         root.tables("tenants").forEach((name, from) -> {
             JsonObject to = new JsonObject();
             to.addProperty("name", name);
             to.addProperty("portion", from.number("share", 1, 1e-6, 1e6));
-            among(from, "zones", zones, to);
-            among(from, "classes", List.copyOf(root.tables("classes").keySet()), to);
+            copyKnownNames(from, "zones", zones, to);
+            copyKnownNames(from, "classes", List.copyOf(root.tables("classes").keySet()), to);
             customers.add(to);
             from.close();
         });
@@ -351,12 +351,12 @@
         }
     }
 
-    private static void among(Table from, String key, List<String> known, JsonObject to) {
+    private static void copyKnownNames(Table from, String key, List<String> known, JsonObject to) {
         List<String> named = from.texts(key);
         JsonArray all = new JsonArray();
         for (String one : named) {
             if (!known.contains(one)) {
-                from.wrong(key, "'" + one + "' is none of " + known);
+                from.addFinding(key, "'" + one + "' is none of " + known);
             }
             all.add(one);
         }
--- a/src/main/java/laneflow/control/ControlConfig.java
+++ b/src/main/java/laneflow/control/ControlConfig.java
@@ -7,42 +7,42 @@
 import laneflow.config.Table;
 import laneflow.net.Loop;
 
-/** What the operators set for streamed configuration. */
+/** The operators' settings of streamed configuration. */
 public final class ControlConfig {
-    /** Control services, tried in turn. */
+    /** Addresses of control services, tried in turn. */
     public final List<String> addresses;
-    /** Where the bearer token is read from, or null; the token itself is never logged or told. */
+    /** File with the bearer token, or null; the token itself is never logged or reported. */
     public final Path tokenFile;
-    /** The folder of the last good versions, or null: none are kept. */
+    /** Folder of the last good versions; null if none are saved. */
     public final Path folder;
-    /** Address ranges that endpoints may lie in. */
+    /** Address ranges allowed for endpoints. */
     public final List<AddressRange> allowed = new ArrayList<>();
-    /** Microseconds. */
+    /** Microseconds without input after which a stream is closed. */
     public final long silence;
 
     public final long longestBackoff;
     public final long probation;
-    /** The growth of a share of requests that ends badly which takes a version back. */
+    /** Increase of the share of failed or refused requests that causes a rollback. */
     public final double bound;
 
     public final int mostLine;
-    /** Where operators ask what runs, or null: at the clients' port. */
+    /** Address for operators' queries, or null to answer them on the clients' port. */
     public final String listen;
-    /** Answers to clients carry the versions that their requests came under. */
+    /** Whether answers to clients carry the versions that applied to their requests. */
     public final boolean tellVersions;
-    /** Microseconds between two words of this scheduler's counts to the service; 0: none. */
+    /** Microseconds between two reports of this scheduler's counts to the service; 0 disables them. */
     public final long figures;
 
     private ControlConfig(Table from) {
         addresses = from.texts("addresses");
         if (addresses.isEmpty()) {
-            from.wrong("addresses", "is missing: where control services listen");
+            from.addFinding("addresses", "is missing: where control services listen");
         }
         for (String address : addresses) {
             try {
                 Loop.address(address);
             } catch (IllegalArgumentException e) {
-                from.wrong("addresses", e.getMessage());
+                from.addFinding("addresses", e.getMessage());
             }
         }
         String token = from.text("token_file", null);
@@ -54,28 +54,28 @@
             try {
                 allowed.add(AddressRange.parse(range));
             } catch (IllegalArgumentException e) {
-                from.wrong("allowed_endpoints", e.getMessage());
+                from.addFinding("allowed_endpoints", e.getMessage());
             }
         }
-        silence = from.whole("silence_ms", 10_000, 50, 3_600_000) * 1000;
-        longestBackoff = from.whole("longest_backoff_ms", 10_000, 10, 3_600_000) * 1000;
-        probation = from.whole("probation_ms", 30_000, 0, 3_600_000) * 1000;
+        silence = from.integer("silence_ms", 10_000, 50, 3_600_000) * 1000;
+        longestBackoff = from.integer("longest_backoff_ms", 10_000, 10, 3_600_000) * 1000;
+        probation = from.integer("probation_ms", 30_000, 0, 3_600_000) * 1000;
         bound = from.number("worse_by", 0.02, 0.001, 1);
-        mostLine = (int) from.whole("most_line_kib", 8192, 1, 65_536) * 1024;
+        mostLine = (int) from.integer("most_line_kib", 8192, 1, 65_536) * 1024;
         listen = from.text("listen", null);
         try {
             if (listen != null) {
                 Loop.address(listen);
             }
         } catch (IllegalArgumentException e) {
-            from.wrong("listen", e.getMessage());
+            from.addFinding("listen", e.getMessage());
         }
         tellVersions = from.flag("tell_versions", false);
-        figures = from.whole("figures_ms", 1000, 0, 3_600_000) * 1000;
+        figures = from.integer("figures_ms", 1000, 0, 3_600_000) * 1000;
         from.close();
     }
 
-    /** Reads the table; what is wrong becomes findings of the table's. */
+    /** Reads the table; errors are added to its findings. */
     public static ControlConfig read(Table from) {
         return new ControlConfig(from);
     }
--- a/src/main/java/laneflow/durable/DurableConfig.java
+++ b/src/main/java/laneflow/durable/DurableConfig.java
@@ -48,11 +48,11 @@
         classNames = names;
         String folder = from.text("dir");
         dir = Path.of(folder.isEmpty() ? "." : folder);
-        maxStoreBytes = from.whole("store_mib", 1024, 1, 1 << 20) * MIB;
-        maxJobs = from.whole("most_jobs", 250_000, 1, 10_000_000);
-        maxBytes = from.whole("most_mib", 64, 1, 1 << 16) * MIB;
+        maxStoreBytes = from.integer("store_mib", 1024, 1, 1 << 20) * MIB;
+        maxJobs = from.integer("most_jobs", 250_000, 1, 10_000_000);
+        maxBytes = from.integer("most_mib", 64, 1, 1 << 16) * MIB;
         retentionMs = (long) (from.number("retention_s", 3600, 1, 30 * DAY_MS / 1000) * 1000);
-        maxRunning = (int) from.whole("most_at_work", 64, 1, 10_000);
+        maxRunning = (int) from.integer("most_at_work", 64, 1, 10_000);
         classes = new ClassConfig[names.size()];
         for (int i = 0; i < classes.length; i++) {
             classes[i] = new ClassConfig();
@@ -64,14 +64,14 @@
         from.tables("classes").forEach((name, one) -> {
             int at = names.indexOf(name);
             if (at < 0) {
-                one.wrong("", "'" + name + "' is not one of the classes " + names);
+                one.addFinding("", "'" + name + "' is not one of the classes " + names);
                 return;
             }
             ClassConfig to = classes[at];
             to.leaseMs = (long) one.number("lease_ms", to.leaseMs, 50, DAY_MS);
             to.maxLeaseMs = (long) one.number("longest_ms", 10 * to.leaseMs, to.leaseMs, 30 * DAY_MS);
-            to.maxJobs = one.whole("most_jobs", maxJobs, 0, maxJobs);
-            to.maxBytes = one.whole("most_mib", maxBytes / MIB, 0, maxBytes / MIB) * MIB;
+            to.maxJobs = one.integer("most_jobs", maxJobs, 0, maxJobs);
+            to.maxBytes = one.integer("most_mib", maxBytes / MIB, 0, maxBytes / MIB) * MIB;
             to.respondAsync = one.flag("respond_async", true);
             one.close();
         });
--- a/src/main/java/laneflow/maintenance/MaintenanceConfig.java
+++ b/src/main/java/laneflow/maintenance/MaintenanceConfig.java
@@ -52,22 +52,22 @@
 
     private MaintenanceConfig(Table from, PolicyConfig policy, TaskConfig tasks, JsonObject settings, JsonArray hosts) {
         if (policy == null) {
-            from.wrong("", "needs the table [policy], whose voters keep windows");
+            from.addFinding("", "needs the table [policy], whose voters keep windows");
         } else if (policy.servesWithoutLease) {
-            from.wrong(
+            from.addFinding(
                     "",
                     "needs [policy] cut_off = \"stop\": one that serves on while it is cut off would"
                             + " send to racks that are down");
         }
         if (tasks == null) {
-            from.wrong("", "needs the table [tasks]: coordinating is a task that the fleet does once");
+            from.addFinding("", "needs the table [tasks]: coordinating is a task that the fleet does once");
         }
         inventory = InventoryReader.read(settings, hosts, from.findings());
         racks = racks(hosts);
         long step = millis(from, "step_ms", 15 * MINUTE_MS, 10, DAY_MS);
         long horizon = millis(from, "ahead_ms", 14 * DAY_MS, 1000, MAX_HORIZON_MS);
         if (horizon / step > MAX_STEPS || horizon < step) {
-            from.wrong("ahead_ms", "is " + horizon / step + " times step_ms, and has to be 1 to " + MAX_STEPS);
+            from.addFinding("ahead_ms", "is " + horizon / step + " times step_ms, and has to be 1 to " + MAX_STEPS);
         }
         long drain = millis(from, "drain_ms", 10 * MINUTE_MS, 10, DAY_MS);
         fairnessLimits = new Fairness.Limits(
@@ -82,7 +82,7 @@
                 drain,
                 millis(from, "return_ms", 10 * MINUTE_MS, 10, DAY_MS),
                 from.number("reserve", 0, 0, 1),
-                (int) from.whole("most_flows", 1500, 1, 100_000));
+                (int) from.integer("most_flows", 1500, 1, 100_000));
         timeouts = new Coordinator.Timeouts(
                 drain,
                 millis(from, "begin_ms", 30 * MINUTE_MS, 10, DAY_MS),
@@ -96,10 +96,10 @@
         if (timeouts.early() * 1000 < 2 * pollMicros) {
             // With a shorter lead the coordinator could miss the notice between two polls, plan the window
             // again, and miss that notice too.
-            from.wrong("early_ms", "is less than two looks, of look_ms each");
+            from.addFinding("early_ms", "is less than two looks, of look_ms each");
         }
         silenceMicros = millis(from, "silent_ms", -1, 0, DAY_MS) * 1000;
-        lostAfter = (int) from.whole("lost_after", 3, 1, 1000);
+        lostAfter = (int) from.integer("lost_after", 3, 1, 1000);
         lostShare = from.number("lost_share", 0.25, 0.001, 1);
         warmUpMillis = millis(from, "warm_ms", 0, 0, DAY_MS);
         demandHalfLifeMillis = millis(from, "demand_half_ms", MINUTE_MS, 10, DAY_MS);
@@ -108,7 +108,7 @@
     }
 
     private static long millis(Table from, String key, long absent, long least, long most) {
-        return from.whole(key, absent, least, most);
+        return from.integer(key, absent, least, most);
     }
 
     private static SortedMap<String, List<String>> racks(JsonArray hosts) {
--- a/src/main/java/laneflow/membership/Members.java
+++ b/src/main/java/laneflow/membership/Members.java
@@ -285,7 +285,7 @@
             return true;
         }
         for (AddressRange range : config.allowed) {
-            if (range.holds(from.getAddress())) {
+            if (range.contains(from.getAddress())) {
                 return true;
             }
         }
--- a/src/main/java/laneflow/task/TaskConfig.java
+++ b/src/main/java/laneflow/task/TaskConfig.java
@@ -32,37 +32,38 @@
 
     private TaskConfig(Table from, PolicyConfig policy) {
         if (policy == null) {
-            from.wrong("", "needs the table [policy], whose voters assign tasks");
+            from.addFinding("", "needs the table [policy], whose voters assign tasks");
         }
         long lease = policy == null ? Long.MAX_VALUE : policy.leaseMicros;
         String folder = from.text("stores", null);
         stores = folder == null ? null : Path.of(folder);
-        adoptAfter = from.whole("adopt_after_ms", 60_000, 100, 86_400_000) * 1000;
+        adoptAfter = from.integer("adopt_after_ms", 60_000, 100, 86_400_000) * 1000;
         from.tables("hooks").forEach((name, table) -> {
             if (!name.matches(NAME)) {
-                table.wrong("", "'" + name + "' is not a valid name: up to 64 letters, digits, '_', '.' and '-'");
+                table.addFinding("", "'" + name + "' is not a valid name: up to 64 letters, digits, '_', '.' and '-'");
             }
             String address = table.text("at");
             try {
                 Loop.address(address);
             } catch (IllegalArgumentException e) {
-                table.wrong("at", e.getMessage());
+                table.addFinding("at", e.getMessage());
             }
             String path = table.text("path", "/");
             if (!path.matches("/[!-~]*")) {
-                table.wrong("path", "'" + path + "' is not a valid path: it must begin with '/' and contain no spaces");
+                table.addFinding(
+                        "path", "'" + path + "' is not a valid path: it must begin with '/' and contain no spaces");
             }
-            long period = table.whole("every_ms", 1000, 10, 86_400_000) * 1000;
-            long timeout = table.whole("most_ms", 250, 1, 600_000) * 1000;
+            long period = table.integer("every_ms", 1000, 10, 86_400_000) * 1000;
+            long timeout = table.integer("most_ms", 250, 1, 600_000) * 1000;
             if (timeout > lease / 2) {
-                table.wrong(
+                table.addFinding(
                         "most_ms",
                         "is more than half of [policy] lease_ms: a call must end within its"
                                 + " lease, and a renewed lease is certain to have that much time left");
             }
-            String late = table.word("late_calls", "", "checked", "harmless");
+            String late = table.choice("late_calls", "", "checked", "harmless");
             if (late.isEmpty()) {
-                table.wrong(
+                table.addFinding(
                         "late_calls",
                         "must say what makes a call safe that arrives after its lease, e.g. from a"
                                 + " process that was suspended: 'checked', its receiver rejects a Task-Token"
--- a/src/test/java/laneflow/control/VersionTrackerTest.java
+++ b/src/test/java/laneflow/control/VersionTrackerTest.java
@@ -34,7 +34,7 @@
     }
 
     private static void hear(VersionTracker track, Version offered) {
-        if (track.whole(offered).kind() == Kind.LOOK) {
+        if (track.classifyFull(offered).kind() == Kind.CHECK) {
             if (bad(offered)) {
                 track.refuse(offered, "bad");
             } else {
@@ -46,40 +46,42 @@
     @Test
     void eachMessageHasOneAnswer() {
         VersionTracker track = new VersionTracker();
-        assertEquals(Kind.LOOK, track.whole(version(4, "aa")).kind());
+        assertEquals(Kind.CHECK, track.classifyFull(version(4, "aa")).kind());
         track.accept(version(4, "aa"));
         track.settle();
-        assertTrue(track.whole(version(4, "aa")).isAck());
-        assertEquals(Kind.OLDER, track.whole(version(2, "ff")).kind());
+        assertTrue(track.classifyFull(version(4, "aa")).isAck());
+        assertEquals(Kind.OLDER, track.classifyFull(version(2, "ff")).kind());
         assertEquals(
                 "version 4-aa runs, of the same number",
-                track.whole(version(4, "a9")).reason());
-        assertEquals(Kind.LOOK, track.whole(version(4, "ab")).kind());
+                track.classifyFull(version(4, "a9")).reason());
+        assertEquals(Kind.CHECK, track.classifyFull(version(4, "ab")).kind());
         track.refuse(version(5, "bb"), "no live endpoint in zone celje-1");
-        assertEquals(Kind.REFUSED, track.whole(version(5, "bb")).kind());
+        assertEquals(Kind.REFUSED, track.classifyFull(version(5, "bb")).kind());
         assertEquals(
                 "no live endpoint in zone celje-1",
-                track.whole(version(5, "bb")).reason());
-        assertEquals(Kind.LOOK, track.whole(version(5, "bc")).kind());
+                track.classifyFull(version(5, "bb")).reason());
+        assertEquals(Kind.CHECK, track.classifyFull(version(5, "bc")).kind());
         assertEquals(
-                Kind.WHOLE_WANTED,
-                track.change(version(3, "aa"), version(6, "cc")).kind());
-        assertEquals(Kind.LOOK, track.change(version(4, "aa"), version(6, "cc")).kind());
+                Kind.FULL_STATE_NEEDED,
+                track.classifyDelta(version(3, "aa"), version(6, "cc")).kind());
+        assertEquals(
+                Kind.CHECK,
+                track.classifyDelta(version(4, "aa"), version(6, "cc")).kind());
         track.accept(version(6, "cc"));
         assertEquals(1, track.gaps());
         assertThrows(IllegalStateException.class, () -> track.accept(version(5, "bc")));
         // What broke service goes, and is not tried again; a later one is.
         assertEquals(version(4, "aa"), track.takeBack("failures went up"));
-        assertEquals(Kind.REFUSED, track.whole(version(6, "cc")).kind());
+        assertEquals(Kind.REFUSED, track.classifyFull(version(6, "cc")).kind());
         assertEquals("failures went up", track.lastRefused().getValue());
-        assertEquals(Kind.LOOK, track.whole(version(7, "dd")).kind());
+        assertEquals(Kind.CHECK, track.classifyFull(version(7, "dd")).kind());
         // Two on trial together go together, to the last that has stood its trial.
         track.accept(version(7, "dd"));
         track.accept(version(8, "ee"));
         assertTrue(track.isOnTrial());
         assertEquals(version(4, "aa"), track.takeBack("again"));
-        assertEquals("again", track.whole(version(7, "dd")).reason());
-        assertEquals("again", track.whole(version(8, "ee")).reason());
+        assertEquals("again", track.classifyFull(version(7, "dd")).reason());
+        assertEquals("again", track.classifyFull(version(8, "ee")).reason());
         assertFalse(track.isOnTrial());
         assertEquals(version(12, "0f"), Version.parse("12-0f"));
         assertEquals(Version.NONE, Version.parse("0"));
@@ -117,15 +119,15 @@
         int part = 0;
         for (int i = 0; i < 1000; i++) {
             String name = "n" + i;
-            part += Rollout.takesPart(name, 5, 0.2) ? 1 : 0;
-            assertTrue(!Rollout.takesPart(name, 5, 0.2) || Rollout.takesPart(name, 5, 0.5));
-            assertFalse(Rollout.takesPart(name, 5, 0));
-            assertTrue(Rollout.takesPart(name, 5, 1));
+            part += Rollout.includes(name, 5, 0.2) ? 1 : 0;
+            assertTrue(!Rollout.includes(name, 5, 0.2) || Rollout.includes(name, 5, 0.5));
+            assertFalse(Rollout.includes(name, 5, 0));
+            assertTrue(Rollout.includes(name, 5, 1));
         }
         assertEquals(200, part, 45);
         int both = 0;
         for (int i = 0; i < 1000; i++) {
-            both += Rollout.takesPart("n" + i, 5, 0.5) && Rollout.takesPart("n" + i, 6, 0.5) ? 1 : 0;
+            both += Rollout.includes("n" + i, 5, 0.5) && Rollout.includes("n" + i, 6, 0.5) ? 1 : 0;
         }
         // Another seed draws others: it is not always the same ones that go first.
         assertEquals(250, both, 60);
@@ -140,35 +142,39 @@
         Counts calm = counts(1000, 5, 10, 100);
         assertEquals(
                 Verdict.TOO_EARLY,
-                Probation.judge(calm, counts(49, 49, 0, 100), null, null, 0.02).verdict());
+                Probation.evaluate(calm, counts(49, 49, 0, 100), null, null, 0.02)
+                        .verdict());
         assertEquals(
                 Verdict.KEEP,
-                Probation.judge(calm, counts(1000, 12, 20, 100), null, null, 0.02)
+                Probation.evaluate(calm, counts(1000, 12, 20, 100), null, null, 0.02)
                         .verdict());
-        Probation.Finding broken = Probation.judge(calm, counts(500, 60, 0, 100), null, null, 0.02);
+        Probation.Finding broken = Probation.evaluate(calm, counts(500, 60, 0, 100), null, null, 0.02);
         assertEquals(Verdict.TAKE_BACK, broken.verdict());
         assertEquals("failures and connect errors went from 0.50 % to 12.00 %", broken.figures());
         // Refusals at the same load are the version's, in a burst they are not; failures are in either.
         assertEquals(
                 Verdict.TAKE_BACK,
-                Probation.judge(calm, counts(500, 2, 100, 100), null, null, 0.02)
+                Probation.evaluate(calm, counts(500, 2, 100, 100), null, null, 0.02)
                         .verdict());
         assertEquals(
                 Verdict.KEEP,
-                Probation.judge(calm, counts(900, 4, 300, 180), null, null, 0.02)
+                Probation.evaluate(calm, counts(900, 4, 300, 180), null, null, 0.02)
                         .verdict());
         assertEquals(
                 Verdict.TAKE_BACK,
-                Probation.judge(calm, counts(900, 90, 0, 180), null, null, 0.02).verdict());
+                Probation.evaluate(calm, counts(900, 90, 0, 180), null, null, 0.02)
+                        .verdict());
         // A zone is lost, for everybody: the control group shows it.
         Counts lost = counts(1000, 200, 100, 100);
-        assertEquals(Verdict.KEEP, Probation.judge(calm, lost, calm, lost, 0.02).verdict());
         assertEquals(
-                Verdict.TAKE_BACK, Probation.judge(calm, lost, calm, calm, 0.02).verdict());
+                Verdict.KEEP, Probation.evaluate(calm, lost, calm, lost, 0.02).verdict());
+        assertEquals(
+                Verdict.TAKE_BACK,
+                Probation.evaluate(calm, lost, calm, calm, 0.02).verdict());
         // A few requests that went wrong by chance take nothing back.
         assertEquals(
                 Verdict.KEEP,
-                Probation.judge(counts(60, 0, 0, 5), counts(60, 3, 0, 5), null, null, 0.02)
+                Probation.evaluate(counts(60, 0, 0, 5), counts(60, 3, 0, 5), null, null, 0.02)
                         .verdict());
     }
 }
