--- a/src/main/java/laneflow/decision/Dispatch.java
+++ b/src/main/java/laneflow/decision/Dispatch.java
@@ -248,7 +248,7 @@
     /** Operators take the worker out of service: whatever lists say, nothing is sent to it until it is set up. */
     void setDown(double now, long worker);
 
-    /** Operators return the worker to service. It counts as cold from now unless a list shows a start since it was set down. */
+    /** Operators return the worker to service, cold from now on unless a list shows a start since it was set down. */
     void setUp(double now, long worker);
 
     /** Sets this process's fraction of the slow-start budgets while another process has the same dispatcher index. */
@@ -294,7 +294,7 @@
         /** Final answer: not served and safe to retry, after {@code retryAfter} seconds if above 0. */
         void refuse(long request, double retryAfter);
 
-        /** Called right before a request that could not be placed is refused or failed, with the check that it did not pass. */
+        /** Called right before a request that found no place is refused or failed, with the check it did not pass. */
         default void explainRefusal(long request, Refusal refusal) {}
 
         /** Final answer: not served, but it may have taken effect. */
--- a/src/main/java/laneflow/decision/Jobs.java
+++ b/src/main/java/laneflow/decision/Jobs.java
@@ -19,7 +19,7 @@
         return job;
     }
 
-    /** Keeps an ended job until its last attempt is settled, and out of the free list until it is off the deadline heap. */
+    /** Keeps an ended job until its last attempt is settled, and off the free list until off the deadline heap. */
     void release(Job job) {
         if (!job.live && job.outstanding == 0 && !job.released) {
             jobs.remove(job.id);
--- a/src/main/java/laneflow/decision/Logic.java
+++ b/src/main/java/laneflow/decision/Logic.java
@@ -11,17 +11,13 @@
 /**
  * Makes every decision of a dispatcher; its types, events and actions are defined in {@link Dispatch}.
  *
- * <p>A request goes to the least-loaded worker of its home zone that is not considered full. If all are full, it
- * goes to a random neighbour on the ring of zones that has room, or it is refused. Safeguards around that path are
- * the answer deadline, effect rules, slow start and outlier detection. See docs/design.md for the rationale and
- * docs/on-call.md for operations.
+ * <p>A request goes to the least-loaded worker of its home zone that is not considered full. If all are full, it goes
+ * to a random neighbour with room on the ring of zones, or it is refused. Safeguards are the answer deadline, effect
+ * rules, slow start and outlier detection. See docs/design.md for reasons, docs/on-call.md to operate it.
  */
 public final class Logic implements Dispatch {
     private static final double AIM_SHARE = 0.9; // Usable fraction of a job's aim: hints and speeds are estimates.
-    /**
-     * Largest assumed work of a job without a hint, as a fraction of the longest work that can be in time. Without
-     * this bound, classes with a short aim would always be refused.
-     */
+    /** Largest guessed hint as a fraction of the longest work in time: with more, short aims are always refused. */
     private static final double UNHINTED_SHARE = 0.5;
     /** Fraction of the wait its aim allows that a class gets however little it is worth, so that none starves. */
     private static final double MIN_WAIT_SHARE = 0.2;
@@ -373,9 +369,8 @@
     }
 
     /**
-     * The zone's worker, among those not full, with the least outstanding work from this dispatcher, measured as
-     * time there. The expected wait for other dispatchers' jobs is added, which distinguishes the workers when each
-     * of many dispatchers has hardly any work outstanding.
+     * The non-full worker of the zone with the least own work outstanding, measured as time there. The expected wait
+     * for other dispatchers' jobs is added: it tells workers apart when each of many has hardly any work out.
      */
     private WorkerView pick(Job job, int zone, boolean skipSoleHosts) {
         WorkerView best = null;
@@ -432,8 +427,7 @@
         }
         double run = job.hint / view.speed(now);
         if (job.acceptLate) {
-            // Start notes always arrive slightly late: without a margin a tied class would never find a slot on its
-            // kind.
+            // Start notes always arrive slightly late: without a margin a tied class never finds a slot on its kind.
             double most = job.type.kind < 0 ? 0 : LATE_WAIT_SHARE * run;
             return times.wait(view, job, now) > most || now + run > job.answerDeadline;
         }
@@ -803,7 +797,7 @@
         return asked;
     }
 
-    /** In a large pool hardly any report is fresh when a job arrives, so it briefly waits for the reports it requests. */
+    /** In a large pool hardly any report is fresh when a job arrives, so it briefly waits for those it requests. */
     private boolean holdForReports(Job job) {
         int home = homeZone(job);
         if (home >= 0 && settings.reports == ReportSource.PROBES) {
--- a/src/main/java/laneflow/decision/MeanHint.java
+++ b/src/main/java/laneflow/decision/MeanHint.java
@@ -1,6 +1,6 @@
 package laneflow.decision;
 
-/** Mean cost hint of this dispatcher's requests, in seconds on a standard core; also used for other dispatchers' jobs. */
+/** Mean hint of this dispatcher's requests, in seconds on a standard core; also used for other dispatchers' jobs. */
 final class MeanHint {
     /** Weight of a new request in the mean. */
     private static final double GAIN = 0.02;
--- a/src/main/java/laneflow/decision/OutlierDetection.java
+++ b/src/main/java/laneflow/decision/OutlierDetection.java
@@ -27,18 +27,14 @@
         this.random = random;
     }
 
-    /**
-     * A dead worker keeps its last report, and a worker that fails fast looks idle: without ejection both would
-     * attract ever more jobs.
-     */
+    /** A dead worker keeps its last report, and one that fails fast looks idle: both would attract ever more jobs. */
     boolean isEjected(WorkerView view, double now) {
         return isEjected(view.outlier, view.ownCount > 0, now);
     }
 
     /**
-     * If a whole zone or the link to it is down, ejecting its workers one by one would cost an attempt each. So
-     * the zone is ejected as a whole after a few consecutive failed connects. A zone without an alternative is
-     * never ejected: some of its workers may still be reachable and idle.
+     * If a whole zone or the link to it is down, ejecting its workers singly would cost an attempt each. So a few
+     * failed connects in a row eject the zone, but never the only one: some workers may be reachable and idle.
      */
     boolean isEjected(Pool zone, double now) {
         return settings.zones > 1 && isEjected(zone.outlier, now < zone.outlier.triedAt + ZONE_TRIAL_SECONDS, now);
--- a/src/main/java/laneflow/decision/Refusal.java
+++ b/src/main/java/laneflow/decision/Refusal.java
@@ -22,7 +22,7 @@
         double foreseenWait,
         double mostWait) {
 
-    /** What kept a request from an endpoint, in the order of the checks: the later, the closer it came to being sent. */
+    /** What kept a request from an endpoint, in the order of the checks: the later, the closer to being sent. */
     public enum Reason {
         /** No ready endpoint can run it. */
         NO_ENDPOINT,
@@ -46,7 +46,7 @@
         EFFECT,
         /** The slow-start budget of a cold endpoint is used up. */
         SLOW_START,
-        /** No further attempt is allowed: by the number of attempts, the retry budget, or what an earlier attempt may have done. */
+        /** No further attempt is allowed, by number, by the retry budget, or by what an earlier one may have done. */
         NO_RETRY,
         /** The client's deadline is reached. */
         DEADLINE
--- a/src/main/java/laneflow/decision/RetryPolicy.java
+++ b/src/main/java/laneflow/decision/RetryPolicy.java
@@ -35,7 +35,7 @@
         return job.attempts < job.maxAttempts && mayRepeat(job, now) && withinBudget(job, now);
     }
 
-    /** Unsafe jobs are never repeated once one attempt may have run; keyed jobs only within their deduplication window. */
+    /** Once an attempt may have run, unsafe jobs are never repeated, keyed jobs only in their deduplication window. */
     boolean mayRepeat(Job job, double now) {
         switch (job.type.effect) {
             case SAFE:
--- a/src/main/java/laneflow/decision/SlowStart.java
+++ b/src/main/java/laneflow/decision/SlowStart.java
@@ -3,15 +3,14 @@
 import laneflow.decision.Dispatch.Settings;
 
 /**
- * Slow start: a cold worker is overloaded by the sum of all dispatchers' sends, and no dispatcher sees the
- * others'. The overload limit is n + 2 x sqrt(n) + 2 mean jobs: n is {@code fallMultiple} x present capacity x
- * {@code fallWithin}, and the rest allows for random variation.
+ * Slow start: a cold worker is overloaded by the sum of all dispatchers' sends, and no dispatcher sees the others'. The
+ * overload limit is n + 2 x sqrt(n) + 2 mean jobs: n is {@code fallMultiple} x present capacity x {@code fallWithin},
+ * and the rest allows for random variation.
  *
- * <p>The budget below that limit is divided into parts of at least a few jobs. Parts are assigned in the order
- * of the dispatchers' indexes, with an offset from the worker's id and start time, so all dispatchers agree
- * without communication. A growing budget adds parts and changes none, so the parts used within one window
- * never exceed it. Every send counts. The other dispatchers' zones are unknown and may all be this one. Times are
- * in seconds on the module's clock.
+ * <p>The budget below that limit is divided into parts of at least a few jobs. Parts are assigned in the order of the
+ * dispatchers' indexes, with an offset from the worker's id and start time, so all agree without communication. A
+ * growing budget adds parts and changes none, so the parts used within one window never exceed it. Every send counts.
+ * The other dispatchers' zones are unknown and may all be this one. Times are in seconds on the module's clock.
  */
 final class SlowStart {
     /** Fraction of the overload limit that is used: hints are rough, and capacity is inferred from slots, not cores. */
@@ -20,7 +19,7 @@
     private static final double LIMIT_SHARE_AFTER_RESTART = 0.5;
     /** Minimum size of a part of a budget, in mean jobs. */
     private static final double MIN_JOBS_PER_PART = 2;
-    /** A large prime, so that dispatchers with adjacent indexes, perhaps of one zone, get parts of different workers. */
+    /** A large prime: dispatchers with adjacent indexes, perhaps of one zone, get parts of different workers. */
     private static final long INDEX_STRIDE = 7919;
 
     private final Settings settings;
--- a/src/main/java/laneflow/decision/TimeEstimates.java
+++ b/src/main/java/laneflow/decision/TimeEstimates.java
@@ -18,7 +18,7 @@
         return Math.max(0, queueWait(view, job, now) * view.kindEstimates.waitScale(now) + view.extraWait(now));
     }
 
-    /** Expected wait due to known work: the mean remaining work of a job for each slot in excess, at the worker's throughput. */
+    /** Expected wait due to known work: mean remaining work of a job per excess slot, at the worker's throughput. */
     double queueWait(WorkerView view, Job job, double now) {
         double slots = view.kindEstimates.slots();
         double otherSlots = view.otherSlots(now);
