--- a/src/main/java/laneflow/durable/DurableJobs.java
+++ b/src/main/java/laneflow/durable/DurableJobs.java
@@ -109,7 +109,7 @@
         latestMs = storedLatestMs;
         if (now < latestMs) {
             LOG.warn(
-                    "the wall clock is {} ms behind the store's latest entry: deduplication windows are treated as expired",
+                    "the wall clock is {} ms behind the store's latest entry: deduplication windows count as expired",
                     latestMs - now);
         }
         int[] countByState = new int[State.values().length];
--- a/src/main/java/laneflow/gearman/Worker.java
+++ b/src/main/java/laneflow/gearman/Worker.java
@@ -41,7 +41,9 @@
 
     private String previousHandle = "";
     private Attempt assigned;
-    /** The attempt of the assigned job if abandoned or timed out under a lease: a late outcome still counts. Else null. */
+    /**
+     * The attempt of the assigned job if abandoned or timed out under a lease: a late outcome still counts. Else null.
+     */
     private Attempt abandonedAttempt;
 
     Worker(GearmanFront front, Peer peer, String name) {
@@ -210,7 +212,10 @@
         }
     }
 
-    /** Abandons the attempt; true if it was still queued. An assigned job runs on; without a lease its outcome is ignored. */
+    /**
+     * Abandons the attempt; true if it was still queued. An assigned job runs on; without a lease its outcome is
+     * ignored.
+     */
     boolean detach(Attempt attempt) {
         boolean wasQueued = removeQueued(attempt);
         if (assigned == attempt) {
--- a/src/main/java/laneflow/importer/ApacheReader.java
+++ b/src/main/java/laneflow/importer/ApacheReader.java
@@ -139,8 +139,8 @@
     }
 
     /**
-     * Applies the status flags in order: a flag is set, or cleared if the sign before it is a minus. A sign holds for all
-     * flags up to the next sign.
+     * Applies the status flags in order: a flag is set, or cleared if the sign before it is a minus. A sign holds for
+     * all flags up to the next sign.
      *
      * @return false if a flag that is set at the end keeps new requests from the member
      */
--- a/src/main/java/laneflow/importer/Importer.java
+++ b/src/main/java/laneflow/importer/Importer.java
@@ -65,7 +65,7 @@
         this.err = err;
     }
 
-    /** Runs the command and returns its exit code: 0 if a set was written, 1 if the import failed, 2 on a usage error. */
+    /** Runs the command. Returns its exit code: 0 if a set was written, 1 if the import failed, 2 on a usage error. */
     public static int run(List<String> args, PrintStream out, PrintStream err) {
         return new CommandLine(new Importer(out, err))
                 .setOut(new PrintWriter(out, true))
@@ -138,7 +138,7 @@
         return destinationSet;
     }
 
-    /** Tells whether the member can be called over HTTP, and prints a line if it is skipped or its protocol replaced. */
+    /** Tells whether the member can be called over HTTP; prints a line if it is skipped or its protocol replaced. */
     private boolean isCallable(Member member) {
         String location = file + ":" + member.line() + ": " + member.host();
         if (member.scheme().equals("http")) {
--- a/src/main/java/laneflow/importer/JkReader.java
+++ b/src/main/java/laneflow/importer/JkReader.java
@@ -172,8 +172,8 @@
     }
 
     /**
-     * Returns a property of a worker, or null. Of several alternative names, the first that is set counts. If the worker
-     * has none of them, the property comes from the worker or template that it references.
+     * Returns a property of a worker, or null. Of several alternative names, the first that is set counts. If the
+     * worker has none of them, the property comes from the worker or template that it references.
      */
     private Value value(String worker, String... names) throws ImportException {
         Map<String, Integer> visited = new HashMap<>();
