--- a/src/main/java/laneflow/durable/DurableConfig.java
+++ b/src/main/java/laneflow/durable/DurableConfig.java
@@ -64,7 +64,7 @@
         from.tables("classes").forEach((name, one) -> {
             int at = names.indexOf(name);
             if (at < 0) {
-                one.addFinding("", "'" + name + "' is not one of the classes " + names);
+                one.addFinding("", "'" + name + "' is none of the classes " + names);
                 return;
             }
             ClassConfig to = classes[at];
