--- a/src/test/java/laneflow/config/OperatorFileTest.java
+++ b/src/test/java/laneflow/config/OperatorFileTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The operators' file: what it sets, who decides where two speak, and that nothing wrong is passed over. */
+/** The operators' file: its settings, the precedence of the platform's file, and the reporting of every error. */
 class OperatorFileTest {
-    private static final Path OURS = Path.of("deploy/laneflow.toml");
+    private static final Path EXAMPLE_FILE = Path.of("deploy/laneflow.toml");
 
     @TempDir
     private Path folder;
@@ -23,7 +23,7 @@
         return Files.writeString(folder.resolve(name), text);
     }
 
-    private String wrong(String text) throws IOException {
+    private String errorOf(String text) throws IOException {
         Path file = write("x.toml", text);
         return assertThrows(ConfigException.class, () -> Setup.operators(file, null, null))
                 .getMessage()
@@ -31,8 +31,8 @@
     }
 
     @Test
-    void theFileOfTheRepositoryIsWhole() throws Exception {
-        Setup setup = Setup.operators(OURS, null, null);
+    void exampleFileIsRead() throws Exception {
+        Setup setup = Setup.operators(EXAMPLE_FILE, null, null);
         assertEquals("127.0.0.1:8081", setup.config().listen);
         assertEquals(3, setup.config().known.entries.size());
         assertEquals(Effect.UNSAFE, setup.config().settings.classes[1].effect);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void theModulesOwnChoicesAreRead() throws Exception {
+    void moduleSettingsAreRead() throws Exception {
         String file = "listen = '127.0.0.1:0'\nzones = ['a']\n[classes.c]\n";
         assertEquals(0.5, Setup.operators(write("a.toml", file), null, null).config().settings.crossEachWay);
         Setup setup = Setup.operators(
@@ -58,22 +58,22 @@
         assertEquals(3, setup.config().settings.furtherFree);
         assertEquals(0.1, setup.config().settings.furtherShare);
         assertEquals(5, setup.config().settings.furtherWithin);
-        assertTrue(wrong(file + "[module]\nretry_free = 3\n").contains("[module] retry_window_ms: is missing"));
+        assertTrue(errorOf(file + "[module]\nretry_free = 3\n").contains("[module] retry_window_ms: is missing"));
         Path platform = write("p.json", "{\"settings\":{\"rules\":{\"spareAttempts\":1}}}");
-        Setup both = Setup.operators(
+        Setup merged = Setup.operators(
                 write("a.toml", file + "[module]\nretry_free = 3\nretry_window_ms = 1\n"), platform, null);
-        assertEquals(1, both.config().settings.furtherFree);
-        assertTrue(both.fixed().containsKey("module"));
+        assertEquals(1, merged.config().settings.furtherFree);
+        assertTrue(merged.fixed().containsKey("module"));
     }
 
     @Test
-    void thePlatformsFileDecidesWhatItNames() throws Exception {
+    void platformFileOverridesWhatItNames() throws Exception {
         Path platform = write(
                 "p.json",
                 "{\"listen\":\"127.0.0.1:7\",\"settings\":{\"classes\":["
                         + "{\"name\":\"card-capture\",\"semantics\":\"side_effect\"},{\"name\":\"points-post\"},"
                         + "{\"name\":\"basket-check\",\"semantics\":\"pure\"}]}}");
-        Setup setup = Setup.operators(OURS, platform, null);
+        Setup setup = Setup.operators(EXAMPLE_FILE, platform, null);
         assertEquals("127.0.0.1:7", setup.config().listen);
         assertEquals("card-capture", setup.config().classNames[0]);
         assertEquals(2, setup.gearman().functions.get("basket_check").jobClass());
@@ -81,8 +81,8 @@
     }
 
     @Test
-    void allThatIsWrongIsNamedAtOnce() throws Exception {
-        String said = wrong("listen = 'here'\nlisten2 = 1\nzones = ['a']\n[limits]\nsockets = '9'\nattempts = 6\n"
+    void allErrorsAreReportedTogether() throws Exception {
+        String message = errorOf("listen = 'here'\nlisten2 = 1\nzones = ['a']\n[limits]\nsockets = '9'\nattempts = 6\n"
                 + "[classes.c]\naim_ms = 9\ndeadline_ms = 3\nrepeat = 'keyed'\nworht = 1\n"
                 + "[endpoints.e]\nzone = 'b'\n[gearman]\nlisten = '127.0.0.1:1'\n"
                 + "[gearman.functions.f]\nclass = 'd'\ndurable = 1\n[durable]\ndir = 'x'\nstore_mib = 0\n"
@@ -102,15 +102,15 @@
             "[durable] store_mib: 0 is not between 1 and",
             "[durable.classes.z] 'z' is none of"
         }) {
-            assertTrue(said.contains(line), line + "\n--- not in\n" + said);
+            assertTrue(message.contains(line), line + "\n--- not in\n" + message);
         }
     }
 
     @Test
-    void whatIsMissingOrNoTomlIsSaidInWords() throws Exception {
-        assertTrue(wrong("listen = ").contains("is no TOML: "));
-        assertTrue(wrong("zones = ['a']").contains("listen: is missing\n"));
-        assertTrue(wrong("listen = '127.0.0.1:1'\n[classes.c]\n[gearman]\nlisten = 'x:1'\n[gearman.functions.f]\n"
+    void missingKeysAndInvalidTomlAreReported() throws Exception {
+        assertTrue(errorOf("listen = ").contains("is no TOML: "));
+        assertTrue(errorOf("zones = ['a']").contains("listen: is missing\n"));
+        assertTrue(errorOf("listen = '127.0.0.1:1'\n[classes.c]\n[gearman]\nlisten = 'x:1'\n[gearman.functions.f]\n"
                         + "class = 'c'\ndurable = true\n")
                 .contains("there is no [durable]"));
     }
--- a/src/test/java/laneflow/control/ControlStoryTest.java
+++ b/src/test/java/laneflow/control/ControlStoryTest.java
@@ -1,13 +1,13 @@
 package laneflow.control;
 
-import static laneflow.control.Service.ask;
-import static laneflow.control.Service.begun;
-import static laneflow.control.Service.detail;
+import static laneflow.control.Service.errorDetail;
+import static laneflow.control.Service.exchange;
+import static laneflow.control.Service.receive;
+import static laneflow.control.Service.receiveSubscriptions;
 import static laneflow.control.Service.resource;
-import static laneflow.control.Service.say;
+import static laneflow.control.Service.sendLine;
 import static laneflow.control.Service.stream;
 import static laneflow.control.Service.version;
-import static laneflow.control.Service.word;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Stories of streamed versions against a scripted control service. */
+/** Streamed versions of the destination set, against a scripted control service. */
 @Timeout(300)
 class ControlStoryTest {
     @TempDir
@@ -34,20 +34,20 @@
                 + folder + "'\n" + more;
     }
 
-    private static void serves(Stand stand, Endpoint endpoint, String id) throws Exception {
+    private static void assertServes(Stand stand, Endpoint endpoint, String id) throws Exception {
         try (Peer client = stand.http()) {
             client.post("basket-check", id, "", "");
             Peer call = endpoint.accept();
             assertTrue(call.message().contains("Req-Id: " + id + "\r\n"));
             call.says("{'id':'" + id + "','state':'done','result':'priced'}");
             assertTrue(client.message().endsWith("priced"));
-            // Kept alive, the connection would carry the next story's call too.
+            // A kept-alive connection would carry the next request too, and the next accept would wait.
             call.close();
         }
     }
 
     @Test
-    void versionsAreAcknowledgedOrTurnedDownWithEveryReason() throws Exception {
+    void versionsAreAcknowledgedOrRefusedWithEveryReason() throws Exception {
         Endpoint service = new Endpoint("control");
         Endpoint one = new Endpoint("e1");
         Endpoint two = new Endpoint("e2");
@@ -59,16 +59,16 @@
             Peer peer = service.accept();
             assertTrue(peer.readTo("\r\n\r\n").contains("Authorization: Bearer s3cret\r\n"));
             peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            JsonObject first = begun(peer);
+            JsonObject first = receiveSubscriptions(peer);
             assertEquals("n3", first.getAsJsonObject("node").get("id").getAsString());
             assertEquals("", first.get("version_info").getAsString());
-            JsonObject ack = ask(peer, version("1-aa", "x1", resource(one)));
+            JsonObject ack = exchange(peer, version("1-aa", "x1", resource(one)));
             assertEquals("1-aa", ack.get("version_info").getAsString());
             assertEquals("x1", ack.get("response_nonce").getAsString());
             assertFalse(ack.has("error_detail"));
-            serves(stand, one, "1");
-            // Nonsense in form and in sense, each value by its path, and traffic goes on.
-            String bad = detail(ask(
+            assertServes(stand, one, "1");
+            // Errors of schema and of meaning are each reported with their path, and traffic goes on.
+            String schemaErrors = errorDetail(exchange(
                     peer,
                     version(
                             "2-aa",
@@ -85,9 +85,9 @@
                 "resources[2]: 7 - ",
                 "resources[4].name: 'e1' is resources[3]'s too"
             }) {
-                assertTrue(bad.contains(finding), finding + "\n--- not in\n" + bad);
+                assertTrue(schemaErrors.contains(finding), finding + "\n--- not in\n" + schemaErrors);
             }
-            String senseless = detail(ask(
+            String semanticErrors = errorDetail(exchange(
                     peer,
                     version(
                             "2-ab",
@@ -101,32 +101,37 @@
                 "resources[1].dial: 10.0.0.1:80 is in none of the allowed",
                 "resources[1].classes: \"sweep\" is none of"
             }) {
-                assertTrue(senseless.contains(finding), finding + "\n--- not in\n" + senseless);
+                assertTrue(semanticErrors.contains(finding), finding + "\n--- not in\n" + semanticErrors);
             }
             assertEquals(
                     "resources: no live endpoint runs class points-post",
-                    detail(ask(
+                    errorDetail(exchange(
                             peer,
                             version(
                                     "2-ac",
                                     "x2",
                                     resource(one).replace("}", ",'classes':['basket-check','card-capture']}")))));
-            JsonObject none = ask(peer, version("3-aa", "x3", resource(one).replace("}", ",'state':'draining'}")));
-            assertEquals("resources: no live endpoint in zone celje-1", detail(none));
-            assertEquals("1-aa", none.get("version_info").getAsString());
-            assertEquals("x3", none.get("response_nonce").getAsString());
-            assertTrue(detail(ask(peer, version("4-aa", "x4", resource(one).replace("}", ",'weight':0}"))))
+            JsonObject refusal =
+                    exchange(peer, version("3-aa", "x3", resource(one).replace("}", ",'state':'draining'}")));
+            assertEquals("resources: no live endpoint in zone celje-1", errorDetail(refusal));
+            assertEquals("1-aa", refusal.get("version_info").getAsString());
+            assertEquals("x3", refusal.get("response_nonce").getAsString());
+            assertTrue(errorDetail(
+                            exchange(peer, version("4-aa", "x4", resource(one).replace("}", ",'weight':0}"))))
                     .contains("all weights of live endpoints"));
-            // The same again gets the same answer; older and repeated ones have theirs.
+            // A refused version gets the same answer again; a repeated one is acknowledged, an older one refused.
             assertEquals(
                     "resources: no live endpoint in zone celje-1",
-                    detail(ask(peer, version("3-aa", "x5", resource(one)))));
-            assertFalse(ask(peer, version("1-aa", "x6", resource(one))).has("error_detail"));
-            assertFalse(ask(peer, version("9-bb", "x7", resource(two))).has("error_detail"));
-            assertTrue(detail(ask(peer, version("8-cc", "x8", resource(one)))).contains("9-bb runs, which is newer"));
-            assertTrue(detail(ask(peer, version("seven", "x9", resource(one)))).contains("is no version"));
-            assertTrue(detail(ask(peer, "{'type_url':'other','nonce':'y'}")).contains("not taken here"));
-            serves(stand, two, "2");
+                    errorDetail(exchange(peer, version("3-aa", "x5", resource(one)))));
+            assertFalse(exchange(peer, version("1-aa", "x6", resource(one))).has("error_detail"));
+            assertFalse(exchange(peer, version("9-bb", "x7", resource(two))).has("error_detail"));
+            assertTrue(errorDetail(exchange(peer, version("8-cc", "x8", resource(one))))
+                    .contains("9-bb runs, which is newer"));
+            assertTrue(errorDetail(exchange(peer, version("seven", "x9", resource(one))))
+                    .contains("is no version"));
+            assertTrue(errorDetail(exchange(peer, "{'type_url':'other','nonce':'y'}"))
+                    .contains("not taken here"));
+            assertServes(stand, two, "2");
             String report = http.write("GET /config HTTP/1.1\r\n\r\n").message();
             assertTrue(
                     report.contains("\"version\":\"9-bb\"") && report.contains("no live endpoint")
@@ -138,45 +143,47 @@
     }
 
     @Test
-    void theLastGoodVersionRunsWhileNobodySpeaks() throws Exception {
+    void lastGoodVersionRunsWithoutAControlService() throws Exception {
         Endpoint service = new Endpoint("control");
         Endpoint one = new Endpoint("e1");
         try (Stand stand = Stand.streaming(control(service, "silence_ms = 300\n"))) {
             Peer peer = stream(service);
-            begun(peer);
-            ask(peer, version("5-aa", "x", resource(one)));
+            receiveSubscriptions(peer);
+            exchange(peer, version("5-aa", "x", resource(one)));
             for (int i = 0; i < 1000 && !Files.exists(folder.resolve("destinations.last-good")); i++) {
                 Thread.sleep(5);
             }
-            // It accepts and says nothing more: the stream is begun anew, and the version runs on.
+            // The service goes silent: the scheduler opens a new stream and keeps running the version.
             assertTrue(peer.ended());
             Peer again = stream(service);
-            assertEquals("5-aa", begun(again).get("version_info").getAsString());
-            serves(stand, one, "1");
-            // Half a line, then the end; then one that flaps.
+            assertEquals("5-aa", receiveSubscriptions(again).get("version_info").getAsString());
+            assertServes(stand, one, "1");
+            // The stream ends within a line; then five connections are closed at once.
             again.write("20\r\n{\"type_url\":");
             again.close();
             for (int i = 0; i < 5; i++) {
                 service.accept().close();
             }
-            serves(stand, one, "2");
+            assertServes(stand, one, "2");
             Peer garbled = stream(service);
-            begun(garbled);
-            say(garbled, "{'type_url':");
+            receiveSubscriptions(garbled);
+            sendLine(garbled, "{'type_url':");
             assertTrue(garbled.ended());
-            assertEquals("5-aa", begun(stream(service)).get("version_info").getAsString());
+            assertEquals(
+                    "5-aa",
+                    receiveSubscriptions(stream(service)).get("version_info").getAsString());
         }
-        // Started anew with no service at all.
+        // Restarts while no control service is reachable.
         service.close();
         try (Stand stand = Stand.streaming(control(service, ""))) {
-            serves(stand, one, "3");
+            assertServes(stand, one, "3");
             assertTrue(
                     stand.http().write("GET /config HTTP/1.1\r\n\r\n").message().contains("last-good"));
         }
     }
 
     @Test
-    void aVersionThatBreaksServiceIsTakenBackAndNotTriedAgain() throws Exception {
+    void versionWithFailuresIsTakenBackAndNotTriedAgain() throws Exception {
         Endpoint service = new Endpoint("control");
         Endpoint good = new Endpoint("e1");
         Endpoint dead = new Endpoint("e2");
@@ -184,9 +191,9 @@
         try (Stand stand = Stand.streaming(control(service, "probation_ms = 1500\n"));
                 Peer client = stand.http()) {
             Peer peer = stream(service);
-            begun(peer);
-            ask(peer, version("1-aa", "x1", resource(good)));
-            Thread answering = new Thread(() -> {
+            receiveSubscriptions(peer);
+            exchange(peer, version("1-aa", "x1", resource(good)));
+            Thread responder = new Thread(() -> {
                 try (Peer call = good.accept()) {
                     for (int i = 0; i < 120; i++) {
                         String sent = call.message();
@@ -195,41 +202,42 @@
                                 + "','state':'done','result':'r'}");
                     }
                 } catch (IOException e) {
-                    // The set without it closes its connection.
+                    // Adopting the set without this endpoint closes its connection.
                     return;
                 }
             });
-            answering.start();
+            responder.start();
             for (int i = 0; i < 100; i++) {
                 client.post("basket-check", "a" + i, "", "");
                 assertTrue(client.message().startsWith("HTTP/1.1 200 "));
             }
-            assertFalse(ask(peer, version("2-bb", "x2", resource(dead))).has("error_detail"));
+            assertFalse(exchange(peer, version("2-bb", "x2", resource(dead))).has("error_detail"));
             int refused = 0;
             for (int i = 0; i < 100; i++) {
                 client.post("basket-check", "b" + i, "", "");
                 refused += client.message().startsWith("HTTP/1.1 503 ") ? 1 : 0;
             }
             assertTrue(refused > 50, refused + " refused");
-            JsonObject back = word(peer);
-            assertEquals("1-aa", back.get("version_info").getAsString());
-            assertTrue(detail(back).contains("2-bb was taken back: "), detail(back));
-            assertTrue(detail(ask(peer, version("2-bb", "x3", resource(dead)))).contains("went from"));
+            JsonObject takenBack = receive(peer);
+            assertEquals("1-aa", takenBack.get("version_info").getAsString());
+            assertTrue(errorDetail(takenBack).contains("2-bb was taken back: "), errorDetail(takenBack));
+            assertTrue(errorDetail(exchange(peer, version("2-bb", "x3", resource(dead))))
+                    .contains("went from"));
             stand.await("config.taken_back", 1);
         }
     }
 
     @Test
-    void aVersionHeldBackIsTakenOnceTheShareReachesThisOne() throws Exception {
+    void versionIsAdoptedOnceItsRolloutIncludesThisScheduler() throws Exception {
         Endpoint service = new Endpoint("control");
         Endpoint one = new Endpoint("e1");
         try (Stand stand = Stand.streaming(control(service, ""))) {
             Peer peer = stream(service);
-            begun(peer);
+            receiveSubscriptions(peer);
             String offered = version("1-aa", "x1", resource(one));
             String held = offered.replace("'resources'", "'rollout':{'share':0.0,'seed':5},'resources'");
-            assertTrue(detail(ask(peer, held)).contains("held back: n3 stands at 0."));
-            assertFalse(ask(peer, held.replace("0.0", "1.0")).has("error_detail"));
+            assertTrue(errorDetail(exchange(peer, held)).contains("held back: n3 stands at 0."));
+            assertFalse(exchange(peer, held.replace("0.0", "1.0")).has("error_detail"));
         }
     }
 }
--- a/src/test/java/laneflow/control/ControlTypesStoryTest.java
+++ b/src/test/java/laneflow/control/ControlTypesStoryTest.java
@@ -1,14 +1,14 @@
 package laneflow.control;
 
-import static laneflow.control.Service.ask;
-import static laneflow.control.Service.begun;
-import static laneflow.control.Service.detail;
+import static laneflow.control.Service.errorDetail;
+import static laneflow.control.Service.exchange;
+import static laneflow.control.Service.receive;
+import static laneflow.control.Service.receiveSubscriptions;
 import static laneflow.control.Service.resource;
-import static laneflow.control.Service.say;
+import static laneflow.control.Service.sendLine;
 import static laneflow.control.Service.state;
 import static laneflow.control.Service.stream;
 import static laneflow.control.Service.version;
-import static laneflow.control.Service.word;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -35,7 +35,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Stories of streamed settings, changes, and services that misbehave. */
+/** Streamed settings, incremental changes, and control services that misbehave. */
 @Timeout(300)
 class ControlTypesStoryTest {
     private static final String CHECK = "{'name':'basket-check','aim_ms':200,'repeat':'safe'}";
@@ -49,7 +49,7 @@
         return "addresses = ['" + service.dial() + "']\nlongest_backoff_ms = 50\nfigures_ms = 0\n" + more;
     }
 
-    private static String call(Peer endpoint) throws IOException {
+    private static String receiveCall(Peer endpoint) throws IOException {
         String sent = endpoint.message();
         int at = sent.indexOf("Req-Id: ") + 8;
         return sent.substring(at, sent.indexOf('\r', at));
@@ -62,20 +62,20 @@
     }
 
     @Test
-    void aRequestKeepsTheClassesThatItCameUnder() throws Exception {
+    void requestKeepsTheClassSettingsItArrivedUnder() throws Exception {
         Endpoint service = new Endpoint("control");
         Endpoint till = new Endpoint("e1");
         Endpoint other = new Endpoint("e2");
         try (Stand stand = Stand.streaming(control(service, "tell_versions = true\nprobation_ms = 0\n"))) {
             Peer peer = stream(service);
-            begun(peer);
-            ask(peer, version("1-aa", "x1", resource(till), resource(other).replace("}", ",'state':'draining'}")));
+            receiveSubscriptions(peer);
+            exchange(peer, version("1-aa", "x1", resource(till), resource(other).replace("}", ",'state':'draining'}")));
             Peer before = stand.http().post("card-capture", "old", "", "");
             Peer beforeCall = till.accept();
-            assertEquals("old", call(beforeCall));
-            ask(peer, version("2-aa", "x2", resource(till), resource(other)));
-            // From here on a capture waits for 300 ms; the one that is open keeps its six seconds.
-            JsonObject ack = ask(
+            assertEquals("old", receiveCall(beforeCall));
+            exchange(peer, version("2-aa", "x2", resource(till), resource(other)));
+            // From here on the deadline of a capture is 300 ms; the open request keeps its 6 s.
+            JsonObject ack = exchange(
                     peer,
                     state(
                             "classes",
@@ -85,15 +85,16 @@
                             CAPTURE.replace("6000", "300"),
                             "{'name':'sweep'}"));
             assertFalse(ack.has("error_detail"));
-            String waits = ack.getAsJsonArray("restart_needed").toString();
+            String restartNeeded = ack.getAsJsonArray("restart_needed").toString();
             assertTrue(
-                    waits.contains("points-post: repeat and window_ms") && waits.contains("sweep: is a class from"),
-                    waits);
+                    restartNeeded.contains("points-post: repeat and window_ms")
+                            && restartNeeded.contains("sweep: is a class from"),
+                    restartNeeded);
             long from = System.nanoTime();
             Peer after = stand.http().post("card-capture", "new", "", "");
-            // Held: a socket that nobody holds is closed by the collector, and the call with it.
+            // Kept in a variable: the garbage collector would close an unreferenced socket and break the call.
             Peer afterCall = other.accept();
-            assertEquals("new", call(afterCall));
+            assertEquals("new", receiveCall(afterCall));
             String failed = after.message();
             long tookMs = (System.nanoTime() - from) / 1_000_000;
             assertTrue(failed.startsWith("HTTP/1.1 500 "), failed);
@@ -108,12 +109,12 @@
     }
 
     @Test
-    void settingsThatMakeNoSenseAreTurnedDownWithEveryReason() throws Exception {
+    void invalidSettingsAreRefusedWithEveryReason() throws Exception {
         Endpoint service = new Endpoint("control");
         try (Stand stand = Stand.streaming(control(service, ""))) {
             Peer peer = stream(service);
-            begun(peer);
-            String said = detail(ask(
+            receiveSubscriptions(peer);
+            String errors = errorDetail(exchange(
                     peer,
                     state("classes", "1-aa", CHECK.replace("200", "9000"), CAPTURE.replace("}", ",'repeat':'safe'}"))));
             for (String finding : new String[] {
@@ -121,9 +122,9 @@
                 "resources[1].repeat: 'card-capture' must not run twice here",
                 "resources: class 'points-post' is missing"
             }) {
-                assertTrue(said.contains(finding), finding + "\n--- not in\n" + said);
+                assertTrue(errors.contains(finding), finding + "\n--- not in\n" + errors);
             }
-            said = detail(ask(
+            errors = errorDetail(exchange(
                     peer,
                     state("classes", "2-aa", CHECK.replace("200", "'fast'"), POST.replace("window", "widow"), CHECK)));
             for (String finding : new String[] {
@@ -131,23 +132,23 @@
                 "resources[1].widow_ms: is unknown",
                 "resources[2].name: 'basket-check' is resources[0]'s too"
             }) {
-                assertTrue(said.contains(finding), finding + "\n--- not in\n" + said);
+                assertTrue(errors.contains(finding), finding + "\n--- not in\n" + errors);
             }
-            said = detail(
-                    ask(peer, state("limits", "1-aa", "{'name':'limits','sockets':1048576,'listen':'tills:80'}")));
-            assertTrue(said.contains("resources[0].listen: 'tills:80' is not"), said);
-            // As much as the schema allows is more than this process may have of one or the other.
-            assertTrue(said.contains("resources[0].sockets: 1048576 "), said);
-            assertTrue(detail(ask(peer, state("functions", "1-aa", "{'name':'f','class':'c'}")))
+            errors = errorDetail(
+                    exchange(peer, state("limits", "1-aa", "{'name':'limits','sockets':1048576,'listen':'tills:80'}")));
+            assertTrue(errors.contains("resources[0].listen: 'tills:80' is not"), errors);
+            // The schema's maximum exceeds what this process may have in memory or in file descriptors.
+            assertTrue(errors.contains("resources[0].sockets: 1048576 "), errors);
+            assertTrue(errorDetail(exchange(peer, state("functions", "1-aa", "{'name':'f','class':'c'}")))
                     .contains("not taken here; taken are"));
-            JsonObject ack = ask(
+            JsonObject ack = exchange(
                     peer,
                     state("limits", "2-aa", "{'name':'limits','sockets':512,'attempts':2," + "'retry_after':false}"));
             assertEquals(
                     "sockets: 512 from the next start on, 1024 until then",
                     ack.getAsJsonArray("restart_needed").get(0).getAsString());
             assertTrue(report(stand).contains("512 from the next start on"));
-            // Nobody is there, and the refusal names no time any more.
+            // Without an endpoint the request is refused, and the refusal has no Retry-After any more.
             Peer client = stand.http().post("basket-check", "1", "", "");
             String refused = client.message();
             assertTrue(refused.startsWith("HTTP/1.1 503 ") && !refused.contains("Retry-After"), refused);
@@ -155,18 +156,18 @@
     }
 
     @Test
-    void aFunctionThatAVersionMapsIsServedByAWorkerThatNamedItBefore() throws Exception {
+    void newlyMappedFunctionIsServedByAWorkerThatRegisteredItBefore() throws Exception {
         Endpoint service = new Endpoint("control");
         try (Stand stand = Stand.streaming(
                 control(service, "probation_ms = 0\n"), "[functions.check]\nclass = 'basket-check'\n", null)) {
             Peer peer = stream(service);
-            begun(peer, "classes", "limits", "functions");
+            receiveSubscriptions(peer, "classes", "limits", "functions");
             Peer worker = Gearman.worker(stand, "check", "sum");
             Gearman.sleep(worker);
             Peer client = stand.gearman();
             Gearman.send(client, 7, "sum", "", "1 2");
             assertEquals("UNKNOWN_FUNCTION", Gearman.expect(client, Gearman.ERROR)[0]);
-            JsonObject ack = ask(peer, state("functions", "1-aa", "{'name':'sum','class':'points-post'}"));
+            JsonObject ack = exchange(peer, state("functions", "1-aa", "{'name':'sum','class':'points-post'}"));
             assertEquals(
                     "functions.check: is mapped until the next start",
                     ack.getAsJsonArray("restart_needed").get(0).getAsString());
@@ -185,27 +186,31 @@
     }
 
     @Test
-    void changesAreAppliedToWhatRunsAndToNothingElse() throws Exception {
+    void changesApplyOnlyToTheRunningVersion() throws Exception {
         Endpoint service = new Endpoint("control");
         Endpoint one = new Endpoint("e1");
         Endpoint two = new Endpoint("e2");
         try (Stand stand = Stand.streaming(control(service, "probation_ms = 0\n"))) {
             Peer peer = stream(service);
-            assertTrue(begun(peer).get("incremental").getAsBoolean());
-            ask(peer, version("1-aa", "x1", resource(one)));
-            JsonObject whole = ask(peer, change("9-ff", "10-aa", "", "'e1'"));
+            assertTrue(receiveSubscriptions(peer).get("incremental").getAsBoolean());
+            exchange(peer, version("1-aa", "x1", resource(one)));
+            JsonObject resubscription = exchange(peer, change("9-ff", "10-aa", "", "'e1'"));
             assertEquals(
-                    "*", whole.getAsJsonArray("resource_names_subscribe").get(0).getAsString());
-            assertTrue(detail(whole).contains("a change from version 9-ff, and 1-aa runs"));
+                    "*",
+                    resubscription
+                            .getAsJsonArray("resource_names_subscribe")
+                            .get(0)
+                            .getAsString());
+            assertTrue(errorDetail(resubscription).contains("a change from version 9-ff, and 1-aa runs"));
             String added = "{'name':'e2','resource':" + resource(two) + "}";
             String twoAlone =
                     Message.digest(JsonParser.parseString("[" + resource(two).replace('\'', '"') + "]")
                             .getAsJsonArray());
-            // What it would lead to is not what the service means by that version.
-            assertTrue(detail(ask(peer, change("1-aa", "2-" + twoAlone, added, "")))
+            // The resulting set does not have the digest that the version names.
+            assertTrue(errorDetail(exchange(peer, change("1-aa", "2-" + twoAlone, added, "")))
                     .contains("its digest is not"));
             assertTrue(
-                    detail(ask(
+                    errorDetail(exchange(
                                     peer,
                                     change(
                                             "1-aa",
@@ -217,12 +222,12 @@
                                             + "resources[0].name: is not its resource's name\nresources[1].resource: must be an object"));
             assertEquals(
                     "5-" + twoAlone,
-                    ask(peer, change("1-aa", "5-" + twoAlone, added, "'e1'"))
+                    exchange(peer, change("1-aa", "5-" + twoAlone, added, "'e1'"))
                             .get("version_info")
                             .getAsString());
             try (Peer client = stand.http().post("basket-check", "1", "", "");
                     Peer call = two.accept()) {
-                assertEquals("1", call(call));
+                assertEquals("1", receiveCall(call));
                 call.says("{'id':'1','state':'done','result':'r'}");
                 assertTrue(client.message().startsWith("HTTP/1.1 200 "));
             }
@@ -230,44 +235,44 @@
     }
 
     @Test
-    void twoServicesThatDisagreeEndAtOneVersion() throws Exception {
+    void conflictingServicesConvergeToOneVersion() throws Exception {
         Endpoint first = new Endpoint("control");
         Endpoint second = new Endpoint("other");
         Endpoint till = new Endpoint("e1");
         try (Stand stand = Stand.streaming("addresses = ['" + first.dial() + "', '" + second.dial()
                 + "']\nlongest_backoff_ms = 20\nfigures_ms = 0\nprobation_ms = 0\n")) {
             Peer peer = stream(first);
-            begun(peer);
+            receiveSubscriptions(peer);
             assertEquals(
                     "5-aa",
-                    ask(peer, version("5-aa", "x", resource(till)))
+                    exchange(peer, version("5-aa", "x", resource(till)))
                             .get("version_info")
                             .getAsString());
             peer.close();
             Peer other = stream(second);
-            assertEquals("5-aa", begun(other).get("version_info").getAsString());
+            assertEquals("5-aa", receiveSubscriptions(other).get("version_info").getAsString());
             assertEquals(
                     "5-bb",
-                    ask(other, version("5-bb", "x", resource(till)))
+                    exchange(other, version("5-bb", "x", resource(till)))
                             .get("version_info")
                             .getAsString());
             other.close();
             Peer again = stream(first);
-            begun(again);
-            JsonObject word = ask(again, version("5-aa", "y", resource(till)));
-            assertEquals("5-bb", word.get("version_info").getAsString());
-            assertTrue(detail(word).contains("of the same number"));
+            receiveSubscriptions(again);
+            JsonObject response = exchange(again, version("5-aa", "y", resource(till)));
+            assertEquals("5-bb", response.get("version_info").getAsString());
+            assertTrue(errorDetail(response).contains("of the same number"));
         }
     }
 
     @Test
-    void aLineWithoutEndEndsTheStreamAndFillsNothing() throws Exception {
+    void lineOverTheLimitEndsTheStreamWithoutFillingMemory() throws Exception {
         Endpoint service = new Endpoint("control");
         Endpoint till = new Endpoint("e1");
         try (Stand stand = Stand.streaming(control(service, "most_line_kib = 256\n"))) {
             Peer peer = stream(service);
-            begun(peer);
-            ask(peer, version("1-aa", "x", resource(till)));
+            receiveSubscriptions(peer);
+            exchange(peer, version("1-aa", "x", resource(till)));
             byte[] filler = new byte[1 << 16];
             Arrays.fill(filler, (byte) 'x');
             int sent = 0;
@@ -276,42 +281,44 @@
                     peer.write("10000\r\n").write(filler).write("\r\n");
                 }
             } catch (IOException e) {
-                // Cut off, as it has to be.
+                // Expected: the scheduler closes the stream once the line is too long.
                 assertTrue(sent < 800);
             }
             assertTrue(sent < 800, "50 MB were taken");
-            assertEquals("1-aa", begun(stream(service)).get("version_info").getAsString());
+            assertEquals(
+                    "1-aa",
+                    receiveSubscriptions(stream(service)).get("version_info").getAsString());
         }
     }
 
     @Test
-    void eachOfManyLinesHasItsAnswerInOrder() throws Exception {
+    void manyVersionsAreAnsweredInOrder() throws Exception {
         Endpoint service = new Endpoint("control");
         Endpoint till = new Endpoint("e1");
         try (Stand stand = Stand.streaming(control(service, "probation_ms = 0\n"))) {
             Peer peer = stream(service);
-            begun(peer);
+            receiveSubscriptions(peer);
             int lines = 1200;
-            Thread writing = new Thread(() -> {
+            Thread writer = new Thread(() -> {
                 try {
                     for (int i = 1; i <= lines; i++) {
-                        say(peer, version(i + "-aa", "n" + i, resource(till)));
+                        sendLine(peer, version(i + "-aa", "n" + i, resource(till)));
                     }
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
             });
-            writing.start();
+            writer.start();
             for (int i = 1; i <= lines; i++) {
-                assertEquals("n" + i, word(peer).get("response_nonce").getAsString());
+                assertEquals("n" + i, receive(peer).get("response_nonce").getAsString());
             }
-            writing.join();
+            writer.join();
             assertEquals(lines, stand.counter("config.adopted"));
         }
     }
 
     @Test
-    void anEndpointLeftOutGetsNothingNewAndWhatItHasGoesOn() throws Exception {
+    void removedEndpointFinishesItsJobAndGetsNoNewRequests() throws Exception {
         Endpoint service = new Endpoint("control");
         Endpoint one = new Endpoint("e1");
         Endpoint two = new Endpoint("e2");
@@ -320,26 +327,26 @@
                 "[functions.kpost]\nclass = 'card-capture'\ndurable = true\n",
                 folder.resolve("jobs"))) {
             Peer peer = stream(service);
-            begun(peer, "classes", "limits", "functions", "durable");
-            ask(peer, version("1-aa", "x", resource(one)));
-            // A durable job is at work there while its endpoint drains and is then left out.
+            receiveSubscriptions(peer, "classes", "limits", "functions", "durable");
+            exchange(peer, version("1-aa", "x", resource(one)));
+            // A durable job runs on an endpoint that drains and is then removed.
             Peer client = stand.gearman();
             String handle = Gearman.keep(client, "kpost", "u1", "b");
             assertFalse(handle.isEmpty());
             Peer call = one.accept();
-            String id = call(call);
-            ask(peer, version("2-aa", "x", resource(one).replace("}", ",'state':'draining'}"), resource(two)));
-            ask(
+            String id = receiveCall(call);
+            exchange(peer, version("2-aa", "x", resource(one).replace("}", ",'state':'draining'}"), resource(two)));
+            exchange(
                     peer,
                     state(
                             "durable",
                             "1-aa",
                             "{'name':'durable','dir':'" + folder.resolve("jobs")
                                     + "','most_at_work':1,'classes':{'card-capture':{'lease_ms':60000,'longest_ms':60000}}}"));
-            ask(peer, version("3-aa", "x", resource(two)));
+            exchange(peer, version("3-aa", "x", resource(two)));
             try (Peer http = stand.http().post("basket-check", "9", "", "");
                     Peer other = two.accept()) {
-                assertEquals("9", call(other));
+                assertEquals("9", receiveCall(other));
                 other.says("{'id':'9','state':'done','result':'r'}");
                 assertTrue(http.message().startsWith("HTTP/1.1 200 "));
             }
@@ -349,9 +356,9 @@
         }
     }
 
-    /** The store's jobs are there before the first version is: they wait for it, and each runs once. */
+    /** Jobs recovered from the store wait for the first version, and each runs once. */
     @Test
-    void aVersionAdoptedDuringRecoveryIsWhereTheJobsGo() throws Exception {
+    void recoveredJobsGoToTheFirstVersionAdopted() throws Exception {
         Path jobs = folder.resolve("jobs");
         try (Stand stand = Stand.keeping(jobs, "")) {
             Peer client = stand.gearman();
@@ -367,16 +374,16 @@
                 jobs)) {
             assertEquals(5, stand.counter("durable.recovered"));
             Peer peer = stream(service);
-            begun(peer, "classes", "limits", "functions", "durable");
-            ask(peer, version("1-aa", "x", resource(till)));
+            receiveSubscriptions(peer, "classes", "limits", "functions", "durable");
+            exchange(peer, version("1-aa", "x", resource(till)));
             Set<String> ran = new TreeSet<>();
             for (int i = 0; i < 5; i++) {
                 try (Peer call = till.accept()) {
                     String sent = call.message();
                     int at = sent.indexOf("Req-Id: ") + 8;
                     assertTrue(ran.add(sent.substring(sent.length() - 5)), sent);
-                    // Another version in the middle of it, with the same endpoint in another order of keys.
-                    ask(peer, version((i + 2) + "-aa", "x", resource(till)));
+                    // Another version arrives during recovery, with the same endpoint.
+                    exchange(peer, version((i + 2) + "-aa", "x", resource(till)));
                     call.says(
                             "{'id':'" + sent.substring(at, sent.indexOf('\r', at)) + "','state':'done','result':'r'}");
                     stand.await("durable.done", i + 1);
@@ -386,32 +393,34 @@
         }
     }
 
-    /** A data centre is lost: the service says nothing more, an endpoint is gone, and clients go on asking. */
+    /** A data centre is lost: the control service is silent, an endpoint is gone, and clients keep sending requests. */
     @Test
-    void silenceWhileAnEndpointIsLostLeavesTheOtherServing() throws Exception {
+    void remainingEndpointServesWhileTheControlServiceIsSilent() throws Exception {
         Endpoint service = new Endpoint("control");
         Endpoint lost = new Endpoint("e1");
-        Endpoint left = new Endpoint("e2");
+        Endpoint remaining = new Endpoint("e2");
         try (Stand stand = Stand.streaming(control(service, "silence_ms = 150\nprobation_ms = 0\n"))) {
             Peer peer = stream(service);
-            begun(peer);
-            ask(peer, version("1-aa", "x", resource(lost), resource(left)));
+            receiveSubscriptions(peer);
+            exchange(peer, version("1-aa", "x", resource(lost), resource(remaining)));
             lost.close();
             try (Peer client = stand.http()) {
                 Peer call = null;
                 for (int i = 0; i < 20; i++) {
                     client.post("basket-check", "q" + i, "", "");
-                    // One kept connection carries them all: nothing else is at work here.
-                    call = call == null ? left.accept() : call;
-                    assertEquals("q" + i, call(call));
+                    // Requests come one at a time, so that one kept-alive connection carries them all.
+                    call = call == null ? remaining.accept() : call;
+                    assertEquals("q" + i, receiveCall(call));
                     call.says("{'id':'q" + i + "','state':'done','result':'r'}");
                     assertTrue(client.message().startsWith("HTTP/1.1 200 "));
                     if (i == 10) {
-                        // Begun anew, and silent again.
+                        // The scheduler opens a new stream, and the service is silent again.
                         assertTrue(peer.ended());
                         assertEquals(
                                 "1-aa",
-                                begun(stream(service)).get("version_info").getAsString());
+                                receiveSubscriptions(stream(service))
+                                        .get("version_info")
+                                        .getAsString());
                     }
                 }
             }
@@ -421,7 +430,7 @@
     }
 
     @Test
-    void whatWaitedForARestartHoldsAfterIt() throws Exception {
+    void settingsThatNeedARestartApplyAfterIt() throws Exception {
         Path file = folder.resolve("laneflow.toml");
         String text = "listen = '127.0.0.1:0'\nzones = ['celje-1']\n[limits]\nsockets = 1024\n[classes.check]\n"
                 + "aim_ms = 200\n[control]\naddresses = ['127.0.0.1:1']\nlast_good_dir = '" + folder + "'\n";
@@ -439,12 +448,12 @@
         assertEquals(3, setup.config().settings.maxAttempts);
         assertEquals(List.of("check", "sweep"), List.of(setup.config().classNames));
         assertEquals(0.1, setup.config().settings.classes[0].aim, 1e-9);
-        // Written by another build, and none for this one: the file is used alone, and says nothing of it.
+        // A last-good file of another build that is invalid here is ignored: the operators' file applies alone.
         classes.add("resources", JsonParser.parseString("[{'name':'check','colour':1}]"));
         new LastGood(folder, "classes")
                 .write(new LastGood.SavedVersion("type.laneflow/classes", new Version(3, "aa"), 1, classes));
         assertEquals(List.of("check"), List.of(Setup.operators(file, null, null).config().classNames));
-        // The platform's file decides what it names.
+        // The platform's file takes precedence for the types that it names.
         Path platform = folder.resolve("platform.json");
         Files.writeString(
                 platform,
@@ -456,16 +465,16 @@
     }
 
     @Test
-    void operatorsAskAtAPortOfTheirOwn() throws Exception {
+    void operatorsQueryASeparatePort() throws Exception {
         Endpoint service = new Endpoint("control");
         Endpoint till = new Endpoint("e1");
         Path kept = folder.resolve("kept");
         try (Stand stand = Stand.streaming(
                 control(service, "probation_ms = 0\nlisten = '127.0.0.1:0'\nlast_good_dir = '" + kept + "'\n"))) {
             Peer peer = stream(service);
-            begun(peer);
-            ask(peer, version("1-aa", "x", resource(till)));
-            ask(peer, version("2-aa", "x", "7"));
+            receiveSubscriptions(peer);
+            exchange(peer, version("1-aa", "x", resource(till)));
+            exchange(peer, version("2-aa", "x", "7"));
             assertTrue(report(stand).startsWith("HTTP/1.1 404 "));
             var at = stand.serve.operators().address();
             String address = "127.0.0.1:" + at.getPort();
--- a/src/test/java/laneflow/control/LastGoodTest.java
+++ b/src/test/java/laneflow/control/LastGoodTest.java
@@ -19,13 +19,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The file of the last good version: old or new at any moment, and never believed when damaged. */
+/** The last-good file: a kill during a write leaves the old or the new version, and a damaged file is refused. */
 @Timeout(900)
 class LastGoodTest {
     @TempDir
     private Path folder;
 
-    private static SavedVersion kept(long number) {
+    private static SavedVersion savedVersion(long number) {
         JsonObject resources = new JsonObject();
         resources.addProperty("filler", "x".repeat((int) (number % 7) * 3000));
         resources.addProperty("number", number);
@@ -33,68 +33,68 @@
     }
 
     @Test
-    void whatWasWrittenIsRead() throws Exception {
+    void writtenVersionIsReadBack() throws Exception {
         LastGood file = new LastGood(folder, "destinations");
         assertNull(file.read());
-        file.write(kept(1));
-        file.write(kept(2));
-        assertEquals(kept(2), file.read());
-        // What an interrupted writing left beside it is not looked at.
+        file.write(savedVersion(1));
+        file.write(savedVersion(2));
+        assertEquals(savedVersion(2), file.read());
+        // A temporary file left by an interrupted write is ignored.
         Files.writeString(folder.resolve("destinations.last-good.new"), "half");
-        assertEquals(kept(2), file.read());
-        file.write(kept(3));
-        assertEquals(kept(3), file.read());
+        assertEquals(savedVersion(2), file.read());
+        file.write(savedVersion(3));
+        assertEquals(savedVersion(3), file.read());
     }
 
     @Test
-    void whatIsDamagedIsRefusedInWords() throws Exception {
+    void damagedFileIsRefusedWithAReason() throws Exception {
         LastGood file = new LastGood(folder, "destinations");
-        file.write(kept(1));
+        file.write(savedVersion(1));
         Path path = folder.resolve("destinations.last-good");
-        byte[] sound = Files.readAllBytes(path);
-        // In memory: how fast a disk takes a hundred files says nothing of what is read from them.
-        for (int at = 0; at < sound.length; at++) {
-            byte[] flipped = sound.clone();
+        byte[] intact = Files.readAllBytes(path);
+        // Parses in memory: writing a file for each case would add only disk time.
+        for (int at = 0; at < intact.length; at++) {
+            byte[] flipped = intact.clone();
             flipped[at] ^= 2;
             assertThrows(LastGood.Unusable.class, () -> LastGood.parse(flipped, "f"), "byte " + at);
         }
-        for (int length = 0; length < sound.length; length++) {
-            byte[] cut = Arrays.copyOf(sound, length);
-            assertThrows(LastGood.Unusable.class, () -> LastGood.parse(cut, "f"), "length " + length);
+        for (int length = 0; length < intact.length; length++) {
+            byte[] truncated = Arrays.copyOf(intact, length);
+            assertThrows(LastGood.Unusable.class, () -> LastGood.parse(truncated, "f"), "length " + length);
         }
-        assertEquals(kept(1), LastGood.parse(sound, "f"));
-        Files.writeString(path, new String(sound, StandardCharsets.UTF_8).replaceFirst(" 1 ", " 2 "));
-        String said = assertThrows(LastGood.Unusable.class, file::read).getMessage();
-        assertTrue(said.contains("has format 2, this build reads 1"), said);
+        assertEquals(savedVersion(1), LastGood.parse(intact, "f"));
+        Files.writeString(path, new String(intact, StandardCharsets.UTF_8).replaceFirst(" 1 ", " 2 "));
+        String message = assertThrows(LastGood.Unusable.class, file::read).getMessage();
+        assertTrue(message.contains("has format 2, this build reads 1"), message);
     }
 
     @Test
-    void aKillAtAnyMomentLeavesTheOldOneOrTheNew() throws Exception {
+    void killDuringAWriteLeavesTheOldOrTheNewVersion() throws Exception {
         Random random = new Random(7);
         LastGood file = new LastGood(folder, "destinations");
         long last = 0;
         for (int i = 0; i < 6; i++) {
-            Path said = folder.resolve("said");
-            long enough = 20 + random.nextInt(1500);
-            KilledProcess.run(said, enough, Writer.class, folder.toString(), String.valueOf(last));
-            String[] lines = Files.readString(said).split("\n");
+            Path output = folder.resolve("said");
+            long outputBytes = 20 + random.nextInt(1500);
+            KilledProcess.run(output, outputBytes, Writer.class, folder.toString(), String.valueOf(last));
+            String[] lines = Files.readString(output).split("\n");
             long acknowledged = lines.length < 2 ? last : Long.parseLong(lines[lines.length - 2]);
             SavedVersion found = file.read();
-            assertEquals(kept(found.version().number()), found);
+            assertEquals(savedVersion(found.version().number()), found);
             assertTrue(found.version().number() >= acknowledged, found.version() + " of " + acknowledged);
             last = found.version().number();
         }
         assertTrue(last > 20, last + " written");
     }
 
-    /** Writes one version after the other, and says which writes returned. */
+    /** Writes one version after the other and prints the number of each completed write. */
     static final class Writer {
         private Writer() {}
 
         public static void main(String[] args) throws IOException {
             LastGood file = new LastGood(Path.of(args[0]), "destinations");
             for (long number = Long.parseLong(args[1]) + 1; ; number++) {
-                file.write(kept(number));
+                file.write(savedVersion(number));
                 System.out.write((number + "\n").getBytes(StandardCharsets.US_ASCII));
                 System.out.flush();
             }
--- a/src/test/java/laneflow/control/Service.java
+++ b/src/test/java/laneflow/control/Service.java
@@ -9,11 +9,11 @@
 import laneflow.net.Stand.Endpoint;
 import laneflow.net.Stand.Peer;
 
-/** The words of a scripted control service. */
+/** Messages of a scripted control service, and helpers that exchange them with the scheduler. */
 final class Service {
     private Service() {}
 
-    /** Takes a stream in: its head, then an answer that goes on. */
+    /** Accepts a stream: reads the request head and begins a chunked response. */
     static Peer stream(Endpoint service) throws IOException {
         Peer peer = service.accept();
         assertTrue(peer.readTo("\r\n\r\n").startsWith("POST /v3/discovery:stream HTTP/1.1\r\n"));
@@ -21,13 +21,13 @@
         return peer;
     }
 
-    static JsonObject word(Peer peer) throws IOException {
+    static JsonObject receive(Peer peer) throws IOException {
         int size = Integer.parseInt(peer.readTo("\r\n").strip(), 16);
         String text = new String(peer.read(size + 2));
         return JsonParser.parseString(text).getAsJsonObject();
     }
 
-    static void say(Peer peer, String text) throws IOException {
+    static void sendLine(Peer peer, String text) throws IOException {
         String line = text.replace('\'', '"') + "\n";
         peer.write(Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
     }
@@ -37,7 +37,7 @@
                 + "','resources':[" + String.join(",", resources) + "]}";
     }
 
-    /** A whole state of another type. */
+    /** A full state of another resource type. */
     static String state(String type, String version, String... resources) {
         return version(version, version, resources).replace(DestinationType.URL, "type.laneflow/" + type);
     }
@@ -46,27 +46,27 @@
         return "{'name':'" + endpoint.name + "','dial':'" + endpoint.dial() + "','zone':'celje-1'}";
     }
 
-    static String detail(JsonObject word) {
-        return word.getAsJsonObject("error_detail").get("message").getAsString();
+    static String errorDetail(JsonObject message) {
+        return message.getAsJsonObject("error_detail").get("message").getAsString();
     }
 
-    /** What each type begins a stream with; the word on destinations. */
-    static JsonObject begun(Peer peer) throws IOException {
-        return begun(peer, "classes", "limits");
+    /** Receives the initial subscription of each type and returns the one for destinations. */
+    static JsonObject receiveSubscriptions(Peer peer) throws IOException {
+        return receiveSubscriptions(peer, "classes", "limits");
     }
 
-    /** The same with these types behind destinations. */
-    static JsonObject begun(Peer peer, String... types) throws IOException {
-        JsonObject destinations = word(peer);
+    /** Receives the initial subscriptions of destinations and of the given types, in this order. */
+    static JsonObject receiveSubscriptions(Peer peer, String... types) throws IOException {
+        JsonObject destinations = receive(peer);
         for (String type : types) {
-            assertEquals("type.laneflow/" + type, word(peer).get("type_url").getAsString());
+            assertEquals("type.laneflow/" + type, receive(peer).get("type_url").getAsString());
         }
         assertEquals(DestinationType.URL, destinations.get("type_url").getAsString());
         return destinations;
     }
 
-    static JsonObject ask(Peer peer, String line) throws IOException {
-        say(peer, line);
-        return word(peer);
+    static JsonObject exchange(Peer peer, String line) throws IOException {
+        sendLine(peer, line);
+        return receive(peer);
     }
 }
--- a/src/test/java/laneflow/control/TrialTest.java
+++ b/src/test/java/laneflow/control/TrialTest.java
@@ -10,7 +10,7 @@
 import laneflow.control.decision.Trial;
 import org.junit.jupiter.api.Test;
 
-/** What is blamed on a version, minute by minute of a made-up service with two classes. */
+/** Verdicts on versions on trial, over simulated request counts of two classes. */
 class TrialTest {
     private static final long SECOND = 1_000_000;
     private final long[][] own = new long[2][4];
@@ -18,108 +18,108 @@
     private final Trial trial = new Trial(new String[] {"check", "capture"}, 10 * SECOND, 0.02, 0, own);
     private final Random random = new Random(7);
     private long now;
-    private Finding verdict;
+    private Finding finding;
 
-    /** So many seconds with so many requests each, by class, and shares that end badly. */
-    private void pass(
+    /** Simulates traffic for the given seconds: requests per second and failure share of each class, in steps of 0.1 s. */
+    private void simulate(
             int seconds,
             int checks,
-            double badChecks,
+            double failedChecks,
             int captures,
-            double badCaptures,
+            double failedCaptures,
             double refused,
-            double badGroup) {
+            double failedInGroup) {
         for (int i = 0; i < seconds * 10; i++) {
             now += SECOND / 10;
-            count(own[0], checks, badChecks, refused);
-            count(own[1], captures, badCaptures, refused);
-            count(group[0], checks, badGroup, 0);
+            count(own[0], checks, failedChecks, refused);
+            count(own[1], captures, failedCaptures, refused);
+            count(group[0], checks, failedInGroup, 0);
             Finding found = trial.evaluate(now, own, group);
-            verdict = found.verdict() == Verdict.TOO_EARLY || !trial.isRunning() && verdict != null ? verdict : found;
+            finding = found.verdict() == Verdict.TOO_EARLY || !trial.isRunning() && finding != null ? finding : found;
         }
     }
 
-    private void count(long[] row, int perSecond, double bad, double refused) {
+    private void count(long[] row, int perSecond, double failed, double refused) {
         for (int i = 0; i < perSecond / 10; i++) {
             row[0]++;
-            row[1] += random.nextDouble() < bad ? 1 : 0;
+            row[1] += random.nextDouble() < failed ? 1 : 0;
             row[3] += random.nextDouble() < refused ? 1 : 0;
         }
     }
 
     private void adopt() {
-        verdict = null;
+        finding = null;
         trial.versionAdopted(now, own, group);
     }
 
     @Test
-    void whatBreaksOneClassIsTakenBackEarlyAndNamed() {
-        pass(30, 2000, 0.01, 100, 0.01, 0, 0.01);
+    void failuresOfOneClassTakeTheVersionBackEarly() {
+        simulate(30, 2000, 0.01, 100, 0.01, 0, 0.01);
         adopt();
         long from = now;
-        // The small class is lost in the sum of both.
-        pass(10, 2000, 0.01, 100, 0.2, 0, 0.01);
-        assertEquals(Verdict.TAKE_BACK, verdict.verdict());
-        assertTrue(verdict.figures().startsWith("capture: failures and connect errors went from "), verdict.figures());
+        // Summed over both classes, the failures of the small class would not show.
+        simulate(10, 2000, 0.01, 100, 0.2, 0, 0.01);
+        assertEquals(Verdict.TAKE_BACK, finding.verdict());
+        assertTrue(finding.figures().startsWith("capture: failures and connect errors went from "), finding.figures());
         assertFalse(trial.isRunning());
         assertTrue(now - from <= 10 * SECOND);
     }
 
     @Test
-    void theNextVersionIsHeldAgainstTheUsualStateAndNotAgainstTheDamage() {
-        pass(30, 200, 0, 0, 0, 0, 0);
+    void baselineExcludesTheTimeOfAVersionTakenBack() {
+        simulate(30, 200, 0, 0, 0, 0, 0);
         adopt();
-        pass(3, 200, 0.5, 0, 0, 0, 0);
-        assertEquals(Verdict.TAKE_BACK, verdict.verdict());
-        // At once another one that breaks as much: there was no calm time between them.
+        simulate(3, 200, 0.5, 0, 0, 0, 0);
+        assertEquals(Verdict.TAKE_BACK, finding.verdict());
+        // A second faulty version follows at once, with no normal traffic in between.
         adopt();
-        pass(3, 200, 0.5, 0, 0, 0, 0);
-        assertEquals(Verdict.TAKE_BACK, verdict.verdict());
-        // And one right behind a version that was kept has that one's time to be held against.
-        pass(30, 200, 0, 0, 0, 0, 0);
+        simulate(3, 200, 0.5, 0, 0, 0, 0);
+        assertEquals(Verdict.TAKE_BACK, finding.verdict());
+        // A version that directly follows a kept one is compared with the kept one's trial.
+        simulate(30, 200, 0, 0, 0, 0, 0);
         adopt();
-        pass(11, 200, 0, 0, 0, 0, 0);
-        assertEquals(Verdict.KEEP, verdict.verdict());
+        simulate(11, 200, 0, 0, 0, 0, 0);
+        assertEquals(Verdict.KEEP, finding.verdict());
         adopt();
-        pass(2, 200, 0.5, 0, 0, 0, 0);
-        assertEquals(Verdict.TAKE_BACK, verdict.verdict());
+        simulate(2, 200, 0.5, 0, 0, 0, 0);
+        assertEquals(Verdict.TAKE_BACK, finding.verdict());
     }
 
     @Test
-    void whatJoinsATrialIsJudgedWithIt() {
-        pass(30, 200, 0, 0, 0, 0, 0);
+    void versionAdoptedDuringATrialExtendsIt() {
+        simulate(30, 200, 0, 0, 0, 0, 0);
         adopt();
-        pass(8, 200, 0.01, 0, 0, 0, 0);
+        simulate(8, 200, 0.01, 0, 0, 0, 0);
         trial.versionAdopted(now, own, group);
-        pass(8, 200, 0.01, 0, 0, 0, 0);
-        // The first one's length is over, the second's is not.
+        simulate(8, 200, 0.01, 0, 0, 0, 0);
+        // The first version's probation is over, the second's is not.
         assertTrue(trial.isRunning());
-        pass(1, 200, 0.6, 0, 0, 0, 0);
-        assertEquals(Verdict.TAKE_BACK, verdict.verdict());
-        // However many join, it ends.
+        simulate(1, 200, 0.6, 0, 0, 0, 0);
+        assertEquals(Verdict.TAKE_BACK, finding.verdict());
+        // A trial ends however many versions join it.
         adopt();
         for (int i = 0; i < 20 && trial.isRunning(); i++) {
             trial.versionAdopted(now, own, group);
-            pass(4, 200, 0, 0, 0, 0, 0);
+            simulate(4, 200, 0, 0, 0, 0, 0);
         }
         assertFalse(trial.isRunning());
     }
 
     @Test
-    void whatHappensToAllOrComesWithABurstIsNotBlamed() {
-        pass(30, 200, 0.01, 0, 0, 0, 0.01);
+    void failuresOfTheControlGroupAreNotAttributedToTheVersion() {
+        simulate(30, 200, 0.01, 0, 0, 0, 0.01);
         adopt();
-        // A zone is lost: the control group, which runs the version before, fails as much.
-        pass(11, 200, 0.4, 0, 0, 0, 0.4);
-        assertEquals(Verdict.KEEP, verdict.verdict());
-        pass(30, 200, 0.01, 0, 0, 0, 0.01);
+        // A zone is lost: the control group, which runs the previous version, fails as much.
+        simulate(11, 200, 0.4, 0, 0, 0, 0.4);
+        assertEquals(Verdict.KEEP, finding.verdict());
+        simulate(30, 200, 0.01, 0, 0, 0, 0.01);
         adopt();
-        pass(11, 200, 0.4, 0, 0, 0, 0.01);
-        assertEquals(Verdict.TAKE_BACK, verdict.verdict());
+        simulate(11, 200, 0.4, 0, 0, 0, 0.01);
+        assertEquals(Verdict.TAKE_BACK, finding.verdict());
     }
 
     @Test
-    void aBurstRefusesUnderAnyVersionWhereNoGroupIsKnown() {
+    void refusalsInABurstAreNotAttributedWithoutAControlGroup() {
         Trial alone = new Trial(new String[] {"check"}, 10 * SECOND, 0.02, 0, new long[1][4]);
         long[][] counts = {{4000, 10, 0, 20}};
         alone.evaluate(20 * SECOND, counts, null);
@@ -132,12 +132,12 @@
     }
 
     @Test
-    void withoutEnoughRequestsNothingIsBlamed() {
-        pass(30, 0, 0, 0, 0, 0, 0);
+    void versionIsKeptWithTooFewRequests() {
+        simulate(30, 0, 0, 0, 0, 0, 0);
         adopt();
         own[0][0] += 20;
         own[0][1] += 20;
-        pass(11, 0, 0, 0, 0, 0, 0);
-        assertEquals(Verdict.KEEP, verdict.verdict());
+        simulate(11, 0, 0, 0, 0, 0, 0);
+        assertEquals(Verdict.KEEP, finding.verdict());
     }
 }
--- a/src/test/java/laneflow/control/VersionTrackerTest.java
+++ b/src/test/java/laneflow/control/VersionTrackerTest.java
@@ -22,75 +22,75 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** The decisions on streamed versions, by cases and over messages in any order. */
+/** Decisions on streamed versions: single cases, and the same messages in any order. */
 class VersionTrackerTest {
     private static Version version(long number, String digest) {
         return new Version(number, digest);
     }
 
-    /** A version of these is bad where its number is divisible by three. */
-    private static boolean bad(Version version) {
+    /** In these tests a version is invalid if its number is divisible by three. */
+    private static boolean isInvalid(Version version) {
         return version.number() % 3 == 0;
     }
 
-    private static void hear(VersionTracker track, Version offered) {
-        if (track.classifyFull(offered).kind() == Kind.CHECK) {
-            if (bad(offered)) {
-                track.refuse(offered, "bad");
+    private static void offer(VersionTracker tracker, Version offered) {
+        if (tracker.classifyFull(offered).kind() == Kind.CHECK) {
+            if (isInvalid(offered)) {
+                tracker.refuse(offered, "bad");
             } else {
-                track.accept(offered);
+                tracker.accept(offered);
             }
         }
     }
 
     @Test
-    void eachMessageHasOneAnswer() {
-        VersionTracker track = new VersionTracker();
-        assertEquals(Kind.CHECK, track.classifyFull(version(4, "aa")).kind());
-        track.accept(version(4, "aa"));
-        track.settle();
-        assertTrue(track.classifyFull(version(4, "aa")).isAck());
-        assertEquals(Kind.OLDER, track.classifyFull(version(2, "ff")).kind());
+    void classificationOfFullStatesAndDeltas() {
+        VersionTracker tracker = new VersionTracker();
+        assertEquals(Kind.CHECK, tracker.classifyFull(version(4, "aa")).kind());
+        tracker.accept(version(4, "aa"));
+        tracker.settle();
+        assertTrue(tracker.classifyFull(version(4, "aa")).isAck());
+        assertEquals(Kind.OLDER, tracker.classifyFull(version(2, "ff")).kind());
         assertEquals(
                 "version 4-aa runs, of the same number",
-                track.classifyFull(version(4, "a9")).reason());
-        assertEquals(Kind.CHECK, track.classifyFull(version(4, "ab")).kind());
-        track.refuse(version(5, "bb"), "no live endpoint in zone celje-1");
-        assertEquals(Kind.REFUSED, track.classifyFull(version(5, "bb")).kind());
+                tracker.classifyFull(version(4, "a9")).reason());
+        assertEquals(Kind.CHECK, tracker.classifyFull(version(4, "ab")).kind());
+        tracker.refuse(version(5, "bb"), "no live endpoint in zone celje-1");
+        assertEquals(Kind.REFUSED, tracker.classifyFull(version(5, "bb")).kind());
         assertEquals(
                 "no live endpoint in zone celje-1",
-                track.classifyFull(version(5, "bb")).reason());
-        assertEquals(Kind.CHECK, track.classifyFull(version(5, "bc")).kind());
+                tracker.classifyFull(version(5, "bb")).reason());
+        assertEquals(Kind.CHECK, tracker.classifyFull(version(5, "bc")).kind());
         assertEquals(
                 Kind.FULL_STATE_NEEDED,
-                track.classifyDelta(version(3, "aa"), version(6, "cc")).kind());
+                tracker.classifyDelta(version(3, "aa"), version(6, "cc")).kind());
         assertEquals(
                 Kind.CHECK,
-                track.classifyDelta(version(4, "aa"), version(6, "cc")).kind());
-        track.accept(version(6, "cc"));
-        assertEquals(1, track.gaps());
-        assertThrows(IllegalStateException.class, () -> track.accept(version(5, "bc")));
-        // What broke service goes, and is not tried again; a later one is.
-        assertEquals(version(4, "aa"), track.takeBack("failures went up"));
-        assertEquals(Kind.REFUSED, track.classifyFull(version(6, "cc")).kind());
-        assertEquals("failures went up", track.lastRefused().getValue());
-        assertEquals(Kind.CHECK, track.classifyFull(version(7, "dd")).kind());
-        // Two on trial together go together, to the last that has stood its trial.
-        track.accept(version(7, "dd"));
-        track.accept(version(8, "ee"));
-        assertTrue(track.isOnTrial());
-        assertEquals(version(4, "aa"), track.takeBack("again"));
-        assertEquals("again", track.classifyFull(version(7, "dd")).reason());
-        assertEquals("again", track.classifyFull(version(8, "ee")).reason());
-        assertFalse(track.isOnTrial());
+                tracker.classifyDelta(version(4, "aa"), version(6, "cc")).kind());
+        tracker.accept(version(6, "cc"));
+        assertEquals(1, tracker.gaps());
+        assertThrows(IllegalStateException.class, () -> tracker.accept(version(5, "bc")));
+        // A version taken back is refused from then on; a later one is checked.
+        assertEquals(version(4, "aa"), tracker.takeBack("failures went up"));
+        assertEquals(Kind.REFUSED, tracker.classifyFull(version(6, "cc")).kind());
+        assertEquals("failures went up", tracker.lastRefused().getValue());
+        assertEquals(Kind.CHECK, tracker.classifyFull(version(7, "dd")).kind());
+        // Versions on trial together are taken back together, to the last settled one.
+        tracker.accept(version(7, "dd"));
+        tracker.accept(version(8, "ee"));
+        assertTrue(tracker.isOnTrial());
+        assertEquals(version(4, "aa"), tracker.takeBack("again"));
+        assertEquals("again", tracker.classifyFull(version(7, "dd")).reason());
+        assertEquals("again", tracker.classifyFull(version(8, "ee")).reason());
+        assertFalse(tracker.isOnTrial());
         assertEquals(version(12, "0f"), Version.parse("12-0f"));
         assertEquals(Version.NONE, Version.parse("0"));
-        for (String none : new String[] {"", "-1", "01", "1-G", "x"}) {
-            assertThrows(IllegalArgumentException.class, () -> Version.parse(none), none);
+        for (String invalid : new String[] {"", "-1", "01", "1-G", "x"}) {
+            assertThrows(IllegalArgumentException.class, () -> Version.parse(invalid), invalid);
         }
     }
 
-    /** Any order, with any repeats, ends at the newest acceptable version; who saw the same set agrees. */
+    /** Any order of the same versions, with any repeats, ends at the newest valid one. */
     @Property(tries = 1000, seed = "7")
     void orderDoesNotMatter(
             @ForAll @Size(min = 1, max = 20) List<@IntRange(min = 1, max = 12) Integer> numbers, @ForAll int shuffle) {
@@ -99,15 +99,15 @@
             seen.add(version(numbers.get(i), "a" + i % 3));
         }
         VersionTracker one = new VersionTracker();
-        seen.forEach(version -> hear(one, version));
+        seen.forEach(version -> offer(one, version));
         Random random = new Random(shuffle);
-        List<Version> otherWay = new ArrayList<>(seen);
-        otherWay.addAll(seen.subList(0, random.nextInt(seen.size())));
-        Collections.shuffle(otherWay, random);
+        List<Version> reordered = new ArrayList<>(seen);
+        reordered.addAll(seen.subList(0, random.nextInt(seen.size())));
+        Collections.shuffle(reordered, random);
         VersionTracker other = new VersionTracker();
-        otherWay.forEach(version -> hear(other, version));
+        reordered.forEach(version -> offer(other, version));
         Version newest = seen.stream()
-                .filter(version -> !bad(version))
+                .filter(version -> !isInvalid(version))
                 .max(Version::compareTo)
                 .orElse(Version.NONE);
         assertEquals(newest, one.running());
@@ -115,21 +115,21 @@
     }
 
     @Test
-    void whoTakesPartFollowsFromNameAndSeed() {
-        int part = 0;
+    void rolloutMembershipFollowsFromNameAndSeed() {
+        int included = 0;
         for (int i = 0; i < 1000; i++) {
             String name = "n" + i;
-            part += Rollout.includes(name, 5, 0.2) ? 1 : 0;
+            included += Rollout.includes(name, 5, 0.2) ? 1 : 0;
             assertTrue(!Rollout.includes(name, 5, 0.2) || Rollout.includes(name, 5, 0.5));
             assertFalse(Rollout.includes(name, 5, 0));
             assertTrue(Rollout.includes(name, 5, 1));
         }
-        assertEquals(200, part, 45);
+        assertEquals(200, included, 45);
         int both = 0;
         for (int i = 0; i < 1000; i++) {
             both += Rollout.includes("n" + i, 5, 0.5) && Rollout.includes("n" + i, 6, 0.5) ? 1 : 0;
         }
-        // Another seed draws others: it is not always the same ones that go first.
+        // Another seed selects other schedulers, so that the same ones are not always first.
         assertEquals(250, both, 60);
     }
 
@@ -138,40 +138,41 @@
     }
 
     @Test
-    void aVersionIsBlamedForWhatItDidAndNotForABurst() {
-        Counts calm = counts(1000, 5, 10, 100);
+    void versionIsTakenBackForItsFailuresButNotForABurst() {
+        Counts baseline = counts(1000, 5, 10, 100);
         assertEquals(
                 Verdict.TOO_EARLY,
-                Probation.evaluate(calm, counts(49, 49, 0, 100), null, null, 0.02)
+                Probation.evaluate(baseline, counts(49, 49, 0, 100), null, null, 0.02)
                         .verdict());
         assertEquals(
                 Verdict.KEEP,
-                Probation.evaluate(calm, counts(1000, 12, 20, 100), null, null, 0.02)
+                Probation.evaluate(baseline, counts(1000, 12, 20, 100), null, null, 0.02)
                         .verdict());
-        Probation.Finding broken = Probation.evaluate(calm, counts(500, 60, 0, 100), null, null, 0.02);
+        Probation.Finding broken = Probation.evaluate(baseline, counts(500, 60, 0, 100), null, null, 0.02);
         assertEquals(Verdict.TAKE_BACK, broken.verdict());
         assertEquals("failures and connect errors went from 0.50 % to 12.00 %", broken.figures());
-        // Refusals at the same load are the version's, in a burst they are not; failures are in either.
+        // Refusals count against the version at an unchanged load but not in a burst; failures count in both.
         assertEquals(
                 Verdict.TAKE_BACK,
-                Probation.evaluate(calm, counts(500, 2, 100, 100), null, null, 0.02)
+                Probation.evaluate(baseline, counts(500, 2, 100, 100), null, null, 0.02)
                         .verdict());
         assertEquals(
                 Verdict.KEEP,
-                Probation.evaluate(calm, counts(900, 4, 300, 180), null, null, 0.02)
+                Probation.evaluate(baseline, counts(900, 4, 300, 180), null, null, 0.02)
                         .verdict());
         assertEquals(
                 Verdict.TAKE_BACK,
-                Probation.evaluate(calm, counts(900, 90, 0, 180), null, null, 0.02)
+                Probation.evaluate(baseline, counts(900, 90, 0, 180), null, null, 0.02)
                         .verdict());
-        // A zone is lost, for everybody: the control group shows it.
+        // A zone is lost for all schedulers: the control group shows the same failures.
         Counts lost = counts(1000, 200, 100, 100);
         assertEquals(
-                Verdict.KEEP, Probation.evaluate(calm, lost, calm, lost, 0.02).verdict());
+                Verdict.KEEP,
+                Probation.evaluate(baseline, lost, baseline, lost, 0.02).verdict());
         assertEquals(
                 Verdict.TAKE_BACK,
-                Probation.evaluate(calm, lost, calm, calm, 0.02).verdict());
-        // A few requests that went wrong by chance take nothing back.
+                Probation.evaluate(baseline, lost, baseline, baseline, 0.02).verdict());
+        // A few random failures do not take a version back.
         assertEquals(
                 Verdict.KEEP,
                 Probation.evaluate(counts(60, 0, 0, 5), counts(60, 3, 0, 5), null, null, 0.02)
--- a/src/test/java/laneflow/transcripts/ControlTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/ControlTranscriptsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Streamed configuration: each version with its answer. */
+/** Streamed configuration: each version with its response. */
 @Timeout(120)
 class ControlTranscriptsTest {
     private static final String DESTINATIONS = "type.laneflow/destinations";
@@ -22,7 +22,7 @@
                 + Files.createTempDirectory(folder, "good") + "'\nallowed_endpoints = ['127.0.0.0/8']\n";
     }
 
-    /** Its stream, behind what each type begins with; the order of types is the program's, so nothing is sorted. */
+    /** Accepts a stream and records the initial subscription of each type, in the fixed order in which they are sent. */
     private static RecordedPeer stream(Transcript transcript, String name, Endpoint service) throws Exception {
         RecordedPeer peer = new RecordedPeer(transcript, name, service.accept());
         peer.head();
@@ -33,11 +33,12 @@
         return peer;
     }
 
-    private static void told(RecordedPeer peer, String version, String nonce, String... resources) throws Exception {
-        offered(peer, DESTINATIONS, version, nonce, resources);
+    private static void offerDestinations(RecordedPeer peer, String version, String nonce, String... resources)
+            throws Exception {
+        offer(peer, DESTINATIONS, version, nonce, resources);
     }
 
-    private static void offered(RecordedPeer peer, String type, String version, String nonce, String... resources)
+    private static void offer(RecordedPeer peer, String type, String version, String nonce, String... resources)
             throws Exception {
         String line = ("{'type_url':'" + type + "','version_info':'" + version + "','nonce':'" + nonce
                         + "','resources':[" + String.join(",", resources) + "]}\n")
@@ -60,13 +61,13 @@
                     try (Stand stand = Stand.streaming(control(service));
                             RecordedPeer client = new RecordedPeer(transcript, "client", stand.http())) {
                         RecordedPeer peer = stream(transcript, "control", service);
-                        told(peer, "1-aa", "x1", resource(one));
+                        offerDestinations(peer, "1-aa", "x1", resource(one));
                         client.post("card-capture", "1", "", "pay");
                         RecordedPeer call = new RecordedPeer(transcript, "e1", one.accept());
                         call.message();
                         call.reply("{'id':'1','state':'done','result':'paid'}");
                         client.message();
-                        told(
+                        offerDestinations(
                                 peer,
                                 "2-aa",
                                 "x2",
@@ -75,15 +76,15 @@
                                 "7",
                                 resource(one),
                                 resource(one));
-                        told(
+                        offerDestinations(
                                 peer,
                                 "2-ab",
                                 "x3",
                                 "{'name':'b','dial':'tills:80','zone':'x'}",
                                 "{'name':'c','dial':'10.0.0.1:80','classes':['sweep']}",
                                 resource(one));
-                        told(peer, "3-aa", "x4", resource(one).replace("}", ",'state':'draining'}"));
-                        told(peer, "seven", "x5", resource(one));
+                        offerDestinations(peer, "3-aa", "x4", resource(one).replace("}", ",'state':'draining'}"));
+                        offerDestinations(peer, "seven", "x5", resource(one));
                         transcript.note("adopted: " + stand.counter("config.adopted"));
                     }
                 });
@@ -96,10 +97,10 @@
             Endpoint one = new Endpoint("e1");
             try (Stand stand = Stand.streaming(control(service))) {
                 RecordedPeer peer = stream(transcript, "control", service);
-                told(peer, "9-bb", "x1", resource(one));
-                told(peer, "9-bb", "x2", resource(one));
-                told(peer, "8-cc", "x3", resource(one));
-                offered(peer, "type.laneflow/colours", "1-aa", "x4");
+                offerDestinations(peer, "9-bb", "x1", resource(one));
+                offerDestinations(peer, "9-bb", "x2", resource(one));
+                offerDestinations(peer, "8-cc", "x3", resource(one));
+                offer(peer, "type.laneflow/colours", "1-aa", "x4");
             }
         });
     }
@@ -112,7 +113,7 @@
                     Endpoint one = new Endpoint("e1");
                     try (Stand stand = Stand.streaming(control(service))) {
                         RecordedPeer peer = stream(transcript, "control", service);
-                        told(peer, "5-aa", "x1", resource(one));
+                        offerDestinations(peer, "5-aa", "x1", resource(one));
                         peer.write("e\r\n{\"type_url\":}\n\r\n");
                         peer.expectEnd();
                         stream(transcript, "control, 2nd stream", service);
