--- a/src/main/java/laneflow/control/decision/Probation.java
+++ b/src/main/java/laneflow/control/decision/Probation.java
@@ -8,7 +8,7 @@
  * too small to matter.
  *
  * <p>Failures and connect errors are attributed to the version at any load. Refusals are attributed to it
- * only if the load has not loadGrown, because a burst causes more refusals under any configuration. If the counts
+ * only if the load has not grown, because a burst causes more refusals under any configuration. If the counts
  * of a control group are known (schedulers that still run the previous version), the change seen there over
  * the same time is subtracted first, so that a fleet-wide fault is not attributed to the version. No I/O, no
  * clock.
