--- a/src/test/java/laneflow/assembly/EndingTest.java
+++ b/src/test/java/laneflow/assembly/EndingTest.java
@@ -4,8 +4,8 @@
 
 import java.io.IOException;
 import java.util.concurrent.CompletableFuture;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Peer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -14,19 +14,19 @@
 class EndingTest {
     @Test
     void aSignalAmidTheStartAnswersWhatWasTaken() throws Exception {
-        Stand.Endpoint endpoint = new Stand.Endpoint("e1");
+        SchedulerHarness.Endpoint endpoint = new SchedulerHarness.Endpoint("e1");
         CompletableFuture<Serve> serving = new CompletableFuture<>();
         // As the machine does on SIGTERM: its hook runs, though nobody has said yet that the scheduler stands.
         Thread hook = Serve.ending(serving);
         hook.start();
-        try (Stand stand = new Stand(null, endpoint);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer client = harness.http()) {
             client.post("card-capture", "1", "", "");
             Peer call = endpoint.accept();
             call.message();
             assertTrue(hook.isAlive());
-            serving.complete(stand.serve);
-            call.says("{'id':'1','state':'done','result':'paid'}");
+            serving.complete(harness.serve);
+            call.respond("{'id':'1','state':'done','result':'paid'}");
             assertTrue(client.message().endsWith("paid"));
             hook.join();
         }
--- a/src/test/java/laneflow/control/ControlStoryTest.java
+++ b/src/test/java/laneflow/control/ControlStoryTest.java
@@ -16,9 +16,9 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Endpoint;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Endpoint;
+import laneflow.net.SchedulerHarness.Peer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -34,12 +34,12 @@
                 + folder + "'\n" + more;
     }
 
-    private static void assertServes(Stand stand, Endpoint endpoint, String id) throws Exception {
-        try (Peer client = stand.http()) {
+    private static void assertServes(SchedulerHarness harness, Endpoint endpoint, String id) throws Exception {
+        try (Peer client = harness.http()) {
             client.post("basket-check", id, "", "");
             Peer call = endpoint.accept();
             assertTrue(call.message().contains("Req-Id: " + id + "\r\n"));
-            call.says("{'id':'" + id + "','state':'done','result':'priced'}");
+            call.respond("{'id':'" + id + "','state':'done','result':'priced'}");
             assertTrue(client.message().endsWith("priced"));
             // A kept-alive connection would carry the next request too, and the next accept would wait.
             call.close();
@@ -52,10 +52,10 @@
         Endpoint one = new Endpoint("e1");
         Endpoint two = new Endpoint("e2");
         Files.writeString(folder.resolve("token"), "s3cret\n");
-        try (Stand stand = Stand.streaming(control(
+        try (SchedulerHarness harness = SchedulerHarness.withControlStream(control(
                         service,
                         "token_file = '" + folder.resolve("token") + "'\nallowed_endpoints = ['127.0.0.0/8']\n"));
-                Peer http = stand.http()) {
+                Peer http = harness.http()) {
             Peer peer = service.accept();
             assertTrue(peer.readTo("\r\n\r\n").contains("Authorization: Bearer s3cret\r\n"));
             peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -66,7 +66,7 @@
             assertEquals("1-aa", ack.get("version_info").getAsString());
             assertEquals("x1", ack.get("response_nonce").getAsString());
             assertFalse(ack.has("error_detail"));
-            assertServes(stand, one, "1");
+            assertServes(harness, one, "1");
             // Errors of schema and of meaning are each reported with their path, and traffic goes on.
             String schemaErrors = errorDetail(exchange(
                     peer,
@@ -131,14 +131,14 @@
                     .contains("is no version"));
             assertTrue(errorDetail(exchange(peer, "{'type_url':'other','nonce':'y'}"))
                     .contains("not taken here"));
-            assertServes(stand, two, "2");
+            assertServes(harness, two, "2");
             String report = http.write("GET /config HTTP/1.1\r\n\r\n").message();
             assertTrue(
                     report.contains("\"version\":\"9-bb\"") && report.contains("no live endpoint")
                             || report.contains("all weights"),
                     report);
             assertFalse(report.contains("s3cret"));
-            assertEquals(2, stand.counter("config.adopted"));
+            assertEquals(2, harness.counter("config.adopted"));
         }
     }
 
@@ -146,7 +146,7 @@
     void lastGoodVersionRunsWithoutAControlService() throws Exception {
         Endpoint service = new Endpoint("control");
         Endpoint one = new Endpoint("e1");
-        try (Stand stand = Stand.streaming(control(service, "silence_ms = 300\n"))) {
+        try (SchedulerHarness harness = SchedulerHarness.withControlStream(control(service, "silence_ms = 300\n"))) {
             Peer peer = stream(service);
             receiveSubscriptions(peer);
             exchange(peer, version("5-aa", "x", resource(one)));
@@ -154,31 +154,33 @@
                 Thread.sleep(5);
             }
             // The service goes silent: the scheduler opens a new stream and keeps running the version.
-            assertTrue(peer.ended());
+            assertTrue(peer.isClosedByPeer());
             Peer again = stream(service);
             assertEquals("5-aa", receiveSubscriptions(again).get("version_info").getAsString());
-            assertServes(stand, one, "1");
+            assertServes(harness, one, "1");
             // The stream ends within a line; then five connections are closed at once.
             again.write("20\r\n{\"type_url\":");
             again.close();
             for (int i = 0; i < 5; i++) {
                 service.accept().close();
             }
-            assertServes(stand, one, "2");
+            assertServes(harness, one, "2");
             Peer garbled = stream(service);
             receiveSubscriptions(garbled);
             sendLine(garbled, "{'type_url':");
-            assertTrue(garbled.ended());
+            assertTrue(garbled.isClosedByPeer());
             assertEquals(
                     "5-aa",
                     receiveSubscriptions(stream(service)).get("version_info").getAsString());
         }
         // Restarts while no control service is reachable.
         service.close();
-        try (Stand stand = Stand.streaming(control(service, ""))) {
-            assertServes(stand, one, "3");
-            assertTrue(
-                    stand.http().write("GET /config HTTP/1.1\r\n\r\n").message().contains("last-good"));
+        try (SchedulerHarness harness = SchedulerHarness.withControlStream(control(service, ""))) {
+            assertServes(harness, one, "3");
+            assertTrue(harness.http()
+                    .write("GET /config HTTP/1.1\r\n\r\n")
+                    .message()
+                    .contains("last-good"));
         }
     }
 
@@ -188,8 +190,8 @@
         Endpoint good = new Endpoint("e1");
         Endpoint dead = new Endpoint("e2");
         dead.close();
-        try (Stand stand = Stand.streaming(control(service, "probation_ms = 1500\n"));
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = SchedulerHarness.withControlStream(control(service, "probation_ms = 1500\n"));
+                Peer client = harness.http()) {
             Peer peer = stream(service);
             receiveSubscriptions(peer);
             exchange(peer, version("1-aa", "x1", resource(good)));
@@ -198,7 +200,7 @@
                     for (int i = 0; i < 120; i++) {
                         String sent = call.message();
                         int at = sent.indexOf("Req-Id: ") + 8;
-                        call.says("{'id':'" + sent.substring(at, sent.indexOf('\r', at))
+                        call.respond("{'id':'" + sent.substring(at, sent.indexOf('\r', at))
                                 + "','state':'done','result':'r'}");
                     }
                 } catch (IOException e) {
@@ -223,7 +225,7 @@
             assertTrue(errorDetail(takenBack).contains("2-bb was taken back: "), errorDetail(takenBack));
             assertTrue(errorDetail(exchange(peer, version("2-bb", "x3", resource(dead))))
                     .contains("went from"));
-            stand.await("config.taken_back", 1);
+            harness.awaitCounter("config.taken_back", 1);
         }
     }
 
@@ -231,7 +233,7 @@
     void versionIsAdoptedOnceItsRolloutIncludesThisScheduler() throws Exception {
         Endpoint service = new Endpoint("control");
         Endpoint one = new Endpoint("e1");
-        try (Stand stand = Stand.streaming(control(service, ""))) {
+        try (SchedulerHarness harness = SchedulerHarness.withControlStream(control(service, ""))) {
             Peer peer = stream(service);
             receiveSubscriptions(peer);
             String offered = version("1-aa", "x1", resource(one));
--- a/src/test/java/laneflow/control/ControlTypesStoryTest.java
+++ b/src/test/java/laneflow/control/ControlTypesStoryTest.java
@@ -28,9 +28,9 @@
 import laneflow.cli.CliRun;
 import laneflow.control.decision.Version;
 import laneflow.gearman.Gearman;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Endpoint;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Endpoint;
+import laneflow.net.SchedulerHarness.Peer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -55,8 +55,8 @@
         return sent.substring(at, sent.indexOf('\r', at));
     }
 
-    private static String report(Stand stand) throws Exception {
-        try (Peer http = stand.http()) {
+    private static String report(SchedulerHarness harness) throws Exception {
+        try (Peer http = harness.http()) {
             return http.write("GET /config HTTP/1.1\r\n\r\n").message();
         }
     }
@@ -66,11 +66,12 @@
         Endpoint service = new Endpoint("control");
         Endpoint till = new Endpoint("e1");
         Endpoint other = new Endpoint("e2");
-        try (Stand stand = Stand.streaming(control(service, "tell_versions = true\nprobation_ms = 0\n"))) {
+        try (SchedulerHarness harness =
+                SchedulerHarness.withControlStream(control(service, "tell_versions = true\nprobation_ms = 0\n"))) {
             Peer peer = stream(service);
             receiveSubscriptions(peer);
             exchange(peer, version("1-aa", "x1", resource(till), resource(other).replace("}", ",'state':'draining'}")));
-            Peer before = stand.http().post("card-capture", "old", "", "");
+            Peer before = harness.http().post("card-capture", "old", "", "");
             Peer beforeCall = till.accept();
             assertEquals("old", receiveCall(beforeCall));
             exchange(peer, version("2-aa", "x2", resource(till), resource(other)));
@@ -91,7 +92,7 @@
                             && restartNeeded.contains("sweep: is a class from"),
                     restartNeeded);
             long from = System.nanoTime();
-            Peer after = stand.http().post("card-capture", "new", "", "");
+            Peer after = harness.http().post("card-capture", "new", "", "");
             // Kept in a variable: the garbage collector would close an unreferenced socket and break the call.
             Peer afterCall = other.accept();
             assertEquals("new", receiveCall(afterCall));
@@ -100,7 +101,7 @@
             assertTrue(failed.startsWith("HTTP/1.1 500 "), failed);
             assertTrue(tookMs >= 250 && tookMs < 3000, tookMs + " ms");
             assertTrue(failed.contains("Config-Version: destinations=2-aa classes=7-cc\r\n"), failed);
-            beforeCall.says("{'id':'old','state':'done','result':'paid'}");
+            beforeCall.respond("{'id':'old','state':'done','result':'paid'}");
             String served = before.message();
             assertTrue(served.startsWith("HTTP/1.1 200 ") && served.endsWith("paid"), served);
             assertTrue(served.contains("Config-Version: destinations=1-aa\r\n"), served);
@@ -111,7 +112,7 @@
     @Test
     void invalidSettingsAreRefusedWithEveryReason() throws Exception {
         Endpoint service = new Endpoint("control");
-        try (Stand stand = Stand.streaming(control(service, ""))) {
+        try (SchedulerHarness harness = SchedulerHarness.withControlStream(control(service, ""))) {
             Peer peer = stream(service);
             receiveSubscriptions(peer);
             String errors = errorDetail(exchange(
@@ -147,9 +148,9 @@
             assertEquals(
                     "sockets: 512 from the next start on, 1024 until then",
                     ack.getAsJsonArray("restart_needed").get(0).getAsString());
-            assertTrue(report(stand).contains("512 from the next start on"));
+            assertTrue(report(harness).contains("512 from the next start on"));
             // Without an endpoint the request is refused, and the refusal has no Retry-After any more.
-            Peer client = stand.http().post("basket-check", "1", "", "");
+            Peer client = harness.http().post("basket-check", "1", "", "");
             String refused = client.message();
             assertTrue(refused.startsWith("HTTP/1.1 503 ") && !refused.contains("Retry-After"), refused);
         }
@@ -158,13 +159,13 @@
     @Test
     void newlyMappedFunctionIsServedByAWorkerThatRegisteredItBefore() throws Exception {
         Endpoint service = new Endpoint("control");
-        try (Stand stand = Stand.streaming(
+        try (SchedulerHarness harness = SchedulerHarness.withControlStream(
                 control(service, "probation_ms = 0\n"), "[functions.check]\nclass = 'basket-check'\n", null)) {
             Peer peer = stream(service);
             receiveSubscriptions(peer, "classes", "limits", "functions");
-            Peer worker = Gearman.worker(stand, "check", "sum");
+            Peer worker = Gearman.worker(harness, "check", "sum");
             Gearman.preSleep(worker);
-            Peer client = stand.gearman();
+            Peer client = harness.gearman();
             Gearman.send(client, 7, "sum", "", "1 2");
             assertEquals("UNKNOWN_FUNCTION", Gearman.expect(client, Gearman.ERROR)[0]);
             JsonObject ack = exchange(peer, state("functions", "1-aa", "{'name':'sum','class':'points-post'}"));
@@ -190,7 +191,7 @@
         Endpoint service = new Endpoint("control");
         Endpoint one = new Endpoint("e1");
         Endpoint two = new Endpoint("e2");
-        try (Stand stand = Stand.streaming(control(service, "probation_ms = 0\n"))) {
+        try (SchedulerHarness harness = SchedulerHarness.withControlStream(control(service, "probation_ms = 0\n"))) {
             Peer peer = stream(service);
             assertTrue(receiveSubscriptions(peer).get("incremental").getAsBoolean());
             exchange(peer, version("1-aa", "x1", resource(one)));
@@ -225,10 +226,10 @@
                     exchange(peer, change("1-aa", "5-" + twoAlone, added, "'e1'"))
                             .get("version_info")
                             .getAsString());
-            try (Peer client = stand.http().post("basket-check", "1", "", "");
+            try (Peer client = harness.http().post("basket-check", "1", "", "");
                     Peer call = two.accept()) {
                 assertEquals("1", receiveCall(call));
-                call.says("{'id':'1','state':'done','result':'r'}");
+                call.respond("{'id':'1','state':'done','result':'r'}");
                 assertTrue(client.message().startsWith("HTTP/1.1 200 "));
             }
         }
@@ -239,8 +240,8 @@
         Endpoint first = new Endpoint("control");
         Endpoint second = new Endpoint("other");
         Endpoint till = new Endpoint("e1");
-        try (Stand stand = Stand.streaming("addresses = ['" + first.dial() + "', '" + second.dial()
-                + "']\nlongest_backoff_ms = 20\nfigures_ms = 0\nprobation_ms = 0\n")) {
+        try (SchedulerHarness harness = SchedulerHarness.withControlStream("addresses = ['" + first.dial() + "', '"
+                + second.dial() + "']\nlongest_backoff_ms = 20\nfigures_ms = 0\nprobation_ms = 0\n")) {
             Peer peer = stream(first);
             receiveSubscriptions(peer);
             assertEquals(
@@ -269,7 +270,7 @@
     void lineOverTheLimitEndsTheStreamWithoutFillingMemory() throws Exception {
         Endpoint service = new Endpoint("control");
         Endpoint till = new Endpoint("e1");
-        try (Stand stand = Stand.streaming(control(service, "most_line_kib = 256\n"))) {
+        try (SchedulerHarness harness = SchedulerHarness.withControlStream(control(service, "most_line_kib = 256\n"))) {
             Peer peer = stream(service);
             receiveSubscriptions(peer);
             exchange(peer, version("1-aa", "x", resource(till)));
@@ -295,7 +296,7 @@
     void manyVersionsAreAnsweredInOrder() throws Exception {
         Endpoint service = new Endpoint("control");
         Endpoint till = new Endpoint("e1");
-        try (Stand stand = Stand.streaming(control(service, "probation_ms = 0\n"))) {
+        try (SchedulerHarness harness = SchedulerHarness.withControlStream(control(service, "probation_ms = 0\n"))) {
             Peer peer = stream(service);
             receiveSubscriptions(peer);
             int lines = 1200;
@@ -313,7 +314,7 @@
                 assertEquals("n" + i, receive(peer).get("response_nonce").getAsString());
             }
             writer.join();
-            assertEquals(lines, stand.counter("config.adopted"));
+            assertEquals(lines, harness.counter("config.adopted"));
         }
     }
 
@@ -322,7 +323,7 @@
         Endpoint service = new Endpoint("control");
         Endpoint one = new Endpoint("e1");
         Endpoint two = new Endpoint("e2");
-        try (Stand stand = Stand.streaming(
+        try (SchedulerHarness harness = SchedulerHarness.withControlStream(
                 control(service, "probation_ms = 0\n"),
                 "[functions.kpost]\nclass = 'card-capture'\ndurable = true\n",
                 folder.resolve("jobs"))) {
@@ -330,7 +331,7 @@
             receiveSubscriptions(peer, "classes", "limits", "functions", "durable");
             exchange(peer, version("1-aa", "x", resource(one)));
             // A durable job runs on an endpoint that drains and is then removed.
-            Peer client = stand.gearman();
+            Peer client = harness.gearman();
             String handle = Gearman.submitBackground(client, "kpost", "u1", "b");
             assertFalse(handle.isEmpty());
             Peer call = one.accept();
@@ -344,15 +345,15 @@
                             "{'name':'durable','dir':'" + folder.resolve("jobs")
                                     + "','most_at_work':1,'classes':{'card-capture':{'lease_ms':60000,'longest_ms':60000}}}"));
             exchange(peer, version("3-aa", "x", resource(two)));
-            try (Peer http = stand.http().post("basket-check", "9", "", "");
+            try (Peer http = harness.http().post("basket-check", "9", "", "");
                     Peer other = two.accept()) {
                 assertEquals("9", receiveCall(other));
-                other.says("{'id':'9','state':'done','result':'r'}");
+                other.respond("{'id':'9','state':'done','result':'r'}");
                 assertTrue(http.message().startsWith("HTTP/1.1 200 "));
             }
-            call.says("{'id':'" + id + "','state':'done','result':'posted'}");
-            stand.await("durable.done", 1);
-            assertEquals(0, stand.counter("core.kept.drain"));
+            call.respond("{'id':'" + id + "','state':'done','result':'posted'}");
+            harness.awaitCounter("durable.done", 1);
+            assertEquals(0, harness.counter("core.kept.drain"));
         }
     }
 
@@ -360,19 +361,19 @@
     @Test
     void recoveredJobsGoToTheFirstVersionAdopted() throws Exception {
         Path jobs = folder.resolve("jobs");
-        try (Stand stand = Stand.keeping(jobs, "")) {
-            Peer client = stand.gearman();
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(jobs, "")) {
+            Peer client = harness.gearman();
             for (int i = 0; i < 5; i++) {
                 Gearman.submitBackground(client, "kcapture", "u" + i, "job " + i);
             }
         }
         Endpoint service = new Endpoint("control");
         Endpoint till = new Endpoint("e1");
-        try (Stand stand = Stand.streaming(
+        try (SchedulerHarness harness = SchedulerHarness.withControlStream(
                 control(service, "probation_ms = 0\n"),
                 "[functions.kcapture]\nclass = 'card-capture'\ndurable = true\n",
                 jobs)) {
-            assertEquals(5, stand.counter("durable.recovered"));
+            assertEquals(5, harness.counter("durable.recovered"));
             Peer peer = stream(service);
             receiveSubscriptions(peer, "classes", "limits", "functions", "durable");
             exchange(peer, version("1-aa", "x", resource(till)));
@@ -384,9 +385,9 @@
                     assertTrue(ran.add(sent.substring(sent.length() - 5)), sent);
                     // Another version arrives during recovery, with the same endpoint.
                     exchange(peer, version((i + 2) + "-aa", "x", resource(till)));
-                    call.says(
+                    call.respond(
                             "{'id':'" + sent.substring(at, sent.indexOf('\r', at)) + "','state':'done','result':'r'}");
-                    stand.await("durable.done", i + 1);
+                    harness.awaitCounter("durable.done", i + 1);
                 }
             }
             assertEquals(5, ran.size());
@@ -399,23 +400,24 @@
         Endpoint service = new Endpoint("control");
         Endpoint lost = new Endpoint("e1");
         Endpoint remaining = new Endpoint("e2");
-        try (Stand stand = Stand.streaming(control(service, "silence_ms = 150\nprobation_ms = 0\n"))) {
+        try (SchedulerHarness harness =
+                SchedulerHarness.withControlStream(control(service, "silence_ms = 150\nprobation_ms = 0\n"))) {
             Peer peer = stream(service);
             receiveSubscriptions(peer);
             exchange(peer, version("1-aa", "x", resource(lost), resource(remaining)));
             lost.close();
-            try (Peer client = stand.http()) {
+            try (Peer client = harness.http()) {
                 Peer call = null;
                 for (int i = 0; i < 20; i++) {
                     client.post("basket-check", "q" + i, "", "");
                     // Requests come one at a time, so that one kept-alive connection carries them all.
                     call = call == null ? remaining.accept() : call;
                     assertEquals("q" + i, receiveCall(call));
-                    call.says("{'id':'q" + i + "','state':'done','result':'r'}");
+                    call.respond("{'id':'q" + i + "','state':'done','result':'r'}");
                     assertTrue(client.message().startsWith("HTTP/1.1 200 "));
                     if (i == 10) {
                         // The scheduler opens a new stream, and the service is silent again.
-                        assertTrue(peer.ended());
+                        assertTrue(peer.isClosedByPeer());
                         assertEquals(
                                 "1-aa",
                                 receiveSubscriptions(stream(service))
@@ -424,8 +426,8 @@
                     }
                 }
             }
-            assertTrue(report(stand).contains("\"version\":\"1-aa\""));
-            assertTrue(stand.counter("config.streams") >= 2);
+            assertTrue(report(harness).contains("\"version\":\"1-aa\""));
+            assertTrue(harness.counter("config.streams") >= 2);
         }
     }
 
@@ -469,14 +471,14 @@
         Endpoint service = new Endpoint("control");
         Endpoint till = new Endpoint("e1");
         Path kept = folder.resolve("kept");
-        try (Stand stand = Stand.streaming(
+        try (SchedulerHarness harness = SchedulerHarness.withControlStream(
                 control(service, "probation_ms = 0\nlisten = '127.0.0.1:0'\nlast_good_dir = '" + kept + "'\n"))) {
             Peer peer = stream(service);
             receiveSubscriptions(peer);
             exchange(peer, version("1-aa", "x", resource(till)));
             exchange(peer, version("2-aa", "x", "7"));
-            assertTrue(report(stand).startsWith("HTTP/1.1 404 "));
-            var at = stand.serve.operators().address();
+            assertTrue(report(harness).startsWith("HTTP/1.1 404 "));
+            var at = harness.serve.operators().address();
             String address = "127.0.0.1:" + at.getPort();
             try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
                 socket.getOutputStream()
--- a/src/test/java/laneflow/control/Service.java
+++ b/src/test/java/laneflow/control/Service.java
@@ -6,8 +6,8 @@
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import java.io.IOException;
-import laneflow.net.Stand.Endpoint;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness.Endpoint;
+import laneflow.net.SchedulerHarness.Peer;
 
 /** Messages of a scripted control service, and helpers that exchange them with the scheduler. */
 final class Service {
--- a/src/test/java/laneflow/durable/DurableStoryTest.java
+++ b/src/test/java/laneflow/durable/DurableStoryTest.java
@@ -15,9 +15,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import laneflow.gearman.Gearman;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Endpoint;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Endpoint;
+import laneflow.net.SchedulerHarness.Peer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -69,19 +69,19 @@
     void acknowledgedJobsSurviveACrash() throws Exception {
         String handle;
         String httpJob;
-        try (Stand stand = Stand.keeping(folder, "[classes.basket-check]\n");
-                Peer client = stand.gearman()) {
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, "[classes.basket-check]\n");
+                Peer client = harness.gearman()) {
             handle = submitBackground(client, "kcapture", "u1", "pay");
-            httpJob =
-                    jobId(submitAsync(stand.http(), "basket-check", "", "price").message());
+            httpJob = jobId(
+                    submitAsync(harness.http(), "basket-check", "", "price").message());
         }
-        try (Stand stand = Stand.keeping(folder, "");
-                Peer client = stand.gearman();
-                Peer http = stand.http()) {
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, "");
+                Peer client = harness.gearman();
+                Peer http = harness.http()) {
             // The same unique id names the same job, also after the crash.
             assertEquals(handle, submitBackground(client, "kcapture", "u1", "pay"));
             assertNotEquals(handle, submitBackground(client, "kcapture", "u2", "pay"));
-            Peer worker = worker(stand, "kcapture", "kcheck");
+            Peer worker = worker(harness, "kcapture", "kcheck");
             List<String> ran = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
                 String[] job = grab(worker);
@@ -95,11 +95,11 @@
             assertTrue(get(http, "/jobs/" + httpJob + "/result").endsWith("\r\n\r\nok price"));
         }
         // The final states are on disk too: a third process runs no job again.
-        try (Stand stand = Stand.keeping(folder, "");
-                Peer http = stand.http()) {
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, "");
+                Peer http = harness.http()) {
             awaitState(http, id(handle), "done");
-            worker(stand, "kcapture", "kcheck");
-            assertEquals(0, stand.counter("durable.recovered"));
+            worker(harness, "kcapture", "kcheck");
+            assertEquals(0, harness.counter("durable.recovered"));
         }
     }
 
@@ -107,18 +107,18 @@
     void unsafeJobRunningAtACrashIsUnknownUntilALateOutcomeSettlesIt() throws Exception {
         String handle;
         String[] job;
-        try (Stand stand = Stand.keeping(folder, "");
-                Peer client = stand.gearman()) {
-            Peer worker = worker(stand, "kcapture");
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, "");
+                Peer client = harness.gearman()) {
+            Peer worker = worker(harness, "kcapture");
             handle = submitBackground(client, "kcapture", "u1", "pay");
             job = grab(worker);
         }
-        try (Stand stand = Stand.keeping(folder, "");
-                Peer http = stand.http()) {
-            Peer worker = worker(stand, "kcapture");
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, "");
+                Peer http = harness.http()) {
+            Peer worker = worker(harness, "kcapture");
             String response = awaitState(http, id(handle), "unknown");
             assertTrue(response.contains("must not run twice") && response.contains("may_have_run"), response);
-            assertEquals(0, stand.counter("call.sent"));
+            assertEquals(0, harness.counter("call.sent"));
             // The reason is stored with the state, so it can also be queried after the next restart.
             assertTrue(response.contains("\"reason\":\"it may have run"), response);
             // The worker survived the scheduler and now reports the outcome under the lease it was given.
@@ -126,23 +126,23 @@
             assertEquals("JOB_NOT_FOUND", expect(worker, Gearman.ERROR)[0]);
             send(worker, Gearman.COMPLETE, job[0], "paid");
             assertTrue(awaitState(http, id(handle), "done").contains("\"result\":\"paid\""));
-            assertEquals(0, stand.counter("call.sent"));
+            assertEquals(0, harness.counter("call.sent"));
         }
     }
 
     @Test
     void lateOutcomeOfAStalledWorkerSettlesAnUnknownJob() throws Exception {
-        try (Stand stand = Stand.keeping(folder, SHORT_LEASES);
-                Peer client = stand.gearman();
-                Peer http = stand.http()) {
-            Peer worker = worker(stand, "kcapture");
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, SHORT_LEASES);
+                Peer client = harness.gearman();
+                Peer http = harness.http()) {
+            Peer worker = worker(harness, "kcapture");
             String handle = submitBackground(client, "kcapture", "", "pay");
             String[] job = grab(worker);
-            stand.await("lease.expired", 1);
+            harness.awaitCounter("lease.expired", 1);
             awaitState(http, id(handle), "unknown");
             send(worker, Gearman.COMPLETE, job[0], "paid late");
             assertTrue(awaitState(http, id(handle), "done").contains("paid late"));
-            assertEquals(1, stand.counter("call.sent"));
+            assertEquals(1, harness.counter("call.sent"));
             // A late failure report changes the state from unknown to failed.
             preSleep(worker);
             handle = submitBackground(client, "kcapture", "", "pay");
@@ -157,14 +157,14 @@
     void lateOutcomeOfAnHttpEndpointIsAwaitedForALimitedTime() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         String limits = "[classes.card-capture]\nlease_ms = 300\nlongest_ms = 600\n";
-        try (Stand stand = Stand.keeping(folder, limits, endpoint);
-                Peer http = stand.http()) {
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, limits, endpoint);
+                Peer http = harness.http()) {
             String id = jobId(submitAsync(http, "card-capture", "k1", "pay").message());
             Peer call = endpoint.accept();
             String sent = call.message();
             awaitState(http, id, "unknown");
             int at = sent.indexOf("Req-Id: ") + 8;
-            call.says("{'id':'" + sent.substring(at, sent.indexOf('\r', at)) + "','state':'done','result':'paid'}");
+            call.respond("{'id':'" + sent.substring(at, sent.indexOf('\r', at)) + "','state':'done','result':'paid'}");
             assertTrue(awaitState(http, id, "done").contains("\"result\":\"paid\""));
             // If it stayed open, the connection would be reused for the next call.
             call.close();
@@ -173,8 +173,8 @@
             Peer silent = endpoint.accept();
             silent.message();
             awaitState(http, id, "unknown");
-            assertTrue(silent.ended());
-            assertEquals(2, stand.counter("call.sent"));
+            assertTrue(silent.isClosedByPeer());
+            assertEquals(2, harness.counter("call.sent"));
         }
         endpoint.close();
     }
@@ -182,17 +182,18 @@
     @Test
     void successUnderAnOlderLeaseCountsOnlyIfTheNewerOneFails() throws Exception {
         for (boolean newerServes : new boolean[] {true, false}) {
-            try (Stand stand = Stand.keeping(folder.resolve("" + newerServes), SHORT_LEASES);
-                    Peer client = stand.gearman();
-                    Peer http = stand.http()) {
-                Peer stalled = worker(stand, "kpost");
+            try (SchedulerHarness harness =
+                            SchedulerHarness.withDurableJobs(folder.resolve("" + newerServes), SHORT_LEASES);
+                    Peer client = harness.gearman();
+                    Peer http = harness.http()) {
+                Peer stalled = worker(harness, "kpost");
                 String handle = submitBackground(client, "kpost", "u", "post");
                 String[] first = grab(stalled);
-                Peer other = worker(stand, "kpost");
+                Peer other = worker(harness, "kpost");
                 String[] second = grab(other);
                 assertNotEquals(first[0], second[0]);
                 send(stalled, Gearman.COMPLETE, first[0], "first");
-                stand.await("lease.late", 1);
+                harness.awaitCounter("lease.late", 1);
                 assertTrue(get(http, "/jobs/" + id(handle)).contains("\"state\":\"running\""));
                 if (newerServes) {
                     send(other, Gearman.COMPLETE, second[0], "second");
@@ -209,19 +210,19 @@
     @Test
     void heartbeatsExtendALeaseUpToItsLimit() throws Exception {
         String limits = "[classes.card-capture]\nlease_ms = 300\nlongest_ms = 900\n";
-        try (Stand stand = Stand.keeping(folder, limits);
-                Peer client = stand.gearman();
-                Peer http = stand.http()) {
-            Peer worker = worker(stand, "kcapture");
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, limits);
+                Peer client = harness.gearman();
+                Peer http = harness.http()) {
+            Peer worker = worker(harness, "kcapture");
             String handle = submitBackground(client, "kcapture", "", "pay");
             String[] job = grab(worker);
             for (int i = 1; i < 5; i++) {
                 Thread.sleep(120);
                 send(worker, i % 2 == 0 ? Gearman.DATA : Gearman.STATUS, job[0], i % 2 == 0 ? "." : i + "\0" + 9);
             }
-            assertEquals(0, stand.counter("lease.expired"));
+            assertEquals(0, harness.counter("lease.expired"));
             // Heartbeats go on, but the job never ends.
-            for (int i = 0; stand.counter("lease.expired") == 0; i++) {
+            for (int i = 0; harness.counter("lease.expired") == 0; i++) {
                 assertTrue(i < 20);
                 Thread.sleep(100);
                 send(worker, Gearman.STATUS, job[0], "5\0" + 9);
@@ -235,16 +236,19 @@
         Endpoint endpoint = new Endpoint("e1");
         String httpJob;
         Path expired = folder.resolve("late");
-        try (Stand stand = Stand.keeping(folder.resolve("in"), "[classes.points-post]\n", endpoint);
-                Stand other = Stand.keeping(expired, "[classes.points-post]\n", endpoint)) {
-            httpJob =
-                    jobId(submitAsync(stand.http(), "points-post", "k1", "post").message());
+        try (SchedulerHarness harness =
+                        SchedulerHarness.withDurableJobs(folder.resolve("in"), "[classes.points-post]\n", endpoint);
+                SchedulerHarness other =
+                        SchedulerHarness.withDurableJobs(expired, "[classes.points-post]\n", endpoint)) {
+            httpJob = jobId(
+                    submitAsync(harness.http(), "points-post", "k1", "post").message());
             assertTrue(endpoint.accept().message().contains("Idempotency-Key: k1\r\n"));
             jobId(submitAsync(other.http(), "points-post", "k2", "post").message());
             endpoint.accept().message();
         }
-        try (Stand stand = Stand.keeping(folder.resolve("in"), "[classes.points-post]\n", endpoint);
-                Peer http = stand.http()) {
+        try (SchedulerHarness harness =
+                        SchedulerHarness.withDurableJobs(folder.resolve("in"), "[classes.points-post]\n", endpoint);
+                Peer http = harness.http()) {
             Peer again = endpoint.accept();
             assertTrue(again.message().contains("Idempotency-Key: k1\r\n"));
             assertTrue(get(http, "/jobs/" + httpJob).contains("\"lease\":2"));
@@ -264,23 +268,23 @@
                             1, old.endpoint(), then, then + 500, old.known())),
                     then)));
         }
-        try (Stand stand = Stand.keeping(expired, "[classes.points-post]\n", endpoint);
-                Peer http = stand.http()) {
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(expired, "[classes.points-post]\n", endpoint);
+                Peer http = harness.http()) {
             assertTrue(awaitState(http, httpJob, "unknown").contains("window was over"));
-            assertEquals(0, stand.counter("call.sent"));
+            assertEquals(0, harness.counter("call.sent"));
         }
         endpoint.close();
     }
 
     @Test
     void resubmissionAfterALostAnswerReturnsTheSameJob() throws Exception {
-        try (Stand stand = Stand.keeping(folder, "[classes.points-post]\n");
-                Peer http = stand.http()) {
-            submitAsync(stand.http(), "points-post", "k1", "post").reset();
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, "[classes.points-post]\n");
+                Peer http = harness.http()) {
+            submitAsync(harness.http(), "points-post", "k1", "post").reset();
             String id = jobId(submitAsync(http, "points-post", "k1", "post").message());
             assertEquals(
                     id, jobId(submitAsync(http, "points-post", "k1", "post").message()));
-            assertEquals(1, stand.counter("durable.accepted"));
+            assertEquals(1, harness.counter("durable.accepted"));
             assertTrue(
                     submitAsync(http, "points-post", "k1", "another").message().startsWith("HTTP/1.1 422 "));
             // The preference is ignored if the class is not configured for it.
@@ -291,15 +295,15 @@
 
     @Test
     void onlyJobsThatHaveNotBegunCanBeCancelled() throws Exception {
-        try (Stand stand = Stand.keeping(folder, "");
-                Peer client = stand.gearman();
-                Peer http = stand.http()) {
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, "");
+                Peer client = harness.gearman();
+                Peer http = harness.http()) {
             String id = id(submitBackground(client, "kcapture", "", "pay"));
             assertTrue(http.write("DELETE /jobs/" + id + " HTTP/1.1\r\n\r\n")
                     .message()
                     .startsWith("HTTP/1.1 204 "));
             awaitState(http, id, "cancelled");
-            Peer worker = worker(stand, "kcapture");
+            Peer worker = worker(harness, "kcapture");
             String next = id(submitBackground(client, "kcapture", "", "pay 2"));
             String[] job = grab(worker);
             assertEquals("pay 2", job[4]);
@@ -317,8 +321,8 @@
     void fullStoreRejectsNewJobsAndKeepsAcceptedOnes() throws Exception {
         List<String> accepted = new ArrayList<>();
         String smallStore = "store_mib = 1\n[classes.basket-check]\n";
-        try (Stand stand = Stand.keeping(folder, smallStore);
-                Peer http = stand.http()) {
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, smallStore);
+                Peer http = harness.http()) {
             String body = "x".repeat(60_000);
             String answer = "";
             for (int i = 0; i < 40 && !answer.startsWith("HTTP/1.1 503 "); i++) {
@@ -330,10 +334,10 @@
             assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("Retry-After: "), answer);
             assertTrue(accepted.size() > 5, accepted.size() + " accepted");
         }
-        try (Stand stand = Stand.keeping(folder, smallStore);
-                Peer http = stand.http()) {
-            assertEquals(accepted.size(), stand.counter("durable.recovered"));
-            Peer worker = worker(stand, "kcheck");
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, smallStore);
+                Peer http = harness.http()) {
+            assertEquals(accepted.size(), harness.counter("durable.recovered"));
+            Peer worker = worker(harness, "kcheck");
             for (int i = 0; i < accepted.size(); i++) {
                 send(worker, Gearman.COMPLETE, grab(worker)[0], "ok");
                 preSleep(worker);
@@ -347,9 +351,9 @@
     @Test
     void classLimitsRejectJobsWithARetryAfter() throws Exception {
         String limits = "[classes.points-post]\nmost_jobs = 2\n";
-        try (Stand stand = Stand.keeping(folder, limits);
-                Peer http = stand.http();
-                Peer client = stand.gearman()) {
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, limits);
+                Peer http = harness.http();
+                Peer client = harness.gearman()) {
             jobId(submitAsync(http, "points-post", "k1", "").message());
             submitBackground(client, "kpost", "", "");
             String answer = submitAsync(http, "points-post", "k3", "").message();
@@ -364,21 +368,21 @@
     void shutdownLeavesQueuedAndRunningJobsToTheNextProcess() throws Exception {
         String queued;
         String out;
-        try (Stand stand = Stand.keeping(folder, "");
-                Peer client = stand.gearman()) {
-            Peer worker = worker(stand, "kcapture");
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, "");
+                Peer client = harness.gearman()) {
+            Peer worker = worker(harness, "kcapture");
             out = submitBackground(client, "kcapture", "", "pay");
             grab(worker);
             queued = submitBackground(client, "kpost", "u", "post");
             long from = System.nanoTime();
-            stand.serve.stop(() -> false);
+            harness.serve.stop(() -> false);
             assertTrue(System.nanoTime() - from < 6_000_000_000L);
         }
-        try (Stand stand = Stand.keeping(folder, "");
-                Peer http = stand.http()) {
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, "");
+                Peer http = harness.http()) {
             awaitState(http, id(out), "unknown");
             awaitState(http, id(queued), "queued");
-            Peer worker = worker(stand, "kpost");
+            Peer worker = worker(harness, "kpost");
             send(worker, Gearman.COMPLETE, grab(worker)[0], "posted");
             awaitState(http, id(queued), "done");
         }
@@ -386,10 +390,10 @@
 
     @Test
     void drainingEndpointFinishesItsLeasesAndGetsNoNewJobs() throws Exception {
-        try (Stand stand = Stand.keeping(folder, "");
-                Peer client = stand.gearman();
-                Peer http = stand.http()) {
-            Peer worker = worker(stand, "kcapture");
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, "");
+                Peer client = harness.gearman();
+                Peer http = harness.http()) {
+            Peer worker = worker(harness, "kcapture");
             String first = submitBackground(client, "kcapture", "", "1");
             String[] job = grab(worker);
             String second = submitBackground(client, "kcapture", "", "2");
@@ -397,17 +401,17 @@
             Thread.sleep(600);
             send(worker, Gearman.COMPLETE, job[0], "done");
             awaitState(http, id(first), "done");
-            Peer other = worker(stand, "kcapture");
+            Peer other = worker(harness, "kcapture");
             assertEquals("2", grab(other)[4]);
             awaitState(http, id(second), "running");
-            assertEquals(0, stand.counter("core.kept.second_call") + stand.counter("core.kept.effect"));
+            assertEquals(0, harness.counter("core.kept.second_call") + harness.counter("core.kept.effect"));
         }
     }
 
     @Test
     void answersKeepTheirOrderWhileJobsAreWrittenToDisk() throws Exception {
-        try (Stand stand = Stand.keeping(folder, "");
-                Peer client = stand.gearman()) {
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, "");
+                Peer client = harness.gearman()) {
             for (int i = 0; i < 200; i++) {
                 send(client, Gearman.SUBMIT_BG, "kcheck", "u" + i, "");
                 send(client, 16, "echo " + i);
--- a/src/test/java/laneflow/fleet/FleetTest.java
+++ b/src/test/java/laneflow/fleet/FleetTest.java
@@ -14,8 +14,8 @@
 import laneflow.config.Table;
 import laneflow.core.Counters;
 import laneflow.net.Loop;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Peer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -83,7 +83,7 @@
         }
 
         Peer connect() throws Exception {
-            return Stand.peer("127.0.0.1", fleet.port().address().getPort());
+            return SchedulerHarness.peer("127.0.0.1", fleet.port().address().getPort());
         }
     }
 
--- a/src/test/java/laneflow/gearman/ConformanceTest.java
+++ b/src/test/java/laneflow/gearman/ConformanceTest.java
@@ -6,7 +6,7 @@
 
 import java.util.List;
 import laneflow.lab.measure.Conformance;
-import laneflow.net.Stand;
+import laneflow.net.SchedulerHarness;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -18,20 +18,20 @@
 
     @Test
     void frontPassesAllCases() throws Exception {
-        try (Stand stand = Stand.gearman(LOCAL)) {
-            int port = stand.serve.gearman().address().getPort();
+        try (SchedulerHarness harness = SchedulerHarness.withGearman(LOCAL)) {
+            int port = harness.serve.gearman().address().getPort();
             Conformance.Result result = Conformance.play(port, "");
             assertEquals(List.of(), result.failures());
             assertTrue(result.played() > 60, result.played() + " cases");
-            assertEquals(0, stand.counter("core.overdue"));
+            assertEquals(0, harness.counter("core.overdue"));
         }
     }
 
     /** Guards against a case runner that passes replies which differ from the expected ones. */
     @Test
     void runnerReportsADifferingReply() throws Exception {
-        try (Stand stand = Stand.gearman(LOCAL)) {
-            int port = stand.serve.gearman().address().getPort();
+        try (SchedulerHarness harness = SchedulerHarness.withGearman(LOCAL)) {
+            int port = harness.serve.gearman().address().getPort();
             for (String[] lines : new String[][] {
                 {"c> ECHO_REQ a", "c< ECHO_RES b"},
                 {"c> ECHO_REQ a", "c< NO_JOB"},
--- a/src/test/java/laneflow/gearman/Gearman.java
+++ b/src/test/java/laneflow/gearman/Gearman.java
@@ -6,8 +6,8 @@
 import java.lang.reflect.Field;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Peer;
 
 /** Sends and checks the packets of stand-in Gearman clients and workers. */
 public final class Gearman {
@@ -59,8 +59,8 @@
     }
 
     /** Connects a worker with these functions that has sent PRE_SLEEP. */
-    public static Peer worker(Stand stand, String... functions) throws IOException {
-        Peer worker = stand.gearman();
+    public static Peer worker(SchedulerHarness harness, String... functions) throws IOException {
+        Peer worker = harness.gearman();
         for (String function : functions) {
             send(worker, Packet.CAN_DO, function);
         }
--- a/src/test/java/laneflow/gearman/GearmanStoryTest.java
+++ b/src/test/java/laneflow/gearman/GearmanStoryTest.java
@@ -10,9 +10,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Endpoint;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Endpoint;
+import laneflow.net.SchedulerHarness.Peer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -20,8 +20,8 @@
 @Timeout(30)
 class GearmanStoryTest {
     /** Connects a worker with these functions that has found no job and sent PRE_SLEEP. */
-    private static Peer worker(Stand stand, String... functions) throws IOException {
-        Peer worker = stand.gearman();
+    private static Peer worker(SchedulerHarness harness, String... functions) throws IOException {
+        Peer worker = harness.gearman();
         for (String function : functions) {
             send(worker, Packet.CAN_DO, function);
         }
@@ -48,9 +48,9 @@
 
     @Test
     void jobIsServedAndItsClientsGetStatusAndResult() throws Exception {
-        try (Stand stand = new Stand(null);
-                Peer client = stand.gearman()) {
-            Peer worker = worker(stand, "check");
+        try (SchedulerHarness harness = new SchedulerHarness(null);
+                Peer client = harness.gearman()) {
+            Peer worker = worker(harness, "check");
             String handle = submit(client, Packet.SUBMIT_JOB, "check", "u1", "basket\0of two");
             expect(worker, Packet.NOOP);
             send(worker, Packet.GRAB_JOB_UNIQ);
@@ -61,13 +61,13 @@
             send(client, Packet.GET_STATUS, handle);
             assertArrayEquals(new String[] {handle, "1", "1", "1", "4"}, expect(client, Packet.STATUS_RES));
             // A submission with the unique id of a running job joins it; both clients are answered.
-            Peer other = stand.gearman();
+            Peer other = harness.gearman();
             assertEquals(handle, submit(other, Packet.SUBMIT_JOB_HIGH, "check", "u1", "basket\0of two"));
             send(worker, Packet.WORK_DATA, handle, "pri");
             send(worker, Packet.WORK_COMPLETE, handle, "ced");
             assertArrayEquals(new String[] {handle, "priced"}, expect(client, Packet.WORK_COMPLETE));
             assertArrayEquals(new String[] {handle, "priced"}, expect(other, Packet.WORK_COMPLETE));
-            assertEquals(1, stand.counter("call.sent"));
+            assertEquals(1, harness.counter("call.sent"));
             send(client, Packet.GET_STATUS, handle);
             assertEquals("0", expect(client, Packet.STATUS_RES)[1]);
         }
@@ -75,19 +75,19 @@
 
     @Test
     void jobOfAVanishedWorkerIsRetriedOnlyIfSafe() throws Exception {
-        try (Stand stand = new Stand(null);
-                Peer client = stand.gearman()) {
-            Peer first = worker(stand, "capture", "check");
+        try (SchedulerHarness harness = new SchedulerHarness(null);
+                Peer client = harness.gearman()) {
+            Peer first = worker(harness, "capture", "check");
             String handle = submit(client, Packet.SUBMIT_JOB, "capture", "", "pay");
             assertEquals(handle, grab(first)[0]);
-            Peer second = worker(stand, "capture", "check");
+            Peer second = worker(harness, "capture", "check");
             first.reset();
             assertEquals(handle, expect(client, Packet.WORK_FAIL)[0]);
-            assertEquals(1, stand.counter("call.sent"));
+            assertEquals(1, harness.counter("call.sent"));
             // A job that is safe to retry goes to the next worker.
             String again = submit(client, Packet.SUBMIT_JOB, "check", "", "");
             assertEquals(again, grab(second)[0]);
-            Peer third = worker(stand, "check");
+            Peer third = worker(harness, "check");
             second.reset();
             assertEquals(again, grab(third)[0]);
             send(third, Packet.WORK_COMPLETE, again, "ok");
@@ -97,42 +97,42 @@
 
     @Test
     void queuedJobOfAVanishedWorkerGoesToAnother() throws Exception {
-        try (Stand stand = new Stand(null);
-                Peer client = stand.gearman()) {
-            Peer first = worker(stand, "capture");
+        try (SchedulerHarness harness = new SchedulerHarness(null);
+                Peer client = harness.gearman()) {
+            Peer first = worker(harness, "capture");
             String handle = submit(client, Packet.SUBMIT_JOB, "capture", "", "pay");
             expect(first, Packet.NOOP);
-            Peer second = worker(stand, "capture");
+            Peer second = worker(harness, "capture");
             first.reset();
             assertEquals(handle, grab(second)[0]);
             send(second, Packet.WORK_EXCEPTION, handle, "no funds");
             send(second, Packet.WORK_FAIL, handle);
             assertEquals(handle, expect(client, Packet.WORK_FAIL)[0]);
-            assertEquals(1, stand.counter("gearman.failed"));
+            assertEquals(1, harness.counter("gearman.failed"));
         }
     }
 
     @Test
     void jobMovesFromAWorkerThatDoesNotGrabIt() throws Exception {
-        try (Stand stand = new Stand(null);
-                Peer client = stand.gearman()) {
-            Peer silent = worker(stand, "slow");
+        try (SchedulerHarness harness = new SchedulerHarness(null);
+                Peer client = harness.gearman()) {
+            Peer silent = worker(harness, "slow");
             String handle = submit(client, Packet.SUBMIT_JOB, "slow", "", "pay");
             expect(silent, Packet.NOOP);
-            Peer other = worker(stand, "slow");
+            Peer other = worker(harness, "slow");
             assertEquals(handle, grab(other)[0]);
             send(other, Packet.WORK_COMPLETE, handle, "paid");
             assertArrayEquals(new String[] {handle, "paid"}, expect(client, Packet.WORK_COMPLETE));
-            assertEquals(1, stand.counter("call.connect_failed"));
+            assertEquals(1, harness.counter("call.connect_failed"));
         }
     }
 
     /** A worker's machine crashes without its connection breaking: jobs queued there must not wait for their deadline. */
     @Test
     void jobQueuedAtASilentAwakeWorkerIsReturned() throws Exception {
-        try (Stand stand = new Stand(null);
-                Peer client = stand.gearman()) {
-            Peer worker = worker(stand, "capture");
+        try (SchedulerHarness harness = new SchedulerHarness(null);
+                Peer client = harness.gearman()) {
+            Peer worker = worker(harness, "capture");
             String first = submit(client, Packet.SUBMIT_JOB, "capture", "", "pay");
             assertEquals(first, grab(worker)[0]);
             send(worker, Packet.WORK_COMPLETE, first, "paid");
@@ -142,38 +142,38 @@
             String second = submit(client, Packet.SUBMIT_JOB, "capture", "", "pay");
             assertEquals(second, expect(client, Packet.WORK_FAIL)[0]);
             assertTrue(System.nanoTime() - startNanos < 3_000_000_000L);
-            assertEquals(1, stand.counter("call.connect_failed"));
-            assertEquals(1, stand.counter("gearman.refused"));
+            assertEquals(1, harness.counter("call.connect_failed"));
+            assertEquals(1, harness.counter("gearman.refused"));
         }
     }
 
     @Test
     void disconnectOfTheClientWithdrawsItsQueuedJob() throws Exception {
-        try (Stand stand = new Stand(null)) {
-            Peer worker = worker(stand, "capture");
-            Peer client = stand.gearman();
+        try (SchedulerHarness harness = new SchedulerHarness(null)) {
+            Peer worker = worker(harness, "capture");
+            Peer client = harness.gearman();
             submit(client, Packet.SUBMIT_JOB, "capture", "", "pay");
             expect(worker, Packet.NOOP);
             client.close();
-            stand.await("gearman.withdrawn", 1);
+            harness.awaitCounter("gearman.withdrawn", 1);
             send(worker, Packet.GRAB_JOB);
             expect(worker, Packet.NO_JOB);
             // A background job remains when its client disconnects.
-            Peer leaving = stand.gearman();
+            Peer leaving = harness.gearman();
             send(worker, Packet.PRE_SLEEP);
             submit(leaving, Packet.SUBMIT_JOB_BG, "capture", "", "pay");
             leaving.close();
             String[] job = grab(worker);
             send(worker, Packet.WORK_COMPLETE, job[0], "");
-            stand.await("gearman.served", 1);
+            harness.awaitCounter("gearman.served", 1);
         }
     }
 
     @Test
     void jobThatIsNotGrabbedFailsAtItsDeadline() throws Exception {
-        try (Stand stand = new Stand(null);
-                Peer client = stand.gearman()) {
-            Peer worker = worker(stand, "hasty");
+        try (SchedulerHarness harness = new SchedulerHarness(null);
+                Peer client = harness.gearman()) {
+            Peer worker = worker(harness, "hasty");
             long startNanos = System.nanoTime();
             String handle = submit(client, Packet.SUBMIT_JOB, "hasty", "", "pay");
             assertEquals(handle, expect(client, Packet.WORK_FAIL)[0]);
@@ -182,20 +182,20 @@
             send(worker, Packet.GRAB_JOB);
             expect(worker, Packet.NO_JOB);
             // The job was queued and never ran: it counts as refused, not failed.
-            assertEquals(1, stand.counter("gearman.refused"));
-            assertEquals(0, stand.counter("gearman.failed"));
+            assertEquals(1, harness.counter("gearman.refused"));
+            assertEquals(0, harness.counter("gearman.failed"));
             // Without any worker a job is refused at once.
             submit(client, Packet.SUBMIT_JOB, "check", "", "");
             expect(client, Packet.WORK_FAIL);
-            assertEquals(2, stand.counter("gearman.refused"));
+            assertEquals(2, harness.counter("gearman.refused"));
         }
     }
 
     @Test
     void drainingWorkerIsAssignedNothingAfterItsGracePeriod() throws Exception {
-        try (Stand stand = new Stand(null);
-                Peer client = stand.gearman()) {
-            Peer worker = worker(stand, "capture");
+        try (SchedulerHarness harness = new SchedulerHarness(null);
+                Peer client = harness.gearman()) {
+            Peer worker = worker(harness, "capture");
             String handle = submit(client, Packet.SUBMIT_JOB, "capture", "", "pay");
             expect(worker, Packet.NOOP);
             long startNanos = System.nanoTime();
@@ -205,7 +205,7 @@
             assertTrue(System.nanoTime() - startNanos > 400_000_000L);
             send(worker, Packet.GRAB_JOB);
             expect(worker, Packet.NO_JOB);
-            assertEquals(1, stand.counter("call.moot"));
+            assertEquals(1, harness.counter("call.moot"));
             // Abilities announced again within the grace period, as libraries do at every start, lose no job.
             send(worker, Packet.CAN_DO, "capture");
             send(worker, Packet.PRE_SLEEP);
@@ -219,27 +219,27 @@
             assertEquals(next, expect(worker, Packet.JOB_ASSIGN)[0]);
             // The worker's own time limit ends the attempt, and the job may have run.
             assertEquals(next, expect(client, Packet.WORK_FAIL)[0]);
-            assertEquals(1, stand.counter("call.timeout"));
+            assertEquals(1, harness.counter("call.timeout"));
         }
     }
 
     @Test
     void bothFrontsReachBothKindsOfEndpoints() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
-                Peer client = stand.gearman()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer client = harness.gearman()) {
             String handle = submit(client, Packet.SUBMIT_JOB, "post", "till-7", "points");
             Peer call = endpoint.accept();
             String sent = call.message();
             assertTrue(sent.startsWith("POST /points-post?key=") && sent.endsWith("points"), sent);
             assertTrue(sent.contains("Idempotency-Key: till-7\r\n"), sent);
             String id = sent.substring(sent.indexOf("Req-Id: ") + 8, sent.indexOf("\r\nReq-Deadline"));
-            call.says("{'id':'" + id + "','state':'done','result':'posted'}");
+            call.respond("{'id':'" + id + "','state':'done','result':'posted'}");
             assertArrayEquals(new String[] {handle, "posted"}, expect(client, Packet.WORK_COMPLETE));
         }
-        try (Stand stand = new Stand(null);
-                Peer client = stand.http()) {
-            Peer worker = worker(stand, "capture");
+        try (SchedulerHarness harness = new SchedulerHarness(null);
+                Peer client = harness.http()) {
+            Peer worker = worker(harness, "capture");
             client.post("card-capture", "1", "", "pay");
             String[] job = grab(worker);
             assertEquals("pay", job[2]);
@@ -251,9 +251,9 @@
     /** The packet order of libgearman's worker: it grabs before it sleeps, with GRAB_JOB_ALL only. */
     @Test
     void libgearmanWorkerIsServed() throws Exception {
-        try (Stand stand = new Stand(null);
-                Peer client = stand.gearman();
-                Peer worker = stand.gearman()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null);
+                Peer client = harness.gearman();
+                Peer worker = harness.gearman()) {
             send(worker, Packet.CAN_DO, "check");
             send(worker, Packet.CAN_DO, "post");
             send(worker, Packet.CAN_DO, "check");
@@ -274,7 +274,7 @@
                 send(worker, Packet.WORK_COMPLETE, handle, "done");
                 assertArrayEquals(new String[] {handle, "done"}, expect(client, Packet.WORK_COMPLETE));
             }
-            assertEquals(0, stand.counter("gearman.unsupported"));
+            assertEquals(0, harness.counter("gearman.unsupported"));
         }
     }
 
@@ -284,30 +284,30 @@
         List<List<Long>> counts = new ArrayList<>();
         for (boolean gearman : new boolean[] {true, false}) {
             String front = gearman ? "gearman" : "http";
-            try (Stand stand = new Stand(null)) {
-                Peer one = submitOver(stand, gearman, "check", "basket-check");
+            try (SchedulerHarness harness = new SchedulerHarness(null)) {
+                Peer one = submitOver(harness, gearman, "check", "basket-check");
                 one.close();
-                Peer worker = worker(stand, "check", "capture", "post");
-                Peer served = submitOver(stand, gearman, "capture", "card-capture");
+                Peer worker = worker(harness, "check", "capture", "post");
+                Peer served = submitOver(harness, gearman, "capture", "card-capture");
                 send(worker, Packet.WORK_COMPLETE, grab(worker)[0], "");
-                stand.await(front + ".served", 1);
+                harness.awaitCounter(front + ".served", 1);
                 send(worker, Packet.PRE_SLEEP);
-                Peer failed = submitOver(stand, gearman, "post", "points-post");
+                Peer failed = submitOver(harness, gearman, "post", "points-post");
                 send(worker, Packet.WORK_FAIL, grab(worker)[0]);
-                stand.await("call.error", 1);
-                Peer other = worker(stand, "capture");
-                Peer left = submitOver(stand, gearman, "capture", "card-capture");
+                harness.awaitCounter("call.error", 1);
+                Peer other = worker(harness, "capture");
+                Peer left = submitOver(harness, gearman, "capture", "card-capture");
                 expect(other, Packet.NOOP);
                 left.close();
-                stand.await(front + ".withdrawn", 1);
-                Peer lost = submitOver(stand, gearman, "capture", "card-capture");
+                harness.awaitCounter(front + ".withdrawn", 1);
+                Peer lost = submitOver(harness, gearman, "capture", "card-capture");
                 send(other, Packet.GRAB_JOB);
                 expect(other, Packet.JOB_ASSIGN);
                 other.reset();
-                stand.await("call.reset", 1);
+                harness.awaitCounter("call.reset", 1);
                 List<Long> frontCounts = new ArrayList<>();
                 for (String name : new String[] {"taken", "served", "refused", "failed", "withdrawn"}) {
-                    frontCounts.add(stand.counter(front + "." + name));
+                    frontCounts.add(harness.counter(front + "." + name));
                 }
                 for (String name : new String[] {
                     "call.sent",
@@ -324,7 +324,7 @@
                     "core.kept.spent",
                     "core.overdue"
                 }) {
-                    frontCounts.add(stand.counter(name));
+                    frontCounts.add(harness.counter(name));
                 }
                 counts.add(frontCounts);
                 served.close();
@@ -336,22 +336,23 @@
         assertEquals(counts.get(0), counts.get(1));
     }
 
-    private static Peer submitOver(Stand stand, boolean gearman, String function, String jobClass) throws Exception {
-        Peer client = gearman ? stand.gearman() : stand.http();
+    private static Peer submitOver(SchedulerHarness harness, boolean gearman, String function, String jobClass)
+            throws Exception {
+        Peer client = gearman ? harness.gearman() : harness.http();
         if (gearman) {
             submit(client, Packet.SUBMIT_JOB, function, "", "");
         } else {
-            long before = stand.counter("http.taken");
+            long before = harness.counter("http.taken");
             client.post(jobClass, "1", "", "");
-            stand.await("http.taken", before + 1);
+            harness.awaitCounter("http.taken", before + 1);
         }
         return client;
     }
 
     @Test
     void unsupportedPacketsGetAnErrorAndMalformedOnesEndTheConnection() throws Exception {
-        try (Stand stand = new Stand(null);
-                Peer client = stand.gearman()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null);
+                Peer client = harness.gearman()) {
             send(client, 36, "check\0u\0" + 1 + "\0x");
             assertEquals("NOT_DURABLE", expect(client, Packet.ERROR)[0]);
             send(client, Packet.SUBMIT_JOB, "nothing", "", "");
@@ -362,7 +363,7 @@
             assertEquals("JOB_NOT_FOUND", expect(client, Packet.ERROR)[0]);
             send(client, Packet.OPTION_REQ, "exceptions");
             assertEquals("exceptions", expect(client, Packet.OPTION_RES)[0]);
-            Peer worker = worker(stand, "check");
+            Peer worker = worker(harness, "check");
             send(worker, Packet.SET_CLIENT_ID, "till 4");
             // A packet that arrives in two pieces.
             byte[] bytes = Packet.encode(Packet.REQUEST_MAGIC, Packet.SUBMIT_JOB, "check", "", "");
@@ -373,31 +374,31 @@
             String handle = expect(client, Packet.JOB_CREATED)[0];
             assertEquals(
                     "capture\t0\t0\t0\ncheck\t1\t0\t1\nhasty\t0\t0\t0\npost\t0\t0\t0\nslow\t0\t0\t0\n.\n",
-                    stand.gearman().write("status\n").readTo(".\n"));
-            assertTrue(stand.gearman().write("workers\n").readTo(".\n").contains(" till_4 : check\n"));
-            assertTrue(stand.gearman().write("version\n").readTo("\n").startsWith("OK "));
-            assertTrue(stand.gearman().write("shutdown\n").readTo("\n").startsWith("ERR "));
+                    harness.gearman().write("status\n").readTo(".\n"));
+            assertTrue(harness.gearman().write("workers\n").readTo(".\n").contains(" till_4 : check\n"));
+            assertTrue(harness.gearman().write("version\n").readTo("\n").startsWith("OK "));
+            assertTrue(harness.gearman().write("shutdown\n").readTo("\n").startsWith("ERR "));
             expect(worker, Packet.NOOP);
             send(worker, Packet.GRAB_JOB);
             assertEquals(handle, expect(worker, Packet.JOB_ASSIGN)[0]);
             client.write("\0XYZ12345678");
             assertEquals("MALFORMED", expect(client, Packet.ERROR)[0]);
-            assertTrue(client.ended());
-            stand.await("gearman.withdrawn", 1);
+            assertTrue(client.isClosedByPeer());
+            harness.awaitCounter("gearman.withdrawn", 1);
         }
     }
 
     @Test
     void connectionWithoutACompletePacketIsClosedAndASilentWorkerIsNot() throws Exception {
-        try (Stand stand = new Stand(null);
-                Peer silent = stand.gearman();
-                Peer half = stand.gearman()) {
-            Peer worker = worker(stand, "check");
+        try (SchedulerHarness harness = new SchedulerHarness(null);
+                Peer silent = harness.gearman();
+                Peer half = harness.gearman()) {
+            Peer worker = worker(harness, "check");
             half.write(new byte[] {0, 'R', 'E', 'Q', 0});
-            assertTrue(silent.ended());
-            assertTrue(half.ended());
-            assertEquals(2, stand.counter("gearman.slow_packet"));
-            String handle = submit(stand.gearman(), Packet.SUBMIT_JOB, "check", "", "");
+            assertTrue(silent.isClosedByPeer());
+            assertTrue(half.isClosedByPeer());
+            assertEquals(2, harness.counter("gearman.slow_packet"));
+            String handle = submit(harness.gearman(), Packet.SUBMIT_JOB, "check", "", "");
             assertEquals(handle, grab(worker)[0]);
         }
     }
@@ -406,32 +407,33 @@
     @Test
     void jobIsSentOnlyToAWorkerThatHasItsFunction() throws Exception {
         int count = 30;
-        try (Stand stand = Stand.gearman("listen = '127.0.0.1:0'\nunmapped_class = 'basket-check'\n")) {
+        try (SchedulerHarness harness =
+                SchedulerHarness.withGearman("listen = '127.0.0.1:0'\nunmapped_class = 'basket-check'\n")) {
             Peer[] workers = new Peer[count];
             for (int i = 0; i < count; i++) {
-                workers[i] = worker(stand, "f" + i, "g" + i);
+                workers[i] = worker(harness, "f" + i, "g" + i);
                 send(workers[i], Packet.ECHO_REQ, "");
                 expect(workers[i], Packet.ECHO_RES);
             }
-            Peer client = stand.gearman();
+            Peer client = harness.gearman();
             for (int i = 0; i < count; i++) {
                 String handle = submit(client, Packet.SUBMIT_JOB, (i % 2 == 0 ? "f" : "g") + i, "", "x");
                 assertEquals(handle, grab(workers[i])[0]);
                 send(workers[i], Packet.WORK_COMPLETE, handle, "r");
                 expect(client, Packet.WORK_COMPLETE);
             }
-            assertEquals(count, stand.counter("call.sent"));
-            assertEquals(0, stand.counter("call.moot"));
+            assertEquals(count, harness.counter("call.sent"));
+            assertEquals(0, harness.counter("call.moot"));
             // After CANT_DO the worker is not used; a function without a worker is refused at once and sent nowhere.
             send(workers[3], Packet.CANT_DO, "g3");
             send(workers[3], Packet.ECHO_REQ, "");
             expect(workers[3], Packet.ECHO_RES);
             String handle = submit(client, Packet.SUBMIT_JOB, "g3", "", "x");
             assertEquals(handle, expect(client, Packet.WORK_FAIL)[0]);
-            assertEquals(count, stand.counter("call.sent"));
+            assertEquals(count, harness.counter("call.sent"));
             // An HTTP client's job names no function: any worker of its class may run it.
-            Peer http = stand.http().post("basket-check", "1", "", "x");
-            stand.await("call.sent", count + 1);
+            Peer http = harness.http().post("basket-check", "1", "", "x");
+            harness.awaitCounter("call.sent", count + 1);
             http.close();
         }
     }
--- a/src/test/java/laneflow/gearman/ReaderFuzzTest.java
+++ b/src/test/java/laneflow/gearman/ReaderFuzzTest.java
@@ -11,8 +11,8 @@
 import java.util.SplittableRandom;
 import laneflow.gearman.decision.Queues;
 import laneflow.net.Ring;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Peer;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
@@ -87,9 +87,10 @@
     @Timeout(60)
     void frontServesAfterInvalidInput() throws Exception {
         SplittableRandom random = new SplittableRandom(11);
-        try (Stand stand = Stand.gearman("listen = '127.0.0.1:0'\nunmapped_class = 'basket-check'\n")) {
+        try (SchedulerHarness harness =
+                SchedulerHarness.withGearman("listen = '127.0.0.1:0'\nunmapped_class = 'basket-check'\n")) {
             for (int i = 0; i < 150; i++) {
-                try (Peer peer = stand.gearman()) {
+                try (Peer peer = harness.gearman()) {
                     for (int k = random.nextInt(20); k >= 0; k--) {
                         byte[] data = new byte[random.nextInt(40)];
                         random.nextBytes(data);
@@ -110,8 +111,8 @@
                     continue;
                 }
             }
-            Peer worker = Gearman.worker(stand, "sound");
-            Peer client = stand.gearman();
+            Peer worker = Gearman.worker(harness, "sound");
+            Peer client = harness.gearman();
             Gearman.send(client, Packet.SUBMIT_JOB, "sound", "", "x");
             String handle = Gearman.expect(client, Packet.JOB_CREATED)[0];
             String[] job = Gearman.grab(worker);
@@ -120,7 +121,7 @@
             assertEquals("y", Gearman.expect(client, Packet.WORK_COMPLETE)[1]);
             // Waits until the background jobs of the random packets are refused, so that no queue holds any.
             for (String row = "\t1\t"; row.contains("\t1\t") || row.contains("\t2\t"); ) {
-                row = stand.gearman().write("status\n").readTo(".\n").replaceAll("\t[0-9]+\n", "\n");
+                row = harness.gearman().write("status\n").readTo(".\n").replaceAll("\t[0-9]+\n", "\n");
             }
         }
     }
--- a/src/test/java/laneflow/gearman/ScheduledJobsTest.java
+++ b/src/test/java/laneflow/gearman/ScheduledJobsTest.java
@@ -10,8 +10,8 @@
 import java.sql.Statement;
 import java.time.Instant;
 import laneflow.gearman.decision.Schedule;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Peer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -66,9 +66,9 @@
     @Test
     void scheduledJobIsKeptAcrossARestartUntilDue() throws Exception {
         long due = System.currentTimeMillis() / 1000 + 3;
-        try (Stand stand = Stand.keeping(folder, "")) {
-            Peer client = stand.gearman();
-            Peer worker = Gearman.worker(stand, "kcheck");
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, "")) {
+            Peer client = harness.gearman();
+            Peer worker = Gearman.worker(harness, "kcheck");
             String handle = submitAt(client, due, "u1", "late");
             // An equal job is coalesced, and a job that is already due runs first.
             assertEquals(handle, submitAt(client, due, "u1", "late"));
@@ -76,8 +76,8 @@
             assertEquals("now", Gearman.grab(worker)[4]);
             assertTrue(System.currentTimeMillis() < due * 1000, "test too slow: the job is due already");
         }
-        try (Stand stand = Stand.keeping(folder, "")) {
-            Peer worker = Gearman.worker(stand, "kcheck");
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, "")) {
+            Peer worker = Gearman.worker(harness, "kcheck");
             String[] job = Gearman.grab(worker);
             while (!job[4].equals("late")) {
                 // The job that was running when the scheduler stopped may run again.
@@ -87,22 +87,22 @@
             }
             assertTrue(System.currentTimeMillis() >= due * 1000, "job started before it was due");
             Gearman.send(worker, Packet.WORK_COMPLETE, job[0], "r");
-            stand.await("durable.done", 1);
+            harness.awaitCounter("durable.done", 1);
         }
     }
 
     @Test
     void storeOfFormatVersion1IsMigrated() throws Exception {
-        try (Stand stand = Stand.keeping(folder, "")) {
-            Gearman.submitBackground(stand.gearman(), "kcheck", "old", "from before");
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, "")) {
+            Gearman.submitBackground(harness.gearman(), "kcheck", "old", "from before");
         }
         try (Connection db = DriverManager.getConnection("jdbc:sqlite:" + folder.resolve("jobs.db"));
                 Statement statement = db.createStatement()) {
             statement.execute("ALTER TABLE job DROP COLUMN not_before_ms");
             statement.execute("PRAGMA user_version=1");
         }
-        try (Stand stand = Stand.keeping(folder, "")) {
-            Peer worker = Gearman.worker(stand, "kcheck");
+        try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, "")) {
+            Peer worker = Gearman.worker(harness, "kcheck");
             assertEquals("from before", Gearman.grab(worker)[4]);
         }
     }
--- a/src/test/java/laneflow/http/ClientStoryTest.java
+++ b/src/test/java/laneflow/http/ClientStoryTest.java
@@ -13,9 +13,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Endpoint;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Endpoint;
+import laneflow.net.SchedulerHarness.Peer;
 import org.junit.jupiter.api.RepeatedTest;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -49,9 +49,9 @@
     }
 
     /** Runs it within one turn of the loop. */
-    private static void inOneTurn(Stand stand, Step step) throws Exception {
+    private static void inOneTurn(SchedulerHarness harness, Step step) throws Exception {
         Exception[] failure = new Exception[1];
-        stand.serve.loop().call(() -> {
+        harness.serve.loop().call(() -> {
             try {
                 step.run();
             } catch (Exception e) {
@@ -63,18 +63,18 @@
         }
     }
 
-    private static void await(Stand stand, Callable<Boolean> condition) throws Exception {
+    private static void await(SchedulerHarness harness, Callable<Boolean> condition) throws Exception {
         boolean[] holds = new boolean[1];
         long end = System.nanoTime() + 60_000_000_000L;
         while (!holds[0]) {
             assertTrue(System.nanoTime() < end, "waited in vain");
-            inOneTurn(stand, () -> holds[0] = condition.call());
+            inOneTurn(harness, () -> holds[0] = condition.call());
         }
     }
 
     /** A scheduler whose room for clients is taken up by requests that are at work. */
     private static final class Full implements AutoCloseable {
-        final Stand stand;
+        final SchedulerHarness harness;
         final Endpoint endpoint = new Endpoint("e0");
         final List<Peer> clients = new ArrayList<>();
         final List<Peer> calls = new ArrayList<>();
@@ -85,9 +85,9 @@
             for (int i = 0; i < CLIENTS; i++) {
                 known[i] = new Endpoint("e" + i, endpoint);
             }
-            stand = new Stand(null, FEW_SOCKETS, known);
+            harness = new SchedulerHarness(null, FEW_SOCKETS, known);
             for (int i = 0; i < CLIENTS; i++) {
-                clients.add(stand.http().post("card-capture", "" + i, "", ""));
+                clients.add(harness.http().post("card-capture", "" + i, "", ""));
                 Peer call = endpoint.accept();
                 String sent = call.message();
                 int at = sent.indexOf("Req-Id: ") + 8;
@@ -98,19 +98,19 @@
 
         /** One more that has asked, and waits for room. */
         Peer waiting(String id, String more) throws Exception {
-            Peer waits = stand.http().write(job(id, more));
-            await(stand, () -> stand.serve.front().isLeaving());
+            Peer waits = harness.http().write(job(id, more));
+            await(harness, () -> harness.serve.front().isLeaving());
             return waits;
         }
 
         void answerFirst() throws IOException {
-            calls.get(0).says(done(ids.get(0)));
+            calls.get(0).respond(done(ids.get(0)));
             assertTrue(clients.get(0).message().endsWith("r" + ids.get(0)));
         }
 
         @Override
         public void close() throws Exception {
-            stand.close();
+            harness.close();
         }
     }
 
@@ -119,10 +119,10 @@
     @Test
     void aClientThatLeavesOrEndsItsSendingWithdrawsItsRequest() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint)) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
             Step[] ends = new Step[3];
             for (int i = 0; i < ends.length; i++) {
-                Peer client = stand.http();
+                Peer client = harness.http();
                 ends[0] = client::close;
                 ends[1] = client::reset;
                 ends[2] = client.socket::shutdownOutput;
@@ -130,8 +130,8 @@
                 Peer call = endpoint.accept();
                 call.message();
                 ends[i].run();
-                assertTrue(call.ended());
-                stand.await("http.withdrawn", i + 1);
+                assertTrue(call.isClosedByPeer());
+                harness.awaitCounter("http.withdrawn", i + 1);
             }
         }
     }
@@ -140,14 +140,14 @@
     void whoLeftWhileItWaitedForRoomIsNotSentOn() throws Exception {
         try (Full full = new Full()) {
             full.waiting("left", "").close();
-            Peer stays = full.stand.http().write(job("stays", ""));
+            Peer stays = full.harness.http().write(job("stays", ""));
             full.answerFirst();
             full.clients.get(0).close();
             // The kept connection carries the next call.
             assertTrue(full.calls.get(0).message().contains("Req-Id: stays\r\n"));
-            full.calls.get(0).says(done("stays"));
+            full.calls.get(0).respond(done("stays"));
             assertTrue(stays.message().endsWith("rstays"));
-            assertEquals(CLIENTS + 1, full.stand.counter("http.taken"));
+            assertEquals(CLIENTS + 1, full.harness.counter("http.taken"));
         }
     }
 
@@ -156,22 +156,22 @@
     void theNextRequestOfAClientThatLeftInThisTurnIsNotSentOn() throws Exception {
         for (boolean reset : new boolean[] {false, true}) {
             Endpoint endpoint = new Endpoint("e1");
-            try (Stand stand = new Stand(null, endpoint);
-                    Peer client = stand.http()) {
+            try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                    Peer client = harness.http()) {
                 client.write(job("1", "") + job("2", ""));
                 Peer call = endpoint.accept();
                 call.message();
-                inOneTurn(stand, () -> {
+                inOneTurn(harness, () -> {
                     if (reset) {
                         client.reset();
                     } else {
                         client.close();
                     }
-                    stand.serve.scheduler().abandonSince(0);
+                    harness.serve.scheduler().abandonSince(0);
                 });
-                await(stand, () -> stand.serve.front().isAlone());
-                assertEquals(1, stand.counter("http.taken"));
-                assertEquals(1, stand.counter("call.sent"));
+                await(harness, () -> harness.serve.front().isAlone());
+                assertEquals(1, harness.counter("http.taken"));
+                assertEquals(1, harness.counter("call.sent"));
             }
         }
     }
@@ -180,20 +180,20 @@
     void theEndIsSeenBehindMoreThanIsKeptOfWhatAClientSendsAtOnce() throws Exception {
         for (int much : new int[] {200, 2000}) {
             Endpoint endpoint = new Endpoint("e1");
-            try (Stand stand = new Stand(null, endpoint);
-                    Peer client = stand.http()) {
+            try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                    Peer client = harness.http()) {
                 client.write(job("1", ""));
                 Peer call = endpoint.accept();
                 call.message();
-                call.begins("{'id':'1','state':'started'}");
+                call.beginResponse("{'id':'1','state':'started'}");
                 for (int i = 2; i < much; i++) {
                     client.write(job("" + i, "X-Filler: " + "x".repeat(200) + "\r\n"));
                 }
                 client.close();
-                assertTrue(call.ended());
-                await(stand, () -> stand.serve.front().isAlone());
-                assertEquals(1, stand.counter("http.withdrawn"));
-                assertEquals(1, stand.counter("http.taken"));
+                assertTrue(call.isClosedByPeer());
+                await(harness, () -> harness.serve.front().isAlone());
+                assertEquals(1, harness.counter("http.withdrawn"));
+                assertEquals(1, harness.counter("http.taken"));
             }
         }
     }
@@ -203,20 +203,20 @@
     @Test
     void aRequestsTimeCountsFromItsArrivalBehindAnother() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer client = harness.http()) {
             client.write(job("1", "") + job("2", "Req-Deadline-Ms: 3000\r\n"));
             Peer call = endpoint.accept();
             call.message();
-            call.begins("{'id':'1','state':'started'}");
+            call.beginResponse("{'id':'1','state':'started'}");
             Thread.sleep(600);
-            call.ends(done("1"));
+            call.endResponse(done("1"));
             assertTrue(client.message().endsWith("r1"));
             String sent = call.message();
             int at = sent.indexOf("Req-Deadline-Ms: ") + 17;
             int told = Integer.parseInt(sent.substring(at, sent.indexOf('\r', at)));
             assertTrue(told <= 2400, sent);
-            call.says(done("2"));
+            call.respond(done("2"));
             assertTrue(client.message().endsWith("r2"));
         }
     }
@@ -225,25 +225,25 @@
     @Test
     void aRequestsTimeCountsFromItsLastByte() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer client = harness.http()) {
             String second = job("2", "Req-Deadline-Ms: 2000\r\n");
             client.write(job("1", "") + second.substring(0, 30));
             Peer call = endpoint.accept();
             call.message();
-            call.begins("{'id':'1','state':'started'}");
+            call.beginResponse("{'id':'1','state':'started'}");
             Thread.sleep(300);
             long from = System.nanoTime();
             client.write(second.substring(30));
             // Between two of these the loop looks at its sockets: behind them the bytes have been read.
             for (int turn = 0; turn < 10; turn++) {
-                inOneTurn(stand, () -> {});
+                inOneTurn(harness, () -> {});
             }
             long read = System.nanoTime();
             Thread.sleep(300);
             client.write(job("3", "Req-Deadline-Ms: 2000\r\n"));
             long waited = (System.nanoTime() - read) / 1_000_000;
-            call.ends(done("1"));
+            call.endResponse(done("1"));
             assertTrue(client.message().endsWith("r1"));
             String sent = call.message();
             int at = sent.indexOf("Req-Deadline-Ms: ") + 17;
@@ -256,21 +256,21 @@
     @Test
     void whoseTimeIsOverWhenItsTurnComesIsRefusedAtOnceAndNotSentOn() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer client = harness.http()) {
             client.write(job("1", "") + job("2", "Req-Deadline-Ms: 100\r\n") + job("3", ""));
             Peer call = endpoint.accept();
             call.message();
-            call.begins("{'id':'1','state':'started'}");
+            call.beginResponse("{'id':'1','state':'started'}");
             Thread.sleep(200);
-            call.ends(done("1"));
+            call.endResponse(done("1"));
             assertTrue(client.message().endsWith("r1"));
             String refused = client.message();
             assertTrue(refused.startsWith("HTTP/1.1 503 ") && refused.contains("\r\nRetry-After: "), refused);
             assertTrue(call.message().contains("Req-Id: 3\r\n"));
-            call.says(done("3"));
+            call.respond(done("3"));
             assertTrue(client.message().endsWith("r3"));
-            assertEquals(2, stand.counter("call.sent"));
+            assertEquals(2, harness.counter("call.sent"));
         }
     }
 
@@ -282,7 +282,7 @@
             full.answerFirst();
             full.clients.get(0).close();
             assertTrue(waits.message().startsWith("HTTP/1.1 503 "));
-            assertEquals(CLIENTS, full.stand.counter("call.sent"));
+            assertEquals(CLIENTS, full.harness.counter("call.sent"));
         }
     }
 
@@ -292,16 +292,16 @@
     @Test
     void aRequestThatArrivesInTheTurnOfATimeoutIsServed() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
-                Peer client = stand.http()) {
-            await(stand, () -> !stand.serve.front().isAlone());
-            inOneTurn(stand, () -> {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer client = harness.http()) {
+            await(harness, () -> !harness.serve.front().isAlone());
+            inOneTurn(harness, () -> {
                 Thread.sleep(2100);
                 client.write(capture("1"));
             });
             Peer call = endpoint.accept();
             call.message();
-            call.says(done("1"));
+            call.respond(done("1"));
             assertTrue(client.message().endsWith("r1"));
         }
     }
@@ -309,20 +309,20 @@
     @Test
     void aRequestThatArrivesInTheTurnInWhichRoomIsMadeIsServed() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
-                Peer first = stand.http();
-                Peer second = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer first = harness.http();
+                Peer second = harness.http()) {
             for (Peer idle : new Peer[] {first, second}) {
                 idle.write("GET /health/live HTTP/1.1\r\n\r\n").message();
             }
-            inOneTurn(stand, () -> {
+            inOneTurn(harness, () -> {
                 first.write(capture("1"));
-                assertTrue(stand.serve.front().makeRoom());
+                assertTrue(harness.serve.front().makeRoom());
             });
-            assertTrue(second.ended());
+            assertTrue(second.isClosedByPeer());
             Peer call = endpoint.accept();
             call.message();
-            call.says(done("1"));
+            call.respond(done("1"));
             assertTrue(first.message().endsWith("r1"));
         }
     }
@@ -330,27 +330,27 @@
     @RepeatedTest(5)
     void aRequestThatArrivesInTheTurnOfADrainIsAnsweredAndALaterOneIsNotSentOn() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
-                Peer client = stand.http();
-                Peer idle = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer client = harness.http();
+                Peer idle = harness.http()) {
             for (Peer each : new Peer[] {client, idle}) {
                 each.write("GET /health/live HTTP/1.1\r\n\r\n").message();
             }
-            inOneTurn(stand, () -> {
+            inOneTurn(harness, () -> {
                 client.write(capture("1"));
-                stand.serve.front().drain();
+                harness.serve.front().drain();
                 idle.write(job("2", ""));
             });
             Peer call = endpoint.accept();
             assertTrue(call.message().contains("Req-Id: 1\r\n"));
-            call.says(done("1"));
+            call.respond(done("1"));
             String answer = client.message();
             assertTrue(answer.endsWith("r1") && answer.contains("Connection: close"), answer);
             // An orderly end, no reset: the client asks once more elsewhere.
             assertEquals(-1, idle.socket.getInputStream().read());
             idle.write(job("3", ""));
             assertEquals(-1, client.socket.getInputStream().read());
-            assertEquals(1, stand.counter("http.taken"));
+            assertEquals(1, harness.counter("http.taken"));
         }
     }
 
@@ -358,18 +358,18 @@
     @Test
     void anAnswerThatIsStillOnItsWaySurvivesTheCloseOfItsConnection() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
                 Socket socket = new Socket()) {
             socket.setReceiveBufferSize(2048);
-            InetSocketAddress at = stand.serve.front().address();
+            InetSocketAddress at = harness.serve.front().address();
             socket.connect(at);
             socket.getOutputStream().write(capture("1").getBytes());
             Peer call = endpoint.accept();
             call.message();
-            call.says("{'id':'1','state':'done','result':'" + "x".repeat(200_000) + "'}");
-            stand.await("http.served", 1);
-            await(stand, () -> stand.serve.front().busy() == 0);
-            inOneTurn(stand, () -> stand.serve.front().drain());
+            call.respond("{'id':'1','state':'done','result':'" + "x".repeat(200_000) + "'}");
+            harness.awaitCounter("http.served", 1);
+            await(harness, () -> harness.serve.front().busy() == 0);
+            inOneTurn(harness, () -> harness.serve.front().drain());
             socket.getOutputStream().write(job("2", "").getBytes());
             String answer = new String(socket.getInputStream().readAllBytes());
             assertTrue(answer.endsWith("x".repeat(200_000)), answer.length() + " bytes");
@@ -379,25 +379,25 @@
     @Test
     void whatWasReadBeforeADrainIsAnsweredWholeAndItsLastAnswerCloses() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer client = harness.http()) {
             client.write(job("1", "") + job("2", "") + job("3", ""));
             Peer call = endpoint.accept();
             call.message();
-            inOneTurn(stand, () -> stand.serve.front().drain());
-            call.says(done("1"));
+            inOneTurn(harness, () -> harness.serve.front().drain());
+            call.respond(done("1"));
             assertFalse(client.message().contains("Connection: close"));
             assertTrue(call.message().contains("Req-Id: 2\r\n"));
-            call.says(done("2"));
+            call.respond(done("2"));
             // What comes only now is not for this scheduler.
             client.write(job("4", ""));
             assertFalse(client.message().contains("Connection: close"));
             assertTrue(call.message().contains("Req-Id: 3\r\n"));
-            call.says(done("3"));
+            call.respond(done("3"));
             String last = client.message();
             assertTrue(last.endsWith("r3") && last.contains("Connection: close"), last);
             assertEquals(-1, client.socket.getInputStream().read());
-            assertEquals(3, stand.counter("http.taken"));
+            assertEquals(3, harness.counter("http.taken"));
         }
     }
 
@@ -405,22 +405,22 @@
     @Test
     void whatWasReadBehindARequestThatIsGivenUpIsRefusedAtOnce() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer client = harness.http()) {
             client.write(job("1", "") + job("2", ""));
             Peer call = endpoint.accept();
             call.message();
-            inOneTurn(stand, () -> {
-                stand.serve.front().drain();
-                stand.serve.front().refuseFurther();
-                stand.serve.scheduler().abandonSince(0);
+            inOneTurn(harness, () -> {
+                harness.serve.front().drain();
+                harness.serve.front().refuseFurther();
+                harness.serve.scheduler().abandonSince(0);
             });
             String first = client.message();
             assertTrue(first.startsWith("HTTP/1.1 503 ") && !first.contains("Connection: close"), first);
             String last = client.message();
             assertTrue(last.startsWith("HTTP/1.1 503 ") && last.contains("Connection: close"), last);
             assertTrue(last.contains("\r\nRetry-After: "), last);
-            assertEquals(1, stand.counter("call.sent"));
+            assertEquals(1, harness.counter("call.sent"));
         }
     }
 
@@ -428,24 +428,24 @@
     @Test
     void anAnswerThatIsStillOnItsWaySurvivesTheEndOfTheProcess() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
                 Socket socket = new Socket()) {
             socket.setReceiveBufferSize(2048);
-            socket.connect(stand.serve.front().address());
+            socket.connect(harness.serve.front().address());
             socket.getOutputStream().write(capture("1").getBytes());
             Peer call = endpoint.accept();
             call.message();
-            call.says("{'id':'1','state':'done','result':'" + "x".repeat(200_000) + "'}");
-            stand.await("http.served", 1);
-            await(stand, () -> stand.serve.front().busy() == 0);
+            call.respond("{'id':'1','state':'done','result':'" + "x".repeat(200_000) + "'}");
+            harness.awaitCounter("http.served", 1);
+            await(harness, () -> harness.serve.front().busy() == 0);
             Thread halt = new Thread(() -> {
                 try {
-                    stand.serve.halt();
+                    harness.serve.halt();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
             });
-            inOneTurn(stand, () -> {
+            inOneTurn(harness, () -> {
                 halt.start();
                 // Its close waits for this turn's end, and runs before the next look at the sockets.
                 while (halt.getState() != Thread.State.WAITING) {
@@ -463,13 +463,13 @@
     @Test
     void whoCameBeforeTheListenerClosedIsServed() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint)) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
             Peer[] client = new Peer[40];
-            inOneTurn(stand, () -> {
+            inOneTurn(harness, () -> {
                 for (int i = 0; i < client.length; i++) {
-                    client[i] = stand.http().write("GET /health/live HTTP/1.1\r\n\r\n");
+                    client[i] = harness.http().write("GET /health/live HTTP/1.1\r\n\r\n");
                 }
-                stand.serve.front().stopAccepting();
+                harness.serve.front().stopAccepting();
             });
             for (Peer each : client) {
                 assertTrue(each.message().endsWith("ok\n"));
@@ -486,9 +486,9 @@
             Peer waits = full.waiting("waits", "");
             full.answerFirst();
             assertTrue(full.calls.get(0).message().contains("Req-Id: waits\r\n"));
-            full.calls.get(0).says(done("waits"));
+            full.calls.get(0).respond(done("waits"));
             assertTrue(waits.message().endsWith("rwaits"));
-            assertEquals(1, full.stand.counter("http.gave_way"));
+            assertEquals(1, full.harness.counter("http.gave_way"));
         }
     }
 
@@ -496,14 +496,14 @@
     @Test
     void theLoopRestsWhileClientsWaitForRoom() throws Exception {
         try (Full full = new Full()) {
-            inOneTurn(full.stand, () -> {
+            inOneTurn(full.harness, () -> {
                 for (int i = 0; i < 5; i++) {
-                    full.stand.http().write(job("w" + i, ""));
+                    full.harness.http().write(job("w" + i, ""));
                 }
                 // XNIO's own thread accepts them meanwhile.
                 Thread.sleep(100);
             });
-            await(full.stand, () -> full.stand.serve.front().isLeaving());
+            await(full.harness, () -> full.harness.serve.front().isLeaving());
             long began = System.nanoTime();
             long used = loopTime();
             Thread.sleep(500);
@@ -529,24 +529,24 @@
     void idleClientsDontKeepDiscoveryOrEndpointsOut() throws Exception {
         Endpoint discovery = new Endpoint("d");
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(discovery, FEW_SOCKETS, endpoint)) {
+        try (SchedulerHarness harness = new SchedulerHarness(discovery, FEW_SOCKETS, endpoint)) {
             Peer watch = discovery.accept();
             watch.readTo("\r\n\r\n");
             watch.reset();
             // While discovery says nothing, idle clients take all there is.
             for (int i = 0; i < 3 * CLIENTS; i++) {
-                stand.http().write("GET /health/live HTTP/1.1\r\n\r\n").message();
+                harness.http().write("GET /health/live HTTP/1.1\r\n\r\n").message();
             }
             Peer next = discovery.accept();
             next.readTo("\r\n\r\n");
-            next.write(Stand.watching(Stand.list(2, true, endpoint.host("Ready"))));
-            stand.await("discovery.lists", 1);
-            Peer client = stand.http().write(capture("1"));
+            next.write(SchedulerHarness.watchResponse(SchedulerHarness.hostList(2, true, endpoint.host("Ready"))));
+            harness.awaitCounter("discovery.lists", 1);
+            Peer client = harness.http().write(capture("1"));
             Peer call = endpoint.accept();
             call.message();
-            call.says(done("1"));
+            call.respond(done("1"));
             assertTrue(client.message().endsWith("r1"));
-            assertEquals(0, stand.counter("clients.lost"));
+            assertEquals(0, harness.counter("clients.lost"));
         }
     }
 
@@ -555,8 +555,8 @@
     @Test
     void manyCommandsAtOnceAreAnsweredInOrder() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer client = harness.http()) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < 300; i++) {
                 all.append(job("" + i, "X-Filler: " + "x".repeat(200) + "\r\n"));
@@ -565,10 +565,10 @@
             Peer call = endpoint.accept();
             for (int i = 0; i < 300; i++) {
                 assertTrue(call.message().contains("Req-Id: " + i + "\r\n"));
-                call.says(done("" + i));
+                call.respond(done("" + i));
                 assertTrue(client.message().endsWith("r" + i));
             }
-            assertEquals(1, stand.counter("endpoint.connects"));
+            assertEquals(1, harness.counter("endpoint.connects"));
         }
     }
 
@@ -576,17 +576,17 @@
     @Test
     void whoSendsTooMuchAtOnceIsAnsweredForWhatIsKeptAndEnded() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer client = harness.http()) {
             client.write(job("0", ""));
             Peer call = endpoint.accept();
             call.message();
-            call.begins("{'id':'0','state':'started'}");
+            call.beginResponse("{'id':'0','state':'started'}");
             for (int i = 1; i < 40; i++) {
                 client.write("GET /health/live HTTP/1.1\r\nX-Filler: " + "x".repeat(8000) + "\r\n\r\n");
             }
-            stand.await("http.too_much_at_once", 1);
-            call.ends(done("0"));
+            harness.awaitCounter("http.too_much_at_once", 1);
+            call.endResponse(done("0"));
             assertTrue(client.message().endsWith("r0"));
             int lives = 0;
             String answer = client.message();
--- a/src/test/java/laneflow/http/DiscoveryStoryTest.java
+++ b/src/test/java/laneflow/http/DiscoveryStoryTest.java
@@ -7,9 +7,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import laneflow.assembly.Setup;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Endpoint;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Endpoint;
+import laneflow.net.SchedulerHarness.Peer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -46,11 +46,11 @@
         Endpoint discovery = new Endpoint("d");
         Endpoint one = new Endpoint("e1");
         Endpoint two = new Endpoint("e2");
-        try (Stand stand = new Stand(discovery, one);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(discovery, one);
+                Peer client = harness.http()) {
             Peer watch = watch(discovery, "1");
-            long watches = stand.counter("discovery.watches");
-            String list = Stand.list(2, false, one.host("Terminating"), two.host("Ready"))
+            long watches = harness.counter("discovery.watches");
+            String list = SchedulerHarness.hostList(2, false, one.host("Terminating"), two.host("Ready"))
                     .replace("{", "{\n    ")
                     .replace(",", ",\r\n  ")
                     .replace("}", "\n}");
@@ -59,15 +59,15 @@
                 watch.write(chunk("" + each));
             }
             // It needs no line's end: the last brace is its end.
-            stand.await("discovery.lists", 1);
-            watch.write(chunk("\n\n  " + Stand.list(3, false, two.host("Ready"))) + chunk("\n"));
-            stand.await("discovery.lists", 2);
+            harness.awaitCounter("discovery.lists", 1);
+            watch.write(chunk("\n\n  " + SchedulerHarness.hostList(3, false, two.host("Ready"))) + chunk("\n"));
+            harness.awaitCounter("discovery.lists", 2);
             client.post("basket-check", "1", "", "");
             Peer call = two.accept();
             call.message();
-            call.says("{'id':'1','state':'done','result':'priced'}");
+            call.respond("{'id':'1','state':'done','result':'priced'}");
             assertTrue(client.message().endsWith("priced"));
-            assertEquals(watches, stand.counter("discovery.watches"));
+            assertEquals(watches, harness.counter("discovery.watches"));
         }
     }
 
@@ -76,15 +76,15 @@
     void aSilentWatchIsBegunAgainOnceABeatAndTheListStaysInUse() throws Exception {
         Endpoint discovery = new Endpoint("d");
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(discovery, endpoint)) {
+        try (SchedulerHarness harness = new SchedulerHarness(discovery, endpoint)) {
             long from = System.nanoTime();
             Peer silent = watch(discovery, "1");
-            long watches = stand.counter("discovery.watches");
+            long watches = harness.counter("discovery.watches");
             silent.write(HEAD + chunk("\n"));
             // Bytes that make no line are no sign of life, be it that they come and come.
             Peer next = watch(discovery, "1");
             assertTrue(seconds(from) > 2 && seconds(from) < 4.4, "" + seconds(from));
-            assertTrue(silent.ended());
+            assertTrue(silent.isClosedByPeer());
             from = System.nanoTime();
             next.write(HEAD + chunk("{"));
             Thread drops = new Thread(() -> {
@@ -100,9 +100,9 @@
             Peer third = watch(discovery, "1");
             drops.join();
             assertTrue(seconds(from) > 2 && seconds(from) < 4.4, "" + seconds(from));
-            assertEquals(2, stand.counter("discovery.silent"));
-            assertEquals(watches + 2, stand.counter("discovery.watches"));
-            assertServedAt(endpoint, stand);
+            assertEquals(2, harness.counter("discovery.silent"));
+            assertEquals(watches + 2, harness.counter("discovery.watches"));
+            assertServedAt(endpoint, harness);
         }
     }
 
@@ -116,17 +116,17 @@
     void aWatchThatOwesMissedNewsAndSaysNothingIsFollowedByAThirdInTime() throws Exception {
         Endpoint discovery = new Endpoint("d");
         Endpoint one = new Endpoint("e1");
-        try (Stand stand = new Stand(discovery, one)) {
+        try (SchedulerHarness harness = new SchedulerHarness(discovery, one)) {
             Peer first = watch(discovery, "1");
             first.write(HEAD + chunk("\n"));
             long from = System.nanoTime();
             Peer second = watch(discovery, "1");
             Peer third = watch(discovery, "1");
             assertTrue(seconds(from) < 4, "asked again " + seconds(from) + " s after the last word");
-            assertTrue(second.ended());
-            third.write(HEAD + chunk(Stand.list(2, false, one.host("Terminating"))));
-            stand.await("discovery.lists", 1);
-            assertEquals(2, stand.counter("discovery.silent"));
+            assertTrue(second.isClosedByPeer());
+            third.write(HEAD + chunk(SchedulerHarness.hostList(2, false, one.host("Terminating"))));
+            harness.awaitCounter("discovery.lists", 1);
+            assertEquals(2, harness.counter("discovery.silent"));
         }
     }
 
@@ -134,13 +134,13 @@
     @Test
     void aNewProcessIsReadyOnceItsAgentHasSpokenOrHasNothingToSay() throws Exception {
         Endpoint discovery = new Endpoint("d");
-        try (Stand stand = new Stand(discovery, new Endpoint("e1"));
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(discovery, new Endpoint("e1"));
+                Peer client = harness.http()) {
             boolean[] early = new boolean[1];
-            stand.serve
+            harness.serve
                     .loop()
-                    .call(() -> early[0] = stand.serve.front().isReady()
-                            && stand.serve.scheduler().counters().get("discovery.lists") == 0);
+                    .call(() -> early[0] = harness.serve.front().isReady()
+                            && harness.serve.scheduler().counters().get("discovery.lists") == 0);
             Peer watch = watch(discovery, "1");
             // Silent, as while discovery is down: then what was known last is used.
             String ready;
@@ -156,14 +156,14 @@
     @Test
     void whereListsAreAskedForACallMayWaitForItsTurn() throws Exception {
         Endpoint discovery = new Endpoint("d");
-        try (Stand stand =
-                Stand.changed("'tick':0.005", "'tick':0.005,'discovery':'ask'", discovery, new Endpoint("e1"))) {
+        try (SchedulerHarness harness = SchedulerHarness.withSetting(
+                "'tick':0.005", "'tick':0.005,'discovery':'ask'", discovery, new Endpoint("e1"))) {
             Peer watch = watch(discovery, "1");
-            long watches = stand.counter("discovery.watches");
+            long watches = harness.counter("discovery.watches");
             Thread.sleep(2800);
-            watch.write(HEAD + chunk(Stand.list(2, true)));
-            stand.await("discovery.lists", 1);
-            assertEquals(watches, stand.counter("discovery.watches"));
+            watch.write(HEAD + chunk(SchedulerHarness.hostList(2, true)));
+            harness.awaitCounter("discovery.lists", 1);
+            assertEquals(watches, harness.counter("discovery.watches"));
         }
     }
 
@@ -176,26 +176,27 @@
     void whatANewWatchTellsFirstMayHaveBeenToldSinceTheOldOneSpoke(String ahead) throws Exception {
         Endpoint discovery = new Endpoint("d");
         Endpoint one = new Endpoint("e1", 1);
-        try (Stand stand = Stand.changed("'connectTimeout':1", "'connectTimeout':4.5", discovery, one);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness =
+                        SchedulerHarness.withSetting("'connectTimeout':1", "'connectTimeout':4.5", discovery, one);
+                Peer client = harness.http()) {
             Peer watch = watch(discovery, "1");
             watch.write(HEAD + chunk("\n"));
-            int crowd = one.crowd();
+            int crowd = one.fillBacklog();
             client.post("card-capture", "1", "", "pay");
-            stand.await("endpoint.connects", 1);
+            harness.awaitCounter("endpoint.connects", 1);
             watch.reset();
             Peer next = watch(discovery, "1");
             // The connection comes up a second after it was asked for, or three where this thread is late.
             Thread.sleep(800);
-            next.write(HEAD + chunk(ahead + Stand.list(2, false, one.host("Terminating"))));
-            stand.await("discovery.lists", 1);
+            next.write(HEAD + chunk(ahead + SchedulerHarness.hostList(2, false, one.host("Terminating"))));
+            harness.awaitCounter("discovery.lists", 1);
             for (int i = 0; i < crowd; i++) {
                 one.accept();
             }
             Peer late = one.accept();
-            assertTrue(late.ended());
+            assertTrue(late.isClosedByPeer());
             assertTrue(client.message().startsWith("HTTP/1.1 503 "));
-            assertEquals(1, stand.counter("core.kept.drain"));
+            assertEquals(1, harness.counter("core.kept.drain"));
         }
     }
 
@@ -204,19 +205,19 @@
     void aSilentWatchIsHeardUntilTheNextOneHasAsked() throws Exception {
         Endpoint discovery = new Endpoint("d", 1);
         Endpoint one = new Endpoint("e1");
-        try (Stand stand = new Stand(discovery, one)) {
+        try (SchedulerHarness harness = new SchedulerHarness(discovery, one)) {
             Peer silent = watch(discovery, "1");
             silent.write(HEAD + chunk("\n"));
             // The next connection can't come up before those ahead of it have been accepted.
-            int crowd = discovery.crowd();
-            stand.await("discovery.silent", 1);
-            silent.write(chunk(Stand.list(2, false, one.host("Terminating"))));
-            stand.await("discovery.lists", 1);
+            int crowd = discovery.fillBacklog();
+            harness.awaitCounter("discovery.silent", 1);
+            silent.write(chunk(SchedulerHarness.hostList(2, false, one.host("Terminating"))));
+            harness.awaitCounter("discovery.lists", 1);
             for (int i = 0; i < crowd; i++) {
                 discovery.accept();
             }
             watch(discovery, "2");
-            assertTrue(silent.ended());
+            assertTrue(silent.isClosedByPeer());
         }
     }
 
@@ -227,22 +228,22 @@
         Endpoint neverUp = new Endpoint("d2", 1);
         Endpoint last = new Endpoint("d3");
         Endpoint one = new Endpoint("e1");
-        try (Stand stand = new Stand(discovery, one)) {
+        try (SchedulerHarness harness = new SchedulerHarness(discovery, one)) {
             Peer old = watch(discovery, "1");
             old.write(HEAD + chunk("\n"));
-            neverUp.crowd();
-            move(stand, neverUp);
-            stand.await("discovery.moves", 1);
-            old.write(chunk(Stand.list(2, false, one.host("Ready"))));
-            stand.await("discovery.lists", 1);
-            move(stand, last);
+            neverUp.fillBacklog();
+            move(harness, neverUp);
+            harness.awaitCounter("discovery.moves", 1);
+            old.write(chunk(SchedulerHarness.hostList(2, false, one.host("Ready"))));
+            harness.awaitCounter("discovery.lists", 1);
+            move(harness, last);
             Peer present = watch(last, "0");
-            old.write(chunk(Stand.list(3, false, one.host("Ready"))));
-            stand.await("discovery.lists", 2);
-            present.write(HEAD + chunk(Stand.list(1, true, one.host("Ready"))));
-            stand.await("discovery.lists", 3);
-            assertTrue(old.ended());
-            assertEquals(2, stand.counter("discovery.moves"));
+            old.write(chunk(SchedulerHarness.hostList(3, false, one.host("Ready"))));
+            harness.awaitCounter("discovery.lists", 2);
+            present.write(HEAD + chunk(SchedulerHarness.hostList(1, true, one.host("Ready"))));
+            harness.awaitCounter("discovery.lists", 3);
+            assertTrue(old.isClosedByPeer());
+            assertEquals(2, harness.counter("discovery.moves"));
         }
     }
 
@@ -255,23 +256,23 @@
         Endpoint discovery = new Endpoint("d");
         Endpoint one = new Endpoint("e1");
         Endpoint last = new Endpoint("d5");
-        try (Stand stand = new Stand(discovery, one)) {
+        try (SchedulerHarness harness = new SchedulerHarness(discovery, one)) {
             Peer old = watch(discovery, "1");
             old.write(HEAD + chunk("\n"));
             List<Endpoint> between = List.of(new Endpoint("d2"), new Endpoint("d3"), new Endpoint("d4"));
             for (Endpoint place : between) {
-                move(stand, place);
+                move(harness, place);
                 watch(place, "0");
             }
-            move(stand, last);
+            move(harness, last);
             Peer present = watch(last, "0");
-            old.write(chunk(Stand.list(2, false, one.host("Terminating"))));
-            stand.await("discovery.lists", 1);
-            present.write(HEAD + chunk(Stand.list(1, true, one.host("Ready"))));
-            stand.await("discovery.lists", 2);
-            assertTrue(old.ended());
-            assertEquals(4, stand.counter("discovery.moves"));
-            assertServedAt(one, stand);
+            old.write(chunk(SchedulerHarness.hostList(2, false, one.host("Terminating"))));
+            harness.awaitCounter("discovery.lists", 1);
+            present.write(HEAD + chunk(SchedulerHarness.hostList(1, true, one.host("Ready"))));
+            harness.awaitCounter("discovery.lists", 2);
+            assertTrue(old.isClosedByPeer());
+            assertEquals(4, harness.counter("discovery.moves"));
+            assertServedAt(one, harness);
             for (Endpoint place : between) {
                 place.close();
             }
@@ -279,24 +280,25 @@
     }
 
     /** A request is sent on to that endpoint, and its client has the answer. */
-    private static void assertServedAt(Endpoint endpoint, Stand stand) throws Exception {
-        Peer client = stand.http().post("basket-check", "1", "", "");
+    private static void assertServedAt(Endpoint endpoint, SchedulerHarness harness) throws Exception {
+        Peer client = harness.http().post("basket-check", "1", "", "");
         Peer call = endpoint.accept();
         call.message();
-        call.says("{'id':'1','state':'done','result':'priced'}");
+        call.respond("{'id':'1','state':'done','result':'priced'}");
         assertTrue(client.message().endsWith("priced"));
     }
 
-    private static void move(Stand stand, Endpoint to) {
-        stand.serve.reload(() -> new Setup(Config.parse(Stand.config(to.dial())), null, null, null));
+    private static void move(SchedulerHarness harness, Endpoint to) {
+        harness.serve.reload(
+                () -> new Setup(Config.parse(SchedulerHarness.configWithDiscovery(to.dial())), null, null, null));
     }
 
     /** Where lists are asked for at a service that all share, one that can't be read is no reason to hurry. */
     @Test
     void listsThatCantBeReadAreAskedForAfterLongerAndLongerWaits() throws Exception {
         Endpoint discovery = new Endpoint("d");
-        try (Stand stand =
-                Stand.changed("'tick':0.005", "'tick':0.005,'discovery':'ask'", discovery, new Endpoint("e1"))) {
+        try (SchedulerHarness harness = SchedulerHarness.withSetting(
+                "'tick':0.005", "'tick':0.005,'discovery':'ask'", discovery, new Endpoint("e1"))) {
             Peer watch = watch(discovery, "1");
             long from = System.nanoTime();
             for (int i = 0; i < 4; i++) {
@@ -305,9 +307,9 @@
             }
             // 0.1, 0.2, 0.4 and 0.8 s at least.
             assertTrue(seconds(from) >= 1.5, "" + seconds(from));
-            assertEquals(0, stand.counter("discovery.lists"));
-            watch.write(HEAD + chunk(Stand.list(2, true)));
-            stand.await("discovery.lists", 1);
+            assertEquals(0, harness.counter("discovery.lists"));
+            watch.write(HEAD + chunk(SchedulerHarness.hostList(2, true)));
+            harness.awaitCounter("discovery.lists", 1);
         }
     }
 
@@ -316,14 +318,14 @@
     void withNothingKnownAProcessIsReadyOnceItHasAList() throws Exception {
         Endpoint discovery = new Endpoint("d");
         // Held on to: a socket that nothing refers to may be closed at any time.
-        try (Stand stand = new Stand(discovery);
+        try (SchedulerHarness harness = new SchedulerHarness(discovery);
                 Peer silent = watch(discovery, "1")) {
-            stand.await("discovery.silent", 1);
-            Peer client = stand.http();
+            harness.awaitCounter("discovery.silent", 1);
+            Peer client = harness.http();
             client.write("GET /health/ready HTTP/1.1\r\n\r\n");
             assertTrue(client.message().startsWith("HTTP/1.1 503 "));
-            Peer next = watch(discovery, "1").write(HEAD + chunk(Stand.list(2, true)));
-            stand.await("discovery.lists", 1);
+            Peer next = watch(discovery, "1").write(HEAD + chunk(SchedulerHarness.hostList(2, true)));
+            harness.awaitCounter("discovery.lists", 1);
             next.write(chunk("\n"));
             assertTrue(!silent.socket.isClosed());
             client.write("GET /health/ready HTTP/1.1\r\n\r\n");
@@ -341,8 +343,8 @@
         Endpoint discovery = new Endpoint("d");
         discovery.close();
         long start = System.nanoTime();
-        try (Stand stand = new Stand(discovery);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(discovery);
+                Peer client = harness.http()) {
             String ready;
             do {
                 // As often as the operators' front asks.
@@ -350,7 +352,7 @@
                 ready = client.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
             } while (ready.startsWith("HTTP/1.1 503 ") && System.nanoTime() - start < 10_000_000_000L);
             assertTrue(ready.startsWith("HTTP/1.1 200 "), ready);
-            assertEquals(0, stand.counter("discovery.lists"));
+            assertEquals(0, harness.counter("discovery.lists"));
         }
     }
 
@@ -360,16 +362,16 @@
         Endpoint discovery = new Endpoint("d");
         Endpoint one = new Endpoint("e1");
         int room = 48;
-        try (Stand stand = new Stand(discovery, 160, one)) {
+        try (SchedulerHarness harness = new SchedulerHarness(discovery, 160, one)) {
             Peer watch = watch(discovery, "1");
             List<Peer> idle = new ArrayList<>();
             for (int i = 0; i < 2 * room; i++) {
-                idle.add(stand.http());
+                idle.add(harness.http());
             }
-            stand.await("http.gave_way", 1);
+            harness.awaitCounter("http.gave_way", 1);
             watch.reset();
-            watch(discovery, "1").write(HEAD + chunk(Stand.list(2, false, one.host("Ready"))));
-            stand.await("discovery.lists", 1);
+            watch(discovery, "1").write(HEAD + chunk(SchedulerHarness.hostList(2, false, one.host("Ready"))));
+            harness.awaitCounter("discovery.lists", 1);
         }
     }
 }
--- a/src/test/java/laneflow/http/EndpointCrossingTest.java
+++ b/src/test/java/laneflow/http/EndpointCrossingTest.java
@@ -18,9 +18,9 @@
 import laneflow.core.Payload;
 import laneflow.core.Request;
 import laneflow.decision.Dispatch.State;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Endpoint;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Endpoint;
+import laneflow.net.SchedulerHarness.Peer;
 import org.junit.jupiter.api.RepeatedTest;
 import org.junit.jupiter.api.Timeout;
 
@@ -95,19 +95,19 @@
     }
 
     /** On the loop's thread: takes a job in, with a body of three bytes. */
-    private Request submit(Stand stand, int jobClass, String id, long within) {
+    private Request submit(SchedulerHarness harness, int jobClass, String id, long within) {
         Payload payload =
                 new Payload("POST", "/" + CLASSES[jobClass], id, jobClass == POST ? "k" + id : null, "pay".getBytes());
         Request request =
-                new Request(clients, 0, payload, jobClass, stand.serve.loop().currentMicros() + within);
-        stand.serve.scheduler().submit(request);
+                new Request(clients, 0, payload, jobClass, harness.serve.loop().currentMicros() + within);
+        harness.serve.scheduler().submit(request);
         return request;
     }
 
     /** Runs this in one turn; a fault in it is the test's. */
-    private static void inOneTurn(Stand stand, Step step) throws Exception {
+    private static void inOneTurn(SchedulerHarness harness, Step step) throws Exception {
         Exception[] fault = new Exception[1];
-        stand.serve.loop().call(() -> fault[0] = faultOf(step));
+        harness.serve.loop().call(() -> fault[0] = faultOf(step));
         if (fault[0] != null) {
             throw fault[0];
         }
@@ -125,23 +125,23 @@
     }
 
     /** On any thread: waits for the clock alone. */
-    private static void untilPast(Stand stand, long instant) throws InterruptedException {
-        while (stand.serve.loop().currentMicros() <= instant) {
+    private static void untilPast(SchedulerHarness harness, long instant) throws InterruptedException {
+        while (harness.serve.loop().currentMicros() <= instant) {
             Thread.sleep(1);
         }
     }
 
     /** A connection to the endpoint that has served a job and rests. */
-    private Peer rested(Stand stand, Endpoint endpoint) throws Exception {
-        return rested(stand, endpoint, new AtomicReference<>());
+    private Peer rested(SchedulerHarness harness, Endpoint endpoint) throws Exception {
+        return rested(harness, endpoint, new AtomicReference<>());
     }
 
-    private Peer rested(Stand stand, Endpoint endpoint, AtomicReference<Peer> known) throws Exception {
-        inOneTurn(stand, () -> submit(stand, CHECK, "first", 5 * SECOND));
+    private Peer rested(SchedulerHarness harness, Endpoint endpoint, AtomicReference<Peer> known) throws Exception {
+        inOneTurn(harness, () -> submit(harness, CHECK, "first", 5 * SECOND));
         Peer call = endpoint.accept();
         known.set(call);
         call.message();
-        call.says(done("first"));
+        call.respond(done("first"));
         assertEquals("served", clients.next());
         return call;
     }
@@ -150,13 +150,13 @@
      * What is to be done on the loop's thread, in the very turn in which a connection has come to rest: so it
      * can't have grown stale.
      */
-    private void asOneComesToRest(Stand stand, Endpoint endpoint, OnConnection step) throws Exception {
+    private void asOneComesToRest(SchedulerHarness harness, Endpoint endpoint, OnConnection step) throws Exception {
         AtomicReference<Peer> call = new AtomicReference<>();
         CompletableFuture<Exception> over = new CompletableFuture<>();
-        Deadlines deadlines = stand.serve.loop().deadlines();
+        Deadlines deadlines = harness.serve.loop().deadlines();
         Runnable atTurnsEnd = () -> over.complete(faultOf(() -> step.run(call.get())));
         clients.onServed = () -> deadlines.set(deadlines.create(atTurnsEnd), 0, Long.MAX_VALUE);
-        rested(stand, endpoint, call);
+        rested(harness, endpoint, call);
         Exception fault = over.get();
         if (fault != null) {
             throw fault;
@@ -164,9 +164,9 @@
     }
 
     /** The same, at rest for so long that a last byte is held back on it whatever the job. */
-    private Peer stale(Stand stand, Endpoint endpoint) throws Exception {
-        Peer call = rested(stand, endpoint);
-        untilPast(stand, stand.serve.loop().currentMicros() + STALE);
+    private Peer stale(SchedulerHarness harness, Endpoint endpoint) throws Exception {
+        Peer call = rested(harness, endpoint);
+        untilPast(harness, harness.serve.loop().currentMicros() + STALE);
         return call;
     }
 
@@ -190,18 +190,18 @@
     }
 
     /** On the loop's thread: the endpoint's drain counts as told so long ago that its grace is over. */
-    private static void drainedLongAgo(Stand stand, String name) {
-        stand.serve
+    private static void drainedLongAgo(SchedulerHarness harness, String name) {
+        harness.serve
                 .scheduler()
                 .list(
-                        stand.serve.scheduler().endpoints().get(name).connector,
+                        harness.serve.scheduler().endpoints().get(name).connector,
                         false,
                         List.of(draining(name)),
-                        stand.serve.loop().micros() - SECOND);
+                        harness.serve.loop().micros() - SECOND);
     }
 
-    private static Stand withoutCancel(Endpoint endpoint) throws Exception {
-        return Stand.changed("'cancel':true", "'cancel':false", null, endpoint);
+    private static SchedulerHarness withoutCancel(Endpoint endpoint) throws Exception {
+        return SchedulerHarness.withSetting("'cancel':true", "'cancel':false", null, endpoint);
     }
 
     // ---- departure ----
@@ -210,15 +210,15 @@
     void whoLeavesWhileTheConnectionComesUpIsNotSentOn() throws Exception {
         for (int jobClass : new int[] {CHECK, CAPTURE, POST}) {
             Endpoint endpoint = new Endpoint("e1");
-            try (Stand stand = withoutCancel(endpoint)) {
-                inOneTurn(stand, () -> stand.serve.scheduler().withdraw(submit(stand, jobClass, "left", SECOND)));
-                inOneTurn(stand, () -> submit(stand, jobClass, "next", 5 * SECOND));
+            try (SchedulerHarness harness = withoutCancel(endpoint)) {
+                inOneTurn(harness, () -> harness.serve.scheduler().withdraw(submit(harness, jobClass, "left", SECOND)));
+                inOneTurn(harness, () -> submit(harness, jobClass, "next", 5 * SECOND));
                 Peer[] call = new Peer[1];
                 String sent = firstRequest(endpoint, call);
                 assertTrue(sent.contains("Req-Id: next\r\n"), sent);
-                call[0].says(done("next"));
+                call[0].respond(done("next"));
                 assertEquals("served", clients.next());
-                assertEquals(1, stand.counter("call.moot"));
+                assertEquals(1, harness.counter("call.moot"));
             }
         }
     }
@@ -227,11 +227,11 @@
     void whoLeavesWhileTheLastByteIsHeldIsNotSentOn() throws Exception {
         for (int jobClass : new int[] {CHECK, POST}) {
             Endpoint endpoint = new Endpoint("e1");
-            try (Stand stand = withoutCancel(endpoint)) {
-                Peer call = stale(stand, endpoint);
-                inOneTurn(stand, () -> stand.serve.scheduler().withdraw(submit(stand, jobClass, "left", SECOND)));
+            try (SchedulerHarness harness = withoutCancel(endpoint)) {
+                Peer call = stale(harness, endpoint);
+                inOneTurn(harness, () -> harness.serve.scheduler().withdraw(submit(harness, jobClass, "left", SECOND)));
                 call.readTo("\r\n\r\npa");
-                assertTrue(call.ended());
+                assertTrue(call.isClosedByPeer());
             }
         }
     }
@@ -240,11 +240,11 @@
     @RepeatedTest(REPEATS)
     void whoseCaptureIsHeldWhenItLeavesIsNotSentOn() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = withoutCancel(endpoint)) {
-            asOneComesToRest(stand, endpoint, call -> {
-                stand.serve.scheduler().withdraw(submit(stand, CAPTURE, "left", SECOND));
+        try (SchedulerHarness harness = withoutCancel(endpoint)) {
+            asOneComesToRest(harness, endpoint, call -> {
+                harness.serve.scheduler().withdraw(submit(harness, CAPTURE, "left", SECOND));
                 call.readTo("\r\n\r\npa");
-                assertTrue(call.ended());
+                assertTrue(call.isClosedByPeer());
             });
         }
     }
@@ -253,14 +253,14 @@
     @RepeatedTest(REPEATS)
     void whoLeavesBehindTheLastByteLeavesItsCallAtWork() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = withoutCancel(endpoint)) {
+        try (SchedulerHarness harness = withoutCancel(endpoint)) {
             Request[] request = new Request[1];
-            inOneTurn(stand, () -> request[0] = submit(stand, CAPTURE, "left", 5 * SECOND));
+            inOneTurn(harness, () -> request[0] = submit(harness, CAPTURE, "left", 5 * SECOND));
             Peer call = endpoint.accept();
             call.message();
-            inOneTurn(stand, () -> stand.serve.scheduler().withdraw(request[0]));
-            call.says(done("left"));
-            stand.await("call.ok", 1);
+            inOneTurn(harness, () -> harness.serve.scheduler().withdraw(request[0]));
+            call.respond(done("left"));
+            harness.awaitCounter("call.ok", 1);
             assertTrue(clients.answers.isEmpty());
         }
     }
@@ -273,21 +273,21 @@
     void whoLeavesAmidAStallGetsNoFurtherAttempt() throws Exception {
         Endpoint first = new Endpoint("e1");
         Endpoint second = new Endpoint("e2");
-        try (Stand stand = new Stand(null, first, second)) {
-            inOneTurn(stand, () -> stand.serve.scheduler().ban(Set.of("e2")));
-            Peer client = stand.http().post("basket-check", "1", "Req-Cost: 1500000\r\n", "");
+        try (SchedulerHarness harness = new SchedulerHarness(null, first, second)) {
+            inOneTurn(harness, () -> harness.serve.scheduler().ban(Set.of("e2")));
+            Peer client = harness.http().post("basket-check", "1", "Req-Cost: 1500000\r\n", "");
             Peer call = first.accept();
             call.message();
-            inOneTurn(stand, () -> {
-                stand.serve.scheduler().ban(Set.of());
+            inOneTurn(harness, () -> {
+                harness.serve.scheduler().ban(Set.of());
                 client.close();
                 call.reset();
-                untilPast(stand, stand.serve.loop().currentMicros() + CONNECT_TIMEOUT);
+                untilPast(harness, harness.serve.loop().currentMicros() + CONNECT_TIMEOUT);
             });
-            stand.await("http.withdrawn", 1);
-            assertEquals(1, stand.counter("call.reset"));
-            assertEquals(1, stand.counter("core.kept.left"));
-            assertEquals(1, stand.counter("call.sent"));
+            harness.awaitCounter("http.withdrawn", 1);
+            assertEquals(1, harness.counter("call.reset"));
+            assertEquals(1, harness.counter("core.kept.left"));
+            assertEquals(1, harness.counter("call.sent"));
         }
     }
 
@@ -296,11 +296,11 @@
     @RepeatedTest(REPEATS)
     void theTimeThatACallTellsIsWhatIsLeftHoweverLongTheTurnHasLasted() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint)) {
-            Peer call = rested(stand, endpoint);
-            inOneTurn(stand, () -> {
-                untilPast(stand, stand.serve.loop().micros() + 300_000);
-                submit(stand, CHECK, "late", 700_000);
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
+            Peer call = rested(harness, endpoint);
+            inOneTurn(harness, () -> {
+                untilPast(harness, harness.serve.loop().micros() + 300_000);
+                submit(harness, CHECK, "late", 700_000);
             });
             assertTrue(told(call.message()) <= 700);
         }
@@ -314,15 +314,15 @@
     @RepeatedTest(REPEATS)
     void whatHasNoTimeLeftIsNotSent() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint)) {
-            Peer call = rested(stand, endpoint);
-            inOneTurn(stand, () -> {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
+            Peer call = rested(harness, endpoint);
+            inOneTurn(harness, () -> {
                 // By the turn's clock it has time, by the clock it has none.
-                untilPast(stand, stand.serve.loop().micros() + 300_000);
-                submit(stand, CHECK, "late", -10_000);
+                untilPast(harness, harness.serve.loop().micros() + 300_000);
+                submit(harness, CHECK, "late", -10_000);
             });
             assertEquals("refused", clients.next());
-            assertTrue(call.ended());
+            assertTrue(call.isClosedByPeer());
         }
     }
 
@@ -330,28 +330,28 @@
     @RepeatedTest(REPEATS)
     void whatHasLessLeftThanTheHoldIsNotSent() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint)) {
-            Peer call = stale(stand, endpoint);
-            inOneTurn(stand, () -> {
-                untilPast(stand, stand.serve.loop().micros() + 300_000);
-                submit(stand, CHECK, "late", 2_500);
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
+            Peer call = stale(harness, endpoint);
+            inOneTurn(harness, () -> {
+                untilPast(harness, harness.serve.loop().micros() + 300_000);
+                submit(harness, CHECK, "late", 2_500);
             });
             assertEquals("refused", clients.next());
-            assertTrue(call.ended());
+            assertTrue(call.isClosedByPeer());
         }
     }
 
     @RepeatedTest(REPEATS)
     void anAnswerThatIsThereAsItsEndpointsSilenceIsOverIsServed() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint)) {
-            asOneComesToRest(stand, endpoint, call -> {
-                submit(stand, POST, "1", 5 * SECOND);
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
+            asOneComesToRest(harness, endpoint, call -> {
+                submit(harness, POST, "1", 5 * SECOND);
                 answers(call);
-                untilPast(stand, stand.serve.loop().currentMicros() + SILENT);
+                untilPast(harness, harness.serve.loop().currentMicros() + SILENT);
             });
             assertEquals("served", clients.next());
-            assertEquals(0, stand.counter("endpoint.silent"));
+            assertEquals(0, harness.counter("endpoint.silent"));
         }
     }
 
@@ -359,14 +359,14 @@
     @RepeatedTest(REPEATS)
     void anAnswerThatIsThereAsItsClientsTimeIsOverIsServed() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint)) {
-            asOneComesToRest(stand, endpoint, call -> {
-                Request request = submit(stand, CHECK, "1", SILENT / 2);
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
+            asOneComesToRest(harness, endpoint, call -> {
+                Request request = submit(harness, CHECK, "1", SILENT / 2);
                 answers(call);
-                untilPast(stand, request.deadline);
+                untilPast(harness, request.deadline);
             });
             assertEquals("served", clients.next());
-            assertEquals(0, stand.counter("call.cancelled") + stand.counter("call.timeout"));
+            assertEquals(0, harness.counter("call.cancelled") + harness.counter("call.timeout"));
         }
     }
 
@@ -374,24 +374,24 @@
     @RepeatedTest(REPEATS)
     void aDeclinedCaptureWhoseTimeIsOverInThatTurnIsRefused() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint)) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
             Request[] request = new Request[1];
-            inOneTurn(stand, () -> request[0] = submit(stand, CAPTURE, "1", SILENT));
+            inOneTurn(harness, () -> request[0] = submit(harness, CAPTURE, "1", SILENT));
             Peer call = endpoint.accept();
             call.message();
-            inOneTurn(stand, () -> {
+            inOneTurn(harness, () -> {
                 call.write("HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
-                untilPast(stand, request[0].deadline);
+                untilPast(harness, request[0].deadline);
             });
             assertEquals("refused", clients.next());
-            assertEquals(1, stand.counter("call.full"));
+            assertEquals(1, harness.counter("call.full"));
         }
     }
 
     /** The endpoint reads the call and answers it. */
     private static void answers(Peer call) throws IOException {
         call.message();
-        call.says(done("1"));
+        call.respond(done("1"));
     }
 
     // ---- closes ----
@@ -400,16 +400,16 @@
     @RepeatedTest(REPEATS)
     void whatItsEndpointClosesBeforeTheLastByteNeverRan() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint)) {
-            asOneComesToRest(stand, endpoint, call -> {
-                submit(stand, CAPTURE, "1", 5 * SECOND);
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
+            asOneComesToRest(harness, endpoint, call -> {
+                submit(harness, CAPTURE, "1", 5 * SECOND);
                 call.readTo("\r\n\r\npa");
                 call.close();
-                untilPast(stand, stand.serve.loop().currentMicros() + HELD);
+                untilPast(harness, harness.serve.loop().currentMicros() + HELD);
             });
             assertEquals("refused", clients.next());
-            assertEquals(0, stand.counter("call.reset"));
-            assertEquals(1, stand.counter("call.moot"));
+            assertEquals(0, harness.counter("call.reset"));
+            assertEquals(1, harness.counter("call.moot"));
         }
     }
 
@@ -417,31 +417,31 @@
     @RepeatedTest(REPEATS)
     void aConnectionThatItsPeerClosedInThatTurnIsNotUsed() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint)) {
-            Peer call = rested(stand, endpoint);
-            inOneTurn(stand, () -> {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
+            Peer call = rested(harness, endpoint);
+            inOneTurn(harness, () -> {
                 call.close();
-                submit(stand, CHECK, "1", 5 * SECOND);
+                submit(harness, CHECK, "1", 5 * SECOND);
             });
             Peer next = endpoint.accept();
             assertTrue(next.message().contains("Req-Id: 1\r\n"));
-            next.says(done("1"));
+            next.respond(done("1"));
             assertEquals("served", clients.next());
-            assertEquals(0, stand.counter("call.reset") + stand.counter("call.moot"));
+            assertEquals(0, harness.counter("call.reset") + harness.counter("call.moot"));
         }
     }
 
     @RepeatedTest(REPEATS)
     void halfALineInTheMomentOfACloseIsNoAnswer() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint)) {
-            inOneTurn(stand, () -> submit(stand, CAPTURE, "1", 5 * SECOND));
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
+            inOneTurn(harness, () -> submit(harness, CAPTURE, "1", 5 * SECOND));
             Peer call = endpoint.accept();
             call.message();
             call.write("HTTP/1.1 200 OK\r\n\r\n{\"id\":\"1\",\"state\":\"done\",\"result\":\"o");
             call.close();
             assertEquals("failed", clients.next());
-            assertEquals(1, stand.counter("call.reset"));
+            assertEquals(1, harness.counter("call.reset"));
         }
     }
 
@@ -450,27 +450,27 @@
     @RepeatedTest(REPEATS)
     void aDrainToldWhileTheConnectionComesUpIsNotTheEndpointsFailure() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint)) {
-            inOneTurn(stand, () -> {
-                submit(stand, CAPTURE, "1", 5 * SECOND);
-                drainedLongAgo(stand, "e1");
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
+            inOneTurn(harness, () -> {
+                submit(harness, CAPTURE, "1", 5 * SECOND);
+                drainedLongAgo(harness, "e1");
             });
             assertEquals("refused", clients.next());
-            assertTrue(endpoint.accept().ended());
-            assertEquals(1, stand.counter("core.kept.drain"));
-            assertEquals(1, stand.counter("call.moot"));
-            assertEquals(0, stand.counter("call.connect_failed"));
+            assertTrue(endpoint.accept().isClosedByPeer());
+            assertEquals(1, harness.counter("core.kept.drain"));
+            assertEquals(1, harness.counter("call.moot"));
+            assertEquals(0, harness.counter("call.connect_failed"));
         }
     }
 
     @RepeatedTest(REPEATS)
     void aDrainToldWhileTheLastByteIsHeldKeepsItBack() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint)) {
-            Peer call = stale(stand, endpoint);
-            inOneTurn(stand, () -> {
-                submit(stand, CHECK, "1", 5 * SECOND);
-                drainedLongAgo(stand, "e1");
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
+            Peer call = stale(harness, endpoint);
+            inOneTurn(harness, () -> {
+                submit(harness, CHECK, "1", 5 * SECOND);
+                drainedLongAgo(harness, "e1");
             });
             assertThrows(IOException.class, call::message);
             assertEquals("refused", clients.next());
@@ -482,19 +482,19 @@
     @RepeatedTest(REPEATS)
     void aSecondAnswerToTheJobTwoBeforeIsPassedOver() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint)) {
-            Peer call = rested(stand, endpoint);
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
+            Peer call = rested(harness, endpoint);
             for (String id : new String[] {"1", "2"}) {
-                inOneTurn(stand, () -> submit(stand, POST, id, 5 * SECOND));
+                inOneTurn(harness, () -> submit(harness, POST, id, 5 * SECOND));
                 call.message();
                 if (id.equals("2")) {
-                    call.says(done("first"));
+                    call.respond(done("first"));
                 }
-                call.says(done(id));
+                call.respond(done(id));
                 assertEquals("served", clients.next());
             }
-            assertEquals(1, stand.counter("endpoint.second_answer"));
-            assertEquals(0, stand.counter("endpoint.malformed"));
+            assertEquals(1, harness.counter("endpoint.second_answer"));
+            assertEquals(0, harness.counter("endpoint.malformed"));
         }
     }
 }
--- a/src/test/java/laneflow/http/EndpointStoryTest.java
+++ b/src/test/java/laneflow/http/EndpointStoryTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Endpoint;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Endpoint;
+import laneflow.net.SchedulerHarness.Peer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -35,22 +35,22 @@
     @Test
     void aSecondAnswerIsNotTakenForTheNextRequests() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer client = harness.http()) {
             client.post("basket-check", "1", "", "");
             Peer call = endpoint.accept();
             call.message();
-            call.says(done("1", "one"));
+            call.respond(done("1", "one"));
             assertTrue(client.message().endsWith("one"));
             client.post("basket-check", "2", "", "");
             assertTrue(call.message().contains("Req-Id: 2\r\n"));
-            call.says(done("1", "one")).says(done("2", "two"));
+            call.respond(done("1", "one")).respond(done("2", "two"));
             String answer = client.message();
             assertTrue(answer.endsWith("two"), answer);
-            assertEquals(1, stand.counter("endpoint.second_answer"));
-            assertEquals(1, stand.counter("endpoint.connects"));
+            assertEquals(1, harness.counter("endpoint.second_answer"));
+            assertEquals(1, harness.counter("endpoint.connects"));
             // Nor is it used again.
-            assertTrue(call.ended());
+            assertTrue(call.isClosedByPeer());
         }
     }
 
@@ -58,52 +58,52 @@
     @Test
     void anAnswerThatBeginsToComeIsTold() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer client = harness.http()) {
             client.post("basket-check", "1", "", "");
             Peer call = endpoint.accept();
             call.message();
-            call.begins("{'id':'1','state':'started'}");
-            stand.await("call.started", 1);
-            assertEquals(0, stand.counter("call.answering"));
+            call.beginResponse("{'id':'1','state':'started'}");
+            harness.awaitCounter("call.started", 1);
+            assertEquals(0, harness.counter("call.answering"));
             String line = done("1", "one").replace('\'', '"') + "\n";
             call.write(Integer.toHexString(line.length()) + "\r\n" + line.substring(0, 3));
-            stand.await("call.answering", 1);
+            harness.awaitCounter("call.answering", 1);
             call.write(line.substring(3, 9));
             call.write(line.substring(9) + "\r\n0\r\n\r\n");
             assertTrue(client.message().endsWith("one"));
-            assertEquals(1, stand.counter("call.answering"));
+            assertEquals(1, harness.counter("call.answering"));
             client.post("basket-check", "2", "", "");
             call.message();
-            call.begins("{'id':'2','state':'started'}").ends(done("2", "two"));
+            call.beginResponse("{'id':'2','state':'started'}").endResponse(done("2", "two"));
             assertTrue(client.message().endsWith("two"));
-            assertEquals(1, stand.counter("call.answering"));
+            assertEquals(1, harness.counter("call.answering"));
         }
     }
 
     @Test
     void aSecondAnswerOnARestingConnectionEndsItAndAThirdIsNone() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer client = harness.http()) {
             client.post("basket-check", "1", "", "");
             Peer call = endpoint.accept();
             call.message();
-            call.says(done("1", "one"));
+            call.respond(done("1", "one"));
             assertTrue(client.message().endsWith("one"));
-            call.says(done("1", "one"));
-            assertTrue(call.ended());
+            call.respond(done("1", "one"));
+            assertTrue(call.isClosedByPeer());
             client.post("points-post", "2", "", "");
             Peer next = endpoint.accept();
             next.message();
-            next.says(done("2", "two"));
+            next.respond(done("2", "two"));
             assertTrue(client.message().endsWith("two"));
             client.post("basket-check", "3", "Req-Deadline-Ms: 400\r\n", "");
             assertTrue(next.message().contains("Req-Id: 3\r\n"));
-            next.says(done("2", "two")).says(done("2", "two"));
-            assertTrue(next.ended());
+            next.respond(done("2", "two")).respond(done("2", "two"));
+            assertTrue(next.isClosedByPeer());
             assertTrue(client.message().startsWith("HTTP/1.1 503 "));
-            assertEquals(1, stand.counter("endpoint.malformed"));
+            assertEquals(1, harness.counter("endpoint.malformed"));
         }
     }
 
@@ -113,13 +113,13 @@
     @Test
     void anAnswerThatNeverEndsIsCutOffByItsClientsTime() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer client = harness.http()) {
             long from = System.nanoTime();
             client.post("card-capture", "1", "Req-Deadline-Ms: 400\r\n", "pay");
             Peer drops = endpoint.accept();
             drops.message();
-            drops.begins("{'id':'1','state':'started'}");
+            drops.beginResponse("{'id':'1','state':'started'}");
             Thread slow = new Thread(() -> {
                 try {
                     for (; true; Thread.sleep(20)) {
@@ -140,17 +140,17 @@
     void anAnswerWithoutEndIsCutOffByItsBytesBeforeItsLastWordAndBehindIt() throws Exception {
         for (boolean behind : new boolean[] {false, true}) {
             Endpoint endpoint = new Endpoint("e1");
-            try (Stand stand = new Stand(null, endpoint);
-                    Peer client = stand.http()) {
+            try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                    Peer client = harness.http()) {
                 client.post("card-capture", "1", "", "pay");
                 Peer call = endpoint.accept();
                 call.message();
-                call.begins(behind ? done("1", "paid") : "{'id':'1','state':'started'}");
+                call.beginResponse(behind ? done("1", "paid") : "{'id':'1','state':'started'}");
                 Thread flood = floods(call, CHUNK.repeat(1000));
                 String answer = client.message();
                 assertTrue(behind ? answer.endsWith("paid") : answer.startsWith("HTTP/1.1 500 "), answer);
                 flood.join();
-                stand.await("endpoint.malformed", 1);
+                harness.awaitCounter("endpoint.malformed", 1);
             }
         }
     }
@@ -160,18 +160,19 @@
     void interimAnswersAreNoHead() throws Exception {
         Endpoint one = new Endpoint("e1");
         Endpoint two = new Endpoint("e2", one);
-        try (Stand stand = Stand.changed("'connectTimeout':1", "'connectTimeout':0.25", null, one, two);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness =
+                        SchedulerHarness.withSetting("'connectTimeout':1", "'connectTimeout':0.25", null, one, two);
+                Peer client = harness.http()) {
             client.post("basket-check", "1", "", "");
             Peer silent = one.accept();
             silent.message();
             silent.write("HTTP/1.1 102 Processing\r\n\r\n");
             Peer again = one.accept();
             again.message();
-            assertTrue(silent.ended());
-            again.write("HTTP/1.1 100 Continue\r\n\r\n").says(done("1", "priced"));
+            assertTrue(silent.isClosedByPeer());
+            again.write("HTTP/1.1 100 Continue\r\n\r\n").respond(done("1", "priced"));
             assertTrue(client.message().endsWith("priced"));
-            assertEquals(1, stand.counter("endpoint.silent"));
+            assertEquals(1, harness.counter("endpoint.silent"));
         }
     }
 
@@ -179,15 +180,16 @@
     @Test
     void aConnectionThatComesUpLateIsGivenUpInTimeAndCarriesNothing() throws Exception {
         Endpoint endpoint = new Endpoint("e1", 1);
-        try (Stand stand = Stand.changed("'connectTimeout':1", "'connectTimeout':0.25", null, endpoint);
-                Peer client = stand.http()) {
-            int crowd = endpoint.crowd();
+        try (SchedulerHarness harness =
+                        SchedulerHarness.withSetting("'connectTimeout':1", "'connectTimeout':0.25", null, endpoint);
+                Peer client = harness.http()) {
+            int crowd = endpoint.fillBacklog();
             long from = System.nanoTime();
             client.post("card-capture", "1", "", "pay");
             assertTrue(client.message().startsWith("HTTP/1.1 503 "));
             double took = (System.nanoTime() - from) / 1e9;
             assertTrue(took > 0.24 && took < 3, "" + took);
-            assertEquals(1, stand.counter("call.connect_failed"));
+            assertEquals(1, harness.counter("call.connect_failed"));
             for (int i = 0; i < crowd; i++) {
                 endpoint.accept();
             }
@@ -196,7 +198,7 @@
                 while (true) {
                     try (Peer call = endpoint.accept()) {
                         assertTrue(call.message().contains("Req-Id: 2\r\n"));
-                        call.says(done("2", "posted"));
+                        call.respond(done("2", "posted"));
                         return;
                     } catch (IOException e) {
                         // Closed with nothing said.
