--- a/src/test/java/laneflow/http/HttpStoryTest.java
+++ b/src/test/java/laneflow/http/HttpStoryTest.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import laneflow.assembly.Setup;
 import laneflow.importer.Importer;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Endpoint;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Endpoint;
+import laneflow.net.SchedulerHarness.Peer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -23,15 +23,15 @@
     @TempDir
     private Path folder;
 
-    private static void reload(Stand stand, Path file) {
-        stand.serve.reload(() -> Setup.platform(file, null, null));
+    private static void reload(SchedulerHarness harness, Path file) {
+        harness.serve.reload(() -> Setup.platform(file, null, null));
     }
 
     @Test
     void aRequestPassesThroughUnchangedHoweverItIsSplit() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer client = harness.http()) {
             String body = "x".repeat(40000);
             client.write("POST /points-post?key=7f&a=%20b HTTP/1.1\r\nHost: o\r\nReq-")
                     .write("Id: 9b1f\r\n")
@@ -42,16 +42,16 @@
             assertTrue(sent.startsWith("POST /points-post?key=7f&a=%20b HTTP/1.1\r\n"), sent);
             assertTrue(sent.contains("Req-Id: 9b1f\r\n") && sent.contains("Idempotency-Key: 5c0f\r\n"), sent);
             assertTrue(sent.endsWith("\r\n\r\n" + body));
-            call.says("{'id':'9b1f','state':'started'}", "{'id':'9b1f','state':'done','result':'a\\nb'}");
+            call.respond("{'id':'9b1f','state':'started'}", "{'id':'9b1f','state':'done','result':'a\\nb'}");
             assertTrue(client.message().endsWith("\r\n\r\na\nb"));
             // The same connections serve the next one, two messages at once included.
             client.post("basket-check", "1", "", "").post("basket-check", "2", "", "");
             for (String id : new String[] {"1", "2"}) {
                 assertTrue(call.message().contains("Req-Id: " + id + "\r\n"));
-                call.says("{'id':'" + id + "','state':'done','result':'r" + id + "'}");
+                call.respond("{'id':'" + id + "','state':'done','result':'r" + id + "'}");
                 assertTrue(client.message().endsWith("r" + id));
             }
-            assertEquals(1, stand.counter("endpoint.connects"));
+            assertEquals(1, harness.counter("endpoint.connects"));
         }
     }
 
@@ -59,19 +59,19 @@
     void aConnectionThatBreaksBehindTheLastByteMayHaveRunIt() throws Exception {
         Endpoint one = new Endpoint("e1");
         Endpoint two = new Endpoint("e2", one);
-        try (Stand stand = new Stand(null, one, two);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, one, two);
+                Peer client = harness.http()) {
             client.post("card-capture", "1", "", "pay");
             Peer call = one.accept();
             call.message();
             call.reset();
             assertTrue(client.message().startsWith("HTTP/1.1 500 "));
-            assertEquals(1, stand.counter("call.sent"));
+            assertEquals(1, harness.counter("call.sent"));
             client.post("basket-check", "2", "", "");
             // What is safe goes to the other one, since the first is under suspicion.
             Peer again = one.accept();
             again.message();
-            again.says("{'id':'2','state':'done','result':'ok'}");
+            again.respond("{'id':'2','state':'done','result':'ok'}");
             assertTrue(client.message().endsWith("ok"));
         }
     }
@@ -82,15 +82,15 @@
         // The byte is held back for 2 ms only: a peer that is late sees it go out, and tries again.
         for (int i = 0; i < 30 && !refused; i++) {
             Endpoint endpoint = new Endpoint("e1");
-            try (Stand stand = new Stand(null, endpoint);
-                    Peer client = stand.http()) {
+            try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                    Peer client = harness.http()) {
                 client.post("card-capture", "1", "", "pay");
                 Peer call = endpoint.accept();
                 call.readTo("\r\n\r\npa");
                 call.reset();
                 String answer = client.message();
                 refused = answer.startsWith("HTTP/1.1 503 ");
-                assertEquals(refused ? 1 : 0, stand.counter("call.connect_failed"), answer);
+                assertEquals(refused ? 1 : 0, harness.counter("call.connect_failed"), answer);
             }
         }
         assertTrue(refused);
@@ -99,19 +99,19 @@
     @Test
     void whatMustNotRunTwiceIsSentOnNoConnectionThatMayBeStale() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer client = harness.http()) {
             client.post("basket-check", "1", "", "");
             Peer kept = endpoint.accept();
             kept.message();
-            kept.says("{'id':'1','state':'done','result':'priced'}");
+            kept.respond("{'id':'1','state':'done','result':'priced'}");
             client.message();
             // Its endpoint may close it unheard while it rests; 50 ms are trusted.
             Thread.sleep(60);
             client.post("card-capture", "2", "", "pay");
             Peer call = endpoint.accept();
             assertTrue(call.message().contains("Req-Id: 2\r\n"));
-            call.says("{'id':'2','state':'done','result':'paid'}");
+            call.respond("{'id':'2','state':'done','result':'paid'}");
             assertTrue(client.message().endsWith("paid"));
         }
     }
@@ -120,17 +120,18 @@
     void whatGetsNoHeadGoesElsewhereIfItMayRunTwice() throws Exception {
         Endpoint one = new Endpoint("e1");
         Endpoint two = new Endpoint("e2", one);
-        try (Stand stand = Stand.changed("'connectTimeout':1", "'connectTimeout':0.25", null, one, two);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness =
+                        SchedulerHarness.withSetting("'connectTimeout':1", "'connectTimeout':0.25", null, one, two);
+                Peer client = harness.http()) {
             client.post("basket-check", "1", "", "");
             Peer silent = one.accept();
             silent.message();
             Peer again = one.accept();
             again.message();
-            assertTrue(silent.ended());
-            again.says("{'id':'1','state':'done','result':'priced'}");
+            assertTrue(silent.isClosedByPeer());
+            again.respond("{'id':'1','state':'done','result':'priced'}");
             assertTrue(client.message().endsWith("priced"));
-            assertEquals(1, stand.counter("endpoint.silent"));
+            assertEquals(1, harness.counter("endpoint.silent"));
         }
     }
 
@@ -146,14 +147,14 @@
             "{'id':'1','state':'done','result':'\u00ff'}"
         }) {
             Endpoint endpoint = new Endpoint("e1");
-            try (Stand stand = new Stand(null, endpoint);
-                    Peer client = stand.http()) {
+            try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                    Peer client = harness.http()) {
                 client.post("card-capture", "1", "", "pay");
                 Peer call = endpoint.accept();
                 call.message();
-                call.says(word);
+                call.respond(word);
                 assertTrue(client.message().startsWith("HTTP/1.1 500 "), word);
-                assertEquals(1, stand.counter("endpoint.malformed"), word);
+                assertEquals(1, harness.counter("endpoint.malformed"), word);
             }
         }
     }
@@ -162,45 +163,45 @@
     void noEndpointMeansARefusalWithATimeToComeBack() throws Exception {
         Endpoint closed = new Endpoint("e1");
         closed.close();
-        try (Stand stand = new Stand(null, closed);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, closed);
+                Peer client = harness.http()) {
             client.post("card-capture", "1", "", "pay");
             String answer = client.message();
             assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
             assertTrue(answer.contains("\r\nRetry-After: "), answer);
-            assertEquals(1, stand.counter("call.connect_failed"));
-            assertEquals(1, stand.counter("clients.refused"));
+            assertEquals(1, harness.counter("call.connect_failed"));
+            assertEquals(1, harness.counter("clients.refused"));
             // As often as it comes again at once: it hears so each time, and nothing is kept of it.
             for (int i = 2; i < 300; i++) {
                 assertTrue(
                         client.post("card-capture", "" + i, "", "pay").message().startsWith("HTTP/1.1 503 "));
             }
             int[] open = new int[1];
-            stand.serve.loop().call(() -> open[0] = stand.serve.scheduler().openRequests());
+            harness.serve.loop().call(() -> open[0] = harness.serve.scheduler().openRequests());
             assertEquals(0, open[0]);
-            assertEquals(299, stand.counter("clients.refused"));
+            assertEquals(299, harness.counter("clients.refused"));
         }
     }
 
     @Test
     void aDeclinedCallNeverRanAndBadBytesAreAFailedCall() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer client = harness.http()) {
             client.post("card-capture", "1", "", "pay");
             Peer call = endpoint.accept();
             call.message();
             call.write("HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nSrv-Load: util=1,queue=3,x0=0\r\n"
                     + "Content-Length: 0\r\n\r\n");
             assertTrue(client.message().startsWith("HTTP/1.1 503 "));
-            stand.await("call.full", 1);
+            harness.awaitCounter("call.full", 1);
             for (String garbage : new String[] {
                 "HTTP/9 what\r\n\r\n",
                 "HTTP/1.1 200 OK\r\n" + "Transfer-Encoding: chunked\r\n\r\n3\r\n{]\n\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
             }) {
                 Endpoint other = new Endpoint("e2");
-                try (Stand next = new Stand(null, other);
+                try (SchedulerHarness next = new SchedulerHarness(null, other);
                         Peer nextClient = next.http()) {
                     nextClient.post("card-capture", "1", "", "pay");
                     Peer bad = other.accept();
@@ -215,7 +216,7 @@
     @Test
     void whatIsNoHttpGets400AndTooMuch413AndGoesNoFurther() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint)) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
             String post = "POST /basket-check HTTP/1.1\r\nReq-Id: 1\r\n";
             String[][] cases = {
                 {"what\r\n\r\n", "400"},
@@ -245,19 +246,19 @@
                 {"POST /no-class HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: no-class\r\n\r\n", "400"}
             };
             for (String[] each : cases) {
-                try (Peer client = stand.http()) {
+                try (Peer client = harness.http()) {
                     String answer = client.write(each[0]).message();
                     assertTrue(answer.startsWith("HTTP/1.1 " + each[1]), each[0] + answer);
                 }
             }
-            assertEquals(0, stand.counter("http.taken"));
+            assertEquals(0, harness.counter("http.taken"));
         }
     }
 
     @Test
     void whatIsTooLongIsAnsweredThoughItsBytesGoOnComing() throws Exception {
-        try (Stand stand = new Stand(null);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null);
+                Peer client = harness.http()) {
             client.write("POST /basket-check HTTP/1.1\r\nReq-Id: 1\r\nContent-Length: 60000000\r\n\r\n");
             // Closed with these unread, the connection would be reset and the answer lost on its way.
             client.write(new byte[200_000]);
@@ -269,11 +270,11 @@
 
     @Test
     void whoSaysNothingOrHalfAMessageIsEndedAndAKeptConnectionIsNot() throws Exception {
-        try (Stand stand = new Stand(null);
-                Peer kept = stand.http();
-                Peer silent = stand.http();
-                Peer slow = stand.http();
-                Peer later = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null);
+                Peer kept = harness.http();
+                Peer silent = harness.http();
+                Peer slow = harness.http();
+                Peer later = harness.http()) {
             kept.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
             later.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
             // An empty line behind a body is no message begun.
@@ -290,7 +291,7 @@
                 }
             });
             drops.start();
-            assertTrue(silent.ended());
+            assertTrue(silent.isClosedByPeer());
             assertTrue(slow.message().startsWith("HTTP/1.1 408 "));
             assertTrue(later.message().startsWith("HTTP/1.1 408 "));
             assertTrue(System.nanoTime() - from < 3_000_000_000L);
@@ -304,48 +305,48 @@
     @Test
     void anOpenRequestsIdAgainIsAnErrorAndNeverASecondCall() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
-                Peer client = stand.http();
-                Peer other = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer client = harness.http();
+                Peer other = harness.http()) {
             client.post("card-capture", "1", "", "pay");
             Peer call = endpoint.accept();
             call.message();
             assertTrue(other.post("card-capture", "1", "", "pay").message().startsWith("HTTP/1.1 409 "));
-            call.says("{'id':'1','state':'done','result':'paid'}");
+            call.respond("{'id':'1','state':'done','result':'paid'}");
             assertTrue(client.message().endsWith("paid"));
-            assertEquals(1, stand.counter("call.sent"));
+            assertEquals(1, harness.counter("call.sent"));
         }
     }
 
     @Test
     void silentConnectionsKeepNobodyOut() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, 80, endpoint)) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, 80, endpoint)) {
             for (int i = 0; i < 40; i++) {
-                stand.http();
+                harness.http();
             }
-            Peer client = stand.http().post("basket-check", "1", "", "");
+            Peer client = harness.http().post("basket-check", "1", "", "");
             Peer call = endpoint.accept();
             call.message();
-            call.says("{'id':'1','state':'done','result':'priced'}");
+            call.respond("{'id':'1','state':'done','result':'priced'}");
             assertTrue(client.message().endsWith("priced"));
             // No more made way than came, and none of the last ones.
-            assertEquals(33, stand.counter("http.gave_way"));
-            assertEquals(33, stand.counter("clients.closed_unanswered"));
+            assertEquals(33, harness.counter("http.gave_way"));
+            assertEquals(33, harness.counter("clients.closed_unanswered"));
         }
     }
 
     @Test
     void aClientThatLeavesWithdrawsItsRequest() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint)) {
-            Peer client = stand.http();
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
+            Peer client = harness.http();
             client.post("basket-check", "1", "", "");
             Peer call = endpoint.accept();
             call.message();
             client.close();
-            assertTrue(call.ended());
-            assertEquals(1, stand.counter("http.withdrawn"));
+            assertTrue(call.isClosedByPeer());
+            assertEquals(1, harness.counter("http.withdrawn"));
         }
     }
 
@@ -353,11 +354,11 @@
     @Test
     void clientsThatSendMuchAndGoLeaveNothingBehind() throws Exception {
         Endpoint endpoint = new Endpoint("e1", 200);
-        try (Stand stand = new Stand(null, 200, endpoint)) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, 200, endpoint)) {
             String job = "POST /basket-check HTTP/1.1\r\nReq-Id: %d\r\nContent-Length: 2000\r\n\r\n" + "x".repeat(2000);
             for (int burst = 0; burst < 3; burst++) {
                 for (int i = 0; i < 40; i++) {
-                    Peer gone = stand.http();
+                    Peer gone = harness.http();
                     for (int much = 0; much < 15; much++) {
                         gone.write(String.format(job, burst * 10_000 + i * 100 + much));
                     }
@@ -370,21 +371,23 @@
             }
             int[] left = {1, 1};
             while (left[0] + left[1] > 0) {
-                stand.serve.loop().call(() -> {
-                    left[0] = stand.serve.scheduler().openRequests();
-                    left[1] = stand.serve.front().busy();
+                harness.serve.loop().call(() -> {
+                    left[0] = harness.serve.scheduler().openRequests();
+                    left[1] = harness.serve.front().busy();
                 });
             }
             // Whatever became of each: taken and withdrawn, or never heard of.
             assertEquals(
-                    stand.counter("http.taken"),
-                    stand.counter("http.withdrawn") + stand.counter("http.refused") + stand.counter("http.failed"));
-            assertEquals(0, stand.counter("clients.lost"));
+                    harness.counter("http.taken"),
+                    harness.counter("http.withdrawn")
+                            + harness.counter("http.refused")
+                            + harness.counter("http.failed"));
+            assertEquals(0, harness.counter("clients.lost"));
             Thread serves = new Thread(() -> {
                 for (boolean more = true; more; ) {
                     try (Peer call = endpoint.accept()) {
                         more = !call.message().contains("Req-Id: last\r\n");
-                        call.says("{'id':'last','state':'done','result':'priced'}");
+                        call.respond("{'id':'last','state':'done','result':'priced'}");
                     } catch (IOException e) {
                         // One that its client had left.
                     }
@@ -392,7 +395,7 @@
             });
             serves.start();
             String answer;
-            try (Peer client = stand.http()) {
+            try (Peer client = harness.http()) {
                 do {
                     answer = client.post("basket-check", "last", "", "").message();
                 } while (answer.startsWith("HTTP/1.1 503 "));
@@ -406,13 +409,13 @@
     @Test
     void anAnswerThatComesTooLateIsCountedAsLost() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer client = harness.http()) {
             client.post("basket-check", "1", "Req-Deadline-Ms: 1500\r\n", "");
             endpoint.accept().message();
-            assertEquals(0, stand.counter("clients.late") + stand.counter("clients.lost"));
+            assertEquals(0, harness.counter("clients.late") + harness.counter("clients.lost"));
             // A turn of the loop that stands still, as where the machine does.
-            stand.serve.loop().call(() -> {
+            harness.serve.loop().call(() -> {
                 try {
                     Thread.sleep(2200);
                 } catch (InterruptedException e) {
@@ -420,15 +423,15 @@
                 }
             });
             client.message();
-            assertEquals(1, stand.counter("clients.lost"));
+            assertEquals(1, harness.counter("clients.lost"));
         }
     }
 
     @Test
     void aSilentEndpointIsAnsweredForBeforeTheClientGivesUp() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer client = harness.http()) {
             long from = System.nanoTime();
             client.post("card-capture", "1", "Req-Deadline-Ms: 300\r\n", "");
             Peer call = endpoint.accept();
@@ -436,7 +439,7 @@
             assertTrue(client.message().startsWith("HTTP/1.1 500 "));
             // Its class would wait for 6 s; how near to its own 0.3 s is the machine's affair.
             assertTrue(System.nanoTime() - from < 3_000_000_000L);
-            assertTrue(call.ended());
+            assertTrue(call.isClosedByPeer());
         }
     }
 
@@ -445,26 +448,26 @@
         Endpoint discovery = new Endpoint("d");
         Endpoint one = new Endpoint("e1");
         Endpoint two = new Endpoint("e2");
-        try (Stand stand = new Stand(discovery, one);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(discovery, one);
+                Peer client = harness.http()) {
             Peer watch = discovery.accept();
             assertTrue(watch.readTo("\r\n\r\n").startsWith("GET /registry/instances?watch=1&after=1 "));
-            watch.says(Stand.list(2, false, one.host("Terminating"), two.host("Ready"))
+            watch.respond(SchedulerHarness.hostList(2, false, one.host("Terminating"), two.host("Ready"))
                     .replace('"', '\''));
-            stand.await("discovery.lists", 1);
+            harness.awaitCounter("discovery.lists", 1);
             client.post("basket-check", "1", "", "");
             Peer call = two.accept();
             call.message();
-            call.says("{'id':'1','state':'done','result':''}");
+            call.respond("{'id':'1','state':'done','result':''}");
             client.message();
             // The watch has ended: it is begun again behind what was heard, and a whole list drops the rest.
             Peer next = discovery.accept();
             assertTrue(next.readTo("\r\n\r\n").contains("after=2 "));
-            next.says("no list at all");
+            next.respond("no list at all");
             Peer third = discovery.accept();
             assertTrue(third.readTo("\r\n\r\n").contains("after=0 "));
-            third.says(Stand.list(9, true).replace('"', '\''));
-            stand.await("discovery.lists", 2);
+            third.respond(SchedulerHarness.hostList(9, true).replace('"', '\''));
+            harness.awaitCounter("discovery.lists", 2);
             assertTrue(client.post("basket-check", "2", "", "").message().startsWith("HTTP/1.1 503 "));
         }
     }
@@ -476,33 +479,33 @@
         Endpoint third = new Endpoint("d3");
         Endpoint one = new Endpoint("e1");
         Path file = folder.resolve("config.json");
-        try (Stand stand = new Stand(first, one);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(first, one);
+                Peer client = harness.http()) {
             Peer old = first.accept();
             old.readTo("\r\n\r\n");
             client.post("card-capture", "1", "", "pay");
             Peer call = one.accept();
             call.message();
             // Half a file, and one that names no address: what runs stays as it is.
-            for (String bad : new String[] {"{\"disco", Stand.config("discovery.svc")}) {
-                reload(stand, Files.writeString(file, bad));
+            for (String bad : new String[] {"{\"disco", SchedulerHarness.configWithDiscovery("discovery.svc")}) {
+                reload(harness, Files.writeString(file, bad));
             }
-            assertEquals(0, stand.counter("discovery.moves"));
-            reload(stand, Files.writeString(file, Stand.config(second.dial())));
+            assertEquals(0, harness.counter("discovery.moves"));
+            reload(harness, Files.writeString(file, SchedulerHarness.configWithDiscovery(second.dial())));
             Peer silent = second.accept();
             assertTrue(silent.readTo("\r\n\r\n").contains("after=0 "));
-            old.write(Stand.watching(Stand.list(8, false, one.host("Terminating"))));
-            stand.await("discovery.lists", 1);
+            old.write(SchedulerHarness.watchResponse(SchedulerHarness.hostList(8, false, one.host("Terminating"))));
+            harness.awaitCounter("discovery.lists", 1);
             // Moved again before it has spoken: only the latest counts, and the oldest is still heard.
-            reload(stand, Files.writeString(file, Stand.config(third.dial())));
-            assertTrue(silent.ended());
+            reload(harness, Files.writeString(file, SchedulerHarness.configWithDiscovery(third.dial())));
+            assertTrue(silent.isClosedByPeer());
             Peer now = third.accept();
             now.readTo("\r\n\r\n");
             // A list of lower number: another address counts as it likes.
-            now.write(Stand.watching(Stand.list(3, true, one.host("Ready"))));
-            stand.await("discovery.lists", 2);
-            assertTrue(old.ended());
-            call.says("{'id':'1','state':'done','result':'paid'}");
+            now.write(SchedulerHarness.watchResponse(SchedulerHarness.hostList(3, true, one.host("Ready"))));
+            harness.awaitCounter("discovery.lists", 2);
+            assertTrue(old.isClosedByPeer());
+            call.respond("{'id':'1','state':'done','result':'paid'}");
             assertTrue(client.message().endsWith("paid"));
             client.post("basket-check", "2", "", "");
             assertTrue(call.message().contains("Req-Id: 2\r\n"));
@@ -512,14 +515,14 @@
     @Test
     void withNothingKnownItIsReadyOnceDiscoveryHasSpoken() throws Exception {
         Endpoint discovery = new Endpoint("d");
-        try (Stand stand = new Stand(discovery);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(discovery);
+                Peer client = harness.http()) {
             Peer watch = discovery.accept();
             watch.readTo("\r\n\r\n");
             client.write("GET /health/ready HTTP/1.1\r\n\r\n");
             assertTrue(client.message().startsWith("HTTP/1.1 503 "));
-            watch.says(Stand.list(2, true).replace('"', '\''));
-            stand.await("discovery.lists", 1);
+            watch.respond(SchedulerHarness.hostList(2, true).replace('"', '\''));
+            harness.awaitCounter("discovery.lists", 1);
             client.write("GET /health/ready HTTP/1.1\r\n\r\n");
             assertTrue(client.message().startsWith("HTTP/1.1 200 "));
         }
@@ -528,17 +531,17 @@
     @Test
     void aProbeThatIsSlowHoldsNoRequestUp() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = Stand.probing(endpoint);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = SchedulerHarness.withProbes(endpoint);
+                Peer client = harness.http()) {
             client.post("card-capture", "1", "", "pay");
             Peer probe = endpoint.accept();
             assertTrue(probe.message().startsWith("GET /stats HTTP/1.1\r\n"));
             Peer call = endpoint.accept();
             call.message();
-            call.says("{'id':'1','state':'done','result':'paid'}");
+            call.respond("{'id':'1','state':'done','result':'paid'}");
             assertTrue(client.message().endsWith("paid"));
             probe.write("HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nutil=0.5,x0=3.0");
-            stand.await("probe.ok", 1);
+            harness.awaitCounter("probe.ok", 1);
             // The probe's connection, kept last, serves the next call; its report is fresh, so no probe again.
             client.post("card-capture", "2", "", "pay");
             assertTrue(probe.message().contains("Req-Id: 2\r\n"));
@@ -550,18 +553,18 @@
     void aProbeThatIsNeverAnsweredGivesItsConnectionBack() throws Exception {
         for (String begun : new String[] {"", "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nutil"}) {
             Endpoint endpoint = new Endpoint("e1");
-            try (Stand stand = Stand.probing(endpoint);
-                    Peer client = stand.http()) {
+            try (SchedulerHarness harness = SchedulerHarness.withProbes(endpoint);
+                    Peer client = harness.http()) {
                 client.post("card-capture", "1", "", "pay");
                 Peer probe = endpoint.accept();
                 probe.message();
                 probe.write(begun);
                 Peer call = endpoint.accept();
                 call.message();
-                call.says("{'id':'1','state':'done','result':'paid'}");
+                call.respond("{'id':'1','state':'done','result':'paid'}");
                 assertTrue(client.message().endsWith("paid"));
-                stand.await("probe.timeout", 1);
-                assertTrue(probe.ended());
+                harness.awaitCounter("probe.timeout", 1);
+                assertTrue(probe.isClosedByPeer());
             }
         }
     }
@@ -571,12 +574,13 @@
     void whatComesBehindAWholeLastWordTakesNothingFromIt() throws Exception {
         for (boolean split : new boolean[] {true, false}) {
             Endpoint endpoint = new Endpoint("e1");
-            try (Stand stand = new Stand(null, endpoint);
-                    Peer client = stand.http()) {
+            try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                    Peer client = harness.http()) {
                 client.post("card-capture", "1", "", "pay");
                 Peer call = endpoint.accept();
                 call.message();
-                String done = Stand.watching("{'id':'1','state':'done','result':'paid'}".replace('\'', '"'));
+                String done =
+                        SchedulerHarness.watchResponse("{'id':'1','state':'done','result':'paid'}".replace('\'', '"'));
                 if (split) {
                     call.write(done);
                     assertTrue(client.message().endsWith("paid"));
@@ -586,7 +590,7 @@
                     assertTrue(client.message().endsWith("paid"));
                 }
                 // It is used no more.
-                assertTrue(call.ended());
+                assertTrue(call.isClosedByPeer());
             }
         }
     }
@@ -594,23 +598,23 @@
     @Test
     void aPlannedStopAnswersAllThatWasTaken() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = new Stand(null, endpoint);
-                Peer client = stand.http();
-                Peer idle = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                Peer client = harness.http();
+                Peer idle = harness.http()) {
             idle.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
             client.post("card-capture", "1", "", "");
             Peer call = endpoint.accept();
             call.message();
             // As where another scheduler's clients have just come: they have nobody else yet.
             long from = System.nanoTime();
-            Thread stop = new Thread(() -> stand.serve.stop(() -> true));
+            Thread stop = new Thread(() -> harness.serve.stop(() -> true));
             stop.start();
             // New connections are still let in, and kept ones served.
-            try (Peer late = stand.http()) {
+            try (Peer late = harness.http()) {
                 assertTrue(late.write("GET /health/live HTTP/1.1\r\n\r\n")
                         .message()
                         .endsWith("ok\n"));
-                call.says("{'id':'1','state':'done','result':'paid'}");
+                call.respond("{'id':'1','state':'done','result':'paid'}");
                 String answer = client.message();
                 assertTrue(answer.endsWith("paid") && !answer.contains("Connection: close"), answer);
                 // Then what is idle is sent away, and no answer is still out when the kill may come.
@@ -619,8 +623,8 @@
                 }
                 client.post("basket-check", "2", "", "");
                 call.message();
-                call.write(Stand.watching("{'id':'2','state':'started'}".replace('\'', '"')));
-                assertTrue(idle.ended());
+                call.write(SchedulerHarness.watchResponse("{'id':'2','state':'started'}".replace('\'', '"')));
+                assertTrue(idle.isClosedByPeer());
                 answer = client.message();
                 assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("Connection: close"), answer);
                 assertTrue(System.nanoTime() - from < 3_700_000_000L);
@@ -632,12 +636,12 @@
 
     @Test
     void aPlannedStopOfOneThatTookNobodyOverSendsItsClientsAwayEarly() throws Exception {
-        try (Stand stand = new Stand(null);
-                Peer idle = stand.http()) {
+        try (SchedulerHarness harness = new SchedulerHarness(null);
+                Peer idle = harness.http()) {
             idle.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
             long from = System.nanoTime();
-            new Thread(stand.serve::stop).start();
-            assertTrue(idle.ended());
+            new Thread(harness.serve::stop).start();
+            assertTrue(idle.isClosedByPeer());
             assertTrue(System.nanoTime() - from < 1_500_000_000L);
         }
     }
@@ -650,12 +654,12 @@
                 "BalancerMember balancer://tills http://" + endpoint.dial() + " route=t1\n");
         Path set = folder.resolve("set.json");
         assertEquals(0, Importer.run(List.of(conf.toString(), "-o", set.toString()), System.out, System.err));
-        try (Stand stand = Stand.loading(set);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = SchedulerHarness.withDestinationsFile(set);
+                Peer client = harness.http()) {
             client.post("card-capture", "1", "", "pay");
             Peer call = endpoint.accept();
             call.message();
-            call.says("{'id':'1','state':'done','result':'paid'}");
+            call.respond("{'id':'1','state':'done','result':'paid'}");
             assertTrue(client.message().endsWith("paid"));
         }
     }
@@ -664,19 +668,19 @@
     void idleClientsLeaveRoomForOthersAndForCalls() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         // 64 descriptors are the machine's own: 16 are left, half of them for clients.
-        try (Stand stand = new Stand(null, 80, endpoint)) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, 80, endpoint)) {
             Peer[] idle = new Peer[12];
             for (int i = 0; i < idle.length; i++) {
-                idle[i] = stand.http();
+                idle[i] = harness.http();
                 assertTrue(idle[i].write("GET /health/ready HTTP/1.1\r\n\r\n")
                         .message()
                         .endsWith("ok\n"));
             }
-            assertTrue(idle[0].ended());
+            assertTrue(idle[0].isClosedByPeer());
             idle[11].post("basket-check", "1", "", "");
             Peer call = endpoint.accept();
             call.message();
-            call.says("{'id':'1','state':'done','result':'priced'}");
+            call.respond("{'id':'1','state':'done','result':'priced'}");
             assertTrue(idle[11].message().endsWith("priced"));
         }
     }
@@ -684,8 +688,8 @@
     @Test
     void discoveryShortOfRoomIsNotAskedAgainAndAgain() throws Exception {
         Endpoint discovery = new Endpoint("d");
-        try (Stand stand =
-                Stand.changed("'tick':0.005", "'tick':0.005,'discovery':'ask'", discovery, new Endpoint("e1"))) {
+        try (SchedulerHarness harness = SchedulerHarness.withSetting(
+                "'tick':0.005", "'tick':0.005,'discovery':'ask'", discovery, new Endpoint("e1"))) {
             long began = System.nanoTime();
             List<Long> waits = new java.util.ArrayList<>();
             for (int i = 0; i < 5; i++) {
@@ -703,8 +707,8 @@
             // Once it speaks, a watch that breaks is begun anew soon.
             Peer watch = discovery.accept();
             watch.readTo("\r\n\r\n");
-            watch.write(Stand.watching(Stand.list(2, true)));
-            stand.await("discovery.lists", 1);
+            watch.write(SchedulerHarness.watchResponse(SchedulerHarness.hostList(2, true)));
+            harness.awaitCounter("discovery.lists", 1);
             watch.reset();
             began = System.nanoTime();
             discovery.accept();
--- a/src/test/java/laneflow/http/PlannedEndStoryTest.java
+++ b/src/test/java/laneflow/http/PlannedEndStoryTest.java
@@ -7,9 +7,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Endpoint;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Endpoint;
+import laneflow.net.SchedulerHarness.Peer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -62,7 +62,7 @@
                                 while (true) {
                                     String sent = call.message();
                                     int at = sent.indexOf("Req-Id: ") + 8;
-                                    call.says("{'id':'" + sent.substring(at, sent.indexOf('\r', at))
+                                    call.respond("{'id':'" + sent.substring(at, sent.indexOf('\r', at))
                                             + "','state':'done','result':'ok'}");
                                 }
                             } catch (IOException e) {
@@ -80,27 +80,27 @@
     void noRequestIsLostInTheCrossing() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         Thread serves = serves(endpoint);
-        try (Stand stand = new Stand(null, endpoint)) {
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
             List<Thread> clients = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                clients.add(asks(stand.http(), i));
+                clients.add(asks(harness.http(), i));
             }
-            stand.await("http.served", 20);
-            Thread stop = new Thread(stand.serve::stop);
+            harness.awaitCounter("http.served", 20);
+            Thread stop = new Thread(harness.serve::stop);
             stop.start();
-            stand.await("stop.begun", 1);
+            harness.awaitCounter("stop.begun", 1);
             // New connections keep coming for a while.
             for (int i = 6; i < 12; i++) {
-                clients.add(asks(stand.http(), i));
+                clients.add(asks(harness.http(), i));
             }
             for (Thread client : clients) {
                 client.join();
             }
             stop.join();
             long[] counts = new long[3];
-            counts[0] = stand.serve.scheduler().counters().get("http.taken");
-            counts[1] = stand.serve.scheduler().counters().get("clients.lost");
-            counts[2] = stand.serve.scheduler().counters().get("clients.closed_unanswered");
+            counts[0] = harness.serve.scheduler().counters().get("http.taken");
+            counts[1] = harness.serve.scheduler().counters().get("clients.lost");
+            counts[2] = harness.serve.scheduler().counters().get("clients.closed_unanswered");
             assertEquals(0, torn.get());
             assertEquals(counts[0], answered.get(), crossed + " crossed");
             assertEquals(0, counts[1] + counts[2]);
--- a/src/test/java/laneflow/net/Stand.java
+++ b/src/test/java/laneflow/net/SchedulerHarness.java
@@ -24,7 +24,7 @@
 import laneflow.http.Config;
 
 /** The program on loopback sockets, and scripted peers that speak exactly what a story has them speak. */
-public final class Stand implements AutoCloseable {
+public final class SchedulerHarness implements AutoCloseable {
     private static final int PATIENCE_MS = 60_000;
     private static final String SETTINGS = "{'areas':['celje-1'],'shapes':['mid'],'classes':["
             + "{'name':'basket-check','aim':0.2,'hardLimit':5,'semantics':'pure','worth':2},"
@@ -44,12 +44,12 @@
     private final List<AutoCloseable> open = new ArrayList<>();
 
     /** The program with these endpoints known, and discovery there unless it is null. */
-    public Stand(Endpoint discovery, Endpoint... known) throws Exception {
+    public SchedulerHarness(Endpoint discovery, Endpoint... known) throws Exception {
         this(discovery, 1024, known);
     }
 
     /** The same with so many descriptors. */
-    public Stand(Endpoint discovery, int sockets, Endpoint... known) throws Exception {
+    public SchedulerHarness(Endpoint discovery, int sockets, Endpoint... known) throws Exception {
         List<String> hosts = new ArrayList<>();
         for (Endpoint endpoint : known) {
             hosts.add(endpoint.host("Ready"));
@@ -59,7 +59,7 @@
         try {
             Files.writeString(
                     file,
-                    json("{'known':" + list(1, true, hosts.toArray(new String[0]))
+                    json("{'known':" + hostList(1, true, hosts.toArray(new String[0]))
                                     + (discovery == null ? "" : ",'discovery':'" + discovery.dial() + "'") + OWN)
                             .replace("1024", "" + sockets));
             serve = serve(Config.read(file, null));
@@ -69,29 +69,30 @@
     }
 
     /** The program with this of its settings told otherwise. */
-    public static Stand changed(String was, String is, Endpoint discovery, Endpoint... known) throws Exception {
-        String text = knowing(known);
+    public static SchedulerHarness withSetting(String was, String is, Endpoint discovery, Endpoint... known)
+            throws Exception {
+        String text = configWithEndpoints(known);
         if (!text.contains(json(was))) {
             throw new IllegalArgumentException(was);
         }
-        return new Stand(serve(Config.parse(text.replace(json(was), json(is))
+        return new SchedulerHarness(serve(Config.parse(text.replace(json(was), json(is))
                 .replaceFirst("\\{", discovery == null ? "{" : json("{'discovery':'" + discovery.dial() + "',")))));
     }
 
     /** The program with a second address, few descriptors, and that folder left to the next one. */
-    public static Stand operated(Path folder, Endpoint... known) throws Exception {
-        Config config = Config.parse(knowing(known).replace("1024", "160"));
-        return new Stand(
+    public static SchedulerHarness withOperatorPort(Path folder, Endpoint... known) throws Exception {
+        Config config = Config.parse(configWithEndpoints(known).replace("1024", "160"));
+        return new SchedulerHarness(
                 new Serve(new Setup(config, null, null, null), new ProcessEnvironment("127.0.0.1:0", folder, false)));
     }
 
     /** A configuration of the platform's form with these endpoints known. */
-    public static String knowing(Endpoint... known) {
+    public static String configWithEndpoints(Endpoint... known) {
         List<String> hosts = new ArrayList<>();
         for (Endpoint endpoint : known) {
             hosts.add(endpoint.host("Ready"));
         }
-        return json("{'known':" + list(1, true, hosts.toArray(new String[0])) + OWN);
+        return json("{'known':" + hostList(1, true, hosts.toArray(new String[0])) + OWN);
     }
 
     /** A connection to a process that the story has started itself. */
@@ -105,34 +106,34 @@
     }
 
     /** The program with a destination set from a file. */
-    public static Stand loading(Path destinations) throws Exception {
+    public static SchedulerHarness withDestinationsFile(Path destinations) throws Exception {
         Path file = Files.createTempFile("stand", ".json");
         try {
             Files.writeString(file, json("{'discovery':'127.0.0.1:1'" + OWN));
-            return new Stand(serve(Config.read(file, destinations)));
+            return new SchedulerHarness(serve(Config.read(file, destinations)));
         } finally {
             Files.delete(file);
         }
     }
 
     /** The program where load is told to probes only. */
-    public static Stand probing(Endpoint endpoint) throws Exception {
+    public static SchedulerHarness withProbes(Endpoint endpoint) throws Exception {
         Path file = Files.createTempFile("stand", ".json");
         try {
             Files.writeString(
                     file,
-                    json("{'known':" + list(1, true, endpoint.host("Ready"))
+                    json("{'known':" + hostList(1, true, endpoint.host("Ready"))
                             + OWN.replace("'source':'answers'", "'source':'probe'")
                                     .replace("'cancel':true", "'cancel':true,'probes':true")));
-            return new Stand(serve(Config.read(file, null)));
+            return new SchedulerHarness(serve(Config.read(file, null)));
         } finally {
             Files.delete(file);
         }
     }
 
     /** The program with durable jobs kept in that folder, and Gearman functions kcheck, kcapture and kpost. */
-    public static Stand keeping(Path folder, String durable, Endpoint... known) throws Exception {
-        Config config = Config.parse(knowing(known));
+    public static SchedulerHarness withDurableJobs(Path folder, String durable, Endpoint... known) throws Exception {
+        Config config = Config.parse(configWithEndpoints(known));
         Findings findings = new Findings("the stand's file");
         String functions = "listen = '127.0.0.1:0'\n[functions.kcheck]\nclass = 'basket-check'\ndurable = true\n"
                 + "[functions.kcapture]\nclass = 'card-capture'\ndurable = true\n[functions.kpost]\n"
@@ -145,22 +146,22 @@
                         Table.parse("dir = '" + folder + "'\n" + durable, findings), config.settings, classes),
                 null);
         findings.throwIfAny();
-        return new Stand(new Serve(setup));
+        return new SchedulerHarness(new Serve(setup));
     }
 
     /** The program with its destination set streamed; the table of streamed configuration in TOML. */
-    public static Stand streaming(String control) throws Exception {
+    public static SchedulerHarness withControlStream(String control) throws Exception {
         Config config = Config.parse(json("{'name':'n3'" + OWN));
         Findings findings = new Findings("the stand's file");
         Setup setup = new Setup(config, null, null, ControlConfig.read(Table.parse(control, findings)));
         findings.throwIfAny();
-        return new Stand(new Serve(setup));
+        return new SchedulerHarness(new Serve(setup));
     }
 
     /** The program with a Gearman front of that table, and nothing else known. */
-    public static Stand gearman(String table) throws Exception {
+    public static SchedulerHarness withGearman(String table) throws Exception {
         Config config = Config.parse(json("{'name':'n3'" + OWN));
-        return new Stand(new Serve(new Setup(
+        return new SchedulerHarness(new Serve(new Setup(
                 config,
                 GearmanConfig.parse(table, config.settings, List.of(config.classNames), config.zones),
                 null,
@@ -168,7 +169,7 @@
     }
 
     /** The same with a Gearman front that has these functions, and durable jobs in that folder unless null. */
-    public static Stand streaming(String control, String functions, Path durable) throws Exception {
+    public static SchedulerHarness withControlStream(String control, String functions, Path durable) throws Exception {
         Config config = Config.parse(json("{'name':'n3'" + OWN));
         Findings findings = new Findings("the stand's file");
         List<String> classes = List.of(config.classNames);
@@ -181,10 +182,10 @@
                                 Table.parse("dir = '" + durable + "'\n", findings), config.settings, classes),
                 ControlConfig.read(Table.parse(control, findings)));
         findings.throwIfAny();
-        return new Stand(new Serve(setup));
+        return new SchedulerHarness(new Serve(setup));
     }
 
-    private Stand(Serve serve) {
+    private SchedulerHarness(Serve serve) {
         this.serve = serve;
     }
 
@@ -201,18 +202,18 @@
     }
 
     /** A list in discovery's form. */
-    public static String list(int seq, boolean whole, String... hosts) {
+    public static String hostList(int seq, boolean whole, String... hosts) {
         return ("{'seq':" + seq + ",'whole':" + whole + ",'hosts':[" + String.join(",", hosts) + "]}")
                 .replace('\'', '"');
     }
 
     /** A configuration that names this discovery. */
-    public static String config(String discovery) {
+    public static String configWithDiscovery(String discovery) {
         return json("{'discovery':'" + discovery + "'" + OWN);
     }
 
     /** A watch's answer that goes on behind this line. */
-    public static String watching(String line) {
+    public static String watchResponse(String line) {
         return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length() + 1) + "\r\n"
                 + line + "\n\r\n";
     }
@@ -241,7 +242,7 @@
     }
 
     /** Waits until a counter has come that far. */
-    public void await(String name, long least) throws InterruptedException {
+    public void awaitCounter(String name, long least) throws InterruptedException {
         long end = System.nanoTime() + PATIENCE_MS * 1_000_000L;
         while (counter(name) < least) {
             if (System.nanoTime() > end) {
@@ -282,7 +283,7 @@
         }
 
         /** Connects until no more come up: who comes now comes up late, when the first have been accepted. */
-        public int crowd() throws IOException {
+        public int fillBacklog() throws IOException {
             for (int i = 0; true; i++) {
                 Socket socket = new Socket();
                 try {
@@ -329,7 +330,7 @@
         }
 
         /** From now on what is said here is noted there too. */
-        public Peer noted(Consumer<String> note) {
+        public Peer recordTo(Consumer<String> note) {
             noted = note;
             return this;
         }
@@ -375,7 +376,7 @@
         }
 
         /** True if the other side has ended or reset it, and sent nothing before. */
-        public boolean ended() throws IOException {
+        public boolean isClosedByPeer() throws IOException {
             try {
                 return in.read() < 0;
             } catch (java.net.SocketTimeoutException e) {
@@ -392,18 +393,18 @@
         }
 
         /** Answers a call with these words, as an endpoint does. */
-        public Peer says(String... lines) throws IOException {
+        public Peer respond(String... lines) throws IOException {
             // In one piece: with the last chunk behind it the connection is free for the next call.
             return write(HEAD + chunks(lines) + "0\r\n\r\n");
         }
 
         /** The first lines of an answer that goes on. */
-        public Peer begins(String... lines) throws IOException {
+        public Peer beginResponse(String... lines) throws IOException {
             return write(HEAD + chunks(lines));
         }
 
         /** The last lines of it. */
-        public Peer ends(String... lines) throws IOException {
+        public Peer endResponse(String... lines) throws IOException {
             return write(chunks(lines) + "0\r\n\r\n");
         }
 
--- a/src/test/java/laneflow/ops/OpsStoryTest.java
+++ b/src/test/java/laneflow/ops/OpsStoryTest.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Stream;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Endpoint;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Endpoint;
+import laneflow.net.SchedulerHarness.Peer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -23,19 +23,19 @@
     @TempDir
     private Path folder;
 
-    private static String call(Stand stand, String line) throws Exception {
-        try (Peer caller = stand.operator()) {
+    private static String call(SchedulerHarness harness, String line) throws Exception {
+        try (Peer caller = harness.operator()) {
             String answer = caller.write(line + "\n").readTo("\n").strip();
-            assertTrue(caller.ended());
+            assertTrue(caller.isClosedByPeer());
             return answer;
         }
     }
 
     @Test
     void eachCallIsAnsweredOrToldWhatIsWrong() throws Exception {
-        try (Stand stand = Stand.operated(folder, new Endpoint("e1"))) {
-            assertEquals("done", call(stand, "check"));
-            assertEquals("done", call(stand, "check\r"));
+        try (SchedulerHarness harness = SchedulerHarness.withOperatorPort(folder, new Endpoint("e1"))) {
+            assertEquals("done", call(harness, "check"));
+            assertEquals("done", call(harness, "check\r"));
             for (String bad : new String[] {
                 "",
                 "checks",
@@ -48,16 +48,16 @@
                 "ch\u0001eck",
                 "x".repeat(400)
             }) {
-                assertTrue(call(stand, bad).startsWith("error "), bad);
+                assertTrue(call(harness, bad).startsWith("error "), bad);
             }
             // A piece of a call, then another; and half a call that is left changes nothing.
-            try (Peer caller = stand.operator();
-                    Peer half = stand.operator()) {
+            try (Peer caller = harness.operator();
+                    Peer half = harness.operator()) {
                 half.write("drain-on").close();
                 caller.write("che").write("ck").write("\n");
                 assertEquals("done\n", caller.readTo("\n"));
             }
-            try (Peer client = stand.http()) {
+            try (Peer client = harness.http()) {
                 client.write("GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n");
                 assertTrue(client.message().startsWith("HTTP/1.1 200 "));
             }
@@ -66,10 +66,10 @@
 
     @Test
     void silentCallersAndAllClientsShutItToNobody() throws Exception {
-        try (Stand stand = Stand.operated(folder, new Endpoint("e1"))) {
+        try (SchedulerHarness harness = SchedulerHarness.withOperatorPort(folder, new Endpoint("e1"))) {
             List<Peer> silent = new ArrayList<>();
             for (int i = 0; i < 3 * OpsPort.MOST; i++) {
-                silent.add(stand.operator());
+                silent.add(harness.operator());
                 if (i % 2 == 0) {
                     silent.get(i).write("set-do");
                 }
@@ -77,10 +77,10 @@
             // Every connection that clients may hold is taken by requests at work.
             List<Peer> clients = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
-                clients.add(stand.http().post("basket-check", "r" + i, "", ""));
+                clients.add(harness.http().post("basket-check", "r" + i, "", ""));
             }
             for (int i = 0; i < 2 * OpsPort.MOST; i++) {
-                assertEquals("done", call(stand, "check"));
+                assertEquals("done", call(harness, "check"));
             }
             for (Peer peer : silent) {
                 peer.close();
@@ -92,10 +92,10 @@
     void aWorkerSetDownGetsNothingUntilItIsSetUpAndTheNextProcessKnows() throws Exception {
         Endpoint one = new Endpoint("e1");
         Endpoint two = new Endpoint("e2");
-        try (Stand stand = Stand.operated(folder, one, two)) {
-            assertEquals("done", call(stand, "set-down e1"));
-            assertEquals("done", call(stand, "set-down e1"));
-            try (Peer client = stand.http()) {
+        try (SchedulerHarness harness = SchedulerHarness.withOperatorPort(folder, one, two)) {
+            assertEquals("done", call(harness, "set-down e1"));
+            assertEquals("done", call(harness, "set-down e1"));
+            try (Peer client = harness.http()) {
                 for (int i = 0; i < 6; i++) {
                     client.post("basket-check", "r" + i, "", "");
                     served(i == 0 ? two.accept() : null, client, "r" + i);
@@ -103,7 +103,7 @@
             }
         }
         assertEquals(Set.of("e1"), new BanFile(folder).read());
-        try (Stand next = Stand.operated(folder, one);
+        try (SchedulerHarness next = SchedulerHarness.withOperatorPort(folder, one);
                 Peer client = next.http()) {
             client.post("basket-check", "n1", "", "");
             assertTrue(client.message().startsWith("HTTP/1.1 503 "));
@@ -119,7 +119,7 @@
     private void served(Peer call, Peer client, String id) throws Exception {
         kept = call != null ? call : kept;
         assertTrue(kept.message().contains("Req-Id: " + id + "\r\n"));
-        kept.says("{'id':'" + id + "','state':'done','result':'ok'}");
+        kept.respond("{'id':'" + id + "','state':'done','result':'ok'}");
         assertTrue(client.message().endsWith("ok"));
     }
 
@@ -144,18 +144,18 @@
                             .getBytes(StandardCharsets.US_ASCII));
             assertEquals(Set.of(), new BanFile(folder).read(), "cut at " + i);
         }
-        try (Stand stand = Stand.operated(folder, new Endpoint("e1"))) {
-            assertEquals("done", call(stand, "check"));
+        try (SchedulerHarness harness = SchedulerHarness.withOperatorPort(folder, new Endpoint("e1"))) {
+            assertEquals("done", call(harness, "check"));
         }
     }
 
     @Test
     void aDrainSendsClientsAwayWithoutCuttingARequestAndIsUndone() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = Stand.operated(folder, endpoint);
-                Peer idle = stand.http();
-                Peer slow = stand.http();
-                Peer half = stand.http()) {
+        try (SchedulerHarness harness = SchedulerHarness.withOperatorPort(folder, endpoint);
+                Peer idle = harness.http();
+                Peer slow = harness.http();
+                Peer half = harness.http()) {
             idle.write("GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n");
             assertTrue(idle.message().startsWith("HTTP/1.1 200 "));
             // Not repeatable: what has no head for 250 ms is sent elsewhere else.
@@ -164,34 +164,34 @@
             call.message();
             half.write("POST /basket-check HTTP/1.1\r\nHost: o\r\nReq-Id: 2\r\nReq-Kind: bas");
             long began = System.nanoTime();
-            assertEquals("done", call(stand, "drain-on"));
-            assertEquals("done", call(stand, "drain-on"));
-            try (Peer front = stand.http()) {
+            assertEquals("done", call(harness, "drain-on"));
+            assertEquals("done", call(harness, "drain-on"));
+            try (Peer front = harness.http()) {
                 front.write("GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n");
                 assertTrue(front.message().startsWith("HTTP/1.1 503 "));
-                assertTrue(front.ended());
+                assertTrue(front.isClosedByPeer());
             }
-            assertTrue(idle.ended());
-            call.says("{'id':'1','state':'done','result':'ok'}");
+            assertTrue(idle.isClosedByPeer());
+            call.respond("{'id':'1','state':'done','result':'ok'}");
             assertTrue(slow.message().contains("Connection: close\r\n"));
             half.write("ket-check\r\nContent-Length: 0\r\n\r\n");
             call.message();
-            call.says("{'id':'2','state':'done','result':'ok'}");
+            call.respond("{'id':'2','state':'done','result':'ok'}");
             assertTrue(half.message().contains("Connection: close\r\n"));
-            assertTrue(slow.ended() && half.ended());
+            assertTrue(slow.isClosedByPeer() && half.isClosedByPeer());
             assertTrue(System.nanoTime() - began < 2_000_000_000L);
-            assertEquals("done", call(stand, "check"));
-            assertEquals("done", call(stand, "drain-off"));
-            assertEquals("done", call(stand, "drain-off"));
-            try (Peer client = stand.http();
-                    Peer front = stand.http()) {
+            assertEquals("done", call(harness, "check"));
+            assertEquals("done", call(harness, "drain-off"));
+            assertEquals("done", call(harness, "drain-off"));
+            try (Peer client = harness.http();
+                    Peer front = harness.http()) {
                 front.write("GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n");
                 assertTrue(front.message().startsWith("HTTP/1.1 200 "));
                 // Kept again, also past the times of the drain: no timer of it is left.
                 Thread.sleep(700);
                 client.post("basket-check", "3", "", "");
                 call.message();
-                call.says("{'id':'3','state':'done','result':'ok'}");
+                call.respond("{'id':'3','state':'done','result':'ok'}");
                 assertTrue(!client.message().contains("Connection: close"));
             }
         }
@@ -200,19 +200,19 @@
     @Test
     void aProcessOnItsWayToItsEndTakesNoDrainBack() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = Stand.operated(folder, endpoint);
-                Peer client = stand.http()) {
+        try (SchedulerHarness harness = SchedulerHarness.withOperatorPort(folder, endpoint);
+                Peer client = harness.http()) {
             client.post("card-capture", "1", "", "");
             Peer call = endpoint.accept();
             call.message();
-            assertEquals("done", call(stand, "drain-on"));
-            Thread end = new Thread(stand.serve::stop);
+            assertEquals("done", call(harness, "drain-on"));
+            Thread end = new Thread(harness.serve::stop);
             end.start();
-            stand.await("stop.early", 1);
+            harness.awaitCounter("stop.early", 1);
             for (String order : new String[] {"drain-off", "drain-on", "check"}) {
-                assertTrue(call(stand, order).startsWith("error "), order);
+                assertTrue(call(harness, order).startsWith("error "), order);
             }
-            call.says("{'id':'1','state':'done','result':'ok'}");
+            call.respond("{'id':'1','state':'done','result':'ok'}");
             assertTrue(client.message().endsWith("ok"));
             end.join();
         }
@@ -221,16 +221,16 @@
     @Test
     void aDrainTakenBackHalfwayLeavesNothingBehind() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (Stand stand = Stand.operated(folder, endpoint);
-                Peer idle = stand.http();
-                Peer busy = stand.http()) {
+        try (SchedulerHarness harness = SchedulerHarness.withOperatorPort(folder, endpoint);
+                Peer idle = harness.http();
+                Peer busy = harness.http()) {
             idle.write("GET /health/live HTTP/1.1\r\nHost: o\r\n\r\n").message();
             busy.post("card-capture", "1", "", "");
             Peer call = endpoint.accept();
             call.message();
-            assertEquals("done", call(stand, "drain-on"));
-            assertEquals("done", call(stand, "drain-off"));
-            call.says("{'id':'1','state':'done','result':'ok'}");
+            assertEquals("done", call(harness, "drain-on"));
+            assertEquals("done", call(harness, "drain-off"));
+            call.respond("{'id':'1','state':'done','result':'ok'}");
             assertTrue(!busy.message().contains("Connection: close"));
             // Past the time at which the drain would have closed it.
             Thread.sleep(600);
--- a/src/test/java/laneflow/ops/Platform.java
+++ b/src/test/java/laneflow/ops/Platform.java
@@ -11,8 +11,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Peer;
 
 /** Stands in for the platform in upgrades: it holds the clients' socket and starts schedulers that inherit it. */
 public final class Platform implements AutoCloseable {
@@ -36,7 +36,7 @@
 
         /** The answer to a call of on-call staff. */
         public String call(String line) throws IOException {
-            try (Peer caller = Stand.peer("127.0.0.1", ops)) {
+            try (Peer caller = SchedulerHarness.peer("127.0.0.1", ops)) {
                 return caller.write(line + "\n").readTo("\n").strip();
             }
         }
--- a/src/test/java/laneflow/ops/UpgradeStoryTest.java
+++ b/src/test/java/laneflow/ops/UpgradeStoryTest.java
@@ -9,9 +9,9 @@
 import java.nio.file.Path;
 import java.util.Map;
 import laneflow.lab.rig.Await;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Endpoint;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Endpoint;
+import laneflow.net.SchedulerHarness.Peer;
 import laneflow.ops.Platform.Started;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -33,7 +33,7 @@
         endpoint = new Endpoint("e1");
         Path config = folder.resolve("config.json");
         // One that has a job out looks full to the module: the other is for what comes meanwhile.
-        Files.writeString(config, Stand.knowing(endpoint, new Endpoint("e2", endpoint)));
+        Files.writeString(config, SchedulerHarness.configWithEndpoints(endpoint, new Endpoint("e2", endpoint)));
         platform = new Platform(folder, folder.resolve("log"), Map.of("ROUTER_CONFIG", config.toString()), "serve");
     }
 
@@ -69,7 +69,7 @@
     }
 
     private Peer client() throws IOException {
-        return Stand.peer("127.0.0.1", platform.port);
+        return SchedulerHarness.peer("127.0.0.1", platform.port);
     }
 
     private boolean ready() throws IOException {
@@ -90,7 +90,7 @@
         client.post("card-capture", id, "", "");
         try (Peer call = endpoint.accept()) {
             call.message();
-            call.says("{'id':'" + id + "','state':'done','result':'ok'}");
+            call.respond("{'id':'" + id + "','state':'done','result':'ok'}");
             String answer = client.message();
             assertTrue(answer.endsWith("ok"), answer);
             assertEquals(last, answer.contains("Connection: close\r\n"), answer);
@@ -113,7 +113,7 @@
         assertTrue(ready());
         // The old one's clients are served, and sent away with the answer.
         serves(kept, "k2", true);
-        assertTrue(kept.ended());
+        assertTrue(kept.isClosedByPeer());
         Peer fresh = client();
         serves(fresh, "f1", false);
         assertTrue(counters().contains("http.served 1") || counters().contains("http.served=1"), counters());
@@ -131,7 +131,7 @@
 
         old.handle().destroy();
         // It ends once its last request is answered, and what it was told lives on.
-        call.says("{'id':'o1','state':'done','result':'late'}");
+        call.respond("{'id':'o1','state':'done','result':'late'}");
         assertTrue(open.message().endsWith("late"));
         old.ended();
         Peer last = client().post("card-capture", "l1", "", "");
@@ -162,7 +162,7 @@
         Peer client = client();
         serves(client, "c1", false);
         assertEquals("done", call(old, "check"));
-        call.says("{'id':'o1','state':'done','result':'ok'}");
+        call.respond("{'id':'o1','state':'done','result':'ok'}");
         assertTrue(open.message().endsWith("ok"));
         // And the next one takes over as if nothing had been.
         start();
@@ -214,7 +214,7 @@
         await(() -> Files.readString(folder.resolve("log")).contains("met with it again"));
         await(() -> call(young, "set-up e1").equals("done"));
         assertEquals("done", call(young, "set-up e2"));
-        call.says("{'id':'o1','state':'done','result':'ok'}");
+        call.respond("{'id':'o1','state':'done','result':'ok'}");
         assertTrue(open.message().endsWith("ok"));
         old.ended();
         serves(client(), "c1", false);
--- a/src/test/java/laneflow/policy/PolicyDisruptionStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyDisruptionStoryTest.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import laneflow.lab.rig.Rig;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Peer;
 import laneflow.ops.Platform;
 import laneflow.ops.Platform.Started;
 import org.junit.jupiter.api.Test;
@@ -33,7 +33,7 @@
                 call.message();
                 // Without a message from the endpoint the request would be given up before the change is
                 // made.
-                call.begins("{'id':'open','state':'started'}");
+                call.beginResponse("{'id':'open','state':'started'}");
                 // It drains during the change and still accepts requests.
                 rig.term(3);
                 rig.await("it logs that it stops", () -> rig.log(3).contains("stopping, 1 open"));
@@ -41,7 +41,7 @@
                 awaitState(0, "during-drain", "applied");
                 rig.awaitDeciding(1, rig.all());
                 String late = responseOrRefusal(3, "late");
-                call.ends("{'id':'open','state':'done','result':'ran'}");
+                call.endResponse("{'id':'open','state':'done','result':'ran'}");
                 assertTrue(client.message().contains("Config-Version: policy=0"));
                 assertTrue(late.contains("policy=1") || late.contains(" 503 "), late);
             }
@@ -128,7 +128,7 @@
         int leader = rig.leader();
         // A stand-in for a build that knows neither the resource type nor newer messages, and sends fields
         // unknown here.
-        try (Peer old = Stand.peer(
+        try (Peer old = SchedulerHarness.peer(
                 "127.0.0.1", Integer.parseInt(rig.fleetAddress(leader).split(":")[1]))) {
             old.write("POST /fleet/link HTTP/1.1\r\nHost: f\r\nTransfer-Encoding: chunked\r\n\r\n");
             sendLine(old, "{'t':'hello','name':'old','life':'1','build':'0.1','from':1,'to':1,'extra':{'a':[1]}}");
--- a/src/test/java/laneflow/policy/PolicyStoryBase.java
+++ b/src/test/java/laneflow/policy/PolicyStoryBase.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import laneflow.lab.measure.PolicyHistory;
 import laneflow.lab.rig.Rig;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Endpoint;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Endpoint;
+import laneflow.net.SchedulerHarness.Peer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
@@ -132,13 +132,13 @@
     }
 
     static Peer sendRequestTo(int port, String id) throws IOException {
-        return Stand.peer("127.0.0.1", port)
+        return SchedulerHarness.peer("127.0.0.1", port)
                 .write("POST /check HTTP/1.1\r\nHost: c\r\nReq-Id: " + id + "\r\nContent-Length: 0\r\n\r\n");
     }
 
     /** Has the endpoint answer a call. */
     static void answer(Peer call, String id) throws IOException {
-        call.says("{'id':'" + id + "','state':'done','result':'ran'}");
+        call.respond("{'id':'" + id + "','state':'done','result':'ran'}");
     }
 
     /** The scheduler's answer to a request that the endpoint answers at once. */
--- a/src/test/java/laneflow/policy/PolicyStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyStoryTest.java
@@ -7,8 +7,8 @@
 import java.nio.file.Files;
 import java.util.List;
 import laneflow.lab.rig.Rig;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Peer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -44,13 +44,13 @@
         assertTrue(reasons.contains("n4#") && reasons.contains("'post' must not run twice here"), reasons);
         rig.awaitDeciding(1, rig.all());
         // A banned endpoint gets nothing anywhere until the ban is lifted; an open call continues.
-        try (Peer client = Stand.peer("127.0.0.1", rig.clientPort(0))) {
+        try (Peer client = SchedulerHarness.peer("127.0.0.1", rig.clientPort(0))) {
             client.write("POST /check HTTP/1.1\r\nHost: c\r\nReq-Id: o\r\nContent-Length: 0\r\n\r\n");
             try (Peer call = endpoint.accept()) {
                 call.message();
                 rig.proposeUntilTaken(2, "ban-till", bans("till"));
                 rig.awaitDeciding(3, rig.all());
-                call.says("{'id':'o','state':'done','result':'ran'}");
+                call.respond("{'id':'o','state':'done','result':'ran'}");
                 String answer = client.message();
                 assertTrue(answer.contains("Config-Version: policy=1") && answer.endsWith("ran"), answer);
             }
@@ -135,7 +135,7 @@
         // Clients are refused at once with a Retry-After, and the health check is not ready.
         String answer = requestWithoutEndpoint(4, "r1");
         assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("Retry-After: 0.1"), answer);
-        try (Peer client = Stand.peer("127.0.0.1", rig.clientPort(4))) {
+        try (Peer client = SchedulerHarness.peer("127.0.0.1", rig.clientPort(4))) {
             assertTrue(
                     client.write("GET /health/ready HTTP/1.1\r\n\r\n").message().startsWith("HTTP/1.1 503 "));
         }
@@ -185,7 +185,7 @@
         rig.stall(leader);
         rig.stall(3);
         // Sent while the process is suspended, the request is handled on resume under the lease of that time.
-        try (Peer client = Stand.peer("127.0.0.1", rig.clientPort(3))) {
+        try (Peer client = SchedulerHarness.peer("127.0.0.1", rig.clientPort(3))) {
             client.write("POST /check HTTP/1.1\r\nHost: c\r\nReq-Id: w\r\nContent-Length: 0\r\n\r\n");
             int other = awaitNewLeader(leader);
             rig.proposeUntilTaken(other, "meanwhile", bans("x"));
--- a/src/test/java/laneflow/policy/PolicyVotersStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyVotersStoryTest.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import laneflow.lab.rig.Rig;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness.Peer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
--- a/src/test/java/laneflow/transcripts/ControlTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/ControlTranscriptsTest.java
@@ -2,8 +2,8 @@
 
 import java.nio.file.Files;
 import java.nio.file.Path;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Endpoint;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Endpoint;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -58,8 +58,8 @@
                 transcript -> {
                     Endpoint service = new Endpoint("control");
                     Endpoint one = new Endpoint("e1");
-                    try (Stand stand = Stand.streaming(control(service));
-                            RecordedPeer client = new RecordedPeer(transcript, "client", stand.http())) {
+                    try (SchedulerHarness harness = SchedulerHarness.withControlStream(control(service));
+                            RecordedPeer client = new RecordedPeer(transcript, "client", harness.http())) {
                         RecordedPeer peer = stream(transcript, "control", service);
                         offerDestinations(peer, "1-aa", "x1", resource(one));
                         client.post("card-capture", "1", "", "pay");
@@ -85,7 +85,7 @@
                                 resource(one));
                         offerDestinations(peer, "3-aa", "x4", resource(one).replace("}", ",'state':'draining'}"));
                         offerDestinations(peer, "seven", "x5", resource(one));
-                        transcript.note("adopted: " + stand.counter("config.adopted"));
+                        transcript.note("adopted: " + harness.counter("config.adopted"));
                     }
                 });
     }
@@ -95,7 +95,7 @@
         Transcript.of("Versions that are older, repeated, or of a type that is not taken.", transcript -> {
             Endpoint service = new Endpoint("control");
             Endpoint one = new Endpoint("e1");
-            try (Stand stand = Stand.streaming(control(service))) {
+            try (SchedulerHarness harness = SchedulerHarness.withControlStream(control(service))) {
                 RecordedPeer peer = stream(transcript, "control", service);
                 offerDestinations(peer, "9-bb", "x1", resource(one));
                 offerDestinations(peer, "9-bb", "x2", resource(one));
@@ -111,7 +111,7 @@
                 "A line that is no JSON ends the stream; the next one begins by the version that runs.", transcript -> {
                     Endpoint service = new Endpoint("control");
                     Endpoint one = new Endpoint("e1");
-                    try (Stand stand = Stand.streaming(control(service))) {
+                    try (SchedulerHarness harness = SchedulerHarness.withControlStream(control(service))) {
                         RecordedPeer peer = stream(transcript, "control", service);
                         offerDestinations(peer, "5-aa", "x1", resource(one));
                         peer.write("e\r\n{\"type_url\":}\n\r\n");
--- a/src/test/java/laneflow/transcripts/GearmanTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/GearmanTranscriptsTest.java
@@ -1,20 +1,22 @@
 package laneflow.transcripts;
 
-import laneflow.net.Stand;
-import laneflow.net.Stand.Endpoint;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Endpoint;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /** Transcripts of jobs on the Gearman front: every outcome and retry. */
 @Timeout(120)
 class GearmanTranscriptsTest {
-    private static RecordedGearmanPeer connect(Transcript transcript, String name, Stand stand) throws Exception {
-        return new RecordedGearmanPeer(transcript, name, stand.gearman());
+    private static RecordedGearmanPeer connect(Transcript transcript, String name, SchedulerHarness harness)
+            throws Exception {
+        return new RecordedGearmanPeer(transcript, name, harness.gearman());
     }
 
     private static RecordedGearmanPeer submit(
-            Transcript transcript, String name, Stand stand, String function, String unique) throws Exception {
-        RecordedGearmanPeer client = connect(transcript, name, stand).send("SUBMIT_JOB", function, unique, "pay");
+            Transcript transcript, String name, SchedulerHarness harness, String function, String unique)
+            throws Exception {
+        RecordedGearmanPeer client = connect(transcript, name, harness).send("SUBMIT_JOB", function, unique, "pay");
         client.receive();
         return client;
     }
@@ -24,20 +26,20 @@
         Transcript.of(
                 "A job is served; its client gets its progress; another client joins it by its unique id.",
                 transcript -> {
-                    try (Stand stand = new Stand(null)) {
+                    try (SchedulerHarness harness = new SchedulerHarness(null)) {
                         RecordedGearmanPeer worker =
-                                connect(transcript, "worker", stand).announce("capture");
-                        RecordedGearmanPeer client = submit(transcript, "client", stand, "capture", "u1");
+                                connect(transcript, "worker", harness).announce("capture");
+                        RecordedGearmanPeer client = submit(transcript, "client", harness, "capture", "u1");
                         String handle = worker.grabJob();
                         worker.send("WORK_STATUS", handle, 1, 4);
                         client.receive();
                         client.send("GET_STATUS", handle).receive();
-                        RecordedGearmanPeer other = submit(transcript, "another client", stand, "capture", "u1");
+                        RecordedGearmanPeer other = submit(transcript, "another client", harness, "capture", "u1");
                         worker.send("WORK_COMPLETE", handle, "paid");
                         client.receive();
                         other.receive();
                         client.send("GET_STATUS", handle).receive();
-                        transcript.note("calls sent: " + stand.counter("call.sent"));
+                        transcript.note("calls sent: " + harness.counter("call.sent"));
                     }
                 });
     }
@@ -46,13 +48,13 @@
     void failed() throws Exception {
         Transcript.of(
                 "The worker fails its job: the job ran, so a job that must not run twice is failed.", transcript -> {
-                    try (Stand stand = new Stand(null)) {
+                    try (SchedulerHarness harness = new SchedulerHarness(null)) {
                         RecordedGearmanPeer worker =
-                                connect(transcript, "worker", stand).announce("capture");
-                        RecordedGearmanPeer client = submit(transcript, "client", stand, "capture", "");
+                                connect(transcript, "worker", harness).announce("capture");
+                        RecordedGearmanPeer client = submit(transcript, "client", harness, "capture", "");
                         worker.send("WORK_FAIL", worker.grabJob());
                         client.receive();
-                        transcript.note("failed: " + stand.counter("gearman.failed"));
+                        transcript.note("failed: " + harness.counter("gearman.failed"));
                     }
                 });
     }
@@ -60,10 +62,10 @@
     @Test
     void refused() throws Exception {
         Transcript.of("No worker has the function: refused at once; the protocol has no retry-after.", transcript -> {
-            try (Stand stand = new Stand(null)) {
-                RecordedGearmanPeer client = submit(transcript, "client", stand, "capture", "");
+            try (SchedulerHarness harness = new SchedulerHarness(null)) {
+                RecordedGearmanPeer client = submit(transcript, "client", harness, "capture", "");
                 client.receive();
-                transcript.note("refused: " + stand.counter("gearman.refused"));
+                transcript.note("refused: " + harness.counter("gearman.refused"));
             }
         });
     }
@@ -73,19 +75,19 @@
         Transcript.of(
                 "A worker disconnects at work: a job that must not run twice is failed, another is retried.",
                 transcript -> {
-                    try (Stand stand = new Stand(null)) {
+                    try (SchedulerHarness harness = new SchedulerHarness(null)) {
                         RecordedGearmanPeer first =
-                                connect(transcript, "worker", stand).announce("capture", "check");
-                        RecordedGearmanPeer client = submit(transcript, "client", stand, "capture", "");
+                                connect(transcript, "worker", harness).announce("capture", "check");
+                        RecordedGearmanPeer client = submit(transcript, "client", harness, "capture", "");
                         first.grabJob();
                         first.reset();
                         client.receive();
                         RecordedGearmanPeer second =
-                                connect(transcript, "second worker", stand).announce("check");
+                                connect(transcript, "second worker", harness).announce("check");
                         client.send("SUBMIT_JOB", "check", "", "two").receive();
                         second.grabJob();
                         RecordedGearmanPeer third =
-                                connect(transcript, "third worker", stand).announce("check");
+                                connect(transcript, "third worker", harness).announce("check");
                         second.reset();
                         third.send("WORK_COMPLETE", third.grabJob(), "priced");
                         client.receive();
@@ -97,13 +99,13 @@
     void workerVanishesBeforeItsJob() throws Exception {
         Transcript.of(
                 "A worker disconnects before it grabs its job: the job never ran, and goes to another.", transcript -> {
-                    try (Stand stand = new Stand(null)) {
+                    try (SchedulerHarness harness = new SchedulerHarness(null)) {
                         RecordedGearmanPeer first =
-                                connect(transcript, "worker", stand).announce("capture");
-                        RecordedGearmanPeer client = submit(transcript, "client", stand, "capture", "");
+                                connect(transcript, "worker", harness).announce("capture");
+                        RecordedGearmanPeer client = submit(transcript, "client", harness, "capture", "");
                         first.receive();
                         RecordedGearmanPeer second =
-                                connect(transcript, "second worker", stand).announce("capture");
+                                connect(transcript, "second worker", harness).announce("capture");
                         first.reset();
                         second.send("WORK_COMPLETE", second.grabJob(), "paid");
                         client.receive();
@@ -115,15 +117,15 @@
     void late() throws Exception {
         Transcript.of(
                 "No worker grabs a job by its deadline: it never ran, and a later grab finds no job.", transcript -> {
-                    try (Stand stand = new Stand(null)) {
+                    try (SchedulerHarness harness = new SchedulerHarness(null)) {
                         RecordedGearmanPeer worker =
-                                connect(transcript, "worker", stand).announce("hasty");
-                        RecordedGearmanPeer client = submit(transcript, "client", stand, "hasty", "");
+                                connect(transcript, "worker", harness).announce("hasty");
+                        RecordedGearmanPeer client = submit(transcript, "client", harness, "hasty", "");
                         worker.receive();
                         client.receive();
                         worker.send("GRAB_JOB").receive();
-                        transcript.note("refused: " + stand.counter("gearman.refused") + ", failed: "
-                                + stand.counter("gearman.failed"));
+                        transcript.note("refused: " + harness.counter("gearman.refused") + ", failed: "
+                                + harness.counter("gearman.failed"));
                     }
                 });
     }
@@ -133,13 +135,13 @@
         Transcript.of(
                 "A client disconnects before its job is grabbed: the job is withdrawn and never assigned.",
                 transcript -> {
-                    try (Stand stand = new Stand(null)) {
+                    try (SchedulerHarness harness = new SchedulerHarness(null)) {
                         RecordedGearmanPeer worker =
-                                connect(transcript, "worker", stand).announce("capture");
-                        RecordedGearmanPeer client = submit(transcript, "client", stand, "capture", "");
+                                connect(transcript, "worker", harness).announce("capture");
+                        RecordedGearmanPeer client = submit(transcript, "client", harness, "capture", "");
                         worker.receive();
                         client.close();
-                        stand.await("gearman.withdrawn", 1);
+                        harness.awaitCounter("gearman.withdrawn", 1);
                         worker.send("GRAB_JOB").receive();
                     }
                 });
@@ -149,10 +151,10 @@
     void drained() throws Exception {
         Transcript.of(
                 "A worker withdraws its abilities: queued jobs are returned after the grace period.", transcript -> {
-                    try (Stand stand = new Stand(null)) {
+                    try (SchedulerHarness harness = new SchedulerHarness(null)) {
                         RecordedGearmanPeer worker =
-                                connect(transcript, "worker", stand).announce("capture");
-                        RecordedGearmanPeer client = submit(transcript, "client", stand, "capture", "");
+                                connect(transcript, "worker", harness).announce("capture");
+                        RecordedGearmanPeer client = submit(transcript, "client", harness, "capture", "");
                         worker.receive();
                         worker.send("RESET_ABILITIES");
                         client.receive();
@@ -166,18 +168,18 @@
         Transcript.of(
                 "A Gearman client's job at an HTTP endpoint, and an HTTP client's at a Gearman worker.", transcript -> {
                     Endpoint endpoint = new Endpoint("e1");
-                    try (Stand stand = new Stand(null, endpoint)) {
-                        RecordedGearmanPeer client = submit(transcript, "client", stand, "capture", "till-7");
+                    try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
+                        RecordedGearmanPeer client = submit(transcript, "client", harness, "capture", "till-7");
                         RecordedPeer call = new RecordedPeer(transcript, "e1", endpoint.accept());
                         String sent = call.message();
                         String id = sent.substring(sent.indexOf("Req-Id: ") + 8, sent.indexOf("\r\nReq-Deadline"));
                         call.reply("{'id':'" + id + "','state':'done','result':'paid'}");
                         client.receive();
                     }
-                    try (Stand stand = new Stand(null);
-                            RecordedPeer http = new RecordedPeer(transcript, "HTTP client", stand.http())) {
+                    try (SchedulerHarness harness = new SchedulerHarness(null);
+                            RecordedPeer http = new RecordedPeer(transcript, "HTTP client", harness.http())) {
                         RecordedGearmanPeer worker =
-                                connect(transcript, "worker", stand).announce("capture");
+                                connect(transcript, "worker", harness).announce("capture");
                         http.post("card-capture", "1", "", "pay");
                         worker.send("WORK_COMPLETE", worker.grabJob(), "paid");
                         http.message();
@@ -188,8 +190,8 @@
     @Test
     void errors() throws Exception {
         Transcript.of("Unsupported requests get an error; a malformed packet ends the connection.", transcript -> {
-            try (Stand stand = new Stand(null)) {
-                RecordedGearmanPeer client = connect(transcript, "client", stand);
+            try (SchedulerHarness harness = new SchedulerHarness(null)) {
+                RecordedGearmanPeer client = connect(transcript, "client", harness);
                 client.send("SUBMIT_JOB_EPOCH", "check", "u", 1, "x").receive();
                 client.send("SUBMIT_JOB", "nothing", "", "").receive();
                 client.send("SUBMIT_JOB", "check", "", "x".repeat((1 << 20) + 1))
@@ -201,7 +203,7 @@
                 transcript.message("client", "scheduler", "(twelve bytes that are no head)");
                 client.peer.write("\0XYZ12345678");
                 client.receive();
-                if (!client.peer.ended()) {
+                if (!client.peer.isClosedByPeer()) {
                     throw new AssertionError("the connection is still open");
                 }
                 transcript.note("scheduler ends the connection");
@@ -212,10 +214,10 @@
     @Test
     void textCommands() throws Exception {
         Transcript.of("Text protocol commands, known and unknown.", transcript -> {
-            try (Stand stand = new Stand(null)) {
-                connect(transcript, "worker", stand).announce("check");
+            try (SchedulerHarness harness = new SchedulerHarness(null)) {
+                connect(transcript, "worker", harness).announce("check");
                 for (String command : new String[] {"status", "maxqueue check 9", "shutdown", "nonsense"}) {
-                    try (RecordedPeer caller = new RecordedPeer(transcript, "caller", stand.gearman())) {
+                    try (RecordedPeer caller = new RecordedPeer(transcript, "caller", harness.gearman())) {
                         caller.write(command + "\n");
                         if (command.equals("status")) {
                             caller.readUntil(".\n");
--- a/src/test/java/laneflow/transcripts/HttpTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/HttpTranscriptsTest.java
@@ -1,16 +1,16 @@
 package laneflow.transcripts;
 
 import java.io.IOException;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Endpoint;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Endpoint;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /** A request's life on the platform's front, with each outcome and repeat. */
 @Timeout(120)
 class HttpTranscriptsTest {
-    private static RecordedPeer client(Transcript transcript, Stand stand) throws IOException {
-        return new RecordedPeer(transcript, "client", stand.http());
+    private static RecordedPeer client(Transcript transcript, SchedulerHarness harness) throws IOException {
+        return new RecordedPeer(transcript, "client", harness.http());
     }
 
     /** The next connection there, whatever endpoint it is for: two that listen at one address are told apart so. */
@@ -22,8 +22,8 @@
     void served() throws Exception {
         Transcript.of("A request is served, and another on the same connections.", transcript -> {
             Endpoint endpoint = new Endpoint("e1");
-            try (Stand stand = new Stand(null, endpoint);
-                    RecordedPeer client = client(transcript, stand)) {
+            try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                    RecordedPeer client = client(transcript, harness)) {
                 client.post("card-capture", "1", "", "pay");
                 RecordedPeer call = call(transcript, "e1", endpoint);
                 call.message();
@@ -40,8 +40,8 @@
     @Test
     void refusedForWantOfAnEndpoint() throws Exception {
         Transcript.of("No endpoint is known: refused at once, with a time to come back.", transcript -> {
-            try (Stand stand = new Stand(null);
-                    RecordedPeer client = client(transcript, stand)) {
+            try (SchedulerHarness harness = new SchedulerHarness(null);
+                    RecordedPeer client = client(transcript, harness)) {
                 client.post("card-capture", "1", "", "pay");
                 client.message();
             }
@@ -52,8 +52,8 @@
     void failedAtItsEndpoint() throws Exception {
         Transcript.of("The endpoint says that the job failed: it ran, so it is failed and not refused.", transcript -> {
             Endpoint endpoint = new Endpoint("e1");
-            try (Stand stand = new Stand(null, endpoint);
-                    RecordedPeer client = client(transcript, stand)) {
+            try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                    RecordedPeer client = client(transcript, harness)) {
                 client.post("card-capture", "1", "", "pay");
                 RecordedPeer call = call(transcript, "e1", endpoint);
                 call.message();
@@ -68,11 +68,11 @@
         Transcript.of("The only endpoint refuses connections: the job never ran, and is refused.", transcript -> {
             Endpoint closed = new Endpoint("e1");
             closed.close();
-            try (Stand stand = new Stand(null, closed);
-                    RecordedPeer client = client(transcript, stand)) {
+            try (SchedulerHarness harness = new SchedulerHarness(null, closed);
+                    RecordedPeer client = client(transcript, harness)) {
                 client.post("card-capture", "1", "", "pay");
                 client.message();
-                transcript.note("calls that could not connect: " + stand.counter("call.connect_failed"));
+                transcript.note("calls that could not connect: " + harness.counter("call.connect_failed"));
             }
         });
     }
@@ -85,8 +85,8 @@
                 transcript -> {
                     Endpoint one = new Endpoint("e1");
                     Endpoint two = new Endpoint("e2", one);
-                    try (Stand stand = new Stand(null, one, two);
-                            RecordedPeer client = client(transcript, stand)) {
+                    try (SchedulerHarness harness = new SchedulerHarness(null, one, two);
+                            RecordedPeer client = client(transcript, harness)) {
                         client.post("basket-check", "1", "", "two");
                         RecordedPeer first = call(transcript, "first endpoint", one);
                         first.reset();
@@ -105,8 +105,8 @@
                 transcript -> {
                     Endpoint one = new Endpoint("e1");
                     Endpoint two = new Endpoint("e2", one);
-                    try (Stand stand = new Stand(null, one, two);
-                            RecordedPeer client = client(transcript, stand)) {
+                    try (SchedulerHarness harness = new SchedulerHarness(null, one, two);
+                            RecordedPeer client = client(transcript, harness)) {
                         client.post("basket-check", "1", "", "two");
                         RecordedPeer first = call(transcript, "first endpoint", one);
                         first.message();
@@ -126,14 +126,14 @@
                 transcript -> {
                     Endpoint one = new Endpoint("e1");
                     Endpoint two = new Endpoint("e2", one);
-                    try (Stand stand = new Stand(null, one, two);
-                            RecordedPeer client = client(transcript, stand)) {
+                    try (SchedulerHarness harness = new SchedulerHarness(null, one, two);
+                            RecordedPeer client = client(transcript, harness)) {
                         client.post("card-capture", "1", "", "pay");
                         RecordedPeer first = call(transcript, "first endpoint", one);
                         first.message();
                         first.reset();
                         client.message();
-                        transcript.note("calls sent: " + stand.counter("call.sent"));
+                        transcript.note("calls sent: " + harness.counter("call.sent"));
                     }
                 });
     }
@@ -143,8 +143,8 @@
         Transcript.of(
                 "The endpoint declines: the job never ran, and is refused with a time to come back.", transcript -> {
                     Endpoint endpoint = new Endpoint("e1");
-                    try (Stand stand = new Stand(null, endpoint);
-                            RecordedPeer client = client(transcript, stand)) {
+                    try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                            RecordedPeer client = client(transcript, harness)) {
                         client.post("card-capture", "1", "", "pay");
                         RecordedPeer call = call(transcript, "e1", endpoint);
                         call.message();
@@ -163,14 +163,14 @@
                         "HTTP/9 what\r\n\r\n",
                         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
                         "HTTP/1.1 418 Teapot\r\n\r\n",
-                        Stand.watching("{\"id\":\"2\",\"state\":\"done\",\"result\":\"another's\"}"),
-                        Stand.watching("{\"id\":\"1\",\"state\":\"done\"}"),
-                        Stand.watching("{\"id\":\"1\",\"state\":\"done\",\"result\":7}"),
-                        Stand.watching("no JSON")
+                        SchedulerHarness.watchResponse("{\"id\":\"2\",\"state\":\"done\",\"result\":\"another's\"}"),
+                        SchedulerHarness.watchResponse("{\"id\":\"1\",\"state\":\"done\"}"),
+                        SchedulerHarness.watchResponse("{\"id\":\"1\",\"state\":\"done\",\"result\":7}"),
+                        SchedulerHarness.watchResponse("no JSON")
                     }) {
                         Endpoint endpoint = new Endpoint("e1");
-                        try (Stand stand = new Stand(null, endpoint);
-                                RecordedPeer client = client(transcript, stand)) {
+                        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                                RecordedPeer client = client(transcript, harness)) {
                             client.post("card-capture", "1", "", "pay");
                             RecordedPeer call = call(transcript, "e1", endpoint);
                             call.message();
@@ -188,8 +188,8 @@
                 transcript -> {
                     Endpoint one = new Endpoint("e1");
                     Endpoint two = new Endpoint("e2", one);
-                    try (Stand stand = new Stand(null, one, two);
-                            RecordedPeer client = client(transcript, stand)) {
+                    try (SchedulerHarness harness = new SchedulerHarness(null, one, two);
+                            RecordedPeer client = client(transcript, harness)) {
                         client.post("basket-check", "1", "", "two");
                         RecordedPeer first = call(transcript, "first endpoint", one);
                         first.message();
@@ -209,8 +209,9 @@
                 transcript -> {
                     Endpoint one = new Endpoint("e1");
                     Endpoint two = new Endpoint("e2", one);
-                    try (Stand stand = Stand.changed("'connectTimeout':1", "'connectTimeout':0.25", null, one, two);
-                            RecordedPeer client = client(transcript, stand)) {
+                    try (SchedulerHarness harness = SchedulerHarness.withSetting(
+                                    "'connectTimeout':1", "'connectTimeout':0.25", null, one, two);
+                            RecordedPeer client = client(transcript, harness)) {
                         client.post("basket-check", "1", "", "two");
                         RecordedPeer first = call(transcript, "first endpoint", one);
                         first.message();
@@ -227,14 +228,14 @@
     void clientGone() throws Exception {
         Transcript.of("The client leaves: its call is cancelled.", transcript -> {
             Endpoint endpoint = new Endpoint("e1");
-            try (Stand stand = new Stand(null, endpoint);
-                    RecordedPeer client = client(transcript, stand)) {
+            try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                    RecordedPeer client = client(transcript, harness)) {
                 client.post("basket-check", "1", "", "");
                 RecordedPeer call = call(transcript, "e1", endpoint);
                 call.message();
                 client.disconnect();
                 call.expectEnd();
-                transcript.note("requests withdrawn: " + stand.counter("http.withdrawn"));
+                transcript.note("requests withdrawn: " + harness.counter("http.withdrawn"));
             }
         });
     }
@@ -245,8 +246,8 @@
                 "The endpoint is silent until the client's deadline: failed in time, since it may have run.",
                 transcript -> {
                     Endpoint endpoint = new Endpoint("e1");
-                    try (Stand stand = new Stand(null, endpoint);
-                            RecordedPeer client = client(transcript, stand)) {
+                    try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                            RecordedPeer client = client(transcript, harness)) {
                         client.post("card-capture", "1", "Req-Deadline-Ms: 600\r\n", "pay");
                         RecordedPeer call = call(transcript, "e1", endpoint);
                         call.message();
@@ -262,9 +263,9 @@
                 "An id that is at work is handed in again: an error for the second, and no second call.",
                 transcript -> {
                     Endpoint endpoint = new Endpoint("e1");
-                    try (Stand stand = new Stand(null, endpoint);
-                            RecordedPeer client = client(transcript, stand);
-                            RecordedPeer other = new RecordedPeer(transcript, "another client", stand.http())) {
+                    try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                            RecordedPeer client = client(transcript, harness);
+                            RecordedPeer other = new RecordedPeer(transcript, "another client", harness.http())) {
                         client.post("card-capture", "1", "", "pay");
                         RecordedPeer call = call(transcript, "e1", endpoint);
                         call.message();
@@ -272,7 +273,7 @@
                         other.message();
                         call.reply("{'id':'1','state':'done','result':'paid'}");
                         client.message();
-                        transcript.note("calls sent: " + stand.counter("call.sent"));
+                        transcript.note("calls sent: " + harness.counter("call.sent"));
                     }
                 });
     }
@@ -283,7 +284,7 @@
         Transcript.of(
                 "What can't be read: each gets its error and the end of its connection; none is a request.",
                 transcript -> {
-                    try (Stand stand = new Stand(null, new Endpoint("e1"))) {
+                    try (SchedulerHarness harness = new SchedulerHarness(null, new Endpoint("e1"))) {
                         for (String bad : new String[] {
                             "what\r\n\r\n",
                             "POST /x HTTP/1.1\r\nNo colon\r\n\r\n",
@@ -297,8 +298,8 @@
                             "POST /basket-check\u0001 HTTP/1.1\r\nReq-Id: 1\r\n\r\n",
                             post + "Req-Id: 1\r\n\r\n"
                         }) {
-                            try (RecordedPeer client = client(transcript, stand)) {
-                                client.peer.noted(said -> transcript.message(
+                            try (RecordedPeer client = client(transcript, harness)) {
+                                client.peer.recordTo(said -> transcript.message(
                                         "client",
                                         "scheduler",
                                         said.length() < 1000 ? said : said.replaceAll("a{1000,}", "aaa...")));
@@ -306,7 +307,7 @@
                                 client.message();
                             }
                         }
-                        transcript.note("requests taken: " + stand.counter("http.taken"));
+                        transcript.note("requests taken: " + harness.counter("http.taken"));
                     }
                 });
     }
@@ -315,7 +316,7 @@
     void senseless() throws Exception {
         Transcript.of(
                 "What can be read and is no request: each gets its error, and its connection is kept.", transcript -> {
-                    try (Stand stand = new Stand(null, new Endpoint("e1"))) {
+                    try (SchedulerHarness harness = new SchedulerHarness(null, new Endpoint("e1"))) {
                         String rest = "Content-Length: 0\r\n\r\n";
                         for (String bad : new String[] {
                             "POST /basket-check HTTP/1.1\r\n" + rest,
@@ -326,12 +327,12 @@
                             "GET /nothing HTTP/1.1\r\n\r\n",
                             "DELETE /basket-check HTTP/1.1\r\n" + rest
                         }) {
-                            try (RecordedPeer client = client(transcript, stand)) {
+                            try (RecordedPeer client = client(transcript, harness)) {
                                 client.write(bad);
                                 client.message();
                             }
                         }
-                        transcript.note("requests taken: " + stand.counter("http.taken"));
+                        transcript.note("requests taken: " + harness.counter("http.taken"));
                     }
                 });
     }
--- a/src/test/java/laneflow/transcripts/MaintenanceTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/MaintenanceTranscriptsTest.java
@@ -15,9 +15,9 @@
 import laneflow.lab.rig.Crew;
 import laneflow.maintenance.decision.MaintenanceJson;
 import laneflow.maintenance.decision.Request;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Endpoint;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Endpoint;
+import laneflow.net.SchedulerHarness.Peer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -76,7 +76,7 @@
     }
 
     private static String get(int port, String path) throws IOException {
-        try (Peer peer = Stand.peer("127.0.0.1", port)) {
+        try (Peer peer = SchedulerHarness.peer("127.0.0.1", port)) {
             return peer.write("GET " + path + " HTTP/1.1\r\nHost: f\r\n\r\n").message();
         }
     }
@@ -132,7 +132,7 @@
         }
 
         private void sends(String who, String request) throws IOException {
-            try (RecordedPeer operator = new RecordedPeer(transcript, who, Stand.peer("127.0.0.1", fleet))) {
+            try (RecordedPeer operator = new RecordedPeer(transcript, who, SchedulerHarness.peer("127.0.0.1", fleet))) {
                 operator.write(request).message();
             }
         }
@@ -140,7 +140,8 @@
 
     /** A client's request and the resulting call at the expected endpoint. */
     private static void served(Transcript transcript, int clients, String id, Endpoint at) throws IOException {
-        try (RecordedPeer client = new RecordedPeer(transcript, "client", Stand.peer("127.0.0.1", clients))) {
+        try (RecordedPeer client =
+                new RecordedPeer(transcript, "client", SchedulerHarness.peer("127.0.0.1", clients))) {
             client.post("capture", id, "Req-Owner: shops\r\n", "pay");
             RecordedPeer call = new RecordedPeer(transcript, at.name, at.accept());
             call.message();
--- a/src/test/java/laneflow/transcripts/PolicyTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/PolicyTranscriptsTest.java
@@ -7,9 +7,9 @@
 import laneflow.assembly.Setup;
 import laneflow.lab.rig.Await;
 import laneflow.lab.rig.Crew;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Endpoint;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Endpoint;
+import laneflow.net.SchedulerHarness.Peer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -46,7 +46,7 @@
             try (RecordedPeer client = new RecordedPeer(
                     transcript,
                     "client",
-                    Stand.peer("127.0.0.1", serve.front().address().getPort()))) {
+                    SchedulerHarness.peer("127.0.0.1", serve.front().address().getPort()))) {
                 scenario.run(new Operator(transcript, fleet), client, endpoint);
             }
         } finally {
@@ -56,7 +56,7 @@
     }
 
     private static String raw(int port, String path) throws IOException {
-        try (Peer peer = Stand.peer("127.0.0.1", port)) {
+        try (Peer peer = SchedulerHarness.peer("127.0.0.1", port)) {
             return peer.write("GET " + path + " HTTP/1.1\r\nHost: f\r\n\r\n").message();
         }
     }
@@ -96,7 +96,8 @@
         }
 
         private void send(String request) throws IOException {
-            try (RecordedPeer operator = new RecordedPeer(transcript, "operator", Stand.peer("127.0.0.1", fleet))) {
+            try (RecordedPeer operator =
+                    new RecordedPeer(transcript, "operator", SchedulerHarness.peer("127.0.0.1", fleet))) {
                 operator.write(request).message();
             }
         }
--- a/src/test/java/laneflow/transcripts/RecordedGearmanPeer.java
+++ b/src/test/java/laneflow/transcripts/RecordedGearmanPeer.java
@@ -1,7 +1,7 @@
 package laneflow.transcripts;
 
 import laneflow.gearman.Gearman;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness.Peer;
 
 /** A Gearman client or worker whose packets are recorded in the transcript by name, with their arguments. */
 final class RecordedGearmanPeer {
--- a/src/test/java/laneflow/transcripts/RecordedPeer.java
+++ b/src/test/java/laneflow/transcripts/RecordedPeer.java
@@ -1,7 +1,7 @@
 package laneflow.transcripts;
 
 import java.io.IOException;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness.Peer;
 
 /** One end of a connection that records every message in a transcript, in readable form: no CR, chunks as lines. */
 final class RecordedPeer implements AutoCloseable {
@@ -16,7 +16,7 @@
         this.transcript = transcript;
         this.name = name;
         this.other = other;
-        this.peer = peer.noted(said -> transcript.message(name, other, readable(said)));
+        this.peer = peer.recordTo(said -> transcript.message(name, other, readable(said)));
     }
 
     RecordedPeer(Transcript transcript, String name, Peer peer) {
@@ -36,7 +36,7 @@
 
     /** Answers an attempt, as an endpoint does. */
     RecordedPeer reply(String... lines) throws IOException {
-        peer.says(lines);
+        peer.respond(lines);
         return this;
     }
 
@@ -70,7 +70,7 @@
 
     /** Expects the other side to end the connection without sending anything more. */
     void expectEnd() throws IOException {
-        if (!peer.ended()) {
+        if (!peer.isClosedByPeer()) {
             throw new AssertionError(other + " sends more to " + name);
         }
         transcript.note(other + " ends the connection with " + name);
--- a/src/test/java/laneflow/transcripts/SchedulerTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/SchedulerTranscriptsTest.java
@@ -4,8 +4,8 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import laneflow.assembly.Setup;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Endpoint;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Endpoint;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -16,8 +16,8 @@
     @TempDir
     private Path folder;
 
-    private static RecordedPeer client(Transcript transcript, Stand stand) throws IOException {
-        return new RecordedPeer(transcript, "client", stand.http());
+    private static RecordedPeer client(Transcript transcript, SchedulerHarness harness) throws IOException {
+        return new RecordedPeer(transcript, "client", harness.http());
     }
 
     private static RecordedPeer watch(Transcript transcript, String name, Endpoint discovery) throws IOException {
@@ -34,15 +34,16 @@
                     Endpoint discovery = new Endpoint("discovery");
                     Endpoint one = new Endpoint("e1");
                     Endpoint two = new Endpoint("e2");
-                    try (Stand stand = new Stand(discovery, one);
-                            RecordedPeer client = client(transcript, stand);
-                            RecordedPeer other = new RecordedPeer(transcript, "another client", stand.http())) {
+                    try (SchedulerHarness harness = new SchedulerHarness(discovery, one);
+                            RecordedPeer client = client(transcript, harness);
+                            RecordedPeer other = new RecordedPeer(transcript, "another client", harness.http())) {
                         RecordedPeer watch = watch(transcript, "discovery", discovery);
                         client.post("card-capture", "1", "", "pay");
                         RecordedPeer command = new RecordedPeer(transcript, "e1", one.accept());
                         command.message();
-                        watch.write(Stand.watching(Stand.list(2, false, one.host("Terminating"), two.host("Ready"))));
-                        stand.await("discovery.lists", 1);
+                        watch.write(SchedulerHarness.watchResponse(
+                                SchedulerHarness.hostList(2, false, one.host("Terminating"), two.host("Ready"))));
+                        harness.awaitCounter("discovery.lists", 1);
                         other.post("card-capture", "2", "", "pay");
                         RecordedPeer next = new RecordedPeer(transcript, "e2", two.accept());
                         next.message();
@@ -61,14 +62,16 @@
                 transcript -> {
                     Endpoint discovery = new Endpoint("discovery");
                     Endpoint one = new Endpoint("e1");
-                    try (Stand stand = new Stand(discovery, one)) {
+                    try (SchedulerHarness harness = new SchedulerHarness(discovery, one)) {
                         RecordedPeer first = watch(transcript, "discovery", discovery);
-                        first.reply(Stand.list(2, false, one.host("Ready")).replace('"', '\''));
+                        first.reply(SchedulerHarness.hostList(2, false, one.host("Ready"))
+                                .replace('"', '\''));
                         RecordedPeer second = watch(transcript, "discovery, 2nd watch", discovery);
                         second.reply("no list at all");
                         RecordedPeer third = watch(transcript, "discovery, 3rd watch", discovery);
-                        third.write(Stand.watching(Stand.list(9, true, one.host("Ready"))));
-                        stand.await("discovery.lists", 2);
+                        third.write(
+                                SchedulerHarness.watchResponse(SchedulerHarness.hostList(9, true, one.host("Ready"))));
+                        harness.awaitCounter("discovery.lists", 2);
                     }
                 });
     }
@@ -80,12 +83,13 @@
                 transcript -> {
                     Endpoint discovery = new Endpoint("discovery");
                     Endpoint one = new Endpoint("e1");
-                    try (Stand stand = new Stand(discovery, one)) {
+                    try (SchedulerHarness harness = new SchedulerHarness(discovery, one)) {
                         RecordedPeer first = watch(transcript, "discovery", discovery);
-                        first.write(Stand.watching(Stand.list(2, true, one.host("Ready"))));
-                        stand.await("discovery.lists", 1);
+                        first.write(
+                                SchedulerHarness.watchResponse(SchedulerHarness.hostList(2, true, one.host("Ready"))));
+                        harness.awaitCounter("discovery.lists", 1);
                         watch(transcript, "discovery, 2nd watch", discovery);
-                        RecordedPeer client = client(transcript, stand);
+                        RecordedPeer client = client(transcript, harness);
                         client.post("card-capture", "1", "", "pay");
                         RecordedPeer command = new RecordedPeer(transcript, "e1", one.accept());
                         command.message();
@@ -101,13 +105,13 @@
                 "Without known endpoints the scheduler is live, but not ready until discovery sends a list.",
                 transcript -> {
                     Endpoint discovery = new Endpoint("discovery");
-                    try (Stand stand = new Stand(discovery);
-                            RecordedPeer client = client(transcript, stand)) {
+                    try (SchedulerHarness harness = new SchedulerHarness(discovery);
+                            RecordedPeer client = client(transcript, harness)) {
                         RecordedPeer watch = watch(transcript, "discovery", discovery);
                         client.write("GET /health/live HTTP/1.1\r\n\r\n").message();
                         client.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
-                        watch.write(Stand.watching(Stand.list(2, true)));
-                        stand.await("discovery.lists", 1);
+                        watch.write(SchedulerHarness.watchResponse(SchedulerHarness.hostList(2, true)));
+                        harness.awaitCounter("discovery.lists", 1);
                         client.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
                     }
                 });
@@ -121,21 +125,24 @@
                     Endpoint first = new Endpoint("d1");
                     Endpoint second = new Endpoint("d2");
                     Endpoint one = new Endpoint("e1");
-                    try (Stand stand = new Stand(first, one)) {
+                    try (SchedulerHarness harness = new SchedulerHarness(first, one)) {
                         RecordedPeer old = watch(transcript, "discovery", first);
-                        for (String bad : new String[] {"{\"disco", Stand.config("discovery.svc")}) {
+                        for (String bad :
+                                new String[] {"{\"disco", SchedulerHarness.configWithDiscovery("discovery.svc")}) {
                             transcript.note("SIGHUP with an invalid file: malformed, or without a usable address");
-                            reload(stand, bad);
+                            reload(harness, bad);
                         }
                         transcript.note("SIGHUP with another address");
-                        reload(stand, Stand.config(second.dial()));
+                        reload(harness, SchedulerHarness.configWithDiscovery(second.dial()));
                         RecordedPeer next = watch(transcript, "discovery, moved", second);
-                        old.write(Stand.watching(Stand.list(8, false, one.host("Terminating"))));
-                        stand.await("discovery.lists", 1);
-                        next.write(Stand.watching(Stand.list(3, true, one.host("Ready"))));
-                        stand.await("discovery.lists", 2);
+                        old.write(SchedulerHarness.watchResponse(
+                                SchedulerHarness.hostList(8, false, one.host("Terminating"))));
+                        harness.awaitCounter("discovery.lists", 1);
+                        next.write(
+                                SchedulerHarness.watchResponse(SchedulerHarness.hostList(3, true, one.host("Ready"))));
+                        harness.awaitCounter("discovery.lists", 2);
                         old.expectEnd();
-                        transcript.note("moves: " + stand.counter("discovery.moves"));
+                        transcript.note("moves: " + harness.counter("discovery.moves"));
                     }
                 });
     }
@@ -144,15 +151,15 @@
     void plannedShutdown() throws Exception {
         Transcript.of("SIGTERM: open requests are answered, then the connections are closed.", transcript -> {
             Endpoint endpoint = new Endpoint("e1");
-            try (Stand stand = new Stand(null, endpoint);
-                    RecordedPeer client = client(transcript, stand);
-                    RecordedPeer idle = new RecordedPeer(transcript, "idle client", stand.http())) {
+            try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                    RecordedPeer client = client(transcript, harness);
+                    RecordedPeer idle = new RecordedPeer(transcript, "idle client", harness.http())) {
                 idle.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
                 client.post("card-capture", "1", "", "pay");
                 RecordedPeer command = new RecordedPeer(transcript, "e1", endpoint.accept());
                 command.message();
                 transcript.note("SIGTERM");
-                Thread stop = new Thread(stand.serve::stop);
+                Thread stop = new Thread(harness.serve::stop);
                 stop.start();
                 idle.expectEnd();
                 command.reply("{'id':'1','state':'done','result':'paid'}");
@@ -171,16 +178,16 @@
                 transcript -> {
                     Endpoint endpoint = new Endpoint("e1");
                     Path own = Files.createTempDirectory(folder, "stand");
-                    try (Stand stand = Stand.operated(own, endpoint)) {
+                    try (SchedulerHarness harness = SchedulerHarness.withOperatorPort(own, endpoint)) {
                         for (String command : new String[] {
                             "check", "", "checks", "check now", "set-down", "set-down e9", "drain-on 3", "set-down e1"
                         }) {
-                            operator(transcript, stand, command);
+                            operator(transcript, harness, command);
                         }
-                        try (RecordedPeer client = client(transcript, stand)) {
+                        try (RecordedPeer client = client(transcript, harness)) {
                             client.post("card-capture", "1", "", "pay");
                             client.message();
-                            operator(transcript, stand, "set-up e1");
+                            operator(transcript, harness, "set-up e1");
                             client.post("card-capture", "2", "", "pay");
                             RecordedPeer command = new RecordedPeer(transcript, "e1", endpoint.accept());
                             command.message();
@@ -192,13 +199,13 @@
     }
 
     /** Reloads with a file of its own for each call: the files are read later, one after the other. */
-    private void reload(Stand stand, String text) throws IOException {
+    private void reload(SchedulerHarness harness, String text) throws IOException {
         Path file = Files.writeString(Files.createTempFile(folder, "config", ".json"), text);
-        stand.serve.reload(() -> Setup.platform(file, null, null));
+        harness.serve.reload(() -> Setup.platform(file, null, null));
     }
 
-    private static void operator(Transcript transcript, Stand stand, String command) throws IOException {
-        try (RecordedPeer operator = new RecordedPeer(transcript, "operator", stand.operator())) {
+    private static void operator(Transcript transcript, SchedulerHarness harness, String command) throws IOException {
+        try (RecordedPeer operator = new RecordedPeer(transcript, "operator", harness.operator())) {
             operator.write(command + "\n");
             operator.line();
             operator.expectEnd();
--- a/src/test/java/laneflow/transcripts/TaskTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/TaskTranscriptsTest.java
@@ -8,9 +8,9 @@
 import laneflow.cli.CliRun;
 import laneflow.lab.rig.Await;
 import laneflow.lab.rig.Crew;
-import laneflow.net.Stand;
-import laneflow.net.Stand.Endpoint;
-import laneflow.net.Stand.Peer;
+import laneflow.net.SchedulerHarness;
+import laneflow.net.SchedulerHarness.Endpoint;
+import laneflow.net.SchedulerHarness.Peer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -84,7 +84,7 @@
         }
 
         private String raw() throws IOException {
-            try (Peer peer = Stand.peer("127.0.0.1", leaderPort)) {
+            try (Peer peer = SchedulerHarness.peer("127.0.0.1", leaderPort)) {
                 return peer.write("GET /tasks HTTP/1.1\r\nHost: f\r\n\r\n").message();
             }
         }
