--- a/src/main/java/laneflow/assembly/FleetSubsystem.java
+++ b/src/main/java/laneflow/assembly/FleetSubsystem.java
@@ -118,7 +118,7 @@
                 ? null
                 : new MaintenanceExtension(
                         loop, core.loop(), scheduler, counters, () -> policyInForce(), setup.maintenance());
-        ExecutorService reading = Threads.inOrder("policy-reader");
+        ExecutorService reading = Threads.serialExecutor("policy-reader");
         policy = setup.policy() == null
                 ? null
                 : new PolicySubsystem(new PolicySubsystem.Dependencies(
--- a/src/main/java/laneflow/assembly/Serve.java
+++ b/src/main/java/laneflow/assembly/Serve.java
@@ -118,13 +118,13 @@
             front.listenPassed();
             operations.begin(front);
         } else {
-            front.listen(Loop.address(config.listen));
+            front.listen(Loop.parseAddress(config.listen));
         }
         if (ops != null) {
-            operations.listen(Loop.address(ops));
+            operations.listen(Loop.parseAddress(ops));
         }
         if (gearman != null) {
-            gearman.listen(Loop.address(gearmanConfig.listen));
+            gearman.listen(Loop.parseAddress(gearmanConfig.listen));
         }
         subsystems.opened();
     }
@@ -171,7 +171,7 @@
         Setup setup = source.read();
         // Without a handler the machine ends on SIGHUP, and all that is open with it. Files are read off the
         // loop, one after the other: the last reading is of the newest file, however close signals come.
-        ExecutorService reader = Threads.inOrder("reload");
+        ExecutorService reader = Threads.serialExecutor("reload");
         CompletableFuture<Serve> serving = new CompletableFuture<>();
         if (!HangupSignal.handle(() -> reader.execute(() -> serving.join().reload(source)))) {
             LOG.warn("SIGHUP is ignored, as under nohup: a moved discovery will not be followed");
@@ -219,7 +219,7 @@
                 LOG.warn("read again: there is no discovery to follow, nothing changes");
                 return;
             }
-            Loop.address(discovery);
+            Loop.parseAddress(discovery);
             loop.later(() -> watch.follow(discovery));
         } catch (IOException | WireException | RuntimeException e) {
             LOG.warn("the configuration stays as it was: {}", e.getMessage());
--- a/src/main/java/laneflow/assembly/Streaming.java
+++ b/src/main/java/laneflow/assembly/Streaming.java
@@ -88,7 +88,7 @@
             client.begin();
         });
         if (port != null) {
-            port.listen(Loop.address(config.listen));
+            port.listen(Loop.parseAddress(config.listen));
         }
     }
 
--- a/src/main/java/laneflow/cli/ConfigCommand.java
+++ b/src/main/java/laneflow/cli/ConfigCommand.java
@@ -320,7 +320,7 @@
 
     /** One GET, whole; what is no 200 is an IOException. */
     private static String ask(String address, String path) throws IOException {
-        InetSocketAddress at = Loop.address(address);
+        InetSocketAddress at = Loop.parseAddress(address);
         try (Socket socket = new Socket()) {
             socket.connect(at, WITHIN_MS);
             socket.setSoTimeout(WITHIN_MS);
--- a/src/main/java/laneflow/cli/PolicyCommand.java
+++ b/src/main/java/laneflow/cli/PolicyCommand.java
@@ -86,7 +86,7 @@
          * @param body what is sent, by POST; null: GET
          */
         Said send(String address, String path, String body) throws IOException {
-            Loop.address(address);
+            Loop.parseAddress(address);
             URL to = new URL("http://" + address + path);
             for (int hop = 0; ; hop++) {
                 HttpURLConnection call = (HttpURLConnection) to.openConnection(Proxy.NO_PROXY);
--- a/src/main/java/laneflow/control/ControlConfig.java
+++ b/src/main/java/laneflow/control/ControlConfig.java
@@ -40,7 +40,7 @@
         }
         for (String address : addresses) {
             try {
-                Loop.address(address);
+                Loop.parseAddress(address);
             } catch (IllegalArgumentException e) {
                 from.addFinding("addresses", e.getMessage());
             }
@@ -65,7 +65,7 @@
         listen = from.text("listen", null);
         try {
             if (listen != null) {
-                Loop.address(listen);
+                Loop.parseAddress(listen);
             }
         } catch (IllegalArgumentException e) {
             from.addFinding("listen", e.getMessage());
--- a/src/main/java/laneflow/control/DestinationType.java
+++ b/src/main/java/laneflow/control/DestinationType.java
@@ -133,7 +133,7 @@
 
     private void checkDial(String dial, String path, List<String> findings) {
         try {
-            var address = Loop.address(dial);
+            var address = Loop.parseAddress(dial);
             if (address.getPort() == 0) {
                 findings.add(path + ".dial: port 0 is none");
             } else if (allowed.stream().noneMatch(range -> range.contains(address.getAddress()))) {
--- a/src/main/java/laneflow/control/SettingTypes.java
+++ b/src/main/java/laneflow/control/SettingTypes.java
@@ -265,7 +265,7 @@
     private static void checkListen(JsonElement listen, Findings findings) {
         try {
             if (listen != null) {
-                Loop.address(listen.getAsString());
+                Loop.parseAddress(listen.getAsString());
             }
         } catch (IllegalArgumentException e) {
             findings.add("resources[0]", "listen", e.getMessage());
--- a/src/main/java/laneflow/fleet/Fleet.java
+++ b/src/main/java/laneflow/fleet/Fleet.java
@@ -104,7 +104,7 @@
 
     /** Opens the port for links and requests. */
     public void listen() throws IOException {
-        port.listen(Loop.address(config.listen), config.maxLinks);
+        port.listen(Loop.parseAddress(config.listen), config.maxLinks);
     }
 
     public StreamPort port() {
--- a/src/main/java/laneflow/fleet/FleetConfig.java
+++ b/src/main/java/laneflow/fleet/FleetConfig.java
@@ -52,7 +52,7 @@
     /** Parses an address in the table. Returns null if it is missing, or invalid and reported as a finding. */
     public static InetSocketAddress address(Table from, String key, String text) {
         try {
-            return text == null || text.isEmpty() ? null : Loop.address(text);
+            return text == null || text.isEmpty() ? null : Loop.parseAddress(text);
         } catch (IllegalArgumentException e) {
             from.addFinding(key, e.getMessage());
             return null;
--- a/src/main/java/laneflow/gearman/Packet.java
+++ b/src/main/java/laneflow/gearman/Packet.java
@@ -104,10 +104,10 @@
     }
 
     private static int readInt(Ring in, int at) {
-        return (in.at(at) & 0xff) << 24
-                | (in.at(at + 1) & 0xff) << 16
-                | (in.at(at + 2) & 0xff) << 8
-                | in.at(at + 3) & 0xff;
+        return (in.byteAt(at) & 0xff) << 24
+                | (in.byteAt(at + 1) & 0xff) << 16
+                | (in.byteAt(at + 2) & 0xff) << 8
+                | in.byteAt(at + 3) & 0xff;
     }
 
     /** Splits the data into this number of arguments; fewer are malformed. */
--- a/src/main/java/laneflow/gearman/Peer.java
+++ b/src/main/java/laneflow/gearman/Peer.java
@@ -68,7 +68,7 @@
 
     /** Extends the timeout of a large packet by the time its size takes at the minimum rate. */
     private void extendTimeout(long bytes) {
-        if (bytes > UNEXTENDED_BYTES && !timeoutExtended && link.in.at(0) == 0) {
+        if (bytes > UNEXTENDED_BYTES && !timeoutExtended && link.in.byteAt(0) == 0) {
             timeoutExtended = true;
             front.loop
                     .deadlines()
@@ -100,7 +100,7 @@
 
     void disconnect() {
         link.close();
-        broken(link);
+        disconnected(link);
     }
 
     boolean isFlushed() {
@@ -132,7 +132,7 @@
         PendingReply reply = new PendingReply();
         pendingReplies.add(reply);
         if (pendingReplies.size() >= MAX_PENDING_REPLIES) {
-            link.holdReads();
+            link.suspendReads();
         }
         return reply;
     }
@@ -159,7 +159,7 @@
             LOG.warn("closing Gearman connection of {}: output buffer full, peer does not read its replies", clientId);
             front.scheduler.counters().add("gearman.slow_reader");
             link.close();
-            front.loop.later(() -> broken(link));
+            front.loop.later(() -> disconnected(link));
         }
     }
 
@@ -169,14 +169,14 @@
 
     /** Its line in the reply to 'workers', which lists every connection as gearmand does. */
     String describe() {
-        return link.handle() + " " + link.peer() + " " + clientId + " :" + worker.describeFunctions() + "\n";
+        return link.handle() + " " + link.peerHost() + " " + clientId + " :" + worker.describeFunctions() + "\n";
     }
 
     @Override
     public void received(Link from) {
         try {
             while (!link.in.isEmpty() && !link.isClosed()) {
-                if (link.in.at(0) != 0) {
+                if (link.in.byteAt(0) != 0) {
                     if (!handleLine()) {
                         break;
                     }
@@ -201,13 +201,13 @@
             front.scheduler.counters().add("gearman.malformed");
             LOG.debug("{}: {}", clientId, e.getMessage());
             error("MALFORMED", e.getMessage());
-            link.endWhenFlushed();
-            front.loop.later(() -> broken(link));
+            link.endOutputWhenFlushed();
+            front.loop.later(() -> disconnected(link));
         }
     }
 
     private boolean handleLine() throws Packet.MalformedPacket {
-        int end = link.in.find((byte) '\n', 0);
+        int end = link.in.indexOf((byte) '\n', 0);
         if (end < 0) {
             if (link.in.size() > MAX_LINE_BYTES) {
                 throw new Packet.MalformedPacket("neither a packet nor a line");
@@ -363,7 +363,7 @@
     }
 
     @Override
-    public void broken(Link gone) {
+    public void disconnected(Link gone) {
         packetComplete();
         worker.disconnected();
         front.remove(this, slot);
--- a/src/main/java/laneflow/http/Client.java
+++ b/src/main/java/laneflow/http/Client.java
@@ -77,8 +77,8 @@
     /** Its time is over: with something to answer it hears so, else it ends; what came just now is read. */
     private void late() {
         boolean owed = owes;
-        link.look();
-        if (link.isClosed() || link.isEnded() || timer.isSet() || owes && !owed) {
+        link.readNow();
+        if (link.isClosed() || link.isOutputEnded() || timer.isSet() || owes && !owed) {
             return;
         }
         if (begun && reader.isInside(link.in)) {
@@ -94,7 +94,7 @@
 
     /** The connection holds a request whose answer is not wholly written, or one that is coming in. */
     boolean isBusy() {
-        return !link.isEnded() && (owes || !link.out.isEmpty() || reader.isInside(link.in));
+        return !link.isOutputEnded() && (owes || !link.out.isEmpty() || reader.isInside(link.in));
     }
 
     boolean isIdle() {
@@ -107,7 +107,7 @@
      * flood the newest are mostly clients whose request is on its way.
      */
     int rank() {
-        if (link.isEnded()) {
+        if (link.isOutputEnded()) {
             return 0;
         }
         if (owes || !link.out.isEmpty()) {
@@ -131,7 +131,7 @@
     }
 
     private void countUnanswered() {
-        if (link.isEnded()) {
+        if (link.isOutputEnded()) {
             return;
         }
         if (request != null || !link.out.isEmpty()) {
@@ -153,25 +153,25 @@
         }
         countUnanswered();
         front.loop.deadlines().cancel(timer);
-        link.endWhenFlushed();
+        link.endOutputWhenFlushed();
     }
 
     /** Ends it unless a request is there, or about to be read, or it has come or been used only just. */
     void endUnlessBusy(long young, long unused) {
-        if (link.isEnded() || front.loop.micros() - since < (begun ? young : unused)) {
+        if (link.isOutputEnded() || front.loop.micros() - since < (begun ? young : unused)) {
             return;
         }
         if (!isBusy()) {
-            link.look();
+            link.readNow();
         }
-        if (!link.isClosed() && !link.isEnded() && !isBusy()) {
+        if (!link.isClosed() && !link.isOutputEnded() && !isBusy()) {
             endConnection();
         }
     }
 
     /** Makes room for another client, unless a request has come on it just now; true if there is room. */
     boolean giveWay() {
-        link.look();
+        link.readNow();
         readOn();
         if (link.isClosed()) {
             return true;
@@ -199,7 +199,7 @@
         }
         reading = true;
         try {
-            while (!owes && !link.in.isEmpty() && !link.isClosed() && !link.isEnded()) {
+            while (!owes && !link.in.isEmpty() && !link.isClosed() && !link.isOutputEnded()) {
                 reader.read(link.in);
                 if (!reader.isDone()) {
                     break;
@@ -214,7 +214,7 @@
         } finally {
             reading = false;
         }
-        if (link.hasDropped() && !sentTooMuch) {
+        if (link.hasDroppedInput() && !sentTooMuch) {
             sentTooMuch = true;
             front.count("http.too_much_at_once");
         }
@@ -230,13 +230,13 @@
 
     /** Behind more requests than are kept the end of the connection must still be seen. */
     @Override
-    public boolean dropsBeyondRing() {
+    public boolean dropsInputBeyondRing() {
         return true;
     }
 
     /** Reads what came in while an answer was owed. */
     private void readOn() {
-        if (!link.isClosed() && !link.isEnded()) {
+        if (!link.isClosed() && !link.isOutputEnded()) {
             received(link);
         }
     }
@@ -266,7 +266,7 @@
     @Override
     public void end() {
         owes = true;
-        arrived = link.arrivalOfLastTaken();
+        arrived = link.lastConsumedArrival();
         // From here on the request's own deadline runs.
         front.loop.deadlines().cancel(timer);
     }
@@ -352,7 +352,7 @@
             // Until it is written out it stays owed: the program must not end before.
             owes = true;
             expect(UNREAD);
-            link.endWhenFlushed();
+            link.endOutputWhenFlushed();
             return;
         }
         owes = false;
@@ -372,18 +372,18 @@
     private boolean isServedUp() {
         if (servesUpTo < 0) {
             link.hasPeerEnded();
-            servesUpTo = link.in.taken() + link.in.size();
+            servesUpTo = link.in.consumedBytes() + link.in.size();
         }
-        while (!link.in.isEmpty() && (link.in.at(0) == '\r' || link.in.at(0) == '\n')) {
+        while (!link.in.isEmpty() && (link.in.byteAt(0) == '\r' || link.in.byteAt(0) == '\n')) {
             // Empty lines between messages are none.
             link.in.skip(1);
         }
-        return link.in.taken() >= servesUpTo;
+        return link.in.consumedBytes() >= servesUpTo;
     }
 
     @Override
     public void flushed(Link on) {
-        if (on.isEnded()) {
+        if (on.isOutputEnded()) {
             // The link closes it within its own time.
             front.loop.deadlines().cancel(timer);
         } else if (!owes && !begun) {
@@ -392,7 +392,7 @@
     }
 
     @Override
-    public void broken(Link gone) {
+    public void disconnected(Link gone) {
         drop();
         if (request != null) {
             Request left = request;
--- a/src/main/java/laneflow/http/DiscoveryWatch.java
+++ b/src/main/java/laneflow/http/DiscoveryWatch.java
@@ -133,7 +133,7 @@
         scheduler.counters().add("discovery.watches");
         loop.deadlines().set(timer, loop.micros() + CONNECT);
         current = new Watch();
-        current.link = loop.connect(Loop.address(address), RING, RING, current);
+        current.link = loop.connect(Loop.parseAddress(address), RING, RING, current);
     }
 
     /** Discovery is elsewhere now. The new address owes its whole list, whatever the old one told last. */
@@ -196,7 +196,7 @@
         /** Its time has run out: unless a word lies there unread, the next watch begins. */
         private void late() {
             if (up) {
-                link.look();
+                link.readNow();
             }
             if (timer.isSet()) {
                 return;
@@ -237,7 +237,7 @@
         }
 
         @Override
-        public void notOpened(Link gone) {
+        public void connectFailed(Link gone) {
             over();
         }
 
@@ -255,7 +255,7 @@
         }
 
         @Override
-        public void broken(Link gone) {
+        public void disconnected(Link gone) {
             over();
         }
 
--- a/src/main/java/laneflow/http/EndpointConnection.java
+++ b/src/main/java/laneflow/http/EndpointConnection.java
@@ -134,7 +134,7 @@
 
     private void readWhatIsThere() {
         if (up) {
-            link.look();
+            link.readNow();
         }
     }
 
@@ -156,7 +156,7 @@
 
     /** True if it is still up, with nothing there that nobody asked for: what came unread is read first. */
     boolean isSound() {
-        link.look();
+        link.readNow();
         return !link.isClosed();
     }
 
@@ -180,7 +180,7 @@
                 connector.loop.later(() -> finish(Outcome.MOOT));
                 return;
             }
-            link = connector.loop.connect(Loop.address(dial), IN_RING, connector.outRing(), this);
+            link = connector.loop.connect(Loop.parseAddress(dial), IN_RING, connector.outRing(), this);
             expect(connector.connectTimeout);
         } catch (IllegalArgumentException e) {
             LOG.warn("{}: {}", endpoint, e.getMessage());
@@ -200,7 +200,7 @@
     }
 
     @Override
-    public void notOpened(Link gone) {
+    public void connectFailed(Link gone) {
         finish(Outcome.CONNECT_FAILED);
     }
 
@@ -364,7 +364,7 @@
     }
 
     @Override
-    public void broken(Link gone) {
+    public void disconnected(Link gone) {
         if (isResting()) {
             shut();
         } else if (ended() && answer.outcome() != null) {
--- a/src/main/java/laneflow/http/HttpReader.java
+++ b/src/main/java/laneflow/http/HttpReader.java
@@ -105,15 +105,15 @@
 
     private boolean head(Ring in) throws HttpException {
         // Empty lines before a start line are skipped, as RFC 9112 asks.
-        while (!in.isEmpty() && scanned == 0 && (in.at(0) == '\r' || in.at(0) == '\n')) {
+        while (!in.isEmpty() && scanned == 0 && (in.byteAt(0) == '\r' || in.byteAt(0) == '\n')) {
             in.skip(1);
         }
-        for (int at = in.find((byte) '\n', scanned); at >= 0; at = in.find((byte) '\n', at + 1)) {
-            boolean bare = at > 0 && in.at(at - 1) == '\n';
+        for (int at = in.indexOf((byte) '\n', scanned); at >= 0; at = in.indexOf((byte) '\n', at + 1)) {
+            boolean bare = at > 0 && in.byteAt(at - 1) == '\n';
             if (at + 1 > MOST_HEAD) {
                 break;
             }
-            if (bare || at > 1 && in.at(at - 1) == '\r' && in.at(at - 2) == '\n') {
+            if (bare || at > 1 && in.byteAt(at - 1) == '\r' && in.byteAt(at - 2) == '\n') {
                 byte[] bytes = new byte[at + 1];
                 in.take(bytes, 0, bytes.length);
                 begin(HttpHead.parse(bytes, response));
@@ -246,7 +246,7 @@
     }
 
     private static String line(Ring in) throws HttpException {
-        int end = in.find((byte) '\n', 0);
+        int end = in.indexOf((byte) '\n', 0);
         if (end > MOST_LINE || end < 0 && in.size() > MOST_LINE) {
             throw new HttpException(400, "line too long");
         }
--- a/src/main/java/laneflow/http/LineStream.java
+++ b/src/main/java/laneflow/http/LineStream.java
@@ -62,7 +62,7 @@
                 + "Transfer-Encoding: chunked\r\n\r\n";
         timer = loop.deadlines().create(() -> end("nothing was heard in time"));
         loop.deadlines().set(timer, loop.micros() + connect);
-        link = loop.connect(Loop.address(address), IN_RING, OUT_RING, this);
+        link = loop.connect(Loop.parseAddress(address), IN_RING, OUT_RING, this);
     }
 
     /** Sends a line; false if it can't take it, and then it is over. */
@@ -78,7 +78,7 @@
     /** Reads no more until {@link #resume}: what came is not yet worked off. Silence is not counted then. */
     public void hold() {
         loop.deadlines().cancel(timer);
-        link.holdReads();
+        link.suspendReads();
     }
 
     public void resume() {
@@ -110,7 +110,7 @@
     }
 
     @Override
-    public void notOpened(Link gone) {
+    public void connectFailed(Link gone) {
         end("no connection");
     }
 
@@ -128,7 +128,7 @@
     }
 
     @Override
-    public void broken(Link gone) {
+    public void disconnected(Link gone) {
         end("the connection broke");
     }
 
--- a/src/main/java/laneflow/http/OperatorPort.java
+++ b/src/main/java/laneflow/http/OperatorPort.java
@@ -112,7 +112,7 @@
                             + body.length + "\r\nConnection: close\r\n\r\n")
                     .getBytes(StandardCharsets.US_ASCII));
             link.out.put(body);
-            link.endWhenFlushed();
+            link.endOutputWhenFlushed();
         }
 
         @Override
@@ -131,7 +131,7 @@
         }
 
         @Override
-        public void broken(Link gone) {
+        public void disconnected(Link gone) {
             over();
         }
     }
--- a/src/main/java/laneflow/http/StreamPort.java
+++ b/src/main/java/laneflow/http/StreamPort.java
@@ -66,7 +66,7 @@
 
     /** @param most connections at a time; they come out of no client's part of the descriptors */
     public void listen(InetSocketAddress at, int most) throws IOException {
-        listener = loop.listenApart(at, IN_RING, OUT_RING, most, () -> false, Peer::new);
+        listener = loop.listenWithOwnLimit(at, IN_RING, OUT_RING, most, () -> false, Peer::new);
         listener.begin();
         LOG.info("other schedulers at {}", listener.address());
     }
@@ -147,7 +147,7 @@
                             .getBytes(StandardCharsets.US_ASCII))
                     && link.out.put(bytes);
             if (fits) {
-                link.endWhenFlushed();
+                link.endOutputWhenFlushed();
             } else {
                 over("an answer of " + bytes.length + " bytes");
             }
@@ -190,7 +190,7 @@
         }
 
         @Override
-        public void broken(Link gone) {
+        public void disconnected(Link gone) {
             over("the connection broke");
         }
 
--- a/src/main/java/laneflow/maintenance/MaintenanceSubsystem.java
+++ b/src/main/java/laneflow/maintenance/MaintenanceSubsystem.java
@@ -25,7 +25,7 @@
             MaintenanceExtension extension,
             MaintenanceConfig config) {
         this.extension = extension;
-        thread = config == null ? null : Threads.inOrder("maintenance-planner");
+        thread = config == null ? null : Threads.serialExecutor("maintenance-planner");
         coordinatorTask = config == null
                 ? null
                 : new CoordinatorTask(loop, tasks, counters, config, thread, new PlanningSession(config));
--- a/src/main/java/laneflow/membership/Members.java
+++ b/src/main/java/laneflow/membership/Members.java
@@ -171,7 +171,7 @@
         times = new Times(config.period);
         zone = truncate(dependencies.zone(), MemberMetadata.MAX_ZONE_BYTES);
         build = truncate(dependencies.fleet().self().build(), MemberMetadata.MAX_BUILD_BYTES);
-        InetSocketAddress listenAddress = Loop.address(
+        InetSocketAddress listenAddress = Loop.parseAddress(
                 dependencies.fleet().address(dependencies.fleet().self().name()));
         linkAddress = listenAddress.getAddress().isAnyLocalAddress() ? null : listenAddress;
         tickDeadline = loop.deadlines().create(this::tick);
--- a/src/main/java/laneflow/net/Datagrams.java
+++ b/src/main/java/laneflow/net/Datagrams.java
@@ -24,19 +24,19 @@
     private static final int RECEIVE_BUFFER = 256 * 1024;
 
     /** Takes a datagram; the bytes are the taker's only until it returns. */
-    public interface Taker {
+    public interface Receiver {
         /** @param length of the datagram, beyond the longest taken where it was cut off */
-        void take(InetSocketAddress from, byte[] bytes, int length);
+        void receive(InetSocketAddress from, byte[] bytes, int length);
     }
 
     private final Loop loop;
-    private final Taker taker;
+    private final Receiver taker;
     private final byte[] bytes;
     private final ByteBuffer in;
     private final SocketAddressBuffer from = new SocketAddressBuffer();
     private final MulticastMessageChannel channel;
 
-    Datagrams(Loop loop, XnioWorker worker, InetSocketAddress at, int most, Taker taker) throws IOException {
+    Datagrams(Loop loop, XnioWorker worker, InetSocketAddress at, int most, Receiver taker) throws IOException {
         this.loop = loop;
         this.taker = taker;
         bytes = new byte[most + 1];
@@ -57,7 +57,7 @@
                 InetSocketAddress source = from.getSourceAddress(InetSocketAddress.class);
                 from.clear();
                 if (length > 0 && source != null) {
-                    taker.take(source, bytes, in.position());
+                    taker.receive(source, bytes, in.position());
                 } else if (length <= 0) {
                     return;
                 }
--- a/src/main/java/laneflow/net/Link.java
+++ b/src/main/java/laneflow/net/Link.java
@@ -70,7 +70,7 @@
     }
 
     /** The other side's address in figures; "-" where it is not known. */
-    public String peer() {
+    public String peerHost() {
         InetSocketAddress at = connection == null ? null : connection.getPeerAddress(InetSocketAddress.class);
         return at == null ? "-" : at.getAddress().getHostAddress();
     }
@@ -98,7 +98,7 @@
     }
 
     /** Reads what is there already: before it closes a connection, its owner looks once more. */
-    public void look() {
+    public void readNow() {
         if (!closed && connection != null) {
             readable();
         }
@@ -125,19 +125,20 @@
             return;
         }
         // A peer that sends on and on is not read further than the ring holds.
-        if (!closed && !readsHeld && linger == null && in.isFull() && !handler.dropsBeyondRing()) {
-            holdReads();
+        if (!closed && !readsHeld && linger == null && in.isFull() && !handler.dropsInputBeyondRing()) {
+            suspendReads();
         }
     }
 
     /** Reads once, as the conduit does; 0 also where there is no room. */
     private int take() throws IOException {
-        if (linger == null && (dropped > 0 || in.isFull() && handler.dropsBeyondRing())) {
+        if (linger == null && (dropped > 0 || in.isFull() && handler.dropsInputBeyondRing())) {
             return drop();
         }
         int got = in.readFrom(source);
         if (got > 0) {
-            arrivals.add(in.taken() + in.size(), waitedSince < 0 ? loop.micros() : waitedSince, in.taken());
+            arrivals.add(
+                    in.consumedBytes() + in.size(), waitedSince < 0 ? loop.micros() : waitedSince, in.consumedBytes());
         }
         return got;
     }
@@ -146,13 +147,13 @@
         int got = source.read(loop.scratch());
         dropped += Math.max(0, got);
         if (dropped > MOST_DROPPED) {
-            holdReads();
+            suspendReads();
         }
         return got;
     }
 
     /** True if bytes behind a full ring have been dropped: what is in the ring has no sound continuation. */
-    public boolean hasDropped() {
+    public boolean hasDroppedInput() {
         return dropped > 0;
     }
 
@@ -162,8 +163,8 @@
     }
 
     /** When the last byte that was taken out of the incoming ring arrived, microseconds. */
-    public long arrivalOfLastTaken() {
-        return arrivals.before(in.taken(), loop.micros());
+    public long lastConsumedArrival() {
+        return arrivals.before(in.consumedBytes(), loop.micros());
     }
 
     /**
@@ -191,7 +192,7 @@
     }
 
     /** Stops reading until {@link #resumeReads}. */
-    public void holdReads() {
+    public void suspendReads() {
         if (!closed && !readsHeld) {
             readsHeld = true;
             source.suspendReads();
@@ -240,7 +241,7 @@
         in.skip(in.size());
         passedOver += got;
         if (passedOver > MOST_PASSED_OVER) {
-            holdReads();
+            suspendReads();
         }
     }
 
@@ -265,20 +266,20 @@
      * Ends the sending once all is written, and closes when the other side has ended too or some time has
      * passed. Closed at once, with input unread, the connection would be reset and the answer might be lost.
      */
-    public void endWhenFlushed() {
+    public void endOutputWhenFlushed() {
         endWhenFlushed = true;
         flush();
     }
 
     /** All has been sent, and nothing more is read from it. */
-    public boolean isEnded() {
+    public boolean isOutputEnded() {
         return linger != null;
     }
 
     private void broken() {
         if (!closed) {
             close();
-            handler.broken(this);
+            handler.disconnected(this);
         }
     }
 
--- a/src/main/java/laneflow/net/LinkHandler.java
+++ b/src/main/java/laneflow/net/LinkHandler.java
@@ -6,7 +6,7 @@
     default void opened(Link link) {}
 
     /** It did not come up. */
-    default void notOpened(Link link) {}
+    default void connectFailed(Link link) {}
 
     /** Bytes have come in; what is not taken from the ring stays there. */
     void received(Link link);
@@ -16,13 +16,13 @@
 
     /**
      * Whether bytes that come while the incoming ring is full are read and dropped, so that the end of the
-     * connection is seen behind them ({@link Link#hasDropped}). Otherwise they stay unread until
+     * connection is seen behind them ({@link Link#hasDroppedInput}). Otherwise they stay unread until
      * {@link Link#resumeReads}.
      */
-    default boolean dropsBeyondRing() {
+    default boolean dropsInputBeyondRing() {
         return false;
     }
 
     /** The other side has ended or broken it; it is closed already, and what it had sent was told before. */
-    void broken(Link link);
+    void disconnected(Link link);
 }
--- a/src/main/java/laneflow/net/Loop.java
+++ b/src/main/java/laneflow/net/Loop.java
@@ -194,7 +194,7 @@
     // ---- connections ----
 
     /** An address in figures: there are no names to look up. */
-    public static InetSocketAddress address(String text) {
+    public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
         if (host.startsWith("[") && host.endsWith("]")) {
@@ -266,7 +266,7 @@
                     .set(Options.BACKLOG, BACKLOG)
                     .getMap();
             channel = isPassed
-                    ? PassedServer.on(worker, passed, heard, options)
+                    ? PassedServer.wrap(worker, passed, heard, options)
                     : worker.createStreamConnectionServer(at, heard, options);
         }
 
@@ -405,7 +405,7 @@
                 closeNow(turnedAway);
             } else {
                 // The thread that accepts may not have come yet to those that wait in the system's queue.
-                AcceptingThread.afterNextLook(worker, () -> {
+                AcceptingThread.afterNextSelect(worker, () -> {
                     if (!worker.isShutdown()) {
                         later(() -> closeNow(turnedAway));
                     }
@@ -440,7 +440,7 @@
      * The same with a part of its own, so that nobody else's connections shut it, nor its own anybody's. Such
      * parts come out of what the virtual machine leaves of its descriptors, and are small.
      */
-    public Listener listenApart(
+    public Listener listenWithOwnLimit(
             InetSocketAddress at,
             int inLimit,
             int outLimit,
@@ -452,7 +452,7 @@
     }
 
     /** Takes datagrams there of up to so many bytes. */
-    public Datagrams datagrams(InetSocketAddress at, int most, Datagrams.Taker taker) throws IOException {
+    public Datagrams datagrams(InetSocketAddress at, int most, Datagrams.Receiver taker) throws IOException {
         return new Datagrams(this, worker, at, most, taker);
     }
 
@@ -477,7 +477,7 @@
     }
 
     /** Connections come up only within that part of the descriptors: the rest is another process's. */
-    public void share(double part) {
+    public void limitShare(double part) {
         accepted.most = (int) (part * mostEachWay);
         outbound.most = accepted.most;
         listeners.forEach(Listener::room);
@@ -512,7 +512,7 @@
             handler.opened(link);
         } else {
             link.close();
-            handler.notOpened(link);
+            handler.connectFailed(link);
         }
     }
 
--- a/src/main/java/laneflow/net/Ring.java
+++ b/src/main/java/laneflow/net/Ring.java
@@ -37,19 +37,19 @@
     }
 
     /** How many bytes have been taken out of it since it was made: the running number of its first byte. */
-    public long taken() {
+    public long consumedBytes() {
         return taken;
     }
 
     /** The byte that far behind the first one. */
-    public byte at(int offset) {
+    public byte byteAt(int offset) {
         return bytes[head + offset & bytes.length - 1];
     }
 
     /** Where this byte first stands at or behind an offset, or -1. */
-    public int find(byte wanted, int from) {
+    public int indexOf(byte wanted, int from) {
         for (int i = from; i < size; i++) {
-            if (at(i) == wanted) {
+            if (byteAt(i) == wanted) {
                 return i;
             }
         }
--- a/src/main/java/laneflow/ops/Meeting.java
+++ b/src/main/java/laneflow/ops/Meeting.java
@@ -120,7 +120,7 @@
     /** One connection to another process. */
     final class SocketPipe implements Handover.Pipe {
         private final SocketChannel channel;
-        private final ExecutorService writer = Threads.inOrder("handover-write");
+        private final ExecutorService writer = Threads.serialExecutor("handover-write");
 
         private SocketPipe(SocketChannel channel) {
             this.channel = channel;
--- a/src/main/java/laneflow/ops/Operations.java
+++ b/src/main/java/laneflow/ops/Operations.java
@@ -36,7 +36,7 @@
     /** Orders on workers so far. */
     private int changes;
 
-    private final ExecutorService writer = Threads.inOrder("set-down");
+    private final ExecutorService writer = Threads.serialExecutor("set-down");
 
     /**
      * What a scheduler is to its operations; no interface, which the platform's path would load.
--- a/src/main/java/laneflow/ops/OpsPort.java
+++ b/src/main/java/laneflow/ops/OpsPort.java
@@ -56,7 +56,7 @@
     }
 
     public void listen(InetSocketAddress at) throws IOException {
-        listener = loop.listenApart(at, RING, RING, MOST, this::makeRoom, Caller::new);
+        listener = loop.listenWithOwnLimit(at, RING, RING, MOST, this::makeRoom, Caller::new);
         listener.begin();
         LOG.info("operators' calls at {}", listener.address());
     }
@@ -120,7 +120,7 @@
                 link.in.skip(link.in.size());
                 return;
             }
-            int end = link.in.find((byte) '\n', 0);
+            int end = link.in.indexOf((byte) '\n', 0);
             if (end < 0 ? link.in.size() >= MOST_LINE : end >= MOST_LINE) {
                 answer("error a line holds " + MOST_LINE + " bytes at most");
             } else if (end >= 0) {
@@ -164,11 +164,11 @@
             answered = true;
             loop.deadlines().cancel(timer);
             link.out.put((text + "\n").getBytes(StandardCharsets.US_ASCII));
-            link.endWhenFlushed();
+            link.endOutputWhenFlushed();
         }
 
         @Override
-        public void broken(Link gone) {
+        public void disconnected(Link gone) {
             over();
         }
     }
--- a/src/main/java/laneflow/ops/Succession.java
+++ b/src/main/java/laneflow/ops/Succession.java
@@ -148,7 +148,7 @@
             if (now != Handover.Role.ALONE) {
                 scheduler.setShare(0.5);
             }
-            loop.share(part(NEWER_LINKS));
+            loop.limitShare(part(NEWER_LINKS));
             loop.deadlines().set(settled, loop.micros() + (long) (scheduler.settings().fallWithin * 1e6));
         }
     }
--- a/src/main/java/laneflow/task/Hooks.java
+++ b/src/main/java/laneflow/task/Hooks.java
@@ -44,7 +44,7 @@
         this.tasks = tasks;
         this.counters = counters;
         this.self = self;
-        threads = Threads.atMost(Math.max(1, THREADS_PER_HOOK * hooks.size()), "hook");
+        threads = Threads.boundedPool(Math.max(1, THREADS_PER_HOOK * hooks.size()), "hook");
         hooks.forEach(hook -> callers.add(new Caller(hook)));
         tasks.onGrant(() -> callers.forEach(Caller::update));
     }
@@ -116,7 +116,7 @@
         private String call(Action action) {
             try (Socket socket = new Socket()) {
                 socket.setTcpNoDelay(true);
-                InetSocketAddress to = Loop.address(hook.address());
+                InetSocketAddress to = Loop.parseAddress(hook.address());
                 long left = millisLeft(action);
                 if (left <= 0) {
                     return "deadline passed before the connect";
--- a/src/main/java/laneflow/task/TaskConfig.java
+++ b/src/main/java/laneflow/task/TaskConfig.java
@@ -44,7 +44,7 @@
             }
             String address = table.text("at");
             try {
-                Loop.address(address);
+                Loop.parseAddress(address);
             } catch (IllegalArgumentException e) {
                 table.addFinding("at", e.getMessage());
             }
--- a/src/main/java/org/xnio/nio/AcceptingThread.java
+++ b/src/main/java/org/xnio/nio/AcceptingThread.java
@@ -12,7 +12,7 @@
     private AcceptingThread() {}
 
     /** Runs a call on the worker's accepting thread, behind its next look at its listening sockets. */
-    public static void afterNextLook(XnioWorker worker, Runnable call) {
+    public static void afterNextSelect(XnioWorker worker, Runnable call) {
         WorkerThread thread = ((NioXnioWorker) worker).getAcceptThread();
         // A task that is set for later by a task runs behind the thread's next selection, never before it.
         thread.execute(() -> thread.executeAfter(call, DELAY_MS, TimeUnit.MILLISECONDS));
--- a/src/main/java/org/xnio/nio/PassedServer.java
+++ b/src/main/java/org/xnio/nio/PassedServer.java
@@ -17,7 +17,7 @@
     private PassedServer() {}
 
     /** A server on that channel, suspended at first; the listener hears of each connection. */
-    public static AcceptingChannel<StreamConnection> on(
+    public static AcceptingChannel<StreamConnection> wrap(
             XnioWorker worker,
             ServerSocketChannel channel,
             ChannelListener<? super AcceptingChannel<StreamConnection>> listener,
--- a/src/test/java/laneflow/net/NoDelayTest.java
+++ b/src/test/java/laneflow/net/NoDelayTest.java
@@ -31,7 +31,7 @@
         }
 
         @Override
-        public void broken(Link link) {
+        public void disconnected(Link link) {
             // Nothing to do.
         }
     }
