--- a/src/main/java/laneflow/assembly/Serve.java
+++ b/src/main/java/laneflow/assembly/Serve.java
@@ -109,7 +109,7 @@
                         front,
                         around.scratch(),
                         around.passed(),
-                        new Operations.Served(this::serves, () -> stopping, this::replaced));
+                        new Operations.ProcessState(this::serves, () -> stopping, this::replaced));
         if (gearman != null) {
             connector.mostBody(gearmanConfig.maxBodyBytes);
         }
--- a/src/main/java/laneflow/ops/Meeting.java
+++ b/src/main/java/laneflow/ops/HandoverSocket.java
@@ -24,8 +24,8 @@
  * XNIO has none, so each connection is read and written, blocking, on threads of its own, and what comes in
  * is handed on through the caller's executor. Leftovers of processes that are gone are removed.
  */
-final class Meeting {
-    private static final Logger LOG = LoggerFactory.getLogger(Meeting.class);
+final class HandoverSocket {
+    private static final Logger LOG = LoggerFactory.getLogger(HandoverSocket.class);
     private static final int MOST_LINE = 1024;
 
     private final Path place;
@@ -35,7 +35,7 @@
     private Object taken;
 
     /** @param loop runs what it is given on the thread that owns the handover */
-    Meeting(Path folder, Consumer<Runnable> loop) {
+    HandoverSocket(Path folder, Consumer<Runnable> loop) {
         place = folder.resolve("laneflow-handover");
         this.loop = loop;
     }
--- a/src/main/java/laneflow/ops/Operations.java
+++ b/src/main/java/laneflow/ops/Operations.java
@@ -45,7 +45,7 @@
      * @param stops whether the process is on its way to its end
      * @param end called when another process has all its clients: it may end
      */
-    public record Served(BooleanSupplier serves, BooleanSupplier stops, Runnable end) {}
+    public record ProcessState(BooleanSupplier canServe, BooleanSupplier isStopping, Runnable onReplaced) {}
 
     /**
      * Applies what was set down before.
@@ -53,21 +53,21 @@
      * @param folder outlives this process, or null
      * @param passed whether another process may be started beside it on the same listening socket
      */
-    public Operations(Loop loop, Scheduler scheduler, HttpFront front, Path folder, boolean passed, Served served)
+    public Operations(Loop loop, Scheduler scheduler, HttpFront front, Path folder, boolean passed, ProcessState served)
             throws InterruptedException {
         this.loop = loop;
         this.scheduler = scheduler;
-        stops = served.stops();
+        stops = served.isStopping();
         drain = new Drain(loop, front);
         bans = folder == null ? null : new BanFile(folder);
         succession = folder == null || !passed
                 ? null
-                : new Succession(loop, scheduler, front, drain, this, folder, served.serves(), served.end());
+                : new Succession(loop, scheduler, front, drain, this, folder, served.canServe(), served.onReplaced());
         port = new OpsPort(loop);
         port.add(
                 "check",
                 (words, answer) -> answer.accept(
-                        served.serves().getAsBoolean() && (succession == null || succession.isInPlace())
+                        served.canServe().getAsBoolean() && (succession == null || succession.isInPlace())
                                 ? "done"
                                 : "error it can't serve yet, or not any more"));
         port.add("set-down ID", (words, answer) -> worker(true, words[1], answer));
--- a/src/main/java/laneflow/ops/Succession.java
+++ b/src/main/java/laneflow/ops/Succession.java
@@ -29,7 +29,7 @@
     private final HttpFront front;
     private final Drain drain;
     private final Operations operations;
-    private final Meeting meeting;
+    private final HandoverSocket meeting;
     private final BooleanSupplier serves;
     private final Runnable end;
     private final Deadline timer;
@@ -54,14 +54,14 @@
         this.operations = operations;
         this.serves = serves;
         this.end = end;
-        meeting = new Meeting(folder, loop::later);
+        meeting = new HandoverSocket(folder, loop::later);
         timer = loop.deadlines().create(this::look);
         settled = loop.deadlines().create(this::settled);
     }
 
     /** Meets the process that serves already, if there is one, and learns what it knows; blocks shortly. */
     void meet() throws InterruptedException {
-        Meeting.SocketPipe pipe = meeting.connect();
+        HandoverSocket.SocketPipe pipe = meeting.connect();
         if (pipe == null) {
             return;
         }
@@ -75,14 +75,14 @@
         }
     }
 
-    private void line(Meeting.SocketPipe from, String text) {
+    private void line(HandoverSocket.SocketPipe from, String text) {
         handover.line(loop.micros(), from, text);
         if (!handover.isWaiting()) {
             known.countDown();
         }
     }
 
-    private void gone(Meeting.SocketPipe pipe) {
+    private void gone(HandoverSocket.SocketPipe pipe) {
         LOG.info("the other process of the upgrade is gone");
         handover.gone(loop.micros(), pipe);
         known.countDown();
--- a/src/test/java/laneflow/assembly/PlatformLineTest.java
+++ b/src/test/java/laneflow/assembly/PlatformLineTest.java
@@ -49,8 +49,8 @@
         }
         assertTrue(read > 60, read + " files");
         assertEquals(List.of(), found);
-        // The pattern finds what is there: the second address's meeting is a Unix socket, and off in `run`.
-        assertTrue(REFUSED.matcher(Files.readString(Path.of("src/main/java/laneflow/ops/Meeting.java")))
+        // The pattern finds what is there: the handover socket is a Unix socket, and off in `run`.
+        assertTrue(REFUSED.matcher(Files.readString(Path.of("src/main/java/laneflow/ops/HandoverSocket.java")))
                 .find());
     }
 }
--- a/src/test/java/laneflow/ops/Platform.java
+++ b/src/test/java/laneflow/ops/Platform.java
@@ -21,22 +21,22 @@
 
     private final Process process;
     private final BufferedReader says;
-    private final List<Started> started = new ArrayList<>();
+    private final List<SchedulerProcess> started = new ArrayList<>();
 
     /** A scheduler, and its second address. */
-    public record Started(ProcessHandle handle, int ops) {
+    public record SchedulerProcess(ProcessHandle handle, int operatorPort) {
         void kill() throws Exception {
             handle.destroyForcibly();
-            ended();
+            awaitExit();
         }
 
-        public void ended() throws Exception {
+        public void awaitExit() throws Exception {
             handle.onExit().get(60, TimeUnit.SECONDS);
         }
 
         /** The answer to a call of on-call staff. */
         public String call(String line) throws IOException {
-            try (Peer caller = SchedulerHarness.peer("127.0.0.1", ops)) {
+            try (Peer caller = SchedulerHarness.peer("127.0.0.1", operatorPort)) {
                 return caller.write(line + "\n").readTo("\n").strip();
             }
         }
@@ -66,7 +66,7 @@
     }
 
     /** Starts a scheduler, which may not serve yet. */
-    public Started launch() throws IOException {
+    public SchedulerProcess launch() throws IOException {
         int ops;
         try (ServerSocket free = new ServerSocket(0)) {
             ops = free.getLocalPort();
@@ -74,7 +74,7 @@
         process.getOutputStream().write(("start 127.0.0.1:" + ops + "\n").getBytes(StandardCharsets.US_ASCII));
         process.getOutputStream().flush();
         long pid = Long.parseLong(says.readLine().substring(4));
-        Started one = new Started(ProcessHandle.of(pid).orElseThrow(), ops);
+        SchedulerProcess one = new SchedulerProcess(ProcessHandle.of(pid).orElseThrow(), ops);
         started.add(one);
         return one;
     }
--- a/src/test/java/laneflow/ops/UpgradeStoryTest.java
+++ b/src/test/java/laneflow/ops/UpgradeStoryTest.java
@@ -12,7 +12,7 @@
 import laneflow.net.SchedulerHarness;
 import laneflow.net.SchedulerHarness.Endpoint;
 import laneflow.net.SchedulerHarness.Peer;
-import laneflow.ops.Platform.Started;
+import laneflow.ops.Platform.SchedulerProcess;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -44,8 +44,8 @@
     }
 
     /** Starts one, and waits until it says that it can serve. */
-    private Started start() throws Exception {
-        Started one = platform.launch();
+    private SchedulerProcess start() throws Exception {
+        SchedulerProcess one = platform.launch();
         await(() -> call(one, "check").equals("done"));
         return one;
     }
@@ -54,16 +54,16 @@
         Await.until("it holds", condition, () -> Files.readString(folder.resolve("log")));
     }
 
-    private String call(Started one, String line) throws IOException {
+    private String call(SchedulerProcess one, String line) throws IOException {
         return one.call(line);
     }
 
-    private void setDown(Started one) throws IOException {
+    private void setDown(SchedulerProcess one) throws IOException {
         assertEquals("done", call(one, "set-down e1"));
         assertEquals("done", call(one, "set-down e2"));
     }
 
-    private void setUp(Started one) throws IOException {
+    private void setUp(SchedulerProcess one) throws IOException {
         assertEquals("done", call(one, "set-up e1"));
         assertEquals("done", call(one, "set-up e2"));
     }
@@ -99,7 +99,7 @@
 
     @Test
     void clientsGoOverWithNothingLostAndBansHoldInBoth() throws Exception {
-        Started old = start();
+        SchedulerProcess old = start();
         assertTrue(ready());
         setDown(old);
         setUp(old);
@@ -109,7 +109,7 @@
         Peer call = endpoint.accept();
         call.message();
 
-        Started young = start();
+        SchedulerProcess young = start();
         assertTrue(ready());
         // The old one's clients are served, and sent away with the answer.
         serves(kept, "k2", true);
@@ -133,30 +133,30 @@
         // It ends once its last request is answered, and what it was told lives on.
         call.respond("{'id':'o1','state':'done','result':'late'}");
         assertTrue(open.message().endsWith("late"));
-        old.ended();
+        old.awaitExit();
         Peer last = client().post("card-capture", "l1", "", "");
         assertTrue(last.message().startsWith("HTTP/1.1 503 "));
-        Started third = start();
+        SchedulerProcess third = start();
         Peer next = client().post("card-capture", "n1", "", "");
         assertTrue(next.message().startsWith("HTTP/1.1 503 "));
-        young.ended();
+        young.awaitExit();
         setUp(third);
         serves(client(), "n2", false);
     }
 
     @Test
     void aNewOneKilledAtAnyStepLeavesTheOldOneInPlace() throws Exception {
-        Started old = start();
+        SchedulerProcess old = start();
         Peer open = client().post("card-capture", "o1", "", "");
         Peer call = endpoint.accept();
         call.message();
         for (int millis : new int[] {0, 150, 300}) {
-            Started young = platform.launch();
+            SchedulerProcess young = platform.launch();
             Thread.sleep(millis);
             young.kill();
             assertTrue(ready());
         }
-        Started young = start();
+        SchedulerProcess young = start();
         young.kill();
         // What it had not accepted waits in the queue for the old one.
         Peer client = client();
@@ -167,14 +167,14 @@
         // And the next one takes over as if nothing had been.
         start();
         serves(client, "c2", true);
-        old.ended();
+        old.awaitExit();
     }
 
     @Test
     void anOldOneKilledLeavesTheNewOneInPlaceWithItsOrders() throws Exception {
-        Started old = start();
+        SchedulerProcess old = start();
         setDown(old);
-        Started young = platform.launch();
+        SchedulerProcess young = platform.launch();
         old.kill();
         await(() -> call(young, "check").equals("done"));
         Peer client = client().post("card-capture", "c1", "", "");
@@ -187,24 +187,24 @@
     void leftoversStopNoStart() throws Exception {
         Files.writeString(folder.resolve("laneflow-handover"), "no socket");
         Files.writeString(folder.resolve("laneflow-set-down"), "no such format");
-        Started one = start();
+        SchedulerProcess one = start();
         assertTrue(ready());
         one.kill();
         // Its socket is left without anybody behind it.
         assertTrue(Files.exists(folder.resolve("laneflow-handover")));
-        Started next = start();
+        SchedulerProcess next = start();
         assertTrue(ready());
         start();
-        next.ended();
+        next.awaitExit();
     }
 
     @Test
     void aNewOneThatHangsIsLetGoAndMetAgainOnceItGoesOn() throws Exception {
-        Started old = start();
+        SchedulerProcess old = start();
         Peer open = client().post("card-capture", "o1", "", "");
         Peer call = endpoint.accept();
         call.message();
-        Started young = start();
+        SchedulerProcess young = start();
         signal("STOP", young);
         // Whom the new one has accepted hangs with it; who comes now is taken by the old one.
         await(() -> Files.readString(folder.resolve("log")).contains("clients are taken here again"));
@@ -216,11 +216,11 @@
         assertEquals("done", call(young, "set-up e2"));
         call.respond("{'id':'o1','state':'done','result':'ok'}");
         assertTrue(open.message().endsWith("ok"));
-        old.ended();
+        old.awaitExit();
         serves(client(), "c1", false);
     }
 
-    private static void signal(String name, Started to) throws Exception {
+    private static void signal(String name, SchedulerProcess to) throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-" + name, "" + to.handle().pid())
--- a/src/test/java/laneflow/policy/PolicyDisruptionStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyDisruptionStoryTest.java
@@ -12,7 +12,7 @@
 import laneflow.net.SchedulerHarness;
 import laneflow.net.SchedulerHarness.Peer;
 import laneflow.ops.Platform;
-import laneflow.ops.Platform.Started;
+import laneflow.ops.Platform.SchedulerProcess;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -179,12 +179,12 @@
         Path config = rig.write(2);
         try (Platform platform = new Platform(
                 folder, folder.resolve(Rig.name(2) + ".log"), Map.of(), "serve", "--config", config.toString())) {
-            Started former = platform.launch();
+            SchedulerProcess former = platform.launch();
             rig.await("it serves", () -> former.call("check").equals("done"));
             rig.awaitDeciding(0, rig.all());
             rig.proposeUntilTaken(0, "before", bans("a"));
             rig.awaitDeciding(1, rig.all());
-            Started next = platform.launch();
+            SchedulerProcess next = platform.launch();
             // Both processes run and decide, and a change applies to both.
             rig.proposeUntilTaken(0, "during-upgrade-1", bans("b"));
             rig.await("the new process can serve", () -> next.call("check").equals("done"));
@@ -200,7 +200,7 @@
                 answer(call, "u");
             }
             former.handle().destroy();
-            former.ended();
+            former.awaitExit();
             // The new process has taken over the address and the store: it answers there and votes with the
             // stored state.
             rig.awaitDeciding(3, rig.all());
--- a/src/test/java/laneflow/task/TaskFaultsStoryTest.java
+++ b/src/test/java/laneflow/task/TaskFaultsStoryTest.java
@@ -25,7 +25,7 @@
 import laneflow.lab.standin.StandInReceiver.Call;
 import laneflow.net.Threads;
 import laneflow.ops.Platform;
-import laneflow.ops.Platform.Started;
+import laneflow.ops.Platform.SchedulerProcess;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -152,17 +152,17 @@
             Path file = rig.write(2);
             try (Platform platform =
                     new Platform(folder, folder.resolve("n3.log"), Map.of(), "serve", "--config", file.toString())) {
-                Started former = platform.launch();
+                SchedulerProcess former = platform.launch();
                 awaitCalls(rig, receiver, 3);
                 Set<String> formerIds = new HashSet<>();
                 receiver.calls().stream()
                         .filter(call -> name(call).equals("n3"))
                         .forEach(call -> formerIds.add(call.holder()));
-                Started next = platform.launch();
+                SchedulerProcess next = platform.launch();
                 awaitCalls(rig, receiver, 4);
                 assertEquals(1, formerIds.size());
                 former.handle().destroy();
-                former.ended();
+                former.awaitExit();
                 long ended = System.nanoTime();
                 awaitCalls(rig, receiver, 3);
                 assertTrue(receiver.calls().stream()
