--- a/src/main/java/laneflow/net/Datagrams.java
+++ b/src/main/java/laneflow/net/Datagrams.java
@@ -19,9 +19,9 @@
 public final class Datagrams {
     private static final Logger LOG = LoggerFactory.getLogger(Datagrams.class);
     /** Taken in a row: a flood must not hold up all else. */
-    private static final int A_TURN = 64;
+    private static final int MAX_PER_TURN = 64;
 
-    private static final int RECEIVE_BUFFER = 256 * 1024;
+    private static final int RECEIVE_BUFFER_BYTES = 256 * 1024;
 
     /** Takes a datagram; the bytes are the taker's only until it returns. */
     public interface Receiver {
@@ -30,34 +30,35 @@
     }
 
     private final Loop loop;
-    private final Receiver taker;
+    private final Receiver receiver;
     private final byte[] bytes;
-    private final ByteBuffer in;
-    private final SocketAddressBuffer from = new SocketAddressBuffer();
+    private final ByteBuffer buffer;
+    private final SocketAddressBuffer source = new SocketAddressBuffer();
     private final MulticastMessageChannel channel;
 
-    Datagrams(Loop loop, XnioWorker worker, InetSocketAddress at, int most, Receiver taker) throws IOException {
+    Datagrams(Loop loop, XnioWorker worker, InetSocketAddress address, int maxBytes, Receiver receiver)
+            throws IOException {
         this.loop = loop;
-        this.taker = taker;
-        bytes = new byte[most + 1];
-        in = ByteBuffer.wrap(bytes);
-        channel = worker.createUdpServer(at, OptionMap.create(Options.RECEIVE_BUFFER, RECEIVE_BUFFER));
+        this.receiver = receiver;
+        bytes = new byte[maxBytes + 1];
+        buffer = ByteBuffer.wrap(bytes);
+        channel = worker.createUdpServer(address, OptionMap.create(Options.RECEIVE_BUFFER, RECEIVE_BUFFER_BYTES));
         channel.getReadSetter().set(ready -> loop.turn(this::receive));
         channel.resumeReads();
     }
 
     private void receive() {
         try {
-            for (int i = 0; i < A_TURN && channel.isOpen(); i++) {
-                in.clear();
-                int length = channel.receiveFrom(from, in);
-                if (length <= 0 && from.getSourceAddress() == null) {
+            for (int i = 0; i < MAX_PER_TURN && channel.isOpen(); i++) {
+                buffer.clear();
+                int length = channel.receiveFrom(source, buffer);
+                if (length <= 0 && source.getSourceAddress() == null) {
                     return;
                 }
-                InetSocketAddress source = from.getSourceAddress(InetSocketAddress.class);
-                from.clear();
-                if (length > 0 && source != null) {
-                    taker.receive(source, bytes, in.position());
+                InetSocketAddress sender = source.getSourceAddress(InetSocketAddress.class);
+                source.clear();
+                if (length > 0 && sender != null) {
+                    receiver.receive(sender, bytes, buffer.position());
                 } else if (length <= 0) {
                     return;
                 }
--- a/src/main/java/laneflow/net/Link.java
+++ b/src/main/java/laneflow/net/Link.java
@@ -15,13 +15,13 @@
 public final class Link {
     private static final Logger LOG = LoggerFactory.getLogger(Link.class);
     /** Reads in a row before others have their turn. */
-    private static final int READS = 8;
+    private static final int MAX_READS_PER_TURN = 8;
     /** What an ended connection still sends is passed over for so long, and up to so much. */
-    private static final long LINGER = 1_000_000;
+    private static final long LINGER_US = 1_000_000;
 
-    private static final int MOST_PASSED_OVER = 256 * 1024;
+    private static final int MAX_LINGER_BYTES = 256 * 1024;
     /** Bytes behind a full ring are dropped up to so much; those behind them stay unread. */
-    private static final int MOST_DROPPED = 4 * 1024 * 1024;
+    private static final int MAX_DROPPED_BYTES = 4 * 1024 * 1024;
 
     public final Ring in;
     public final Ring out;
@@ -34,17 +34,17 @@
     private StreamConnection connection;
     private StreamSourceConduit source;
     private StreamSinkConduit sink;
-    private IoFuture<StreamConnection> opening;
+    private IoFuture<StreamConnection> pendingConnect;
     private boolean closed;
-    private boolean endWhenFlushed;
-    private Deadline linger;
-    private int passedOver;
-    private boolean readsHeld;
+    private boolean endingOutput;
+    private Deadline lingerTimer;
+    private int lingerBytes;
+    private boolean readsSuspended;
     private final ArrivalTimes arrivals = new ArrivalTimes();
     /** What its first read takes in has been there since then, microseconds; negative: it has just come. */
-    private long waitedSince = -1;
+    private long inputPendingSince = -1;
 
-    private int dropped;
+    private int droppedBytes;
     private boolean peerEnded;
 
     Link(Loop loop, LinkHandler handler, int inLimit, int outLimit, Loop.Listener listener) {
@@ -60,8 +60,8 @@
         return connection;
     }
 
-    void handle(long given) {
-        handle = given;
+    void assignHandle(long assigned) {
+        handle = assigned;
     }
 
     /** Its number in the loop's table, void once it has closed. */
@@ -71,8 +71,8 @@
 
     /** The other side's address in figures; "-" where it is not known. */
     public String peerHost() {
-        InetSocketAddress at = connection == null ? null : connection.getPeerAddress(InetSocketAddress.class);
-        return at == null ? "-" : at.getAddress().getHostAddress();
+        InetSocketAddress address = connection == null ? null : connection.getPeerAddress(InetSocketAddress.class);
+        return address == null ? "-" : address.getAddress().getHostAddress();
     }
 
     public boolean isClosed() {
@@ -83,17 +83,17 @@
         return listener;
     }
 
-    void opening(IoFuture<StreamConnection> future) {
-        opening = future;
+    void setPendingConnect(IoFuture<StreamConnection> future) {
+        pendingConnect = future;
     }
 
-    void attach(StreamConnection up) {
-        connection = up;
-        opening = null;
-        source = up.getSourceChannel().getConduit();
-        sink = up.getSinkChannel().getConduit();
-        up.getSourceChannel().getReadSetter().set(channel -> loop.turn(this::readable));
-        up.getSinkChannel().getWriteSetter().set(channel -> loop.turn(this::writable));
+    void attach(StreamConnection established) {
+        connection = established;
+        pendingConnect = null;
+        source = established.getSourceChannel().getConduit();
+        sink = established.getSinkChannel().getConduit();
+        established.getSourceChannel().getReadSetter().set(channel -> loop.turn(this::readable));
+        established.getSinkChannel().getWriteSetter().set(channel -> loop.turn(this::writable));
         source.resumeReads();
     }
 
@@ -106,14 +106,14 @@
 
     void readable() {
         try {
-            for (int i = 0; i < READS && !closed && !readsHeld; i++) {
-                int got = take();
-                if (got > 0 && linger != null) {
-                    passOver(got);
-                } else if (got > 0) {
+            for (int i = 0; i < MAX_READS_PER_TURN && !closed && !readsSuspended; i++) {
+                int bytesRead = readOnce();
+                if (bytesRead > 0 && lingerTimer != null) {
+                    discardInput(bytesRead);
+                } else if (bytesRead > 0) {
                     handler.received(this);
-                } else if (got < 0) {
-                    broken();
+                } else if (bytesRead < 0) {
+                    peerDisconnected();
                     return;
                 } else {
                     break;
@@ -121,50 +121,52 @@
             }
         } catch (IOException e) {
             LOG.debug("read: {}", e.getMessage());
-            broken();
+            peerDisconnected();
             return;
         }
         // A peer that sends on and on is not read further than the ring holds.
-        if (!closed && !readsHeld && linger == null && in.isFull() && !handler.dropsInputBeyondRing()) {
+        if (!closed && !readsSuspended && lingerTimer == null && in.isFull() && !handler.dropsInputBeyondRing()) {
             suspendReads();
         }
     }
 
     /** Reads once, as the conduit does; 0 also where there is no room. */
-    private int take() throws IOException {
-        if (linger == null && (dropped > 0 || in.isFull() && handler.dropsInputBeyondRing())) {
-            return drop();
+    private int readOnce() throws IOException {
+        if (lingerTimer == null && (droppedBytes > 0 || in.isFull() && handler.dropsInputBeyondRing())) {
+            return dropInput();
         }
-        int got = in.readFrom(source);
-        if (got > 0) {
+        int bytesRead = in.readFrom(source);
+        if (bytesRead > 0) {
             arrivals.add(
-                    in.consumedBytes() + in.size(), waitedSince < 0 ? loop.micros() : waitedSince, in.consumedBytes());
+                    in.consumedBytes() + in.size(),
+                    inputPendingSince < 0 ? loop.micros() : inputPendingSince,
+                    in.consumedBytes());
         }
-        return got;
+        return bytesRead;
     }
 
-    private int drop() throws IOException {
-        int got = source.read(loop.scratch());
-        dropped += Math.max(0, got);
-        if (dropped > MOST_DROPPED) {
+    private int dropInput() throws IOException {
+        int bytesRead = source.read(loop.scratch());
+        droppedBytes += Math.max(0, bytesRead);
+        if (droppedBytes > MAX_DROPPED_BYTES) {
             suspendReads();
         }
-        return got;
+        return bytesRead;
     }
 
     /** True if bytes behind a full ring have been dropped: what is in the ring has no sound continuation. */
     public boolean hasDroppedInput() {
-        return dropped > 0;
+        return droppedBytes > 0;
     }
 
     /** Bytes that are there at its first read have been there since then, microseconds. */
-    void waitedSince(long instant) {
-        waitedSince = instant;
+    void setInputPendingSince(long instant) {
+        inputPendingSince = instant;
     }
 
     /** When the last byte that was taken out of the incoming ring arrived, microseconds. */
     public long lastConsumedArrival() {
-        return arrivals.before(in.consumedBytes(), loop.micros());
+        return arrivals.arrivalBefore(in.consumedBytes(), loop.micros());
     }
 
     /**
@@ -176,33 +178,33 @@
             return true;
         }
         try {
-            int got;
+            int bytesRead;
             do {
-                got = take();
-            } while (got > 0 && dropped <= MOST_DROPPED);
-            peerEnded = got < 0;
+                bytesRead = readOnce();
+            } while (bytesRead > 0 && droppedBytes <= MAX_DROPPED_BYTES);
+            peerEnded = bytesRead < 0;
         } catch (IOException e) {
             LOG.debug("read: {}", e.getMessage());
             peerEnded = true;
         }
         if (peerEnded) {
-            loop.later(this::broken);
+            loop.later(this::peerDisconnected);
         }
         return peerEnded;
     }
 
     /** Stops reading until {@link #resumeReads}. */
     public void suspendReads() {
-        if (!closed && !readsHeld) {
-            readsHeld = true;
+        if (!closed && !readsSuspended) {
+            readsSuspended = true;
             source.suspendReads();
         }
     }
 
     /** Goes on reading. */
     public void resumeReads() {
-        if (!closed && readsHeld) {
-            readsHeld = false;
+        if (!closed && readsSuspended) {
+            readsSuspended = false;
             source.resumeReads();
         }
     }
@@ -227,38 +229,38 @@
         } catch (IOException e) {
             LOG.debug("write: {}", e.getMessage());
             // The owner is at work now and may have more to do with it: it is told later.
-            loop.later(this::broken);
+            loop.later(this::peerDisconnected);
             return;
         }
-        if (endWhenFlushed && linger == null) {
-            end();
+        if (endingOutput && lingerTimer == null) {
+            endOutput();
         }
         handler.flushed(this);
     }
 
     /** Bytes that the other side still sends are not kept; past a measure they are not read either. */
-    private void passOver(int got) {
+    private void discardInput(int bytesRead) {
         in.skip(in.size());
-        passedOver += got;
-        if (passedOver > MOST_PASSED_OVER) {
+        lingerBytes += bytesRead;
+        if (lingerBytes > MAX_LINGER_BYTES) {
             suspendReads();
         }
     }
 
-    private void end() {
+    private void endOutput() {
         try {
             sink.terminateWrites();
             sink.flush();
         } catch (IOException e) {
             LOG.debug("end: {}", e.getMessage());
-            loop.later(this::broken);
+            loop.later(this::peerDisconnected);
             return;
         }
         in.skip(in.size());
-        linger = loop.deadlines().at(loop.micros() + LINGER, this::broken);
+        lingerTimer = loop.deadlines().at(loop.micros() + LINGER_US, this::peerDisconnected);
         resumeReads();
         if (listener != null) {
-            listener.mayHaveRoom();
+            listener.resumeFullListeners();
         }
     }
 
@@ -267,16 +269,16 @@
      * passed. Closed at once, with input unread, the connection would be reset and the answer might be lost.
      */
     public void endOutputWhenFlushed() {
-        endWhenFlushed = true;
+        endingOutput = true;
         flush();
     }
 
     /** All has been sent, and nothing more is read from it. */
     public boolean isOutputEnded() {
-        return linger != null;
+        return lingerTimer != null;
     }
 
-    private void broken() {
+    private void peerDisconnected() {
         if (!closed) {
             close();
             handler.disconnected(this);
@@ -284,13 +286,13 @@
     }
 
     /** Closed over unread bytes, it would be reset, and what is on its way to its client might be lost. */
-    private void dropUnread() {
+    private void drainUnread() {
         try {
-            int more = MOST_PASSED_OVER;
-            int got = 1;
-            while (got > 0 && more > 0) {
-                got = source.read(loop.scratch());
-                more -= got;
+            int remaining = MAX_LINGER_BYTES;
+            int bytesRead = 1;
+            while (bytesRead > 0 && remaining > 0) {
+                bytesRead = source.read(loop.scratch());
+                remaining -= bytesRead;
             }
         } catch (IOException e) {
             LOG.debug("last read: {}", e.getMessage());
@@ -303,16 +305,16 @@
             return;
         }
         closed = true;
-        if (linger != null) {
-            loop.deadlines().cancel(linger);
+        if (lingerTimer != null) {
+            loop.deadlines().cancel(lingerTimer);
         }
-        if (opening != null) {
-            opening.cancel();
+        if (pendingConnect != null) {
+            pendingConnect.cancel();
         }
         if (listener != null) {
-            dropUnread();
+            drainUnread();
         }
         IoUtils.safeClose(connection);
-        loop.closed(this);
+        loop.linkClosed(this);
     }
 }
--- a/src/main/java/laneflow/net/Loop.java
+++ b/src/main/java/laneflow/net/Loop.java
@@ -43,36 +43,36 @@
 public final class Loop implements Clock {
     private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
     /** Descriptors the virtual machine holds for itself: the jar, selectors, standard streams. */
-    private static final int OWN_DESCRIPTORS = 64;
+    private static final int RESERVED_DESCRIPTORS = 64;
 
     private static final int BACKLOG = 512;
-    private static final long MS = 1000;
-    private static final Pattern FIGURES = Pattern.compile("[0-9.]+|[0-9a-fA-F:.]+");
-    private static final int SCRATCH = 16 * 1024;
+    private static final long MICROS_PER_MS = 1000;
+    private static final Pattern NUMERIC_ADDRESS = Pattern.compile("[0-9.]+|[0-9a-fA-F:.]+");
+    private static final int SCRATCH_BYTES = 16 * 1024;
     /** Connections taken in a row: a flood of them must not hold up those that are open. */
-    private static final int ACCEPTS = 32;
+    private static final int MAX_ACCEPTS_PER_TURN = 32;
 
     private final Deadlines deadlines = new Deadlines();
     private final SlotTable<Link> links = new SlotTable<>();
     private final XnioWorker worker;
     private final XnioIoThread thread;
     /** Most connections of either direction: clients must not leave calls without a descriptor. */
-    private final int mostEachWay;
+    private final int maxPerDirection;
 
-    private final Part accepted;
-    private final Part outbound;
+    private final ConnectionLimit acceptedLimit;
+    private final ConnectionLimit outboundLimit;
     private final List<Listener> listeners = new ArrayList<>();
-    private final ByteBuffer scratch = ByteBuffer.allocate(SCRATCH);
-    private final long origin;
-    private final boolean rests;
+    private final ByteBuffer scratch = ByteBuffer.allocate(SCRATCH_BYTES);
+    private final long clockOrigin;
+    private final boolean mostlyIdle;
     private boolean inTurn;
     private long now;
-    private long armedFor = Long.MAX_VALUE;
-    private XnioExecutor.Key armed;
+    private long timerDueAt = Long.MAX_VALUE;
+    private XnioExecutor.Key timerKey;
 
     /** A loop that holds no more descriptors than that, its own included. */
-    public Loop(int descriptors) throws IOException {
-        this("loop", (descriptors - OWN_DESCRIPTORS) / 2, false);
+    public Loop(int maxDescriptors) throws IOException {
+        this("loop", (maxDescriptors - RESERVED_DESCRIPTORS) / 2, false);
     }
 
     /**
@@ -82,11 +82,11 @@
      *     where a loop with traffic lets it wake it for nothing, and runs up to a millisecond late, where one
      *     with traffic turns without a pause for the rest of a millisecond
      */
-    public Loop(String name, int eachWay, boolean rests) throws IOException {
-        this.rests = rests;
-        mostEachWay = Math.max(8, eachWay);
-        accepted = new Part(mostEachWay);
-        outbound = new Part(mostEachWay);
+    public Loop(String name, int connectionsPerDirection, boolean mostlyIdle) throws IOException {
+        this.mostlyIdle = mostlyIdle;
+        maxPerDirection = Math.max(8, connectionsPerDirection);
+        acceptedLimit = new ConnectionLimit(maxPerDirection);
+        outboundLimit = new ConnectionLimit(maxPerDirection);
         worker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
                         .set(Options.WORKER_NAME, name)
@@ -95,7 +95,7 @@
                         .set(Options.WORKER_TASK_MAX_THREADS, 1)
                         .getMap());
         thread = worker.getIoThread();
-        origin = System.currentTimeMillis() * 1000 - System.nanoTime() / 1000;
+        clockOrigin = System.currentTimeMillis() * 1000 - System.nanoTime() / 1000;
     }
 
     @Override
@@ -108,7 +108,7 @@
      * one does amid which the process was stopped.
      */
     public long currentMicros() {
-        return origin + System.nanoTime() / 1000;
+        return clockOrigin + System.nanoTime() / 1000;
     }
 
     /** Room for bytes that are read to be dropped. */
@@ -126,7 +126,7 @@
     void turn(Runnable event) {
         if (!inTurn) {
             inTurn = true;
-            now = Math.max(now, origin + System.nanoTime() / 1000);
+            now = Math.max(now, clockOrigin + System.nanoTime() / 1000);
             // Tasks run before the next wait for I/O: that is where this turn ends.
             thread.execute(this::endTurn);
         }
@@ -146,39 +146,39 @@
         }
         inTurn = false;
         long next = deadlines.next();
-        if ((next < armedFor || rests && next > armedFor) && !worker.isShutdown()) {
-            if (armed != null) {
-                armed.remove();
+        if ((next < timerDueAt || mostlyIdle && next > timerDueAt) && !worker.isShutdown()) {
+            if (timerKey != null) {
+                timerKey.remove();
             }
-            armedFor = next;
-            armed = null;
+            timerDueAt = next;
+            timerKey = null;
             if (next == Long.MAX_VALUE) {
                 return;
             }
-            long delay = Math.max(0, next - (origin + System.nanoTime() / 1000));
-            if (rests) {
+            long delay = Math.max(0, next - (clockOrigin + System.nanoTime() / 1000));
+            if (mostlyIdle) {
                 // XNIO counts in whole milliseconds and drops the rest: woken early, the loop would turn
                 // without a pause until the instant has come.
-                delay = (delay + MS - 1) / MS * MS;
+                delay = (delay + MICROS_PER_MS - 1) / MICROS_PER_MS * MICROS_PER_MS;
             }
-            armed = thread.executeAfter(this::due, delay, TimeUnit.MICROSECONDS);
+            timerKey = thread.executeAfter(this::timerExpired, delay, TimeUnit.MICROSECONDS);
         }
     }
 
-    private void due() {
-        armedFor = Long.MAX_VALUE;
-        armed = null;
+    private void timerExpired() {
+        timerDueAt = Long.MAX_VALUE;
+        timerKey = null;
         turn(() -> deadlines.runDue(now));
     }
 
     /** Runs a call soon, in a turn, when what is at work now has come to its end; from any thread. */
-    public void later(Runnable call) {
-        thread.execute(() -> turn(call));
+    public void later(Runnable action) {
+        thread.execute(() -> turn(action));
     }
 
     /** Runs a call on the loop's thread and waits for its end; what it throws is thrown here. */
-    public void call(Runnable call) throws InterruptedException {
-        FutureTask<Void> task = new FutureTask<>(call, null);
+    public void call(Runnable action) throws InterruptedException {
+        FutureTask<Void> task = new FutureTask<>(action, null);
         thread.execute(() -> turn(task));
         try {
             task.get();
@@ -200,7 +200,7 @@
         if (host.startsWith("[") && host.endsWith("]")) {
             host = host.substring(1, host.length() - 1);
         }
-        if (!FIGURES.matcher(host).matches()) {
+        if (!NUMERIC_ADDRESS.matcher(host).matches()) {
             throw new IllegalArgumentException("'" + text + "' is not an address and port in figures");
         }
         try {
@@ -212,16 +212,16 @@
     }
 
     /** A part of the descriptors: connections that are open in it, and how many may be. */
-    private static final class Part {
-        private int most;
+    private static final class ConnectionLimit {
+        private int max;
         private int open;
 
-        private Part(int most) {
-            this.most = most;
+        private ConnectionLimit(int max) {
+            this.max = max;
         }
 
         private boolean hasRoom() {
-            return open < most;
+            return open < max;
         }
     }
 
@@ -232,33 +232,33 @@
         private final int inLimit;
         private final int outLimit;
         private final BooleanSupplier makeRoom;
-        private final Part part;
+        private final ConnectionLimit limit;
         private final boolean isPassed;
         private boolean paused;
         private boolean full;
         /** Accepted, and not let in yet: in the next task, or once there is room. */
-        private final Deque<Waiting> waiting = new ArrayDeque<>();
+        private final Deque<PendingConnection> pending = new ArrayDeque<>();
 
         /** A connection, and since when it is known here, microseconds. */
-        private record Waiting(StreamConnection connection, long since) {}
+        private record PendingConnection(StreamConnection connection, long acceptedAt) {}
 
         /** On the passed socket, unless it is null. */
         private Listener(
                 ServerSocketChannel passed,
-                InetSocketAddress at,
+                InetSocketAddress address,
                 int inLimit,
                 int outLimit,
-                Part part,
+                ConnectionLimit limit,
                 BooleanSupplier makeRoom,
                 Supplier<LinkHandler> handlers)
                 throws IOException {
             this.handlers = handlers;
             this.makeRoom = makeRoom;
-            this.part = part;
+            this.limit = limit;
             this.inLimit = inLimit;
             this.outLimit = outLimit;
             isPassed = passed != null;
-            ChannelListener<AcceptingChannel<StreamConnection>> heard = accepting -> turn(this::accept);
+            ChannelListener<AcceptingChannel<StreamConnection>> acceptListener = accepting -> turn(this::acceptPending);
             OptionMap options = OptionMap.builder()
                     .set(Options.TCP_NODELAY, true)
                     .set(Options.REUSE_ADDRESSES, true)
@@ -266,8 +266,8 @@
                     .set(Options.BACKLOG, BACKLOG)
                     .getMap();
             channel = isPassed
-                    ? PassedServer.wrap(worker, passed, heard, options)
-                    : worker.createStreamConnectionServer(at, heard, options);
+                    ? PassedServer.wrap(worker, passed, acceptListener, options)
+                    : worker.createStreamConnectionServer(address, acceptListener, options);
         }
 
         /** Lets clients in from now on. */
@@ -289,40 +289,40 @@
             channel.suspendAccepts();
         }
 
-        private void accept() {
-            if (acceptSome()) {
-                later(this::accept);
+        private void acceptPending() {
+            if (acceptBatch()) {
+                later(this::acceptPending);
             }
         }
 
         /** Lets in some of those that wait; true if more of them can be. */
-        private boolean acceptSome() {
+        private boolean acceptBatch() {
             try {
-                takeAccepted();
-                for (int i = 0; i < ACCEPTS && !waiting.isEmpty(); i++) {
+                drainAcceptQueue();
+                for (int i = 0; i < MAX_ACCEPTS_PER_TURN && !pending.isEmpty(); i++) {
                     // Room is made for a client that is there: asked for one that may come, it would close
                     // one more than need be each time that the backlog runs empty.
-                    if (!part.hasRoom() && !makeRoom.getAsBoolean()) {
+                    if (!limit.hasRoom() && !makeRoom.getAsBoolean()) {
                         waitForRoom();
                         return false;
                     }
-                    letIn(waiting.remove());
+                    admit(pending.remove());
                 }
             } catch (IOException e) {
                 LOG.warn("accept: {}", e.getMessage());
                 return false;
             }
-            return !waiting.isEmpty();
+            return !pending.isEmpty();
         }
 
         /**
          * Takes over all that XNIO has accepted on its own thread, also if the socket is closed by now: left
          * in its queue, they would have it call again and again, without a pause.
          */
-        private void takeAccepted() throws IOException {
+        private void drainAcceptQueue() throws IOException {
             try {
                 for (StreamConnection next = channel.accept(); next != null; next = channel.accept()) {
-                    waiting.add(new Waiting(next, micros()));
+                    pending.add(new PendingConnection(next, micros()));
                 }
             } catch (ClosedChannelException e) {
                 LOG.trace("closed, and nothing left", e);
@@ -335,48 +335,48 @@
                 full = true;
                 channel.suspendAccepts();
             } else {
-                turnAway();
+                rejectPending();
             }
         }
 
-        private void letIn(Waiting next) {
-            part.open++;
+        private void admit(PendingConnection next) {
+            limit.open++;
             LinkHandler handler = handlers.get();
             Link link = new Link(Loop.this, handler, inLimit, outLimit, this);
-            link.handle(links.add(link));
+            link.assignHandle(links.add(link));
             link.attach(next.connection);
             handler.opened(link);
             // Mostly it has asked already: unread it would look like one that says nothing.
-            link.waitedSince(next.since);
+            link.setInputPendingSince(next.acceptedAt);
             link.readable();
-            link.waitedSince(-1);
+            link.setInputPendingSince(-1);
         }
 
-        private int turnAway() {
-            int count = waiting.size();
-            waiting.forEach(each -> IoUtils.safeClose(each.connection));
-            waiting.clear();
+        private int rejectPending() {
+            int count = pending.size();
+            pending.forEach(each -> IoUtils.safeClose(each.connection));
+            pending.clear();
             return count;
         }
 
-        private void left() {
-            part.open--;
-            mayHaveRoom();
+        private void connectionClosed() {
+            limit.open--;
+            resumeFullListeners();
         }
 
         /** One of its connections may be displaced from now on. */
-        void mayHaveRoom() {
-            listeners.forEach(Listener::room);
+        void resumeFullListeners() {
+            listeners.forEach(Listener::resumeIfFull);
         }
 
-        private void room() {
+        private void resumeIfFull() {
             if (full && channel.isOpen()) {
                 full = false;
                 if (!paused) {
                     channel.resumeAccepts();
                 }
                 // Nothing need come in behind the one that waits here already.
-                later(this::accept);
+                later(this::acceptPending);
             }
         }
 
@@ -398,29 +398,29 @@
          * The same; told of each one that has connected and found no room. A passed one stays open, unread:
          * closing it would detach the process's log.
          */
-        public void close(Runnable turnedAway) {
+        public void close(Runnable onRejected) {
             if (isPassed) {
                 pause();
             } else if (full) {
-                closeNow(turnedAway);
+                closeNow(onRejected);
             } else {
                 // The thread that accepts may not have come yet to those that wait in the system's queue.
                 AcceptingThread.afterNextSelect(worker, () -> {
                     if (!worker.isShutdown()) {
-                        later(() -> closeNow(turnedAway));
+                        later(() -> closeNow(onRejected));
                     }
                 });
             }
         }
 
-        private void closeNow(Runnable turnedAway) {
+        private void closeNow(Runnable onRejected) {
             boolean more = !full;
             while (more) {
-                more = acceptSome();
+                more = acceptBatch();
             }
             full = false;
-            for (int count = turnAway(); count > 0; count--) {
-                turnedAway.run();
+            for (int count = rejectPending(); count > 0; count--) {
+                onRejected.run();
             }
             IoUtils.safeClose(channel);
         }
@@ -431,9 +431,13 @@
      * makeRoom may close one, and tells whether it did.
      */
     public Listener listen(
-            InetSocketAddress at, int inLimit, int outLimit, BooleanSupplier makeRoom, Supplier<LinkHandler> handlers)
+            InetSocketAddress address,
+            int inLimit,
+            int outLimit,
+            BooleanSupplier makeRoom,
+            Supplier<LinkHandler> handlers)
             throws IOException {
-        return new Listener(null, at, inLimit, outLimit, accepted, makeRoom, handlers);
+        return new Listener(null, address, inLimit, outLimit, acceptedLimit, makeRoom, handlers);
     }
 
     /**
@@ -441,19 +445,20 @@
      * parts come out of what the virtual machine leaves of its descriptors, and are small.
      */
     public Listener listenWithOwnLimit(
-            InetSocketAddress at,
+            InetSocketAddress address,
             int inLimit,
             int outLimit,
-            int most,
+            int maxConnections,
             BooleanSupplier makeRoom,
             Supplier<LinkHandler> handlers)
             throws IOException {
-        return new Listener(null, at, inLimit, outLimit, new Part(most), makeRoom, handlers);
+        return new Listener(null, address, inLimit, outLimit, new ConnectionLimit(maxConnections), makeRoom, handlers);
     }
 
     /** Takes datagrams there of up to so many bytes. */
-    public Datagrams datagrams(InetSocketAddress at, int most, Datagrams.Receiver taker) throws IOException {
-        return new Datagrams(this, worker, at, most, taker);
+    public Datagrams datagrams(InetSocketAddress address, int maxBytes, Datagrams.Receiver receiver)
+            throws IOException {
+        return new Datagrams(this, worker, address, maxBytes, receiver);
     }
 
     /** Clients come from the listening socket that is this process's descriptor 0; not before it is begun. */
@@ -473,41 +478,41 @@
             BooleanSupplier makeRoom,
             Supplier<LinkHandler> handlers)
             throws IOException {
-        return new Listener(passed, null, inLimit, outLimit, accepted, makeRoom, handlers);
+        return new Listener(passed, null, inLimit, outLimit, acceptedLimit, makeRoom, handlers);
     }
 
     /** Connections come up only within that part of the descriptors: the rest is another process's. */
-    public void limitShare(double part) {
-        accepted.most = (int) (part * mostEachWay);
-        outbound.most = accepted.most;
-        listeners.forEach(Listener::room);
+    public void limitShare(double fraction) {
+        acceptedLimit.max = (int) (fraction * maxPerDirection);
+        outboundLimit.max = acceptedLimit.max;
+        listeners.forEach(Listener::resumeIfFull);
     }
 
     /** True if another connection may be opened. */
     public boolean hasRoom() {
-        return outbound.hasRoom();
+        return outboundLimit.hasRoom();
     }
 
     /** Opens a connection; the handler hears when it is up, or that it did not come up. */
     public Link connect(InetSocketAddress to, int inLimit, int outLimit, LinkHandler handler) {
         Link link = new Link(this, handler, inLimit, outLimit, null);
-        link.handle(links.add(link));
-        outbound.open++;
+        link.assignHandle(links.add(link));
+        outboundLimit.open++;
         IoFuture<StreamConnection> future =
                 thread.openStreamConnection(to, null, OptionMap.create(Options.TCP_NODELAY, true));
-        link.opening(future);
+        link.setPendingConnect(future);
         future.addNotifier((done, none) -> later(() -> connected(link, handler, future)), null);
         return link;
     }
 
     private void connected(Link link, LinkHandler handler, IoFuture<StreamConnection> future) {
-        boolean up = future.getStatus() == IoFuture.Status.DONE;
+        boolean isUp = future.getStatus() == IoFuture.Status.DONE;
         if (link.isClosed()) {
             // Given up while it came up: nobody else would close it.
-            if (up) {
+            if (isUp) {
                 IoUtils.safeClose(result(future));
             }
-        } else if (up) {
+        } else if (isUp) {
             link.attach(result(future));
             handler.opened(link);
         } else {
@@ -524,12 +529,12 @@
         }
     }
 
-    void closed(Link link) {
+    void linkClosed(Link link) {
         links.remove(link.handle());
         if (link.listener() != null) {
-            link.listener().left();
+            link.listener().connectionClosed();
         } else {
-            outbound.open--;
+            outboundLimit.open--;
         }
     }
 
--- a/src/main/java/laneflow/net/Ring.java
+++ b/src/main/java/laneflow/net/Ring.java
@@ -7,18 +7,18 @@
 
 /** A ring of bytes, one for each direction of a connection; it grows by doubling up to its limit. */
 public final class Ring {
-    private static final int FIRST = 2048;
+    private static final int INITIAL_CAPACITY = 2048;
 
     private final int limit;
-    private byte[] bytes = new byte[FIRST];
+    private byte[] bytes = new byte[INITIAL_CAPACITY];
     private ByteBuffer view = ByteBuffer.wrap(bytes);
     private int head;
     private int size;
-    private long taken;
+    private long consumed;
 
     /** A ring that never holds more than this, a power of two. */
     public Ring(int limit) {
-        if (Integer.bitCount(limit) != 1 || limit < FIRST) {
+        if (Integer.bitCount(limit) != 1 || limit < INITIAL_CAPACITY) {
             throw new IllegalArgumentException("limit " + limit);
         }
         this.limit = limit;
@@ -38,7 +38,7 @@
 
     /** How many bytes have been taken out of it since it was made: the running number of its first byte. */
     public long consumedBytes() {
-        return taken;
+        return consumed;
     }
 
     /** The byte that far behind the first one. */
@@ -71,12 +71,12 @@
         }
         head = head + length & bytes.length - 1;
         size -= length;
-        taken += length;
+        consumed += length;
         if (size == 0) {
             head = 0;
-            if (bytes.length > FIRST) {
+            if (bytes.length > INITIAL_CAPACITY) {
                 // One large message must not keep its room for as long as the connection lives.
-                use(new byte[FIRST]);
+                replaceBuffer(new byte[INITIAL_CAPACITY]);
             }
         }
     }
@@ -107,25 +107,25 @@
             grow();
         }
         int tail = head + size & bytes.length - 1;
-        int room = Math.min(bytes.length - size, bytes.length - tail);
-        if (room == 0) {
+        int available = Math.min(bytes.length - size, bytes.length - tail);
+        if (available == 0) {
             return 0;
         }
-        view.clear().position(tail).limit(tail + room);
-        int got = conduit.read(view);
-        size += Math.max(0, got);
-        return got;
+        view.clear().position(tail).limit(tail + available);
+        int bytesRead = conduit.read(view);
+        size += Math.max(0, bytesRead);
+        return bytesRead;
     }
 
     /** Writes once to the conduit; how many bytes it took. */
     int writeTo(StreamSinkConduit conduit) throws IOException {
         int length = Math.min(size, bytes.length - head);
         view.clear().position(head).limit(head + length);
-        int put = conduit.write(view);
-        if (put > 0) {
-            skip(put);
+        int bytesWritten = conduit.write(view);
+        if (bytesWritten > 0) {
+            skip(bytesWritten);
         }
-        return put;
+        return bytesWritten;
     }
 
     private void grow() {
@@ -134,11 +134,11 @@
         System.arraycopy(bytes, head, larger, 0, first);
         System.arraycopy(bytes, 0, larger, first, size - first);
         head = 0;
-        use(larger);
+        replaceBuffer(larger);
     }
 
-    private void use(byte[] room) {
-        bytes = room;
+    private void replaceBuffer(byte[] buffer) {
+        bytes = buffer;
         view = ByteBuffer.wrap(bytes);
     }
 }
--- a/src/main/java/laneflow/net/Threads.java
+++ b/src/main/java/laneflow/net/Threads.java
@@ -20,9 +20,9 @@
     }
 
     /** As many as there is work for, none waiting for another; beyond the most it is turned down. */
-    public static ExecutorService boundedPool(int most, String name) {
+    public static ExecutorService boundedPool(int maxThreads, String name) {
         return new ThreadPoolExecutor(
-                0, most, IDLE_S, TimeUnit.SECONDS, new SynchronousQueue<>(), task -> daemon(task, name));
+                0, maxThreads, IDLE_S, TimeUnit.SECONDS, new SynchronousQueue<>(), task -> daemon(task, name));
     }
 
     /** One that does what it is given in that order. */
--- a/src/main/java/org/xnio/nio/AcceptingThread.java
+++ b/src/main/java/org/xnio/nio/AcceptingThread.java
@@ -12,9 +12,9 @@
     private AcceptingThread() {}
 
     /** Runs a call on the worker's accepting thread, behind its next look at its listening sockets. */
-    public static void afterNextSelect(XnioWorker worker, Runnable call) {
+    public static void afterNextSelect(XnioWorker worker, Runnable action) {
         WorkerThread thread = ((NioXnioWorker) worker).getAcceptThread();
         // A task that is set for later by a task runs behind the thread's next selection, never before it.
-        thread.execute(() -> thread.executeAfter(call, DELAY_MS, TimeUnit.MILLISECONDS));
+        thread.execute(() -> thread.executeAfter(action, DELAY_MS, TimeUnit.MILLISECONDS));
     }
 }
--- a/src/test/java/laneflow/net/ArrivalTimesTest.java
+++ b/src/test/java/laneflow/net/ArrivalTimesTest.java
@@ -12,15 +12,15 @@
         ArrivalTimes times = new ArrivalTimes();
         times.add(10, 1_000_000, 0);
         times.add(25, 2_000_000, 0);
-        assertEquals(1_000_000, times.before(1, UNKNOWN));
-        assertEquals(1_000_000, times.before(10, UNKNOWN));
-        assertEquals(2_000_000, times.before(11, UNKNOWN));
-        assertEquals(2_000_000, times.before(25, UNKNOWN));
-        assertEquals(UNKNOWN, times.before(26, UNKNOWN));
+        assertEquals(1_000_000, times.arrivalBefore(1, UNKNOWN));
+        assertEquals(1_000_000, times.arrivalBefore(10, UNKNOWN));
+        assertEquals(2_000_000, times.arrivalBefore(11, UNKNOWN));
+        assertEquals(2_000_000, times.arrivalBefore(25, UNKNOWN));
+        assertEquals(UNKNOWN, times.arrivalBefore(26, UNKNOWN));
         // The first ten have been taken: they are forgotten, the others are not.
         times.add(30, 3_000_000, 10);
-        assertEquals(2_000_000, times.before(11, UNKNOWN));
-        assertEquals(3_000_000, times.before(30, UNKNOWN));
+        assertEquals(2_000_000, times.arrivalBefore(11, UNKNOWN));
+        assertEquals(3_000_000, times.arrivalBefore(30, UNKNOWN));
     }
 
     /** Told too early by a millisecond at most, never too late. */
@@ -31,11 +31,11 @@
             times.add(i, i, 0);
         }
         for (int i = 1; i <= 5000; i++) {
-            long told = times.before(i, UNKNOWN);
-            assertEquals(i - (i - 1) % 1000, told);
+            long instant = times.arrivalBefore(i, UNKNOWN);
+            assertEquals(i - (i - 1) % 1000, instant);
         }
         // What has been taken shares its instant with nothing that comes later.
         times.add(5001, 5001, 5000);
-        assertEquals(5001, times.before(5001, UNKNOWN));
+        assertEquals(5001, times.arrivalBefore(5001, UNKNOWN));
     }
 }
--- a/src/test/java/laneflow/net/LoopTest.java
+++ b/src/test/java/laneflow/net/LoopTest.java
@@ -17,12 +17,12 @@
     private Loop loop;
 
     @BeforeEach
-    void make() throws Exception {
+    void createLoop() throws Exception {
         loop = new Loop(8);
     }
 
     @AfterEach
-    void end() throws InterruptedException {
+    void stopLoop() throws InterruptedException {
         loop.stop();
     }
 
--- a/src/test/java/laneflow/net/NoDelayTest.java
+++ b/src/test/java/laneflow/net/NoDelayTest.java
@@ -19,7 +19,7 @@
 
     private final BlockingQueue<Link> opened = new LinkedBlockingQueue<>();
 
-    private final class Notes implements LinkHandler {
+    private final class RecordingHandler implements LinkHandler {
         @Override
         public void opened(Link link) {
             opened.add(link);
@@ -37,8 +37,8 @@
     }
 
     /** Both ends of a connection to there: accepted here, and opened here. */
-    private void assertNoDelay(Loop loop, InetSocketAddress at) throws Exception {
-        loop.call(() -> loop.connect(at, RING, RING, new Notes()));
+    private void assertNoDelay(Loop loop, InetSocketAddress address) throws Exception {
+        loop.call(() -> loop.connect(address, RING, RING, new RecordingHandler()));
         for (int end = 0; end < 2; end++) {
             Link link = opened.poll(30, TimeUnit.SECONDS);
             assertEquals(true, link.connection().getOption(Options.TCP_NODELAY));
@@ -50,11 +50,12 @@
         Loop loop = new Loop("test", 8, true);
         try (ServerSocketChannel passed = ServerSocketChannel.open()) {
             InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-            Loop.Listener own = loop.listen(any, RING, RING, () -> false, Notes::new);
+            Loop.Listener own = loop.listen(any, RING, RING, () -> false, RecordingHandler::new);
             own.begin();
             assertNoDelay(loop, own.address());
             passed.bind(any);
-            loop.listenOn(passed, RING, RING, () -> false, Notes::new).begin();
+            loop.listenOn(passed, RING, RING, () -> false, RecordingHandler::new)
+                    .begin();
             assertNoDelay(loop, (InetSocketAddress) passed.getLocalAddress());
         } finally {
             loop.stop();
--- a/src/test/java/laneflow/net/SchedulerHarness.java
+++ b/src/test/java/laneflow/net/SchedulerHarness.java
@@ -25,7 +25,7 @@
 
 /** The program on loopback sockets, and scripted peers that speak exactly what a story has them speak. */
 public final class SchedulerHarness implements AutoCloseable {
-    private static final int PATIENCE_MS = 60_000;
+    private static final int TIMEOUT_MS = 60_000;
     private static final String SETTINGS = "{'areas':['celje-1'],'shapes':['mid'],'classes':["
             + "{'name':'basket-check','aim':0.2,'hardLimit':5,'semantics':'pure','worth':2},"
             + "{'name':'card-capture','aim':0.15,'hardLimit':6,'semantics':'side_effect','worth':8},"
@@ -34,14 +34,14 @@
             + "'limits':{'cancel':true,'connectTimeout':1,'connIdle':10,'maxAttempts':5,'maxRetryAfter':2,"
             + "'retryAfter':true},'reporting':{'fields':['busy','q','rate','x0'],'source':'answers'},"
             + "'rules':{'stopSendingWithin':0.5},'tick':0.005}";
-    private static final String OWN =
+    private static final String COMMON_CONFIG =
             ",'listen':'127.0.0.1:0','seed':'7','limits':{'sockets':1024},'settings':" + SETTINGS + "}";
     private static final String GEARMAN = "listen = '127.0.0.1:0'\n[functions.check]\nclass = 'basket-check'\n"
             + "[functions.capture]\nclass = 'card-capture'\n[functions.post]\nclass = 'points-post'\n"
             + "[functions.hasty]\nclass = 'card-capture'\ndeadline_ms = 300\n[functions.slow]\nclass = 'points-post'\ncost_ms = 3000\n";
 
     public final Serve serve;
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> resources = new ArrayList<>();
 
     /** The program with these endpoints known, and discovery there unless it is null. */
     public SchedulerHarness(Endpoint discovery, Endpoint... known) throws Exception {
@@ -53,14 +53,15 @@
         List<String> hosts = new ArrayList<>();
         for (Endpoint endpoint : known) {
             hosts.add(endpoint.host("Ready"));
-            open.add(endpoint);
+            resources.add(endpoint);
         }
         Path file = Files.createTempFile("stand", ".json");
         try {
             Files.writeString(
                     file,
                     json("{'known':" + hostList(1, true, hosts.toArray(new String[0]))
-                                    + (discovery == null ? "" : ",'discovery':'" + discovery.dial() + "'") + OWN)
+                                    + (discovery == null ? "" : ",'discovery':'" + discovery.dial() + "'")
+                                    + COMMON_CONFIG)
                             .replace("1024", "" + sockets));
             serve = serve(Config.read(file, null));
         } finally {
@@ -69,13 +70,13 @@
     }
 
     /** The program with this of its settings told otherwise. */
-    public static SchedulerHarness withSetting(String was, String is, Endpoint discovery, Endpoint... known)
-            throws Exception {
+    public static SchedulerHarness withSetting(
+            String oldSetting, String newSetting, Endpoint discovery, Endpoint... known) throws Exception {
         String text = configWithEndpoints(known);
-        if (!text.contains(json(was))) {
-            throw new IllegalArgumentException(was);
+        if (!text.contains(json(oldSetting))) {
+            throw new IllegalArgumentException(oldSetting);
         }
-        return new SchedulerHarness(serve(Config.parse(text.replace(json(was), json(is))
+        return new SchedulerHarness(serve(Config.parse(text.replace(json(oldSetting), json(newSetting))
                 .replaceFirst("\\{", discovery == null ? "{" : json("{'discovery':'" + discovery.dial() + "',")))));
     }
 
@@ -92,7 +93,7 @@
         for (Endpoint endpoint : known) {
             hosts.add(endpoint.host("Ready"));
         }
-        return json("{'known':" + hostList(1, true, hosts.toArray(new String[0])) + OWN);
+        return json("{'known':" + hostList(1, true, hosts.toArray(new String[0])) + COMMON_CONFIG);
     }
 
     /** A connection to a process that the story has started itself. */
@@ -109,7 +110,7 @@
     public static SchedulerHarness withDestinationsFile(Path destinations) throws Exception {
         Path file = Files.createTempFile("stand", ".json");
         try {
-            Files.writeString(file, json("{'discovery':'127.0.0.1:1'" + OWN));
+            Files.writeString(file, json("{'discovery':'127.0.0.1:1'" + COMMON_CONFIG));
             return new SchedulerHarness(serve(Config.read(file, destinations)));
         } finally {
             Files.delete(file);
@@ -123,7 +124,8 @@
             Files.writeString(
                     file,
                     json("{'known':" + hostList(1, true, endpoint.host("Ready"))
-                            + OWN.replace("'source':'answers'", "'source':'probe'")
+                            + COMMON_CONFIG
+                                    .replace("'source':'answers'", "'source':'probe'")
                                     .replace("'cancel':true", "'cancel':true,'probes':true")));
             return new SchedulerHarness(serve(Config.read(file, null)));
         } finally {
@@ -151,7 +153,7 @@
 
     /** The program with its destination set streamed; the table of streamed configuration in TOML. */
     public static SchedulerHarness withControlStream(String control) throws Exception {
-        Config config = Config.parse(json("{'name':'n3'" + OWN));
+        Config config = Config.parse(json("{'name':'n3'" + COMMON_CONFIG));
         Findings findings = new Findings("the stand's file");
         Setup setup = new Setup(config, null, null, ControlConfig.read(Table.parse(control, findings)));
         findings.throwIfAny();
@@ -160,7 +162,7 @@
 
     /** The program with a Gearman front of that table, and nothing else known. */
     public static SchedulerHarness withGearman(String table) throws Exception {
-        Config config = Config.parse(json("{'name':'n3'" + OWN));
+        Config config = Config.parse(json("{'name':'n3'" + COMMON_CONFIG));
         return new SchedulerHarness(new Serve(new Setup(
                 config,
                 GearmanConfig.parse(table, config.settings, List.of(config.classNames), config.zones),
@@ -170,7 +172,7 @@
 
     /** The same with a Gearman front that has these functions, and durable jobs in that folder unless null. */
     public static SchedulerHarness withControlStream(String control, String functions, Path durable) throws Exception {
-        Config config = Config.parse(json("{'name':'n3'" + OWN));
+        Config config = Config.parse(json("{'name':'n3'" + COMMON_CONFIG));
         Findings findings = new Findings("the stand's file");
         List<String> classes = List.of(config.classNames);
         Setup setup = new Setup(
@@ -209,7 +211,7 @@
 
     /** A configuration that names this discovery. */
     public static String configWithDiscovery(String discovery) {
-        return json("{'discovery':'" + discovery + "'" + OWN);
+        return json("{'discovery':'" + discovery + "'" + COMMON_CONFIG);
     }
 
     /** A watch's answer that goes on behind this line. */
@@ -228,9 +230,9 @@
         return peer(serve.gearman().address());
     }
 
-    private Peer peer(InetSocketAddress at) throws IOException {
-        Peer peer = new Peer(new Socket(at.getAddress(), at.getPort()));
-        open.add(peer);
+    private Peer peer(InetSocketAddress address) throws IOException {
+        Peer peer = new Peer(new Socket(address.getAddress(), address.getPort()));
+        resources.add(peer);
         return peer;
     }
 
@@ -242,10 +244,10 @@
     }
 
     /** Waits until a counter has come that far. */
-    public void awaitCounter(String name, long least) throws InterruptedException {
-        long end = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-        while (counter(name) < least) {
-            if (System.nanoTime() > end) {
+    public void awaitCounter(String name, long minimum) throws InterruptedException {
+        long deadline = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
+        while (counter(name) < minimum) {
+            if (System.nanoTime() > deadline) {
                 throw new AssertionError(name + " stands at " + counter(name));
             }
             Thread.yield();
@@ -254,7 +256,7 @@
 
     @Override
     public void close() throws Exception {
-        for (AutoCloseable each : open) {
+        for (AutoCloseable each : resources) {
             each.close();
         }
         serve.halt();
@@ -279,7 +281,7 @@
         public Endpoint(String name, int backlog) throws IOException {
             this.name = name;
             server = new ServerSocket(0, backlog, InetAddress.getByName("127.0.0.1"));
-            server.setSoTimeout(PATIENCE_MS);
+            server.setSoTimeout(TIMEOUT_MS);
         }
 
         /** Connects until no more come up: who comes now comes up late, when the first have been accepted. */
@@ -320,23 +322,23 @@
         public final Socket socket;
         private final InputStream in;
         /** Told what this end says, for a transcript. */
-        private Consumer<String> noted = text -> {};
+        private Consumer<String> recorder = text -> {};
 
         Peer(Socket socket) throws IOException {
             this.socket = socket;
             in = socket.getInputStream();
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
             socket.setTcpNoDelay(true);
         }
 
         /** From now on what is said here is noted there too. */
-        public Peer recordTo(Consumer<String> note) {
-            noted = note;
+        public Peer recordTo(Consumer<String> newRecorder) {
+            recorder = newRecorder;
             return this;
         }
 
         public Peer write(byte[] bytes) throws IOException {
-            noted.accept(new String(bytes, StandardCharsets.ISO_8859_1));
+            recorder.accept(new String(bytes, StandardCharsets.ISO_8859_1));
             socket.getOutputStream().write(bytes);
             return this;
         }
@@ -370,8 +372,10 @@
         /** A message with its body, by its length. */
         public String message() throws IOException {
             String head = readTo("\r\n\r\n");
-            int at = head.indexOf("Content-Length: ") + 16;
-            int length = at < 16 ? 0 : Integer.parseInt(head.substring(at, head.indexOf('\r', at)));
+            int lengthStart = head.indexOf("Content-Length: ") + 16;
+            int length = lengthStart < 16
+                    ? 0
+                    : Integer.parseInt(head.substring(lengthStart, head.indexOf('\r', lengthStart)));
             return head + new String(read(length), StandardCharsets.ISO_8859_1);
         }
 
