--- a/src/main/java/laneflow/ops/BanFile.java
+++ b/src/main/java/laneflow/ops/BanFile.java
@@ -23,7 +23,7 @@
 public final class BanFile {
     private static final Logger LOG = LoggerFactory.getLogger(BanFile.class);
     private static final String FORMAT = "laneflow-set-down 1";
-    private static final long MOST = 4 << 20;
+    private static final long MAX_BYTES = 4 << 20;
 
     private final Path file;
 
@@ -33,13 +33,13 @@
 
     /** The names; none where the file is missing or can't be used, which is logged and stops no start. */
     public Set<String> read() {
-        return find().orElse(Set.of());
+        return tryRead().orElse(Set.of());
     }
 
     /** The names, if there is a file that can be used. */
-    Optional<Set<String>> find() {
+    Optional<Set<String>> tryRead() {
         try {
-            if (Files.size(file) > MOST) {
+            if (Files.size(file) > MAX_BYTES) {
                 throw new IOException("it is too long");
             }
             return Optional.of(parse(Files.readString(file)));
@@ -52,9 +52,9 @@
     }
 
     private static Set<String> parse(String text) throws IOException {
-        int last = text.lastIndexOf('\n', text.length() - 2) + 1;
-        String body = text.substring(0, last);
-        if (!text.substring(last).equals(checksum(body) + "\n")) {
+        int checksumStart = text.lastIndexOf('\n', text.length() - 2) + 1;
+        String body = text.substring(0, checksumStart);
+        if (!text.substring(checksumStart).equals(checksum(body) + "\n")) {
             throw new IOException("its checksum is wrong");
         }
         List<String> lines = new ArrayList<>(body.lines().toList());
@@ -68,10 +68,10 @@
     public void write(Set<String> names) throws IOException {
         StringBuilder body = new StringBuilder(FORMAT).append('\n');
         names.forEach(name -> body.append(name).append('\n'));
-        Path aside = file.resolveSibling(
+        Path temporary = file.resolveSibling(
                 file.getFileName() + "." + ProcessHandle.current().pid());
-        Files.writeString(aside, body + checksum(body.toString()) + "\n");
-        Files.move(aside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.writeString(temporary, body + checksum(body.toString()) + "\n");
+        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
     private static String checksum(String body) {
--- a/src/main/java/laneflow/ops/Handover.java
+++ b/src/main/java/laneflow/ops/Handover.java
@@ -30,48 +30,48 @@
 final class Handover {
     static final String HELLO = "laneflow-handover 1";
     /** Without a line for so long the other one hangs: it is let go. Signs of life come every half second. */
-    static final long SILENCE = 3_000_000;
+    static final long SILENCE_TIMEOUT_US = 3_000_000;
 
-    private static final long ALIVE = 500_000;
+    private static final long ALIVE_INTERVAL_US = 500_000;
     /** The elder has so long to confirm before the younger goes on without its word. */
-    private static final long CONFIRM = 500_000;
+    private static final long CONFIRM_TIMEOUT_US = 500_000;
     /** An order has so long to be confirmed: its caller is owed an answer within a second. */
-    private static final long HELD = 700_000;
+    private static final long ORDER_TIMEOUT_US = 700_000;
     /** One whose elder is gone looks again so much later: it may be it that was let go, while it hung. */
-    private static final long SEEK = 300_000;
+    private static final long SEARCH_DELAY_US = 300_000;
 
     /** The way to another process. */
-    interface Pipe {
+    interface Connection {
         void send(String line);
 
         void close();
     }
 
     /** Who carries it out; it calls back into no event from there. */
-    interface Host {
+    interface Callbacks {
         /** Takes clients from the shared queue, or leaves them to the other one. */
-        void accept(boolean on);
+        void acceptClients(boolean on);
 
         /** Sends the clients that are connected away, or keeps them again. */
-        void sendAway(boolean on);
+        void sendClientsAway(boolean on);
 
         /** What this process is of its scheduler now: its limits follow from that. */
-        void is(Role role);
+        void roleChanged(Role role);
 
         /** Further starts are to find this process, whoever they would have found. */
-        void settle();
+        void claimSocket();
 
         /** Who is there is met; if nobody is, further starts are to find this process. */
-        void seek();
+        void findPeer();
 
         /** Carries out what the other process was ordered. */
-        void obey(String order);
+        void applyOrder(String order);
 
         /** Reads again what operators have ordered, from where every process writes it down. */
-        void recall();
+        void reloadOrders();
 
         /** What operators have ordered and still holds. */
-        List<String> orders();
+        List<String> currentOrders();
     }
 
     /** All of a scheduler, the one that has its clients while another one ends, or the one that ends. */
@@ -82,43 +82,43 @@
     }
 
     private enum Stage {
-        MET,
-        KNOWN,
+        CONNECTED,
+        SYNCED,
         SERVING,
-        HANDED
+        HANDED_OVER
     }
 
-    private static final class Other {
-        final Pipe pipe;
-        Stage stage = Stage.MET;
-        long heardAt;
-        long since;
+    private static final class Peer {
+        final Connection connection;
+        Stage stage = Stage.CONNECTED;
+        long lastReceivedAt;
+        long stageSince;
 
-        Other(Pipe pipe, long now) {
-            this.pipe = pipe;
-            heardAt = now;
-            since = now;
+        Peer(Connection connection, long now) {
+            this.connection = connection;
+            lastReceivedAt = now;
+            stageSince = now;
         }
     }
 
-    private static final class Pending {
-        final Set<Other> awaited = new HashSet<>();
-        Consumer<Boolean> then;
-        long until;
+    private static final class PendingOrder {
+        final Set<Peer> unconfirmed = new HashSet<>();
+        Consumer<Boolean> callback;
+        long deadline;
     }
 
-    private final Host host;
-    private Other elder;
-    private Other younger;
+    private final Callbacks callbacks;
+    private Peer predecessor;
+    private Peer successor;
     private boolean serving;
-    private boolean placed;
-    private long seekAt = Long.MAX_VALUE;
-    private long saidAt;
-    private int told;
-    private final Map<Integer, Pending> pending = new LinkedHashMap<>();
-
-    Handover(Host host) {
-        this.host = host;
+    private boolean inPlace;
+    private long searchAt = Long.MAX_VALUE;
+    private long lastAliveAt;
+    private int lastOrderNumber;
+    private final Map<Integer, PendingOrder> pendingOrders = new LinkedHashMap<>();
+
+    Handover(Callbacks callbacks) {
+        this.callbacks = callbacks;
     }
 
     // ---- the younger's side ----
@@ -127,228 +127,233 @@
      * An elder is there. Whoever has a younger meets nobody: it would be that very one, and each would end in
      * the other's favour.
      */
-    void met(long now, Pipe pipe) {
-        if (elder != null || younger != null) {
-            pipe.close();
+    void predecessorConnected(long now, Connection connection) {
+        if (predecessor != null || successor != null) {
+            connection.close();
             return;
         }
-        elder = new Other(pipe, now);
-        pipe.send(HELLO);
-        tell();
+        predecessor = new Peer(connection, now);
+        connection.send(HELLO);
+        reportRole();
     }
 
     /** True until the elder has told what it knows, or is gone. */
-    boolean isWaiting() {
-        return elder != null && elder.stage == Stage.MET;
+    boolean isAwaitingOrders() {
+        return predecessor != null && predecessor.stage == Stage.CONNECTED;
     }
 
     /** This process can serve: from here on it takes clients. */
-    void serving(long now) {
+    void startServing(long now) {
         if (serving) {
             return;
         }
         serving = true;
-        host.accept(true);
-        tell();
-        if (elder == null) {
-            seekAt = Math.min(seekAt, now);
+        callbacks.acceptClients(true);
+        reportRole();
+        if (predecessor == null) {
+            searchAt = Math.min(searchAt, now);
         } else {
-            offer(now);
+            offerToServe(now);
         }
     }
 
-    private void offer(long now) {
-        if (serving && elder.stage == Stage.KNOWN) {
-            elder.stage = Stage.SERVING;
-            elder.since = now;
-            elder.pipe.send("serving");
+    private void offerToServe(long now) {
+        if (serving && predecessor.stage == Stage.SYNCED) {
+            predecessor.stage = Stage.SERVING;
+            predecessor.stageSince = now;
+            predecessor.connection.send("serving");
         }
     }
 
     /** True once callers may rely on this process: it takes clients, and the elder has had time to stop. */
     boolean isInPlace(long now) {
-        placed |= serving && (elder == null || elder.stage == Stage.HANDED || now - elder.since > CONFIRM);
-        return placed;
+        inPlace |= serving
+                && (predecessor == null
+                        || predecessor.stage == Stage.HANDED_OVER
+                        || now - predecessor.stageSince > CONFIRM_TIMEOUT_US);
+        return inPlace;
     }
 
     // ---- the elder's side ----
 
     /** A process has come that asks for this one's place; one at a time is heard. */
-    void asked(long now, Pipe pipe) {
-        if (younger != null || !serving) {
-            pipe.close();
+    void successorConnected(long now, Connection connection) {
+        if (successor != null || !serving) {
+            connection.close();
             return;
         }
-        younger = new Other(pipe, now);
+        successor = new Peer(connection, now);
     }
 
     /** True once another process takes the clients. */
     boolean isSuperseded() {
-        return younger != null && younger.stage == Stage.HANDED;
+        return successor != null && successor.stage == Stage.HANDED_OVER;
     }
 
     // ---- both ----
 
     boolean isAlone() {
-        return elder == null && younger == null;
+        return predecessor == null && successor == null;
     }
 
-    void line(long now, Pipe from, String text) {
-        Other other = other(from);
-        if (other == null) {
+    void receive(long now, Connection connection, String message) {
+        Peer peer = findPeer(connection);
+        if (peer == null) {
             return;
         }
-        other.heardAt = now;
-        String[] words = text.split(" ", 3);
-        if (other.stage == Stage.MET) {
-            greeted(now, other, text);
-        } else if (words[0].equals("tell") && words.length == 3) {
-            told(now, other, words[1], words[2]);
-        } else if (words[0].equals("held") && words.length == 2) {
-            held(other, words[1]);
-        } else if (other == younger && text.equals("serving") && other.stage == Stage.KNOWN) {
-            other.stage = Stage.HANDED;
-            host.accept(false);
-            host.sendAway(true);
-            tell();
-            other.pipe.send("handed");
-        } else if (other == elder && text.equals("handed") && other.stage == Stage.SERVING) {
-            other.stage = Stage.HANDED;
-            host.settle();
+        peer.lastReceivedAt = now;
+        String[] fields = message.split(" ", 3);
+        if (peer.stage == Stage.CONNECTED) {
+            handleHandshake(now, peer, message);
+        } else if (fields[0].equals("tell") && fields.length == 3) {
+            handleOrder(now, peer, fields[1], fields[2]);
+        } else if (fields[0].equals("held") && fields.length == 2) {
+            handleConfirmation(peer, fields[1]);
+        } else if (peer == successor && message.equals("serving") && peer.stage == Stage.SYNCED) {
+            peer.stage = Stage.HANDED_OVER;
+            callbacks.acceptClients(false);
+            callbacks.sendClientsAway(true);
+            reportRole();
+            peer.connection.send("handed");
+        } else if (peer == predecessor && message.equals("handed") && peer.stage == Stage.SERVING) {
+            peer.stage = Stage.HANDED_OVER;
+            callbacks.claimSocket();
         }
     }
 
     /** Before anything else both say which version they speak; another one is not spoken with. */
-    private void greeted(long now, Other other, String text) {
-        if (other == younger) {
-            if (!text.equals(HELLO)) {
-                other.pipe.send(HELLO);
-                drop(now, other);
+    private void handleHandshake(long now, Peer peer, String message) {
+        if (peer == successor) {
+            if (!message.equals(HELLO)) {
+                peer.connection.send(HELLO);
+                disconnect(now, peer);
                 return;
             }
-            other.stage = Stage.KNOWN;
-            host.recall();
-            other.pipe.send(HELLO);
-            host.orders().forEach(order -> other.pipe.send("order " + order));
-            other.pipe.send("known");
-        } else if (text.equals("known")) {
-            other.stage = Stage.KNOWN;
-            offer(now);
-        } else if (text.startsWith("order ")) {
-            host.obey(text.substring(6));
-        } else if (!text.equals(HELLO) && !text.equals("alive")) {
-            drop(now, other);
+            peer.stage = Stage.SYNCED;
+            callbacks.reloadOrders();
+            peer.connection.send(HELLO);
+            callbacks.currentOrders().forEach(order -> peer.connection.send("order " + order));
+            peer.connection.send("known");
+        } else if (message.equals("known")) {
+            peer.stage = Stage.SYNCED;
+            offerToServe(now);
+        } else if (message.startsWith("order ")) {
+            callbacks.applyOrder(message.substring(6));
+        } else if (!message.equals(HELLO) && !message.equals("alive")) {
+            disconnect(now, peer);
         }
     }
 
-    void gone(long now, Pipe pipe) {
-        Other other = other(pipe);
-        if (other != null) {
-            drop(now, other);
+    void disconnected(long now, Connection connection) {
+        Peer peer = findPeer(connection);
+        if (peer != null) {
+            disconnect(now, peer);
         }
     }
 
-    private void drop(long now, Other other) {
-        other.pipe.close();
+    private void disconnect(long now, Peer peer) {
+        peer.connection.close();
         // One that was let go while it hung is not told what was ordered meanwhile.
-        host.recall();
-        for (Integer number : new ArrayList<>(pending.keySet())) {
-            confirmed(number, other);
+        callbacks.reloadOrders();
+        for (Integer number : new ArrayList<>(pendingOrders.keySet())) {
+            confirm(number, peer);
         }
-        if (other == younger) {
+        if (peer == successor) {
             boolean superseded = isSuperseded();
-            younger = null;
+            successor = null;
             if (superseded) {
-                host.accept(true);
-                host.sendAway(false);
-                host.settle();
+                callbacks.acceptClients(true);
+                callbacks.sendClientsAway(false);
+                callbacks.claimSocket();
             }
         } else {
-            elder = null;
-            seekAt = now + SEEK;
+            predecessor = null;
+            searchAt = now + SEARCH_DELAY_US;
         }
-        tell();
+        reportRole();
     }
 
-    private void tell() {
-        host.is(isSuperseded() ? Role.OLDER : elder != null && serving ? Role.NEWER : Role.ALONE);
+    private void reportRole() {
+        callbacks.roleChanged(isSuperseded() ? Role.OLDER : predecessor != null && serving ? Role.NEWER : Role.ALONE);
     }
 
     /** Time passes. */
     void tick(long now) {
-        for (Other other : new Other[] {elder, younger}) {
-            if (other != null && now - other.heardAt > SILENCE) {
-                drop(now, other);
-            } else if (other != null && now - saidAt >= ALIVE) {
-                other.pipe.send("alive");
+        for (Peer peer : new Peer[] {predecessor, successor}) {
+            if (peer != null && now - peer.lastReceivedAt > SILENCE_TIMEOUT_US) {
+                disconnect(now, peer);
+            } else if (peer != null && now - lastAliveAt >= ALIVE_INTERVAL_US) {
+                peer.connection.send("alive");
             }
         }
-        if (serving && elder == null && younger == null && now >= seekAt) {
-            seekAt = Long.MAX_VALUE;
-            host.seek();
+        if (serving && predecessor == null && successor == null && now >= searchAt) {
+            searchAt = Long.MAX_VALUE;
+            callbacks.findPeer();
         }
-        saidAt = now - saidAt >= ALIVE ? now : saidAt;
-        for (Map.Entry<Integer, Pending> each : new ArrayList<>(pending.entrySet())) {
-            if (now > each.getValue().until) {
-                pending.remove(each.getKey());
-                each.getValue().then.accept(false);
+        lastAliveAt = now - lastAliveAt >= ALIVE_INTERVAL_US ? now : lastAliveAt;
+        for (Map.Entry<Integer, PendingOrder> entry : new ArrayList<>(pendingOrders.entrySet())) {
+            if (now > entry.getValue().deadline) {
+                pendingOrders.remove(entry.getKey());
+                entry.getValue().callback.accept(false);
             }
         }
     }
 
-    private Other other(Pipe pipe) {
-        return elder != null && elder.pipe == pipe ? elder : younger != null && younger.pipe == pipe ? younger : null;
+    private Peer findPeer(Connection connection) {
+        return predecessor != null && predecessor.connection == connection
+                ? predecessor
+                : successor != null && successor.connection == connection ? successor : null;
     }
 
     // ---- orders ----
 
     /** An order that holds here already; then hears whether it holds everywhere. */
-    void ordered(long now, String order, Consumer<Boolean> then) {
-        spread(now, null, order, then);
+    void broadcastOrder(long now, String order, Consumer<Boolean> callback) {
+        forwardOrder(now, null, order, callback);
     }
 
-    private void spread(long now, Other not, String order, Consumer<Boolean> then) {
-        Pending all = new Pending();
-        all.then = then;
-        all.until = now + HELD;
-        int number = ++told;
-        for (Other other : new Other[] {elder, younger}) {
+    private void forwardOrder(long now, Peer sender, String order, Consumer<Boolean> callback) {
+        PendingOrder pendingOrder = new PendingOrder();
+        pendingOrder.callback = callback;
+        pendingOrder.deadline = now + ORDER_TIMEOUT_US;
+        int number = ++lastOrderNumber;
+        for (Peer peer : new Peer[] {predecessor, successor}) {
             // Who has not been told what holds yet hears it with the rest.
-            if (other != null && other != not && (other == elder || other.stage != Stage.MET)) {
-                all.awaited.add(other);
+            if (peer != null && peer != sender && (peer == predecessor || peer.stage != Stage.CONNECTED)) {
+                pendingOrder.unconfirmed.add(peer);
             }
         }
-        if (all.awaited.isEmpty()) {
-            then.accept(true);
+        if (pendingOrder.unconfirmed.isEmpty()) {
+            callback.accept(true);
             return;
         }
-        pending.put(number, all);
-        all.awaited.forEach(other -> other.pipe.send("tell " + number + " " + order));
+        pendingOrders.put(number, pendingOrder);
+        pendingOrder.unconfirmed.forEach(peer -> peer.connection.send("tell " + number + " " + order));
     }
 
-    private void told(long now, Other by, String number, String order) {
-        host.obey(order);
-        spread(now, by, order, all -> {
-            if (all) {
-                by.pipe.send("held " + number);
+    private void handleOrder(long now, Peer sender, String number, String order) {
+        callbacks.applyOrder(order);
+        forwardOrder(now, sender, order, isConfirmed -> {
+            if (isConfirmed) {
+                sender.connection.send("held " + number);
             }
         });
     }
 
-    private void held(Other by, String number) {
+    private void handleConfirmation(Peer sender, String number) {
         try {
-            confirmed(Integer.valueOf(number), by);
+            confirm(Integer.valueOf(number), sender);
         } catch (NumberFormatException e) {
             // No number of an order that waits: nothing is held by it.
             return;
         }
     }
 
-    private void confirmed(Integer number, Other by) {
-        Pending all = pending.get(number);
-        if (all != null && all.awaited.remove(by) && all.awaited.isEmpty()) {
-            pending.remove(number);
-            all.then.accept(true);
+    private void confirm(Integer number, Peer sender) {
+        PendingOrder pendingOrder = pendingOrders.get(number);
+        if (pendingOrder != null && pendingOrder.unconfirmed.remove(sender) && pendingOrder.unconfirmed.isEmpty()) {
+            pendingOrders.remove(number);
+            pendingOrder.callback.accept(true);
         }
     }
 }
--- a/src/main/java/laneflow/ops/HandoverSocket.java
+++ b/src/main/java/laneflow/ops/HandoverSocket.java
@@ -26,79 +26,80 @@
  */
 final class HandoverSocket {
     private static final Logger LOG = LoggerFactory.getLogger(HandoverSocket.class);
-    private static final int MOST_LINE = 1024;
+    private static final int MAX_LINE_BYTES = 1024;
 
-    private final Path place;
-    private final Consumer<Runnable> loop;
+    private final Path path;
+    private final Consumer<Runnable> loopExecutor;
     private ServerSocketChannel server;
     /** What the place held when it was taken: another process may have taken it since. */
-    private Object taken;
+    private Object boundFileKey;
 
     /** @param loop runs what it is given on the thread that owns the handover */
-    HandoverSocket(Path folder, Consumer<Runnable> loop) {
-        place = folder.resolve("laneflow-handover");
-        this.loop = loop;
+    HandoverSocket(Path folder, Consumer<Runnable> loopExecutor) {
+        path = folder.resolve("laneflow-handover");
+        this.loopExecutor = loopExecutor;
     }
 
     /** A way to the process that is there, or null. */
-    SocketPipe connect() {
-        if (!Files.exists(place)) {
+    SocketConnection connect() {
+        if (!Files.exists(path)) {
             return null;
         }
         try {
-            return new SocketPipe(SocketChannel.open(UnixDomainSocketAddress.of(place)));
+            return new SocketConnection(SocketChannel.open(UnixDomainSocketAddress.of(path)));
         } catch (IOException | RuntimeException e) {
-            LOG.info("nobody is met at {}: {}", place, e.toString());
+            LOG.info("nobody is met at {}: {}", path, e.toString());
             return null;
         }
     }
 
     /** Looks, off the loop, whether another process has the place, and tells; null: nobody. */
-    void seek(Consumer<SocketPipe> then) {
-        Object own = server == null ? null : taken;
+    void findOther(Consumer<SocketConnection> callback) {
+        Object ownFileKey = server == null ? null : boundFileKey;
         Threads.daemon(
                         () -> {
-                            Object there = key();
-                            SocketPipe found = there == null || there.equals(own) ? null : connect();
-                            loop.accept(() -> then.accept(found));
+                            Object currentFileKey = fileKey();
+                            SocketConnection other =
+                                    currentFileKey == null || currentFileKey.equals(ownFileKey) ? null : connect();
+                            loopExecutor.accept(() -> callback.accept(other));
                         },
                         "handover-seek")
                 .start();
     }
 
     /** True if starts to come find this process. */
-    boolean isSettled() {
-        return server != null && taken != null && taken.equals(key());
+    boolean isBound() {
+        return server != null && boundFileKey != null && boundFileKey.equals(fileKey());
     }
 
-    private Object key() {
+    private Object fileKey() {
         try {
-            return Files.readAttributes(place, BasicFileAttributes.class).fileKey();
+            return Files.readAttributes(path, BasicFileAttributes.class).fileKey();
         } catch (IOException e) {
             return null;
         }
     }
 
     /** From now on starts to come find this process; each is told of. */
-    void settle(Consumer<SocketPipe> come) {
+    void bind(Consumer<SocketConnection> onConnection) {
         close();
         try {
-            Files.deleteIfExists(place);
+            Files.deleteIfExists(path);
             ServerSocketChannel opened = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
             server = opened;
-            opened.bind(UnixDomainSocketAddress.of(place));
-            taken = key();
-            Threads.daemon(() -> accept(opened, come), "handover").start();
+            opened.bind(UnixDomainSocketAddress.of(path));
+            boundFileKey = fileKey();
+            Threads.daemon(() -> accept(opened, onConnection), "handover").start();
         } catch (IOException | RuntimeException e) {
-            LOG.warn("an upgrade will not find this process, {} can't be used: {}", place, e.toString());
+            LOG.warn("an upgrade will not find this process, {} can't be used: {}", path, e.toString());
         }
     }
 
-    private void accept(ServerSocketChannel at, Consumer<SocketPipe> come) {
+    private void accept(ServerSocketChannel serverChannel, Consumer<SocketConnection> onConnection) {
         try {
             while (true) {
-                SocketPipe pipe = new SocketPipe(at.accept());
-                loop.accept(() -> come.accept(pipe));
+                SocketConnection connection = new SocketConnection(serverChannel.accept());
+                loopExecutor.accept(() -> onConnection.accept(connection));
             }
         } catch (IOException e) {
             LOG.debug("handover: {}", e.toString());
@@ -118,35 +119,37 @@
     }
 
     /** One connection to another process. */
-    final class SocketPipe implements Handover.Pipe {
+    final class SocketConnection implements Handover.Connection {
         private final SocketChannel channel;
         private final ExecutorService writer = Threads.serialExecutor("handover-write");
 
-        private SocketPipe(SocketChannel channel) {
+        private SocketConnection(SocketChannel channel) {
             this.channel = channel;
         }
 
         /** Begins to read; lines and, once, the end are told on the loop. */
-        void read(BiConsumer<SocketPipe, String> line, Consumer<SocketPipe> end) {
+        void read(BiConsumer<SocketConnection, String> onLine, Consumer<SocketConnection> onEnd) {
             Threads.daemon(
                             () -> {
                                 try {
-                                    StringBuilder text = new StringBuilder();
-                                    ByteBuffer bytes = ByteBuffer.allocate(MOST_LINE);
-                                    while (channel.read(bytes) >= 0 && text.length() <= MOST_LINE) {
-                                        text.append(StandardCharsets.UTF_8.decode(bytes.flip()));
-                                        bytes.clear();
-                                        for (int at = text.indexOf("\n"); at >= 0; at = text.indexOf("\n")) {
-                                            String whole = text.substring(0, at);
-                                            text.delete(0, at + 1);
-                                            loop.accept(() -> line.accept(this, whole));
+                                    StringBuilder received = new StringBuilder();
+                                    ByteBuffer buffer = ByteBuffer.allocate(MAX_LINE_BYTES);
+                                    while (channel.read(buffer) >= 0 && received.length() <= MAX_LINE_BYTES) {
+                                        received.append(StandardCharsets.UTF_8.decode(buffer.flip()));
+                                        buffer.clear();
+                                        for (int newline = received.indexOf("\n");
+                                                newline >= 0;
+                                                newline = received.indexOf("\n")) {
+                                            String message = received.substring(0, newline);
+                                            received.delete(0, newline + 1);
+                                            loopExecutor.accept(() -> onLine.accept(this, message));
                                         }
                                     }
                                 } catch (IOException e) {
                                     LOG.debug("handover: {}", e.toString());
                                 }
                                 close();
-                                loop.accept(() -> end.accept(this));
+                                loopExecutor.accept(() -> onEnd.accept(this));
                             },
                             "handover-read")
                     .start();
--- a/src/main/java/laneflow/ops/Operations.java
+++ b/src/main/java/laneflow/ops/Operations.java
@@ -28,15 +28,15 @@
     private final Scheduler scheduler;
     private final Drain drain;
     private final OpsPort port;
-    private final BooleanSupplier stops;
+    private final BooleanSupplier isStopping;
     /** Null where there is no folder that the next process can read. */
-    private final BanFile bans;
+    private final BanFile banFile;
     /** Null where no process can come to take this one's place. */
-    private final Succession succession;
+    private final Upgrade upgrade;
     /** Orders on workers so far. */
-    private int changes;
+    private int banChanges;
 
-    private final ExecutorService writer = Threads.serialExecutor("set-down");
+    private final ExecutorService banWriter = Threads.serialExecutor("set-down");
 
     /**
      * What a scheduler is to its operations; no interface, which the platform's path would load.
@@ -53,38 +53,38 @@
      * @param folder outlives this process, or null
      * @param passed whether another process may be started beside it on the same listening socket
      */
-    public Operations(Loop loop, Scheduler scheduler, HttpFront front, Path folder, boolean passed, ProcessState served)
+    public Operations(Loop loop, Scheduler scheduler, HttpFront front, Path folder, boolean passed, ProcessState state)
             throws InterruptedException {
         this.loop = loop;
         this.scheduler = scheduler;
-        stops = served.isStopping();
+        isStopping = state.isStopping();
         drain = new Drain(loop, front);
-        bans = folder == null ? null : new BanFile(folder);
-        succession = folder == null || !passed
+        banFile = folder == null ? null : new BanFile(folder);
+        upgrade = folder == null || !passed
                 ? null
-                : new Succession(loop, scheduler, front, drain, this, folder, served.canServe(), served.onReplaced());
+                : new Upgrade(loop, scheduler, front, drain, this, folder, state.canServe(), state.onReplaced());
         port = new OpsPort(loop);
         port.add(
                 "check",
-                (words, answer) -> answer.accept(
-                        served.canServe().getAsBoolean() && (succession == null || succession.isInPlace())
+                (arguments, answer) -> answer.accept(
+                        state.canServe().getAsBoolean() && (upgrade == null || upgrade.isInPlace())
                                 ? "done"
                                 : "error it can't serve yet, or not any more"));
-        port.add("set-down ID", (words, answer) -> worker(true, words[1], answer));
-        port.add("set-up ID", (words, answer) -> worker(false, words[1], answer));
-        port.add("drain-on", (words, answer) -> drain(true, answer));
-        port.add("drain-off", (words, answer) -> drain(false, answer));
-        Set<String> before = bans == null ? Set.of() : bans.read();
-        loop.call(() -> before.forEach(scheduler::setDown));
-        if (succession != null) {
-            succession.meet();
+        port.add("set-down ID", (arguments, answer) -> setBan(true, arguments[1], answer));
+        port.add("set-up ID", (arguments, answer) -> setBan(false, arguments[1], answer));
+        port.add("drain-on", (arguments, answer) -> orderDrain(true, answer));
+        port.add("drain-off", (arguments, answer) -> orderDrain(false, answer));
+        Set<String> persistedBans = banFile == null ? Set.of() : banFile.read();
+        loop.call(() -> persistedBans.forEach(scheduler::setDown));
+        if (upgrade != null) {
+            upgrade.connectToPredecessor();
         }
     }
 
     /** Takes the place of the process that serves already, if there is one; else clients come at once. */
     public void begin(HttpFront front) {
-        if (succession != null) {
-            succession.begin();
+        if (upgrade != null) {
+            upgrade.begin();
         } else {
             front.accept(true);
         }
@@ -105,22 +105,22 @@
 
     /** True once another process of this scheduler takes the clients. */
     public boolean isSuperseded() {
-        return succession != null && succession.isSuperseded();
+        return upgrade != null && upgrade.isSuperseded();
     }
 
-    private void worker(boolean down, String name, Consumer<String> answer) {
+    private void setBan(boolean down, String name, Consumer<String> answer) {
         if (!scheduler.endpoints().isKnown(name)) {
             answer.accept("error no worker " + name + " was ever listed here");
             return;
         }
         LOG.info("{} is set {}", name, down ? "down" : "up");
         scheduler.counters().add(down ? "ops.set_down" : "ops.set_up");
-        carryOut(down, name);
-        keep((down ? "set-down " : "set-up ") + name, answer);
+        applyBan(down, name);
+        persistBans((down ? "set-down " : "set-up ") + name, answer);
     }
 
-    private void carryOut(boolean down, String name) {
-        changes++;
+    private void applyBan(boolean down, String name) {
+        banChanges++;
         if (down) {
             scheduler.setDown(name);
         } else {
@@ -129,88 +129,88 @@
     }
 
     /** Answers once the next process would find it too. What holds here holds whether or not that works. */
-    private void keep(String order, Consumer<String> answer) {
+    private void persistBans(String order, Consumer<String> answer) {
         Set<String> names = new TreeSet<>(scheduler.endpoints().downNames());
-        writer.execute(() -> {
-            String said = "done";
+        banWriter.execute(() -> {
+            String outcome = "done";
             try {
-                if (bans != null) {
-                    bans.write(names);
+                if (banFile != null) {
+                    banFile.write(names);
                 }
             } catch (IOException e) {
                 LOG.warn("what is set down is not kept for the next process: {}", e.toString());
-                said = "done for this process only: it could not be written down";
+                outcome = "done for this process only: it could not be written down";
             }
-            String text = said;
-            loop.later(() -> spread(order, text, answer));
+            String reply = outcome;
+            loop.later(() -> broadcastOrder(order, reply, answer));
         });
     }
 
     /** Where another process serves beside this one, it holds only once that one has it too. */
-    private void spread(String order, String text, Consumer<String> answer) {
-        if (succession == null) {
-            answer.accept(text);
+    private void broadcastOrder(String order, String reply, Consumer<String> answer) {
+        if (upgrade == null) {
+            answer.accept(reply);
         } else {
-            succession.ordered(
+            upgrade.broadcastOrder(
                     order,
-                    all -> answer.accept(
-                            all
-                                    ? text
+                    isConfirmed -> answer.accept(
+                            isConfirmed
+                                    ? reply
                                     : "error it holds here, but the other process of the upgrade"
                                             + " has not confirmed it"));
         }
     }
 
-    private void drain(boolean on, Consumer<String> answer) {
-        if (stops.getAsBoolean()) {
+    private void orderDrain(boolean on, Consumer<String> answer) {
+        if (isStopping.getAsBoolean()) {
             answer.accept("error the process is about to end, its clients are sent away already");
             return;
         }
-        ordered(on);
-        spread(on ? "drain-on" : "drain-off", "done", answer);
+        setDrained(on);
+        broadcastOrder(on ? "drain-on" : "drain-off", "done", answer);
     }
 
-    private void ordered(boolean on) {
+    private void setDrained(boolean on) {
         LOG.info(on ? "drained: clients are sent away" : "back to work");
         scheduler.counters().add(on ? "ops.drain_on" : "ops.drain_off");
-        drain.ordered(on);
+        drain.setOrdered(on);
     }
 
     // ---- between the processes of an upgrade ----
 
     /** What another process of this scheduler was ordered. */
-    void obey(String order) {
-        String[] words = order.split(" ");
-        if (words.length == 2 && (words[0].equals("set-down") || words[0].equals("set-up"))) {
-            carryOut(words[0].equals("set-down"), words[1]);
-        } else if (words[0].equals("drain-on") || words[0].equals("drain-off")) {
-            ordered(words[0].equals("drain-on"));
+    void applyOrder(String order) {
+        String[] arguments = order.split(" ");
+        if (arguments.length == 2 && (arguments[0].equals("set-down") || arguments[0].equals("set-up"))) {
+            applyBan(arguments[0].equals("set-down"), arguments[1]);
+        } else if (arguments[0].equals("drain-on") || arguments[0].equals("drain-off")) {
+            setDrained(arguments[0].equals("drain-on"));
         }
     }
 
     /** Reads again what is set down, behind whatever is being written; without a good file all stays. */
-    void recall() {
-        int asOf = changes;
-        writer.execute(() -> bans.find()
+    void reloadBans() {
+        int changesBeforeRead = banChanges;
+        banWriter.execute(() -> banFile.tryRead()
                 .ifPresent(names -> loop.later(() -> {
-                    if (changes != asOf) {
+                    if (banChanges != changesBeforeRead) {
                         // Ordered meanwhile, it is not in what was read.
-                        recall();
+                        reloadBans();
                         return;
                     }
-                    Set<String> before = new TreeSet<>(scheduler.endpoints().downNames());
-                    before.stream().filter(name -> !names.contains(name)).forEach(scheduler::setUp);
-                    names.stream().filter(name -> !before.contains(name)).forEach(scheduler::setDown);
+                    Set<String> current = new TreeSet<>(scheduler.endpoints().downNames());
+                    current.stream().filter(name -> !names.contains(name)).forEach(scheduler::setUp);
+                    names.stream().filter(name -> !current.contains(name)).forEach(scheduler::setDown);
                 })));
     }
 
     /** What holds now, as orders. */
-    List<String> orders() {
-        List<String> all = new ArrayList<>();
-        scheduler.endpoints().downNames().forEach(name -> all.add("set-down " + name));
+    List<String> currentOrders() {
+        List<String> orders = new ArrayList<>();
+        scheduler.endpoints().downNames().forEach(name -> orders.add("set-down " + name));
         if (drain.isOrdered()) {
-            all.add("drain-on");
+            orders.add("drain-on");
         }
-        return all;
+        return orders;
     }
 }
--- a/src/main/java/laneflow/ops/OpsPort.java
+++ b/src/main/java/laneflow/ops/OpsPort.java
@@ -23,23 +23,23 @@
 public final class OpsPort {
     private static final Logger LOG = LoggerFactory.getLogger(OpsPort.class);
     /** Callers at once. */
-    static final int MOST = 24;
+    static final int MAX_CALLERS = 24;
     /** The longest line, its end included. */
-    static final int MOST_LINE = 256;
+    static final int MAX_LINE_BYTES = 256;
     /** From coming up to the end of the line; callers are programs, and people who type ahead. */
-    private static final long WITHIN = 3_000_000;
+    private static final long LINE_TIMEOUT_US = 3_000_000;
 
-    private static final int RING = 4 * 1024;
+    private static final int RING_BYTES = 4 * 1024;
 
     /** What a call does; its answer may come later, but comes. */
-    public interface Call {
+    public interface Command {
         void run(String[] words, Consumer<String> answer);
     }
 
-    private record Entry(int words, String form, Call call) {}
+    private record CommandEntry(int wordCount, String usage, Command command) {}
 
     private final Loop loop;
-    private final Map<String, Entry> calls = new TreeMap<>();
+    private final Map<String, CommandEntry> commands = new TreeMap<>();
     /** Those connected, the stalest first. */
     private final List<Caller> callers = new ArrayList<>();
 
@@ -50,13 +50,13 @@
     }
 
     /** Adds a call by its form, such as "set-down ID": its name and a word for each argument. */
-    public void add(String form, Call call) {
-        String[] words = form.split(" ");
-        calls.put(words[0], new Entry(words.length, form, call));
+    public void add(String usage, Command command) {
+        String[] words = usage.split(" ");
+        commands.put(words[0], new CommandEntry(words.length, usage, command));
     }
 
-    public void listen(InetSocketAddress at) throws IOException {
-        listener = loop.listenWithOwnLimit(at, RING, RING, MOST, this::makeRoom, Caller::new);
+    public void listen(InetSocketAddress address) throws IOException {
+        listener = loop.listenWithOwnLimit(address, RING_BYTES, RING_BYTES, MAX_CALLERS, this::makeRoom, Caller::new);
         listener.begin();
         LOG.info("operators' calls at {}", listener.address());
     }
@@ -73,56 +73,56 @@
                 stalest = caller;
                 break;
             }
-            stalest = stalest == null && !caller.atWork ? caller : stalest;
+            stalest = stalest == null && !caller.running ? caller : stalest;
         }
         if (stalest == null) {
             return false;
         }
-        stalest.leave();
+        stalest.disconnect();
         return true;
     }
 
     /** One who calls. */
     private final class Caller implements LinkHandler {
-        private final Deadline timer = loop.deadlines().create(this::late);
+        private final Deadline timer = loop.deadlines().create(this::lineTimedOut);
         private Link link;
-        private boolean atWork;
+        private boolean running;
         private boolean answered;
 
         @Override
-        public void opened(Link up) {
-            link = up;
+        public void opened(Link opened) {
+            link = opened;
             callers.add(this);
-            loop.deadlines().set(timer, loop.micros() + WITHIN);
+            loop.deadlines().set(timer, loop.micros() + LINE_TIMEOUT_US);
         }
 
-        private void late() {
+        private void lineTimedOut() {
             if (link.in.isEmpty()) {
-                leave();
+                disconnect();
             } else {
-                answer("error the line did not end in time");
+                reply("error the line did not end in time");
             }
         }
 
-        private void leave() {
-            over();
+        private void disconnect() {
+            release();
             link.close();
         }
 
-        private void over() {
+        private void release() {
             loop.deadlines().cancel(timer);
             callers.remove(this);
         }
 
         @Override
         public void received(Link from) {
-            if (atWork || answered) {
+            if (running || answered) {
                 link.in.skip(link.in.size());
                 return;
             }
             int end = link.in.indexOf((byte) '\n', 0);
-            if (end < 0 ? link.in.size() >= MOST_LINE : end >= MOST_LINE) {
-                answer("error a line holds " + MOST_LINE + " bytes at most");
+            if (end < 0 ? link.in.size() >= MAX_LINE_BYTES : end >= MAX_LINE_BYTES) {
+                reply("error a line holds " + MAX_LINE_BYTES + " bytes at most");
             } else if (end >= 0) {
                 byte[] line = new byte[end + 1];
                 link.in.take(line, 0, line.length);
@@ -134,30 +134,31 @@
         private void run(byte[] line, int length) {
             for (int i = 0; i < length; i++) {
                 if (line[i] < ' ' || line[i] > '~') {
-                    answer("error the line holds what is no plain text");
+                    reply("error the line holds what is no plain text");
                     return;
                 }
             }
             String[] words = new String(line, 0, length, StandardCharsets.US_ASCII)
                     .strip()
                     .split(" +");
-            Entry entry = calls.get(words[0]);
+            CommandEntry entry = commands.get(words[0]);
             if (entry == null) {
-                answer("error known calls are " + forms());
-            } else if (words.length != entry.words) {
-                answer("error the form is " + entry.form);
+                reply("error known calls are " + usages());
+            } else if (words.length != entry.wordCount) {
+                reply("error the form is " + entry.usage);
             } else {
-                atWork = true;
+                running = true;
                 loop.deadlines().cancel(timer);
-                entry.call.run(words, this::answer);
+                entry.command.run(words, this::reply);
             }
         }
 
-        private String forms() {
-            return String.join(", ", calls.values().stream().map(Entry::form).toList());
+        private String usages() {
+            return String.join(
+                    ", ", commands.values().stream().map(CommandEntry::usage).toList());
         }
 
-        private void answer(String text) {
+        private void reply(String text) {
             if (answered || link.isClosed()) {
                 return;
             }
@@ -168,8 +169,8 @@
         }
 
         @Override
-        public void disconnected(Link gone) {
-            over();
+        public void disconnected(Link closed) {
+            release();
         }
     }
 }
--- a/src/main/java/laneflow/ops/Succession.java
+++ b/src/main/java/laneflow/ops/Upgrade.java
@@ -14,78 +14,78 @@
 import org.slf4j.LoggerFactory;
 
 /** A process's part in an upgrade: carries out on the loop what {@link Handover} decides. */
-final class Succession implements Handover.Host {
-    private static final Logger LOG = LoggerFactory.getLogger(Succession.class);
-    private static final long LOOK = 50_000;
+final class Upgrade implements Handover.Callbacks {
+    private static final Logger LOG = LoggerFactory.getLogger(Upgrade.class);
+    private static final long POLL_INTERVAL_US = 50_000;
     /** An elder that has told nothing by then hangs: it is not waited for. */
-    private static final long KNOWN_WITHIN_MS = 1_000;
+    private static final long ORDERS_TIMEOUT_MS = 1_000;
     /** The newer process's part of what may be sent to cold endpoints ... */
-    private static final double NEWER_SENDS = 0.9;
+    private static final double NEWER_SEND_SHARE = 0.9;
     /** ... and of the connections. */
-    private static final double NEWER_LINKS = 0.75;
+    private static final double NEWER_CONNECTION_SHARE = 0.75;
 
     private final Loop loop;
     private final Scheduler scheduler;
     private final HttpFront front;
     private final Drain drain;
     private final Operations operations;
-    private final HandoverSocket meeting;
-    private final BooleanSupplier serves;
-    private final Runnable end;
-    private final Deadline timer;
-    private final Deadline settled;
+    private final HandoverSocket socket;
+    private final BooleanSupplier canServe;
+    private final Runnable onReplaced;
+    private final Deadline pollTimer;
+    private final Deadline shareTimer;
     private Handover.Role role = Handover.Role.ALONE;
     private final Handover handover = new Handover(this);
-    private final CountDownLatch known = new CountDownLatch(1);
+    private final CountDownLatch ordersReceived = new CountDownLatch(1);
 
-    Succession(
+    Upgrade(
             Loop loop,
             Scheduler scheduler,
             HttpFront front,
             Drain drain,
             Operations operations,
             Path folder,
-            BooleanSupplier serves,
-            Runnable end) {
+            BooleanSupplier canServe,
+            Runnable onReplaced) {
         this.loop = loop;
         this.scheduler = scheduler;
         this.front = front;
         this.drain = drain;
         this.operations = operations;
-        this.serves = serves;
-        this.end = end;
-        meeting = new HandoverSocket(folder, loop::later);
-        timer = loop.deadlines().create(this::look);
-        settled = loop.deadlines().create(this::settled);
+        this.canServe = canServe;
+        this.onReplaced = onReplaced;
+        socket = new HandoverSocket(folder, loop::later);
+        pollTimer = loop.deadlines().create(this::poll);
+        shareTimer = loop.deadlines().create(this::applySendShare);
     }
 
     /** Meets the process that serves already, if there is one, and learns what it knows; blocks shortly. */
-    void meet() throws InterruptedException {
-        HandoverSocket.SocketPipe pipe = meeting.connect();
-        if (pipe == null) {
+    void connectToPredecessor() throws InterruptedException {
+        HandoverSocket.SocketConnection connection = socket.connect();
+        if (connection == null) {
             return;
         }
         LOG.info("another process serves already: its place is taken once this one can serve");
         loop.call(() -> {
-            handover.met(loop.micros(), pipe);
-            pipe.read(this::line, this::gone);
+            handover.predecessorConnected(loop.micros(), connection);
+            connection.read(this::receive, this::disconnected);
         });
-        if (!known.await(KNOWN_WITHIN_MS, TimeUnit.MILLISECONDS)) {
+        if (!ordersReceived.await(ORDERS_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
             LOG.warn("it tells nothing: this one goes on by itself");
         }
     }
 
-    private void line(HandoverSocket.SocketPipe from, String text) {
-        handover.line(loop.micros(), from, text);
-        if (!handover.isWaiting()) {
-            known.countDown();
+    private void receive(HandoverSocket.SocketConnection connection, String message) {
+        handover.receive(loop.micros(), connection, message);
+        if (!handover.isAwaitingOrders()) {
+            ordersReceived.countDown();
         }
     }
 
-    private void gone(HandoverSocket.SocketPipe pipe) {
+    private void disconnected(HandoverSocket.SocketConnection connection) {
         LOG.info("the other process of the upgrade is gone");
-        handover.gone(loop.micros(), pipe);
-        known.countDown();
+        handover.disconnected(loop.micros(), connection);
+        ordersReceived.countDown();
     }
 
     /** Begins to look whether this process can serve, and whether the other one still lives. */
@@ -94,21 +94,21 @@
             // Nobody else would answer those who ask whether it is ready.
             front.accept(true);
         }
-        loop.later(this::look);
+        loop.later(this::poll);
     }
 
-    private void look() {
+    private void poll() {
         long now = loop.micros();
-        if (serves.getAsBoolean()) {
-            handover.serving(now);
+        if (canServe.getAsBoolean()) {
+            handover.startServing(now);
         }
         handover.tick(now);
         if (handover.isSuperseded() && front.isAlone() && scheduler.openRequests() == 0 && drain.isOver(now)) {
             LOG.info("all clients have gone over to the other process");
-            end.run();
+            onReplaced.run();
             return;
         }
-        loop.deadlines().set(timer, now + LOOK);
+        loop.deadlines().set(pollTimer, now + POLL_INTERVAL_US);
     }
 
     boolean isInPlace() {
@@ -120,21 +120,21 @@
     }
 
     /** True while there is another process; an order holds only once that one has it too. */
-    void ordered(String order, Consumer<Boolean> then) {
-        handover.ordered(loop.micros(), order, then);
+    void broadcastOrder(String order, Consumer<Boolean> callback) {
+        handover.broadcastOrder(loop.micros(), order, callback);
     }
 
     // ---- what the handover asks for ----
 
     @Override
-    public void accept(boolean on) {
+    public void acceptClients(boolean on) {
         front.accept(on);
     }
 
     @Override
-    public void sendAway(boolean on) {
+    public void sendClientsAway(boolean on) {
         LOG.info(on ? "the other process takes the clients from here on" : "clients are taken here again");
-        drain.handed(on);
+        drain.setHandedOver(on);
     }
 
     /**
@@ -142,58 +142,58 @@
      * at first, then nearly all for the one that has the clients. The other has their last retries.
      */
     @Override
-    public void is(Handover.Role now) {
-        if (now != role) {
-            role = now;
-            if (now != Handover.Role.ALONE) {
+    public void roleChanged(Handover.Role newRole) {
+        if (newRole != role) {
+            role = newRole;
+            if (newRole != Handover.Role.ALONE) {
                 scheduler.setShare(0.5);
             }
-            loop.limitShare(part(NEWER_LINKS));
-            loop.deadlines().set(settled, loop.micros() + (long) (scheduler.settings().fallWithin * 1e6));
+            loop.limitShare(share(NEWER_CONNECTION_SHARE));
+            loop.deadlines().set(shareTimer, loop.micros() + (long) (scheduler.settings().fallWithin * 1e6));
         }
     }
 
-    private void settled() {
-        scheduler.setShare(part(NEWER_SENDS));
+    private void applySendShare() {
+        scheduler.setShare(share(NEWER_SEND_SHARE));
     }
 
-    private double part(double newer) {
-        return role == Handover.Role.ALONE ? 1 : role == Handover.Role.NEWER ? newer : 1 - newer;
+    private double share(double newerShare) {
+        return role == Handover.Role.ALONE ? 1 : role == Handover.Role.NEWER ? newerShare : 1 - newerShare;
     }
 
     @Override
-    public void seek() {
-        meeting.seek(pipe -> {
-            if (pipe != null) {
+    public void findPeer() {
+        socket.findOther(connection -> {
+            if (connection != null) {
                 LOG.info("another process serves too: this one is met with it again");
-                handover.met(loop.micros(), pipe);
-                pipe.read(this::line, this::gone);
-            } else if (!meeting.isSettled()) {
-                settle();
+                handover.predecessorConnected(loop.micros(), connection);
+                connection.read(this::receive, this::disconnected);
+            } else if (!socket.isBound()) {
+                claimSocket();
             }
         });
     }
 
     @Override
-    public void settle() {
-        meeting.settle(pipe -> {
-            handover.asked(loop.micros(), pipe);
-            pipe.read(this::line, this::gone);
+    public void claimSocket() {
+        socket.bind(connection -> {
+            handover.successorConnected(loop.micros(), connection);
+            connection.read(this::receive, this::disconnected);
         });
     }
 
     @Override
-    public void obey(String order) {
-        operations.obey(order);
+    public void applyOrder(String order) {
+        operations.applyOrder(order);
     }
 
     @Override
-    public void recall() {
-        operations.recall();
+    public void reloadOrders() {
+        operations.reloadBans();
     }
 
     @Override
-    public List<String> orders() {
-        return operations.orders();
+    public List<String> currentOrders() {
+        return operations.currentOrders();
     }
 }
--- a/src/test/java/laneflow/ops/HandoverTest.java
+++ b/src/test/java/laneflow/ops/HandoverTest.java
@@ -14,89 +14,89 @@
 /** The handover's states, without I/O: lines, ends, kills and time in every order. */
 class HandoverTest {
     /** One process: what its handover has asked for. */
-    private final class Process implements Handover.Host {
+    private final class Process implements Handover.Callbacks {
         final Handover handover = new Handover(this);
-        final TreeSet<String> down = new TreeSet<>();
+        final TreeSet<String> bans = new TreeSet<>();
         boolean dead;
         boolean hangs;
-        boolean accepts;
-        boolean away;
-        int settled;
+        boolean acceptsClients;
+        boolean sendsClientsAway;
+        int socketClaims;
         Handover.Role role = Handover.Role.ALONE;
 
         @Override
-        public void accept(boolean on) {
-            accepts = on;
+        public void acceptClients(boolean on) {
+            acceptsClients = on;
         }
 
         @Override
-        public void sendAway(boolean on) {
-            away = on;
+        public void sendClientsAway(boolean on) {
+            sendsClientsAway = on;
         }
 
         @Override
-        public void is(Handover.Role now) {
-            role = now;
+        public void roleChanged(Handover.Role newRole) {
+            role = newRole;
         }
 
         @Override
-        public void settle() {
-            settled++;
-            place = this;
+        public void claimSocket() {
+            socketClaims++;
+            socketOwner = this;
         }
 
         @Override
-        public void seek() {
-            if (place != null && place != this && !place.dead && !place.hangs) {
-                connect(this, place);
-            } else if (place != this) {
-                settle();
+        public void findPeer() {
+            if (socketOwner != null && socketOwner != this && !socketOwner.dead && !socketOwner.hangs) {
+                connect(this, socketOwner);
+            } else if (socketOwner != this) {
+                claimSocket();
             }
         }
 
         @Override
-        public void obey(String order) {
+        public void applyOrder(String order) {
             String name = order.substring(order.indexOf(' ') + 1);
             if (order.startsWith("set-down ")) {
-                down.add(name);
+                bans.add(name);
             } else {
-                down.remove(name);
+                bans.remove(name);
             }
         }
 
         @Override
-        public void recall() {
-            down.clear();
-            down.addAll(file);
+        public void reloadOrders() {
+            bans.clear();
+            bans.addAll(banFile);
         }
 
         void order(String name) {
-            down.add(name);
-            file.add(name);
+            bans.add(name);
+            banFile.add(name);
         }
 
         @Override
-        public List<String> orders() {
-            return down.stream().map(name -> "set-down " + name).toList();
+        public List<String> currentOrders() {
+            return bans.stream().map(name -> "set-down " + name).toList();
         }
     }
 
     /** One end of a connection; what is sent comes to the other end in order, later. */
-    private final class End implements Handover.Pipe {
+    private final class ConnectionEnd implements Handover.Connection {
         final Process owner;
-        End other;
-        final ArrayDeque<String> in = new ArrayDeque<>();
+        ConnectionEnd peer;
+        final ArrayDeque<String> incoming = new ArrayDeque<>();
         boolean closed;
-        boolean told;
+        boolean closeDelivered;
 
-        End(Process owner) {
+        ConnectionEnd(Process owner) {
             this.owner = owner;
         }
 
         @Override
         public void send(String line) {
             if (!closed) {
-                other.in.add(line);
+                peer.incoming.add(line);
             }
         }
 
@@ -107,246 +107,252 @@
     }
 
     /** Who starts find. */
-    private Process place;
+    private Process socketOwner;
     /** Where both write down what is ordered. */
-    private final TreeSet<String> file = new TreeSet<>();
+    private final TreeSet<String> banFile = new TreeSet<>();
 
     private long now = 1_000_000;
-    private final List<End> ends = new ArrayList<>();
+    private final List<ConnectionEnd> ends = new ArrayList<>();
 
-    private End connect(Process from, Process to) {
-        End a = new End(from);
-        End b = new End(to);
-        a.other = b;
-        b.other = a;
+    private ConnectionEnd connect(Process from, Process to) {
+        ConnectionEnd a = new ConnectionEnd(from);
+        ConnectionEnd b = new ConnectionEnd(to);
+        a.peer = b;
+        b.peer = a;
         ends.add(a);
         ends.add(b);
-        to.handover.asked(now, b);
-        from.handover.met(now, a);
+        to.handover.successorConnected(now, b);
+        from.handover.predecessorConnected(now, a);
         return a;
     }
 
     /** Brings one line, or an end, to whom it is for; false if there is none. */
-    private boolean deliver(End end) {
+    private boolean deliver(ConnectionEnd end) {
         if (end.owner.dead || end.owner.hangs || end.closed) {
             return false;
         }
-        if (!end.in.isEmpty()) {
-            end.owner.handover.line(now, end, end.in.poll());
+        if (!end.incoming.isEmpty()) {
+            end.owner.handover.receive(now, end, end.incoming.poll());
             return true;
         }
-        if ((end.other.closed || end.other.owner.dead) && !end.told) {
-            end.told = true;
-            end.owner.handover.gone(now, end);
+        if ((end.peer.closed || end.peer.owner.dead) && !end.closeDelivered) {
+            end.closeDelivered = true;
+            end.owner.handover.disconnected(now, end);
             return true;
         }
         return false;
     }
 
-    private void settle() {
+    private void deliverAll() {
         boolean more = true;
         while (more) {
             more = false;
-            for (End end : new ArrayList<>(ends)) {
+            for (ConnectionEnd end : new ArrayList<>(ends)) {
                 more |= deliver(end);
             }
         }
     }
 
     /** The younger is met, can serve, and has all that is said of it delivered. */
-    private void takeOver(Process younger, Process elder) {
-        connect(younger, elder);
-        settle();
-        younger.handover.serving(now);
-        settle();
+    private void takeOver(Process successor, Process predecessor) {
+        connect(successor, predecessor);
+        deliverAll();
+        successor.handover.startServing(now);
+        deliverAll();
     }
 
-    private void pass(long micros, Process... all) {
+    private void advance(long micros, Process... processes) {
         for (long end = now + micros; now < end; now += 50_000) {
-            for (Process each : all) {
-                if (!each.dead && !each.hangs) {
-                    each.handover.tick(now);
+            for (Process process : processes) {
+                if (!process.dead && !process.hangs) {
+                    process.handover.tick(now);
                 }
             }
-            settle();
+            deliverAll();
         }
     }
 
     @Test
-    void theElderStopsOnlyOnceTheYoungerServesAndTellsWhatHolds() {
-        Process old = new Process();
-        Process young = new Process();
-        old.handover.serving(now);
-        old.order("s-1");
-        connect(young, old);
-        settle();
-        assertTrue(old.accepts && !young.accepts && !young.handover.isWaiting());
-        assertEquals(old.down, young.down);
-        assertFalse(young.handover.isInPlace(now));
-        young.handover.serving(now);
-        assertTrue(young.accepts && old.accepts);
-        settle();
-        assertTrue(young.handover.isInPlace(now) && old.handover.isSuperseded());
-        assertTrue(!old.accepts && old.away);
-        assertEquals(Handover.Role.NEWER, young.role);
-        assertEquals(Handover.Role.OLDER, old.role);
-        assertEquals(1, young.settled);
-        assertEquals(young, place);
+    void predecessorStopsOnlyOnceSuccessorServesAndPassesItsOrdersOn() {
+        Process predecessor = new Process();
+        Process successor = new Process();
+        predecessor.handover.startServing(now);
+        predecessor.order("s-1");
+        connect(successor, predecessor);
+        deliverAll();
+        assertTrue(predecessor.acceptsClients && !successor.acceptsClients && !successor.handover.isAwaitingOrders());
+        assertEquals(predecessor.bans, successor.bans);
+        assertFalse(successor.handover.isInPlace(now));
+        successor.handover.startServing(now);
+        assertTrue(successor.acceptsClients && predecessor.acceptsClients);
+        deliverAll();
+        assertTrue(successor.handover.isInPlace(now) && predecessor.handover.isSuperseded());
+        assertTrue(!predecessor.acceptsClients && predecessor.sendsClientsAway);
+        assertEquals(Handover.Role.NEWER, successor.role);
+        assertEquals(Handover.Role.OLDER, predecessor.role);
+        assertEquals(1, successor.socketClaims);
+        assertEquals(successor, socketOwner);
     }
 
     @Test
-    void anOrderHoldsOnlyOnceBothHaveIt() {
-        Process old = new Process();
-        Process young = new Process();
-        old.handover.serving(now);
-        End end = connect(young, old);
-        settle();
-        List<Boolean> said = new ArrayList<>();
-        old.order("s-2");
-        old.handover.ordered(now, "set-down s-2", said::add);
-        assertTrue(said.isEmpty());
-        settle();
-        assertEquals(List.of(true), said);
-        assertTrue(young.down.contains("s-2"));
-        young.hangs = true;
-        old.handover.ordered(now, "set-down s-3", said::add);
-        pass(800_000, old, young);
-        assertEquals(List.of(true, false), said);
-        old.handover.ordered(now, "set-down s-4", said::add);
-        young.dead = true;
-        young.hangs = false;
+    void orderIsConfirmedOnlyOnceBothHaveIt() {
+        Process predecessor = new Process();
+        Process successor = new Process();
+        predecessor.handover.startServing(now);
+        ConnectionEnd end = connect(successor, predecessor);
+        deliverAll();
+        List<Boolean> confirmations = new ArrayList<>();
+        predecessor.order("s-2");
+        predecessor.handover.broadcastOrder(now, "set-down s-2", confirmations::add);
+        assertTrue(confirmations.isEmpty());
+        deliverAll();
+        assertEquals(List.of(true), confirmations);
+        assertTrue(successor.bans.contains("s-2"));
+        successor.hangs = true;
+        predecessor.handover.broadcastOrder(now, "set-down s-3", confirmations::add);
+        advance(800_000, predecessor, successor);
+        assertEquals(List.of(true, false), confirmations);
+        predecessor.handover.broadcastOrder(now, "set-down s-4", confirmations::add);
+        successor.dead = true;
+        successor.hangs = false;
         end.close();
-        settle();
-        assertEquals(List.of(true, false, true), said);
+        deliverAll();
+        assertEquals(List.of(true, false, true), confirmations);
     }
 
     @Test
-    void aYoungerThatDiesOrHangsPutsTheElderBack() {
+    void predecessorTakesClientsAgainWhenSuccessorDiesOrHangs() {
         for (boolean hangs : new boolean[] {true, false}) {
-            place = null;
-            Process old = new Process();
-            Process young = new Process();
-            old.handover.serving(now);
-            takeOver(young, old);
-            assertFalse(old.accepts);
-            young.hangs = hangs;
-            young.dead = !hangs;
-            pass(Handover.SILENCE + 200_000, old, young);
-            assertTrue(old.accepts && !old.away && !old.handover.isSuperseded());
-            assertEquals(Handover.Role.ALONE, old.role);
-            assertEquals(old, place);
+            socketOwner = null;
+            Process predecessor = new Process();
+            Process successor = new Process();
+            predecessor.handover.startServing(now);
+            takeOver(successor, predecessor);
+            assertFalse(predecessor.acceptsClients);
+            successor.hangs = hangs;
+            successor.dead = !hangs;
+            advance(Handover.SILENCE_TIMEOUT_US + 200_000, predecessor, successor);
+            assertTrue(predecessor.acceptsClients
+                    && !predecessor.sendsClientsAway
+                    && !predecessor.handover.isSuperseded());
+            assertEquals(Handover.Role.ALONE, predecessor.role);
+            assertEquals(predecessor, socketOwner);
         }
     }
 
     @Test
-    void anotherVersionIsNotSpokenWithAndAHangingElderNotWaitedFor() {
-        Process old = new Process();
-        old.handover.serving(now);
-        End foreign = new End(new Process());
-        foreign.other = new End(old);
-        foreign.other.other = foreign;
-        old.handover.asked(now, foreign.other);
-        old.handover.line(now, foreign.other, "laneflow-handover 2");
-        assertTrue(foreign.other.closed && old.accepts);
-        assertEquals(List.of(Handover.HELLO), new ArrayList<>(foreign.in));
+    void otherVersionIsDisconnectedAndHangingPredecessorNotWaitedFor() {
+        Process predecessor = new Process();
+        predecessor.handover.startServing(now);
+        ConnectionEnd foreign = new ConnectionEnd(new Process());
+        foreign.peer = new ConnectionEnd(predecessor);
+        foreign.peer.peer = foreign;
+        predecessor.handover.successorConnected(now, foreign.peer);
+        predecessor.handover.receive(now, foreign.peer, "laneflow-handover 2");
+        assertTrue(foreign.peer.closed && predecessor.acceptsClients);
+        assertEquals(List.of(Handover.HELLO), new ArrayList<>(foreign.incoming));
 
-        old.hangs = true;
-        Process young = new Process();
-        connect(young, old);
-        young.handover.serving(now);
-        assertTrue(young.accepts);
-        assertFalse(young.handover.isInPlace(now));
-        pass(600_000, old, young);
-        assertTrue(young.handover.isInPlace(now));
+        predecessor.hangs = true;
+        Process successor = new Process();
+        connect(successor, predecessor);
+        successor.handover.startServing(now);
+        assertTrue(successor.acceptsClients);
+        assertFalse(successor.handover.isInPlace(now));
+        advance(600_000, predecessor, successor);
+        assertTrue(successor.handover.isInPlace(now));
     }
 
     @Test
-    void aThirdStartMeetsTheOneInPlace() {
-        Process[] all = {new Process(), new Process(), new Process()};
-        all[0].handover.serving(now);
-        connect(all[1], all[0]);
+    void thirdProcessTakesOverFromTheSecond() {
+        Process[] processes = {new Process(), new Process(), new Process()};
+        processes[0].handover.startServing(now);
+        connect(processes[1], processes[0]);
         // One at a time: the second who asks is sent off, and finds whoever is in place later.
-        End late = connect(all[2], all[0]);
-        assertTrue(late.other.closed);
-        settle();
-        all[1].handover.serving(now);
-        settle();
-        connect(all[2], all[1]);
-        settle();
-        all[2].handover.serving(now);
-        settle();
-        assertTrue(all[2].accepts && !all[1].accepts && !all[0].accepts);
-        List<Boolean> said = new ArrayList<>();
-        all[0].handover.ordered(now, "set-down s-9", said::add);
-        settle();
-        assertEquals(List.of(true), said);
-        assertTrue(all[2].down.contains("s-9"));
+        ConnectionEnd late = connect(processes[2], processes[0]);
+        assertTrue(late.peer.closed);
+        deliverAll();
+        processes[1].handover.startServing(now);
+        deliverAll();
+        connect(processes[2], processes[1]);
+        deliverAll();
+        processes[2].handover.startServing(now);
+        deliverAll();
+        assertTrue(processes[2].acceptsClients && !processes[1].acceptsClients && !processes[0].acceptsClients);
+        List<Boolean> confirmations = new ArrayList<>();
+        processes[0].handover.broadcastOrder(now, "set-down s-9", confirmations::add);
+        deliverAll();
+        assertEquals(List.of(true), confirmations);
+        assertTrue(processes[2].bans.contains("s-9"));
     }
 
     /** Once all is quiet somebody takes clients, and what was said to hold everywhere does. */
     @Test
-    void inEveryOrderSomebodyTakesClientsAndOrdersAreKept() {
+    void someProcessTakesClientsAndConfirmedOrdersHoldInAnyInterleaving() {
         for (int seed = 0; seed < 3000; seed++) {
             Random random = new Random(seed);
             ends.clear();
-            file.clear();
-            place = null;
-            Process old = new Process();
-            Process young = new Process();
-            Process[] both = {old, young};
-            old.handover.serving(now);
-            old.handover.tick(now);
-            connect(young, old);
-            TreeSet<String> held = new TreeSet<>();
+            banFile.clear();
+            socketOwner = null;
+            Process predecessor = new Process();
+            Process successor = new Process();
+            Process[] both = {predecessor, successor};
+            predecessor.handover.startServing(now);
+            predecessor.handover.tick(now);
+            connect(successor, predecessor);
+            TreeSet<String> confirmed = new TreeSet<>();
             int killed = -1;
             for (int step = 0; step < 60; step++) {
-                int what = random.nextInt(12);
-                Process one = both[random.nextInt(2)];
-                if (what < 6) {
+                int action = random.nextInt(12);
+                Process process = both[random.nextInt(2)];
+                if (action < 6) {
                     deliver(ends.get(random.nextInt(ends.size())));
-                } else if (what < 8) {
+                } else if (action < 8) {
                     now += random.nextInt(200_000);
-                    if (!one.dead && !one.hangs) {
-                        one.handover.tick(now);
+                    if (!process.dead && !process.hangs) {
+                        process.handover.tick(now);
                     }
-                } else if (what == 8 && !young.dead) {
-                    young.handover.serving(now);
-                } else if (what == 9 && !one.dead && !one.hangs) {
+                } else if (action == 8 && !successor.dead) {
+                    successor.handover.startServing(now);
+                } else if (action == 9 && !process.dead && !process.hangs) {
                     String name = "s-" + step;
-                    one.order(name);
-                    one.handover.ordered(now, "set-down " + name, all -> {
-                        if (all) {
-                            held.add(name);
+                    process.order(name);
+                    process.handover.broadcastOrder(now, "set-down " + name, isConfirmed -> {
+                        if (isConfirmed) {
+                            confirmed.add(name);
                         }
                     });
-                } else if (what == 10 && random.nextInt(20) == 0 && killed < 0) {
+                } else if (action == 10 && random.nextInt(20) == 0 && killed < 0) {
                     killed = random.nextInt(2);
                     both[killed].dead = true;
-                } else if (what == 11 && random.nextInt(10) == 0 && !young.dead) {
-                    young.hangs = !young.hangs;
+                } else if (action == 11 && random.nextInt(10) == 0 && !successor.dead) {
+                    successor.hangs = !successor.hangs;
                 }
             }
-            young.hangs = false;
-            if (!young.dead) {
-                young.handover.serving(now);
+            successor.hangs = false;
+            if (!successor.dead) {
+                successor.handover.startServing(now);
             }
-            pass(4_000_000, old, young);
-            boolean taken = false;
+            advance(4_000_000, predecessor, successor);
+            boolean clientsAccepted = false;
             for (Process each : both) {
-                taken |= each.accepts && !each.dead;
+                clientsAccepted |= each.acceptsClients && !each.dead;
                 if (!each.dead) {
-                    assertTrue(each.down.containsAll(held), "seed " + seed + ": " + held + " not in " + each.down);
+                    assertTrue(
+                            each.bans.containsAll(confirmed),
+                            "seed " + seed + ": " + confirmed + " not in " + each.bans);
                 }
             }
-            assertTrue(taken, "seed " + seed);
-            if (!old.dead && !young.dead) {
+            assertTrue(clientsAccepted, "seed " + seed);
+            if (!predecessor.dead && !successor.dead) {
                 // One has taken the other's place, also where either was let go while it hung.
-                assertTrue(old.handover.isSuperseded() && !old.accepts && young.accepts, "seed " + seed);
-                assertEquals(old.down, young.down, "seed " + seed);
+                assertTrue(
+                        predecessor.handover.isSuperseded() && !predecessor.acceptsClients && successor.acceptsClients,
+                        "seed " + seed);
+                assertEquals(predecessor.bans, successor.bans, "seed " + seed);
             }
             if (killed >= 0 && !both[1 - killed].dead) {
                 assertEquals(Handover.Role.ALONE, both[1 - killed].role, "seed " + seed);
-                assertFalse(both[1 - killed].away, "seed " + seed);
+                assertFalse(both[1 - killed].sendsClientsAway, "seed " + seed);
             }
         }
     }
@@ -356,21 +362,21 @@
      * met that as an elder of its own, both handed over to each other, and both ended.
      */
     @Test
-    void whoeverHasASuccessorTakesItForNoElder() {
+    void successorIsNeverTakenForPredecessor() {
         for (long gap = 0; gap <= 600_000; gap += 50_000) {
-            place = null;
-            Process old = new Process();
-            Process young = new Process();
+            socketOwner = null;
+            Process predecessor = new Process();
+            Process successor = new Process();
             Process third = new Process();
-            old.handover.serving(now);
-            takeOver(young, old);
-            old.dead = true;
-            settle();
-            pass(gap, young);
-            takeOver(third, young);
-            pass(1_500_000, young, third);
-            assertTrue(third.accepts && !third.handover.isSuperseded(), "gap " + gap);
-            assertTrue(young.handover.isSuperseded(), "gap " + gap);
+            predecessor.handover.startServing(now);
+            takeOver(successor, predecessor);
+            predecessor.dead = true;
+            deliverAll();
+            advance(gap, successor);
+            takeOver(third, successor);
+            advance(1_500_000, successor, third);
+            assertTrue(third.acceptsClients && !third.handover.isSuperseded(), "gap " + gap);
+            assertTrue(successor.handover.isSuperseded(), "gap " + gap);
         }
     }
 }
--- a/src/test/java/laneflow/ops/OpsStoryTest.java
+++ b/src/test/java/laneflow/ops/OpsStoryTest.java
@@ -68,7 +68,7 @@
     void silentCallersAndAllClientsShutItToNobody() throws Exception {
         try (SchedulerHarness harness = SchedulerHarness.withOperatorPort(folder, new Endpoint("e1"))) {
             List<Peer> silent = new ArrayList<>();
-            for (int i = 0; i < 3 * OpsPort.MOST; i++) {
+            for (int i = 0; i < 3 * OpsPort.MAX_CALLERS; i++) {
                 silent.add(harness.operator());
                 if (i % 2 == 0) {
                     silent.get(i).write("set-do");
@@ -79,7 +79,7 @@
             for (int i = 0; i < 60; i++) {
                 clients.add(harness.http().post("basket-check", "r" + i, "", ""));
             }
-            for (int i = 0; i < 2 * OpsPort.MOST; i++) {
+            for (int i = 0; i < 2 * OpsPort.MAX_CALLERS; i++) {
                 assertEquals("done", call(harness, "check"));
             }
             for (Peer peer : silent) {
@@ -98,7 +98,7 @@
             try (Peer client = harness.http()) {
                 for (int i = 0; i < 6; i++) {
                     client.post("basket-check", "r" + i, "", "");
-                    served(i == 0 ? two.accept() : null, client, "r" + i);
+                    assertServed(i == 0 ? two.accept() : null, client, "r" + i);
                 }
             }
         }
@@ -109,17 +109,17 @@
             assertTrue(client.message().startsWith("HTTP/1.1 503 "));
             assertEquals("done", call(next, "set-up e1"));
             client.post("basket-check", "n2", "", "");
-            served(one.accept(), client, "n2");
+            assertServed(one.accept(), client, "n2");
         }
         assertEquals(Set.of(), new BanFile(folder).read());
     }
 
-    private Peer kept;
+    private Peer endpointConnection;
 
-    private void served(Peer call, Peer client, String id) throws Exception {
-        kept = call != null ? call : kept;
-        assertTrue(kept.message().contains("Req-Id: " + id + "\r\n"));
-        kept.respond("{'id':'" + id + "','state':'done','result':'ok'}");
+    private void assertServed(Peer call, Peer client, String id) throws Exception {
+        endpointConnection = call != null ? call : endpointConnection;
+        assertTrue(endpointConnection.message().contains("Req-Id: " + id + "\r\n"));
+        endpointConnection.respond("{'id':'" + id + "','state':'done','result':'ok'}");
         assertTrue(client.message().endsWith("ok"));
     }
 
--- a/src/test/java/laneflow/ops/Platform.java
+++ b/src/test/java/laneflow/ops/Platform.java
@@ -20,8 +20,8 @@
     public final int port;
 
     private final Process process;
-    private final BufferedReader says;
-    private final List<SchedulerProcess> started = new ArrayList<>();
+    private final BufferedReader output;
+    private final List<SchedulerProcess> schedulers = new ArrayList<>();
 
     /** A scheduler, and its second address. */
     public record SchedulerProcess(ProcessHandle handle, int operatorPort) {
@@ -46,7 +46,7 @@
     public Platform(Path folder, Path log, Map<String, String> environment, String... arguments)
             throws IOException, URISyntaxException {
         Path script = Path.of(Platform.class.getResource("platform.pl").toURI());
-        List<String> line = new ArrayList<>(List.of(
+        List<String> command = new ArrayList<>(List.of(
                 "perl",
                 script.toString(),
                 ProcessHandle.current().info().command().orElseThrow(),
@@ -55,33 +55,33 @@
                 "-cp",
                 System.getProperty("java.class.path"),
                 "laneflow.Main"));
-        line.addAll(List.of(arguments));
-        ProcessBuilder builder = new ProcessBuilder(line);
+        command.addAll(List.of(arguments));
+        ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().putAll(environment);
         builder.environment().put("TMPDIR", folder.toString());
         builder.redirectError(log.toFile());
         process = builder.start();
-        says = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.US_ASCII));
-        port = Integer.parseInt(says.readLine().substring(5));
+        output = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.US_ASCII));
+        port = Integer.parseInt(output.readLine().substring(5));
     }
 
     /** Starts a scheduler, which may not serve yet. */
     public SchedulerProcess launch() throws IOException {
-        int ops;
+        int operatorPort;
         try (ServerSocket free = new ServerSocket(0)) {
-            ops = free.getLocalPort();
+            operatorPort = free.getLocalPort();
         }
-        process.getOutputStream().write(("start 127.0.0.1:" + ops + "\n").getBytes(StandardCharsets.US_ASCII));
+        process.getOutputStream().write(("start 127.0.0.1:" + operatorPort + "\n").getBytes(StandardCharsets.US_ASCII));
         process.getOutputStream().flush();
-        long pid = Long.parseLong(says.readLine().substring(4));
-        SchedulerProcess one = new SchedulerProcess(ProcessHandle.of(pid).orElseThrow(), ops);
-        started.add(one);
-        return one;
+        long pid = Long.parseLong(output.readLine().substring(4));
+        SchedulerProcess scheduler = new SchedulerProcess(ProcessHandle.of(pid).orElseThrow(), operatorPort);
+        schedulers.add(scheduler);
+        return scheduler;
     }
 
     @Override
     public void close() throws IOException, InterruptedException {
-        started.forEach(each -> each.handle.destroyForcibly());
+        schedulers.forEach(each -> each.handle.destroyForcibly());
         process.getOutputStream().close();
         process.waitFor();
     }
--- a/src/test/java/laneflow/ops/UpgradeStoryTest.java
+++ b/src/test/java/laneflow/ops/UpgradeStoryTest.java
@@ -45,34 +45,34 @@
 
     /** Starts one, and waits until it says that it can serve. */
     private SchedulerProcess start() throws Exception {
-        SchedulerProcess one = platform.launch();
-        await(() -> call(one, "check").equals("done"));
-        return one;
+        SchedulerProcess process = platform.launch();
+        await(() -> call(process, "check").equals("done"));
+        return process;
     }
 
     private void await(Await.Condition condition) throws Exception {
         Await.until("it holds", condition, () -> Files.readString(folder.resolve("log")));
     }
 
-    private String call(SchedulerProcess one, String line) throws IOException {
-        return one.call(line);
+    private String call(SchedulerProcess process, String line) throws IOException {
+        return process.call(line);
     }
 
-    private void setDown(SchedulerProcess one) throws IOException {
-        assertEquals("done", call(one, "set-down e1"));
-        assertEquals("done", call(one, "set-down e2"));
+    private void setDown(SchedulerProcess process) throws IOException {
+        assertEquals("done", call(process, "set-down e1"));
+        assertEquals("done", call(process, "set-down e2"));
     }
 
-    private void setUp(SchedulerProcess one) throws IOException {
-        assertEquals("done", call(one, "set-up e1"));
-        assertEquals("done", call(one, "set-up e2"));
+    private void setUp(SchedulerProcess process) throws IOException {
+        assertEquals("done", call(process, "set-up e1"));
+        assertEquals("done", call(process, "set-up e2"));
     }
 
     private Peer client() throws IOException {
         return SchedulerHarness.peer("127.0.0.1", platform.port);
     }
 
-    private boolean ready() throws IOException {
+    private boolean isReady() throws IOException {
         try (Peer client = client()) {
             client.write("GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n");
             return client.message().startsWith("HTTP/1.1 200 ");
@@ -86,7 +86,7 @@
         }
     }
 
-    private void serves(Peer client, String id, boolean last) throws IOException {
+    private void assertServed(Peer client, String id, boolean last) throws IOException {
         client.post("card-capture", id, "", "");
         try (Peer call = endpoint.accept()) {
             call.message();
@@ -99,131 +99,132 @@
 
     @Test
     void clientsGoOverWithNothingLostAndBansHoldInBoth() throws Exception {
-        SchedulerProcess old = start();
-        assertTrue(ready());
-        setDown(old);
-        setUp(old);
+        SchedulerProcess predecessor = start();
+        assertTrue(isReady());
+        setDown(predecessor);
+        setUp(predecessor);
         Peer kept = client();
-        serves(kept, "k1", false);
+        assertServed(kept, "k1", false);
         Peer open = client().post("card-capture", "o1", "", "");
         Peer call = endpoint.accept();
         call.message();
 
-        SchedulerProcess young = start();
-        assertTrue(ready());
+        SchedulerProcess successor = start();
+        assertTrue(isReady());
         // The old one's clients are served, and sent away with the answer.
-        serves(kept, "k2", true);
+        assertServed(kept, "k2", true);
         assertTrue(kept.isClosedByPeer());
         Peer fresh = client();
-        serves(fresh, "f1", false);
+        assertServed(fresh, "f1", false);
         assertTrue(counters().contains("http.served 1") || counters().contains("http.served=1"), counters());
         // Told to the old one, it holds in the new one, and the other way round.
-        setDown(old);
+        setDown(predecessor);
         fresh.post("card-capture", "f2", "", "");
         assertTrue(fresh.message().startsWith("HTTP/1.1 503 "));
-        setUp(young);
-        serves(fresh, "f3", false);
-        setDown(old);
-        assertEquals("done", call(young, "drain-on"));
-        assertFalse(ready());
-        assertEquals("done", call(old, "drain-off"));
-        assertTrue(ready());
-
-        old.handle().destroy();
+        setUp(successor);
+        assertServed(fresh, "f3", false);
+        setDown(predecessor);
+        assertEquals("done", call(successor, "drain-on"));
+        assertFalse(isReady());
+        assertEquals("done", call(predecessor, "drain-off"));
+        assertTrue(isReady());
+
+        predecessor.handle().destroy();
         // It ends once its last request is answered, and what it was told lives on.
         call.respond("{'id':'o1','state':'done','result':'late'}");
         assertTrue(open.message().endsWith("late"));
-        old.awaitExit();
+        predecessor.awaitExit();
         Peer last = client().post("card-capture", "l1", "", "");
         assertTrue(last.message().startsWith("HTTP/1.1 503 "));
         SchedulerProcess third = start();
         Peer next = client().post("card-capture", "n1", "", "");
         assertTrue(next.message().startsWith("HTTP/1.1 503 "));
-        young.awaitExit();
+        successor.awaitExit();
         setUp(third);
-        serves(client(), "n2", false);
+        assertServed(client(), "n2", false);
     }
 
     @Test
     void aNewOneKilledAtAnyStepLeavesTheOldOneInPlace() throws Exception {
-        SchedulerProcess old = start();
+        SchedulerProcess predecessor = start();
         Peer open = client().post("card-capture", "o1", "", "");
         Peer call = endpoint.accept();
         call.message();
         for (int millis : new int[] {0, 150, 300}) {
-            SchedulerProcess young = platform.launch();
+            SchedulerProcess successor = platform.launch();
             Thread.sleep(millis);
-            young.kill();
-            assertTrue(ready());
+            successor.kill();
+            assertTrue(isReady());
         }
-        SchedulerProcess young = start();
-        young.kill();
+        SchedulerProcess successor = start();
+        successor.kill();
         // What it had not accepted waits in the queue for the old one.
         Peer client = client();
-        serves(client, "c1", false);
-        assertEquals("done", call(old, "check"));
+        assertServed(client, "c1", false);
+        assertEquals("done", call(predecessor, "check"));
         call.respond("{'id':'o1','state':'done','result':'ok'}");
         assertTrue(open.message().endsWith("ok"));
         // And the next one takes over as if nothing had been.
         start();
-        serves(client, "c2", true);
-        old.awaitExit();
+        assertServed(client, "c2", true);
+        predecessor.awaitExit();
     }
 
     @Test
     void anOldOneKilledLeavesTheNewOneInPlaceWithItsOrders() throws Exception {
-        SchedulerProcess old = start();
-        setDown(old);
-        SchedulerProcess young = platform.launch();
-        old.kill();
-        await(() -> call(young, "check").equals("done"));
+        SchedulerProcess predecessor = start();
+        setDown(predecessor);
+        SchedulerProcess successor = platform.launch();
+        predecessor.kill();
+        await(() -> call(successor, "check").equals("done"));
         Peer client = client().post("card-capture", "c1", "", "");
         assertTrue(client.message().startsWith("HTTP/1.1 503 "));
-        setUp(young);
-        serves(client, "c2", false);
+        setUp(successor);
+        assertServed(client, "c2", false);
     }
 
     @Test
     void leftoversStopNoStart() throws Exception {
         Files.writeString(folder.resolve("laneflow-handover"), "no socket");
         Files.writeString(folder.resolve("laneflow-set-down"), "no such format");
-        SchedulerProcess one = start();
-        assertTrue(ready());
-        one.kill();
+        SchedulerProcess process = start();
+        assertTrue(isReady());
+        process.kill();
         // Its socket is left without anybody behind it.
         assertTrue(Files.exists(folder.resolve("laneflow-handover")));
         SchedulerProcess next = start();
-        assertTrue(ready());
+        assertTrue(isReady());
         start();
         next.awaitExit();
     }
 
     @Test
     void aNewOneThatHangsIsLetGoAndMetAgainOnceItGoesOn() throws Exception {
-        SchedulerProcess old = start();
+        SchedulerProcess predecessor = start();
         Peer open = client().post("card-capture", "o1", "", "");
         Peer call = endpoint.accept();
         call.message();
-        SchedulerProcess young = start();
-        signal("STOP", young);
+        SchedulerProcess successor = start();
+        signal("STOP", successor);
         // Whom the new one has accepted hangs with it; who comes now is taken by the old one.
         await(() -> Files.readString(folder.resolve("log")).contains("clients are taken here again"));
-        assertTrue(ready());
-        setDown(old);
-        signal("CONT", young);
+        assertTrue(isReady());
+        setDown(predecessor);
+        signal("CONT", successor);
         await(() -> Files.readString(folder.resolve("log")).contains("met with it again"));
-        await(() -> call(young, "set-up e1").equals("done"));
-        assertEquals("done", call(young, "set-up e2"));
+        await(() -> call(successor, "set-up e1").equals("done"));
+        assertEquals("done", call(successor, "set-up e2"));
         call.respond("{'id':'o1','state':'done','result':'ok'}");
         assertTrue(open.message().endsWith("ok"));
-        old.awaitExit();
-        serves(client(), "c1", false);
+        predecessor.awaitExit();
+        assertServed(client(), "c1", false);
     }
 
-    private static void signal(String name, SchedulerProcess to) throws Exception {
+    private static void signal(String signalName, SchedulerProcess process) throws Exception {
         assertEquals(
                 0,
-                new ProcessBuilder("kill", "-" + name, "" + to.handle().pid())
+                new ProcessBuilder(
+                                "kill", "-" + signalName, "" + process.handle().pid())
                         .start()
                         .waitFor());
     }
