--- a/src/main/java/laneflow/net/ArrivalTimes.java
+++ b/src/main/java/laneflow/net/ArrivalTimes.java
@@ -2,21 +2,25 @@
 
 import java.util.ArrayDeque;
 
-/** When the bytes that wait in a connection's ring arrived, by their running numbers. */
+/**
+ * Arrival times of the bytes buffered in a connection's input ring. Bytes are addressed by their offset in the
+ * connection's whole input stream.
+ */
 final class ArrivalTimes {
-    /** Reads within so many microseconds count as one: bytes that come singly take no room each. */
+    /** Reads this close together share one entry, so that a byte-by-byte sender does not cost an entry per byte. */
     private static final long RESOLUTION_US = 1000;
 
     private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
 
-    /** All bytes before that running number, behind those of the arrival before it, came at that instant. */
+    /** The bytes from the previous entry's end offset up to this one's, exclusive, arrived at {@code instant}. */
     private record Arrival(long end, long instant) {}
 
     /**
-     * Bytes up to that running number have arrived.
+     * Records that the input stream has arrived up to an offset.
      *
-     * @param taken the running number of the first byte that is still of interest
-     * @param now the instant, microseconds
+     * @param end stream offset behind the last byte that has arrived
+     * @param now time of arrival, microseconds
+     * @param consumed stream offset of the first byte not yet consumed; entries before it are discarded
      */
     void add(long end, long now, long consumed) {
         while (!arrivals.isEmpty() && arrivals.peekFirst().end <= consumed) {
@@ -29,7 +33,7 @@
         arrivals.addLast(new Arrival(end, instant));
     }
 
-    /** When the byte before that running number arrived, microseconds; the given instant if not known. */
+    /** Returns when the byte before this stream offset arrived, microseconds, or the fallback if that is unknown. */
     long arrivalBefore(long end, long fallback) {
         for (Arrival arrival : arrivals) {
             if (arrival.end >= end) {
--- a/src/main/java/laneflow/net/Datagrams.java
+++ b/src/main/java/laneflow/net/Datagrams.java
@@ -13,19 +13,20 @@
 import org.xnio.channels.SocketAddressBuffer;
 
 /**
- * A UDP socket on the loop's thread. What can't be sent at once is dropped, as the network may do with any
- * datagram; what is longer than the longest that is taken is told with its full length and cut off.
+ * A UDP socket on the loop's thread. A datagram that can't be sent at once is dropped, as the network may drop any.
+ * A received datagram beyond the maximum length is truncated to one byte more than the maximum, so that the receiver
+ * can tell from its length.
  */
 public final class Datagrams {
     private static final Logger LOG = LoggerFactory.getLogger(Datagrams.class);
-    /** Taken in a row: a flood must not hold up all else. */
+    /** Datagrams received per loop turn, so that a flood does not starve other events. */
     private static final int MAX_PER_TURN = 64;
 
     private static final int RECEIVE_BUFFER_BYTES = 256 * 1024;
 
-    /** Takes a datagram; the bytes are the taker's only until it returns. */
+    /** Receives datagrams. The byte array is reused after {@code receive} returns. */
     public interface Receiver {
-        /** @param length of the datagram, beyond the longest taken where it was cut off */
+        /** @param length bytes received; greater than the maximum length if the datagram was truncated */
         void receive(InetSocketAddress from, byte[] bytes, int length);
     }
 
@@ -64,12 +65,12 @@
                 }
             }
         } catch (IOException e) {
-            // As where a port that was written to before is closed now: told once, of no use here.
+            // Typically the ICMP error of an earlier send to a closed port, reported once; the sender can't use it.
             LOG.debug("receive", e);
         }
     }
 
-    /** Sends one; false where it was dropped here. */
+    /** Sends a datagram; returns false if it was dropped because the socket could not take it at once. */
     public boolean send(InetSocketAddress to, byte[] datagram) {
         try {
             return channel.sendTo(to, ByteBuffer.wrap(datagram));
--- a/src/main/java/laneflow/net/Link.java
+++ b/src/main/java/laneflow/net/Link.java
@@ -11,23 +11,24 @@
 import org.xnio.conduits.StreamSinkConduit;
 import org.xnio.conduits.StreamSourceConduit;
 
-/** One connection in the loop's table, with a ring a direction. */
+/** A TCP connection in the loop's table, with one ring buffer per direction. */
 public final class Link {
     private static final Logger LOG = LoggerFactory.getLogger(Link.class);
-    /** Reads in a row before others have their turn. */
+    /** Reads in a row before other connections are served. */
     private static final int MAX_READS_PER_TURN = 8;
-    /** What an ended connection still sends is passed over for so long, and up to so much. */
+    /** How long input is still read and discarded after the output has ended. */
     private static final long LINGER_US = 1_000_000;
 
+    /** Input discarded after the output has ended; anything beyond it stays unread. */
     private static final int MAX_LINGER_BYTES = 256 * 1024;
-    /** Bytes behind a full ring are dropped up to so much; those behind them stay unread. */
+    /** Input dropped behind a full ring; anything beyond it stays unread. */
     private static final int MAX_DROPPED_BYTES = 4 * 1024 * 1024;
 
     public final Ring in;
     public final Ring out;
     private final Loop loop;
     private final LinkHandler handler;
-    /** Who accepted it; null where it was opened here. */
+    /** The listener that accepted the connection; null for an outgoing one. */
     private final Loop.Listener listener;
 
     private long handle;
@@ -41,7 +42,7 @@
     private int lingerBytes;
     private boolean readsSuspended;
     private final ArrivalTimes arrivals = new ArrivalTimes();
-    /** What its first read takes in has been there since then, microseconds; negative: it has just come. */
+    /** Arrival time to record for the first read of an accepted connection, microseconds; negative: use the clock. */
     private long inputPendingSince = -1;
 
     private int droppedBytes;
@@ -55,7 +56,7 @@
         out = new Ring(outLimit);
     }
 
-    /** What it runs on; null until it is up. */
+    /** Returns the XNIO connection; null until it is established. */
     StreamConnection connection() {
         return connection;
     }
@@ -64,12 +65,12 @@
         handle = assigned;
     }
 
-    /** Its number in the loop's table, void once it has closed. */
+    /** Returns the connection's handle in the loop's table, invalid once the connection is closed. */
     public long handle() {
         return handle;
     }
 
-    /** The other side's address in figures; "-" where it is not known. */
+    /** Returns the peer's IP address, or "-" if it is unknown. */
     public String peerHost() {
         InetSocketAddress address = connection == null ? null : connection.getPeerAddress(InetSocketAddress.class);
         return address == null ? "-" : address.getAddress().getHostAddress();
@@ -97,7 +98,7 @@
         source.resumeReads();
     }
 
-    /** Reads what is there already: before it closes a connection, its owner looks once more. */
+    /** Reads input that is already available; the owner calls it before it closes a connection on a timeout. */
     public void readNow() {
         if (!closed && connection != null) {
             readable();
@@ -124,13 +125,13 @@
             peerDisconnected();
             return;
         }
-        // A peer that sends on and on is not read further than the ring holds.
+        // Backpressure: no more is read than the ring can hold.
         if (!closed && !readsSuspended && lingerTimer == null && in.isFull() && !handler.dropsInputBeyondRing()) {
             suspendReads();
         }
     }
 
-    /** Reads once, as the conduit does; 0 also where there is no room. */
+    /** Reads once; returns what the conduit returned, or 0 if the ring has no room. */
     private int readOnce() throws IOException {
         if (lingerTimer == null && (droppedBytes > 0 || in.isFull() && handler.dropsInputBeyondRing())) {
             return dropInput();
@@ -154,24 +155,24 @@
         return bytesRead;
     }
 
-    /** True if bytes behind a full ring have been dropped: what is in the ring has no sound continuation. */
+    /** True if input behind a full ring has been dropped, so that the ring's content is followed by a gap. */
     public boolean hasDroppedInput() {
         return droppedBytes > 0;
     }
 
-    /** Bytes that are there at its first read have been there since then, microseconds. */
+    /** Sets the arrival time of bytes that the first read finds, microseconds. */
     void setInputPendingSince(long instant) {
         inputPendingSince = instant;
     }
 
-    /** When the last byte that was taken out of the incoming ring arrived, microseconds. */
+    /** Returns when the last byte consumed from the input ring arrived, microseconds. */
     public long lastConsumedArrival() {
         return arrivals.arrivalBefore(in.consumedBytes(), loop.micros());
     }
 
     /**
-     * Takes what has come into the ring without a word to its owner, and tells whether the other side has
-     * ended or broken the connection behind it. Where it has, the owner is told later.
+     * Reads available input into the ring without notifying the handler, and returns whether the peer has ended or
+     * reset the connection behind it. If so, the handler is notified later.
      */
     public boolean hasPeerEnded() {
         if (closed || peerEnded) {
@@ -193,7 +194,7 @@
         return peerEnded;
     }
 
-    /** Stops reading until {@link #resumeReads}. */
+    /** Stops reading until {@link #resumeReads} is called. */
     public void suspendReads() {
         if (!closed && !readsSuspended) {
             readsSuspended = true;
@@ -201,7 +202,7 @@
         }
     }
 
-    /** Goes on reading. */
+    /** Resumes reading after {@link #suspendReads}. */
     public void resumeReads() {
         if (!closed && readsSuspended) {
             readsSuspended = false;
@@ -213,7 +214,7 @@
         flush();
     }
 
-    /** Writes what it can now and the rest when the other side takes more. */
+    /** Writes what the socket accepts now, and the rest once it is writable again. */
     public void flush() {
         if (closed || connection == null) {
             return;
@@ -228,7 +229,7 @@
             sink.suspendWrites();
         } catch (IOException e) {
             LOG.debug("write: {}", e.getMessage());
-            // The owner is at work now and may have more to do with it: it is told later.
+            // The handler may be the caller and still be using this connection, so it is notified later.
             loop.later(this::peerDisconnected);
             return;
         }
@@ -238,7 +239,7 @@
         handler.flushed(this);
     }
 
-    /** Bytes that the other side still sends are not kept; past a measure they are not read either. */
+    /** Discards input after the output has ended, and stops reading beyond {@link #MAX_LINGER_BYTES}. */
     private void discardInput(int bytesRead) {
         in.skip(in.size());
         lingerBytes += bytesRead;
@@ -265,15 +266,16 @@
     }
 
     /**
-     * Ends the sending once all is written, and closes when the other side has ended too or some time has
-     * passed. Closed at once, with input unread, the connection would be reset and the answer might be lost.
+     * Ends the output once everything is written, and closes the connection when the peer has ended its side too or
+     * {@link #LINGER_US} has passed. Closing at once, with input unread, would reset the connection, and the peer might
+     * lose the response.
      */
     public void endOutputWhenFlushed() {
         endingOutput = true;
         flush();
     }
 
-    /** All has been sent, and nothing more is read from it. */
+    /** True once all output has been sent and ended; input is discarded from then on. */
     public boolean isOutputEnded() {
         return lingerTimer != null;
     }
@@ -285,7 +287,7 @@
         }
     }
 
-    /** Closed over unread bytes, it would be reset, and what is on its way to its client might be lost. */
+    /** Reads unread input before a close: otherwise the close would reset the connection and lose data in flight. */
     private void drainUnread() {
         try {
             int remaining = MAX_LINGER_BYTES;
@@ -299,7 +301,7 @@
         }
     }
 
-    /** Closes at once; nothing more is told of it. */
+    /** Closes at once, without notifying the handler. */
     public void close() {
         if (closed) {
             return;
--- a/src/main/java/laneflow/net/LinkHandler.java
+++ b/src/main/java/laneflow/net/LinkHandler.java
@@ -1,28 +1,28 @@
 package laneflow.net;
 
-/** What the owner of a connection is told. */
+/** Receives the events of a connection, on the loop's thread. */
 public interface LinkHandler {
-    /** The connection is up; told of opened ones only. */
+    /** The connection is established, whether it was accepted or opened here. */
     default void opened(Link link) {}
 
-    /** It did not come up. */
+    /** The connection could not be established; it is closed already. */
     default void connectFailed(Link link) {}
 
-    /** Bytes have come in; what is not taken from the ring stays there. */
+    /** Bytes have been read into the input ring; those that the handler does not consume stay there. */
     void received(Link link);
 
-    /** All that was put into the outgoing ring is written, and the sending ended if that was asked. */
+    /** The output ring has been written completely, and the output has ended if that was requested. */
     default void flushed(Link link) {}
 
     /**
-     * Whether bytes that come while the incoming ring is full are read and dropped, so that the end of the
-     * connection is seen behind them ({@link Link#hasDroppedInput}). Otherwise they stay unread until
+     * Whether input that arrives while the input ring is full is read and dropped, so that the end of the connection
+     * is noticed behind it (see {@link Link#hasDroppedInput}). Otherwise it stays unread until
      * {@link Link#resumeReads}.
      */
     default boolean dropsInputBeyondRing() {
         return false;
     }
 
-    /** The other side has ended or broken it; it is closed already, and what it had sent was told before. */
+    /** The peer has ended or reset the connection; it is closed already, and its input was reported before. */
     void disconnected(Link link);
 }
--- a/src/main/java/laneflow/net/Loop.java
+++ b/src/main/java/laneflow/net/Loop.java
@@ -37,26 +37,27 @@
 import org.xnio.nio.PassedServer;
 
 /**
- * The one I/O thread: its turns, its clock, its table of connections, its deadlines. Everything the program
- * owns is touched on this thread only, so nothing is locked.
+ * An event loop with one I/O thread, its clock, its connections and its deadlines. The state that belongs to the loop
+ * is accessed on this thread only, so it needs no locks. A turn is one iteration: all events of a turn see the same
+ * time.
  */
 public final class Loop implements Clock {
     private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
-    /** Descriptors the virtual machine holds for itself: the jar, selectors, standard streams. */
+    /** File descriptors that the JVM holds for itself: the jar, selectors, standard streams. */
     private static final int RESERVED_DESCRIPTORS = 64;
 
     private static final int BACKLOG = 512;
     private static final long MICROS_PER_MS = 1000;
     private static final Pattern NUMERIC_ADDRESS = Pattern.compile("[0-9.]+|[0-9a-fA-F:.]+");
     private static final int SCRATCH_BYTES = 16 * 1024;
-    /** Connections taken in a row: a flood of them must not hold up those that are open. */
+    /** Connections accepted per turn, so that a flood of them does not starve open ones. */
     private static final int MAX_ACCEPTS_PER_TURN = 32;
 
     private final Deadlines deadlines = new Deadlines();
     private final SlotTable<Link> links = new SlotTable<>();
     private final XnioWorker worker;
     private final XnioIoThread thread;
-    /** Most connections of either direction: clients must not leave calls without a descriptor. */
+    /** Maximum of accepted, and of outgoing connections: clients must not use up the descriptors for calls. */
     private final int maxPerDirection;
 
     private final ConnectionLimit acceptedLimit;
@@ -70,17 +71,18 @@
     private long timerDueAt = Long.MAX_VALUE;
     private XnioExecutor.Key timerKey;
 
-    /** A loop that holds no more descriptors than that, its own included. */
+    /** @param maxDescriptors file descriptors that the process may use, including those of the JVM */
     public Loop(int maxDescriptors) throws IOException {
         this("loop", (maxDescriptors - RESERVED_DESCRIPTORS) / 2, false);
     }
 
     /**
-     * A loop of that name with room for so many connections each way.
+     * Creates a loop.
      *
-     * @param rests true where it mostly has nothing to do: then a timer that was moved to later is set anew,
-     *     where a loop with traffic lets it wake it for nothing, and runs up to a millisecond late, where one
-     *     with traffic turns without a pause for the rest of a millisecond
+     * @param connectionsPerDirection maximum of accepted and of outgoing connections, each; at least 8 are allowed
+     * @param mostlyIdle true for a loop with little traffic: it re-arms its timer when the next deadline moves to
+     *     later, and runs deadlines up to a millisecond late. A loop with traffic lets the old timer wake it in vain,
+     *     and spins through the last fraction of a millisecond before a deadline.
      */
     public Loop(String name, int connectionsPerDirection, boolean mostlyIdle) throws IOException {
         this.mostlyIdle = mostlyIdle;
@@ -104,14 +106,14 @@
     }
 
     /**
-     * The same clock, read now: for what must hold at this very instant, however long the turn has lasted, as
-     * one does amid which the process was stopped.
+     * Reads the clock now instead of returning the time at the start of the turn. Needed for decisions that must hold
+     * at this instant however long the turn has lasted, for example because the process was suspended during it.
      */
     public long currentMicros() {
         return clockOrigin + System.nanoTime() / 1000;
     }
 
-    /** Room for bytes that are read to be dropped. */
+    /** Returns a cleared buffer for reading input that is discarded. */
     ByteBuffer scratch() {
         return scratch.clear();
     }
@@ -122,18 +124,18 @@
 
     // ---- turns ----
 
-    /** Runs on the loop's thread as part of its present turn: the first one of a turn reads the clock. */
+    /** Handles an event on the loop's thread; the first event of a turn reads the clock. */
     void turn(Runnable event) {
         if (!inTurn) {
             inTurn = true;
             now = Math.max(now, clockOrigin + System.nanoTime() / 1000);
-            // Tasks run before the next wait for I/O: that is where this turn ends.
+            // XNIO runs this task before its next select, which ends the turn.
             thread.execute(this::endTurn);
         }
         try {
             event.run();
         } catch (RuntimeException e) {
-            // A fault in the handling of one event must not take all other requests along.
+            // A bug in the handling of one event must not fail all other requests.
             LOG.error("event failed", e);
         }
     }
@@ -157,8 +159,7 @@
             }
             long delay = Math.max(0, next - (clockOrigin + System.nanoTime() / 1000));
             if (mostlyIdle) {
-                // XNIO counts in whole milliseconds and drops the rest: woken early, the loop would turn
-                // without a pause until the instant has come.
+                // XNIO truncates delays to whole milliseconds: woken early, the loop would spin until the deadline.
                 delay = (delay + MICROS_PER_MS - 1) / MICROS_PER_MS * MICROS_PER_MS;
             }
             timerKey = thread.executeAfter(this::timerExpired, delay, TimeUnit.MICROSECONDS);
@@ -171,12 +172,12 @@
         turn(() -> deadlines.runDue(now));
     }
 
-    /** Runs a call soon, in a turn, when what is at work now has come to its end; from any thread. */
+    /** Runs an action on the loop's thread after the event that is being handled now; callable from any thread. */
     public void later(Runnable action) {
         thread.execute(() -> turn(action));
     }
 
-    /** Runs a call on the loop's thread and waits for its end; what it throws is thrown here. */
+    /** Runs an action on the loop's thread and waits for it; rethrows what it throws. */
     public void call(Runnable action) throws InterruptedException {
         FutureTask<Void> task = new FutureTask<>(action, null);
         thread.execute(() -> turn(task));
@@ -186,14 +187,14 @@
             if (e.getCause() instanceof Error error) {
                 throw error;
             }
-            // A call throws no checked exceptions.
+            // A Runnable throws no checked exceptions.
             throw (RuntimeException) e.getCause();
         }
     }
 
     // ---- connections ----
 
-    /** An address in figures: there are no names to look up. */
+    /** Parses a numeric IP address and port, such as 127.0.0.1:80 or [::1]:80; host names are not resolved. */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
@@ -211,7 +212,7 @@
         }
     }
 
-    /** A part of the descriptors: connections that are open in it, and how many may be. */
+    /** A limit on open connections, and how many are open under it. */
     private static final class ConnectionLimit {
         private int max;
         private int open;
@@ -225,7 +226,7 @@
         }
     }
 
-    /** A listening socket. */
+    /** A listening socket and the connections that it accepts. */
     public final class Listener {
         private final AcceptingChannel<StreamConnection> channel;
         private final Supplier<LinkHandler> handlers;
@@ -236,13 +237,13 @@
         private final boolean isPassed;
         private boolean paused;
         private boolean full;
-        /** Accepted, and not let in yet: in the next task, or once there is room. */
+        /** Accepted connections that are admitted in the next task, or once there is room. */
         private final Deque<PendingConnection> pending = new ArrayDeque<>();
 
-        /** A connection, and since when it is known here, microseconds. */
+        /** @param acceptedAt when the connection was taken from XNIO's queue, microseconds */
         private record PendingConnection(StreamConnection connection, long acceptedAt) {}
 
-        /** On the passed socket, unless it is null. */
+        /** Listens on the passed socket, or opens one at the address if {@code passed} is null. */
         private Listener(
                 ServerSocketChannel passed,
                 InetSocketAddress address,
@@ -270,7 +271,7 @@
                     : worker.createStreamConnectionServer(address, acceptListener, options);
         }
 
-        /** Lets clients in from now on. */
+        /** Starts or resumes accepting connections. */
         public void begin() {
             later(() -> {
                 if (!listeners.contains(this)) {
@@ -283,7 +284,7 @@
             });
         }
 
-        /** Leaves those that come from now on to whoever else listens there; who is in already is let in. */
+        /** Stops accepting, for example while another process accepts from the same socket. */
         public void pause() {
             paused = true;
             channel.suspendAccepts();
@@ -295,13 +296,13 @@
             }
         }
 
-        /** Lets in some of those that wait; true if more of them can be. */
+        /** Admits some of the pending connections; true if more of them can be admitted. */
         private boolean acceptBatch() {
             try {
                 drainAcceptQueue();
                 for (int i = 0; i < MAX_ACCEPTS_PER_TURN && !pending.isEmpty(); i++) {
-                    // Room is made for a client that is there: asked for one that may come, it would close
-                    // one more than need be each time that the backlog runs empty.
+                    // Room is made only for a connection that is already pending: made in advance, it would close
+                    // one connection too many each time that the backlog runs empty.
                     if (!limit.hasRoom() && !makeRoom.getAsBoolean()) {
                         waitForRoom();
                         return false;
@@ -316,8 +317,8 @@
         }
 
         /**
-         * Takes over all that XNIO has accepted on its own thread, also if the socket is closed by now: left
-         * in its queue, they would have it call again and again, without a pause.
+         * Takes over all connections that XNIO has accepted on its own thread, even if the socket is closed by now: for
+         * connections left in its queue XNIO would call the accept listener again and again, without a pause.
          */
         private void drainAcceptQueue() throws IOException {
             try {
@@ -325,11 +326,11 @@
                     pending.add(new PendingConnection(next, micros()));
                 }
             } catch (ClosedChannelException e) {
-                LOG.trace("closed, and nothing left", e);
+                LOG.trace("listener closed, accept queue empty", e);
             }
         }
 
-        /** They, and those behind them in the backlog, wait until a connection closes. */
+        /** Leaves pending connections, and those in the backlog, waiting until another connection closes. */
         private void waitForRoom() {
             if (channel.isOpen()) {
                 full = true;
@@ -346,7 +347,7 @@
             link.assignHandle(links.add(link));
             link.attach(next.connection);
             handler.opened(link);
-            // Mostly it has asked already: unread it would look like one that says nothing.
+            // The client has mostly sent its request already: left unread, the connection would count as silent.
             link.setInputPendingSince(next.acceptedAt);
             link.readable();
             link.setInputPendingSince(-1);
@@ -364,7 +365,7 @@
             resumeFullListeners();
         }
 
-        /** One of its connections may be displaced from now on. */
+        /** Lets listeners that are full try again: a connection has closed, or may be displaced from now on. */
         void resumeFullListeners() {
             listeners.forEach(Listener::resumeIfFull);
         }
@@ -375,12 +376,12 @@
                 if (!paused) {
                     channel.resumeAccepts();
                 }
-                // Nothing need come in behind the one that waits here already.
+                // No new connection may follow the pending ones to trigger this.
                 later(this::acceptPending);
             }
         }
 
-        /** True while clients wait because there is no room for them. */
+        /** True while connections wait because the limit is reached. */
         public boolean isFull() {
             return full;
         }
@@ -389,14 +390,16 @@
             return channel.getLocalAddress(InetSocketAddress.class);
         }
 
-        /** Lets in who has connected already, and closes. */
+        /** Admits connections that clients have established already, and closes the socket. */
         public void close() {
             close(() -> {});
         }
 
         /**
-         * The same; told of each one that has connected and found no room. A passed one stays open, unread:
-         * closing it would detach the process's log.
+         * Admits connections that clients have established already, and closes the socket. A passed socket is only
+         * paused: closing it would detach the process's log.
+         *
+         * @param onRejected runs for each established connection that there was no room for
          */
         public void close(Runnable onRejected) {
             if (isPassed) {
@@ -404,7 +407,7 @@
             } else if (full) {
                 closeNow(onRejected);
             } else {
-                // The thread that accepts may not have come yet to those that wait in the system's queue.
+                // XNIO's accept thread may not have accepted all connections in the kernel's backlog yet.
                 AcceptingThread.afterNextSelect(worker, () -> {
                     if (!worker.isShutdown()) {
                         later(() -> closeNow(onRejected));
@@ -427,8 +430,10 @@
     }
 
     /**
-     * Listens there once it is begun; each connection gets a handler of its own. Where there are too many,
-     * makeRoom may close one, and tells whether it did.
+     * Creates a listener, which accepts connections once {@link Listener#begin} is called.
+     *
+     * @param makeRoom called at the connection limit; may close a connection, and returns whether it did
+     * @param handlers creates the handler of each connection
      */
     public Listener listen(
             InetSocketAddress address,
@@ -441,8 +446,8 @@
     }
 
     /**
-     * The same with a part of its own, so that nobody else's connections shut it, nor its own anybody's. Such
-     * parts come out of what the virtual machine leaves of its descriptors, and are small.
+     * Creates a listener with a connection limit of its own, so that it and the other listeners can't crowd each other
+     * out. These descriptors come out of {@link #RESERVED_DESCRIPTORS}, so the limit must be small.
      */
     public Listener listenWithOwnLimit(
             InetSocketAddress address,
@@ -455,22 +460,22 @@
         return new Listener(null, address, inLimit, outLimit, new ConnectionLimit(maxConnections), makeRoom, handlers);
     }
 
-    /** Takes datagrams there of up to so many bytes. */
+    /** Opens a UDP socket for datagrams of up to {@code maxBytes}. */
     public Datagrams datagrams(InetSocketAddress address, int maxBytes, Datagrams.Receiver receiver)
             throws IOException {
         return new Datagrams(this, worker, address, maxBytes, receiver);
     }
 
-    /** Clients come from the listening socket that is this process's descriptor 0; not before it is begun. */
+    /** Creates a listener on the listening socket that this process inherited as descriptor 0. */
     public Listener listenPassed(int inLimit, int outLimit, BooleanSupplier makeRoom, Supplier<LinkHandler> handlers)
             throws IOException {
         if (!(System.inheritedChannel() instanceof ServerSocketChannel passed)) {
-            throw new IOException("descriptor 0 is no listening socket, though one was said to be passed");
+            throw new IOException("descriptor 0 is not a listening socket, although a passed socket is configured");
         }
         return listenOn(passed, inLimit, outLimit, makeRoom, handlers);
     }
 
-    /** The same on a listening socket that somebody else has opened. */
+    /** Creates a listener on a socket that is already listening. */
     Listener listenOn(
             ServerSocketChannel passed,
             int inLimit,
@@ -481,19 +486,19 @@
         return new Listener(passed, null, inLimit, outLimit, acceptedLimit, makeRoom, handlers);
     }
 
-    /** Connections come up only within that part of the descriptors: the rest is another process's. */
+    /** Limits connections to a fraction of the maximum; the rest belongs to another process. */
     public void limitShare(double fraction) {
         acceptedLimit.max = (int) (fraction * maxPerDirection);
         outboundLimit.max = acceptedLimit.max;
         listeners.forEach(Listener::resumeIfFull);
     }
 
-    /** True if another connection may be opened. */
+    /** True if another outgoing connection may be opened. */
     public boolean hasRoom() {
         return outboundLimit.hasRoom();
     }
 
-    /** Opens a connection; the handler hears when it is up, or that it did not come up. */
+    /** Opens a connection; the handler is notified when it is established or has failed. */
     public Link connect(InetSocketAddress to, int inLimit, int outLimit, LinkHandler handler) {
         Link link = new Link(this, handler, inLimit, outLimit, null);
         link.assignHandle(links.add(link));
@@ -508,7 +513,7 @@
     private void connected(Link link, LinkHandler handler, IoFuture<StreamConnection> future) {
         boolean isUp = future.getStatus() == IoFuture.Status.DONE;
         if (link.isClosed()) {
-            // Given up while it came up: nobody else would close it.
+            // Closed while it was being established: nothing else would close the socket.
             if (isUp) {
                 IoUtils.safeClose(result(future));
             }
@@ -538,7 +543,7 @@
         }
     }
 
-    /** Ends the thread and all connections. */
+    /** Closes all connections and ends the thread. */
     public void stop() throws InterruptedException {
         if (worker.isShutdown()) {
             return;
--- a/src/main/java/laneflow/net/Ring.java
+++ b/src/main/java/laneflow/net/Ring.java
@@ -5,7 +5,7 @@
 import org.xnio.conduits.StreamSinkConduit;
 import org.xnio.conduits.StreamSourceConduit;
 
-/** A ring of bytes, one for each direction of a connection; it grows by doubling up to its limit. */
+/** A ring buffer of bytes for one direction of a connection; it grows by doubling up to its limit. */
 public final class Ring {
     private static final int INITIAL_CAPACITY = 2048;
 
@@ -16,7 +16,7 @@
     private int size;
     private long consumed;
 
-    /** A ring that never holds more than this, a power of two. */
+    /** @param limit the maximum number of bytes, a power of two */
     public Ring(int limit) {
         if (Integer.bitCount(limit) != 1 || limit < INITIAL_CAPACITY) {
             throw new IllegalArgumentException("limit " + limit);
@@ -36,17 +36,17 @@
         return size == limit;
     }
 
-    /** How many bytes have been taken out of it since it was made: the running number of its first byte. */
+    /** Returns how many bytes have been consumed so far: the stream offset of the first buffered byte. */
     public long consumedBytes() {
         return consumed;
     }
 
-    /** The byte that far behind the first one. */
+    /** Returns the byte at an offset from the first buffered byte. */
     public byte byteAt(int offset) {
         return bytes[head + offset & bytes.length - 1];
     }
 
-    /** Where this byte first stands at or behind an offset, or -1. */
+    /** Returns the first offset of a byte at or after {@code from}, or -1. */
     public int indexOf(byte wanted, int from) {
         for (int i = from; i < size; i++) {
             if (byteAt(i) == wanted) {
@@ -56,7 +56,7 @@
         return -1;
     }
 
-    /** Copies out the first bytes and drops them. */
+    /** Copies the first bytes to an array and consumes them. */
     public void take(byte[] to, int offset, int length) {
         int first = Math.min(length, bytes.length - head);
         System.arraycopy(bytes, head, to, offset, first);
@@ -64,7 +64,7 @@
         skip(length);
     }
 
-    /** Drops the first bytes. */
+    /** Consumes the first bytes without copying them. */
     public void skip(int length) {
         if (length > size) {
             throw new IllegalArgumentException(length + " of " + size);
@@ -75,13 +75,13 @@
         if (size == 0) {
             head = 0;
             if (bytes.length > INITIAL_CAPACITY) {
-                // One large message must not keep its room for as long as the connection lives.
+                // Releases the memory of a large message instead of keeping it for the connection's lifetime.
                 replaceBuffer(new byte[INITIAL_CAPACITY]);
             }
         }
     }
 
-    /** Appends; false, with nothing appended, if it would go past the limit. */
+    /** Appends bytes; returns false, with nothing appended, if they would exceed the limit. */
     public boolean put(byte[] from) {
         return put(from, 0, from.length);
     }
@@ -101,7 +101,7 @@
         return true;
     }
 
-    /** Reads once from the conduit; what it returned, or 0 if there is no room. */
+    /** Reads once from the conduit; returns what it returned, or 0 if the ring is full. */
     int readFrom(StreamSourceConduit conduit) throws IOException {
         if (size == bytes.length && size < limit) {
             grow();
@@ -117,7 +117,7 @@
         return bytesRead;
     }
 
-    /** Writes once to the conduit; how many bytes it took. */
+    /** Writes once to the conduit; returns how many bytes it accepted. */
     int writeTo(StreamSinkConduit conduit) throws IOException {
         int length = Math.min(size, bytes.length - head);
         view.clear().position(head).limit(head + length);
--- a/src/main/java/org/xnio/nio/AcceptingThread.java
+++ b/src/main/java/org/xnio/nio/AcceptingThread.java
@@ -3,18 +3,16 @@
 import java.util.concurrent.TimeUnit;
 import org.xnio.XnioWorker;
 
-/**
- * The thread on which XNIO accepts connections. Only this package knows it, hence the place of this file.
- */
+/** Access to the thread on which XNIO accepts connections. It is package-private to XNIO, hence this package. */
 public final class AcceptingThread {
     private static final long DELAY_MS = 1;
 
     private AcceptingThread() {}
 
-    /** Runs a call on the worker's accepting thread, behind its next look at its listening sockets. */
+    /** Runs an action on the worker's accept thread after its next select on the listening sockets. */
     public static void afterNextSelect(XnioWorker worker, Runnable action) {
         WorkerThread thread = ((NioXnioWorker) worker).getAcceptThread();
-        // A task that is set for later by a task runs behind the thread's next selection, never before it.
+        // A delayed task that is scheduled from a task runs after the thread's next select, never before it.
         thread.execute(() -> thread.executeAfter(action, DELAY_MS, TimeUnit.MILLISECONDS));
     }
 }
--- a/src/main/java/org/xnio/nio/PassedServer.java
+++ b/src/main/java/org/xnio/nio/PassedServer.java
@@ -9,14 +9,14 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * Lets XNIO own a listening socket that was opened by somebody else. Its public calls open and bind one of
- * their own, always; the two classes that take one as it is are this package's, hence the place of this file.
- * What is accepted there is a connection like all others, with its streams and conduits.
+ * Wraps an already open listening socket in an XNIO server. XNIO's public API always opens and binds a socket of its
+ * own; the two classes that accept an existing one are package-private, hence this package. Accepted connections are
+ * ordinary XNIO stream connections.
  */
 public final class PassedServer {
     private PassedServer() {}
 
-    /** A server on that channel, suspended at first; the listener hears of each connection. */
+    /** Creates a server on an open channel, with accepts suspended; the listener is notified of new connections. */
     public static AcceptingChannel<StreamConnection> wrap(
             XnioWorker worker,
             ServerSocketChannel channel,
--- a/src/test/java/laneflow/net/ArrivalTimesTest.java
+++ b/src/test/java/laneflow/net/ArrivalTimesTest.java
@@ -17,13 +17,13 @@
         assertEquals(2_000_000, times.arrivalBefore(11, UNKNOWN));
         assertEquals(2_000_000, times.arrivalBefore(25, UNKNOWN));
         assertEquals(UNKNOWN, times.arrivalBefore(26, UNKNOWN));
-        // The first ten have been taken: they are forgotten, the others are not.
+        // The first ten bytes have been consumed: their arrival time is dropped, the others stay.
         times.add(30, 3_000_000, 10);
         assertEquals(2_000_000, times.arrivalBefore(11, UNKNOWN));
         assertEquals(3_000_000, times.arrivalBefore(30, UNKNOWN));
     }
 
-    /** Told too early by a millisecond at most, never too late. */
+    /** Merged reads make an arrival time at most a millisecond too early, never too late. */
     @Test
     void bytesThatComeSinglyInAMillisecondCountAsTheFirstOfThem() {
         ArrivalTimes times = new ArrivalTimes();
@@ -34,7 +34,7 @@
             long instant = times.arrivalBefore(i, UNKNOWN);
             assertEquals(i - (i - 1) % 1000, instant);
         }
-        // What has been taken shares its instant with nothing that comes later.
+        // Later bytes do not share an arrival time with bytes that have been consumed.
         times.add(5001, 5001, 5000);
         assertEquals(5001, times.arrivalBefore(5001, UNKNOWN));
     }
--- a/src/test/java/laneflow/net/LoopTest.java
+++ b/src/test/java/laneflow/net/LoopTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What one who waits for the loop's thread hears of its end. */
+/** Exceptions and errors of an action are rethrown to the thread that waits for it, and the loop continues. */
 @Timeout(30)
 class LoopTest {
     private Loop loop;
--- a/src/test/java/laneflow/net/NoDelayTest.java
+++ b/src/test/java/laneflow/net/NoDelayTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.xnio.Options;
 
-/** No small write is held back by the system: a close that resets the connection would take it along. */
+/**
+ * TCP_NODELAY is set on accepted and opened connections: a small write that the kernel held back would be lost when
+ * the connection is closed by a reset.
+ */
 @Timeout(60)
 class NoDelayTest {
     private static final int RING = 2048;
@@ -27,16 +30,16 @@
 
         @Override
         public void received(Link link) {
-            // Nothing is sent here.
+            // The test sends no data.
         }
 
         @Override
         public void disconnected(Link link) {
-            // Nothing to do.
+            // The test needs no notification.
         }
     }
 
-    /** Both ends of a connection to there: accepted here, and opened here. */
+    /** Checks both ends of a new connection: the accepted and the opened one. */
     private void assertNoDelay(Loop loop, InetSocketAddress address) throws Exception {
         loop.call(() -> loop.connect(address, RING, RING, new RecordingHandler()));
         for (int end = 0; end < 2; end++) {
--- a/src/test/java/laneflow/net/SchedulerHarness.java
+++ b/src/test/java/laneflow/net/SchedulerHarness.java
@@ -23,7 +23,7 @@
 import laneflow.gearman.GearmanConfig;
 import laneflow.http.Config;
 
-/** The program on loopback sockets, and scripted peers that speak exactly what a story has them speak. */
+/** A scheduler in this process on loopback sockets, and peers that send exactly what a test has them send. */
 public final class SchedulerHarness implements AutoCloseable {
     private static final int TIMEOUT_MS = 60_000;
     private static final String SETTINGS = "{'areas':['celje-1'],'shapes':['mid'],'classes':["
@@ -43,19 +43,19 @@
     public final Serve serve;
     private final List<AutoCloseable> resources = new ArrayList<>();
 
-    /** The program with these endpoints known, and discovery there unless it is null. */
+    /** Starts a scheduler with these endpoints, and with discovery unless it is null. */
     public SchedulerHarness(Endpoint discovery, Endpoint... known) throws Exception {
         this(discovery, 1024, known);
     }
 
-    /** The same with so many descriptors. */
+    /** Starts a scheduler as above with a limit of file descriptors. */
     public SchedulerHarness(Endpoint discovery, int sockets, Endpoint... known) throws Exception {
         List<String> hosts = new ArrayList<>();
         for (Endpoint endpoint : known) {
             hosts.add(endpoint.host("Ready"));
             resources.add(endpoint);
         }
-        Path file = Files.createTempFile("stand", ".json");
+        Path file = Files.createTempFile("harness", ".json");
         try {
             Files.writeString(
                     file,
@@ -69,7 +69,7 @@
         }
     }
 
-    /** The program with this of its settings told otherwise. */
+    /** Starts a scheduler with one part of its configuration replaced, and with discovery unless it is null. */
     public static SchedulerHarness withSetting(
             String oldSetting, String newSetting, Endpoint discovery, Endpoint... known) throws Exception {
         String text = configWithEndpoints(known);
@@ -80,14 +80,14 @@
                 .replaceFirst("\\{", discovery == null ? "{" : json("{'discovery':'" + discovery.dial() + "',")))));
     }
 
-    /** The program with a second address, few descriptors, and that folder left to the next one. */
+    /** Starts a scheduler with an operator port, 160 file descriptors, and a folder for state that outlives it. */
     public static SchedulerHarness withOperatorPort(Path folder, Endpoint... known) throws Exception {
         Config config = Config.parse(configWithEndpoints(known).replace("1024", "160"));
         return new SchedulerHarness(
                 new Serve(new Setup(config, null, null, null), new ProcessEnvironment("127.0.0.1:0", folder, false)));
     }
 
-    /** A configuration of the platform's form with these endpoints known. */
+    /** Returns a configuration in the platform's format that lists these endpoints. */
     public static String configWithEndpoints(Endpoint... known) {
         List<String> hosts = new ArrayList<>();
         for (Endpoint endpoint : known) {
@@ -96,19 +96,19 @@
         return json("{'known':" + hostList(1, true, hosts.toArray(new String[0])) + COMMON_CONFIG);
     }
 
-    /** A connection to a process that the story has started itself. */
+    /** Connects to a process that the test has started itself. */
     public static Peer peer(String host, int port) throws IOException {
         return new Peer(new Socket(host, port));
     }
 
-    /** A caller at the second address. */
+    /** Connects to the operator port. */
     public Peer operator() throws IOException {
         return peer(serve.operations().address());
     }
 
-    /** The program with a destination set from a file. */
+    /** Starts a scheduler that reads its destinations from a file. */
     public static SchedulerHarness withDestinationsFile(Path destinations) throws Exception {
-        Path file = Files.createTempFile("stand", ".json");
+        Path file = Files.createTempFile("harness", ".json");
         try {
             Files.writeString(file, json("{'discovery':'127.0.0.1:1'" + COMMON_CONFIG));
             return new SchedulerHarness(serve(Config.read(file, destinations)));
@@ -117,9 +117,9 @@
         }
     }
 
-    /** The program where load is told to probes only. */
+    /** Starts a scheduler whose endpoints report their load to probes only. */
     public static SchedulerHarness withProbes(Endpoint endpoint) throws Exception {
-        Path file = Files.createTempFile("stand", ".json");
+        Path file = Files.createTempFile("harness", ".json");
         try {
             Files.writeString(
                     file,
@@ -133,10 +133,10 @@
         }
     }
 
-    /** The program with durable jobs kept in that folder, and Gearman functions kcheck, kcapture and kpost. */
+    /** Starts a scheduler that stores durable jobs in a folder, with Gearman functions kcheck, kcapture and kpost. */
     public static SchedulerHarness withDurableJobs(Path folder, String durable, Endpoint... known) throws Exception {
         Config config = Config.parse(configWithEndpoints(known));
-        Findings findings = new Findings("the stand's file");
+        Findings findings = new Findings("the harness's file");
         String functions = "listen = '127.0.0.1:0'\n[functions.kcheck]\nclass = 'basket-check'\ndurable = true\n"
                 + "[functions.kcapture]\nclass = 'card-capture'\ndurable = true\n[functions.kpost]\n"
                 + "class = 'points-post'\ndurable = true\n";
@@ -151,16 +151,24 @@
         return new SchedulerHarness(new Serve(setup));
     }
 
-    /** The program with its destination set streamed; the table of streamed configuration in TOML. */
+    /**
+     * Starts a scheduler that receives its destinations from a configuration stream.
+     *
+     * @param control the table of the configuration stream, TOML
+     */
     public static SchedulerHarness withControlStream(String control) throws Exception {
         Config config = Config.parse(json("{'name':'n3'" + COMMON_CONFIG));
-        Findings findings = new Findings("the stand's file");
+        Findings findings = new Findings("the harness's file");
         Setup setup = new Setup(config, null, null, ControlConfig.read(Table.parse(control, findings)));
         findings.throwIfAny();
         return new SchedulerHarness(new Serve(setup));
     }
 
-    /** The program with a Gearman front of that table, and nothing else known. */
+    /**
+     * Starts a scheduler with a Gearman front and no endpoints.
+     *
+     * @param table the Gearman table, TOML
+     */
     public static SchedulerHarness withGearman(String table) throws Exception {
         Config config = Config.parse(json("{'name':'n3'" + COMMON_CONFIG));
         return new SchedulerHarness(new Serve(new Setup(
@@ -170,10 +178,14 @@
                 null)));
     }
 
-    /** The same with a Gearman front that has these functions, and durable jobs in that folder unless null. */
+    /**
+     * Starts a scheduler with a configuration stream and these Gearman functions.
+     *
+     * @param durable folder for durable jobs, or null for none
+     */
     public static SchedulerHarness withControlStream(String control, String functions, Path durable) throws Exception {
         Config config = Config.parse(json("{'name':'n3'" + COMMON_CONFIG));
-        Findings findings = new Findings("the stand's file");
+        Findings findings = new Findings("the harness's file");
         List<String> classes = List.of(config.classNames);
         Setup setup = new Setup(
                 config,
@@ -203,29 +215,29 @@
         return text.replace('\'', '"');
     }
 
-    /** A list in discovery's form. */
+    /** Returns a host list in the format of discovery. */
     public static String hostList(int seq, boolean whole, String... hosts) {
         return ("{'seq':" + seq + ",'whole':" + whole + ",'hosts':[" + String.join(",", hosts) + "]}")
                 .replace('\'', '"');
     }
 
-    /** A configuration that names this discovery. */
+    /** Returns a configuration with this address of discovery. */
     public static String configWithDiscovery(String discovery) {
         return json("{'discovery':'" + discovery + "'" + COMMON_CONFIG);
     }
 
-    /** A watch's answer that goes on behind this line. */
+    /** Returns the start of a watch response: its head and one line, with more to follow. */
     public static String watchResponse(String line) {
         return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length() + 1) + "\r\n"
                 + line + "\n\r\n";
     }
 
-    /** A client of the platform's front. */
+    /** Connects a client to the HTTP front. */
     public Peer http() throws IOException {
         return peer(serve.front().address());
     }
 
-    /** A connection to the Gearman front. */
+    /** Connects a client or worker to the Gearman front. */
     public Peer gearman() throws IOException {
         return peer(serve.gearman().address());
     }
@@ -236,19 +248,19 @@
         return peer;
     }
 
-    /** What a counter stands at, as of now. */
+    /** Returns the current value of a counter. */
     public long counter(String name) throws InterruptedException {
         long[] value = new long[1];
         serve.loop().call(() -> value[0] = serve.scheduler().counters().get(name));
         return value[0];
     }
 
-    /** Waits until a counter has come that far. */
+    /** Waits until a counter has reached a minimum. */
     public void awaitCounter(String name, long minimum) throws InterruptedException {
         long deadline = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
         while (counter(name) < minimum) {
             if (System.nanoTime() > deadline) {
-                throw new AssertionError(name + " stands at " + counter(name));
+                throw new AssertionError(name + " is " + counter(name));
             }
             Thread.yield();
         }
@@ -262,12 +274,12 @@
         serve.halt();
     }
 
-    /** An endpoint, or discovery: it accepts when the story says so. */
+    /** The listening socket of an endpoint or of discovery; the test accepts its connections. */
     public static final class Endpoint implements AutoCloseable {
         public final String name;
         private final ServerSocket server;
 
-        /** One that listens where another does. */
+        /** Creates another endpoint on the socket of an existing one. */
         public Endpoint(String name, Endpoint other) {
             this.name = name;
             server = other.server;
@@ -277,14 +289,17 @@
             this(name, 50);
         }
 
-        /** One with so much room for connections that it has not accepted. */
+        /** @param backlog how many connections the kernel holds until they are accepted */
         public Endpoint(String name, int backlog) throws IOException {
             this.name = name;
             server = new ServerSocket(0, backlog, InetAddress.getByName("127.0.0.1"));
             server.setSoTimeout(TIMEOUT_MS);
         }
 
-        /** Connects until no more come up: who comes now comes up late, when the first have been accepted. */
+        /**
+         * Opens connections until the backlog is full, and returns how many there are: a further connection is
+         * established only once the first ones have been accepted.
+         */
         public int fillBacklog() throws IOException {
             for (int i = 0; true; i++) {
                 Socket socket = new Socket();
@@ -316,12 +331,12 @@
         }
     }
 
-    /** One end of a connection, read and written as the story goes. */
+    /** One end of a connection, read and written by the test. */
     public static final class Peer implements AutoCloseable {
         private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         public final Socket socket;
         private final InputStream in;
-        /** Told what this end says, for a transcript. */
+        /** Receives what this end sends, for a transcript. */
         private Consumer<String> recorder = text -> {};
 
         Peer(Socket socket) throws IOException {
@@ -331,7 +346,7 @@
             socket.setTcpNoDelay(true);
         }
 
-        /** From now on what is said here is noted there too. */
+        /** Passes what this end sends to a recorder from now on. */
         public Peer recordTo(Consumer<String> newRecorder) {
             recorder = newRecorder;
             return this;
@@ -347,7 +362,7 @@
             return write(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        /** So many bytes. */
+        /** Reads exactly this many bytes. */
         public byte[] read(int count) throws IOException {
             byte[] bytes = in.readNBytes(count);
             if (bytes.length < count) {
@@ -356,7 +371,7 @@
             return bytes;
         }
 
-        /** Up to that text, which is read too. */
+        /** Reads up to and including a text. */
         public String readTo(String end) throws IOException {
             StringBuilder text = new StringBuilder();
             while (text.indexOf(end) < 0) {
@@ -369,7 +384,7 @@
             return text.toString();
         }
 
-        /** A message with its body, by its length. */
+        /** Reads a message: its head, and the body if there is a Content-Length. */
         public String message() throws IOException {
             String head = readTo("\r\n\r\n");
             int lengthStart = head.indexOf("Content-Length: ") + 16;
@@ -379,7 +394,7 @@
             return head + new String(read(length), StandardCharsets.ISO_8859_1);
         }
 
-        /** True if the other side has ended or reset it, and sent nothing before. */
+        /** True if the peer has ended or reset the connection without sending anything before. */
         public boolean isClosedByPeer() throws IOException {
             try {
                 return in.read() < 0;
@@ -390,24 +405,24 @@
             }
         }
 
-        /** Hands in a job. */
-        public Peer post(String jobClass, String id, String more, String body) throws IOException {
+        /** Posts a job; {@code extraHeaders} are further header lines with their line ends. */
+        public Peer post(String jobClass, String id, String extraHeaders, String body) throws IOException {
             return write("POST /" + jobClass + "?key=7f HTTP/1.1\r\nHost: o\r\nReq-Id: " + id + "\r\nReq-Kind: "
-                    + jobClass + "\r\n" + more + "Content-Length: " + body.length() + "\r\n\r\n" + body);
+                    + jobClass + "\r\n" + extraHeaders + "Content-Length: " + body.length() + "\r\n\r\n" + body);
         }
 
-        /** Answers a call with these words, as an endpoint does. */
+        /** Sends a complete endpoint response with these lines. */
         public Peer respond(String... lines) throws IOException {
-            // In one piece: with the last chunk behind it the connection is free for the next call.
+            // In one write: once the last chunk has arrived, the connection is free for the next call.
             return write(HEAD + chunks(lines) + "0\r\n\r\n");
         }
 
-        /** The first lines of an answer that goes on. */
+        /** Sends the head and the first lines of a response. */
         public Peer beginResponse(String... lines) throws IOException {
             return write(HEAD + chunks(lines));
         }
 
-        /** The last lines of it. */
+        /** Sends the last lines of a response. */
         public Peer endResponse(String... lines) throws IOException {
             return write(chunks(lines) + "0\r\n\r\n");
         }
@@ -424,7 +439,7 @@
             return all.toString();
         }
 
-        /** Breaks the connection: the other side sees a reset. */
+        /** Resets the connection. */
         public void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
