--- a/src/test/java/laneflow/net/SchedulerHarness.java
+++ b/src/test/java/laneflow/net/SchedulerHarness.java
@@ -80,8 +80,8 @@
                 .replaceFirst("\\{", discovery == null ? "{" : json("{'discovery':'" + discovery.dial() + "',")))));
     }
 
-    /** Starts a scheduler with an operator port, 160 file descriptors, and a folder for state that outlives it. */
-    public static SchedulerHarness withOperatorPort(Path folder, Endpoint... known) throws Exception {
+    /** Starts a scheduler with an ops port, 160 file descriptors, and a folder for state that outlives it. */
+    public static SchedulerHarness withOpsPort(Path folder, Endpoint... known) throws Exception {
         Config config = Config.parse(configWithEndpoints(known).replace("1024", "160"));
         return new SchedulerHarness(
                 new Serve(new Setup(config, null, null, null), new ProcessEnvironment("127.0.0.1:0", folder, false)));
@@ -101,8 +101,8 @@
         return new Peer(new Socket(host, port));
     }
 
-    /** Connects to the operator port. */
-    public Peer operator() throws IOException {
+    /** Connects to the ops port, which takes the commands of on-call staff. */
+    public Peer opsClient() throws IOException {
         return peer(serve.operations().address());
     }
 
--- a/src/test/java/laneflow/ops/OpsStoryTest.java
+++ b/src/test/java/laneflow/ops/OpsStoryTest.java
@@ -24,7 +24,7 @@
     private Path folder;
 
     private static String call(SchedulerHarness harness, String line) throws Exception {
-        try (Peer caller = harness.operator()) {
+        try (Peer caller = harness.opsClient()) {
             String answer = caller.write(line + "\n").readTo("\n").strip();
             assertTrue(caller.isClosedByPeer());
             return answer;
@@ -33,7 +33,7 @@
 
     @Test
     void eachCallIsAnsweredOrToldWhatIsWrong() throws Exception {
-        try (SchedulerHarness harness = SchedulerHarness.withOperatorPort(folder, new Endpoint("e1"))) {
+        try (SchedulerHarness harness = SchedulerHarness.withOpsPort(folder, new Endpoint("e1"))) {
             assertEquals("done", call(harness, "check"));
             assertEquals("done", call(harness, "check\r"));
             for (String bad : new String[] {
@@ -51,8 +51,8 @@
                 assertTrue(call(harness, bad).startsWith("error "), bad);
             }
             // A piece of a call, then another; and half a call that is left changes nothing.
-            try (Peer caller = harness.operator();
-                    Peer half = harness.operator()) {
+            try (Peer caller = harness.opsClient();
+                    Peer half = harness.opsClient()) {
                 half.write("drain-on").close();
                 caller.write("che").write("ck").write("\n");
                 assertEquals("done\n", caller.readTo("\n"));
@@ -66,10 +66,10 @@
 
     @Test
     void silentCallersAndAllClientsShutItToNobody() throws Exception {
-        try (SchedulerHarness harness = SchedulerHarness.withOperatorPort(folder, new Endpoint("e1"))) {
+        try (SchedulerHarness harness = SchedulerHarness.withOpsPort(folder, new Endpoint("e1"))) {
             List<Peer> silent = new ArrayList<>();
             for (int i = 0; i < 3 * OpsPort.MAX_CALLERS; i++) {
-                silent.add(harness.operator());
+                silent.add(harness.opsClient());
                 if (i % 2 == 0) {
                     silent.get(i).write("set-do");
                 }
@@ -92,7 +92,7 @@
     void aWorkerSetDownGetsNothingUntilItIsSetUpAndTheNextProcessKnows() throws Exception {
         Endpoint one = new Endpoint("e1");
         Endpoint two = new Endpoint("e2");
-        try (SchedulerHarness harness = SchedulerHarness.withOperatorPort(folder, one, two)) {
+        try (SchedulerHarness harness = SchedulerHarness.withOpsPort(folder, one, two)) {
             assertEquals("done", call(harness, "set-down e1"));
             assertEquals("done", call(harness, "set-down e1"));
             try (Peer client = harness.http()) {
@@ -103,7 +103,7 @@
             }
         }
         assertEquals(Set.of("e1"), new BanFile(folder).read());
-        try (SchedulerHarness next = SchedulerHarness.withOperatorPort(folder, one);
+        try (SchedulerHarness next = SchedulerHarness.withOpsPort(folder, one);
                 Peer client = next.http()) {
             client.post("basket-check", "n1", "", "");
             assertTrue(client.message().startsWith("HTTP/1.1 503 "));
@@ -144,7 +144,7 @@
                             .getBytes(StandardCharsets.US_ASCII));
             assertEquals(Set.of(), new BanFile(folder).read(), "cut at " + i);
         }
-        try (SchedulerHarness harness = SchedulerHarness.withOperatorPort(folder, new Endpoint("e1"))) {
+        try (SchedulerHarness harness = SchedulerHarness.withOpsPort(folder, new Endpoint("e1"))) {
             assertEquals("done", call(harness, "check"));
         }
     }
@@ -152,7 +152,7 @@
     @Test
     void aDrainSendsClientsAwayWithoutCuttingARequestAndIsUndone() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (SchedulerHarness harness = SchedulerHarness.withOperatorPort(folder, endpoint);
+        try (SchedulerHarness harness = SchedulerHarness.withOpsPort(folder, endpoint);
                 Peer idle = harness.http();
                 Peer slow = harness.http();
                 Peer half = harness.http()) {
@@ -200,7 +200,7 @@
     @Test
     void aProcessOnItsWayToItsEndTakesNoDrainBack() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (SchedulerHarness harness = SchedulerHarness.withOperatorPort(folder, endpoint);
+        try (SchedulerHarness harness = SchedulerHarness.withOpsPort(folder, endpoint);
                 Peer client = harness.http()) {
             client.post("card-capture", "1", "", "");
             Peer call = endpoint.accept();
@@ -221,7 +221,7 @@
     @Test
     void aDrainTakenBackHalfwayLeavesNothingBehind() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        try (SchedulerHarness harness = SchedulerHarness.withOperatorPort(folder, endpoint);
+        try (SchedulerHarness harness = SchedulerHarness.withOpsPort(folder, endpoint);
                 Peer idle = harness.http();
                 Peer busy = harness.http()) {
             idle.write("GET /health/live HTTP/1.1\r\nHost: o\r\n\r\n").message();
--- a/src/test/java/laneflow/ops/Platform.java
+++ b/src/test/java/laneflow/ops/Platform.java
@@ -24,7 +24,7 @@
     private final List<SchedulerProcess> schedulers = new ArrayList<>();
 
     /** A scheduler, and its second address. */
-    public record SchedulerProcess(ProcessHandle handle, int operatorPort) {
+    public record SchedulerProcess(ProcessHandle handle, int opsPort) {
         void kill() throws Exception {
             handle.destroyForcibly();
             awaitExit();
@@ -36,7 +36,7 @@
 
         /** The answer to a call of on-call staff. */
         public String call(String line) throws IOException {
-            try (Peer caller = SchedulerHarness.peer("127.0.0.1", operatorPort)) {
+            try (Peer caller = SchedulerHarness.peer("127.0.0.1", opsPort)) {
                 return caller.write(line + "\n").readTo("\n").strip();
             }
         }
@@ -67,14 +67,14 @@
 
     /** Starts a scheduler, which may not serve yet. */
     public SchedulerProcess launch() throws IOException {
-        int operatorPort;
+        int opsPort;
         try (ServerSocket free = new ServerSocket(0)) {
-            operatorPort = free.getLocalPort();
+            opsPort = free.getLocalPort();
         }
-        process.getOutputStream().write(("start 127.0.0.1:" + operatorPort + "\n").getBytes(StandardCharsets.US_ASCII));
+        process.getOutputStream().write(("start 127.0.0.1:" + opsPort + "\n").getBytes(StandardCharsets.US_ASCII));
         process.getOutputStream().flush();
         long pid = Long.parseLong(output.readLine().substring(4));
-        SchedulerProcess scheduler = new SchedulerProcess(ProcessHandle.of(pid).orElseThrow(), operatorPort);
+        SchedulerProcess scheduler = new SchedulerProcess(ProcessHandle.of(pid).orElseThrow(), opsPort);
         schedulers.add(scheduler);
         return scheduler;
     }
--- a/src/test/java/laneflow/transcripts/SchedulerTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/SchedulerTranscriptsTest.java
@@ -178,7 +178,7 @@
                 transcript -> {
                     Endpoint endpoint = new Endpoint("e1");
                     Path own = Files.createTempDirectory(folder, "stand");
-                    try (SchedulerHarness harness = SchedulerHarness.withOperatorPort(own, endpoint)) {
+                    try (SchedulerHarness harness = SchedulerHarness.withOpsPort(own, endpoint)) {
                         for (String command : new String[] {
                             "check", "", "checks", "check now", "set-down", "set-down e9", "drain-on 3", "set-down e1"
                         }) {
@@ -205,7 +205,7 @@
     }
 
     private static void operator(Transcript transcript, SchedulerHarness harness, String command) throws IOException {
-        try (RecordedPeer operator = new RecordedPeer(transcript, "operator", harness.operator())) {
+        try (RecordedPeer operator = new RecordedPeer(transcript, "operator", harness.opsClient())) {
             operator.write(command + "\n");
             operator.line();
             operator.expectEnd();
