--- a/src/main/java/laneflow/ops/BanFile.java
+++ b/src/main/java/laneflow/ops/BanFile.java
@@ -16,9 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The names of the endpoints that are set down, for the process that comes next: a line with the format's
- * version, a line a name, and a line with a checksum of those before it. Written aside and renamed into
- * place, so that whoever reads finds a whole one. It blocks, so it is called off the loop.
+ * Stores the names of the endpoints that are set down, for the next process: a line with the format's version, one
+ * line per name, and a line with a checksum of the lines before it. The file is written under a temporary name and
+ * renamed, so that a reader never sees a partial one. Its I/O blocks, so it must not be called on the loop's thread.
  */
 public final class BanFile {
     private static final Logger LOG = LoggerFactory.getLogger(BanFile.class);
@@ -31,22 +31,22 @@
         file = folder.resolve("laneflow-set-down");
     }
 
-    /** The names; none where the file is missing or can't be used, which is logged and stops no start. */
+    /** Returns the names; none if the file is missing or invalid, which is logged and does not prevent a start. */
     public Set<String> read() {
         return tryRead().orElse(Set.of());
     }
 
-    /** The names, if there is a file that can be used. */
+    /** Returns the names, or empty if the file is missing or invalid. */
     Optional<Set<String>> tryRead() {
         try {
             if (Files.size(file) > MAX_BYTES) {
-                throw new IOException("it is too long");
+                throw new IOException("file too long");
             }
             return Optional.of(parse(Files.readString(file)));
         } catch (NoSuchFileException e) {
             return Optional.empty();
         } catch (IOException e) {
-            LOG.warn("{} is passed over, what was set down is not known from it: {}", file, e.toString());
+            LOG.warn("{} is ignored, endpoints set down before are not known from it: {}", file, e.toString());
             return Optional.empty();
         }
     }
@@ -55,16 +55,16 @@
         int checksumStart = text.lastIndexOf('\n', text.length() - 2) + 1;
         String body = text.substring(0, checksumStart);
         if (!text.substring(checksumStart).equals(checksum(body) + "\n")) {
-            throw new IOException("its checksum is wrong");
+            throw new IOException("wrong checksum");
         }
         List<String> lines = new ArrayList<>(body.lines().toList());
         if (lines.isEmpty() || !lines.remove(0).equals(FORMAT)) {
-            throw new IOException("it is of another format");
+            throw new IOException("unknown format");
         }
         return new TreeSet<>(lines);
     }
 
-    /** Puts these names in the place of those before. */
+    /** Replaces the stored names. */
     public void write(Set<String> names) throws IOException {
         StringBuilder body = new StringBuilder(FORMAT).append('\n');
         names.forEach(name -> body.append(name).append('\n'));
--- a/src/main/java/laneflow/ops/Drain.java
+++ b/src/main/java/laneflow/ops/Drain.java
@@ -5,21 +5,21 @@
 import laneflow.net.Loop;
 
 /**
- * Sends clients away from a scheduler that goes on running, and lets them back. It takes the steps of a
- * planned end that can be undone: not ready, each answer closes its connection, then what is idle is closed,
- * a request that is coming in never. The listener stays open: the platform goes on asking there.
+ * Drains the clients of a scheduler that continues to run, and lets them return. It takes the steps of a shutdown that
+ * can be undone: the scheduler reports that it is not ready, each response closes its connection, then idle connections
+ * are closed, but never one with a request coming in. The listener stays open, as the platform continues to poll it.
  */
 public final class Drain {
-    /** The platform asks every 100 ms and sends new connections for another 200 ms. */
+    /** The platform polls readiness every 100 ms and sends new connections for another 200 ms after that. */
     private static final long FIRST_CLOSE_DELAY_US = 400_000;
-    /** Those that come later are looked after as often. */
+    /** How often idle connections are closed after that, for clients that connect later. */
     private static final long CLOSE_INTERVAL_US = 100_000;
-    /** A connection that is younger may have its first request on the way. */
+    /** A younger connection may have its first request on the way. */
     private static final long MIN_AGE_US = 250_000;
 
-    /** Handed over, connections in use leave with their next answer: one idle for so long has none soon. */
+    /** In a handover, connections in use are closed with their next response; one idle for longer expects none soon. */
     private static final long HANDOVER_MIN_IDLE_US = 500_000;
-    /** So long the other process's clients may still be on their way here. */
+    /** How long after a handover clients that belong to the other process may still arrive here. */
     private static final long HANDOVER_SETTLE_US = 1_000_000;
 
     private final Loop loop;
@@ -35,7 +35,7 @@
         timer = loop.deadlines().create(this::closeIdle);
     }
 
-    /** Operators want it, or no more; where it is so already, it goes on as it is. */
+    /** Starts or ends a drain that operators have ordered; no effect if it is in that state already. */
     public void setOrdered(boolean on) {
         if (ordered != on) {
             ordered = on;
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Another process takes the clients, or no more. There is time, so none is closed that is in use. */
+    /** Starts or ends the drain of a handover. It is not urgent, so connections in use are not closed. */
     void setHandedOver(boolean on) {
         if (handedOver != on) {
             handedOver = on;
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Either begins anew with its first wait; without both every part is undone. */
+    /** Starts the drain over with its first delay, or undoes it if neither reason applies any more. */
     private void restart() {
         since = loop.micros();
         front.sendAway(ordered || handedOver);
@@ -67,12 +67,12 @@
         loop.deadlines().set(timer, loop.micros() + CLOSE_INTERVAL_US);
     }
 
-    /** True while operators want clients sent away. */
+    /** True while a drain ordered by operators is in force. */
     public boolean isOrdered() {
         return ordered;
     }
 
-    /** True once nobody comes any more that was on the way when it began. */
+    /** True once clients that were on their way when the drain started have arrived. */
     boolean isOver(long now) {
         return now - since > HANDOVER_SETTLE_US;
     }
--- a/src/main/java/laneflow/ops/Handover.java
+++ b/src/main/java/laneflow/ops/Handover.java
@@ -9,72 +9,75 @@
 import java.util.function.Consumer;
 
 /**
- * What two processes of one scheduler agree on while one takes the other's place: who takes clients, what
- * operators have ordered, and when limits are shared. The one that served first is the elder, the one that
- * was started beside it the younger; with a third start one process is both. No I/O and no clock: a line or
- * an end that comes in is an event, what is to be done is asked of the {@link Host}.
+ * The protocol between two processes of one scheduler while one replaces the other: which of them accepts clients, what
+ * operators have ordered, and when limits are shared. The process that served first is the predecessor, the one started
+ * beside it the successor; if a third one is started, one process is both. This class does no I/O and has no clock:
+ * received lines and closed connections are events, and actions go to the {@link Callbacks}.
  *
  * <pre>
- *   younger                                elder
- *   laneflow-handover 1   ------------->   limits are shared from here on
+ *   successor                              predecessor
+ *   laneflow-handover 1   ------------->   limits are shared from now on
  *                         <-------------   laneflow-handover 1, order ..., known
- *   (can serve, takes clients)
- *   serving               ------------->   takes no more clients, sends its own away
+ *   (can serve, accepts clients)
+ *   serving               ------------->   stops accepting clients, sends its own away
  *                         <-------------   handed
- *   either side: alive; tell N ORDER, answered with held N
+ *   either side: alive; tell N ORDER, confirmed with held N
  * </pre>
  *
- * <p>Clients wait in a queue that both share, so for both to take them is harmless and for neither is not:
- * whoever is in doubt takes them. An end or a silence of the younger puts the elder back in its place.
+ * <p>Both processes accept clients from the same listening socket, so it is harmless if both accept but not if neither
+ * does: a process in doubt accepts. If the successor disconnects or goes silent, the predecessor accepts clients again.
  */
 final class Handover {
     static final String HELLO = "laneflow-handover 1";
-    /** Without a line for so long the other one hangs: it is let go. Signs of life come every half second. */
+    /** A peer that has sent nothing for this long is assumed to hang and is disconnected. */
     static final long SILENCE_TIMEOUT_US = 3_000_000;
 
     private static final long ALIVE_INTERVAL_US = 500_000;
-    /** The elder has so long to confirm before the younger goes on without its word. */
+    /** How long the successor waits for the predecessor to confirm that it has stopped accepting clients. */
     private static final long CONFIRM_TIMEOUT_US = 500_000;
-    /** An order has so long to be confirmed: its caller is owed an answer within a second. */
+    /** How long an order may take to be confirmed; its caller expects a reply within a second. */
     private static final long ORDER_TIMEOUT_US = 700_000;
-    /** One whose elder is gone looks again so much later: it may be it that was let go, while it hung. */
+    /**
+     * How long after the loss of its predecessor a process looks for another one: it may have been this process that
+     * hung and was disconnected.
+     */
     private static final long SEARCH_DELAY_US = 300_000;
 
-    /** The way to another process. */
+    /** A connection to another process. */
     interface Connection {
         void send(String line);
 
         void close();
     }
 
-    /** Who carries it out; it calls back into no event from there. */
+    /** Carries out what the protocol decides. Implementations must not call event methods from a callback. */
     interface Callbacks {
-        /** Takes clients from the shared queue, or leaves them to the other one. */
+        /** Starts or stops accepting clients from the shared listening socket. */
         void acceptClients(boolean on);
 
-        /** Sends the clients that are connected away, or keeps them again. */
+        /** Starts or stops sending connected clients away. */
         void sendClientsAway(boolean on);
 
-        /** What this process is of its scheduler now: its limits follow from that. */
+        /** This process has a new role, on which its share of the limits depends. */
         void roleChanged(Role role);
 
-        /** Further starts are to find this process, whoever they would have found. */
+        /** Makes this process the one that later processes connect to, in place of any other. */
         void claimSocket();
 
-        /** Who is there is met; if nobody is, further starts are to find this process. */
+        /** Connects to the process that owns the handover socket; if there is none, claims the socket. */
         void findPeer();
 
-        /** Carries out what the other process was ordered. */
+        /** Applies an order that the other process has received. */
         void applyOrder(String order);
 
-        /** Reads again what operators have ordered, from where every process writes it down. */
+        /** Reads again the orders that the processes have stored. */
         void reloadOrders();
 
-        /** What operators have ordered and still holds. */
+        /** Returns the orders of operators that are in force. */
         List<String> currentOrders();
     }
 
-    /** All of a scheduler, the one that has its clients while another one ends, or the one that ends. */
+    /** The only process of a scheduler, the one that accepts its clients while another ends, or the one that ends. */
     enum Role {
         ALONE,
         NEWER,
@@ -121,11 +124,11 @@
         this.callbacks = callbacks;
     }
 
-    // ---- the younger's side ----
+    // ---- the successor's side ----
 
     /**
-     * An elder is there. Whoever has a younger meets nobody: it would be that very one, and each would end in
-     * the other's favour.
+     * Handles a new connection to a predecessor. A process that has a successor connects to nobody: it would find that
+     * very successor, and each of the two would end in favour of the other.
      */
     void predecessorConnected(long now, Connection connection) {
         if (predecessor != null || successor != null) {
@@ -137,12 +140,12 @@
         reportRole();
     }
 
-    /** True until the elder has told what it knows, or is gone. */
+    /** True until the predecessor has sent its orders or has disconnected. */
     boolean isAwaitingOrders() {
         return predecessor != null && predecessor.stage == Stage.CONNECTED;
     }
 
-    /** This process can serve: from here on it takes clients. */
+    /** This process can serve and accepts clients from now on. */
     void startServing(long now) {
         if (serving) {
             return;
@@ -165,7 +168,7 @@
         }
     }
 
-    /** True once callers may rely on this process: it takes clients, and the elder has had time to stop. */
+    /** True once this process accepts clients and its predecessor has stopped or has had time to. */
     boolean isInPlace(long now) {
         inPlace |= serving
                 && (predecessor == null
@@ -174,9 +177,9 @@
         return inPlace;
     }
 
-    // ---- the elder's side ----
+    // ---- the predecessor's side ----
 
-    /** A process has come that asks for this one's place; one at a time is heard. */
+    /** Handles a connection of a process that is to replace this one; only one at a time is accepted. */
     void successorConnected(long now, Connection connection) {
         if (successor != null || !serving) {
             connection.close();
@@ -185,12 +188,12 @@
         successor = new Peer(connection, now);
     }
 
-    /** True once another process takes the clients. */
+    /** True once another process accepts the clients. */
     boolean isSuperseded() {
         return successor != null && successor.stage == Stage.HANDED_OVER;
     }
 
-    // ---- both ----
+    // ---- both sides ----
 
     boolean isAlone() {
         return predecessor == null && successor == null;
@@ -221,7 +224,7 @@
         }
     }
 
-    /** Before anything else both say which version they speak; another one is not spoken with. */
+    /** Both sides first send their protocol version; a peer with another version is disconnected. */
     private void handleHandshake(long now, Peer peer, String message) {
         if (peer == successor) {
             if (!message.equals(HELLO)) {
@@ -253,7 +256,7 @@
 
     private void disconnect(long now, Peer peer) {
         peer.connection.close();
-        // One that was let go while it hung is not told what was ordered meanwhile.
+        // A process that was disconnected while it hung has missed the orders given since.
         callbacks.reloadOrders();
         for (Integer number : new ArrayList<>(pendingOrders.keySet())) {
             confirm(number, peer);
@@ -277,7 +280,7 @@
         callbacks.roleChanged(isSuperseded() ? Role.OLDER : predecessor != null && serving ? Role.NEWER : Role.ALONE);
     }
 
-    /** Time passes. */
+    /** Handles timeouts; called at regular intervals. */
     void tick(long now) {
         for (Peer peer : new Peer[] {predecessor, successor}) {
             if (peer != null && now - peer.lastReceivedAt > SILENCE_TIMEOUT_US) {
@@ -307,7 +310,10 @@
 
     // ---- orders ----
 
-    /** An order that holds here already; then hears whether it holds everywhere. */
+    /**
+     * Sends an order that is in force here to the peers. The callback receives whether all of them have confirmed it; a
+     * peer that disconnects is no longer waited for.
+     */
     void broadcastOrder(long now, String order, Consumer<Boolean> callback) {
         forwardOrder(now, null, order, callback);
     }
@@ -318,7 +324,7 @@
         pendingOrder.deadline = now + ORDER_TIMEOUT_US;
         int number = ++lastOrderNumber;
         for (Peer peer : new Peer[] {predecessor, successor}) {
-            // Who has not been told what holds yet hears it with the rest.
+            // A successor still in the handshake receives this order with the others.
             if (peer != null && peer != sender && (peer == predecessor || peer.stage != Stage.CONNECTED)) {
                 pendingOrder.unconfirmed.add(peer);
             }
@@ -344,7 +350,7 @@
         try {
             confirm(Integer.valueOf(number), sender);
         } catch (NumberFormatException e) {
-            // No number of an order that waits: nothing is held by it.
+            // Not the number of a pending order: confirms nothing.
             return;
         }
     }
--- a/src/main/java/laneflow/ops/HandoverSocket.java
+++ b/src/main/java/laneflow/ops/HandoverSocket.java
@@ -20,9 +20,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Where the processes of one scheduler find each other: a Unix domain socket in the folder that they share.
- * XNIO has none, so each connection is read and written, blocking, on threads of its own, and what comes in
- * is handed on through the caller's executor. Leftovers of processes that are gone are removed.
+ * The Unix domain socket through which the processes of one scheduler find each other, in a folder that they share.
+ * XNIO does not support Unix sockets, so each connection uses blocking I/O on its own threads, and events are passed to
+ * the loop's executor. Socket files left by processes that have ended are removed.
  */
 final class HandoverSocket {
     private static final Logger LOG = LoggerFactory.getLogger(HandoverSocket.class);
@@ -31,16 +31,16 @@
     private final Path path;
     private final Consumer<Runnable> loopExecutor;
     private ServerSocketChannel server;
-    /** What the place held when it was taken: another process may have taken it since. */
+    /** File key of the socket file that this process has bound; another process may have replaced the file since. */
     private Object boundFileKey;
 
-    /** @param loop runs what it is given on the thread that owns the handover */
+    /** @param loopExecutor runs tasks on the thread that owns the handover */
     HandoverSocket(Path folder, Consumer<Runnable> loopExecutor) {
         path = folder.resolve("laneflow-handover");
         this.loopExecutor = loopExecutor;
     }
 
-    /** A way to the process that is there, or null. */
+    /** Connects to the process that has bound the socket; returns null if there is none. */
     SocketConnection connect() {
         if (!Files.exists(path)) {
             return null;
@@ -48,12 +48,12 @@
         try {
             return new SocketConnection(SocketChannel.open(UnixDomainSocketAddress.of(path)));
         } catch (IOException | RuntimeException e) {
-            LOG.info("nobody is met at {}: {}", path, e.toString());
+            LOG.info("no other process at {}: {}", path, e.toString());
             return null;
         }
     }
 
-    /** Looks, off the loop, whether another process has the place, and tells; null: nobody. */
+    /** Connects on another thread if the socket file belongs to another process; passes null if it does not. */
     void findOther(Consumer<SocketConnection> callback) {
         Object ownFileKey = server == null ? null : boundFileKey;
         Threads.daemon(
@@ -67,7 +67,7 @@
                 .start();
     }
 
-    /** True if starts to come find this process. */
+    /** True if the socket file is the one that this process has bound. */
     boolean isBound() {
         return server != null && boundFileKey != null && boundFileKey.equals(fileKey());
     }
@@ -80,7 +80,7 @@
         }
     }
 
-    /** From now on starts to come find this process; each is told of. */
+    /** Binds the socket, so that later processes connect to this one, in place of any other. */
     void bind(Consumer<SocketConnection> onConnection) {
         close();
         try {
@@ -91,7 +91,7 @@
             boundFileKey = fileKey();
             Threads.daemon(() -> accept(opened, onConnection), "handover").start();
         } catch (IOException | RuntimeException e) {
-            LOG.warn("an upgrade will not find this process, {} can't be used: {}", path, e.toString());
+            LOG.warn("a later process can't take over from this one, {} can't be bound: {}", path, e.toString());
         }
     }
 
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Nobody finds this process any more. */
+    /** Stops listening. */
     void close() {
         if (server != null) {
             try {
@@ -118,7 +118,7 @@
         }
     }
 
-    /** One connection to another process. */
+    /** A connection to another process. */
     final class SocketConnection implements Handover.Connection {
         private final SocketChannel channel;
         private final ExecutorService writer = Threads.serialExecutor("handover-write");
@@ -127,7 +127,7 @@
             this.channel = channel;
         }
 
-        /** Begins to read; lines and, once, the end are told on the loop. */
+        /** Starts reading; lines and, once, the end of the connection are passed to the loop. */
         void read(BiConsumer<SocketConnection, String> onLine, Consumer<SocketConnection> onEnd) {
             Threads.daemon(
                             () -> {
@@ -169,7 +169,7 @@
             });
         }
 
-        /** Behind what was sent; one who reads nothing holds up nobody but this connection's threads. */
+        /** Closes after pending writes, for which another thread waits: a peer that does not read blocks only that. */
         @Override
         public void close() {
             writer.shutdown();
--- a/src/main/java/laneflow/ops/Operations.java
+++ b/src/main/java/laneflow/ops/Operations.java
@@ -18,8 +18,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What on-call staff do to a running scheduler: the table of their calls, and what each one does. On the
- * loop's thread, but for what is written to disk.
+ * The commands of on-call staff to a running scheduler: checks, setting endpoints down or up, and drains. Runs on the
+ * loop's thread, except for writes to disk.
  */
 public final class Operations {
     private static final Logger LOG = LoggerFactory.getLogger(Operations.class);
@@ -29,29 +29,30 @@
     private final Drain drain;
     private final OpsPort port;
     private final BooleanSupplier isStopping;
-    /** Null where there is no folder that the next process can read. */
+    /** Null if there is no folder that the next process can read. */
     private final BanFile banFile;
-    /** Null where no process can come to take this one's place. */
+    /** Null if no other process can replace this one. */
     private final Upgrade upgrade;
-    /** Orders on workers so far. */
+    /** Number of set-down and set-up orders so far. */
     private int banChanges;
 
     private final ExecutorService banWriter = Threads.serialExecutor("set-down");
 
     /**
-     * What a scheduler is to its operations; no interface, which the platform's path would load.
+     * The state of the scheduler's process. A record rather than an interface: the platform's run line would load an
+     * interface that its classes implement.
      *
-     * @param serves whether clients can be served, but for a drain
-     * @param stops whether the process is on its way to its end
-     * @param end called when another process has all its clients: it may end
+     * @param canServe whether clients can be served, apart from a drain
+     * @param isStopping whether the process is shutting down
+     * @param onReplaced called when another process has all clients, so that this one may end
      */
     public record ProcessState(BooleanSupplier canServe, BooleanSupplier isStopping, Runnable onReplaced) {}
 
     /**
-     * Applies what was set down before.
+     * Applies stored bans, and connects to the process that serves already, if there is one.
      *
-     * @param folder outlives this process, or null
-     * @param passed whether another process may be started beside it on the same listening socket
+     * @param folder folder that outlives this process, or null
+     * @param passed whether another process may be started beside this one on the same listening socket
      */
     public Operations(Loop loop, Scheduler scheduler, HttpFront front, Path folder, boolean passed, ProcessState state)
             throws InterruptedException {
@@ -66,14 +67,14 @@
         port = new OpsPort(loop);
         port.add(
                 "check",
-                (arguments, answer) -> answer.accept(
+                (words, answer) -> answer.accept(
                         state.canServe().getAsBoolean() && (upgrade == null || upgrade.isInPlace())
                                 ? "done"
-                                : "error it can't serve yet, or not any more"));
-        port.add("set-down ID", (arguments, answer) -> setBan(true, arguments[1], answer));
-        port.add("set-up ID", (arguments, answer) -> setBan(false, arguments[1], answer));
-        port.add("drain-on", (arguments, answer) -> orderDrain(true, answer));
-        port.add("drain-off", (arguments, answer) -> orderDrain(false, answer));
+                                : "error it can't serve yet, or no longer"));
+        port.add("set-down ID", (words, answer) -> setBan(true, words[1], answer));
+        port.add("set-up ID", (words, answer) -> setBan(false, words[1], answer));
+        port.add("drain-on", (words, answer) -> orderDrain(true, answer));
+        port.add("drain-off", (words, answer) -> orderDrain(false, answer));
         Set<String> persistedBans = banFile == null ? Set.of() : banFile.read();
         loop.call(() -> persistedBans.forEach(scheduler::setDown));
         if (upgrade != null) {
@@ -81,7 +82,7 @@
         }
     }
 
-    /** Takes the place of the process that serves already, if there is one; else clients come at once. */
+    /** Starts taking over from the process that serves already, or accepts clients at once if there is none. */
     public void begin(HttpFront front) {
         if (upgrade != null) {
             upgrade.begin();
@@ -98,12 +99,12 @@
         return port.address();
     }
 
-    /** True while operators want clients sent away. */
+    /** True while a drain ordered by operators is in force. */
     public boolean isDrained() {
         return drain.isOrdered();
     }
 
-    /** True once another process of this scheduler takes the clients. */
+    /** True once another process of this scheduler accepts the clients. */
     public boolean isSuperseded() {
         return upgrade != null && upgrade.isSuperseded();
     }
@@ -128,7 +129,7 @@
         }
     }
 
-    /** Answers once the next process would find it too. What holds here holds whether or not that works. */
+    /** Replies once the bans are stored for the next process. They are in force here even if that fails. */
     private void persistBans(String order, Consumer<String> answer) {
         Set<String> names = new TreeSet<>(scheduler.endpoints().downNames());
         banWriter.execute(() -> {
@@ -138,15 +139,15 @@
                     banFile.write(names);
                 }
             } catch (IOException e) {
-                LOG.warn("what is set down is not kept for the next process: {}", e.toString());
-                outcome = "done for this process only: it could not be written down";
+                LOG.warn("endpoints set down could not be stored for the next process: {}", e.toString());
+                outcome = "done for this process only: it could not be stored";
             }
             String reply = outcome;
             loop.later(() -> broadcastOrder(order, reply, answer));
         });
     }
 
-    /** Where another process serves beside this one, it holds only once that one has it too. */
+    /** Replies with success only once the other process of an upgrade, if there is one, has confirmed the order. */
     private void broadcastOrder(String order, String reply, Consumer<String> answer) {
         if (upgrade == null) {
             answer.accept(reply);
@@ -156,14 +157,14 @@
                     isConfirmed -> answer.accept(
                             isConfirmed
                                     ? reply
-                                    : "error it holds here, but the other process of the upgrade"
+                                    : "error it is in force here, but the other process of the upgrade"
                                             + " has not confirmed it"));
         }
     }
 
     private void orderDrain(boolean on, Consumer<String> answer) {
         if (isStopping.getAsBoolean()) {
-            answer.accept("error the process is about to end, its clients are sent away already");
+            answer.accept("error the process is stopping and sends its clients away already");
             return;
         }
         setDrained(on);
@@ -171,30 +172,30 @@
     }
 
     private void setDrained(boolean on) {
-        LOG.info(on ? "drained: clients are sent away" : "back to work");
+        LOG.info(on ? "drain on: clients are sent away" : "drain off: clients are kept again");
         scheduler.counters().add(on ? "ops.drain_on" : "ops.drain_off");
         drain.setOrdered(on);
     }
 
     // ---- between the processes of an upgrade ----
 
-    /** What another process of this scheduler was ordered. */
+    /** Applies an order that another process of this scheduler has received. */
     void applyOrder(String order) {
-        String[] arguments = order.split(" ");
-        if (arguments.length == 2 && (arguments[0].equals("set-down") || arguments[0].equals("set-up"))) {
-            applyBan(arguments[0].equals("set-down"), arguments[1]);
-        } else if (arguments[0].equals("drain-on") || arguments[0].equals("drain-off")) {
-            setDrained(arguments[0].equals("drain-on"));
+        String[] words = order.split(" ");
+        if (words.length == 2 && (words[0].equals("set-down") || words[0].equals("set-up"))) {
+            applyBan(words[0].equals("set-down"), words[1]);
+        } else if (words[0].equals("drain-on") || words[0].equals("drain-off")) {
+            setDrained(words[0].equals("drain-on"));
         }
     }
 
-    /** Reads again what is set down, behind whatever is being written; without a good file all stays. */
+    /** Applies the stored bans again, after pending writes; without a valid file nothing changes. */
     void reloadBans() {
         int changesBeforeRead = banChanges;
         banWriter.execute(() -> banFile.tryRead()
                 .ifPresent(names -> loop.later(() -> {
                     if (banChanges != changesBeforeRead) {
-                        // Ordered meanwhile, it is not in what was read.
+                        // An order given during the read is not in the result.
                         reloadBans();
                         return;
                     }
@@ -204,7 +205,7 @@
                 })));
     }
 
-    /** What holds now, as orders. */
+    /** Returns the bans and the drain in force, as orders. */
     List<String> currentOrders() {
         List<String> orders = new ArrayList<>();
         scheduler.endpoints().downNames().forEach(name -> orders.add("set-down " + name));
--- a/src/main/java/laneflow/ops/OpsPort.java
+++ b/src/main/java/laneflow/ops/OpsPort.java
@@ -16,23 +16,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The second address: on-call staff send one line a connection and read one line that begins with "done" or
- * "error". It has descriptors of its own, so that it answers when clients have taken all others; a new caller
- * takes the place of the stalest, so that callers who say nothing shut it to nobody. On the loop's thread.
+ * The ops port, the scheduler's second address: on-call staff send one command line per connection and read one reply
+ * line that begins with "done" or "error". It has file descriptors of its own, so that it works when clients use all
+ * others; a new caller displaces the oldest idle one, so that silent callers can't block it. Runs on the loop's thread.
  */
 public final class OpsPort {
     private static final Logger LOG = LoggerFactory.getLogger(OpsPort.class);
-    /** Callers at once. */
+    /** Maximum of concurrent callers. */
     static final int MAX_CALLERS = 24;
-    /** The longest line, its end included. */
+    /** Maximum length of a command line, including its end. */
     static final int MAX_LINE_BYTES = 256;
-    /** From coming up to the end of the line; callers are programs, and people who type ahead. */
+    /** From the connection to the end of the line; callers are programs, and people who type before they connect. */
     private static final long LINE_TIMEOUT_US = 3_000_000;
 
     private static final int RING_BYTES = 4 * 1024;
 
-    /** What a call does; its answer may come later, but comes. */
+    /** A command; it must reply exactly once, now or later. */
     public interface Command {
+        /** @param words the command's name and its arguments */
         void run(String[] words, Consumer<String> answer);
     }
 
@@ -40,7 +41,7 @@
 
     private final Loop loop;
     private final Map<String, CommandEntry> commands = new TreeMap<>();
-    /** Those connected, the stalest first. */
+    /** Connected callers, the oldest first. */
     private final List<Caller> callers = new ArrayList<>();
 
     private Loop.Listener listener;
@@ -49,7 +50,7 @@
         this.loop = loop;
     }
 
-    /** Adds a call by its form, such as "set-down ID": its name and a word for each argument. */
+    /** Adds a command by its usage, such as "set-down ID": its name and a word for each argument. */
     public void add(String usage, Command command) {
         String[] words = usage.split(" ");
         commands.put(words[0], new CommandEntry(words.length, usage, command));
@@ -65,24 +66,24 @@
         return listener.address();
     }
 
-    /** Who has the answer gives way first, then who has been silent for longest; a call at work never. */
+    /** Displaces a caller that has its reply, else the oldest silent one; never one whose command is running. */
     private boolean makeRoom() {
-        Caller stalest = null;
+        Caller candidate = null;
         for (Caller caller : callers) {
             if (caller.answered) {
-                stalest = caller;
+                candidate = caller;
                 break;
             }
-            stalest = stalest == null && !caller.running ? caller : stalest;
+            candidate = candidate == null && !caller.running ? caller : candidate;
         }
-        if (stalest == null) {
+        if (candidate == null) {
             return false;
         }
-        stalest.disconnect();
+        candidate.disconnect();
         return true;
     }
 
-    /** One who calls. */
+    /** A caller's connection. */
     private final class Caller implements LinkHandler {
         private final Deadline timer = loop.deadlines().create(this::lineTimedOut);
         private Link link;
@@ -134,7 +135,7 @@
         private void run(byte[] line, int length) {
             for (int i = 0; i < length; i++) {
                 if (line[i] < ' ' || line[i] > '~') {
-                    reply("error the line holds what is no plain text");
+                    reply("error the line holds other than printable ASCII characters");
                     return;
                 }
             }
--- a/src/main/java/laneflow/ops/Upgrade.java
+++ b/src/main/java/laneflow/ops/Upgrade.java
@@ -13,15 +13,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A process's part in an upgrade: carries out on the loop what {@link Handover} decides. */
+/** The part of one process in an upgrade: carries out on the loop's thread what {@link Handover} decides. */
 final class Upgrade implements Handover.Callbacks {
     private static final Logger LOG = LoggerFactory.getLogger(Upgrade.class);
     private static final long POLL_INTERVAL_US = 50_000;
-    /** An elder that has told nothing by then hangs: it is not waited for. */
+    /** A predecessor that has not sent its orders by then is assumed to hang. */
     private static final long ORDERS_TIMEOUT_MS = 1_000;
-    /** The newer process's part of what may be sent to cold endpoints ... */
+    /** The newer process's share of the requests that may be sent to cold endpoints. */
     private static final double NEWER_SEND_SHARE = 0.9;
-    /** ... and of the connections. */
+    /** The newer process's share of the connections. */
     private static final double NEWER_CONNECTION_SHARE = 0.75;
 
     private final Loop loop;
@@ -59,19 +59,19 @@
         shareTimer = loop.deadlines().create(this::applySendShare);
     }
 
-    /** Meets the process that serves already, if there is one, and learns what it knows; blocks shortly. */
+    /** Connects to the process that serves already, if there is one, and waits briefly for its orders. */
     void connectToPredecessor() throws InterruptedException {
         HandoverSocket.SocketConnection connection = socket.connect();
         if (connection == null) {
             return;
         }
-        LOG.info("another process serves already: its place is taken once this one can serve");
+        LOG.info("another process serves already, this one takes over once it can serve");
         loop.call(() -> {
             handover.predecessorConnected(loop.micros(), connection);
             connection.read(this::receive, this::disconnected);
         });
         if (!ordersReceived.await(ORDERS_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
-            LOG.warn("it tells nothing: this one goes on by itself");
+            LOG.warn("the other process has not sent its orders in time, starting without them");
         }
     }
 
@@ -83,15 +83,15 @@
     }
 
     private void disconnected(HandoverSocket.SocketConnection connection) {
-        LOG.info("the other process of the upgrade is gone");
+        LOG.info("the other process of the upgrade has disconnected");
         handover.disconnected(loop.micros(), connection);
         ordersReceived.countDown();
     }
 
-    /** Begins to look whether this process can serve, and whether the other one still lives. */
+    /** Starts polling whether this process can serve and whether the other one is alive. */
     void begin() {
         if (handover.isAlone()) {
-            // Nobody else would answer those who ask whether it is ready.
+            // No other process would answer readiness checks.
             front.accept(true);
         }
         loop.later(this::poll);
@@ -104,7 +104,7 @@
         }
         handover.tick(now);
         if (handover.isSuperseded() && front.isAlone() && scheduler.openRequests() == 0 && drain.isOver(now)) {
-            LOG.info("all clients have gone over to the other process");
+            LOG.info("all clients have moved to the other process");
             onReplaced.run();
             return;
         }
@@ -119,12 +119,12 @@
         return handover.isSuperseded();
     }
 
-    /** True while there is another process; an order holds only once that one has it too. */
+    /** Sends an order to the other processes, if any; the callback receives whether all have confirmed it. */
     void broadcastOrder(String order, Consumer<Boolean> callback) {
         handover.broadcastOrder(loop.micros(), order, callback);
     }
 
-    // ---- what the handover asks for ----
+    // ---- callbacks of the handover ----
 
     @Override
     public void acceptClients(boolean on) {
@@ -133,13 +133,13 @@
 
     @Override
     public void sendClientsAway(boolean on) {
-        LOG.info(on ? "the other process takes the clients from here on" : "clients are taken here again");
+        LOG.info(on ? "the other process accepts clients from now on" : "this process accepts clients again");
         drain.setHandedOver(on);
     }
 
     /**
-     * Both draw on one budget. What either has sent counts for a while, so parts change in two steps: halves
-     * at first, then nearly all for the one that has the clients. The other has their last retries.
+     * Both processes share one budget. What each has sent counts for a while, so the shares change in two steps: first
+     * half for each, then nearly all for the newer process. The older one needs the rest for its clients' last retries.
      */
     @Override
     public void roleChanged(Handover.Role newRole) {
@@ -165,7 +165,7 @@
     public void findPeer() {
         socket.findOther(connection -> {
             if (connection != null) {
-                LOG.info("another process serves too: this one is met with it again");
+                LOG.info("another process serves too, connected to it again");
                 handover.predecessorConnected(loop.micros(), connection);
                 connection.read(this::receive, this::disconnected);
             } else if (!socket.isBound()) {
--- a/src/test/java/laneflow/ops/HandoverTest.java
+++ b/src/test/java/laneflow/ops/HandoverTest.java
@@ -11,9 +11,9 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** The handover's states, without I/O: lines, ends, kills and time in every order. */
+/** The handover protocol without I/O: messages, disconnects, crashes and time in any interleaving. */
 class HandoverTest {
-    /** One process: what its handover has asked for. */
+    /** A process that records the callbacks of its handover. */
     private final class Process implements Handover.Callbacks {
         final Handover handover = new Handover(this);
         final TreeSet<String> bans = new TreeSet<>();
@@ -81,7 +81,7 @@
         }
     }
 
-    /** One end of a connection; what is sent comes to the other end in order, later. */
+    /** One end of a connection; what it sends is queued at the other end until it is delivered. */
     private final class ConnectionEnd implements Handover.Connection {
         final Process owner;
         ConnectionEnd peer;
@@ -106,9 +106,9 @@
         }
     }
 
-    /** Who starts find. */
+    /** The process that later processes connect to. */
     private Process socketOwner;
-    /** Where both write down what is ordered. */
+    /** The stored bans that all processes share. */
     private final TreeSet<String> banFile = new TreeSet<>();
 
     private long now = 1_000_000;
@@ -126,7 +126,7 @@
         return a;
     }
 
-    /** Brings one line, or an end, to whom it is for; false if there is none. */
+    /** Delivers one message, or the close of the connection, to this end; false if there is none. */
     private boolean deliver(ConnectionEnd end) {
         if (end.owner.dead || end.owner.hangs || end.closed) {
             return false;
@@ -153,7 +153,7 @@
         }
     }
 
-    /** The younger is met, can serve, and has all that is said of it delivered. */
+    /** Connects the successor, lets it serve, and delivers all messages. */
     private void takeOver(Process successor, Process predecessor) {
         connect(successor, predecessor);
         deliverAll();
@@ -267,7 +267,7 @@
         Process[] processes = {new Process(), new Process(), new Process()};
         processes[0].handover.startServing(now);
         connect(processes[1], processes[0]);
-        // One at a time: the second who asks is sent off, and finds whoever is in place later.
+        // Only one successor at a time: the second is disconnected, and connects to the one in place later.
         ConnectionEnd late = connect(processes[2], processes[0]);
         assertTrue(late.peer.closed);
         deliverAll();
@@ -285,7 +285,7 @@
         assertTrue(processes[2].bans.contains("s-9"));
     }
 
-    /** Once all is quiet somebody takes clients, and what was said to hold everywhere does. */
+    /** After all messages are delivered, some process accepts clients, and confirmed orders are in force in each. */
     @Test
     void someProcessTakesClientsAndConfirmedOrdersHoldInAnyInterleaving() {
         for (int seed = 0; seed < 3000; seed++) {
@@ -344,7 +344,7 @@
             }
             assertTrue(clientsAccepted, "seed " + seed);
             if (!predecessor.dead && !successor.dead) {
-                // One has taken the other's place, also where either was let go while it hung.
+                // The successor has taken over, even if either was disconnected while it hung.
                 assertTrue(
                         predecessor.handover.isSuperseded() && !predecessor.acceptsClients && successor.acceptsClients,
                         "seed " + seed);
@@ -358,8 +358,8 @@
     }
 
     /**
-     * Three in a row: the second loses its elder, and looks for others just when the third takes its place. It
-     * met that as an elder of its own, both handed over to each other, and both ended.
+     * Three processes: the second loses its predecessor, and looks for another process just when the third takes over.
+     * It took the third for a predecessor, so that both handed over to each other and both ended.
      */
     @Test
     void successorIsNeverTakenForPredecessor() {
--- a/src/test/java/laneflow/ops/OpsStoryTest.java
+++ b/src/test/java/laneflow/ops/OpsStoryTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Stories of the second address: who calls it, and what each call does to the program. */
+/** End-to-end tests of the ops port and of its commands. */
 @Timeout(300)
 class OpsStoryTest {
     @TempDir
@@ -50,7 +50,7 @@
             }) {
                 assertTrue(call(harness, bad).startsWith("error "), bad);
             }
-            // A piece of a call, then another; and half a call that is left changes nothing.
+            // A command may arrive in pieces; an incomplete one has no effect.
             try (Peer caller = harness.opsClient();
                     Peer half = harness.opsClient()) {
                 half.write("drain-on").close();
@@ -74,7 +74,7 @@
                     silent.get(i).write("set-do");
                 }
             }
-            // Every connection that clients may hold is taken by requests at work.
+            // Requests in progress use every connection that clients may have.
             List<Peer> clients = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
                 clients.add(harness.http().post("basket-check", "r" + i, "", ""));
@@ -158,7 +158,7 @@
                 Peer half = harness.http()) {
             idle.write("GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n");
             assertTrue(idle.message().startsWith("HTTP/1.1 200 "));
-            // Not repeatable: what has no head for 250 ms is sent elsewhere else.
+            // A class that must not be repeated: others are sent to another endpoint after 250 ms without a head.
             slow.post("card-capture", "1", "", "");
             Peer call = endpoint.accept();
             call.message();
@@ -187,7 +187,7 @@
                     Peer front = harness.http()) {
                 front.write("GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n");
                 assertTrue(front.message().startsWith("HTTP/1.1 200 "));
-                // Kept again, also past the times of the drain: no timer of it is left.
+                // The connection stays open even past the delays of the drain: its timer is cancelled.
                 Thread.sleep(700);
                 client.post("basket-check", "3", "", "");
                 call.message();
@@ -232,7 +232,7 @@
             assertEquals("done", call(harness, "drain-off"));
             call.respond("{'id':'1','state':'done','result':'ok'}");
             assertTrue(!busy.message().contains("Connection: close"));
-            // Past the time at which the drain would have closed it.
+            // Past the time at which the drain would have closed the idle connection.
             Thread.sleep(600);
             assertTrue(idle.write("GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n")
                     .message()
--- a/src/test/java/laneflow/ops/Platform.java
+++ b/src/test/java/laneflow/ops/Platform.java
@@ -14,16 +14,16 @@
 import laneflow.net.SchedulerHarness;
 import laneflow.net.SchedulerHarness.Peer;
 
-/** Stands in for the platform in upgrades: it holds the clients' socket and starts schedulers that inherit it. */
+/** A stand-in for the platform in upgrades: it holds the clients' socket and starts schedulers that inherit it. */
 public final class Platform implements AutoCloseable {
-    /** Where clients come. */
+    /** The port that clients connect to. */
     public final int port;
 
     private final Process process;
     private final BufferedReader output;
     private final List<SchedulerProcess> schedulers = new ArrayList<>();
 
-    /** A scheduler, and its second address. */
+    /** A scheduler's process and its ops port. */
     public record SchedulerProcess(ProcessHandle handle, int opsPort) {
         void kill() throws Exception {
             handle.destroyForcibly();
@@ -34,7 +34,7 @@
             handle.onExit().get(60, TimeUnit.SECONDS);
         }
 
-        /** The answer to a call of on-call staff. */
+        /** Sends a command to the ops port and returns the reply. */
         public String call(String line) throws IOException {
             try (Peer caller = SchedulerHarness.peer("127.0.0.1", opsPort)) {
                 return caller.write(line + "\n").readTo("\n").strip();
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Nothing is started yet; what schedulers log goes to the file. */
+    /** Opens the clients' socket without starting a scheduler; the schedulers log to the file. */
     public Platform(Path folder, Path log, Map<String, String> environment, String... arguments)
             throws IOException, URISyntaxException {
         Path script = Path.of(Platform.class.getResource("platform.pl").toURI());
@@ -65,7 +65,7 @@
         port = Integer.parseInt(output.readLine().substring(5));
     }
 
-    /** Starts a scheduler, which may not serve yet. */
+    /** Starts a scheduler without waiting until it can serve. */
     public SchedulerProcess launch() throws IOException {
         int opsPort;
         try (ServerSocket free = new ServerSocket(0)) {
--- a/src/test/java/laneflow/ops/UpgradeStoryTest.java
+++ b/src/test/java/laneflow/ops/UpgradeStoryTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Upgrades with real processes on one passed socket, each of them killed at each step. */
+/** Upgrades with real processes on one passed socket; the old and the new process are killed at various steps. */
 @Timeout(300)
 class UpgradeStoryTest {
     @TempDir
@@ -32,7 +32,7 @@
     void begin() throws Exception {
         endpoint = new Endpoint("e1");
         Path config = folder.resolve("config.json");
-        // One that has a job out looks full to the module: the other is for what comes meanwhile.
+        // An endpoint with a job in progress counts as full: the second one is for requests that come meanwhile.
         Files.writeString(config, SchedulerHarness.configWithEndpoints(endpoint, new Endpoint("e2", endpoint)));
         platform = new Platform(folder, folder.resolve("log"), Map.of("ROUTER_CONFIG", config.toString()), "serve");
     }
@@ -43,7 +43,7 @@
         endpoint.close();
     }
 
-    /** Starts one, and waits until it says that it can serve. */
+    /** Starts a scheduler and waits until it reports that it can serve. */
     private SchedulerProcess start() throws Exception {
         SchedulerProcess process = platform.launch();
         await(() -> call(process, "check").equals("done"));
@@ -51,7 +51,7 @@
     }
 
     private void await(Await.Condition condition) throws Exception {
-        Await.until("it holds", condition, () -> Files.readString(folder.resolve("log")));
+        Await.until("the condition holds", condition, () -> Files.readString(folder.resolve("log")));
     }
 
     private String call(SchedulerProcess process, String line) throws IOException {
@@ -79,7 +79,7 @@
         }
     }
 
-    /** How many requests the process that takes new clients has taken. */
+    /** Reads the counters of the process that accepts new clients. */
     private String counters() throws IOException {
         try (Peer client = client()) {
             return client.write("GET /counters HTTP/1.1\r\nHost: o\r\n\r\n").message();
@@ -111,13 +111,13 @@
 
         SchedulerProcess successor = start();
         assertTrue(isReady());
-        // The old one's clients are served, and sent away with the answer.
+        // The old process serves its clients, and closes their connections with the response.
         assertServed(kept, "k2", true);
         assertTrue(kept.isClosedByPeer());
         Peer fresh = client();
         assertServed(fresh, "f1", false);
         assertTrue(counters().contains("http.served 1") || counters().contains("http.served=1"), counters());
-        // Told to the old one, it holds in the new one, and the other way round.
+        // An order to the old process holds in the new one, and the other way round.
         setDown(predecessor);
         fresh.post("card-capture", "f2", "", "");
         assertTrue(fresh.message().startsWith("HTTP/1.1 503 "));
@@ -130,7 +130,7 @@
         assertTrue(isReady());
 
         predecessor.handle().destroy();
-        // It ends once its last request is answered, and what it was told lives on.
+        // The old process ends once its last request is answered, and its orders stay in force.
         call.respond("{'id':'o1','state':'done','result':'late'}");
         assertTrue(open.message().endsWith("late"));
         predecessor.awaitExit();
@@ -158,13 +158,13 @@
         }
         SchedulerProcess successor = start();
         successor.kill();
-        // What it had not accepted waits in the queue for the old one.
+        // Connections that the new process had not accepted wait in the socket's queue for the old one.
         Peer client = client();
         assertServed(client, "c1", false);
         assertEquals("done", call(predecessor, "check"));
         call.respond("{'id':'o1','state':'done','result':'ok'}");
         assertTrue(open.message().endsWith("ok"));
-        // And the next one takes over as if nothing had been.
+        // The next process takes over as usual.
         start();
         assertServed(client, "c2", true);
         predecessor.awaitExit();
@@ -190,7 +190,7 @@
         SchedulerProcess process = start();
         assertTrue(isReady());
         process.kill();
-        // Its socket is left without anybody behind it.
+        // The socket file of the killed process is left behind.
         assertTrue(Files.exists(folder.resolve("laneflow-handover")));
         SchedulerProcess next = start();
         assertTrue(isReady());
@@ -206,12 +206,12 @@
         call.message();
         SchedulerProcess successor = start();
         signal("STOP", successor);
-        // Whom the new one has accepted hangs with it; who comes now is taken by the old one.
-        await(() -> Files.readString(folder.resolve("log")).contains("clients are taken here again"));
+        // Clients that the new process has accepted hang with it; the old one accepts those that connect now.
+        await(() -> Files.readString(folder.resolve("log")).contains("this process accepts clients again"));
         assertTrue(isReady());
         setDown(predecessor);
         signal("CONT", successor);
-        await(() -> Files.readString(folder.resolve("log")).contains("met with it again"));
+        await(() -> Files.readString(folder.resolve("log")).contains("connected to it again"));
         await(() -> call(successor, "set-up e1").equals("done"));
         assertEquals("done", call(successor, "set-up e2"));
         call.respond("{'id':'o1','state':'done','result':'ok'}");
