--- a/src/main/java/laneflow/ops/BanFile.java
+++ b/src/main/java/laneflow/ops/BanFile.java
@@ -46,7 +46,7 @@
         } catch (NoSuchFileException e) {
             return Optional.empty();
         } catch (IOException e) {
-            LOG.warn("{} is ignored, endpoints set down before are not known from it: {}", file, e.toString());
+            LOG.warn("{} is ignored, endpoints set down before are unknown: {}", file, e.toString());
             return Optional.empty();
         }
     }
--- a/src/main/java/laneflow/ops/Handover.java
+++ b/src/main/java/laneflow/ops/Handover.java
@@ -84,6 +84,7 @@
         OLDER
     }
 
+    /** Progress of the handover with a peer: connected, orders exchanged, successor serving, clients handed over. */
     private enum Stage {
         CONNECTED,
         SYNCED,
@@ -104,6 +105,7 @@
         }
     }
 
+    /** An order that has been sent to peers which have not all confirmed it. */
     private static final class PendingOrder {
         final Set<Peer> unconfirmed = new HashSet<>();
         Consumer<Boolean> callback;
--- a/src/main/java/laneflow/ops/Operations.java
+++ b/src/main/java/laneflow/ops/Operations.java
@@ -91,8 +91,8 @@
         }
     }
 
-    public void listen(InetSocketAddress at) throws IOException {
-        port.listen(at);
+    public void listen(InetSocketAddress address) throws IOException {
+        port.listen(address);
     }
 
     public InetSocketAddress address() {
--- a/src/main/java/laneflow/ops/OpsPort.java
+++ b/src/main/java/laneflow/ops/OpsPort.java
@@ -26,7 +26,7 @@
     static final int MAX_CALLERS = 24;
     /** Maximum length of a command line, including its end. */
     static final int MAX_LINE_BYTES = 256;
-    /** From the connection to the end of the line; callers are programs, and people who type before they connect. */
+    /** Time from the connection to the end of the line, for programs and for people who type ahead. */
     private static final long LINE_TIMEOUT_US = 3_000_000;
 
     private static final int RING_BYTES = 4 * 1024;
--- a/src/main/java/laneflow/ops/Upgrade.java
+++ b/src/main/java/laneflow/ops/Upgrade.java
@@ -83,7 +83,7 @@
     }
 
     private void disconnected(HandoverSocket.SocketConnection connection) {
-        LOG.info("the other process of the upgrade has disconnected");
+        LOG.info("the other process of the upgrade is gone");
         handover.disconnected(loop.micros(), connection);
         ordersReceived.countDown();
     }
@@ -104,7 +104,7 @@
         }
         handover.tick(now);
         if (handover.isSuperseded() && front.isAlone() && scheduler.openRequests() == 0 && drain.isOver(now)) {
-            LOG.info("all clients have moved to the other process");
+            LOG.info("all clients have gone over to the other process");
             onReplaced.run();
             return;
         }
@@ -124,7 +124,7 @@
         handover.broadcastOrder(loop.micros(), order, callback);
     }
 
-    // ---- callbacks of the handover ----
+    // ---- what the handover asks for ----
 
     @Override
     public void acceptClients(boolean on) {
--- a/src/test/java/laneflow/fleet/FleetTest.java
+++ b/src/test/java/laneflow/fleet/FleetTest.java
@@ -83,7 +83,7 @@
         }
 
         Peer connect() throws Exception {
-            return SchedulerHarness.peer("127.0.0.1", fleet.port().address().getPort());
+            return SchedulerHarness.connect("127.0.0.1", fleet.port().address().getPort());
         }
     }
 
--- a/src/test/java/laneflow/net/ArrivalTimesTest.java
+++ b/src/test/java/laneflow/net/ArrivalTimesTest.java
@@ -8,7 +8,7 @@
     private static final long UNKNOWN = -7;
 
     @Test
-    void eachByteHasTheInstantOfItsRead() {
+    void eachByteHasTheArrivalTimeOfItsRead() {
         ArrivalTimes times = new ArrivalTimes();
         times.add(10, 1_000_000, 0);
         times.add(25, 2_000_000, 0);
@@ -25,7 +25,7 @@
 
     /** Merged reads make an arrival time at most a millisecond too early, never too late. */
     @Test
-    void bytesThatComeSinglyInAMillisecondCountAsTheFirstOfThem() {
+    void readsWithinAMillisecondShareAnArrivalTime() {
         ArrivalTimes times = new ArrivalTimes();
         for (int i = 1; i <= 5000; i++) {
             times.add(i, i, 0);
--- a/src/test/java/laneflow/net/LoopTest.java
+++ b/src/test/java/laneflow/net/LoopTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aCallThatFailsEndsTheWaitAndTheLoopGoesOn() throws Exception {
+    void failedCallIsRethrownAndTheLoopContinues() throws Exception {
         IllegalStateException exception = new IllegalStateException("a fault");
         assertSame(
                 exception,
--- a/src/test/java/laneflow/net/NoDelayTest.java
+++ b/src/test/java/laneflow/net/NoDelayTest.java
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void smallWritesGoOutAtOnceBothWays() throws Exception {
+    void noDelayIsSetOnAcceptedAndOpenedConnections() throws Exception {
         Loop loop = new Loop("test", 8, true);
         try (ServerSocketChannel passed = ServerSocketChannel.open()) {
             InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
--- a/src/test/java/laneflow/net/SchedulerHarness.java
+++ b/src/test/java/laneflow/net/SchedulerHarness.java
@@ -97,13 +97,13 @@
     }
 
     /** Connects to a process that the test has started itself. */
-    public static Peer peer(String host, int port) throws IOException {
+    public static Peer connect(String host, int port) throws IOException {
         return new Peer(new Socket(host, port));
     }
 
     /** Connects to the ops port, which takes the commands of on-call staff. */
     public Peer opsClient() throws IOException {
-        return peer(serve.operations().address());
+        return connect(serve.operations().address());
     }
 
     /** Starts a scheduler that reads its destinations from a file. */
@@ -234,15 +234,15 @@
 
     /** Connects a client to the HTTP front. */
     public Peer http() throws IOException {
-        return peer(serve.front().address());
+        return connect(serve.front().address());
     }
 
     /** Connects a client or worker to the Gearman front. */
     public Peer gearman() throws IOException {
-        return peer(serve.gearman().address());
+        return connect(serve.gearman().address());
     }
 
-    private Peer peer(InetSocketAddress address) throws IOException {
+    private Peer connect(InetSocketAddress address) throws IOException {
         Peer peer = new Peer(new Socket(address.getAddress(), address.getPort()));
         resources.add(peer);
         return peer;
@@ -268,8 +268,8 @@
 
     @Override
     public void close() throws Exception {
-        for (AutoCloseable each : resources) {
-            each.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
         serve.halt();
     }
--- a/src/test/java/laneflow/ops/HandoverTest.java
+++ b/src/test/java/laneflow/ops/HandoverTest.java
@@ -70,9 +70,9 @@
             bans.addAll(banFile);
         }
 
-        void order(String name) {
-            bans.add(name);
-            banFile.add(name);
+        void order(String endpointName) {
+            bans.add(endpointName);
+            banFile.add(endpointName);
         }
 
         @Override
--- a/src/test/java/laneflow/ops/OpsStoryTest.java
+++ b/src/test/java/laneflow/ops/OpsStoryTest.java
@@ -25,14 +25,14 @@
 
     private static String call(SchedulerHarness harness, String line) throws Exception {
         try (Peer caller = harness.opsClient()) {
-            String answer = caller.write(line + "\n").readTo("\n").strip();
+            String reply = caller.write(line + "\n").readTo("\n").strip();
             assertTrue(caller.isClosedByPeer());
-            return answer;
+            return reply;
         }
     }
 
     @Test
-    void eachCallIsAnsweredOrToldWhatIsWrong() throws Exception {
+    void commandsSucceedOrReportTheirError() throws Exception {
         try (SchedulerHarness harness = SchedulerHarness.withOpsPort(folder, new Endpoint("e1"))) {
             assertEquals("done", call(harness, "check"));
             assertEquals("done", call(harness, "check\r"));
@@ -52,8 +52,8 @@
             }
             // A command may arrive in pieces; an incomplete one has no effect.
             try (Peer caller = harness.opsClient();
-                    Peer half = harness.opsClient()) {
-                half.write("drain-on").close();
+                    Peer partial = harness.opsClient()) {
+                partial.write("drain-on").close();
                 caller.write("che").write("ck").write("\n");
                 assertEquals("done\n", caller.readTo("\n"));
             }
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void silentCallersAndAllClientsShutItToNobody() throws Exception {
+    void opsPortAnswersDespiteSilentCallersAndFullClientLimit() throws Exception {
         try (SchedulerHarness harness = SchedulerHarness.withOpsPort(folder, new Endpoint("e1"))) {
             List<Peer> silent = new ArrayList<>();
             for (int i = 0; i < 3 * OpsPort.MAX_CALLERS; i++) {
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void aWorkerSetDownGetsNothingUntilItIsSetUpAndTheNextProcessKnows() throws Exception {
+    void endpointSetDownGetsNoRequestsUntilSetUpEvenInTheNextProcess() throws Exception {
         Endpoint one = new Endpoint("e1");
         Endpoint two = new Endpoint("e2");
         try (SchedulerHarness harness = SchedulerHarness.withOpsPort(folder, one, two)) {
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void aDamagedFileIsPassedOver() throws Exception {
+    void damagedFileIsIgnored() throws Exception {
         Path file = folder.resolve("laneflow-set-down");
         new BanFile(folder).write(Set.of("e1", "e2"));
         assertEquals(Set.of("e1", "e2"), new BanFile(folder).read());
@@ -150,43 +150,43 @@
     }
 
     @Test
-    void aDrainSendsClientsAwayWithoutCuttingARequestAndIsUndone() throws Exception {
+    void drainClosesConnectionsWithoutCuttingRequestsAndCanBeUndone() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = SchedulerHarness.withOpsPort(folder, endpoint);
                 Peer idle = harness.http();
                 Peer slow = harness.http();
-                Peer half = harness.http()) {
+                Peer partial = harness.http()) {
             idle.write("GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n");
             assertTrue(idle.message().startsWith("HTTP/1.1 200 "));
             // A class that must not be repeated: others are sent to another endpoint after 250 ms without a head.
             slow.post("card-capture", "1", "", "");
             Peer call = endpoint.accept();
             call.message();
-            half.write("POST /basket-check HTTP/1.1\r\nHost: o\r\nReq-Id: 2\r\nReq-Kind: bas");
+            partial.write("POST /basket-check HTTP/1.1\r\nHost: o\r\nReq-Id: 2\r\nReq-Kind: bas");
             long began = System.nanoTime();
             assertEquals("done", call(harness, "drain-on"));
             assertEquals("done", call(harness, "drain-on"));
-            try (Peer front = harness.http()) {
-                front.write("GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n");
-                assertTrue(front.message().startsWith("HTTP/1.1 503 "));
-                assertTrue(front.isClosedByPeer());
+            try (Peer probe = harness.http()) {
+                probe.write("GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n");
+                assertTrue(probe.message().startsWith("HTTP/1.1 503 "));
+                assertTrue(probe.isClosedByPeer());
             }
             assertTrue(idle.isClosedByPeer());
             call.respond("{'id':'1','state':'done','result':'ok'}");
             assertTrue(slow.message().contains("Connection: close\r\n"));
-            half.write("ket-check\r\nContent-Length: 0\r\n\r\n");
+            partial.write("ket-check\r\nContent-Length: 0\r\n\r\n");
             call.message();
             call.respond("{'id':'2','state':'done','result':'ok'}");
-            assertTrue(half.message().contains("Connection: close\r\n"));
-            assertTrue(slow.isClosedByPeer() && half.isClosedByPeer());
+            assertTrue(partial.message().contains("Connection: close\r\n"));
+            assertTrue(slow.isClosedByPeer() && partial.isClosedByPeer());
             assertTrue(System.nanoTime() - began < 2_000_000_000L);
             assertEquals("done", call(harness, "check"));
             assertEquals("done", call(harness, "drain-off"));
             assertEquals("done", call(harness, "drain-off"));
             try (Peer client = harness.http();
-                    Peer front = harness.http()) {
-                front.write("GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n");
-                assertTrue(front.message().startsWith("HTTP/1.1 200 "));
+                    Peer probe = harness.http()) {
+                probe.write("GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n");
+                assertTrue(probe.message().startsWith("HTTP/1.1 200 "));
                 // The connection stays open even past the delays of the drain: its timer is cancelled.
                 Thread.sleep(700);
                 client.post("basket-check", "3", "", "");
@@ -198,7 +198,7 @@
     }
 
     @Test
-    void aProcessOnItsWayToItsEndTakesNoDrainBack() throws Exception {
+    void stoppingProcessRejectsCommands() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = SchedulerHarness.withOpsPort(folder, endpoint);
                 Peer client = harness.http()) {
@@ -219,7 +219,7 @@
     }
 
     @Test
-    void aDrainTakenBackHalfwayLeavesNothingBehind() throws Exception {
+    void drainUndoneHalfwayHasNoLaterEffect() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = SchedulerHarness.withOpsPort(folder, endpoint);
                 Peer idle = harness.http();
--- a/src/test/java/laneflow/ops/Platform.java
+++ b/src/test/java/laneflow/ops/Platform.java
@@ -36,7 +36,7 @@
 
         /** Sends a command to the ops port and returns the reply. */
         public String call(String line) throws IOException {
-            try (Peer caller = SchedulerHarness.peer("127.0.0.1", opsPort)) {
+            try (Peer caller = SchedulerHarness.connect("127.0.0.1", opsPort)) {
                 return caller.write(line + "\n").readTo("\n").strip();
             }
         }
--- a/src/test/java/laneflow/ops/UpgradeStoryTest.java
+++ b/src/test/java/laneflow/ops/UpgradeStoryTest.java
@@ -69,7 +69,7 @@
     }
 
     private Peer client() throws IOException {
-        return SchedulerHarness.peer("127.0.0.1", platform.port);
+        return SchedulerHarness.connect("127.0.0.1", platform.port);
     }
 
     private boolean isReady() throws IOException {
@@ -86,43 +86,43 @@
         }
     }
 
-    private void assertServed(Peer client, String id, boolean last) throws IOException {
+    private void assertServed(Peer client, String id, boolean closes) throws IOException {
         client.post("card-capture", id, "", "");
         try (Peer call = endpoint.accept()) {
             call.message();
             call.respond("{'id':'" + id + "','state':'done','result':'ok'}");
             String answer = client.message();
             assertTrue(answer.endsWith("ok"), answer);
-            assertEquals(last, answer.contains("Connection: close\r\n"), answer);
+            assertEquals(closes, answer.contains("Connection: close\r\n"), answer);
         }
     }
 
     @Test
-    void clientsGoOverWithNothingLostAndBansHoldInBoth() throws Exception {
+    void clientsMoveWithoutLossAndBansHoldInBothProcesses() throws Exception {
         SchedulerProcess predecessor = start();
         assertTrue(isReady());
         setDown(predecessor);
         setUp(predecessor);
-        Peer kept = client();
-        assertServed(kept, "k1", false);
-        Peer open = client().post("card-capture", "o1", "", "");
+        Peer oldClient = client();
+        assertServed(oldClient, "k1", false);
+        Peer busyClient = client().post("card-capture", "o1", "", "");
         Peer call = endpoint.accept();
         call.message();
 
         SchedulerProcess successor = start();
         assertTrue(isReady());
         // The old process serves its clients, and closes their connections with the response.
-        assertServed(kept, "k2", true);
-        assertTrue(kept.isClosedByPeer());
-        Peer fresh = client();
-        assertServed(fresh, "f1", false);
+        assertServed(oldClient, "k2", true);
+        assertTrue(oldClient.isClosedByPeer());
+        Peer newClient = client();
+        assertServed(newClient, "f1", false);
         assertTrue(counters().contains("http.served 1") || counters().contains("http.served=1"), counters());
         // An order to the old process holds in the new one, and the other way round.
         setDown(predecessor);
-        fresh.post("card-capture", "f2", "", "");
-        assertTrue(fresh.message().startsWith("HTTP/1.1 503 "));
+        newClient.post("card-capture", "f2", "", "");
+        assertTrue(newClient.message().startsWith("HTTP/1.1 503 "));
         setUp(successor);
-        assertServed(fresh, "f3", false);
+        assertServed(newClient, "f3", false);
         setDown(predecessor);
         assertEquals("done", call(successor, "drain-on"));
         assertFalse(isReady());
@@ -132,7 +132,7 @@
         predecessor.handle().destroy();
         // The old process ends once its last request is answered, and its orders stay in force.
         call.respond("{'id':'o1','state':'done','result':'late'}");
-        assertTrue(open.message().endsWith("late"));
+        assertTrue(busyClient.message().endsWith("late"));
         predecessor.awaitExit();
         Peer last = client().post("card-capture", "l1", "", "");
         assertTrue(last.message().startsWith("HTTP/1.1 503 "));
@@ -145,9 +145,9 @@
     }
 
     @Test
-    void aNewOneKilledAtAnyStepLeavesTheOldOneInPlace() throws Exception {
+    void oldProcessServesWhenNewOneIsKilledAtAnyStep() throws Exception {
         SchedulerProcess predecessor = start();
-        Peer open = client().post("card-capture", "o1", "", "");
+        Peer busyClient = client().post("card-capture", "o1", "", "");
         Peer call = endpoint.accept();
         call.message();
         for (int millis : new int[] {0, 150, 300}) {
@@ -163,7 +163,7 @@
         assertServed(client, "c1", false);
         assertEquals("done", call(predecessor, "check"));
         call.respond("{'id':'o1','state':'done','result':'ok'}");
-        assertTrue(open.message().endsWith("ok"));
+        assertTrue(busyClient.message().endsWith("ok"));
         // The next process takes over as usual.
         start();
         assertServed(client, "c2", true);
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void anOldOneKilledLeavesTheNewOneInPlaceWithItsOrders() throws Exception {
+    void newProcessServesWithTheOrdersOfAKilledOldOne() throws Exception {
         SchedulerProcess predecessor = start();
         setDown(predecessor);
         SchedulerProcess successor = platform.launch();
@@ -184,7 +184,7 @@
     }
 
     @Test
-    void leftoversStopNoStart() throws Exception {
+    void leftoverFilesDoNotPreventAStart() throws Exception {
         Files.writeString(folder.resolve("laneflow-handover"), "no socket");
         Files.writeString(folder.resolve("laneflow-set-down"), "no such format");
         SchedulerProcess process = start();
@@ -199,9 +199,9 @@
     }
 
     @Test
-    void aNewOneThatHangsIsLetGoAndMetAgainOnceItGoesOn() throws Exception {
+    void hangingNewProcessIsDisconnectedAndReconnectsOnceItResumes() throws Exception {
         SchedulerProcess predecessor = start();
-        Peer open = client().post("card-capture", "o1", "", "");
+        Peer busyClient = client().post("card-capture", "o1", "", "");
         Peer call = endpoint.accept();
         call.message();
         SchedulerProcess successor = start();
@@ -215,7 +215,7 @@
         await(() -> call(successor, "set-up e1").equals("done"));
         assertEquals("done", call(successor, "set-up e2"));
         call.respond("{'id':'o1','state':'done','result':'ok'}");
-        assertTrue(open.message().endsWith("ok"));
+        assertTrue(busyClient.message().endsWith("ok"));
         predecessor.awaitExit();
         assertServed(client(), "c1", false);
     }
--- a/src/test/java/laneflow/policy/PolicyDisruptionStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyDisruptionStoryTest.java
@@ -128,7 +128,7 @@
         int leader = rig.leader();
         // A stand-in for a build that knows neither the resource type nor newer messages, and sends fields
         // unknown here.
-        try (Peer old = SchedulerHarness.peer(
+        try (Peer old = SchedulerHarness.connect(
                 "127.0.0.1", Integer.parseInt(rig.fleetAddress(leader).split(":")[1]))) {
             old.write("POST /fleet/link HTTP/1.1\r\nHost: f\r\nTransfer-Encoding: chunked\r\n\r\n");
             sendLine(old, "{'t':'hello','name':'old','life':'1','build':'0.1','from':1,'to':1,'extra':{'a':[1]}}");
--- a/src/test/java/laneflow/policy/PolicyStoryBase.java
+++ b/src/test/java/laneflow/policy/PolicyStoryBase.java
@@ -132,7 +132,7 @@
     }
 
     static Peer sendRequestTo(int port, String id) throws IOException {
-        return SchedulerHarness.peer("127.0.0.1", port)
+        return SchedulerHarness.connect("127.0.0.1", port)
                 .write("POST /check HTTP/1.1\r\nHost: c\r\nReq-Id: " + id + "\r\nContent-Length: 0\r\n\r\n");
     }
 
--- a/src/test/java/laneflow/policy/PolicyStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyStoryTest.java
@@ -44,7 +44,7 @@
         assertTrue(reasons.contains("n4#") && reasons.contains("'post' must not run twice here"), reasons);
         rig.awaitDeciding(1, rig.all());
         // A banned endpoint gets nothing anywhere until the ban is lifted; an open call continues.
-        try (Peer client = SchedulerHarness.peer("127.0.0.1", rig.clientPort(0))) {
+        try (Peer client = SchedulerHarness.connect("127.0.0.1", rig.clientPort(0))) {
             client.write("POST /check HTTP/1.1\r\nHost: c\r\nReq-Id: o\r\nContent-Length: 0\r\n\r\n");
             try (Peer call = endpoint.accept()) {
                 call.message();
@@ -135,7 +135,7 @@
         // Clients are refused at once with a Retry-After, and the health check is not ready.
         String answer = requestWithoutEndpoint(4, "r1");
         assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("Retry-After: 0.1"), answer);
-        try (Peer client = SchedulerHarness.peer("127.0.0.1", rig.clientPort(4))) {
+        try (Peer client = SchedulerHarness.connect("127.0.0.1", rig.clientPort(4))) {
             assertTrue(
                     client.write("GET /health/ready HTTP/1.1\r\n\r\n").message().startsWith("HTTP/1.1 503 "));
         }
@@ -185,7 +185,7 @@
         rig.stall(leader);
         rig.stall(3);
         // Sent while the process is suspended, the request is handled on resume under the lease of that time.
-        try (Peer client = SchedulerHarness.peer("127.0.0.1", rig.clientPort(3))) {
+        try (Peer client = SchedulerHarness.connect("127.0.0.1", rig.clientPort(3))) {
             client.write("POST /check HTTP/1.1\r\nHost: c\r\nReq-Id: w\r\nContent-Length: 0\r\n\r\n");
             int other = awaitNewLeader(leader);
             rig.proposeUntilTaken(other, "meanwhile", bans("x"));
--- a/src/test/java/laneflow/transcripts/MaintenanceTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/MaintenanceTranscriptsTest.java
@@ -76,7 +76,7 @@
     }
 
     private static String get(int port, String path) throws IOException {
-        try (Peer peer = SchedulerHarness.peer("127.0.0.1", port)) {
+        try (Peer peer = SchedulerHarness.connect("127.0.0.1", port)) {
             return peer.write("GET " + path + " HTTP/1.1\r\nHost: f\r\n\r\n").message();
         }
     }
@@ -132,7 +132,8 @@
         }
 
         private void sends(String who, String request) throws IOException {
-            try (RecordedPeer operator = new RecordedPeer(transcript, who, SchedulerHarness.peer("127.0.0.1", fleet))) {
+            try (RecordedPeer operator =
+                    new RecordedPeer(transcript, who, SchedulerHarness.connect("127.0.0.1", fleet))) {
                 operator.write(request).message();
             }
         }
@@ -141,7 +142,7 @@
     /** A client's request and the resulting call at the expected endpoint. */
     private static void served(Transcript transcript, int clients, String id, Endpoint at) throws IOException {
         try (RecordedPeer client =
-                new RecordedPeer(transcript, "client", SchedulerHarness.peer("127.0.0.1", clients))) {
+                new RecordedPeer(transcript, "client", SchedulerHarness.connect("127.0.0.1", clients))) {
             client.post("capture", id, "Req-Owner: shops\r\n", "pay");
             RecordedPeer call = new RecordedPeer(transcript, at.name, at.accept());
             call.message();
--- a/src/test/java/laneflow/transcripts/PolicyTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/PolicyTranscriptsTest.java
@@ -46,7 +46,8 @@
             try (RecordedPeer client = new RecordedPeer(
                     transcript,
                     "client",
-                    SchedulerHarness.peer("127.0.0.1", serve.front().address().getPort()))) {
+                    SchedulerHarness.connect(
+                            "127.0.0.1", serve.front().address().getPort()))) {
                 scenario.run(new Operator(transcript, fleet), client, endpoint);
             }
         } finally {
@@ -56,7 +57,7 @@
     }
 
     private static String raw(int port, String path) throws IOException {
-        try (Peer peer = SchedulerHarness.peer("127.0.0.1", port)) {
+        try (Peer peer = SchedulerHarness.connect("127.0.0.1", port)) {
             return peer.write("GET " + path + " HTTP/1.1\r\nHost: f\r\n\r\n").message();
         }
     }
@@ -97,7 +98,7 @@
 
         private void send(String request) throws IOException {
             try (RecordedPeer operator =
-                    new RecordedPeer(transcript, "operator", SchedulerHarness.peer("127.0.0.1", fleet))) {
+                    new RecordedPeer(transcript, "operator", SchedulerHarness.connect("127.0.0.1", fleet))) {
                 operator.write(request).message();
             }
         }
--- a/src/test/java/laneflow/transcripts/TaskTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/TaskTranscriptsTest.java
@@ -84,7 +84,7 @@
         }
 
         private String raw() throws IOException {
-            try (Peer peer = SchedulerHarness.peer("127.0.0.1", leaderPort)) {
+            try (Peer peer = SchedulerHarness.connect("127.0.0.1", leaderPort)) {
                 return peer.write("GET /tasks HTTP/1.1\r\nHost: f\r\n\r\n").message();
             }
         }
--- a/src/test/resources/laneflow/ops/platform.pl
+++ b/src/test/resources/laneflow/ops/platform.pl
@@ -1,6 +1,6 @@
 # Stands in for the platform in an upgrade: it holds the clients' listening socket and starts processes that
-# inherit it as descriptor 0. Java can't pass a socket on. Each line read is "start OPS" or "end"; it prints the
-# port first, then the number of each process that it started. It ends with its input.
+# inherit it as descriptor 0, which Java can't do. It reads lines "start OPS" or "end", and ends at the end of its
+# input. It prints the port first, then the ID of each process that it has started.
 use strict;
 use IO::Socket::INET;
 
