--- a/src/main/java/laneflow/assembly/Durability.java
+++ b/src/main/java/laneflow/assembly/Durability.java
@@ -49,7 +49,7 @@
     public void begin() throws InterruptedException {
         core.loop().call(() -> {
             jobs.recover(rows, latestMs);
-            core.front().keepIn(jobs);
+            core.front().setDurableJobs(jobs);
             if (core.gearman() != null) {
                 core.gearman().setDurableJobs(jobs);
             }
--- a/src/main/java/laneflow/assembly/FleetSubsystem.java
+++ b/src/main/java/laneflow/assembly/FleetSubsystem.java
@@ -109,7 +109,7 @@
                 "/counters",
                 (verb, path, body, answer) -> core.loop().later(() -> {
                     String traffic = scheduler.counters().text();
-                    control.later(() -> answer.say(200, "text/plain", "", both(traffic)));
+                    control.later(() -> answer.respond(200, "text/plain", "", both(traffic)));
                 })));
         // Outside tests clocks run as they run.
         double clockRate = Double.parseDouble(System.getProperty(CLOCK_RATE, "1"));
@@ -184,7 +184,7 @@
                 () -> new Members.RequestStatus(
                         policy == null ? -1 : policy.policyNumber(),
                         condition(),
-                        scheduler.openRequests() / (double) config.sockets,
+                        scheduler.openRequests() / (double) config.maxSockets,
                         served(scheduler)),
                 reading,
                 seed));
@@ -275,7 +275,7 @@
     @Override
     public void begin() throws InterruptedException {
         if (tellsPolicy) {
-            core.loop().call(() -> core.front().tellVersions(policy::versionOfEpoch));
+            core.loop().call(() -> core.front().setVersionHeaders(policy::versionOfEpoch));
         }
         if (hooks != null) {
             control.call(hooks::begin);
--- a/src/main/java/laneflow/assembly/Serve.java
+++ b/src/main/java/laneflow/assembly/Serve.java
@@ -84,23 +84,23 @@
     public Serve(Setup setup, ProcessEnvironment around) throws IOException, InterruptedException {
         Config config = setup.config();
         GearmanConfig gearmanConfig = setup.gearman();
-        loop = new Loop(config.sockets);
+        loop = new Loop(config.maxSockets);
         scheduler = new Scheduler(config.settings, config.seed, loop, loop.deadlines(), counters);
-        HttpConnector connector = new HttpConnector(loop, scheduler, config.connIdle);
+        HttpConnector connector = new HttpConnector(loop, scheduler, config.idleConnectionSeconds);
         front = new HttpFront(loop, scheduler, config.classNames);
-        watch = config.discovery == null ? null : new DiscoveryWatch(loop, scheduler, connector, config);
+        watch = config.discoveryAddress == null ? null : new DiscoveryWatch(loop, scheduler, connector, config);
         gearman = gearmanConfig == null ? null : new GearmanFront(loop, scheduler, gearmanConfig, config.seed);
         subsystems =
                 new Subsystems(setup, new Subsystems.Core(loop, scheduler, connector, front, gearman, around.passed()));
         loop.call(() -> {
-            scheduler.start(connector, config.known.entries);
+            scheduler.start(connector, config.lastKnown.entries);
             if (watch != null) {
-                watch.begin();
+                watch.startWatch();
             }
             readyAtLatest = loop.micros() + READY_AT_LATEST;
-            front.readyWhen(this::isReady);
+            front.setReadiness(this::isReady);
         });
-        String ops = around.ops() != null ? around.ops() : config.ops;
+        String ops = around.ops() != null ? around.ops() : config.opsAddress;
         operations = ops == null && !around.passed()
                 ? null
                 : new Operations(
@@ -111,11 +111,11 @@
                         around.passed(),
                         new Operations.Served(this::serves, () -> stopping, this::replaced));
         if (gearman != null) {
-            connector.mostBody(gearmanConfig.maxBodyBytes);
+            connector.raiseMaxBody(gearmanConfig.maxBodyBytes);
         }
         subsystems.begin();
         if (around.passed()) {
-            front.listenPassed();
+            front.listenOnPassedSocket();
             operations.begin(front);
         } else {
             front.listen(Loop.address(config.listen));
@@ -140,7 +140,8 @@
 
     private boolean knowsEndpoints() {
         return watch == null
-                || watch.hasLooked() && (scheduler.endpoints().size() > 0 || counters.get("discovery.lists") > 0);
+                || watch.isStartupWaitOver()
+                        && (scheduler.endpoints().size() > 0 || counters.get("discovery.lists") > 0);
     }
 
     /**
@@ -214,13 +215,13 @@
      */
     public void reload(Source source) {
         try {
-            String discovery = source.read().config().discovery;
+            String discovery = source.read().config().discoveryAddress;
             if (watch == null || discovery == null) {
                 LOG.warn("read again: there is no discovery to follow, nothing changes");
                 return;
             }
             Loop.address(discovery);
-            loop.later(() -> watch.follow(discovery));
+            loop.later(() -> watch.moveTo(discovery));
         } catch (IOException | WireException | RuntimeException e) {
             LOG.warn("the configuration stays as it was: {}", e.getMessage());
         }
@@ -309,7 +310,7 @@
     private void giveUp(long since) {
         subsystems.letGo();
         // What is read behind an answer that is given now would be unanswered at the kill.
-        front.refuseFurther();
+        front.refuseNewRequests();
         scheduler.abandonSince(since);
     }
 
@@ -330,11 +331,11 @@
     }
 
     private void drainedYet() {
-        boolean alone = leaving || front.isAlone() && gearman == null;
+        boolean alone = leaving || front.hasNoClients() && gearman == null;
         if (alone
                 && !subsystems.isOwed()
                 && scheduler.openRequests() == 0
-                && front.busy() == 0
+                && front.busyConnections() == 0
                 && (gearman == null || gearman.unflushedConnections() == 0)) {
             drained.countDown();
         } else {
--- a/src/main/java/laneflow/assembly/Setup.java
+++ b/src/main/java/laneflow/assembly/Setup.java
@@ -96,7 +96,7 @@
         JsonObject all = operators.platform();
         Map<String, String> fixed = new HashMap<>();
         if (platform != null) {
-            JsonObject named = Config.object(platform);
+            JsonObject named = Config.readJson(platform);
             JsonObject settings = named.has("settings") ? named.getAsJsonObject("settings") : new JsonObject();
             if (settings.has("classes")) {
                 fixed.put("classes", PLATFORM);
@@ -114,7 +114,7 @@
             fixed.put("destinations", "discovery names the endpoints here");
         }
         if (destinations != null) {
-            Config.fixDestinations(all, destinations);
+            Config.setDestinations(all, destinations);
         }
         JsonObject settings = all.getAsJsonObject("settings");
         if (!all.has("listen")) {
--- a/src/main/java/laneflow/assembly/Streaming.java
+++ b/src/main/java/laneflow/assembly/Streaming.java
@@ -75,14 +75,14 @@
         core.loop().call(() -> {
             ControlClient client = new ControlClient(core.loop(), core.scheduler(), config, around, types);
             setup.notStreamed().forEach(client::rejectType);
-            BiConsumer<String, Supplier<String>> reports = port == null ? core.front()::report : port::report;
+            BiConsumer<String, Supplier<String>> reports = port == null ? core.front()::addReport : port::addReport;
             reports.accept("/config", client::report);
             reports.accept("/config/history", client::history);
             if (port != null) {
-                port.report("/counters", core.scheduler().counters()::text);
+                port.addReport("/counters", core.scheduler().counters()::text);
             }
             if (config.tellVersions) {
-                core.front().tellVersions(client::versions);
+                core.front().setVersionHeaders(client::versions);
             }
             kept.forEach(client::startFrom);
             client.begin();
--- a/src/main/java/laneflow/capacity/CapacitySubsystem.java
+++ b/src/main/java/laneflow/capacity/CapacitySubsystem.java
@@ -85,9 +85,10 @@
         members.setPayloadHandler(this);
         fleet.serve(PATH, (verb, path, body, answer) -> {
             if (verb.equals("GET") && path.equals(PATH)) {
-                answer.say(200, "application/json", "", status() + "\n");
+                answer.respond(200, "application/json", "", status() + "\n");
             } else {
-                answer.say(verb.equals("GET") ? 404 : 405, "text/plain", "", "only GET " + PATH + " is supported\n");
+                answer.respond(
+                        verb.equals("GET") ? 404 : 405, "text/plain", "", "only GET " + PATH + " is supported\n");
             }
         });
         sendRound();
--- a/src/main/java/laneflow/control/ControlClient.java
+++ b/src/main/java/laneflow/control/ControlClient.java
@@ -38,7 +38,7 @@
  * thread; a version is adopted as a whole within one turn of the event loop. If no service is reachable, the
  * last good versions stay in use indefinitely. Runs on the loop's thread, except for reading and file I/O.
  */
-public final class ControlClient implements LineStream.Reader {
+public final class ControlClient implements LineStream.Listener {
     /** The type of messages that carry the control group's counts; they are not acknowledged. */
     public static final String GROUP = ResourceType.PREFIX + "group";
     /** The type of messages that report this scheduler's counts to the service at intervals. */
@@ -194,7 +194,7 @@
     }
 
     @Override
-    public void up() {
+    public void onOpen() {
         isUp = true;
         for (TypeRun run : types.values()) {
             JsonObject first = request(run);
@@ -204,7 +204,7 @@
     }
 
     @Override
-    public void over(String why) {
+    public void onClose(String why) {
         isUp = false;
         // Full jitter, so that schedulers that lost a service together do not reconnect together.
         long cap = Math.min(config.longestBackoff, FIRST_BACKOFF_US << Math.min(20, failures++));
@@ -215,12 +215,12 @@
     }
 
     @Override
-    public void line(byte[] text) {
+    public void onLine(byte[] text) {
         waiting.add(text);
         waitingBytes += text.length;
         if (waiting.size() > MAX_WAITING_LINES || waitingBytes > 2L * config.mostLine) {
             paused = true;
-            stream.hold();
+            stream.pauseReading();
         }
         readNext();
     }
@@ -235,7 +235,7 @@
         waitingBytes -= text.length;
         if (paused && waiting.size() < MAX_WAITING_LINES / 2 && waitingBytes <= config.mostLine) {
             paused = false;
-            stream.resume();
+            stream.resumeReading();
         }
         int streamGeneration = generation;
         reading.execute(() -> {
@@ -272,7 +272,7 @@
             // A garbled line has no nonce to reply to, so the stream is restarted.
             counters.add("config.garbled");
             stream.close();
-            over("a line that is no JSON object");
+            onClose("a line that is no JSON object");
             done();
             return;
         }
--- a/src/main/java/laneflow/control/SettingTypes.java
+++ b/src/main/java/laneflow/control/SettingTypes.java
@@ -171,7 +171,7 @@
         int maxAttempts = settings.maxAttempts;
         boolean retryAfter = settings.retryAfter;
         double maxRetryAfter = settings.maxRetryAfter;
-        int sockets = runs.sockets;
+        int sockets = runs.maxSockets;
         Adopting base = () -> {
             settings.maxAttempts = maxAttempts;
             settings.retryAfter = retryAfter;
@@ -223,7 +223,7 @@
                         || limits.get("probes").getAsBoolean() != settings.mayProbe) {
                     needRestart.add("cancel and probes: from the next start on");
                 }
-                if (limits.get("connIdle").getAsDouble() != runs.connIdle) {
+                if (limits.get("connIdle").getAsDouble() != runs.idleConnectionSeconds) {
                     needRestart.add("endpoint_idle_ms: from the next start on");
                 }
                 return needRestart;
--- a/src/main/java/laneflow/fleet/Fleet.java
+++ b/src/main/java/laneflow/fleet/Fleet.java
@@ -52,7 +52,7 @@
 
     /** Handles an ordinary HTTP request; answers it exactly once. */
     public interface RequestHandler {
-        void answer(String verb, String path, byte[] body, StreamPort.Answer answer);
+        void answer(String verb, String path, byte[] body, StreamPort.Responder answer);
     }
 
     /**
@@ -95,7 +95,7 @@
         this.counters = counters;
         random = new SplittableRandom(seed);
         heartbeat = loop.deadlines().create(this::sendHeartbeats);
-        port = new StreamPort(loop, PATH, token, config.silenceTimeout, MAX_LINE_BYTES, new Host());
+        port = new StreamPort(loop, PATH, token, config.silenceTimeout, MAX_LINE_BYTES, new PortHandler());
     }
 
     public Self self() {
@@ -230,7 +230,7 @@
     }
 
     /** This end of a link, whichever end dialled. */
-    private abstract class Link implements Peer, LineStream.Reader {
+    private abstract class Link implements Peer, LineStream.Listener {
         private String name = "";
         private String instance = "";
         private int version;
@@ -294,7 +294,7 @@
         }
 
         @Override
-        public void line(byte[] text) {
+        public void onLine(byte[] text) {
             JsonObject message;
             try {
                 message = JsonParser.parseString(new String(text, StandardCharsets.UTF_8))
@@ -374,7 +374,7 @@
         }
 
         @Override
-        public void over(String why) {
+        public void onClose(String why) {
             end(why);
         }
     }
@@ -408,7 +408,7 @@
         }
 
         @Override
-        public void up() {
+        public void onOpen() {
             super.open = true;
             sendHello();
             scheduleHeartbeat();
@@ -420,8 +420,8 @@
         }
 
         @Override
-        public void line(byte[] text) {
-            super.line(text);
+        public void onLine(byte[] text) {
+            super.onLine(text);
             if (isUp() && !name().equals(expectedName)) {
                 LOG.error("fleet: the scheduler at {} is {}, configured as {}", address, name(), expectedName);
                 end("unexpected name");
@@ -473,7 +473,7 @@
         }
 
         @Override
-        public void up() {
+        public void onOpen() {
             // The dialling end sends its hello first.
         }
 
@@ -489,21 +489,21 @@
         }
     }
 
-    private final class Host implements StreamPort.Host {
+    private final class PortHandler implements StreamPort.Handler {
         @Override
-        public LineStream.Reader begun(StreamPort.Stream stream) {
+        public LineStream.Listener streamOpened(StreamPort.Stream stream) {
             return new Accepted(stream);
         }
 
         @Override
-        public void asked(String verb, String path, byte[] body, StreamPort.Answer answer) {
+        public void handleRequest(String verb, String path, byte[] body, StreamPort.Responder answer) {
             for (Map.Entry<String, RequestHandler> entry : requestHandlers.entrySet()) {
                 if (path.startsWith(entry.getKey())) {
                     entry.getValue().answer(verb, path, body, answer);
                     return;
                 }
             }
-            answer.say(
+            answer.respond(
                     404,
                     "text/plain",
                     "",
--- a/src/main/java/laneflow/http/Config.java
+++ b/src/main/java/laneflow/http/Config.java
@@ -26,17 +26,17 @@
 
     public final String listen;
     /** The second address, where on-call staff call in; null where there is none. */
-    public final String ops;
+    public final String opsAddress;
     /** Discovery's address, or null where there is none. */
-    public final String discovery;
+    public final String discoveryAddress;
 
     public final long seed;
-    public final int sockets;
+    public final int maxSockets;
     public final Settings settings;
     public final String[] classNames;
-    public final double connIdle;
+    public final double idleConnectionSeconds;
     /** The destination set last held. */
-    public final Listing known;
+    public final Listing lastKnown;
 
     public final List<String> zones;
     private final List<String> kinds;
@@ -62,35 +62,35 @@
             classNames[i] = text(classes.get(i).getAsJsonObject(), "name", String.valueOf(i));
         }
         JsonObject limits = from.has("limits") ? from.getAsJsonObject("limits") : new JsonObject();
-        connIdle = limits.has("connIdle") ? limits.get("connIdle").getAsDouble() : CONN_IDLE;
+        idleConnectionSeconds = limits.has("connIdle") ? limits.get("connIdle").getAsDouble() : CONN_IDLE;
         name = text(root, "name", "");
         listen = text(root, "listen", null);
-        ops = text(root, "ops", null);
-        discovery = text(root, "discovery", null);
+        opsAddress = text(root, "ops", null);
+        discoveryAddress = text(root, "discovery", null);
         seed = seed(text(root, "seed", "0"));
         JsonObject own = root.has("limits") ? root.getAsJsonObject("limits") : new JsonObject();
-        sockets = own.has("sockets") ? own.get("sockets").getAsInt() : SOCKETS;
-        known = root.has("known") && root.get("known").isJsonObject()
+        maxSockets = own.has("sockets") ? own.get("sockets").getAsInt() : SOCKETS;
+        lastKnown = root.has("known") && root.get("known").isJsonObject()
                 ? listing(root.getAsJsonObject("known"))
                 : new Listing();
     }
 
     /** Reads the file; a destination set beside it, unless null, stands in for discovery. */
     public static Config read(Path file, Path destinations) throws IOException, WireException {
-        JsonObject root = object(file);
+        JsonObject root = readJson(file);
         if (destinations != null) {
-            fixDestinations(root, destinations);
+            setDestinations(root, destinations);
         }
         return parse(root.toString());
     }
 
     /** The file's object, as it stands. */
-    public static JsonObject object(Path file) throws IOException, WireException {
+    public static JsonObject readJson(Path file) throws IOException, WireException {
         return object(Files.readString(file), "the configuration");
     }
 
     /** Puts a destination set in place of discovery. */
-    public static void fixDestinations(JsonObject root, Path destinations) throws IOException, WireException {
+    public static void setDestinations(JsonObject root, Path destinations) throws IOException, WireException {
         root.add("known", object(Files.readString(destinations), destinations.toString()));
         root.remove("discovery");
     }
--- a/src/main/java/laneflow/http/DiscoveryWatch.java
+++ b/src/main/java/laneflow/http/DiscoveryWatch.java
@@ -82,15 +82,15 @@
         this.scheduler = scheduler;
         this.connector = connector;
         this.config = config;
-        address = config.discovery;
-        seq = config.known.seq;
+        address = config.discoveryAddress;
+        seq = config.lastKnown.seq;
         random = new SplittableRandom(config.seed);
         asked = config.settings.listNeedsSubscription;
         timer = loop.deadlines().create(this::due);
     }
 
     /** True once it has spoken, or would have if there were anything to hear: clients may be asked for. */
-    public boolean hasLooked() {
+    public boolean isStartupWaitOver() {
         return asked || loop.micros() >= lookedAt;
     }
 
@@ -100,7 +100,7 @@
 
     private void due() {
         if (current.link.isClosed()) {
-            begin();
+            startWatch();
         } else {
             current.late();
         }
@@ -126,7 +126,7 @@
     }
 
     /** Begins a watch, in place of the one there is. */
-    public void begin() {
+    public void startWatch() {
         if (current != null && current != former && current != silent) {
             current.link.close();
         }
@@ -137,7 +137,7 @@
     }
 
     /** Discovery is elsewhere now. The new address owes its whole list, whatever the old one told last. */
-    public void follow(String to) {
+    public void moveTo(String to) {
         if (to.equals(address)) {
             return;
         }
@@ -150,7 +150,7 @@
         address = to;
         seq = 0;
         vain = 0;
-        begin();
+        startWatch();
     }
 
     private void dropFormer() {
@@ -209,7 +209,7 @@
                 if (silent == null) {
                     silent = this;
                 }
-                begin();
+                startWatch();
             } else {
                 over();
             }
--- a/src/main/java/laneflow/http/HttpConnector.java
+++ b/src/main/java/laneflow/http/HttpConnector.java
@@ -41,7 +41,7 @@
     }
 
     /** Requests of another front may be longer than this wire's own. */
-    public void mostBody(int bytes) {
+    public void raiseMaxBody(int bytes) {
         outRing = Math.max(outRing, Integer.highestOneBit(bytes + HEAD) << 1);
     }
 
--- a/src/main/java/laneflow/http/HttpFront.java
+++ b/src/main/java/laneflow/http/HttpFront.java
@@ -60,7 +60,7 @@
     }
 
     /** Until this holds no clients are asked for. */
-    public void readyWhen(BooleanSupplier condition) {
+    public void setReadiness(BooleanSupplier condition) {
         ready = condition;
     }
 
@@ -77,13 +77,13 @@
     }
 
     /** Takes clients from the listening socket that was passed to this process, once told to. */
-    public void listenPassed() throws IOException {
+    public void listenOnPassedSocket() throws IOException {
         listener = loop.listenPassed(IN_RING, OUT_RING, this::makeRoom, () -> new Client(this, ++came));
         LOG.info("clients at {}, a socket that was passed", listener.address());
     }
 
     /** Takes clients from a socket that was passed, or leaves them to other processes. */
-    public void accept(boolean on) {
+    public void setAccepting(boolean on) {
         if (on) {
             listener.begin();
         } else {
@@ -126,7 +126,7 @@
     }
 
     /** True if nobody is connected. */
-    public boolean isAlone() {
+    public boolean hasNoClients() {
         return clients.size() == 0;
     }
 
@@ -135,12 +135,12 @@
      * is idle or has not begun ends at once.
      */
     public void drain() {
-        sendAway(true);
+        closeAfterResponses(true);
         closeIdle(0, 0);
     }
 
     /** While this holds each answer closes its connection. */
-    public void sendAway(boolean away) {
+    public void closeAfterResponses(boolean away) {
         draining = away;
     }
 
@@ -157,12 +157,12 @@
     }
 
     /** From now on each request is refused at once: there is no time left in which it could be served. */
-    public void refuseFurther() {
+    public void refuseNewRequests() {
         refusing = true;
     }
 
     /** Connections whose answer is not wholly written yet, or on which a request is coming in. */
-    public int busy() {
+    public int busyConnections() {
         int[] busy = new int[1];
         clients.forEach(client -> busy[0] += client.isBusy() ? 1 : 0);
         return busy[0];
@@ -188,17 +188,17 @@
     }
 
     /** Jobs of clients that ask so are kept there. */
-    public void keepIn(DurableJobService keeper) {
+    public void setDurableJobs(DurableJobService keeper) {
         kept = new KeptJobs(keeper);
     }
 
     /** Answers GET on that path with what the supplier says then, as JSON. */
-    public void report(String path, Supplier<String> text) {
+    public void addReport(String path, Supplier<String> text) {
         reports.put(path, text);
     }
 
     /** Answers carry what this says of the epoch that their requests came under, unless it is empty. */
-    public void tellVersions(IntFunction<String> of) {
+    public void setVersionHeaders(IntFunction<String> of) {
         versions = of;
     }
 
--- a/src/main/java/laneflow/http/LineStream.java
+++ b/src/main/java/laneflow/http/LineStream.java
@@ -16,19 +16,19 @@
     private static final int OUT_RING = 1 << 20;
 
     /** Who reads the lines. */
-    public interface Reader {
+    public interface Listener {
         /** The other side has answered 200. */
-        void up();
+        void onOpen();
 
         /** A line that is not empty, without its end, in UTF-8. */
-        void line(byte[] text);
+        void onLine(byte[] text);
 
         /** It is over; told once, and nothing after it. */
-        void over(String why);
+        void onClose(String why);
     }
 
     private final Loop loop;
-    private final Reader reader;
+    private final Listener reader;
     private final HttpReader http = new HttpReader(true, this);
     private final Lines lines;
     private final Deadline timer;
@@ -53,7 +53,7 @@
             long connect,
             long silence,
             int mostLine,
-            Reader reader) {
+            Listener reader) {
         this.loop = loop;
         this.reader = reader;
         this.silence = silence;
@@ -75,13 +75,13 @@
         return true;
     }
 
-    /** Reads no more until {@link #resume}: what came is not yet worked off. Silence is not counted then. */
-    public void hold() {
+    /** Reads no more until {@link #resumeReading}: what came is not yet worked off. Silence is not counted then. */
+    public void pauseReading() {
         loop.deadlines().cancel(timer);
         link.holdReads();
     }
 
-    public void resume() {
+    public void resumeReading() {
         if (!over) {
             loop.deadlines().set(timer, loop.micros() + silence);
             link.resumeReads();
@@ -98,7 +98,7 @@
     private void end(String why) {
         if (!over) {
             close();
-            reader.over(why);
+            reader.onClose(why);
         }
     }
 
@@ -137,14 +137,14 @@
         if (received.status() != 200) {
             throw new HttpException(received.status(), "answered " + received.status());
         }
-        reader.up();
+        reader.onOpen();
     }
 
     @Override
     public void body(byte[] bytes) throws HttpException {
         lines.take(bytes, text -> {
             if (!over) {
-                reader.line(text);
+                reader.onLine(text);
             }
         });
     }
--- a/src/main/java/laneflow/http/OperatorPort.java
+++ b/src/main/java/laneflow/http/OperatorPort.java
@@ -35,7 +35,7 @@
     }
 
     /** Answers GET on that path with what the supplier says then, as JSON. */
-    public void report(String path, Supplier<String> text) {
+    public void addReport(String path, Supplier<String> text) {
         reports.put(path, text);
     }
 
--- a/src/main/java/laneflow/http/StreamPort.java
+++ b/src/main/java/laneflow/http/StreamPort.java
@@ -25,18 +25,18 @@
     private static final long WITHIN = 60_000_000;
 
     /** What is done with those that come. */
-    public interface Host {
+    public interface Handler {
         /** A stream has begun; its lines go to the reader that is returned. */
-        LineStream.Reader begun(Stream stream);
+        LineStream.Listener streamOpened(Stream stream);
 
         /** A request that is no stream; answered once, now or later. */
-        void asked(String verb, String path, byte[] body, Answer answer);
+        void handleRequest(String verb, String path, byte[] body, Responder answer);
     }
 
     /** Answers a request; of a peer that has left meanwhile nothing is heard. */
-    public interface Answer {
+    public interface Responder {
         /** @param type the content's, such as {@code application/json} */
-        void say(int status, String type, String headers, String text);
+        void respond(int status, String type, String headers, String text);
     }
 
     private final Loop loop;
@@ -44,7 +44,7 @@
     private final String token;
     private final long silence;
     private final int mostLine;
-    private final Host host;
+    private final Handler host;
     private Loop.Listener listener;
 
     /**
@@ -55,7 +55,7 @@
      * @param silence microseconds without a byte after which a stream counts as dead
      * @param mostLine bytes of the longest line taken
      */
-    public StreamPort(Loop loop, String path, String token, long silence, int mostLine, Host host) {
+    public StreamPort(Loop loop, String path, String token, long silence, int mostLine, Handler host) {
         this.loop = loop;
         this.path = path;
         this.token = token;
@@ -90,7 +90,7 @@
         private final Deadline timer = loop.deadlines().create(() -> over("nothing was heard in time"));
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private Lines lines;
-        private LineStream.Reader to;
+        private LineStream.Listener to;
         private Link link;
         private HttpHead head;
         private boolean answered;
@@ -106,7 +106,7 @@
             if (!over) {
                 close();
                 if (to != null) {
-                    to.over(why);
+                    to.onClose(why);
                 }
             }
         }
@@ -125,7 +125,7 @@
                 } else if (reader.isDone() && !answered) {
                     answered = true;
                     loop.deadlines().set(timer, loop.micros() + WITHIN);
-                    host.asked(head.first, head.second, body.toByteArray(), this::say);
+                    host.handleRequest(head.first, head.second, body.toByteArray(), this::say);
                 }
             } catch (HttpException e) {
                 if (to != null) {
@@ -164,7 +164,7 @@
                         .getBytes(StandardCharsets.US_ASCII));
                 link.out.put("Transfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
                 lines = new Lines(mostLine);
-                to = host.begun(this);
+                to = host.streamOpened(this);
             }
         }
 
@@ -173,7 +173,7 @@
             if (to != null) {
                 lines.take(bytes, text -> {
                     if (!over) {
-                        to.line(text);
+                        to.onLine(text);
                     }
                 });
                 return;
--- a/src/main/java/laneflow/maintenance/MaintenanceApi.java
+++ b/src/main/java/laneflow/maintenance/MaintenanceApi.java
@@ -13,7 +13,7 @@
 import java.util.function.Consumer;
 import laneflow.config.Findings;
 import laneflow.fleet.Fleet;
-import laneflow.http.StreamPort.Answer;
+import laneflow.http.StreamPort.Responder;
 import laneflow.maintenance.decision.MaintenanceJson;
 import laneflow.maintenance.decision.Request;
 import laneflow.maintenance.decision.WindowLedger;
@@ -61,7 +61,7 @@
         fleet.serve(PATH, this::handle);
     }
 
-    private void handle(String method, String path, byte[] body, Answer answer) {
+    private void handle(String method, String path, byte[] body, Responder answer) {
         boolean post = method.equals("POST");
         if (path.equals(PATH) && method.equals("GET")) {
             atLeader(path, answer, () -> show(answer));
@@ -71,7 +71,7 @@
             String name = path.substring(WINDOWS.length());
             atLeader(path, answer, () -> order(name, body, answer));
         } else {
-            answer.say(
+            answer.respond(
                     method.equals("GET") || post ? 404 : 405,
                     TEXT,
                     "",
@@ -79,7 +79,7 @@
         }
     }
 
-    private void atLeader(String path, Answer answer, Runnable then) {
+    private void atLeader(String path, Responder answer, Runnable then) {
         Context context = extension.context();
         if (context.isLeader()) {
             then.run();
@@ -88,11 +88,11 @@
         LeaderRedirect.answer(fleet, context.leader(), path, answer, ASK_AGAIN);
     }
 
-    private void answerUnavailable(Answer answer) {
+    private void answerUnavailable(Responder answer) {
         LeaderRedirect.unavailable(answer, ASK_AGAIN);
     }
 
-    private void read(Answer answer, Consumer<WindowLedger.View> then) {
+    private void read(Responder answer, Consumer<WindowLedger.View> then) {
         extension.context().read(WindowLedger.NAME, found -> {
             if (found == null) {
                 answerUnavailable(answer);
@@ -104,7 +104,7 @@
 
     // ---- showing ----
 
-    private void show(Answer answer) {
+    private void show(Responder answer) {
         read(answer, view -> {
             JsonObject all = new JsonObject();
             all.addProperty("scheduler", fleet.self().name());
@@ -120,7 +120,7 @@
             JsonArray windows = new JsonArray();
             view.windows().all().forEach(one -> windows.add(describe(one)));
             all.add("windows", windows);
-            answer.say(200, JSON, "", all + "\n");
+            answer.respond(200, JSON, "", all + "\n");
         });
     }
 
@@ -152,9 +152,9 @@
         }
     }
 
-    private void request(byte[] body, Answer answer) {
+    private void request(byte[] body, Responder answer) {
         if (config == null) {
-            answer.say(
+            answer.respond(
                     409,
                     TEXT,
                     "",
@@ -164,7 +164,7 @@
         JsonObject asked = object(body);
         JsonElement list = asked == null ? null : asked.get("requests");
         if (list == null || !list.isJsonArray()) {
-            answer.say(400, TEXT, "", "an object with 'requests', a list, and perhaps 'dry_run'\n");
+            answer.respond(400, TEXT, "", "an object with 'requests', a list, and perhaps 'dry_run'\n");
             return;
         }
         boolean dryRun = asked.has("dry_run")
@@ -173,7 +173,7 @@
         Findings findings = Findings.paths();
         List<Request> requests = RequestReader.read(list.getAsJsonArray(), config.rackNames(), findings);
         if (!findings.isEmpty()) {
-            answer.say(400, TEXT, "", String.join("\n", findings.all()) + "\n");
+            answer.respond(400, TEXT, "", String.join("\n", findings.all()) + "\n");
         } else if (dryRun) {
             read(answer, view -> dryRun(view, requests, answer));
         } else {
@@ -189,17 +189,17 @@
         }
     }
 
-    private static void sendWindows(JsonArray windows, Answer answer) {
+    private static void sendWindows(JsonArray windows, Responder answer) {
         JsonObject all = new JsonObject();
         all.add("windows", windows);
-        answer.say(200, JSON, "", all + "\n");
+        answer.respond(200, JSON, "", all + "\n");
     }
 
-    private void dryRun(WindowLedger.View view, List<Request> requests, Answer answer) {
+    private void dryRun(WindowLedger.View view, List<Request> requests, Responder answer) {
         for (Request request : requests) {
             Window known = view.windows().window(request.name());
             if (known != null && !known.request().equals(request)) {
-                answer.say(409, TEXT, "", "the name '" + request.name() + "' is that of another request\n");
+                answer.respond(409, TEXT, "", "the name '" + request.name() + "' is that of another request\n");
                 return;
             }
         }
@@ -214,7 +214,7 @@
                 try {
                     found = planning.dryRun(snapshot, requests, System.currentTimeMillis());
                 } catch (RuntimeException e) {
-                    loop.later(() -> answer.say(500, TEXT, "", "planning failed: " + e + "\n"));
+                    loop.later(() -> answer.respond(500, TEXT, "", "planning failed: " + e + "\n"));
                     return;
                 }
                 loop.later(() -> sendWindows(found, answer));
@@ -226,7 +226,7 @@
 
     // ---- crews and owners ----
 
-    private void order(String name, byte[] body, Answer answer) {
+    private void order(String name, byte[] body, Responder answer) {
         JsonObject asked = object(body);
         String what = asked == null || !asked.has("do") || !asked.get("do").isJsonPrimitive()
                 ? ""
@@ -238,13 +238,13 @@
             default -> null;
         };
         if (op == null) {
-            answer.say(400, TEXT, "", "an object with 'do': begin, finish or abort\n");
+            answer.respond(400, TEXT, "", "an object with 'do': begin, finish or abort\n");
             return;
         }
         read(answer, view -> {
             Window window = view.windows().window(name);
             if (window == null) {
-                answer.say(404, TEXT, "", "there is no window '" + name + "'\n");
+                answer.respond(404, TEXT, "", "there is no window '" + name + "'\n");
                 return;
             }
             replicate(WindowLedger.partOp(op), answer, found -> {
@@ -252,17 +252,17 @@
                 described.addProperty("name", name);
                 described.add("state", found.get("state"));
                 described.add("steps", found.get("steps"));
-                answer.say(200, JSON, "", described + "\n");
+                answer.respond(200, JSON, "", described + "\n");
             });
         });
     }
 
-    private void replicate(JsonObject op, Answer answer, Consumer<JsonObject> then) {
+    private void replicate(JsonObject op, Responder answer, Consumer<JsonObject> then) {
         extension.context().replicate(op, found -> {
             if (found == null) {
                 answerUnavailable(answer);
             } else if (found.has("error")) {
-                answer.say(409, TEXT, "", found.get("error").getAsString() + "\n");
+                answer.respond(409, TEXT, "", found.get("error").getAsString() + "\n");
             } else {
                 then.accept(found);
             }
--- a/src/main/java/laneflow/membership/Members.java
+++ b/src/main/java/laneflow/membership/Members.java
@@ -221,9 +221,9 @@
             dependencies.fleet().handle(RECORDS_MESSAGE_TYPE, this::receiveRecords);
             dependencies.fleet().serve("/fleet", (verb, path, body, answer) -> {
                 if (verb.equals("GET") && path.equals("/fleet")) {
-                    answer.say(200, "application/json", "", report() + "\n");
+                    answer.respond(200, "application/json", "", report() + "\n");
                 } else {
-                    answer.say(verb.equals("GET") ? 404 : 405, "text/plain", "", "known is GET /fleet\n");
+                    answer.respond(verb.equals("GET") ? 404 : 405, "text/plain", "", "known is GET /fleet\n");
                 }
             });
             dependencies.fleet().setDescriber(this::memberState);
--- a/src/main/java/laneflow/ops/Drain.java
+++ b/src/main/java/laneflow/ops/Drain.java
@@ -54,7 +54,7 @@
     /** Either begins anew with its first wait; without both every part is undone. */
     private void changed() {
         since = loop.micros();
-        front.sendAway(ordered || handed);
+        front.closeAfterResponses(ordered || handed);
         if (ordered || handed) {
             loop.deadlines().set(timer, since + IDLE_FROM);
         } else {
--- a/src/main/java/laneflow/ops/Operations.java
+++ b/src/main/java/laneflow/ops/Operations.java
@@ -86,7 +86,7 @@
         if (succession != null) {
             succession.begin();
         } else {
-            front.accept(true);
+            front.setAccepting(true);
         }
     }
 
--- a/src/main/java/laneflow/ops/Succession.java
+++ b/src/main/java/laneflow/ops/Succession.java
@@ -92,7 +92,7 @@
     void begin() {
         if (handover.isAlone()) {
             // Nobody else would answer those who ask whether it is ready.
-            front.accept(true);
+            front.setAccepting(true);
         }
         loop.later(this::look);
     }
@@ -103,7 +103,7 @@
             handover.serving(now);
         }
         handover.tick(now);
-        if (handover.isSuperseded() && front.isAlone() && scheduler.openRequests() == 0 && drain.isOver(now)) {
+        if (handover.isSuperseded() && front.hasNoClients() && scheduler.openRequests() == 0 && drain.isOver(now)) {
             LOG.info("all clients have gone over to the other process");
             end.run();
             return;
@@ -128,7 +128,7 @@
 
     @Override
     public void accept(boolean on) {
-        front.accept(on);
+        front.setAccepting(on);
     }
 
     @Override
--- a/src/main/java/laneflow/policy/LeaderRedirect.java
+++ b/src/main/java/laneflow/policy/LeaderRedirect.java
@@ -1,7 +1,7 @@
 package laneflow.policy;
 
 import laneflow.fleet.Fleet;
-import laneflow.http.StreamPort.Answer;
+import laneflow.http.StreamPort.Responder;
 
 /** HTTP answers of a scheduler to requests that only the leader can serve. */
 public final class LeaderRedirect {
@@ -18,13 +18,13 @@
      * @param path the path requested, the same at the leader
      * @param retryAdvice what a retry would do, for people
      */
-    public static void answer(Fleet fleet, String leader, String path, Answer answer, String retryAdvice) {
+    public static void answer(Fleet fleet, String leader, String path, Responder answer, String retryAdvice) {
         boolean isOtherNode = !leader.isEmpty() && !leader.equals(fleet.self().name());
         String address = isOtherNode ? fleet.address(leader) : null;
         if (address == null) {
             unavailable(answer, retryAdvice);
         } else {
-            answer.say(
+            answer.respond(
                     TEMPORARY_REDIRECT,
                     TEXT,
                     "Location: http://" + address + path + "\r\n",
@@ -37,8 +37,8 @@
      *
      * @param retryAdvice what a retry would do, for people
      */
-    public static void unavailable(Answer answer, String retryAdvice) {
-        answer.say(
+    public static void unavailable(Responder answer, String retryAdvice) {
+        answer.respond(
                 UNAVAILABLE,
                 TEXT,
                 "Retry-After: 1\r\n",
--- a/src/main/java/laneflow/policy/PolicyApi.java
+++ b/src/main/java/laneflow/policy/PolicyApi.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import laneflow.core.Counters;
 import laneflow.fleet.Fleet;
-import laneflow.http.StreamPort.Answer;
+import laneflow.http.StreamPort.Responder;
 import laneflow.policy.decision.Change;
 import laneflow.policy.decision.Ledger;
 
@@ -47,10 +47,10 @@
         leadership = ownLeadership;
     }
 
-    private void handle(String verb, String path, byte[] body, Answer answer) {
+    private void handle(String verb, String path, byte[] body, Responder answer) {
         boolean get = verb.equals("GET");
         if (path.equals("/policy") && get) {
-            answer.say(200, JSON, "", policy.report() + "\n");
+            answer.respond(200, JSON, "", policy.report() + "\n");
         } else if (path.equals("/policy/history") && get) {
             atLeader(path, answer, () -> history(answer));
         } else if (path.startsWith(CHANGES + "/") && get) {
@@ -61,7 +61,7 @@
         } else if (path.equals("/policy/voters") && verb.equals("POST")) {
             atLeader(path, answer, () -> changeVoters(body, answer));
         } else {
-            answer.say(
+            answer.respond(
                     get || verb.equals("POST") ? 404 : 405,
                     TEXT,
                     "",
@@ -70,7 +70,7 @@
         }
     }
 
-    private void atLeader(String path, Answer answer, Runnable action) {
+    private void atLeader(String path, Responder answer, Runnable action) {
         if (leadership != null && leadership.isLeader()) {
             action.run();
             return;
@@ -79,11 +79,11 @@
         LeaderRedirect.answer(fleet, leader, path, answer, RETRY_ADVICE);
     }
 
-    private void unavailable(Answer answer) {
+    private void unavailable(Responder answer) {
         LeaderRedirect.unavailable(answer, RETRY_ADVICE);
     }
 
-    private void history(Answer answer) {
+    private void history(Responder answer) {
         leadership.read(
                 ledger -> {
                     JsonArray changes = new JsonArray();
@@ -93,7 +93,7 @@
                 result -> respond(result, answer));
     }
 
-    private void change(String name, Answer answer) {
+    private void change(String name, Responder answer) {
         leadership.read(
                 ledger -> {
                     Change change = ledger.change(name);
@@ -101,37 +101,38 @@
                 },
                 result -> {
                     if (result instanceof JsonObject json && json.size() == 0) {
-                        answer.say(404, TEXT, "", "change '" + name + "' does not exist\n");
+                        answer.respond(404, TEXT, "", "change '" + name + "' does not exist\n");
                     } else {
                         respond(result, answer);
                     }
                 });
     }
 
-    private void respond(Object result, Answer answer) {
+    private void respond(Object result, Responder answer) {
         if (result == null) {
             unavailable(answer);
         } else {
-            answer.say(200, JSON, "", result + "\n");
+            answer.respond(200, JSON, "", result + "\n");
         }
     }
 
-    private void changeVoters(byte[] body, Answer answer) {
+    private void changeVoters(byte[] body, Responder answer) {
         JsonObject request = PolicyAgent.parseObject(body);
         String operation = request == null || request.size() != 1
                 ? ""
                 : request.keySet().iterator().next();
         JsonElement name = request == null ? null : request.get(operation);
         if (name == null || !name.isJsonPrimitive() || !VOTER_OPERATIONS.contains(operation)) {
-            answer.say(400, TEXT, "", "expected an object with one of " + VOTER_OPERATIONS + " and a voter's name\n");
+            answer.respond(
+                    400, TEXT, "", "expected an object with one of " + VOTER_OPERATIONS + " and a voter's name\n");
             return;
         }
         Consumer<String> callback = reason -> {
             if (reason == null) {
-                answer.say(200, JSON, "", request + "\n");
+                answer.respond(200, JSON, "", request + "\n");
             } else {
                 boolean retryable = reason.endsWith(Leadership.RETRY_SUFFIX);
-                answer.say(retryable ? 503 : 409, TEXT, retryable ? "Retry-After: 1\r\n" : "", reason + "\n");
+                answer.respond(retryable ? 503 : 409, TEXT, retryable ? "Retry-After: 1\r\n" : "", reason + "\n");
             }
         };
         if (operation.equals("remove")) {
@@ -141,30 +142,31 @@
         }
     }
 
-    private void propose(byte[] body, Answer answer) {
+    private void propose(byte[] body, Responder answer) {
         JsonObject request = PolicyAgent.parseObject(body);
         JsonElement name = request == null ? null : request.get("name");
         JsonElement types = request == null ? null : request.get("types");
         JsonElement proposerField = request == null ? null : request.get("by");
         if (name == null || !name.isJsonPrimitive() || types == null || !types.isJsonObject()) {
-            answer.say(400, TEXT, "", "expected an object with 'name', a string, and 'types', an object\n");
+            answer.respond(400, TEXT, "", "expected an object with 'name', a string, and 'types', an object\n");
             return;
         }
         String invalid = Ledger.invalidReason(name.getAsString(), types.getAsJsonObject());
         if (invalid != null) {
-            answer.say(400, TEXT, "", invalid + "\n");
+            answer.respond(400, TEXT, "", invalid + "\n");
             return;
         }
         String proposer =
                 proposerField != null && proposerField.isJsonPrimitive() ? proposerField.getAsString() : "an operator";
         if (reservedProposers.contains(proposer)) {
-            answer.say(400, TEXT, "", "by: '" + proposer + "' is reserved for changes that the program makes itself\n");
+            answer.respond(
+                    400, TEXT, "", "by: '" + proposer + "' is reserved for changes that the program makes itself\n");
             return;
         }
         counters.add("policy.proposed");
         Consumer<JsonObject> callback = result -> {
             if (result != null && result.has("error")) {
-                answer.say(409, TEXT, "", result.get("error").getAsString() + "\n");
+                answer.respond(409, TEXT, "", result.get("error").getAsString() + "\n");
             } else {
                 respond(result, answer);
             }
--- a/src/main/java/laneflow/task/Tasks.java
+++ b/src/main/java/laneflow/task/Tasks.java
@@ -58,7 +58,8 @@
         this.counters = counters;
         nextCheck = loop.deadlines().create(this::step);
         fleet.serve(
-                "/tasks", (verb, path, body, response) -> response.say(200, "application/json", "", report() + "\n"));
+                "/tasks",
+                (verb, path, body, response) -> response.respond(200, "application/json", "", report() + "\n"));
     }
 
     /** Current time of the clock that times actions. On any thread. */
--- a/src/test/java/laneflow/config/OperatorFileTest.java
+++ b/src/test/java/laneflow/config/OperatorFileTest.java
@@ -34,7 +34,7 @@
     void exampleFileIsRead() throws Exception {
         Setup setup = Setup.operators(EXAMPLE_FILE, null, null);
         assertEquals("127.0.0.1:8081", setup.config().listen);
-        assertEquals(3, setup.config().known.entries.size());
+        assertEquals(3, setup.config().lastKnown.entries.size());
         assertEquals(Effect.UNSAFE, setup.config().settings.classes[1].effect);
         assertEquals(10, setup.config().settings.classes[2].dedupWindow);
         assertEquals(0.5, setup.config().settings.drainGrace);
@@ -77,7 +77,7 @@
         assertEquals("127.0.0.1:7", setup.config().listen);
         assertEquals("card-capture", setup.config().classNames[0]);
         assertEquals(2, setup.gearman().functions.get("basket_check").jobClass());
-        assertEquals(3, setup.config().known.entries.size());
+        assertEquals(3, setup.config().lastKnown.entries.size());
     }
 
     @Test
--- a/src/test/java/laneflow/control/ControlTypesStoryTest.java
+++ b/src/test/java/laneflow/control/ControlTypesStoryTest.java
@@ -444,7 +444,7 @@
         new LastGood(folder, "classes")
                 .write(new LastGood.SavedVersion("type.laneflow/classes", new Version(2, "aa"), 1, classes));
         Setup setup = Setup.operators(file, null, null);
-        assertEquals(512, setup.config().sockets);
+        assertEquals(512, setup.config().maxSockets);
         assertEquals(3, setup.config().settings.maxAttempts);
         assertEquals(List.of("check", "sweep"), List.of(setup.config().classNames));
         assertEquals(0.1, setup.config().settings.classes[0].aim, 1e-9);
--- a/src/test/java/laneflow/fleet/FleetTest.java
+++ b/src/test/java/laneflow/fleet/FleetTest.java
@@ -56,7 +56,7 @@
                 });
                 made[0].serve(
                         "/echo",
-                        (verb, path, body, answer) -> answer.say(
+                        (verb, path, body, answer) -> answer.respond(
                                 200,
                                 "text/plain",
                                 "",
--- a/src/test/java/laneflow/http/ClientStoryTest.java
+++ b/src/test/java/laneflow/http/ClientStoryTest.java
@@ -169,7 +169,7 @@
                     }
                     stand.serve.scheduler().abandonSince(0);
                 });
-                await(stand, () -> stand.serve.front().isAlone());
+                await(stand, () -> stand.serve.front().hasNoClients());
                 assertEquals(1, stand.counter("http.taken"));
                 assertEquals(1, stand.counter("call.sent"));
             }
@@ -191,7 +191,7 @@
                 }
                 client.close();
                 assertTrue(call.ended());
-                await(stand, () -> stand.serve.front().isAlone());
+                await(stand, () -> stand.serve.front().hasNoClients());
                 assertEquals(1, stand.counter("http.withdrawn"));
                 assertEquals(1, stand.counter("http.taken"));
             }
@@ -294,7 +294,7 @@
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Peer client = stand.http()) {
-            await(stand, () -> !stand.serve.front().isAlone());
+            await(stand, () -> !stand.serve.front().hasNoClients());
             inOneTurn(stand, () -> {
                 Thread.sleep(2100);
                 client.write(capture("1"));
@@ -368,7 +368,7 @@
             call.message();
             call.says("{'id':'1','state':'done','result':'" + "x".repeat(200_000) + "'}");
             stand.await("http.served", 1);
-            await(stand, () -> stand.serve.front().busy() == 0);
+            await(stand, () -> stand.serve.front().busyConnections() == 0);
             inOneTurn(stand, () -> stand.serve.front().drain());
             socket.getOutputStream().write(job("2", "").getBytes());
             String answer = new String(socket.getInputStream().readAllBytes());
@@ -412,7 +412,7 @@
             call.message();
             inOneTurn(stand, () -> {
                 stand.serve.front().drain();
-                stand.serve.front().refuseFurther();
+                stand.serve.front().refuseNewRequests();
                 stand.serve.scheduler().abandonSince(0);
             });
             String first = client.message();
@@ -437,7 +437,7 @@
             call.message();
             call.says("{'id':'1','state':'done','result':'" + "x".repeat(200_000) + "'}");
             stand.await("http.served", 1);
-            await(stand, () -> stand.serve.front().busy() == 0);
+            await(stand, () -> stand.serve.front().busyConnections() == 0);
             Thread halt = new Thread(() -> {
                 try {
                     stand.serve.halt();
--- a/src/test/java/laneflow/http/HttpStoryTest.java
+++ b/src/test/java/laneflow/http/HttpStoryTest.java
@@ -372,7 +372,7 @@
             while (left[0] + left[1] > 0) {
                 stand.serve.loop().call(() -> {
                     left[0] = stand.serve.scheduler().openRequests();
-                    left[1] = stand.serve.front().busy();
+                    left[1] = stand.serve.front().busyConnections();
                 });
             }
             // Whatever became of each: taken and withdrawn, or never heard of.
