--- a/src/main/java/laneflow/http/Client.java
+++ b/src/main/java/laneflow/http/ClientConnection.java
@@ -10,21 +10,21 @@
 import org.slf4j.LoggerFactory;
 
 /** One client's connection to the platform's front: its messages one after the other, and their answers. */
-final class Client implements LinkHandler, HttpReader.Sink {
-    private static final Logger LOG = LoggerFactory.getLogger(Client.class);
+final class ClientConnection implements LinkHandler, HttpReader.Sink {
+    private static final Logger LOG = LoggerFactory.getLogger(ClientConnection.class);
     /**
      * From a connection's coming up to its first whole message, and from any later message's first byte to
      * its last. No byte extends it: heads without end and bodies in drops would fill the clients' part.
      */
-    private static final long MESSAGE = 2_000_000;
+    private static final long MESSAGE_TIMEOUT_US = 2_000_000;
     /** A usual client has asked by then. */
-    private static final long NEW = 200_000;
+    private static final long NEW_CONNECTION_US = 200_000;
     /** How long a kept connection may be idle between messages. */
-    private static final long IDLE = 120_000_000;
+    private static final long IDLE_TIMEOUT_US = 120_000_000;
     /** Behind a request's time its answer earns nothing; later than so long behind it, it is lost. */
-    private static final long LOST = 500_000;
+    private static final long LOST_AFTER_US = 500_000;
     /** How long a client may leave an answer unread. */
-    private static final long UNREAD = 10_000_000;
+    private static final long WRITE_TIMEOUT_US = 10_000_000;
 
     private final HttpFront front;
     private final HttpReader reader = new HttpReader(false, this);
@@ -35,70 +35,70 @@
     private HttpHead head;
     private Request request;
     /** A message has begun; at first one is awaited as if it had. */
-    private boolean begun = true;
+    private boolean messageBegun = true;
     /** From a message's end to its answer, also where the core is not asked. */
-    private boolean owes;
+    private boolean responsePending;
 
     private boolean reading;
     /** More than is kept came while an answer was owed: nothing can be read behind what is in the ring. */
-    private boolean sentTooMuch;
+    private boolean inputDropped;
     /** When the present message's last byte came. */
-    private long arrived;
+    private long arrivedAt;
     /**
      * Once its clients are sent away: the running number of the byte behind what had come in then. What
      * begins before it is still answered; negative before that.
      */
-    private long servesUpTo = -1;
+    private long drainOffset = -1;
     /** Something has been answered on it. */
     private boolean answered;
 
-    private long since;
+    private long waitingSince;
     /** Its place among those that came in one turn, and so at one instant. */
-    private final long order;
+    private final long acceptOrder;
 
-    Client(HttpFront front, long order) {
+    ClientConnection(HttpFront front, long acceptOrder) {
         this.front = front;
-        this.order = order;
-        timer = front.loop.deadlines().create(this::late);
+        this.acceptOrder = acceptOrder;
+        timer = front.loop.deadlines().create(this::onTimeout);
     }
 
     @Override
-    public void opened(Link up) {
-        link = up;
+    public void opened(Link openedLink) {
+        link = openedLink;
         slot = front.add(this);
-        expect(MESSAGE);
+        startTimer(MESSAGE_TIMEOUT_US);
     }
 
-    private void expect(long within) {
-        since = front.loop.micros();
-        front.loop.deadlines().set(timer, since + within);
+    private void startTimer(long timeout) {
+        waitingSince = front.loop.micros();
+        front.loop.deadlines().set(timer, waitingSince + timeout);
     }
 
     /** Its time is over: with something to answer it hears so, else it ends; what came just now is read. */
-    private void late() {
-        boolean owed = owes;
+    private void onTimeout() {
+        boolean wasPending = responsePending;
         link.look();
-        if (link.isClosed() || link.isEnded() || timer.isSet() || owes && !owed) {
+        if (link.isClosed() || link.isEnded() || timer.isSet() || responsePending && !wasPending) {
             return;
         }
-        if (begun && reader.isInside(link.in)) {
+        if (messageBegun && reader.isInsideMessage(link.in)) {
             front.count("http.slow_request");
-            refuse(408, "Request Timeout", "message not ended in time");
+            rejectAndClose(408, "Request Timeout", "message not ended in time");
             return;
         }
-        front.count(begun ? "http.silent" : link.out.isEmpty() ? "http.idle_closed" : "http.slow_reader");
-        endConnection();
+        front.count(messageBegun ? "http.silent" : link.out.isEmpty() ? "http.idle_closed" : "http.slow_reader");
+        closeGracefully();
     }
 
     // ---- what the front may do with it ----
 
     /** The connection holds a request whose answer is not wholly written, or one that is coming in. */
     boolean isBusy() {
-        return !link.isEnded() && (owes || !link.out.isEmpty() || reader.isInside(link.in));
+        return !link.isEnded() && (responsePending || !link.out.isEmpty() || reader.isInsideMessage(link.in));
     }
 
     boolean isIdle() {
-        return !begun && !isBusy();
+        return !messageBegun && !isBusy();
     }
 
     /**
@@ -106,27 +106,27 @@
      * nothing whole for a while, what is kept idle, what has only just come. Above that it does not. In a
      * flood the newest are mostly clients whose request is on its way.
      */
-    int rank() {
+    int evictionRank() {
         if (link.isEnded()) {
             return 0;
         }
-        if (owes || !link.out.isEmpty()) {
+        if (responsePending || !link.out.isEmpty()) {
             return Integer.MAX_VALUE;
         }
-        return !begun ? 2 : front.loop.micros() - since > NEW ? 1 : 3;
+        return !messageBegun ? 2 : front.loop.micros() - waitingSince > NEW_CONNECTION_US ? 1 : 3;
     }
 
     /** True if it gives way before the other one: by rank, and in a rank who is in it for longer. */
-    boolean before(Client other) {
-        int by = Integer.compare(rank(), other.rank());
-        by = by != 0 ? by : Long.compare(since, other.since);
-        return by != 0 ? by < 0 : order < other.order;
+    boolean isEvictedBefore(ClientConnection other) {
+        int comparison = Integer.compare(evictionRank(), other.evictionRank());
+        comparison = comparison != 0 ? comparison : Long.compare(waitingSince, other.waitingSince);
+        return comparison != 0 ? comparison < 0 : acceptOrder < other.acceptOrder;
     }
 
     /** Closes it at once, with nothing more said: where its descriptor is needed, or it reads nothing. */
-    void leave() {
+    void closeNow() {
         countUnanswered();
-        drop();
+        unregister();
         link.close();
     }
 
@@ -146,9 +146,9 @@
      * ended too or a short time is over. Closed over unread bytes, it would be reset, and what is on its way
      * to the client might be lost.
      */
-    private void endConnection() {
-        if (owes || !link.out.isEmpty()) {
-            leave();
+    private void closeGracefully() {
+        if (responsePending || !link.out.isEmpty()) {
+            closeNow();
             return;
         }
         countUnanswered();
@@ -157,34 +157,34 @@
     }
 
     /** Ends it unless a request is there, or about to be read, or it has come or been used only just. */
-    void endUnlessBusy(long young, long unused) {
-        if (link.isEnded() || front.loop.micros() - since < (begun ? young : unused)) {
+    void closeUnlessBusy(long maxNewAge, long maxIdle) {
+        if (link.isEnded() || front.loop.micros() - waitingSince < (messageBegun ? maxNewAge : maxIdle)) {
             return;
         }
         if (!isBusy()) {
             link.look();
         }
         if (!link.isClosed() && !link.isEnded() && !isBusy()) {
-            endConnection();
+            closeGracefully();
         }
     }
 
     /** Makes room for another client, unless a request has come on it just now; true if there is room. */
-    boolean giveWay() {
+    boolean evict() {
         link.look();
-        readOn();
+        readPending();
         if (link.isClosed()) {
             return true;
         }
-        if (rank() == Integer.MAX_VALUE) {
+        if (evictionRank() == Integer.MAX_VALUE) {
             return false;
         }
         front.count(isIdle() ? "http.idle_closed" : "http.gave_way");
-        leave();
+        closeNow();
         return true;
     }
 
-    private void drop() {
+    private void unregister() {
         front.remove(slot);
         front.loop.deadlines().cancel(timer);
     }
@@ -192,39 +192,39 @@
     // ---- messages ----
 
     @Override
-    public void received(Link from) {
+    public void received(Link source) {
         // An answer given while reading must not read on from within itself.
         if (reading) {
             return;
         }
         reading = true;
         try {
-            while (!owes && !link.in.isEmpty() && !link.isClosed() && !link.isEnded()) {
+            while (!responsePending && !link.in.isEmpty() && !link.isClosed() && !link.isEnded()) {
                 reader.read(link.in);
                 if (!reader.isDone()) {
                     break;
                 }
-                finishMessage();
+                handleMessage();
             }
         } catch (HttpException e) {
             // Where a message that can't be read ends is not known: nothing behind it can be read either.
             front.count("http.malformed");
             LOG.debug("{}: {}", e.status, e.getMessage());
-            refuse(e.status, e.reason(), e.getMessage());
+            rejectAndClose(e.status, e.reason(), e.getMessage());
         } finally {
             reading = false;
         }
-        if (link.hasDropped() && !sentTooMuch) {
-            sentTooMuch = true;
+        if (link.hasDropped() && !inputDropped) {
+            inputDropped = true;
             front.count("http.too_much_at_once");
         }
-        if (sentTooMuch && !owes && !link.isClosed()) {
+        if (inputDropped && !responsePending && !link.isClosed()) {
             // The rest of what is in the ring has not been kept.
-            refuse(429, "Too Many Requests", "too much sent before an answer");
+            rejectAndClose(429, "Too Many Requests", "too much sent before an answer");
         }
-        if (!begun && !owes && reader.isInside(link.in)) {
-            begun = true;
-            expect(MESSAGE);
+        if (!messageBegun && !responsePending && reader.isInsideMessage(link.in)) {
+            messageBegun = true;
+            startTimer(MESSAGE_TIMEOUT_US);
         }
     }
 
@@ -235,7 +235,7 @@
     }
 
     /** Reads what came in while an answer was owed. */
-    private void readOn() {
+    private void readPending() {
         if (!link.isClosed() && !link.isEnded()) {
             received(link);
         }
@@ -245,8 +245,8 @@
     public void head(HttpHead received) throws HttpException {
         head = received;
         body.reset();
-        String length = head.header("content-length");
-        if (length != null && Long.parseLong(length) > HttpFront.MOST_BODY) {
+        String contentLength = head.header("content-length");
+        if (contentLength != null && Long.parseLong(contentLength) > HttpFront.MAX_BODY_BYTES) {
             throw new HttpException(413, "body too long");
         }
         if ("100-continue".equalsIgnoreCase(head.header("expect"))) {
@@ -257,7 +257,7 @@
 
     @Override
     public void body(byte[] bytes) throws HttpException {
-        if (body.size() + bytes.length > HttpFront.MOST_BODY) {
+        if (body.size() + bytes.length > HttpFront.MAX_BODY_BYTES) {
             throw new HttpException(413, "body too long");
         }
         body.writeBytes(bytes);
@@ -265,23 +265,25 @@
 
     @Override
     public void end() {
-        owes = true;
-        arrived = link.arrivalOfLastTaken();
+        responsePending = true;
+        arrivedAt = link.arrivalOfLastTaken();
         // From here on the request's own deadline runs.
         front.loop.deadlines().cancel(timer);
     }
 
-    private void finishMessage() {
-        if (head.first.equals("GET")) {
-            int query = head.second.indexOf('?');
-            front.get(this, query < 0 ? head.second : head.second.substring(0, query));
-        } else if (head.first.equals("DELETE") && front.kept() != null && KeptJobs.isPath(head.second)) {
-            front.kept().delete(this, head.second);
-        } else if (!head.first.equals("POST")) {
-            answer(405, "Method Not Allowed", "", new byte[0]);
+    private void handleMessage() {
+        if (head.methodOrVersion.equals("GET")) {
+            int query = head.targetOrStatus.indexOf('?');
+            front.handleGet(this, query < 0 ? head.targetOrStatus : head.targetOrStatus.substring(0, query));
+        } else if (head.methodOrVersion.equals("DELETE")
+                && front.durableJobs() != null
+                && DurableJobHandler.isJobPath(head.targetOrStatus)) {
+            front.durableJobs().handleDelete(this, head.targetOrStatus);
+        } else if (!head.methodOrVersion.equals("POST")) {
+            respond(405, "Method Not Allowed", "", new byte[0]);
         } else {
             try {
-                if (front.keeps(this, slot, head, body.toByteArray(), arrived)) {
+                if (front.submitDurable(this, slot, head, body.toByteArray(), arrivedAt)) {
                     return;
                 }
                 if (link.hasPeerEnded()) {
@@ -289,17 +291,17 @@
                     front.count("http.left_before_turn");
                     return;
                 }
-                request = front.take(slot, head, body.toByteArray(), arrived);
+                request = front.openRequest(slot, head, body.toByteArray(), arrivedAt);
             } catch (HttpException e) {
                 front.count("http.bad_request");
-                answer(e.status, e.reason(), "", ascii(e.getMessage() + "\n"));
+                respond(e.status, e.reason(), "", ascii(e.getMessage() + "\n"));
                 return;
             }
             front.submit(request);
         }
     }
 
-    boolean hasLeft() {
+    boolean hasPeerEnded() {
         return link.hasPeerEnded();
     }
 
@@ -315,89 +317,89 @@
     }
 
     /** The last answer on a connection on which nothing further can be read. */
-    private void refuse(int status, String reason, String why) {
+    private void rejectAndClose(int status, String reason, String message) {
         head = null;
-        answer(status, reason, "", ascii(why + "\n"));
+        respond(status, reason, "", ascii(message + "\n"));
     }
 
     /** The request's answer. */
-    void answer(int status, String reason, String headers, byte[] content) {
+    void respond(int status, String reason, String headers, byte[] content) {
         if (link.isClosed()) {
             // It left before the disk had spoken.
             return;
         }
         answered = true;
         if (request != null) {
-            long late = front.loop.micros() - request.deadline;
-            if (late > 0) {
-                front.count(late > LOST ? "clients.lost" : "clients.late");
+            long lateness = front.loop.micros() - request.deadline;
+            if (lateness > 0) {
+                front.count(lateness > LOST_AFTER_US ? "clients.lost" : "clients.late");
             }
-            front.close(request);
+            front.releaseId(request);
             request = null;
         }
-        if (!front.isLeaving()) {
-            servesUpTo = -1;
+        if (!front.closesAfterResponse()) {
+            drainOffset = -1;
         }
-        boolean last = head == null || !head.keepsAlive() || front.isLeaving() && isServedUp();
-        String text = "HTTP/1.1 " + status + " " + reason + "\r\n" + headers
+        boolean closes = head == null || !head.isKeepAlive() || front.closesAfterResponse() && isDrained();
+        String responseHead = "HTTP/1.1 " + status + " " + reason + "\r\n" + headers
                 + "Content-Length: " + content.length + "\r\n"
-                + (last ? "Connection: close\r\n\r\n" : "\r\n");
-        if (!link.out.put(ascii(text)) || !link.out.put(content)) {
+                + (closes ? "Connection: close\r\n\r\n" : "\r\n");
+        if (!link.out.put(ascii(responseHead)) || !link.out.put(content)) {
             // It asks on and on and reads nothing: its answers must not fill the memory.
             front.count("http.slow_reader");
-            leave();
+            closeNow();
             return;
         }
-        if (last) {
+        if (closes) {
             // Until it is written out it stays owed: the program must not end before.
-            owes = true;
-            expect(UNREAD);
+            responsePending = true;
+            startTimer(WRITE_TIMEOUT_US);
             link.endWhenFlushed();
             return;
         }
-        owes = false;
-        begun = false;
-        reader.next();
-        expect(UNREAD);
+        responsePending = false;
+        messageBegun = false;
+        reader.nextMessage();
+        startTimer(WRITE_TIMEOUT_US);
         link.flush();
         link.resumeReads();
         if (!link.in.isEmpty() && !reading) {
             // Not from within the call that brought the answer: the core has yet to hear of its end, and the
             // endpoint that has just become free would look taken to the next request.
-            front.loop.later(this::readOn);
+            front.loop.later(this::readPending);
         }
     }
 
     /** While its clients are sent away: nothing is left that had come in when that began. */
-    private boolean isServedUp() {
-        if (servesUpTo < 0) {
+    private boolean isDrained() {
+        if (drainOffset < 0) {
             link.hasPeerEnded();
-            servesUpTo = link.in.taken() + link.in.size();
+            drainOffset = link.in.taken() + link.in.size();
         }
         while (!link.in.isEmpty() && (link.in.at(0) == '\r' || link.in.at(0) == '\n')) {
             // Empty lines between messages are none.
             link.in.skip(1);
         }
-        return link.in.taken() >= servesUpTo;
+        return link.in.taken() >= drainOffset;
     }
 
     @Override
-    public void flushed(Link on) {
-        if (on.isEnded()) {
+    public void flushed(Link flushedLink) {
+        if (flushedLink.isEnded()) {
             // The link closes it within its own time.
             front.loop.deadlines().cancel(timer);
-        } else if (!owes && !begun) {
-            expect(IDLE);
+        } else if (!responsePending && !messageBegun) {
+            startTimer(IDLE_TIMEOUT_US);
         }
     }
 
     @Override
-    public void broken(Link gone) {
-        drop();
+    public void broken(Link brokenLink) {
+        unregister();
         if (request != null) {
-            Request left = request;
+            Request withdrawn = request;
             request = null;
-            front.withdraw(left);
+            front.withdraw(withdrawn);
         }
     }
 }
--- a/src/main/java/laneflow/http/Config.java
+++ b/src/main/java/laneflow/http/Config.java
@@ -18,8 +18,8 @@
 
 /** What a scheduler is told at its start, and lists in discovery's form. */
 public final class Config {
-    private static final int SOCKETS = 1024;
-    private static final double CONN_IDLE = 10;
+    private static final int DEFAULT_MAX_SOCKETS = 1024;
+    private static final double DEFAULT_IDLE_CONNECTION_SECONDS = 10;
 
     /** The scheduler's name, the same after a restart. */
     public final String name;
@@ -39,39 +39,40 @@
     public final Listing lastKnown;
 
     public final List<String> zones;
-    private final List<String> kinds;
+    private final List<String> endpointKinds;
 
     /** A list in discovery's form. */
     public static final class Listing {
         public long seq;
-        public boolean whole;
+        public boolean complete;
         public final List<Entry> entries = new ArrayList<>();
     }
 
     private Config(JsonObject root) throws WireException {
-        JsonObject from = root.getAsJsonObject("settings");
-        if (from == null) {
+        JsonObject settingsJson = root.getAsJsonObject("settings");
+        if (settingsJson == null) {
             throw new WireException("the configuration holds no settings");
         }
-        settings = SettingsReader.read(from.toString()).settings;
-        zones = strings(from.get("areas"));
-        kinds = strings(from.get("shapes"));
-        JsonArray classes = from.getAsJsonArray("classes");
+        settings = SettingsReader.read(settingsJson.toString()).settings;
+        zones = stringList(settingsJson.get("areas"));
+        endpointKinds = stringList(settingsJson.get("shapes"));
+        JsonArray classes = settingsJson.getAsJsonArray("classes");
         classNames = new String[classes.size()];
         for (int i = 0; i < classNames.length; i++) {
-            classNames[i] = text(classes.get(i).getAsJsonObject(), "name", String.valueOf(i));
+            classNames[i] = stringOr(classes.get(i).getAsJsonObject(), "name", String.valueOf(i));
         }
-        JsonObject limits = from.has("limits") ? from.getAsJsonObject("limits") : new JsonObject();
-        idleConnectionSeconds = limits.has("connIdle") ? limits.get("connIdle").getAsDouble() : CONN_IDLE;
-        name = text(root, "name", "");
-        listen = text(root, "listen", null);
-        opsAddress = text(root, "ops", null);
-        discoveryAddress = text(root, "discovery", null);
-        seed = seed(text(root, "seed", "0"));
-        JsonObject own = root.has("limits") ? root.getAsJsonObject("limits") : new JsonObject();
-        maxSockets = own.has("sockets") ? own.get("sockets").getAsInt() : SOCKETS;
+        JsonObject limits = settingsJson.has("limits") ? settingsJson.getAsJsonObject("limits") : new JsonObject();
+        idleConnectionSeconds =
+                limits.has("connIdle") ? limits.get("connIdle").getAsDouble() : DEFAULT_IDLE_CONNECTION_SECONDS;
+        name = stringOr(root, "name", "");
+        listen = stringOr(root, "listen", null);
+        opsAddress = stringOr(root, "ops", null);
+        discoveryAddress = stringOr(root, "discovery", null);
+        seed = parseSeed(stringOr(root, "seed", "0"));
+        JsonObject processLimits = root.has("limits") ? root.getAsJsonObject("limits") : new JsonObject();
+        maxSockets = processLimits.has("sockets") ? processLimits.get("sockets").getAsInt() : DEFAULT_MAX_SOCKETS;
         lastKnown = root.has("known") && root.get("known").isJsonObject()
-                ? listing(root.getAsJsonObject("known"))
+                ? parseListing(root.getAsJsonObject("known"))
                 : new Listing();
     }
 
@@ -86,20 +87,20 @@
 
     /** The file's object, as it stands. */
     public static JsonObject readJson(Path file) throws IOException, WireException {
-        return object(Files.readString(file), "the configuration");
+        return parseObject(Files.readString(file), "the configuration");
     }
 
     /** Puts a destination set in place of discovery. */
     public static void setDestinations(JsonObject root, Path destinations) throws IOException, WireException {
-        root.add("known", object(Files.readString(destinations), destinations.toString()));
+        root.add("known", parseObject(Files.readString(destinations), destinations.toString()));
         root.remove("discovery");
     }
 
-    private static JsonObject object(String text, String what) throws WireException {
+    private static JsonObject parseObject(String text, String description) throws WireException {
         try {
             return JsonParser.parseString(text).getAsJsonObject();
         } catch (JsonParseException | IllegalStateException e) {
-            throw new WireException(what + " can't be read: " + e.getMessage());
+            throw new WireException(description + " can't be read: " + e.getMessage());
         }
     }
 
@@ -117,9 +118,9 @@
     }
 
     /** Reads one list or one line of changes. */
-    public Listing listing(String text) throws WireException {
+    public Listing parseListing(String text) throws WireException {
         try {
-            return listing(JsonParser.parseString(text).getAsJsonObject());
+            return parseListing(JsonParser.parseString(text).getAsJsonObject());
         } catch (JsonParseException
                 | IllegalStateException
                 | ClassCastException
@@ -130,48 +131,48 @@
         }
     }
 
-    private Listing listing(JsonObject from) throws WireException {
+    private Listing parseListing(JsonObject json) throws WireException {
         Listing listing = new Listing();
-        listing.seq = from.has("seq") ? from.get("seq").getAsLong() : 0;
-        listing.whole = from.has("whole") && from.get("whole").getAsBoolean();
-        if (from.has("hosts")) {
-            for (JsonElement host : from.getAsJsonArray("hosts")) {
-                listing.entries.add(entry(host.getAsJsonObject()));
+        listing.seq = json.has("seq") ? json.get("seq").getAsLong() : 0;
+        listing.complete = json.has("whole") && json.get("whole").getAsBoolean();
+        if (json.has("hosts")) {
+            for (JsonElement host : json.getAsJsonArray("hosts")) {
+                listing.entries.add(parseEntry(host.getAsJsonObject()));
             }
         }
         return listing;
     }
 
-    private Entry entry(JsonObject from) throws WireException {
+    private Entry parseEntry(JsonObject json) throws WireException {
         Entry entry = new Entry();
-        entry.name = text(from, "host", null);
+        entry.name = stringOr(json, "host", null);
         if (entry.name == null) {
             throw new WireException("a host without a name");
         }
-        entry.dial = text(from, "dial", "");
-        entry.zone = from.has("site") ? index(zones, from.get("site")) : settings.zone;
-        entry.kind = index(kinds, from.get("class"));
-        entry.cell = from.has("block") ? from.get("block").getAsInt() : 0;
-        entry.weight = from.has("share") ? from.get("share").getAsDouble() : 1;
-        entry.startedAt = from.has("born_ms") ? (long) (from.get("born_ms").getAsDouble() * 1000) : 0;
-        entry.state = state(text(from, "health", "Ready"));
+        entry.dial = stringOr(json, "dial", "");
+        entry.zone = json.has("site") ? indexOf(zones, json.get("site")) : settings.zone;
+        entry.kind = indexOf(endpointKinds, json.get("class"));
+        entry.cell = json.has("block") ? json.get("block").getAsInt() : 0;
+        entry.weight = json.has("share") ? json.get("share").getAsDouble() : 1;
+        entry.startedAt = json.has("born_ms") ? (long) (json.get("born_ms").getAsDouble() * 1000) : 0;
+        entry.state = parseState(stringOr(json, "health", "Ready"));
         return entry;
     }
 
-    private static State state(String word) {
+    private static State parseState(String health) {
         // A state this build has not heard of is no leave to send: it is read as one that drains.
-        return word.equals("Ready") ? State.READY : word.equals("Gone") ? State.GONE : State.DRAINING;
+        return health.equals("Ready") ? State.READY : health.equals("Gone") ? State.GONE : State.DRAINING;
     }
 
-    private static int index(List<String> names, JsonElement value) {
+    private static int indexOf(List<String> names, JsonElement value) {
         if (value == null || value.isJsonNull()) {
             return 0;
         }
-        int found = names.indexOf(value.getAsString());
-        return found >= 0 ? found : value.getAsJsonPrimitive().isNumber() ? value.getAsInt() : -1;
+        int index = names.indexOf(value.getAsString());
+        return index >= 0 ? index : value.getAsJsonPrimitive().isNumber() ? value.getAsInt() : -1;
     }
 
-    private static long seed(String text) {
+    private static long parseSeed(String text) {
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
@@ -179,15 +180,15 @@
         }
     }
 
-    private static List<String> strings(JsonElement from) {
-        List<String> all = new ArrayList<>();
-        if (from != null && from.isJsonArray()) {
-            from.getAsJsonArray().forEach(e -> all.add(e.getAsString()));
+    private static List<String> stringList(JsonElement json) {
+        List<String> list = new ArrayList<>();
+        if (json != null && json.isJsonArray()) {
+            json.getAsJsonArray().forEach(e -> list.add(e.getAsString()));
         }
-        return all;
+        return list;
     }
 
-    private static String text(JsonObject from, String key, String absent) {
-        return from.has(key) && !from.get(key).isJsonNull() ? from.get(key).getAsString() : absent;
+    private static String stringOr(JsonObject json, String key, String defaultValue) {
+        return json.has(key) && !json.get(key).isJsonNull() ? json.get(key).getAsString() : defaultValue;
     }
 }
--- a/src/main/java/laneflow/http/DiscoveryWatch.java
+++ b/src/main/java/laneflow/http/DiscoveryWatch.java
@@ -22,35 +22,35 @@
  */
 public final class DiscoveryWatch {
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryWatch.class);
-    private static final int RING = 256 * 1024;
-    private static final int MOST_LIST = 4 << 20;
+    private static final int RING_BYTES = 256 * 1024;
+    private static final int MAX_LIST_BYTES = 4 << 20;
     /** An empty line comes every 2 s: that one is missing is silence, half a second behind its time. */
-    static final long SILENCE = 2_500_000;
+    static final long SILENCE_TIMEOUT_US = 2_500_000;
     /**
      * A watch begun behind one that has fallen silent owes what that one missed. An agent on this machine begins its
      * answer at once: where it has not by then, that watch may be silent too, and a further one is begun beside it,
      * while 6 s behind the first one's last word are not over, even if both connections come up late.
      */
-    static final long HEAD_SOON = 1_000_000;
+    static final long HEAD_TIMEOUT_AFTER_SILENCE_US = 1_000_000;
     /** Where lists are asked for, a call may wait for its turn at discovery: so long, for its head. */
-    static final long TURN = 4_500_000;
+    static final long SHARED_SERVICE_HEAD_TIMEOUT_US = 4_500_000;
     /**
      * An agent on this machine answers at once, or has nothing: so long a start waits for its word before it
      * asks for clients, since what the agent holds counts as told from the process's first moment.
      */
-    private static final long FIRST_WORD = 300_000;
+    private static final long STARTUP_WAIT_US = 300_000;
     /** The agent is on this machine: a connection that is not up within that time never will be. */
-    static final long CONNECT = 1_000_000;
+    static final long CONNECT_TIMEOUT_US = 1_000_000;
     /**
      * The wait before the next watch: doubled with each one that tells nothing, and half to one and a half
      * times as long by chance. When many schedulers start at one moment, or discovery is short of room, they
      * must not come back all at once, nor again and again.
      */
-    private static final long AGAIN = 200_000;
+    private static final long FIRST_BACKOFF_US = 200_000;
     /** With the time for a connection it stays well within the 6 s after which news counts as told. */
-    private static final long LONGEST_AGAIN = 1_600_000;
+    private static final long MAX_BACKOFF_US = 1_600_000;
     /** What an agent on this machine gets counts at once, and asking it costs nothing. */
-    private static final long LONGEST_AGAIN_AT_AGENT = AGAIN;
+    private static final long MAX_AGENT_BACKOFF_US = FIRST_BACKOFF_US;
 
     private final Loop loop;
     private final Scheduler scheduler;
@@ -59,9 +59,9 @@
     private final Deadline timer;
     private final SplittableRandom random;
     /** Lists are asked for at a service that all schedulers share, not at an agent on this machine. */
-    private final boolean asked;
+    private final boolean sharedService;
     /** Watches in a row that have told nothing. */
-    private int vain;
+    private int emptyWatches;
 
     private String address;
     /** The list's version as this address counts; another may count differently. */
@@ -69,13 +69,13 @@
 
     private Watch current;
     /** The watch at the address before, until the present one has spoken; else null. */
-    private Watch former;
+    private Watch formerWatch;
     /** The watch that fell silent at this address, heard until the present one has asked; else null. */
-    private Watch silent;
+    private Watch silentWatch;
 
-    private final ToldSince toldSince = new ToldSince();
+    private final AnnouncementTimes announcementTimes = new AnnouncementTimes();
     /** From then on clients may be asked for. */
-    private long lookedAt = Long.MAX_VALUE;
+    private long startupWaitEnd = Long.MAX_VALUE;
 
     public DiscoveryWatch(Loop loop, Scheduler scheduler, Connector connector, Config config) {
         this.loop = loop;
@@ -85,34 +85,34 @@
         address = config.discoveryAddress;
         seq = config.lastKnown.seq;
         random = new SplittableRandom(config.seed);
-        asked = config.settings.listNeedsSubscription;
-        timer = loop.deadlines().create(this::due);
+        sharedService = config.settings.listNeedsSubscription;
+        timer = loop.deadlines().create(this::onTimer);
     }
 
     /** True once it has spoken, or would have if there were anything to hear: clients may be asked for. */
     public boolean isStartupWaitOver() {
-        return asked || loop.micros() >= lookedAt;
+        return sharedService || loop.micros() >= startupWaitEnd;
     }
 
-    private void looked(long at) {
-        lookedAt = Math.min(lookedAt, at);
+    private void endStartupWait(long instant) {
+        startupWaitEnd = Math.min(startupWaitEnd, instant);
     }
 
-    private void due() {
+    private void onTimer() {
         if (current.link.isClosed()) {
             startWatch();
         } else {
-            current.late();
+            current.onTimeout();
         }
     }
 
     /** The wait before the next watch. */
-    private long pause() {
-        if (!asked && vain == 0 && loop.micros() - current.begunAt > SILENCE) {
+    private long nextBackoff() {
+        if (!sharedService && emptyWatches == 0 && loop.micros() - current.startedAt > SILENCE_TIMEOUT_US) {
             // It went on for a while and broke: what its agent holds counts whether or not one listens.
             return 0;
         }
-        return backOff(asked, vain++, random.nextDouble());
+        return backoff(sharedService, emptyWatches++, random.nextDouble());
     }
 
     /**
@@ -120,143 +120,148 @@
      *
      * @param chance from 0 to 1
      */
-    static long backOff(boolean asked, int vain, double chance) {
-        long wait = Math.min(asked ? LONGEST_AGAIN : LONGEST_AGAIN_AT_AGENT, AGAIN << Math.min(vain, 10));
-        return (long) (wait * (0.5 + chance));
+    static long backoff(boolean sharedService, int emptyWatches, double chance) {
+        long backoff = Math.min(
+                sharedService ? MAX_BACKOFF_US : MAX_AGENT_BACKOFF_US, FIRST_BACKOFF_US << Math.min(emptyWatches, 10));
+        return (long) (backoff * (0.5 + chance));
     }
 
     /** Begins a watch, in place of the one there is. */
     public void startWatch() {
-        if (current != null && current != former && current != silent) {
+        if (current != null && current != formerWatch && current != silentWatch) {
             current.link.close();
         }
         scheduler.counters().add("discovery.watches");
-        loop.deadlines().set(timer, loop.micros() + CONNECT);
+        loop.deadlines().set(timer, loop.micros() + CONNECT_TIMEOUT_US);
         current = new Watch();
-        current.link = loop.connect(Loop.address(address), RING, RING, current);
+        current.link = loop.connect(Loop.address(address), RING_BYTES, RING_BYTES, current);
     }
 
     /** Discovery is elsewhere now. The new address owes its whole list, whatever the old one told last. */
-    public void moveTo(String to) {
-        if (to.equals(address)) {
+    public void moveTo(String newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
         scheduler.counters().add("discovery.moves");
-        LOG.info("discovery moves from {} to {}", address, to);
-        dropSilent();
-        if (former == null && !current.link.isClosed()) {
-            former = current;
+        LOG.info("discovery moves from {} to {}", address, newAddress);
+        closeSilentWatch();
+        if (formerWatch == null && !current.link.isClosed()) {
+            formerWatch = current;
         }
-        address = to;
+        address = newAddress;
         seq = 0;
-        vain = 0;
+        emptyWatches = 0;
         startWatch();
     }
 
-    private void dropFormer() {
-        if (former != null) {
-            former.link.close();
-            former = null;
+    private void closeFormerWatch() {
+        if (formerWatch != null) {
+            formerWatch.link.close();
+            formerWatch = null;
         }
     }
 
-    private void dropSilent() {
-        if (silent != null) {
-            silent.link.close();
-            silent = null;
+    private void closeSilentWatch() {
+        if (silentWatch != null) {
+            silentWatch.link.close();
+            silentWatch = null;
         }
     }
 
     /** One connection to discovery. */
-    private final class Watch implements LinkHandler, HttpReader.Sink, JsonFrames.Sink {
+    private final class Watch implements LinkHandler, HttpReader.Sink, JsonObjectSplitter.Sink {
         private final HttpReader reader = new HttpReader(true, this);
-        private final JsonFrames frames = new JsonFrames(MOST_LIST, this);
-        private final long begunAt = loop.micros();
-        private final ToldSince.OfWatch told = toldSince.new OfWatch();
-        private final int vainBefore = vain;
-        private final boolean owesMissedNews = !asked && current != null && current.spoke && current == silent;
+        private final JsonObjectSplitter splitter = new JsonObjectSplitter(MAX_LIST_BYTES, this);
+        private final long startedAt = loop.micros();
+        private final AnnouncementTimes.PerWatch times = announcementTimes.new PerWatch();
+        private final int emptyWatchesBefore = emptyWatches;
+        private final boolean mayHaveMissedChanges =
+                !sharedService && current != null && current.headReceived && current == silentWatch;
         private Link link;
-        private boolean up;
+        private boolean connected;
         /** Its head has come. */
-        private boolean spoke;
+        private boolean headReceived;
 
         /** It is over: what has been replaced already is not begun again. */
-        private void over() {
+        private void finish() {
             link.close();
             if (this == current) {
-                looked(loop.micros());
-                loop.deadlines().set(timer, loop.micros() + pause());
-            } else if (this == former) {
-                former = null;
-            } else if (this == silent) {
-                silent = null;
+                endStartupWait(loop.micros());
+                loop.deadlines().set(timer, loop.micros() + nextBackoff());
+            } else if (this == formerWatch) {
+                formerWatch = null;
+            } else if (this == silentWatch) {
+                silentWatch = null;
             }
         }
 
         /** Its time has run out: unless a word lies there unread, the next watch begins. */
-        private void late() {
-            if (up) {
+        private void onTimeout() {
+            if (connected) {
                 link.look();
             }
             if (timer.isSet()) {
                 return;
             }
-            if (up) {
+            if (connected) {
                 scheduler.counters().add("discovery.silent");
                 LOG.info("discovery at {} is silent", address);
                 // It had its time: waiting on top of it, news would come in unheard. Until the next watch has
                 // asked this one is listened to: what its agent says just now must not go unheard.
-                if (silent == null) {
-                    silent = this;
+                if (silentWatch == null) {
+                    silentWatch = this;
                 }
                 startWatch();
             } else {
-                over();
+                finish();
             }
         }
 
         /** No byte extends it but a whole line's last: neither a head nor an object may trickle for ever. */
-        private void within(long micros) {
+        private void restartTimer(long timeout) {
             if (this == current) {
-                loop.deadlines().set(timer, loop.micros() + micros);
+                loop.deadlines().set(timer, loop.micros() + timeout);
             }
         }
 
         @Override
-        public void opened(Link opened) {
-            up = true;
-            looked(loop.micros() + FIRST_WORD);
-            within(asked ? TURN : owesMissedNews ? HEAD_SOON : SILENCE);
+        public void opened(Link openedLink) {
+            connected = true;
+            endStartupWait(loop.micros() + STARTUP_WAIT_US);
+            restartTimer(
+                    sharedService
+                            ? SHARED_SERVICE_HEAD_TIMEOUT_US
+                            : mayHaveMissedChanges ? HEAD_TIMEOUT_AFTER_SILENCE_US : SILENCE_TIMEOUT_US);
             String request =
                     "GET /registry/instances?watch=1&after=" + seq + " HTTP/1.1\r\nHost: " + address + "\r\n\r\n";
             link.out.put(request.getBytes(StandardCharsets.US_ASCII));
             link.flush();
             if (this == current) {
-                dropSilent();
+                closeSilentWatch();
             }
         }
 
         @Override
-        public void notOpened(Link gone) {
-            over();
+        public void notOpened(Link failedLink) {
+            finish();
         }
 
         @Override
-        public void received(Link from) {
+        public void received(Link source) {
             try {
                 reader.read(link.in);
                 if (reader.isDone()) {
-                    over();
+                    finish();
                 }
             } catch (HttpException e) {
                 LOG.warn("discovery: {}", e.getMessage());
-                over();
+                finish();
             }
         }
 
         @Override
-        public void broken(Link gone) {
-            over();
+        public void broken(Link brokenLink) {
+            finish();
         }
 
         @Override
@@ -264,21 +269,21 @@
             if (head.status() != 200) {
                 throw new HttpException(head.status(), "watch answered " + head.status());
             }
-            told.head(loop.micros());
-            spoke = true;
-            within(SILENCE);
+            times.head(loop.micros());
+            headReceived = true;
+            restartTimer(SILENCE_TIMEOUT_US);
         }
 
         @Override
         public void body(byte[] bytes) throws HttpException {
             try {
-                frames.take(bytes);
+                splitter.accept(bytes);
             } catch (HttpException e) {
                 if (this == current) {
                     // Changes that can't be read leave the list held unsure: the whole one is asked for, with
                     // longer and longer waits where that goes on.
                     seq = 0;
-                    vain = vainBefore;
+                    emptyWatches = emptyWatchesBefore;
                 }
                 throw e;
             }
@@ -290,43 +295,43 @@
         }
 
         @Override
-        public void begun() {
-            within(SILENCE);
+        public void objectBegun() {
+            restartTimer(SILENCE_TIMEOUT_US);
         }
 
         @Override
-        public void blank() {
-            speaks();
-            told.blank(loop.micros(), this == current);
+        public void emptyLine() {
+            onSignOfLife();
+            times.emptyLine(loop.micros(), this == current);
         }
 
         /** A sign of life: the next watch need not wait long. */
-        private void speaks() {
+        private void onSignOfLife() {
             if (this == current) {
-                vain = 0;
-                looked(loop.micros());
-                within(SILENCE);
+                emptyWatches = 0;
+                endStartupWait(loop.micros());
+                restartTimer(SILENCE_TIMEOUT_US);
             }
         }
 
         @Override
         public void object(String text) throws HttpException {
-            long since = told.since(loop.micros(), this == silent);
-            speaks();
+            long earliest = times.earliest(loop.micros(), this == silentWatch);
+            onSignOfLife();
             try {
-                Config.Listing listing = config.listing(text);
-                told.list(loop.micros(), this == current);
-                if (this == current || this == silent) {
-                    if (!listing.whole && listing.seq <= seq) {
+                Config.Listing listing = config.parseListing(text);
+                times.listRead(loop.micros(), this == current);
+                if (this == current || this == silentWatch) {
+                    if (!listing.complete && listing.seq <= seq) {
                         return;
                     }
                     seq = listing.seq;
-                    dropFormer();
-                } else if (this != former) {
+                    closeFormerWatch();
+                } else if (this != formerWatch) {
                     return;
                 }
                 scheduler.counters().add("discovery.lists");
-                scheduler.list(connector, listing.whole, listing.entries, since);
+                scheduler.list(connector, listing.complete, listing.entries, earliest);
             } catch (WireException e) {
                 throw new HttpException(400, e.getMessage());
             }
--- a/src/main/java/laneflow/http/Answer.java
+++ b/src/main/java/laneflow/http/EndpointResponse.java
@@ -23,36 +23,36 @@
  * What an endpoint answers to one call or probe, read as it comes in. Nothing is taken on trust: only a whole
  * line of sound JSON that names the request and holds a result is its being served.
  */
-final class Answer implements HttpReader.Sink {
-    private static final int MOST_LINE = 512 * 1024;
+final class EndpointResponse implements HttpReader.Sink {
+    private static final int MAX_LINE_BYTES = 512 * 1024;
 
     private final Scheduler scheduler;
     /** Null for a probe. */
-    private final Attempt call;
+    private final Attempt attempt;
     /** The ids of the jobs sent before this call on its connection. */
-    private final Collection<String> before;
+    private final Collection<String> previousIds;
 
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream lineBuffer = new ByteArrayOutputStream();
     private HttpHead head;
     private Outcome outcome;
     private byte[] result;
-    private LoadReport report;
-    private boolean spoke;
-    private boolean stray;
+    private LoadReport loadReport;
+    private boolean statusReceived;
+    private boolean duplicate;
     /** The endpoint has told of the job's start. */
     private boolean started;
     /** A line behind that has begun to come and is not whole. */
-    private boolean answering;
+    private boolean resultLineBegun;
 
-    Answer(Scheduler scheduler, Attempt call, Collection<String> before) {
+    EndpointResponse(Scheduler scheduler, Attempt attempt, Collection<String> previousIds) {
         this.scheduler = scheduler;
-        this.call = call;
-        this.before = before;
+        this.attempt = attempt;
+        this.previousIds = previousIds;
     }
 
     /** A second answer to a job before: this one's is still to come. */
-    boolean isStray() {
-        return stray;
+    boolean isDuplicate() {
+        return duplicate;
     }
 
     /** True once the endpoint has said that it took the call, or that it did not. */
@@ -60,8 +60,8 @@
         return head != null;
     }
 
-    boolean keepsAlive() {
-        return head != null && head.keepsAlive();
+    boolean isKeepAlive() {
+        return head != null && head.isKeepAlive();
     }
 
     /** How it ended, or null while it has not. */
@@ -73,8 +73,8 @@
         return result;
     }
 
-    LoadReport report() {
-        return report;
+    LoadReport loadReport() {
+        return loadReport;
     }
 
     @Override
@@ -84,10 +84,10 @@
             return;
         }
         head = received;
-        if (call != null && head.status() != 200) {
-            report = Loads.read(head.header(Names.LOAD));
+        if (attempt != null && head.status() != 200) {
+            loadReport = LoadReports.parse(head.header(HeaderNames.LOAD));
             boolean declined =
-                    (head.status() == 503 || head.status() == 504) && "1".equals(head.header(Names.DECLINED));
+                    (head.status() == 503 || head.status() == 504) && "1".equals(head.header(HeaderNames.DECLINED));
             outcome = declined ? Outcome.FULL : Outcome.ERROR;
         }
     }
@@ -96,48 +96,48 @@
     public void body(byte[] bytes) throws HttpException {
         for (byte b : bytes) {
             if (b != '\n') {
-                line.write(b);
+                lineBuffer.write(b);
             } else {
-                endLine();
+                finishLine();
             }
         }
-        if (line.size() > MOST_LINE) {
+        if (lineBuffer.size() > MAX_LINE_BYTES) {
             throw new HttpException(400, "line too long");
         }
-        if (line.size() > 0 && started && !answering && outcome == null) {
-            answering = true;
-            scheduler.answering(call);
+        if (lineBuffer.size() > 0 && started && !resultLineBegun && outcome == null) {
+            resultLineBegun = true;
+            scheduler.answering(attempt);
         }
     }
 
     @Override
     public void end() throws HttpException {
-        endLine();
-        if (outcome == null && !stray) {
-            boolean sound = head.status() == 200;
-            outcome = call == null ? sound ? Outcome.OK : Outcome.ERROR : Outcome.RESET;
+        finishLine();
+        if (outcome == null && !duplicate) {
+            boolean isOk = head.status() == 200;
+            outcome = attempt == null ? isOk ? Outcome.OK : Outcome.ERROR : Outcome.RESET;
         }
     }
 
-    private void endLine() throws HttpException {
-        if (line.size() == 0 || outcome != null) {
-            line.reset();
+    private void finishLine() throws HttpException {
+        if (lineBuffer.size() == 0 || outcome != null) {
+            lineBuffer.reset();
             return;
         }
-        String text = text(line.toByteArray()).strip();
-        line.reset();
+        String text = decodeUtf8(lineBuffer.toByteArray()).strip();
+        lineBuffer.reset();
         if (text.isEmpty()) {
             return;
         }
-        if (call != null) {
-            word(object(text));
+        if (attempt != null) {
+            handleStatus(parseObject(text));
         } else {
-            report = text.startsWith("{") ? Loads.read(object(text)) : Loads.read(text);
+            loadReport = text.startsWith("{") ? LoadReports.parse(parseObject(text)) : LoadReports.parse(text);
         }
     }
 
     /** Bytes that are no UTF-8 must not be served in another form than the endpoint made. */
-    private static String text(byte[] bytes) throws HttpException {
+    private static String decodeUtf8(byte[] bytes) throws HttpException {
         try {
             return StandardCharsets.UTF_8
                     .newDecoder()
@@ -149,7 +149,7 @@
     }
 
     /** Gson by itself makes sense of much that is no JSON, of a line cut short for one. */
-    private static JsonObject object(String text) throws HttpException {
+    private static JsonObject parseObject(String text) throws HttpException {
         try {
             JsonReader reader = new JsonReader(new StringReader(text));
             reader.setStrictness(Strictness.STRICT);
@@ -163,42 +163,42 @@
         }
     }
 
-    private void word(JsonObject word) throws HttpException {
-        String id = string(word, "id");
-        boolean own = call.request.payload.requestId().equals(id);
-        if (!own && !spoke && before.contains(id)) {
-            stray = true;
+    private void handleStatus(JsonObject status) throws HttpException {
+        String id = stringField(status, "id");
+        boolean isOwnId = attempt.request.payload.requestId().equals(id);
+        if (!isOwnId && !statusReceived && previousIds.contains(id)) {
+            duplicate = true;
             return;
         }
-        spoke = true;
-        if (!own || stray) {
+        statusReceived = true;
+        if (!isOwnId || duplicate) {
             throw new HttpException(400, "a word on no request or another one");
         }
-        switch (String.valueOf(string(word, "state"))) {
+        switch (String.valueOf(stringField(status, "state"))) {
             case "started":
                 started = true;
-                scheduler.started(call);
+                scheduler.started(attempt);
                 break;
             case "running":
-                answering = false;
-                scheduler.progress(call, (long) (share(word) * 1000), 1000);
+                resultLineBegun = false;
+                scheduler.progress(attempt, (long) (progressShare(status) * 1000), 1000);
                 break;
             case "done":
-                String text = string(word, "result");
+                String text = stringField(status, "result");
                 if (text == null) {
                     throw new HttpException(400, "done, with no result");
                 }
                 result = text.getBytes(StandardCharsets.UTF_8);
-                ends(Outcome.OK, word);
+                finish(Outcome.OK, status);
                 break;
             case "failed":
-                ends(Outcome.ERROR, word);
+                finish(Outcome.ERROR, status);
                 break;
             case "returned":
-                ends(Outcome.FULL, word);
+                finish(Outcome.FULL, status);
                 break;
             case "lost":
-                ends(Outcome.RESET, word);
+                finish(Outcome.RESET, status);
                 break;
             default:
                 // A state of a later protocol says nothing here; the last word decides.
@@ -206,24 +206,24 @@
         }
     }
 
-    private void ends(Outcome how, JsonObject word) {
-        outcome = how;
-        report = Loads.read(word.get("load"));
+    private void finish(Outcome finalOutcome, JsonObject status) {
+        outcome = finalOutcome;
+        loadReport = LoadReports.parse(status.get("load"));
     }
 
-    private static double share(JsonObject word) {
-        JsonElement share = word.get("share");
-        boolean number = share != null
+    private static double progressShare(JsonObject status) {
+        JsonElement share = status.get("share");
+        boolean isNumber = share != null
                 && share.isJsonPrimitive()
                 && share.getAsJsonPrimitive().isNumber();
-        return number ? Math.min(1, Math.max(0, share.getAsDouble())) : 0;
+        return isNumber ? Math.min(1, Math.max(0, share.getAsDouble())) : 0;
     }
 
-    private static String string(JsonObject from, String key) {
-        JsonElement value = from.get(key);
-        boolean text = value != null
+    private static String stringField(JsonObject object, String key) {
+        JsonElement value = object.get(key);
+        boolean isString = value != null
                 && value.isJsonPrimitive()
                 && value.getAsJsonPrimitive().isString();
-        return text ? value.getAsString() : null;
+        return isString ? value.getAsString() : null;
     }
 }
--- a/src/main/java/laneflow/http/HttpFront.java
+++ b/src/main/java/laneflow/http/HttpFront.java
@@ -26,51 +26,56 @@
 public final class HttpFront implements Front {
     private static final Logger LOG = LoggerFactory.getLogger(HttpFront.class);
     /** The longest body taken, bytes. */
-    public static final int MOST_BODY = 64 * 1024;
+    public static final int MAX_BODY_BYTES = 64 * 1024;
     /** Room for a whole message behind one that is at work. */
-    private static final int IN_RING = 128 * 1024;
+    private static final int IN_RING_BYTES = 128 * 1024;
 
-    private static final int OUT_RING = 1 << 20;
+    private static final int OUT_RING_BYTES = 1 << 20;
 
     final Loop loop;
     private final Scheduler scheduler;
-    private final JobReader jobs;
-    private final SlotTable<Client> clients = new SlotTable<>();
+    private final JobReader jobReader;
+    private final SlotTable<ClientConnection> clients = new SlotTable<>();
     /** The ids of open requests: one that comes again must not become a second call. */
-    private final Set<String> open = new HashSet<>();
+    private final Set<String> openRequestIds = new HashSet<>();
 
-    private BooleanSupplier ready = () -> true;
+    private BooleanSupplier readiness = () -> true;
     private Loop.Listener listener;
     private final String[] classNames;
     private final Map<String, Supplier<String>> reports = new HashMap<>();
     /** Null where durable jobs are off. */
-    private KeptJobs kept;
+    private DurableJobHandler durableJobs;
 
-    private IntFunction<String> versions;
-    private boolean draining;
-    private boolean refusing;
-    private long came;
+    private IntFunction<String> versionHeaders;
+    private boolean closingAfterResponses;
+    private boolean refusingNewRequests;
+    private long acceptedClients;
 
     /** A front for these classes, in the settings' order. */
     public HttpFront(Loop loop, Scheduler scheduler, String[] classNames) {
         this.loop = loop;
         this.scheduler = scheduler;
         this.classNames = classNames;
-        jobs = new JobReader(classNames, scheduler.settings());
+        jobReader = new JobReader(classNames, scheduler.settings());
     }
 
     /** Until this holds no clients are asked for. */
     public void setReadiness(BooleanSupplier condition) {
-        ready = condition;
+        readiness = condition;
     }
 
     /** Whether clients may be asked for. */
     public boolean isReady() {
-        return ready.getAsBoolean();
+        return readiness.getAsBoolean();
     }
 
-    public void listen(InetSocketAddress at) throws IOException {
-        listener = loop.listen(at, IN_RING, OUT_RING, this::makeRoom, () -> new Client(this, ++came));
+    public void listen(InetSocketAddress address) throws IOException {
+        listener = loop.listen(
+                address,
+                IN_RING_BYTES,
+                OUT_RING_BYTES,
+                this::makeRoom,
+                () -> new ClientConnection(this, ++acceptedClients));
         // Not before it is known here: a client that is heard at once would find no listener.
         listener.begin();
         LOG.info("clients at {}", listener.address());
@@ -78,7 +83,8 @@
 
     /** Takes clients from the listening socket that was passed to this process, once told to. */
     public void listenOnPassedSocket() throws IOException {
-        listener = loop.listenPassed(IN_RING, OUT_RING, this::makeRoom, () -> new Client(this, ++came));
+        listener = loop.listenPassed(
+                IN_RING_BYTES, OUT_RING_BYTES, this::makeRoom, () -> new ClientConnection(this, ++acceptedClients));
         LOG.info("clients at {}, a socket that was passed", listener.address());
     }
 
@@ -100,8 +106,8 @@
      * unread is neither: it is read instead, and another one is looked for.
      */
     boolean makeRoom() {
-        for (Client first = firstToGiveWay(); first != null; first = firstToGiveWay()) {
-            if (first.giveWay()) {
+        for (ClientConnection first = firstToEvict(); first != null; first = firstToEvict()) {
+            if (first.evict()) {
                 return true;
             }
         }
@@ -109,10 +115,10 @@
     }
 
     /** Who gives way first, or null if none does. */
-    private Client firstToGiveWay() {
-        Client[] first = new Client[1];
+    private ClientConnection firstToEvict() {
+        ClientConnection[] first = new ClientConnection[1];
         clients.forEach(client -> {
-            if (client.rank() < Integer.MAX_VALUE && (first[0] == null || client.before(first[0]))) {
+            if (client.evictionRank() < Integer.MAX_VALUE && (first[0] == null || client.isEvictedBefore(first[0]))) {
                 first[0] = client;
             }
         });
@@ -140,25 +146,25 @@
     }
 
     /** While this holds each answer closes its connection. */
-    public void closeAfterResponses(boolean away) {
-        draining = away;
+    public void closeAfterResponses(boolean on) {
+        closingAfterResponses = on;
     }
 
     /**
      * Ends what has not begun since then, and what has been idle for so long; a request that is there
      * already is read, not cut off.
      */
-    public void closeIdle(long young, long unused) {
-        List<Client> all = new ArrayList<>();
-        clients.forEach(all::add);
-        for (Client client : all) {
-            client.endUnlessBusy(young, unused);
+    public void closeIdle(long maxNewAge, long maxIdle) {
+        List<ClientConnection> snapshot = new ArrayList<>();
+        clients.forEach(snapshot::add);
+        for (ClientConnection client : snapshot) {
+            client.closeUnlessBusy(maxNewAge, maxIdle);
         }
     }
 
     /** From now on each request is refused at once: there is no time left in which it could be served. */
     public void refuseNewRequests() {
-        refusing = true;
+        refusingNewRequests = true;
     }
 
     /** Connections whose answer is not wholly written yet, or on which a request is coming in. */
@@ -170,7 +176,7 @@
 
     // ---- from clients ----
 
-    long add(Client client) {
+    long add(ClientConnection client) {
         return clients.add(client);
     }
 
@@ -183,13 +189,13 @@
     }
 
     /** True if connections are to close behind their answers. */
-    boolean isLeaving() {
-        return draining || listener.isFull();
+    boolean closesAfterResponse() {
+        return closingAfterResponses || listener.isFull();
     }
 
     /** Jobs of clients that ask so are kept there. */
-    public void setDurableJobs(DurableJobService keeper) {
-        kept = new KeptJobs(keeper);
+    public void setDurableJobs(DurableJobService service) {
+        durableJobs = new DurableJobHandler(service);
     }
 
     /** Answers GET on that path with what the supplier says then, as JSON. */
@@ -198,59 +204,61 @@
     }
 
     /** Answers carry what this says of the epoch that their requests came under, unless it is empty. */
-    public void setVersionHeaders(IntFunction<String> of) {
-        versions = of;
+    public void setVersionHeaders(IntFunction<String> versionOfEpoch) {
+        versionHeaders = versionOfEpoch;
     }
 
-    KeptJobs kept() {
-        return kept;
+    DurableJobHandler durableJobs() {
+        return durableJobs;
     }
 
     /** Hands a message's job to whoever keeps it, if it asks so; the answer comes when it is on disk. */
-    boolean keeps(Client client, long slot, HttpHead head, byte[] body, long arrived) throws HttpException {
-        if (kept == null || head.header("prefer") == null) {
+    boolean submitDurable(ClientConnection client, long slot, HttpHead head, byte[] body, long arrivedAt)
+            throws HttpException {
+        if (durableJobs == null || head.header("prefer") == null) {
             return false;
         }
-        Request asked = jobs.read(this, slot, head, body, arrived);
-        boolean wants = kept.wants(head, asked);
-        if (wants) {
-            kept.submit(client, asked, classNames[asked.jobClass]);
+        Request request = jobReader.read(this, slot, head, body, arrivedAt);
+        boolean isDurable = durableJobs.wantsDurable(head, request);
+        if (isDurable) {
+            durableJobs.submit(client, request, classNames[request.jobClass]);
         }
-        return wants;
+        return isDurable;
     }
 
-    void get(Client client, String path) {
+    void handleGet(ClientConnection client, String path) {
         Supplier<String> report = reports.get(path);
         if (report != null) {
-            client.answer(
+            client.respond(
                     200,
                     "OK",
                     "Content-Type: application/json\r\n",
                     report.get().getBytes(StandardCharsets.UTF_8));
-        } else if (kept != null && KeptJobs.isPath(path)) {
-            kept.get(client, path);
-        } else if (path.equals("/health/ready") && !ready.getAsBoolean()) {
-            client.answer(503, "Service Unavailable", "", Client.ascii("not ready\n"));
+        } else if (durableJobs != null && DurableJobHandler.isJobPath(path)) {
+            durableJobs.handleGet(client, path);
+        } else if (path.equals("/health/ready") && !readiness.getAsBoolean()) {
+            client.respond(503, "Service Unavailable", "", ClientConnection.ascii("not ready\n"));
         } else if (path.equals("/health/ready") || path.equals("/health/live")) {
-            client.answer(200, "OK", "", Client.ascii("ok\n"));
+            client.respond(200, "OK", "", ClientConnection.ascii("ok\n"));
         } else if (path.equals("/counters")) {
-            client.answer(200, "OK", "", Client.ascii(scheduler.counters().text()));
+            client.respond(
+                    200, "OK", "", ClientConnection.ascii(scheduler.counters().text()));
         } else {
-            client.answer(404, "Not Found", "", new byte[0]);
+            client.respond(404, "Not Found", "", new byte[0]);
         }
     }
 
     /** The request of a message that arrived then, its id held from now on; to be submitted. */
-    Request take(long slot, HttpHead head, byte[] body, long arrived) throws HttpException {
-        Request request = jobs.read(this, slot, head, body, arrived);
-        if (!open.add(request.payload.requestId())) {
+    Request openRequest(long slot, HttpHead head, byte[] body, long arrivedAt) throws HttpException {
+        Request request = jobReader.read(this, slot, head, body, arrivedAt);
+        if (!openRequestIds.add(request.payload.requestId())) {
             throw new HttpException(409, "this Req-Id is at work");
         }
         return request;
     }
 
     void submit(Request request) {
-        if (refusing) {
+        if (refusingNewRequests) {
             refused(request.tag, scheduler.settings().retryAfter ? scheduler.settings().tick : 0);
             return;
         }
@@ -258,12 +266,12 @@
     }
 
     /** It has its answer: its id may come again. */
-    void close(Request request) {
-        open.remove(request.payload.requestId());
+    void releaseId(Request request) {
+        openRequestIds.remove(request.payload.requestId());
     }
 
     void withdraw(Request request) {
-        close(request);
+        releaseId(request);
         scheduler.withdraw(request);
     }
 
@@ -276,33 +284,33 @@
 
     @Override
     public boolean hasLeft(long tag) {
-        Client client = clients.get(tag);
-        return client == null || client.hasLeft();
+        ClientConnection client = clients.get(tag);
+        return client == null || client.hasPeerEnded();
     }
 
     @Override
     public void served(long tag, byte[] result) {
-        answer(tag, 200, "OK", "", result);
+        respond(tag, 200, "OK", "", result);
     }
 
     @Override
     public void refused(long tag, double retryAfter) {
         count("clients.refused");
-        String when = retryAfter > 0 ? String.format(Locale.ROOT, "Retry-After: %.3f\r\n", retryAfter) : "";
-        answer(tag, 503, "Service Unavailable", when, Client.ascii("fail-fast\n"));
+        String retryHeader = retryAfter > 0 ? String.format(Locale.ROOT, "Retry-After: %.3f\r\n", retryAfter) : "";
+        respond(tag, 503, "Service Unavailable", retryHeader, ClientConnection.ascii("fail-fast\n"));
     }
 
     @Override
     public void failed(long tag) {
-        answer(tag, 500, "Internal Server Error", "", Client.ascii("failed\n"));
+        respond(tag, 500, "Internal Server Error", "", ClientConnection.ascii("failed\n"));
     }
 
-    private void answer(long tag, int status, String reason, String headers, byte[] body) {
-        Client client = clients.get(tag);
+    private void respond(long tag, int status, String reason, String headers, byte[] body) {
+        ClientConnection client = clients.get(tag);
         if (client != null) {
-            String under = versions == null ? "" : versions.apply(client.epoch());
-            headers = under.isEmpty() ? headers : headers + "Config-Version: " + under + "\r\n";
-            client.answer(status, reason, headers, body);
+            String version = versionHeaders == null ? "" : versionHeaders.apply(client.epoch());
+            headers = version.isEmpty() ? headers : headers + "Config-Version: " + version + "\r\n";
+            client.respond(status, reason, headers, body);
         }
     }
 }
--- a/src/main/java/laneflow/http/HttpHead.java
+++ b/src/main/java/laneflow/http/HttpHead.java
@@ -8,39 +8,40 @@
 
 /** The start line and the headers of one message. */
 final class HttpHead {
-    private static final int MOST_HEADERS = 100;
+    private static final int MAX_HEADERS = 100;
     /** Besides all that begin with req-. */
-    private static final Set<String> ONCE =
+    private static final Set<String> SINGLE_HEADERS =
             Set.of("content-length", "transfer-encoding", "host", "idempotency-key", "srv-declined", "srv-load");
 
     /** The three parts of the start line. */
-    final String first;
+    final String methodOrVersion;
 
-    final String second;
-    final String third;
+    final String targetOrStatus;
+    final String versionOrReason;
     private final Map<String, String> headers = new HashMap<>();
 
-    private HttpHead(String first, String second, String third) {
-        this.first = first;
-        this.second = second;
-        this.third = third;
+    private HttpHead(String methodOrVersion, String targetOrStatus, String versionOrReason) {
+        this.methodOrVersion = methodOrVersion;
+        this.targetOrStatus = targetOrStatus;
+        this.versionOrReason = versionOrReason;
     }
 
     static HttpHead parse(byte[] bytes, boolean response) throws HttpException {
         // Every message comes through here: patterns compiled anew for each took much of a cold start's time.
         String text = new String(bytes, StandardCharsets.ISO_8859_1);
         HttpHead head = null;
-        for (int at = 0; at < text.length(); ) {
-            int end = text.indexOf('\n', at);
-            int next = end < 0 ? text.length() : end + 1;
-            end = end < 0 ? text.length() : end;
-            String line = text.substring(at, end > at && text.charAt(end - 1) == '\r' ? end - 1 : end);
+        for (int lineStart = 0; lineStart < text.length(); ) {
+            int lineEnd = text.indexOf('\n', lineStart);
+            int nextLine = lineEnd < 0 ? text.length() : lineEnd + 1;
+            lineEnd = lineEnd < 0 ? text.length() : lineEnd;
+            String line = text.substring(
+                    lineStart, lineEnd > lineStart && text.charAt(lineEnd - 1) == '\r' ? lineEnd - 1 : lineEnd);
             if (head == null) {
-                head = start(line, response);
+                head = parseStartLine(line, response);
             } else if (!line.isEmpty()) {
-                head.add(line);
+                head.addHeader(line);
             }
-            at = next;
+            lineStart = nextLine;
         }
         if (head == null) {
             throw new HttpException(400, "start line");
@@ -48,26 +49,29 @@
         return head;
     }
 
-    private static HttpHead start(String line, boolean response) throws HttpException {
-        int one = line.indexOf(' ');
-        int two = line.indexOf(' ', one + 1);
-        String first = one < 0 ? line : line.substring(0, one);
-        String second = one < 0 ? "" : line.substring(one + 1, two < 0 ? line.length() : two);
-        String third = one < 0 || two < 0 ? "" : line.substring(two + 1);
-        boolean sound = response ? version(first) && status(second) : version(third) && token(first) && target(second);
-        if (!sound) {
+    private static HttpHead parseStartLine(String line, boolean response) throws HttpException {
+        int firstSpace = line.indexOf(' ');
+        int secondSpace = line.indexOf(' ', firstSpace + 1);
+        String first = firstSpace < 0 ? line : line.substring(0, firstSpace);
+        String second =
+                firstSpace < 0 ? "" : line.substring(firstSpace + 1, secondSpace < 0 ? line.length() : secondSpace);
+        String third = firstSpace < 0 || secondSpace < 0 ? "" : line.substring(secondSpace + 1);
+        boolean valid = response
+                ? isVersion(first) && isStatus(second)
+                : isVersion(third) && isToken(first) && isTarget(second);
+        if (!valid) {
             throw new HttpException(400, "start line");
         }
         return new HttpHead(first, second, third);
     }
 
-    private static boolean status(String text) {
+    private static boolean isStatus(String text) {
         return text.length() == 3 && text.charAt(0) >= '1' && text.charAt(0) <= '5' && HttpReader.isNumber(text, 3);
     }
 
-    private void add(String line) throws HttpException {
+    private void addHeader(String line) throws HttpException {
         int colon = line.indexOf(':');
-        if (colon < 1 || !token(line.substring(0, colon))) {
+        if (colon < 1 || !isToken(line.substring(0, colon))) {
             throw new HttpException(400, "header line");
         }
         String name = line.substring(0, colon).toLowerCase(Locale.ROOT);
@@ -78,42 +82,42 @@
                 throw new HttpException(400, "header value");
             }
         }
-        String value = cut(line, colon + 1);
-        String before = headers.put(name, value);
-        if (before != null) {
+        String value = trimBlanks(line, colon + 1);
+        String earlier = headers.put(name, value);
+        if (earlier != null) {
             // Two lengths or codings, alike or not, are how requests are smuggled past a proxy.
-            if (name.startsWith("req-") || ONCE.contains(name)) {
+            if (name.startsWith("req-") || SINGLE_HEADERS.contains(name)) {
                 throw new HttpException(400, "header twice");
             }
-            headers.put(name, before + ", " + value);
+            headers.put(name, earlier + ", " + value);
         }
-        if (headers.size() > MOST_HEADERS) {
+        if (headers.size() > MAX_HEADERS) {
             throw new HttpException(431, "too many headers");
         }
     }
 
     /** Cuts off blanks and tabs, and nothing else that might pass for white space. */
-    private static String cut(String line, int from) {
+    private static String trimBlanks(String line, int from) {
         int start = from;
         int end = line.length();
-        while (start < end && blank(line.charAt(start))) {
+        while (start < end && isBlank(line.charAt(start))) {
             start++;
         }
-        while (end > start && blank(line.charAt(end - 1))) {
+        while (end > start && isBlank(line.charAt(end - 1))) {
             end--;
         }
         return line.substring(start, end);
     }
 
-    private static boolean blank(char c) {
+    private static boolean isBlank(char c) {
         return c == ' ' || c == '\t';
     }
 
-    private static boolean version(String text) {
+    private static boolean isVersion(String text) {
         return text.equals("HTTP/1.1") || text.equals("HTTP/1.0");
     }
 
-    private static boolean token(String text) {
+    private static boolean isToken(String text) {
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             if (c <= ' ' || c >= 127 || "\"(),/:;<=>?@[\\]{}".indexOf(c) >= 0) {
@@ -123,7 +127,7 @@
         return !text.isEmpty();
     }
 
-    private static boolean target(String text) {
+    private static boolean isTarget(String text) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) <= ' ' || text.charAt(i) >= 127) {
                 return false;
@@ -138,13 +142,13 @@
     }
 
     int status() {
-        return Integer.parseInt(second);
+        return Integer.parseInt(targetOrStatus);
     }
 
     /** True if the connection lives on behind this message. */
-    boolean keepsAlive() {
+    boolean isKeepAlive() {
         String connection = headers.getOrDefault("connection", "").toLowerCase(Locale.ROOT);
-        boolean old = first.equals("HTTP/1.0") || third.equals("HTTP/1.0");
-        return old ? connection.contains("keep-alive") : !connection.contains("close");
+        boolean isHttp10 = methodOrVersion.equals("HTTP/1.0") || versionOrReason.equals("HTTP/1.0");
+        return isHttp10 ? connection.contains("keep-alive") : !connection.contains("close");
     }
 }
--- a/src/main/java/laneflow/http/HttpReader.java
+++ b/src/main/java/laneflow/http/HttpReader.java
@@ -5,11 +5,11 @@
 
 /** Reads one HTTP/1.1 message after the other out of a ring, however its bytes are split. */
 final class HttpReader {
-    static final int MOST_HEAD = 16 * 1024;
-    private static final int MOST_LINE = 256;
-    private static final int MOST_TRAILERS = 32;
-    private static final int MOST_DIGITS = 9;
-    private static final int MOST_HEX = 7;
+    static final int MAX_HEAD_BYTES = 16 * 1024;
+    private static final int MAX_LINE_BYTES = 256;
+    private static final int MAX_TRAILERS = 32;
+    private static final int MAX_LENGTH_DIGITS = 9;
+    private static final int MAX_CHUNK_SIZE_DIGITS = 7;
 
     /** What is told of a message, in order. */
     interface Sink {
@@ -27,7 +27,7 @@
         CHUNK,
         CHUNK_END,
         TRAILER,
-        TO_CLOSE,
+        UNTIL_CLOSE,
         DONE
     }
 
@@ -35,7 +35,7 @@
     private final Sink sink;
     private State state = State.HEAD;
     private int scanned;
-    private long left;
+    private long remaining;
     private int trailers;
 
     HttpReader(boolean response, Sink sink) {
@@ -44,7 +44,7 @@
     }
 
     /** Goes on with the next message. */
-    void next() {
+    void nextMessage() {
         state = State.HEAD;
         scanned = 0;
         trailers = 0;
@@ -55,43 +55,43 @@
     }
 
     /** True if the present message has begun and not ended. */
-    boolean isInside(Ring in) {
+    boolean isInsideMessage(Ring in) {
         return state != State.DONE && (state != State.HEAD || !in.isEmpty());
     }
 
     /** Reads as far as it can, to the end of the message at most. */
     void read(Ring in) throws HttpException {
-        boolean more = true;
-        while (more && state != State.DONE) {
+        boolean progressed = true;
+        while (progressed && state != State.DONE) {
             switch (state) {
                 case HEAD:
-                    more = head(in);
+                    progressed = readHead(in);
                     break;
                 case LENGTH:
-                    more = body(in, State.DONE);
+                    progressed = readBody(in, State.DONE);
                     break;
                 case CHUNK_SIZE:
-                    more = chunkSize(in);
+                    progressed = readChunkSize(in);
                     break;
                 case CHUNK:
-                    more = body(in, State.CHUNK_END);
+                    progressed = readBody(in, State.CHUNK_END);
                     break;
                 case CHUNK_END:
-                    more = chunkEnd(in);
+                    progressed = readChunkEnd(in);
                     break;
                 case TRAILER:
-                    more = trailer(in);
+                    progressed = readTrailer(in);
                     break;
                 default:
-                    more = toClose(in);
+                    progressed = readUntilClose(in);
                     break;
             }
         }
     }
 
     /** The connection has ended; true if that is the message's end. */
-    boolean ended() throws HttpException {
-        if (state != State.TO_CLOSE) {
+    boolean endOfInput() throws HttpException {
+        if (state != State.UNTIL_CLOSE) {
             return false;
         }
         finish();
@@ -103,108 +103,110 @@
         sink.end();
     }
 
-    private boolean head(Ring in) throws HttpException {
+    private boolean readHead(Ring in) throws HttpException {
         // Empty lines before a start line are skipped, as RFC 9112 asks.
         while (!in.isEmpty() && scanned == 0 && (in.at(0) == '\r' || in.at(0) == '\n')) {
             in.skip(1);
         }
-        for (int at = in.find((byte) '\n', scanned); at >= 0; at = in.find((byte) '\n', at + 1)) {
-            boolean bare = at > 0 && in.at(at - 1) == '\n';
-            if (at + 1 > MOST_HEAD) {
+        for (int lineFeed = in.find((byte) '\n', scanned);
+                lineFeed >= 0;
+                lineFeed = in.find((byte) '\n', lineFeed + 1)) {
+            boolean afterLineFeed = lineFeed > 0 && in.at(lineFeed - 1) == '\n';
+            if (lineFeed + 1 > MAX_HEAD_BYTES) {
                 break;
             }
-            if (bare || at > 1 && in.at(at - 1) == '\r' && in.at(at - 2) == '\n') {
-                byte[] bytes = new byte[at + 1];
+            if (afterLineFeed || lineFeed > 1 && in.at(lineFeed - 1) == '\r' && in.at(lineFeed - 2) == '\n') {
+                byte[] bytes = new byte[lineFeed + 1];
                 in.take(bytes, 0, bytes.length);
-                begin(HttpHead.parse(bytes, response));
+                beginMessage(HttpHead.parse(bytes, response));
                 return true;
             }
-            scanned = at;
+            scanned = lineFeed;
         }
-        if (in.size() > MOST_HEAD) {
+        if (in.size() > MAX_HEAD_BYTES) {
             throw new HttpException(431, "head too long");
         }
         return false;
     }
 
-    private void begin(HttpHead head) throws HttpException {
-        String coding = head.header("transfer-encoding");
-        String length = head.header("content-length");
-        if (coding != null) {
-            boolean old = (response ? head.first : head.third).equals("HTTP/1.0");
-            if (!coding.equalsIgnoreCase("chunked") || length != null || old) {
+    private void beginMessage(HttpHead head) throws HttpException {
+        String transferCoding = head.header("transfer-encoding");
+        String contentLength = head.header("content-length");
+        if (transferCoding != null) {
+            boolean isHttp10 = (response ? head.methodOrVersion : head.versionOrReason).equals("HTTP/1.0");
+            if (!transferCoding.equalsIgnoreCase("chunked") || contentLength != null || isHttp10) {
                 throw new HttpException(400, "transfer coding");
             }
             state = State.CHUNK_SIZE;
-        } else if (length != null) {
-            if (!isNumber(length, MOST_DIGITS)) {
+        } else if (contentLength != null) {
+            if (!isNumber(contentLength, MAX_LENGTH_DIGITS)) {
                 throw new HttpException(400, "content length");
             }
-            left = Long.parseLong(length);
+            remaining = Long.parseLong(contentLength);
             state = State.LENGTH;
         } else {
-            left = 0;
-            state = response ? State.TO_CLOSE : State.LENGTH;
+            remaining = 0;
+            state = response ? State.UNTIL_CLOSE : State.LENGTH;
         }
         if (response && (head.status() == 204 || head.status() == 304 || head.status() < 200)) {
-            left = 0;
+            remaining = 0;
             state = State.LENGTH;
         }
         sink.head(head);
         if (response && head.status() < 200) {
-            next();
-        } else if (state == State.LENGTH && left == 0) {
+            nextMessage();
+        } else if (state == State.LENGTH && remaining == 0) {
             finish();
         }
     }
 
     /** Digits, and no more than so many: no sign, no blank, nothing that overflows. */
-    static boolean isNumber(String text, int most) {
+    static boolean isNumber(String text, int maxDigits) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) < '0' || text.charAt(i) > '9') {
                 return false;
             }
         }
-        return !text.isEmpty() && text.length() <= most;
+        return !text.isEmpty() && text.length() <= maxDigits;
     }
 
-    private boolean body(Ring in, State then) throws HttpException {
-        int length = (int) Math.min(left, in.size());
+    private boolean readBody(Ring in, State nextState) throws HttpException {
+        int length = (int) Math.min(remaining, in.size());
         if (length == 0) {
             return false;
         }
         byte[] bytes = new byte[length];
         in.take(bytes, 0, length);
-        left -= length;
+        remaining -= length;
         sink.body(bytes);
-        if (left == 0) {
-            if (then == State.DONE) {
+        if (remaining == 0) {
+            if (nextState == State.DONE) {
                 finish();
             } else {
-                state = then;
+                state = nextState;
             }
         }
         return true;
     }
 
-    private boolean toClose(Ring in) throws HttpException {
-        left = Long.MAX_VALUE;
-        return body(in, State.DONE);
+    private boolean readUntilClose(Ring in) throws HttpException {
+        remaining = Long.MAX_VALUE;
+        return readBody(in, State.DONE);
     }
 
-    private boolean chunkSize(Ring in) throws HttpException {
-        String line = line(in);
+    private boolean readChunkSize(Ring in) throws HttpException {
+        String line = readLine(in);
         if (line == null) {
             return false;
         }
         int end = line.indexOf(';');
         String size = (end < 0 ? line : line.substring(0, end)).strip();
-        left = hex(size);
-        state = left == 0 ? State.TRAILER : State.CHUNK;
+        remaining = parseHex(size);
+        state = remaining == 0 ? State.TRAILER : State.CHUNK;
         return true;
     }
 
-    private static int hex(String size) throws HttpException {
+    private static int parseHex(String size) throws HttpException {
         int value = 0;
         for (int i = 0; i < size.length(); i++) {
             char c = size.charAt(i);
@@ -214,14 +216,14 @@
             }
             value = value << 4 | digit;
         }
-        if (size.isEmpty() || size.length() > MOST_HEX) {
+        if (size.isEmpty() || size.length() > MAX_CHUNK_SIZE_DIGITS) {
             throw new HttpException(400, "chunk size");
         }
         return value;
     }
 
-    private boolean chunkEnd(Ring in) throws HttpException {
-        String line = line(in);
+    private boolean readChunkEnd(Ring in) throws HttpException {
+        String line = readLine(in);
         if (line == null) {
             return false;
         }
@@ -232,22 +234,22 @@
         return true;
     }
 
-    private boolean trailer(Ring in) throws HttpException {
-        String line = line(in);
+    private boolean readTrailer(Ring in) throws HttpException {
+        String line = readLine(in);
         if (line == null) {
             return false;
         }
         if (line.isEmpty()) {
             finish();
-        } else if (++trailers > MOST_TRAILERS) {
+        } else if (++trailers > MAX_TRAILERS) {
             throw new HttpException(431, "too many trailers");
         }
         return true;
     }
 
-    private static String line(Ring in) throws HttpException {
+    private static String readLine(Ring in) throws HttpException {
         int end = in.find((byte) '\n', 0);
-        if (end > MOST_LINE || end < 0 && in.size() > MOST_LINE) {
+        if (end > MAX_LINE_BYTES || end < 0 && in.size() > MAX_LINE_BYTES) {
             throw new HttpException(400, "line too long");
         }
         if (end < 0) {
--- a/src/main/java/laneflow/http/JobReader.java
+++ b/src/main/java/laneflow/http/JobReader.java
@@ -13,24 +13,24 @@
 
 /** Makes a request of a whole message; what makes none is an {@link HttpException} and comes no further. */
 final class JobReader {
-    private static final int MOST_ID = 128;
-    private static final double MOST_WAIT_MS = 3_600_000;
+    private static final int MAX_ID_LENGTH = 128;
+    private static final double MAX_WAIT_MS = 3_600_000;
     /** Slots or units of memory of one job: one told as larger would spoil its endpoint's sums. */
-    private static final double MOST_EXTRA = 1024;
+    private static final double MAX_EXTRA = 1024;
 
-    private final Map<String, Integer> numbers = new HashMap<>();
-    private final Map<String, Integer> tenants = new HashMap<>();
+    private final Map<String, Integer> classIndexes = new HashMap<>();
+    private final Map<String, Integer> tenantIndexes = new HashMap<>();
     private final JobClass[] classes;
 
     /** For these classes, in the settings' order, and the settings' tenants. */
-    JobReader(String[] names, Settings settings) {
+    JobReader(String[] classNames, Settings settings) {
         classes = settings.classes;
         for (int i = 0; i < settings.tenants.length; i++) {
             // As a head is read, a byte a character: names may be of any language.
-            tenants.put(new String(settings.tenants[i].name.getBytes(UTF_8), ISO_8859_1), i);
+            tenantIndexes.put(new String(settings.tenants[i].name.getBytes(UTF_8), ISO_8859_1), i);
         }
-        for (int i = 0; i < names.length; i++) {
-            numbers.put(names[i], i);
+        for (int i = 0; i < classNames.length; i++) {
+            classIndexes.put(classNames[i], i);
         }
     }
 
@@ -39,55 +39,57 @@
      *
      * @param arrived when the message's last byte came, microseconds: its time is counted from then
      */
-    Request read(Front front, long tag, HttpHead head, byte[] body, long arrived) throws HttpException {
-        String target = head.second;
+    Request read(Front front, long tag, HttpHead head, byte[] body, long arrivedAt) throws HttpException {
+        String target = head.targetOrStatus;
         int query = target.indexOf('?');
-        Integer jobClass = numbers.get(className(head, query < 0 ? target : target.substring(0, query)));
+        Integer jobClass = classIndexes.get(className(head, query < 0 ? target : target.substring(0, query)));
         if (jobClass == null) {
             throw new HttpException(400, "class unknown");
         }
-        String id = head.header(Names.ID);
-        if (id == null || !word(id)) {
+        String id = head.header(HeaderNames.ID);
+        if (id == null || !isVisibleAscii(id)) {
             throw new HttpException(400, "no Req-Id, or one that is no word");
         }
-        double wait = number(head.header(Names.DEADLINE), Names.DEADLINE, classes[jobClass].deadline * 1000);
-        Payload payload = new Payload(head.first, target, id, head.header(Names.REPEAT_KEY), body);
+        double waitMs =
+                numberOr(head.header(HeaderNames.DEADLINE), HeaderNames.DEADLINE, classes[jobClass].deadline * 1000);
+        Payload payload = new Payload(head.methodOrVersion, target, id, head.header(HeaderNames.IDEMPOTENCY_KEY), body);
         Request request =
-                new Request(front, tag, payload, jobClass, arrived + (long) (Math.min(wait, MOST_WAIT_MS) * 1000));
+                new Request(front, tag, payload, jobClass, arrivedAt + (long) (Math.min(waitMs, MAX_WAIT_MS) * 1000));
         // An owner that no settings name has no share that it could be beyond.
-        request.tenant = tenants.getOrDefault(head.header(Names.OWNER), -1);
-        request.hint = number(head.header(Names.COST), Names.COST, Double.NaN) / 1e6;
-        request.subject = query < 0 ? 0 : key(target, query + 1);
-        extras(request, head.header(Names.EXTRA));
+        request.tenant = tenantIndexes.getOrDefault(head.header(HeaderNames.OWNER), -1);
+        request.hint = numberOr(head.header(HeaderNames.COST), HeaderNames.COST, Double.NaN) / 1e6;
+        request.subject = query < 0 ? 0 : parseKey(target, query + 1);
+        readExtras(request, head.header(HeaderNames.EXTRA));
         return request;
     }
 
     /** The path's first part; a header that says otherwise would have two programs read two classes. */
     private static String className(HttpHead head, String path) throws HttpException {
         int end = path.indexOf('/', 1);
-        String first = path.isEmpty() || path.charAt(0) != '/' ? "" : path.substring(1, end < 0 ? path.length() : end);
-        String told = head.header(Names.CLASS);
-        if (told != null && !told.equals(first)) {
+        String pathClass =
+                path.isEmpty() || path.charAt(0) != '/' ? "" : path.substring(1, end < 0 ? path.length() : end);
+        String headerClass = head.header(HeaderNames.CLASS);
+        if (headerClass != null && !headerClass.equals(pathClass)) {
             throw new HttpException(400, "class of header and path differ");
         }
-        return first;
+        return pathClass;
     }
 
-    private static boolean word(String text) {
+    private static boolean isVisibleAscii(String text) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) <= ' ' || text.charAt(i) >= 127) {
                 return false;
             }
         }
-        return !text.isEmpty() && text.length() <= MOST_ID;
+        return !text.isEmpty() && text.length() <= MAX_ID_LENGTH;
     }
 
-    private static double number(String text, String what, double absent) throws HttpException {
-        return text == null ? absent : number(text, what);
+    private static double numberOr(String text, String headerName, double defaultValue) throws HttpException {
+        return text == null ? defaultValue : parseNumber(text, headerName);
     }
 
     /** Digits, and behind a point some more: no sign, no exponent, nothing that overflows. */
-    private static double number(String text, String what) throws HttpException {
+    private static double parseNumber(String text, String headerName) throws HttpException {
         int digits = 0;
         int point = -1;
         for (int i = 0; i < text.length(); i++) {
@@ -97,20 +99,20 @@
             } else if (c >= '0' && c <= '9') {
                 digits++;
             } else {
-                throw new HttpException(400, "bad " + what);
+                throw new HttpException(400, "bad " + headerName);
             }
         }
         if (digits == 0 || point == text.length() - 1 || digits > 18) {
-            throw new HttpException(400, "bad " + what);
+            throw new HttpException(400, "bad " + headerName);
         }
         return Double.parseDouble(text);
     }
 
     /** What the request concerns, as a number. */
-    private static long key(String target, int from) {
-        for (int at = from; at >= from && at < target.length(); ) {
-            int end = target.indexOf('&', at);
-            String pair = target.substring(at, end < 0 ? target.length() : end);
+    private static long parseKey(String target, int from) {
+        for (int start = from; start >= from && start < target.length(); ) {
+            int end = target.indexOf('&', start);
+            String pair = target.substring(start, end < 0 ? target.length() : end);
             if (pair.startsWith("key=")) {
                 try {
                     return Long.parseUnsignedLong(pair.substring(4), 16);
@@ -118,28 +120,28 @@
                     return pair.hashCode();
                 }
             }
-            at = end < 0 ? target.length() : end + 1;
+            start = end < 0 ? target.length() : end + 1;
         }
         return 0;
     }
 
-    private static void extras(Request to, String text) throws HttpException {
+    private static void readExtras(Request request, String text) throws HttpException {
         if (text == null || text.isEmpty()) {
             return;
         }
         for (String pair : text.split(",")) {
             String[] parts = pair.strip().split("=", 2);
             if (parts.length < 2) {
-                throw new HttpException(400, "bad " + Names.EXTRA);
+                throw new HttpException(400, "bad " + HeaderNames.EXTRA);
             }
-            double value = number(parts[1], Names.EXTRA);
-            if (value > MOST_EXTRA) {
-                throw new HttpException(400, "bad " + Names.EXTRA);
+            double value = parseNumber(parts[1], HeaderNames.EXTRA);
+            if (value > MAX_EXTRA) {
+                throw new HttpException(400, "bad " + HeaderNames.EXTRA);
             }
             if ((parts[0].equals("slots") || parts[0].equals("width")) && value > 0) {
-                to.slots = value;
+                request.slots = value;
             } else if (parts[0].equals("memory") || parts[0].equals("mem")) {
-                to.memory = value;
+                request.memory = value;
             }
         }
     }
--- a/src/main/java/laneflow/http/JsonFrames.java
+++ b/src/main/java/laneflow/http/JsonObjectSplitter.java
@@ -7,31 +7,31 @@
  * Cuts JSON objects out of a stream of bytes, however they are indented or split: an object ends with the
  * brace that closes it, not with its line. Whether it is sound JSON is for whoever parses it to say.
  */
-final class JsonFrames {
+final class JsonObjectSplitter {
     /** What is told of the stream, in order. */
     interface Sink {
         /** A line with nothing on it, outside any object. */
-        void blank() throws HttpException;
+        void emptyLine() throws HttpException;
 
         /** An object has begun. */
-        void begun();
+        void objectBegun();
 
         /** An object, whole. */
         void object(String text) throws HttpException;
     }
 
-    private final int most;
+    private final int maxObjectBytes;
     private final Sink sink;
-    private final ByteArrayOutputStream object = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
     private int depth;
     private boolean quoted;
     private boolean escaped;
     /** An object has ended on the present line. */
-    private boolean behind;
+    private boolean objectEndedOnLine;
 
     /** @param most bytes of the longest object taken */
-    JsonFrames(int most, Sink sink) {
-        this.most = most;
+    JsonObjectSplitter(int maxObjectBytes, Sink sink) {
+        this.maxObjectBytes = maxObjectBytes;
         this.sink = sink;
     }
 
@@ -41,34 +41,34 @@
     }
 
     /** Takes the next bytes in. */
-    void take(byte[] bytes) throws HttpException {
+    void accept(byte[] bytes) throws HttpException {
         for (byte b : bytes) {
             if (depth > 0) {
-                inside(b);
+                acceptInsideObject(b);
             } else {
-                between(b);
+                acceptOutsideObject(b);
             }
         }
     }
 
-    private void between(byte b) throws HttpException {
+    private void acceptOutsideObject(byte b) throws HttpException {
         if (b == '{') {
             depth = 1;
-            object.write(b);
-            sink.begun();
+            buffer.write(b);
+            sink.objectBegun();
         } else if (b == '\n') {
-            if (!behind) {
-                sink.blank();
+            if (!objectEndedOnLine) {
+                sink.emptyLine();
             }
-            behind = false;
+            objectEndedOnLine = false;
         } else if (b != ' ' && b != '\t' && b != '\r') {
             throw new HttpException(400, "a line that is no object");
         }
     }
 
-    private void inside(byte b) throws HttpException {
-        object.write(b);
-        if (object.size() > most) {
+    private void acceptInsideObject(byte b) throws HttpException {
+        buffer.write(b);
+        if (buffer.size() > maxObjectBytes) {
             throw new HttpException(400, "object too long");
         }
         if (quoted) {
@@ -79,9 +79,9 @@
         } else if (b == '{' || b == '[') {
             depth++;
         } else if ((b == '}' || b == ']') && --depth == 0) {
-            String text = object.toString(StandardCharsets.UTF_8);
-            object.reset();
-            behind = true;
+            String text = buffer.toString(StandardCharsets.UTF_8);
+            buffer.reset();
+            objectEndedOnLine = true;
             sink.object(text);
         }
     }
--- a/src/main/java/laneflow/http/LineStream.java
+++ b/src/main/java/laneflow/http/LineStream.java
@@ -24,18 +24,18 @@
         void onLine(byte[] text);
 
         /** It is over; told once, and nothing after it. */
-        void onClose(String why);
+        void onClose(String reason);
     }
 
     private final Loop loop;
-    private final Listener reader;
-    private final HttpReader http = new HttpReader(true, this);
-    private final Lines lines;
+    private final Listener listener;
+    private final HttpReader httpReader = new HttpReader(true, this);
+    private final ChunkedLines lines;
     private final Deadline timer;
-    private final String head;
-    private final long silence;
+    private final String requestHead;
+    private final long silenceTimeout;
     private Link link;
-    private boolean over;
+    private boolean closed;
 
     /**
      * Begins one.
@@ -50,25 +50,25 @@
             String address,
             String path,
             String headers,
-            long connect,
-            long silence,
-            int mostLine,
-            Listener reader) {
+            long connectTimeout,
+            long silenceTimeout,
+            int maxLineBytes,
+            Listener listener) {
         this.loop = loop;
-        this.reader = reader;
-        this.silence = silence;
-        lines = new Lines(mostLine);
-        head = "POST " + path + " HTTP/1.1\r\nHost: " + address + "\r\nContent-Type: application/x-ndjson\r\n" + headers
-                + "Transfer-Encoding: chunked\r\n\r\n";
-        timer = loop.deadlines().create(() -> end("nothing was heard in time"));
-        loop.deadlines().set(timer, loop.micros() + connect);
+        this.listener = listener;
+        this.silenceTimeout = silenceTimeout;
+        lines = new ChunkedLines(maxLineBytes);
+        requestHead = "POST " + path + " HTTP/1.1\r\nHost: " + address + "\r\nContent-Type: application/x-ndjson\r\n"
+                + headers + "Transfer-Encoding: chunked\r\n\r\n";
+        timer = loop.deadlines().create(() -> finish("nothing was heard in time"));
+        loop.deadlines().set(timer, loop.micros() + connectTimeout);
         link = loop.connect(Loop.address(address), IN_RING, OUT_RING, this);
     }
 
     /** Sends a line; false if it can't take it, and then it is over. */
     public boolean send(String text) {
-        if (over || !Lines.put(text, link.out)) {
-            loop.later(() -> end("it does not read what it is sent"));
+        if (closed || !ChunkedLines.put(text, link.out)) {
+            loop.later(() -> finish("it does not read what it is sent"));
             return false;
         }
         link.flush();
@@ -82,54 +82,54 @@
     }
 
     public void resumeReading() {
-        if (!over) {
-            loop.deadlines().set(timer, loop.micros() + silence);
+        if (!closed) {
+            loop.deadlines().set(timer, loop.micros() + silenceTimeout);
             link.resumeReads();
         }
     }
 
     /** Closes it; nothing more is told. */
     public void close() {
-        over = true;
+        closed = true;
         loop.deadlines().cancel(timer);
         link.close();
     }
 
-    private void end(String why) {
-        if (!over) {
+    private void finish(String reason) {
+        if (!closed) {
             close();
-            reader.onClose(why);
+            listener.onClose(reason);
         }
     }
 
     @Override
-    public void opened(Link opened) {
-        loop.deadlines().set(timer, loop.micros() + silence);
-        link.out.put(head.getBytes(StandardCharsets.US_ASCII));
+    public void opened(Link openedLink) {
+        loop.deadlines().set(timer, loop.micros() + silenceTimeout);
+        link.out.put(requestHead.getBytes(StandardCharsets.US_ASCII));
         link.flush();
     }
 
     @Override
-    public void notOpened(Link gone) {
-        end("no connection");
+    public void notOpened(Link failedLink) {
+        finish("no connection");
     }
 
     @Override
-    public void received(Link from) {
-        loop.deadlines().set(timer, loop.micros() + silence);
+    public void received(Link source) {
+        loop.deadlines().set(timer, loop.micros() + silenceTimeout);
         try {
-            http.read(link.in);
-            if (http.isDone()) {
-                end("it was ended by the other side");
+            httpReader.read(link.in);
+            if (httpReader.isDone()) {
+                finish("it was ended by the other side");
             }
         } catch (HttpException e) {
-            end(e.getMessage());
+            finish(e.getMessage());
         }
     }
 
     @Override
-    public void broken(Link gone) {
-        end("the connection broke");
+    public void broken(Link brokenLink) {
+        finish("the connection broke");
     }
 
     @Override
@@ -137,14 +137,14 @@
         if (received.status() != 200) {
             throw new HttpException(received.status(), "answered " + received.status());
         }
-        reader.onOpen();
+        listener.onOpen();
     }
 
     @Override
     public void body(byte[] bytes) throws HttpException {
-        lines.take(bytes, text -> {
-            if (!over) {
-                reader.onLine(text);
+        lines.accept(bytes, text -> {
+            if (!closed) {
+                listener.onLine(text);
             }
         });
     }
--- a/src/main/java/laneflow/http/Loads.java
+++ b/src/main/java/laneflow/http/LoadReports.java
@@ -7,16 +7,16 @@
 import laneflow.wire.ReportFields;
 
 /** Load reports as endpoints write them: an object, or {@code name=value,name=value}. */
-final class Loads {
-    private Loads() {}
+final class LoadReports {
+    private LoadReports() {}
 
     /** A report, or null if there is none that can be read. */
-    static LoadReport read(JsonElement from) {
-        if (from == null || !from.isJsonObject()) {
+    static LoadReport parse(JsonElement json) {
+        if (json == null || !json.isJsonObject()) {
             return null;
         }
         LoadReport report = new LoadReport();
-        JsonObject object = from.getAsJsonObject();
+        JsonObject object = json.getAsJsonObject();
         for (Map.Entry<String, JsonElement> field : object.entrySet()) {
             if (field.getValue().isJsonPrimitive()
                     && field.getValue().getAsJsonPrimitive().isNumber()) {
@@ -27,7 +27,7 @@
     }
 
     /** A report, or null if there is none that can be read. */
-    static LoadReport read(String text) {
+    static LoadReport parse(String text) {
         if (text == null) {
             return null;
         }
--- a/src/main/java/laneflow/http/OperatorPort.java
+++ b/src/main/java/laneflow/http/OperatorPort.java
@@ -20,15 +20,15 @@
  */
 public final class OperatorPort {
     private static final Logger LOG = LoggerFactory.getLogger(OperatorPort.class);
-    private static final int MOST = 8;
-    private static final long WITHIN = 2_000_000;
-    private static final int IN_RING = 32 * 1024;
-    private static final int OUT_RING = 1 << 20;
+    private static final int MAX_CONNECTIONS = 8;
+    private static final long CONNECTION_TIMEOUT_US = 2_000_000;
+    private static final int IN_RING_BYTES = 32 * 1024;
+    private static final int OUT_RING_BYTES = 1 << 20;
 
     private final Loop loop;
     private final Map<String, Supplier<String>> reports = new TreeMap<>();
     private Loop.Listener listener;
-    private int open;
+    private int openConnections;
 
     public OperatorPort(Loop loop) {
         this.loop = loop;
@@ -39,8 +39,8 @@
         reports.put(path, text);
     }
 
-    public void listen(InetSocketAddress at) throws IOException {
-        listener = loop.listen(at, IN_RING, OUT_RING, () -> false, Asker::new);
+    public void listen(InetSocketAddress address) throws IOException {
+        listener = loop.listen(address, IN_RING_BYTES, OUT_RING_BYTES, () -> false, Connection::new);
         listener.begin();
         LOG.info("operators at {}", listener.address());
     }
@@ -50,61 +50,62 @@
     }
 
     /** One who asks. */
-    private final class Asker implements LinkHandler, HttpReader.Sink {
+    private final class Connection implements LinkHandler, HttpReader.Sink {
         private final HttpReader reader = new HttpReader(false, this);
-        private final Deadline timer = loop.deadlines().create(this::late);
+        private final Deadline timer = loop.deadlines().create(this::onTimeout);
         private Link link;
         private HttpHead head;
         private boolean answered;
 
         @Override
-        public void opened(Link up) {
-            link = up;
-            open++;
-            loop.deadlines().set(timer, loop.micros() + WITHIN);
-            if (open > MOST) {
-                answer(503, "Service Unavailable", "too many ask at once\n");
+        public void opened(Link openedLink) {
+            link = openedLink;
+            openConnections++;
+            loop.deadlines().set(timer, loop.micros() + CONNECTION_TIMEOUT_US);
+            if (openConnections > MAX_CONNECTIONS) {
+                respond(503, "Service Unavailable", "too many ask at once\n");
             }
         }
 
-        private void late() {
+        private void onTimeout() {
             link.close();
-            over();
+            release();
         }
 
-        private void over() {
+        private void release() {
             loop.deadlines().cancel(timer);
-            open--;
+            openConnections--;
         }
 
         @Override
-        public void received(Link from) {
+        public void received(Link source) {
             if (answered) {
                 return;
             }
             try {
                 reader.read(link.in);
                 if (reader.isDone()) {
-                    finish();
+                    handleRequest();
                 }
             } catch (HttpException e) {
-                answer(e.status, e.reason(), e.getMessage() + "\n");
+                respond(e.status, e.reason(), e.getMessage() + "\n");
             }
         }
 
-        private void finish() {
-            int query = head.second.indexOf('?');
-            Supplier<String> report = reports.get(query < 0 ? head.second : head.second.substring(0, query));
-            if (!head.first.equals("GET")) {
-                answer(405, "Method Not Allowed", "only GET\n");
+        private void handleRequest() {
+            int query = head.targetOrStatus.indexOf('?');
+            Supplier<String> report =
+                    reports.get(query < 0 ? head.targetOrStatus : head.targetOrStatus.substring(0, query));
+            if (!head.methodOrVersion.equals("GET")) {
+                respond(405, "Method Not Allowed", "only GET\n");
             } else if (report == null) {
-                answer(404, "Not Found", "known are " + String.join(", ", reports.keySet()) + "\n");
+                respond(404, "Not Found", "known are " + String.join(", ", reports.keySet()) + "\n");
             } else {
-                answer(200, "OK", report.get());
+                respond(200, "OK", report.get());
             }
         }
 
-        private void answer(int status, String reason, String text) {
+        private void respond(int status, String reason, String text) {
             answered = true;
             byte[] body = text.getBytes(StandardCharsets.UTF_8);
             link.out.put(("HTTP/1.1 " + status + " " + reason + "\r\nContent-Type: "
@@ -131,8 +132,8 @@
         }
 
         @Override
-        public void broken(Link gone) {
-            over();
+        public void broken(Link brokenLink) {
+            release();
         }
     }
 }
--- a/src/main/java/laneflow/http/StreamPort.java
+++ b/src/main/java/laneflow/http/StreamPort.java
@@ -18,11 +18,11 @@
  */
 public final class StreamPort {
     private static final Logger LOG = LoggerFactory.getLogger(StreamPort.class);
-    private static final int IN_RING = 1 << 20;
-    private static final int OUT_RING = 1 << 20;
-    private static final int MOST_BODY = 1 << 20;
+    private static final int IN_RING_BYTES = 1 << 20;
+    private static final int OUT_RING_BYTES = 1 << 20;
+    private static final int MAX_BODY_BYTES = 1 << 20;
     /** An ordinary request is there, and has its answer, within this time. */
-    private static final long WITHIN = 60_000_000;
+    private static final long REQUEST_TIMEOUT_US = 60_000_000;
 
     /** What is done with those that come. */
     public interface Handler {
@@ -42,9 +42,9 @@
     private final Loop loop;
     private final String path;
     private final String token;
-    private final long silence;
-    private final int mostLine;
-    private final Handler host;
+    private final long silenceTimeout;
+    private final int maxLineBytes;
+    private final Handler handler;
     private Loop.Listener listener;
 
     /**
@@ -55,18 +55,19 @@
      * @param silence microseconds without a byte after which a stream counts as dead
      * @param mostLine bytes of the longest line taken
      */
-    public StreamPort(Loop loop, String path, String token, long silence, int mostLine, Handler host) {
+    public StreamPort(Loop loop, String path, String token, long silenceTimeout, int maxLineBytes, Handler handler) {
         this.loop = loop;
         this.path = path;
         this.token = token;
-        this.silence = silence;
-        this.mostLine = mostLine;
-        this.host = host;
+        this.silenceTimeout = silenceTimeout;
+        this.maxLineBytes = maxLineBytes;
+        this.handler = handler;
     }
 
     /** @param most connections at a time; they come out of no client's part of the descriptors */
-    public void listen(InetSocketAddress at, int most) throws IOException {
-        listener = loop.listenApart(at, IN_RING, OUT_RING, most, () -> false, Peer::new);
+    public void listen(InetSocketAddress address, int maxConnections) throws IOException {
+        listener =
+                loop.listenApart(address, IN_RING_BYTES, OUT_RING_BYTES, maxConnections, () -> false, Connection::new);
         listener.begin();
         LOG.info("other schedulers at {}", listener.address());
     }
@@ -85,59 +86,59 @@
     }
 
     /** One connection. */
-    private final class Peer implements LinkHandler, HttpReader.Sink, Stream {
+    private final class Connection implements LinkHandler, HttpReader.Sink, Stream {
         private final HttpReader reader = new HttpReader(false, this);
-        private final Deadline timer = loop.deadlines().create(() -> over("nothing was heard in time"));
+        private final Deadline timer = loop.deadlines().create(() -> finish("nothing was heard in time"));
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-        private Lines lines;
-        private LineStream.Listener to;
+        private ChunkedLines lines;
+        private LineStream.Listener lineListener;
         private Link link;
         private HttpHead head;
         private boolean answered;
-        private boolean over;
+        private boolean closed;
 
         @Override
-        public void opened(Link up) {
-            link = up;
-            loop.deadlines().set(timer, loop.micros() + silence);
+        public void opened(Link openedLink) {
+            link = openedLink;
+            loop.deadlines().set(timer, loop.micros() + silenceTimeout);
         }
 
-        private void over(String why) {
-            if (!over) {
+        private void finish(String reason) {
+            if (!closed) {
                 close();
-                if (to != null) {
-                    to.onClose(why);
+                if (lineListener != null) {
+                    lineListener.onClose(reason);
                 }
             }
         }
 
         @Override
-        public void received(Link from) {
-            if (to != null) {
-                loop.deadlines().set(timer, loop.micros() + silence);
+        public void received(Link source) {
+            if (lineListener != null) {
+                loop.deadlines().set(timer, loop.micros() + silenceTimeout);
             }
             try {
                 if (!answered) {
                     reader.read(link.in);
                 }
-                if (reader.isDone() && to != null) {
-                    over("it was ended by the other side");
+                if (reader.isDone() && lineListener != null) {
+                    finish("it was ended by the other side");
                 } else if (reader.isDone() && !answered) {
                     answered = true;
-                    loop.deadlines().set(timer, loop.micros() + WITHIN);
-                    host.handleRequest(head.first, head.second, body.toByteArray(), this::say);
+                    loop.deadlines().set(timer, loop.micros() + REQUEST_TIMEOUT_US);
+                    handler.handleRequest(head.methodOrVersion, head.targetOrStatus, body.toByteArray(), this::respond);
                 }
             } catch (HttpException e) {
-                if (to != null) {
-                    over(e.getMessage());
+                if (lineListener != null) {
+                    finish(e.getMessage());
                 } else {
-                    say(e.status, "text/plain", "", e.getMessage() + "\n");
+                    respond(e.status, "text/plain", "", e.getMessage() + "\n");
                 }
             }
         }
 
-        private void say(int status, String type, String headers, String text) {
-            if (over || to != null) {
+        private void respond(int status, String type, String headers, String text) {
+            if (closed || lineListener != null) {
                 return;
             }
             answered = true;
@@ -149,7 +150,7 @@
             if (fits) {
                 link.endWhenFlushed();
             } else {
-                over("an answer of " + bytes.length + " bytes");
+                finish("an answer of " + bytes.length + " bytes");
             }
         }
 
@@ -159,28 +160,28 @@
             if (token != null && !("Bearer " + token).equals(received.header("authorization"))) {
                 throw new HttpException(401, "the token is missing or is another");
             }
-            if (received.first.equals("POST") && received.second.equals(path)) {
+            if (received.methodOrVersion.equals("POST") && received.targetOrStatus.equals(path)) {
                 link.out.put("HTTP/1.1 200 OK\r\nContent-Type: application/x-ndjson\r\n"
                         .getBytes(StandardCharsets.US_ASCII));
                 link.out.put("Transfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-                lines = new Lines(mostLine);
-                to = host.streamOpened(this);
+                lines = new ChunkedLines(maxLineBytes);
+                lineListener = handler.streamOpened(this);
             }
         }
 
         @Override
         public void body(byte[] bytes) throws HttpException {
-            if (to != null) {
-                lines.take(bytes, text -> {
-                    if (!over) {
-                        to.onLine(text);
+            if (lineListener != null) {
+                lines.accept(bytes, text -> {
+                    if (!closed) {
+                        lineListener.onLine(text);
                     }
                 });
                 return;
             }
             body.writeBytes(bytes);
-            if (body.size() > MOST_BODY) {
-                throw new HttpException(413, "more than " + MOST_BODY + " bytes");
+            if (body.size() > MAX_BODY_BYTES) {
+                throw new HttpException(413, "more than " + MAX_BODY_BYTES + " bytes");
             }
         }
 
@@ -190,14 +191,14 @@
         }
 
         @Override
-        public void broken(Link gone) {
-            over("the connection broke");
+        public void broken(Link brokenLink) {
+            finish("the connection broke");
         }
 
         @Override
         public boolean send(String text) {
-            if (over || !Lines.put(text, link.out)) {
-                loop.later(() -> over("it does not read what it is sent"));
+            if (closed || !ChunkedLines.put(text, link.out)) {
+                loop.later(() -> finish("it does not read what it is sent"));
                 return false;
             }
             link.flush();
@@ -206,7 +207,7 @@
 
         @Override
         public void close() {
-            over = true;
+            closed = true;
             loop.deadlines().cancel(timer);
             link.close();
         }
--- a/src/test/java/laneflow/http/ToldSinceTest.java
+++ b/src/test/java/laneflow/http/AnnouncementTimesTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 /** All orders in which three watches say a little, or nothing, before the fourth tells of a drain. */
-class ToldSinceTest {
+class AnnouncementTimesTest {
     private static final long SECOND = 1_000_000;
     /** What a watch says before it breaks: a head, an early empty line, a beat, a list. */
     private static final String[] SCRIPTS = {"", "h", "he", "hb", "hl", "hel", "heb", "hbe"};
@@ -29,29 +29,29 @@
     }
 
     private void firstListBehind(String... scripts) {
-        ToldSince told = new ToldSince();
+        AnnouncementTimes told = new AnnouncementTimes();
         wanted = 0;
         for (String script : scripts) {
-            ToldSince.OfWatch watch = told.new OfWatch();
+            AnnouncementTimes.PerWatch watch = told.new PerWatch();
             script.chars().forEach(event -> play(watch, (char) event));
         }
-        ToldSince.OfWatch last = told.new OfWatch();
+        AnnouncementTimes.PerWatch last = told.new PerWatch();
         last.head(now);
-        last.blank(now, true);
-        assertEquals(wanted, last.since(now, false), String.join(",", scripts));
-        last.list(now, true);
-        assertEquals(now + SECOND, last.since(now + SECOND, false));
+        last.emptyLine(now, true);
+        assertEquals(wanted, last.earliest(now, false), String.join(",", scripts));
+        last.listRead(now, true);
+        assertEquals(now + SECOND, last.earliest(now + SECOND, false));
     }
 
-    private void play(ToldSince.OfWatch watch, char event) {
+    private void play(AnnouncementTimes.PerWatch watch, char event) {
         now += event == 'b' ? 2 * SECOND : SECOND / 10;
         if (event == 'h') {
             watch.head(now);
         } else if (event == 'l') {
-            watch.list(now, true);
+            watch.listRead(now, true);
             wanted = now;
         } else {
-            watch.blank(now, true);
+            watch.emptyLine(now, true);
             // Behind a beat the watch is up to date, however soon the next empty line comes.
             wanted = event == 'b' || wanted == now - SECOND / 10 ? now : wanted;
         }
@@ -60,15 +60,15 @@
     /** A silent watch's late words may be as old as its silence; a former one's do not count for the next. */
     @Test
     void whatIsOnlyListenedToMovesNothing() {
-        ToldSince told = new ToldSince();
-        ToldSince.OfWatch watch = told.new OfWatch();
+        AnnouncementTimes told = new AnnouncementTimes();
+        AnnouncementTimes.PerWatch watch = told.new PerWatch();
         watch.head(now);
-        watch.list(now, true);
-        ToldSince.OfWatch next = told.new OfWatch();
-        assertEquals(now, watch.since(now + 5 * SECOND, true));
-        watch.list(now + 5 * SECOND, false);
-        assertEquals(now, next.since(now + 6 * SECOND, false));
-        assertEquals(now, told.new OfWatch().since(now + 6 * SECOND, false));
-        assertEquals(now + 6 * SECOND, watch.since(now + 6 * SECOND, false));
+        watch.listRead(now, true);
+        AnnouncementTimes.PerWatch next = told.new PerWatch();
+        assertEquals(now, watch.earliest(now + 5 * SECOND, true));
+        watch.listRead(now + 5 * SECOND, false);
+        assertEquals(now, next.earliest(now + 6 * SECOND, false));
+        assertEquals(now, told.new PerWatch().earliest(now + 6 * SECOND, false));
+        assertEquals(now + 6 * SECOND, watch.earliest(now + 6 * SECOND, false));
     }
 }
--- a/src/test/java/laneflow/http/ClientStoryTest.java
+++ b/src/test/java/laneflow/http/ClientStoryTest.java
@@ -99,7 +99,7 @@
         /** One more that has asked, and waits for room. */
         Peer waiting(String id, String more) throws Exception {
             Peer waits = stand.http().write(job(id, more));
-            await(stand, () -> stand.serve.front().isLeaving());
+            await(stand, () -> stand.serve.front().closesAfterResponse());
             return waits;
         }
 
@@ -503,7 +503,7 @@
                 // XNIO's own thread accepts them meanwhile.
                 Thread.sleep(100);
             });
-            await(full.stand, () -> full.stand.serve.front().isLeaving());
+            await(full.stand, () -> full.stand.serve.front().closesAfterResponse());
             long began = System.nanoTime();
             long used = loopTime();
             Thread.sleep(500);
--- a/src/test/java/laneflow/http/DiscoveryWatchTest.java
+++ b/src/test/java/laneflow/http/DiscoveryWatchTest.java
@@ -16,7 +16,7 @@
     private static long longestBackOff(boolean asked) {
         long longest = 0;
         for (int vain = 0; vain < 100; vain++) {
-            longest = Math.max(longest, DiscoveryWatch.backOff(asked, vain, 1));
+            longest = Math.max(longest, DiscoveryWatch.backoff(asked, vain, 1));
         }
         return longest;
     }
@@ -25,24 +25,27 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aReachableDiscoveryIsAskedBeforeItsNewsCountsAsTold(boolean asked) {
-        long refused = longestBackOff(asked) + DiscoveryWatch.CONNECT;
-        long neverUp = DiscoveryWatch.CONNECT + refused;
-        long givenUp = (asked ? DiscoveryWatch.TURN : DiscoveryWatch.SILENCE) + DiscoveryWatch.CONNECT;
+        long refused = longestBackOff(asked) + DiscoveryWatch.CONNECT_TIMEOUT_US;
+        long neverUp = DiscoveryWatch.CONNECT_TIMEOUT_US + refused;
+        long givenUp = (asked ? DiscoveryWatch.SHARED_SERVICE_HEAD_TIMEOUT_US : DiscoveryWatch.SILENCE_TIMEOUT_US)
+                + DiscoveryWatch.CONNECT_TIMEOUT_US;
         assertTrue(refused < TOLD && neverUp < TOLD && givenUp < TOLD, refused + " " + neverUp + " " + givenUp);
     }
 
     /** A watch falls silent, and so does the next one; the connection of one of them comes up late. */
     @Test
     void theThirdWatchHasAskedWhenWhatTwoSilentOnesMissedCountsAsTold() {
-        long noticed = 2 * DiscoveryWatch.SILENCE;
-        assertTrue(noticed + DiscoveryWatch.CONNECT <= TOLD, "" + noticed);
+        long noticed = 2 * DiscoveryWatch.SILENCE_TIMEOUT_US;
+        assertTrue(noticed + DiscoveryWatch.CONNECT_TIMEOUT_US <= TOLD, "" + noticed);
     }
 
     /** A watch falls silent, and the next one says nothing at all; both connections behind it come up late. */
     @Test
     void theThirdWatchHasAskedInTimeWhereTheSecondNeverSpokeAndBothConnectionsAreLate() {
-        long asked =
-                DiscoveryWatch.SILENCE + DiscoveryWatch.CONNECT + DiscoveryWatch.HEAD_SOON + DiscoveryWatch.CONNECT;
+        long asked = DiscoveryWatch.SILENCE_TIMEOUT_US
+                + DiscoveryWatch.CONNECT_TIMEOUT_US
+                + DiscoveryWatch.HEAD_TIMEOUT_AFTER_SILENCE_US
+                + DiscoveryWatch.CONNECT_TIMEOUT_US;
         assertTrue(asked < TOLD, "" + asked);
     }
 
@@ -54,8 +57,8 @@
     @Test
     void waitsGrowAndNeverEndAtOnce() {
         for (int vain = 0; vain < 100; vain++) {
-            long least = DiscoveryWatch.backOff(true, vain, 0);
-            assertTrue(least > 0 && least <= DiscoveryWatch.backOff(true, vain + 1, 0), "" + vain);
+            long least = DiscoveryWatch.backoff(true, vain, 0);
+            assertTrue(least > 0 && least <= DiscoveryWatch.backoff(true, vain + 1, 0), "" + vain);
         }
     }
 }
--- a/src/test/java/laneflow/http/JsonFramesTest.java
+++ b/src/test/java/laneflow/http/JsonObjectSplitterTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.constraints.Size;
 
 /** However a list is indented or split, the same objects come out. */
-class JsonFramesTest {
+class JsonObjectSplitterTest {
     private static final String[] LISTS = {
         "{}",
         "{\"seq\":1}",
@@ -23,14 +23,14 @@
 
     private final List<String> told = new ArrayList<>();
     private int blanks;
-    private final JsonFrames frames = new JsonFrames(100, new JsonFrames.Sink() {
+    private final JsonObjectSplitter frames = new JsonObjectSplitter(100, new JsonObjectSplitter.Sink() {
         @Override
-        public void blank() {
+        public void emptyLine() {
             blanks++;
         }
 
         @Override
-        public void begun() {
+        public void objectBegun() {
             told.add("begun");
         }
 
@@ -57,7 +57,7 @@
         byte[] bytes = text.toString().getBytes(StandardCharsets.UTF_8);
         for (int from = 0, i = 0; from < bytes.length; i++) {
             int to = Math.min(bytes.length, from + pieces.get(i % pieces.size()));
-            frames.take(Arrays.copyOfRange(bytes, from, to));
+            frames.accept(Arrays.copyOfRange(bytes, from, to));
             from = to;
         }
         assertEquals(wanted, told);
@@ -67,8 +67,8 @@
     @Example
     void whatIsNoObjectOrTooLongIsAnError() {
         for (String bad : new String[] {"x", "[]", "{}}", "7\n", "{\"a\":\"" + "x".repeat(100)}) {
-            JsonFrames each = new JsonFramesTest().frames;
-            assertThrows(HttpException.class, () -> each.take(bad.getBytes(StandardCharsets.UTF_8)), bad);
+            JsonObjectSplitter each = new JsonObjectSplitterTest().frames;
+            assertThrows(HttpException.class, () -> each.accept(bad.getBytes(StandardCharsets.UTF_8)), bad);
         }
     }
 }
