--- a/src/main/java/laneflow/http/AnnouncementTimes.java
+++ b/src/main/java/laneflow/http/AnnouncementTimes.java
@@ -1,19 +1,20 @@
 package laneflow.http;
 
 /**
- * Since when what a watch tells may have been told, in microseconds of the loop's clock. News on a watch that
- * is up to date is told as it comes; what a watch tells first may have been told ever since the last one was.
+ * Tracks the earliest time at which discovery may have announced a change that a watch receives, in
+ * microseconds of the loop's clock. A watch that is up to date receives changes as they are announced; the
+ * first change on a new watch may have been announced at any time since a watch was last up to date.
  */
 final class AnnouncementTimes {
-    /** An empty line comes every 2 s: one that comes sooner behind the head tells nothing of the list. */
+    /** Heartbeats come every 2 s: an empty line sooner after the head does not confirm the list as up to date. */
     static final long MIN_HEARTBEAT_INTERVAL_US = 1_000_000;
 
     /** When a watch was up to date last; 0 where none ever was. */
     private long upToDateAt;
 
-    /** The part of one watch. */
+    /** The state of one watch. */
     final class PerWatch {
-        private final long upToDateBefore = upToDateAt;
+        private final long before = upToDateAt;
         private long headAt;
         private boolean upToDate;
 
@@ -31,8 +32,8 @@
         /**
          * A list has been read.
          *
-         * @param isCurrent false for a watch that is only listened to until the next one speaks: how far that
-         *     one has come says nothing of what the next one still owes
+         * @param isCurrent false for a former or silent watch, still read until its successor takes over: what it
+         *     has received does not show what the successor has yet to send
          */
         void listRead(long now, boolean isCurrent) {
             upToDate = true;
@@ -41,12 +42,12 @@
             }
         }
 
-        /** Since when what it tells now may have been told; for a list, to be asked before it is taken in. */
+        /** The earliest time at which a change received now may have been announced; called before listRead(). */
         long earliest(long now, boolean isSilent) {
             if (isSilent) {
                 return upToDateAt;
             }
-            return upToDate ? now : upToDateBefore;
+            return upToDate ? now : before;
         }
     }
 }
--- a/src/main/java/laneflow/http/ClientConnection.java
+++ b/src/main/java/laneflow/http/ClientConnection.java
@@ -9,21 +9,22 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One client's connection to the platform's front: its messages one after the other, and their answers. */
+/** A client's connection to the HTTP front. Requests are handled one at a time, in order. */
 final class ClientConnection implements LinkHandler, HttpReader.Sink {
     private static final Logger LOG = LoggerFactory.getLogger(ClientConnection.class);
     /**
-     * From a connection's coming up to its first whole message, and from any later message's first byte to
-     * its last. No byte extends it: heads without end and bodies in drops would fill the clients' part.
+     * Time from accepting a connection to the end of its first message, and from the first byte of a later
+     * message to its end. Further bytes do not extend it: clients that send slowly would use up the clients'
+     * share of the descriptors.
      */
     private static final long MESSAGE_TIMEOUT_US = 2_000_000;
-    /** A usual client has asked by then. */
+    /** Age by which a typical client has sent its request. */
     private static final long NEW_CONNECTION_US = 200_000;
-    /** How long a kept connection may be idle between messages. */
+    /** Maximum idle time between messages. */
     private static final long IDLE_TIMEOUT_US = 120_000_000;
-    /** Behind a request's time its answer earns nothing; later than so long behind it, it is lost. */
+    /** A response this long after the request's deadline counts as lost, an earlier one as late. */
     private static final long LOST_AFTER_US = 500_000;
-    /** How long a client may leave an answer unread. */
+    /** Time within which the client must read a response. */
     private static final long WRITE_TIMEOUT_US = 10_000_000;
 
     private final HttpFront front;
@@ -34,26 +35,26 @@
     private long slot;
     private HttpHead head;
     private Request request;
-    /** A message has begun; at first one is awaited as if it had. */
+    /** A message has begun; also true on a new connection, whose first message is due. */
     private boolean messageBegun = true;
-    /** From a message's end to its answer, also where the core is not asked. */
+    /** True from the end of a message to its response, also where the front answers without the scheduler. */
     private boolean responsePending;
 
     private boolean reading;
-    /** More than is kept came while an answer was owed: nothing can be read behind what is in the ring. */
+    /** Input exceeded the ring while a response was pending: nothing after the ring's content can be parsed. */
     private boolean inputDropped;
-    /** When the present message's last byte came. */
+    /** When the last byte of the current message arrived. */
     private long arrivedAt;
     /**
-     * Once its clients are sent away: the running number of the byte behind what had come in then. What
-     * begins before it is still answered; negative before that.
+     * While responses close their connections: offset of the end of the input that had arrived when that was
+     * first seen. Messages that begin before it are still answered. Otherwise negative.
      */
     private long drainOffset = -1;
-    /** Something has been answered on it. */
+    /** A response has been sent on this connection. */
     private boolean answered;
 
     private long waitingSince;
-    /** Its place among those that came in one turn, and so at one instant. */
+    /** Orders connections that were accepted at the same instant, in one turn of the loop. */
     private final long acceptOrder;
 
     ClientConnection(HttpFront front, long acceptOrder) {
@@ -74,7 +75,10 @@
         front.loop.deadlines().set(timer, waitingSince + timeout);
     }
 
-    /** Its time is over: with something to answer it hears so, else it ends; what came just now is read. */
+    /**
+     * Reads input that has just arrived; without a complete message in it, answers 408 to a partial one, else
+     * closes the connection.
+     */
     private void onTimeout() {
         boolean wasPending = responsePending;
         link.look();
@@ -90,9 +94,9 @@
         closeGracefully();
     }
 
-    // ---- what the front may do with it ----
+    // ---- called by the front ----
 
-    /** The connection holds a request whose answer is not wholly written, or one that is coming in. */
+    /** True while a request is arriving, or a response is pending or not fully written. */
     boolean isBusy() {
         return !link.isEnded() && (responsePending || !link.out.isEmpty() || reader.isInsideMessage(link.in));
     }
@@ -102,9 +106,9 @@
     }
 
     /**
-     * How soon it gives way when there is no room, the lowest first: what has its answer, what has said
-     * nothing whole for a while, what is kept idle, what has only just come. Above that it does not. In a
-     * flood the newest are mostly clients whose request is on its way.
+     * Order of eviction when there is no room for new clients, lowest first: connections whose last response
+     * is sent, those without a complete message for a while, idle ones, new ones. Integer.MAX_VALUE is never
+     * evicted. New connections come last because in a flood their requests are mostly on the way.
      */
     int evictionRank() {
         if (link.isEnded()) {
@@ -116,14 +120,14 @@
         return !messageBegun ? 2 : front.loop.micros() - waitingSince > NEW_CONNECTION_US ? 1 : 3;
     }
 
-    /** True if it gives way before the other one: by rank, and in a rank who is in it for longer. */
+    /** True if this is evicted before the other: by rank, then by the time spent waiting. */
     boolean isEvictedBefore(ClientConnection other) {
         int comparison = Integer.compare(evictionRank(), other.evictionRank());
         comparison = comparison != 0 ? comparison : Long.compare(waitingSince, other.waitingSince);
         return comparison != 0 ? comparison < 0 : acceptOrder < other.acceptOrder;
     }
 
-    /** Closes it at once, with nothing more said: where its descriptor is needed, or it reads nothing. */
+    /** Closes at once without a response: the descriptor is needed, or the client reads nothing. */
     void closeNow() {
         countUnanswered();
         unregister();
@@ -142,9 +146,9 @@
     }
 
     /**
-     * Ends it between two messages: stops sending, and passes over what still comes, until the other side has
-     * ended too or a short time is over. Closed over unread bytes, it would be reset, and what is on its way
-     * to the client might be lost.
+     * Closes between two messages: shuts down output, and discards input until the client closes too or a
+     * short time is over. Closing with unread input would reset the connection, and a response still on the
+     * way to the client could be lost.
      */
     private void closeGracefully() {
         if (responsePending || !link.out.isEmpty()) {
@@ -156,7 +160,12 @@
         link.endWhenFlushed();
     }
 
-    /** Ends it unless a request is there, or about to be read, or it has come or been used only just. */
+    /**
+     * Closes unless a request is pending, arriving or unread, or the connection is too recent.
+     *
+     * @param maxNewAge microseconds that a begun message, or a new connection, is spared
+     * @param maxIdle microseconds that an idle connection is spared
+     */
     void closeUnlessBusy(long maxNewAge, long maxIdle) {
         if (link.isEnded() || front.loop.micros() - waitingSince < (messageBegun ? maxNewAge : maxIdle)) {
             return;
@@ -169,7 +178,7 @@
         }
     }
 
-    /** Makes room for another client, unless a request has come on it just now; true if there is room. */
+    /** Closes to make room for another client, unless a request has just arrived; true if closed. */
     boolean evict() {
         link.look();
         readPending();
@@ -193,7 +202,7 @@
 
     @Override
     public void received(Link source) {
-        // An answer given while reading must not read on from within itself.
+        // Reentrant call: a response sent while reading must not start another read.
         if (reading) {
             return;
         }
@@ -207,7 +216,7 @@
                 handleMessage();
             }
         } catch (HttpException e) {
-            // Where a message that can't be read ends is not known: nothing behind it can be read either.
+            // The end of a malformed message is unknown, so nothing after it can be parsed.
             front.count("http.malformed");
             LOG.debug("{}: {}", e.status, e.getMessage());
             rejectAndClose(e.status, e.reason(), e.getMessage());
@@ -219,7 +228,7 @@
             front.count("http.too_much_at_once");
         }
         if (inputDropped && !responsePending && !link.isClosed()) {
-            // The rest of what is in the ring has not been kept.
+            // The remainder of the message in the ring was discarded.
             rejectAndClose(429, "Too Many Requests", "too much sent before an answer");
         }
         if (!messageBegun && !responsePending && reader.isInsideMessage(link.in)) {
@@ -228,13 +237,13 @@
         }
     }
 
-    /** Behind more requests than are kept the end of the connection must still be seen. */
+    /** The end of the connection must be noticed even when more requests are sent than fit in the ring. */
     @Override
     public boolean dropsBeyondRing() {
         return true;
     }
 
-    /** Reads what came in while an answer was owed. */
+    /** Reads input that arrived while a response was pending. */
     private void readPending() {
         if (!link.isClosed() && !link.isEnded()) {
             received(link);
@@ -267,7 +276,7 @@
     public void end() {
         responsePending = true;
         arrivedAt = link.arrivalOfLastTaken();
-        // From here on the request's own deadline runs.
+        // From here on the request's deadline applies.
         front.loop.deadlines().cancel(timer);
     }
 
@@ -287,7 +296,7 @@
                     return;
                 }
                 if (link.hasPeerEnded()) {
-                    // Its client has gone and waits for nothing: the link tells so in a moment.
+                    // The client has closed; broken() follows.
                     front.count("http.left_before_turn");
                     return;
                 }
@@ -305,27 +314,27 @@
         return link.hasPeerEnded();
     }
 
-    /** Which state of the settings its request came under. */
+    /** The settings epoch of the pending request; 0 without one. */
     int epoch() {
         return request == null ? 0 : request.epoch();
     }
 
-    // ---- answers ----
+    // ---- responses ----
 
     static byte[] ascii(String text) {
         return text.getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** The last answer on a connection on which nothing further can be read. */
+    /** Sends the last response on a connection whose further input can't be parsed. */
     private void rejectAndClose(int status, String reason, String message) {
         head = null;
         respond(status, reason, "", ascii(message + "\n"));
     }
 
-    /** The request's answer. */
+    /** Sends the response to the current message. */
     void respond(int status, String reason, String headers, byte[] content) {
         if (link.isClosed()) {
-            // It left before the disk had spoken.
+            // The client closed while a durable job was being written to disk.
             return;
         }
         answered = true;
@@ -345,13 +354,13 @@
                 + "Content-Length: " + content.length + "\r\n"
                 + (closes ? "Connection: close\r\n\r\n" : "\r\n");
         if (!link.out.put(ascii(responseHead)) || !link.out.put(content)) {
-            // It asks on and on and reads nothing: its answers must not fill the memory.
+            // The client sends requests but reads no responses, which would accumulate in memory.
             front.count("http.slow_reader");
             closeNow();
             return;
         }
         if (closes) {
-            // Until it is written out it stays owed: the program must not end before.
+            // Busy until the response is written, so that the process does not exit before.
             responsePending = true;
             startTimer(WRITE_TIMEOUT_US);
             link.endWhenFlushed();
@@ -364,20 +373,20 @@
         link.flush();
         link.resumeReads();
         if (!link.in.isEmpty() && !reading) {
-            // Not from within the call that brought the answer: the core has yet to hear of its end, and the
-            // endpoint that has just become free would look taken to the next request.
+            // Deferred: within the call that delivers the response the scheduler has not yet recorded the end of
+            // the attempt, and the endpoint would appear busy to the next request.
             front.loop.later(this::readPending);
         }
     }
 
-    /** While its clients are sent away: nothing is left that had come in when that began. */
+    /** True if all input that had arrived when responses began to close their connections is answered. */
     private boolean isDrained() {
         if (drainOffset < 0) {
             link.hasPeerEnded();
             drainOffset = link.in.taken() + link.in.size();
         }
         while (!link.in.isEmpty() && (link.in.at(0) == '\r' || link.in.at(0) == '\n')) {
-            // Empty lines between messages are none.
+            // Empty lines between messages are ignored.
             link.in.skip(1);
         }
         return link.in.taken() >= drainOffset;
@@ -386,7 +395,7 @@
     @Override
     public void flushed(Link flushedLink) {
         if (flushedLink.isEnded()) {
-            // The link closes it within its own time.
+            // The link has its own time-out for closing.
             front.loop.deadlines().cancel(timer);
         } else if (!responsePending && !messageBegun) {
             startTimer(IDLE_TIMEOUT_US);
--- a/src/main/java/laneflow/http/Config.java
+++ b/src/main/java/laneflow/http/Config.java
@@ -16,18 +16,18 @@
 import laneflow.wire.SettingsReader;
 import laneflow.wire.WireException;
 
-/** What a scheduler is told at its start, and lists in discovery's form. */
+/** A scheduler's start-up configuration, and endpoint lists in discovery's format. */
 public final class Config {
     private static final int DEFAULT_MAX_SOCKETS = 1024;
     private static final double DEFAULT_IDLE_CONNECTION_SECONDS = 10;
 
-    /** The scheduler's name, the same after a restart. */
+    /** The scheduler's name, stable across restarts. */
     public final String name;
 
     public final String listen;
-    /** The second address, where on-call staff call in; null where there is none. */
+    /** Address of the operations port, or null for none. */
     public final String opsAddress;
-    /** Discovery's address, or null where there is none. */
+    /** Address of discovery, or null for none. */
     public final String discoveryAddress;
 
     public final long seed;
@@ -35,13 +35,13 @@
     public final Settings settings;
     public final String[] classNames;
     public final double idleConnectionSeconds;
-    /** The destination set last held. */
+    /** The endpoint list known at start-up. */
     public final Listing lastKnown;
 
     public final List<String> zones;
     private final List<String> endpointKinds;
 
-    /** A list in discovery's form. */
+    /** A list of endpoints, complete or with changes only, in discovery's format. */
     public static final class Listing {
         public long seq;
         public boolean complete;
@@ -51,7 +51,7 @@
     private Config(JsonObject root) throws WireException {
         JsonObject settingsJson = root.getAsJsonObject("settings");
         if (settingsJson == null) {
-            throw new WireException("the configuration holds no settings");
+            throw new WireException("the configuration has no object 'settings'");
         }
         settings = SettingsReader.read(settingsJson.toString()).settings;
         zones = stringList(settingsJson.get("areas"));
@@ -76,7 +76,7 @@
                 : new Listing();
     }
 
-    /** Reads the file; a destination set beside it, unless null, stands in for discovery. */
+    /** Reads the file; a destination set, unless null, replaces discovery. */
     public static Config read(Path file, Path destinations) throws IOException, WireException {
         JsonObject root = readJson(file);
         if (destinations != null) {
@@ -85,12 +85,12 @@
         return parse(root.toString());
     }
 
-    /** The file's object, as it stands. */
+    /** Reads the file as a JSON object, without interpreting it. */
     public static JsonObject readJson(Path file) throws IOException, WireException {
         return parseObject(Files.readString(file), "the configuration");
     }
 
-    /** Puts a destination set in place of discovery. */
+    /** Replaces discovery in a configuration by the destination set of a file. */
     public static void setDestinations(JsonObject root, Path destinations) throws IOException, WireException {
         root.add("known", parseObject(Files.readString(destinations), destinations.toString()));
         root.remove("discovery");
@@ -100,7 +100,7 @@
         try {
             return JsonParser.parseString(text).getAsJsonObject();
         } catch (JsonParseException | IllegalStateException e) {
-            throw new WireException(description + " can't be read: " + e.getMessage());
+            throw new WireException(description + " is not a JSON object: " + e.getMessage());
         }
     }
 
@@ -113,11 +113,11 @@
                 | NumberFormatException
                 | UnsupportedOperationException
                 | NullPointerException e) {
-            throw new WireException("the configuration can't be read: " + e.getMessage());
+            throw new WireException("invalid configuration: " + e.getMessage());
         }
     }
 
-    /** Reads one list or one line of changes. */
+    /** Parses a list, complete or with changes only. */
     public Listing parseListing(String text) throws WireException {
         try {
             return parseListing(JsonParser.parseString(text).getAsJsonObject());
@@ -127,7 +127,7 @@
                 | NumberFormatException
                 | UnsupportedOperationException
                 | NullPointerException e) {
-            throw new WireException("a list can't be read: " + e.getMessage());
+            throw new WireException("invalid endpoint list: " + e.getMessage());
         }
     }
 
@@ -147,7 +147,7 @@
         Entry entry = new Entry();
         entry.name = stringOr(json, "host", null);
         if (entry.name == null) {
-            throw new WireException("a host without a name");
+            throw new WireException("host without a name");
         }
         entry.dial = stringOr(json, "dial", "");
         entry.zone = json.has("site") ? indexOf(zones, json.get("site")) : settings.zone;
@@ -160,7 +160,7 @@
     }
 
     private static State parseState(String health) {
-        // A state this build has not heard of is no leave to send: it is read as one that drains.
+        // No requests are sent to an endpoint in an unknown state: it counts as draining.
         return health.equals("Ready") ? State.READY : health.equals("Gone") ? State.GONE : State.DRAINING;
     }
 
--- a/src/main/java/laneflow/http/DiscoveryWatch.java
+++ b/src/main/java/laneflow/http/DiscoveryWatch.java
@@ -13,43 +13,44 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Watches discovery's list: one watch at a time, begun anew when it ends, falls silent or makes no sense.
- * When discovery moves, the former watch is still heard until the new address has spoken.
+ * Watches discovery's endpoint list. One watch is open at a time; a new one is started when it ends, falls
+ * silent or sends malformed data. When discovery moves, the watch at the former address is still read until the
+ * new address has sent a list.
  *
- * <p>What a silent watch misses counts as told 6 s after it fell silent at the latest, and at once where an
- * agent on this machine holds it. So silence is noticed half a second behind the beat that is missing, the
- * next watch begins in the same turn, and drains in its first word count from the last sign of life.
+ * <p>A change that a silent watch misses counts as announced at the latest 6 s after the watch fell silent, and
+ * at once where an agent on this machine has it. Silence is therefore detected half a second after a missing
+ * heartbeat, the next watch starts in the same turn of the loop, and drains in its first list count from the
+ * last sign of life.
  */
 public final class DiscoveryWatch {
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryWatch.class);
     private static final int RING_BYTES = 256 * 1024;
     private static final int MAX_LIST_BYTES = 4 << 20;
-    /** An empty line comes every 2 s: that one is missing is silence, half a second behind its time. */
+    /** Heartbeats (empty lines) come every 2 s; a watch is silent half a second after one is missing. */
     static final long SILENCE_TIMEOUT_US = 2_500_000;
     /**
-     * A watch begun behind one that has fallen silent owes what that one missed. An agent on this machine begins its
-     * answer at once: where it has not by then, that watch may be silent too, and a further one is begun beside it,
-     * while 6 s behind the first one's last word are not over, even if both connections come up late.
+     * Time-out for the head of a watch that follows a silent one and must deliver what that one missed. An agent on
+     * this machine answers at once; if it has not by then, this watch may be silent too, and a third one is started
+     * within 6 s after the first one's last sign of life, even if both connections are slow to open.
      */
     static final long HEAD_TIMEOUT_AFTER_SILENCE_US = 1_000_000;
-    /** Where lists are asked for, a call may wait for its turn at discovery: so long, for its head. */
+    /** Time-out for the head from a shared discovery service, where a watch may be queued. */
     static final long SHARED_SERVICE_HEAD_TIMEOUT_US = 4_500_000;
     /**
-     * An agent on this machine answers at once, or has nothing: so long a start waits for its word before it
-     * asks for clients, since what the agent holds counts as told from the process's first moment.
+     * Time for which start-up waits for an agent's first list before the process reports ready: what the agent has
+     * counts as announced from the process's start. An agent on this machine answers at once, or has no list.
      */
     private static final long STARTUP_WAIT_US = 300_000;
-    /** The agent is on this machine: a connection that is not up within that time never will be. */
+    /** Connect time-out: a connection to the agent on this machine opens within this time, or never. */
     static final long CONNECT_TIMEOUT_US = 1_000_000;
     /**
-     * The wait before the next watch: doubled with each one that tells nothing, and half to one and a half
-     * times as long by chance. When many schedulers start at one moment, or discovery is short of room, they
-     * must not come back all at once, nor again and again.
+     * Wait before the next watch, doubled after each watch that received nothing, and multiplied by a random factor
+     * from 0.5 to 1.5. Schedulers that start together, or find discovery overloaded, must not retry all at once.
      */
     private static final long FIRST_BACKOFF_US = 200_000;
-    /** With the time for a connection it stays well within the 6 s after which news counts as told. */
+    /** With the connect time-out this stays well below the 6 s after which changes count as announced. */
     private static final long MAX_BACKOFF_US = 1_600_000;
-    /** What an agent on this machine gets counts at once, and asking it costs nothing. */
+    /** Shorter for an agent on this machine: its changes count at once, and connecting to it costs little. */
     private static final long MAX_AGENT_BACKOFF_US = FIRST_BACKOFF_US;
 
     private final Loop loop;
@@ -58,23 +59,23 @@
     private final Config config;
     private final Deadline timer;
     private final SplittableRandom random;
-    /** Lists are asked for at a service that all schedulers share, not at an agent on this machine. */
+    /** Lists come from a service that all schedulers share, not from an agent on this machine. */
     private final boolean sharedService;
-    /** Watches in a row that have told nothing. */
+    /** Consecutive watches that received nothing. */
     private int emptyWatches;
 
     private String address;
-    /** The list's version as this address counts; another may count differently. */
+    /** Sequence number of the last list; each address counts by itself. */
     private long seq;
 
     private Watch current;
-    /** The watch at the address before, until the present one has spoken; else null. */
+    /** The watch at the former address, until the current one has received a list; else null. */
     private Watch formerWatch;
-    /** The watch that fell silent at this address, heard until the present one has asked; else null. */
+    /** A watch at this address that fell silent, read until the current one has sent its request; else null. */
     private Watch silentWatch;
 
     private final AnnouncementTimes announcementTimes = new AnnouncementTimes();
-    /** From then on clients may be asked for. */
+    /** When the wait at start-up ends. */
     private long startupWaitEnd = Long.MAX_VALUE;
 
     public DiscoveryWatch(Loop loop, Scheduler scheduler, Connector connector, Config config) {
@@ -89,7 +90,7 @@
         timer = loop.deadlines().create(this::onTimer);
     }
 
-    /** True once it has spoken, or would have if there were anything to hear: clients may be asked for. */
+    /** True once discovery has sent something, or has had the time to: the process may report ready. */
     public boolean isStartupWaitOver() {
         return sharedService || loop.micros() >= startupWaitEnd;
     }
@@ -106,19 +107,19 @@
         }
     }
 
-    /** The wait before the next watch. */
+    /** The wait before the next watch, in microseconds. */
     private long nextBackoff() {
         if (!sharedService && emptyWatches == 0 && loop.micros() - current.startedAt > SILENCE_TIMEOUT_US) {
-            // It went on for a while and broke: what its agent holds counts whether or not one listens.
+            // The watch worked for a while and broke. The agent's changes count even while no watch is open.
             return 0;
         }
         return backoff(sharedService, emptyWatches++, random.nextDouble());
     }
 
     /**
-     * How long to wait, in microseconds, after so many watches in a row that told nothing.
+     * The wait, in microseconds, after a number of consecutive watches that received nothing.
      *
-     * @param chance from 0 to 1
+     * @param chance random number from 0 to 1
      */
     static long backoff(boolean sharedService, int emptyWatches, double chance) {
         long backoff = Math.min(
@@ -126,7 +127,7 @@
         return (long) (backoff * (0.5 + chance));
     }
 
-    /** Begins a watch, in place of the one there is. */
+    /** Starts a watch in place of the current one. */
     public void startWatch() {
         if (current != null && current != formerWatch && current != silentWatch) {
             current.link.close();
@@ -137,7 +138,7 @@
         current.link = loop.connect(Loop.address(address), RING_BYTES, RING_BYTES, current);
     }
 
-    /** Discovery is elsewhere now. The new address owes its whole list, whatever the old one told last. */
+    /** Moves to a new address of discovery, which must send its complete list, whatever the old one sent. */
     public void moveTo(String newAddress) {
         if (newAddress.equals(address)) {
             return;
@@ -179,10 +180,10 @@
                 !sharedService && current != null && current.headReceived && current == silentWatch;
         private Link link;
         private boolean connected;
-        /** Its head has come. */
+        /** The response head has arrived. */
         private boolean headReceived;
 
-        /** It is over: what has been replaced already is not begun again. */
+        /** Ends the watch; schedules the next one unless this one has been replaced already. */
         private void finish() {
             link.close();
             if (this == current) {
@@ -195,7 +196,7 @@
             }
         }
 
-        /** Its time has run out: unless a word lies there unread, the next watch begins. */
+        /** Handles the time-out: reads pending input, and starts the next watch if there was none. */
         private void onTimeout() {
             if (connected) {
                 link.look();
@@ -206,8 +207,8 @@
             if (connected) {
                 scheduler.counters().add("discovery.silent");
                 LOG.info("discovery at {} is silent", address);
-                // It had its time: waiting on top of it, news would come in unheard. Until the next watch has
-                // asked this one is listened to: what its agent says just now must not go unheard.
+                // The next watch starts without a wait, in which changes would be missed. This one is read until
+                // the next has sent its request, for changes that the agent sends at this moment.
                 if (silentWatch == null) {
                     silentWatch = this;
                 }
@@ -217,7 +218,10 @@
             }
         }
 
-        /** No byte extends it but a whole line's last: neither a head nor an object may trickle for ever. */
+        /**
+         * Restarts the time-out of the current watch. Not called on each byte: a head or an object that trickles in
+         * must time out.
+         */
         private void restartTimer(long timeout) {
             if (this == current) {
                 loop.deadlines().set(timer, loop.micros() + timeout);
@@ -254,7 +258,7 @@
                     finish();
                 }
             } catch (HttpException e) {
-                LOG.warn("discovery: {}", e.getMessage());
+                LOG.warn("discovery watch failed: {}", e.getMessage());
                 finish();
             }
         }
@@ -267,7 +271,7 @@
         @Override
         public void head(HttpHead head) throws HttpException {
             if (head.status() != 200) {
-                throw new HttpException(head.status(), "watch answered " + head.status());
+                throw new HttpException(head.status(), "unexpected status " + head.status());
             }
             times.head(loop.micros());
             headReceived = true;
@@ -280,8 +284,8 @@
                 splitter.accept(bytes);
             } catch (HttpException e) {
                 if (this == current) {
-                    // Changes that can't be read leave the list held unsure: the whole one is asked for, with
-                    // longer and longer waits where that goes on.
+                    // After unreadable changes the list may be wrong: the complete list is requested, with
+                    // growing waits if that fails too.
                     seq = 0;
                     emptyWatches = emptyWatchesBefore;
                 }
@@ -291,7 +295,7 @@
 
         @Override
         public void end() {
-            // Begun again once the reader has returned.
+            // Handled once the reader has returned.
         }
 
         @Override
@@ -305,7 +309,7 @@
             times.emptyLine(loop.micros(), this == current);
         }
 
-        /** A sign of life: the next watch need not wait long. */
+        /** Handles an object or empty line: resets the backoff and the time-out. */
         private void onSignOfLife() {
             if (this == current) {
                 emptyWatches = 0;
--- a/src/main/java/laneflow/http/DurableJobHandler.java
+++ b/src/main/java/laneflow/http/DurableJobHandler.java
@@ -14,10 +14,10 @@
 import laneflow.core.Request;
 
 /**
- * Kept jobs on the HTTP front: {@code POST /CLASS} with {@code Prefer: respond-async} (RFC 7240, 4.1) is
- * answered 202 with the job's place, once the job is on disk; {@code GET /jobs/ID} tells where it stands,
- * {@code GET /jobs/ID/result} its result as it came, {@code DELETE /jobs/ID} cancels it where it has not
- * begun.
+ * Durable jobs on the HTTP front. {@code POST /CLASS} with {@code Prefer: respond-async} (RFC 7240, 4.1) is
+ * answered 202 with the job's location once the job is on disk. {@code GET /jobs/ID} returns its state,
+ * {@code GET /jobs/ID/result} its result unchanged; {@code DELETE /jobs/ID} cancels a job that has not
+ * started.
  */
 final class DurableJobHandler {
     private static final String PATH = "/jobs/";
@@ -29,7 +29,7 @@
         this.service = service;
     }
 
-    /** Whether this message asks for a job to be kept. */
+    /** True if the message asks for a durable job and its class allows them. */
     boolean wantsDurable(HttpHead head, Request request) {
         String prefer = head.header("prefer");
         if (prefer == null || !service.accepts(request.jobClass)) {
@@ -74,7 +74,7 @@
                             ClientConnection.ascii("fail-fast\n"));
                     break;
                 case KEY_CONFLICT:
-                    // As the IETF's draft on Idempotency-Key has it.
+                    // As in the IETF draft on the Idempotency-Key header.
                     client.respond(
                             422,
                             "Unprocessable Content",
@@ -92,7 +92,7 @@
         });
     }
 
-    /** True if the path is one of these. */
+    /** True if the path is under {@code /jobs/}. */
     static boolean isJobPath(String path) {
         return path.startsWith(PATH);
     }
--- a/src/main/java/laneflow/http/EndpointConnection.java
+++ b/src/main/java/laneflow/http/EndpointConnection.java
@@ -16,34 +16,33 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One connection to an endpoint: a call or a probe at a time, with rests between. */
+/** A connection to an endpoint. It carries one attempt or probe at a time, and is idle in between. */
 final class EndpointConnection implements LinkHandler {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointConnection.class);
     private static final int IN_RING_BYTES = 64 * 1024;
-    /** Microseconds. */
     private static final long MICROS_PER_MS = 1000;
-    /** What may come behind the last line, an empty chunk, comes within this time or not at all. */
+    /** Time within which the rest of a response, an empty chunk, must follow the line with the outcome. */
     private static final long TAIL_TIMEOUT_US = 1_000_000;
 
     private static final int MAX_TAIL_BYTES = 64 * 1024;
-    /** Bytes of an answer that are read: so many, and so many more for each second that it lasts. */
+    /** Limit of a response's length, extended by the next constant for each second that the response lasts. */
     private static final long MAX_RESPONSE_BYTES = 1 << 20;
 
     private static final long MAX_RESPONSE_BYTES_PER_SECOND = 64 * 1024;
     /**
-     * How long a request's last byte is held back at least, in microseconds, where its connection may have
-     * gone stale, or where it must not run twice. No endpoint starts before that byte, and one that has
-     * closed the connection answers the bytes before it with a reset: then the job never ran. A reset takes
-     * the way there and back, which is told by what the connection took to come up.
+     * Minimum time for which the last byte of a request is held back, if its connection may be stale or its job
+     * must not run twice. Endpoints start a job only after that byte. If the endpoint has closed the connection,
+     * it answers the earlier bytes with a reset, and the job has not run. A reset takes one round trip, which
+     * is estimated by the time that the connection took to open.
      */
     private static final long MIN_HOLD_US = 2_000;
-    /** Part of the time-out for a connection beyond which a slow start of it says nothing of the way. */
+    /** Maximum hold, as a share of the connect time-out: a slower connect does not measure the round trip. */
     private static final double MAX_HOLD_SHARE = 0.1;
-    /** A connection used that lately has hardly been closed by its endpoint. */
+    /** A connection idle for no longer than this is unlikely to have been closed by its endpoint. */
     private static final long FRESH_US = 50_000;
-    /** Ids remembered of jobs sent on a connection: a second answer comes some milliseconds late. */
+    /** Number of earlier job ids remembered; a repeated answer arrives within some milliseconds. */
     private static final int MAX_PREVIOUS_IDS = 8;
-    /** A probe has ended by then: unanswered for ever, each would keep a descriptor that calls need. */
+    /** Time-out of a probe: without it, unanswered probes would hold descriptors that attempts need. */
     private static final long PROBE_TIMEOUT_US = 2_000_000;
 
     private final HttpConnector connector;
@@ -53,27 +52,27 @@
     private Link link;
     private boolean connected;
     private long connectStartedAt;
-    /** Microseconds that it took to come up. */
+    /** Time that the connection took to open. */
     private long connectMicros;
-    /** When its last answer was whole; 0 before the first. */
+    /** When the last response was complete; 0 before the first. */
     private long idleSince;
 
     private Attempt attempt;
     private long probeStartedAt;
-    /** The request's last byte, while it is held back. */
+    /** The last byte of the request while it is held back, else null. */
     private byte[] heldByte;
 
     private EndpointResponse response;
     private HttpReader reader;
-    /** The ids of the jobs sent on it last, the earliest first: a second answer to one may still come. */
+    /** Ids of the jobs sent last, earliest first: a repeated answer to one of them may still arrive. */
     private final ArrayDeque<String> previousIds = new ArrayDeque<>();
-    /** A second answer has come on it: it is used no more. */
+    /** A repeated answer has arrived: the connection is not used again. */
     private boolean duplicateReceived;
 
     private long writtenAt;
     private long responseBytes;
     private long tailBytes;
-    /** The call that ended on it last, if its end proves that it never ran, or null. */
+    /** The last attempt that ended here, if its outcome proves that it never ran, else null. */
     private Attempt lastUnrunAttempt;
 
     EndpointConnection(HttpConnector connector, Endpoint endpoint) {
@@ -83,7 +82,7 @@
         timer = connector.loop.deadlines().create(this::onTimeout);
     }
 
-    // ---- what the connector asks of it ----
+    // ---- called by the connector ----
 
     void send(Attempt newAttempt) {
         attempt = newAttempt;
@@ -97,8 +96,8 @@
     }
 
     /**
-     * Nobody is to wait for the call any more; true if it can't have run. An answer that is there, unread, is
-     * read first, and told: it was in time.
+     * Cancels the attempt; true if it can't have run. A response that has arrived but is unread is in time: it
+     * is read and reported first.
      */
     boolean cancel(Attempt cancelled) {
         if (attempt == cancelled) {
@@ -113,7 +112,7 @@
         return unsent;
     }
 
-    /** The same for a call whose endpoint has not got the request's last byte; another goes on. */
+    /** Cancels the attempt only if the request's last byte has not been sent; true if cancelled. */
     boolean cancelUnsent(Attempt cancelled) {
         boolean unsent = attempt == cancelled && isUnsent();
         if (unsent) {
@@ -147,14 +146,14 @@
     }
 
     /**
-     * Idle for a while: its endpoint may have closed it unheard. Half of those that had been closed broke
-     * only behind the last byte, so what must not run twice is sent on no such connection.
+     * True if the connection has been idle long enough for its endpoint to have closed it. Half of such closes
+     * were noticed only after the last byte was sent, so jobs that must not run twice avoid such connections.
      */
     boolean mayBeStale() {
         return idleSince > 0 && connector.loop.micros() - idleSince > FRESH_US;
     }
 
-    /** True if it is still up, with nothing there that nobody asked for: what came unread is read first. */
+    /** Reads pending input, then returns true if the connection is open: unexpected bytes close it. */
     boolean isUsable() {
         link.look();
         return !link.isClosed();
@@ -164,7 +163,7 @@
         return attempt == null && probeStartedAt == 0;
     }
 
-    // ---- coming up ----
+    // ---- connecting ----
 
     private void connectAndWrite() {
         if (connected) {
@@ -175,7 +174,7 @@
         connectStartedAt = connector.loop.micros();
         try {
             if (!connector.loop.hasRoom()) {
-                // Nothing was sent, and the endpoint is not to blame.
+                // Nothing was sent, and the endpoint did not fail.
                 connector.count("endpoint.no_room");
                 connector.loop.later(() -> finish(Outcome.MOOT));
                 return;
@@ -219,13 +218,13 @@
         }
     }
 
-    /** In one turn with the time-out an answer or a close may have come: unread, it still was the first. */
+    /** True if a response or a close that arrived in the same turn as the time-out, still unread, settles it. */
     private boolean isSettledByUnreadInput() {
         readAvailable();
         return isIdle() || timer.isSet() || attempt != null && response.hasHead();
     }
 
-    // ---- a request ----
+    // ---- request ----
 
     private void write() {
         connector.loop.deadlines().cancel(timer);
@@ -236,7 +235,7 @@
         tailBytes = 0;
         heldByte = null;
         if (connector.scheduler.isDown(endpoint) || attempt != null && !connector.scheduler.maySend(attempt)) {
-            // Forbidden since it was decided: nothing has been written, and the endpoint is not to blame.
+            // No longer allowed since the attempt was decided: nothing was sent, and the endpoint did not fail.
             finish(Outcome.MOOT);
             return;
         }
@@ -255,11 +254,11 @@
         }
     }
 
-    /** Puts the request in the outgoing ring; false, with nothing put, if its client's time is over. */
+    /** Writes the request to the outgoing ring; false, with nothing written, if its deadline has passed. */
     private boolean putRequest(Payload payload) {
         String idempotencyKey = payload.repeatKey();
         int heldBytes = mayBeStale() || !connector.mayRepeat(attempt) ? 1 : 0;
-        // Counted anew, since a turn may last, and from when the last byte goes out.
+        // From the current time, as a turn may be long, and as of the sending of the last byte.
         long remainingMs =
                 (attempt.request.deadline - connector.loop.currentMicros() - heldBytes * holdMicros()) / MICROS_PER_MS;
         if (remainingMs <= 0) {
@@ -278,7 +277,7 @@
         return true;
     }
 
-    /** Nothing speaks against the connection: the request's last byte goes out, unless it must not now. */
+    /** Sends the held byte, unless the attempt is no longer allowed: the connection was not reset meanwhile. */
     private void releaseHeldByte() {
         if (!connector.scheduler.maySend(attempt)) {
             finish(Outcome.MOOT);
@@ -291,12 +290,12 @@
         startHeadTimer();
     }
 
-    /** A job that must not run twice waits as long as its client: it may be at work however silent it is. */
+    /** Limits the wait for the head, except for jobs that must not run twice: they wait until the deadline. */
     private void startHeadTimer() {
         if (attempt == null) {
             startTimer(PROBE_TIMEOUT_US);
         } else if (connector.mayRepeat(attempt)) {
-            // The settings' word on when a path is dead.
+            // The settings' time-out for an unreachable endpoint.
             startTimer(connector.connectTimeoutMicros);
         }
     }
@@ -305,22 +304,22 @@
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    // ---- its answer ----
+    // ---- response ----
 
     @Override
     public void received(Link source) {
         if (isIdle() && reader.isDone()) {
-            // Bytes nobody asked for: what would come next could not be told from them.
+            // Unexpected bytes, which could be mistaken for the next response.
             close();
             return;
         }
         try {
             readResponse();
         } catch (HttpException | IllegalArgumentException e) {
-            LOG.debug("{} sent what can't be read: {}", endpoint, e.getMessage());
+            LOG.debug("malformed response from {}: {}", endpoint, e.getMessage());
             connector.count("endpoint.malformed");
-            // What comes behind a whole last word takes nothing from it, and what answers a request that it
-            // has not had has not run it: how the bytes were split must not decide.
+            // Garbage after a complete outcome does not change it, and an endpoint that answers an incomplete
+            // request has not run it. Both must hold however the bytes are split.
             Outcome outcome =
                     heldByte != null ? Outcome.MOOT : response.outcome() != null ? response.outcome() : Outcome.ERROR;
             link.close();
@@ -332,7 +331,7 @@
                 keepOrClose();
             }
         } else if (heldByte != null && response.hasHead()) {
-            // It answers what it has not had: whatever it says is not about this request.
+            // A response before the request was complete does not belong to it.
             connector.count("endpoint.malformed");
             finish(Outcome.MOOT);
         } else if (response.outcome() != null) {
@@ -347,7 +346,7 @@
         int available = link.in.size();
         reader.read(link.in);
         if (reader.isDone() && response.isDuplicate()) {
-            // Taken for this call's, it would end a job that is at work with another one's verdict.
+            // Taken for this attempt's response, it would end a running job with the outcome of another.
             connector.count("endpoint.second_answer");
             duplicateReceived = true;
             response = new EndpointResponse(connector.scheduler, attempt, List.of());
@@ -362,7 +361,7 @@
         double seconds = (connector.loop.micros() - writtenAt) / 1e6;
         if (responseBytes > MAX_RESPONSE_BYTES + seconds * MAX_RESPONSE_BYTES_PER_SECOND
                 || tailBytes > MAX_TAIL_BYTES) {
-            throw new HttpException(400, "an answer without end");
+            throw new HttpException(400, "response too long");
         }
     }
 
@@ -373,16 +372,16 @@
         } else if (isEndOfResponse() && response.outcome() != null) {
             finish(response.outcome());
         } else if (heldByte == null && link.out.isEmpty()) {
-            // The request's last byte decides: with it the endpoint may have started.
+            // The whole request was sent, so the endpoint may have started the job.
             finish(Outcome.RESET);
         } else {
-            // Without it none starts. A kept connection that has gone stale says nothing of its endpoint.
+            // Without the last byte no endpoint starts. A stale pooled connection is no failure of its endpoint.
             connector.count("endpoint.stale");
             finish(idleSince > 0 ? Outcome.MOOT : Outcome.CONNECT_FAILED);
         }
     }
 
-    /** True if the connection's end is the answer's. */
+    /** True if the end of the connection is the end of the response. */
     private boolean isEndOfResponse() {
         try {
             return reader != null && reader.endOfInput();
@@ -391,7 +390,7 @@
         }
     }
 
-    /** Tells how the call ended, with the connection already put away: the next call may want it. */
+    /** Reports the outcome after releasing the connection, which the next attempt may use. */
     private void finish(Outcome outcome) {
         Attempt finished = attempt;
         long probeStart = probeStartedAt;
@@ -424,7 +423,7 @@
         }
     }
 
-    /** Keeps the connection for the next call if its answer is whole, else closes it. */
+    /** Keeps the connection for reuse if its response is complete, waits for the rest of one, or closes it. */
     private void keepOrClose() {
         if (link == null
                 || link.isClosed()
--- a/src/main/java/laneflow/http/EndpointResponse.java
+++ b/src/main/java/laneflow/http/EndpointResponse.java
@@ -20,8 +20,8 @@
 import laneflow.decision.Dispatch.Outcome;
 
 /**
- * What an endpoint answers to one call or probe, read as it comes in. Nothing is taken on trust: only a whole
- * line of sound JSON that names the request and holds a result is its being served.
+ * Reads an endpoint's response to one attempt or probe as it arrives. An attempt counts as served only by a
+ * complete line of valid JSON that names its request and holds a result.
  */
 final class EndpointResponse implements HttpReader.Sink {
     private static final int MAX_LINE_BYTES = 512 * 1024;
@@ -29,7 +29,7 @@
     private final Scheduler scheduler;
     /** Null for a probe. */
     private final Attempt attempt;
-    /** The ids of the jobs sent before this call on its connection. */
+    /** Ids of the jobs sent on this connection before the attempt. */
     private final Collection<String> previousIds;
 
     private final ByteArrayOutputStream lineBuffer = new ByteArrayOutputStream();
@@ -39,9 +39,9 @@
     private LoadReport loadReport;
     private boolean statusReceived;
     private boolean duplicate;
-    /** The endpoint has told of the job's start. */
+    /** The endpoint has reported that the job started. */
     private boolean started;
-    /** A line behind that has begun to come and is not whole. */
+    /** Part of a line after the start report has arrived. */
     private boolean resultLineBegun;
 
     EndpointResponse(Scheduler scheduler, Attempt attempt, Collection<String> previousIds) {
@@ -50,12 +50,12 @@
         this.previousIds = previousIds;
     }
 
-    /** A second answer to a job before: this one's is still to come. */
+    /** True if this is a repeated answer to an earlier job, and the attempt's own answer is still to come. */
     boolean isDuplicate() {
         return duplicate;
     }
 
-    /** True once the endpoint has said that it took the call, or that it did not. */
+    /** True once the final response head has arrived. */
     boolean hasHead() {
         return head != null;
     }
@@ -64,7 +64,7 @@
         return head != null && head.isKeepAlive();
     }
 
-    /** How it ended, or null while it has not. */
+    /** The outcome, or null before the end. */
     Outcome outcome() {
         return outcome;
     }
@@ -80,7 +80,7 @@
     @Override
     public void head(HttpHead received) {
         if (received.status() < 200) {
-            // An interim answer says nothing yet.
+            // Interim response.
             return;
         }
         head = received;
@@ -136,7 +136,7 @@
         }
     }
 
-    /** Bytes that are no UTF-8 must not be served in another form than the endpoint made. */
+    /** Rejects malformed UTF-8: replacement characters would alter the result. */
     private static String decodeUtf8(byte[] bytes) throws HttpException {
         try {
             return StandardCharsets.UTF_8
@@ -144,22 +144,22 @@
                     .decode(ByteBuffer.wrap(bytes))
                     .toString();
         } catch (CharacterCodingException e) {
-            throw new HttpException(400, "a line that is no UTF-8");
+            throw new HttpException(400, "line is not valid UTF-8");
         }
     }
 
-    /** Gson by itself makes sense of much that is no JSON, of a line cut short for one. */
+    /** Parses strictly: by default Gson accepts malformed JSON, such as a truncated line. */
     private static JsonObject parseObject(String text) throws HttpException {
         try {
             JsonReader reader = new JsonReader(new StringReader(text));
             reader.setStrictness(Strictness.STRICT);
             JsonElement element = JsonParser.parseReader(reader);
             if (!element.isJsonObject() || reader.peek() != JsonToken.END_DOCUMENT) {
-                throw new HttpException(400, "a line that is no object");
+                throw new HttpException(400, "line is not a JSON object");
             }
             return element.getAsJsonObject();
         } catch (JsonParseException | IOException e) {
-            throw new HttpException(400, "a line that is no JSON");
+            throw new HttpException(400, "line is not valid JSON");
         }
     }
 
@@ -172,7 +172,7 @@
         }
         statusReceived = true;
         if (!isOwnId || duplicate) {
-            throw new HttpException(400, "a word on no request or another one");
+            throw new HttpException(400, "status without an id, or with the id of another request");
         }
         switch (String.valueOf(stringField(status, "state"))) {
             case "started":
@@ -186,7 +186,7 @@
             case "done":
                 String text = stringField(status, "result");
                 if (text == null) {
-                    throw new HttpException(400, "done, with no result");
+                    throw new HttpException(400, "state done without a result");
                 }
                 result = text.getBytes(StandardCharsets.UTF_8);
                 finish(Outcome.OK, status);
@@ -201,7 +201,7 @@
                 finish(Outcome.RESET, status);
                 break;
             default:
-                // A state of a later protocol says nothing here; the last word decides.
+                // Unknown states, of a later protocol version, are ignored.
                 break;
         }
     }
--- a/src/main/java/laneflow/http/HeaderNames.java
+++ b/src/main/java/laneflow/http/HeaderNames.java
@@ -1,6 +1,6 @@
 package laneflow.http;
 
-/** The platform's header names, in lower case where they are read. */
+/** Lower-case names of the platform's headers. */
 final class HeaderNames {
     static final String ID = "req-id";
     static final String CLASS = "req-kind";
--- a/src/main/java/laneflow/http/HttpConnector.java
+++ b/src/main/java/laneflow/http/HttpConnector.java
@@ -11,28 +11,28 @@
 import laneflow.net.Loop;
 
 /**
- * Attempts over HTTP/1.1, one at a time on a connection, and the idle connections to each endpoint.
- * Nothing is ever sent again here: whether a call is repeated is the module's decision.
+ * Sends attempts over HTTP/1.1, one at a time per connection, and pools idle connections to each endpoint.
+ * It never retries by itself: the decision module decides on retries.
  */
 public final class HttpConnector implements Connector {
-    /** Part of the idle limit after which a connection is closed: later that might cross a request. */
+    /** Share of the endpoints' idle limit after which a connection is closed, before the endpoint closes it. */
     private static final double IDLE_LIMIT_SHARE = 0.7;
-    /** Idle connections kept to one endpoint: each takes a little of what it can do. */
+    /** Idle connections kept per endpoint: each costs the endpoint some of its resources. */
     private static final int MAX_IDLE_PER_ENDPOINT = 8;
 
     final Loop loop;
     final Scheduler scheduler;
     final long idleLimitMicros;
     final long connectTimeoutMicros;
-    /** Idle connections to all endpoints, the longest idle first. */
+    /** Idle connections to all endpoints, longest idle first. */
     private final ArrayDeque<EndpointConnection> idleConnections = new ArrayDeque<>();
 
-    /** What a call may hold besides its body. */
+    /** Room for a request's head beside its body. */
     private static final int MAX_HEAD_BYTES = 16 * 1024;
 
     private int outRingBytes = 128 * 1024;
 
-    /** @param idleSeconds after which endpoints close idle connections themselves */
+    /** @param idleSeconds time after which endpoints close idle connections */
     public HttpConnector(Loop loop, Scheduler scheduler, double idleSeconds) {
         this.loop = loop;
         this.scheduler = scheduler;
@@ -40,7 +40,7 @@
         connectTimeoutMicros = (long) (scheduler.settings().connectTimeout * 1e6);
     }
 
-    /** Requests of another front may be longer than this wire's own. */
+    /** Makes room for requests of another front whose bodies may be longer than those of the HTTP front. */
     public void raiseMaxBody(int maxBodyBytes) {
         outRingBytes = Math.max(outRingBytes, Integer.highestOneBit(maxBodyBytes + MAX_HEAD_BYTES) << 1);
     }
@@ -56,7 +56,7 @@
 
     @Override
     public boolean close(Attempt attempt) {
-        // Without a connection it was never opened: its lease had not been written yet.
+        // Without a connection the attempt was never opened: its lease had not been written yet.
         return !(attempt.attachment instanceof EndpointConnection)
                 || ((EndpointConnection) attempt.attachment).cancel(attempt);
     }
@@ -89,15 +89,19 @@
         return found;
     }
 
-    /** True if the call's job may run twice. */
+    /** True if the attempt's job may run twice. */
     boolean mayRepeat(Attempt attempt) {
         return scheduler.settings().classes[attempt.request.jobClass].effect != Effect.UNSAFE;
     }
 
-    /** The connection to the endpoint used last, or a new one; none that may be stale if so asked. */
+    /**
+     * Returns the most recently used idle connection to the endpoint, or a new one.
+     *
+     * @param freshOnly true to skip connections that the endpoint may have closed meanwhile
+     */
     private EndpointConnection acquire(Endpoint endpoint, boolean freshOnly) {
         List<EndpointConnection> candidates = idleConnectionsOf(endpoint);
-        // One that leads to where the endpoint no longer is must not be used.
+        // Connections to a former address of the endpoint are closed.
         for (int i = candidates.size() - 1; i >= 0; i--) {
             EndpointConnection connection = candidates.get(i);
             if (!connection.address.equals(endpoint.dial)) {
@@ -113,7 +117,7 @@
         return new EndpointConnection(this, endpoint);
     }
 
-    // ---- from connections ----
+    // ---- called by connections ----
 
     void addIdle(EndpointConnection connection) {
         idleConnections.add(connection);
--- a/src/main/java/laneflow/http/HttpException.java
+++ b/src/main/java/laneflow/http/HttpException.java
@@ -1,6 +1,6 @@
 package laneflow.http;
 
-/** Bytes that are not HTTP/1.1 as we speak it; the status is what a client gets for it. */
+/** A message that is not HTTP/1.1 as supported here, with the status that a client gets for it. */
 final class HttpException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -11,7 +11,7 @@
         this.status = status;
     }
 
-    /** The status in the standard's words (RFC 9110, RFC 6585). */
+    /** The status's reason phrase (RFC 9110, RFC 6585). */
     String reason() {
         return switch (status) {
             case 409 -> "Conflict";
--- a/src/main/java/laneflow/http/HttpFront.java
+++ b/src/main/java/laneflow/http/HttpFront.java
@@ -22,12 +22,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The platform's front: clients hand in one request at a time on HTTP/1.1 connections. */
+/** The HTTP/1.1 front: each client connection carries one request at a time. */
 public final class HttpFront implements Front {
     private static final Logger LOG = LoggerFactory.getLogger(HttpFront.class);
-    /** The longest body taken, bytes. */
+    /** Longest request body. */
     public static final int MAX_BODY_BYTES = 64 * 1024;
-    /** Room for a whole message behind one that is at work. */
+    /** Room for a complete message while the one before it is being processed. */
     private static final int IN_RING_BYTES = 128 * 1024;
 
     private static final int OUT_RING_BYTES = 1 << 20;
@@ -36,14 +36,14 @@
     private final Scheduler scheduler;
     private final JobReader jobReader;
     private final SlotTable<ClientConnection> clients = new SlotTable<>();
-    /** The ids of open requests: one that comes again must not become a second call. */
+    /** Ids of open requests: a request with an id that is open is rejected, not sent a second time. */
     private final Set<String> openRequestIds = new HashSet<>();
 
     private BooleanSupplier readiness = () -> true;
     private Loop.Listener listener;
     private final String[] classNames;
     private final Map<String, Supplier<String>> reports = new HashMap<>();
-    /** Null where durable jobs are off. */
+    /** Null if durable jobs are disabled. */
     private DurableJobHandler durableJobs;
 
     private IntFunction<String> versionHeaders;
@@ -51,7 +51,7 @@
     private boolean refusingNewRequests;
     private long acceptedClients;
 
-    /** A front for these classes, in the settings' order. */
+    /** @param classNames names of the job classes, in the settings' order */
     public HttpFront(Loop loop, Scheduler scheduler, String[] classNames) {
         this.loop = loop;
         this.scheduler = scheduler;
@@ -59,12 +59,12 @@
         jobReader = new JobReader(classNames, scheduler.settings());
     }
 
-    /** Until this holds no clients are asked for. */
+    /** Sets the condition for which {@code /health/ready} answers 200. */
     public void setReadiness(BooleanSupplier condition) {
         readiness = condition;
     }
 
-    /** Whether clients may be asked for. */
+    /** Whether {@code /health/ready} answers 200. */
     public boolean isReady() {
         return readiness.getAsBoolean();
     }
@@ -76,19 +76,19 @@
                 OUT_RING_BYTES,
                 this::makeRoom,
                 () -> new ClientConnection(this, ++acceptedClients));
-        // Not before it is known here: a client that is heard at once would find no listener.
+        // Only after the field is set: the first client may arrive at once and needs it.
         listener.begin();
         LOG.info("clients at {}", listener.address());
     }
 
-    /** Takes clients from the listening socket that was passed to this process, once told to. */
+    /** Uses the listening socket passed to this process; accepts only after {@link #setAccepting}. */
     public void listenOnPassedSocket() throws IOException {
         listener = loop.listenPassed(
                 IN_RING_BYTES, OUT_RING_BYTES, this::makeRoom, () -> new ClientConnection(this, ++acceptedClients));
         LOG.info("clients at {}, a socket that was passed", listener.address());
     }
 
-    /** Takes clients from a socket that was passed, or leaves them to other processes. */
+    /** Accepts clients from the passed socket, or leaves them to other processes that hold it. */
     public void setAccepting(boolean on) {
         if (on) {
             listener.begin();
@@ -102,8 +102,8 @@
     }
 
     /**
-     * Neither idle nor bad clients must keep others out that have something to ask. One whose request lies
-     * unread is neither: it is read instead, and another one is looked for.
+     * Evicts a client that is idle or misbehaves, so that others can send requests; false if there is none. A
+     * candidate with an unread request is served instead, and the next one is tried.
      */
     boolean makeRoom() {
         for (ClientConnection first = firstToEvict(); first != null; first = firstToEvict()) {
@@ -114,7 +114,7 @@
         return false;
     }
 
-    /** Who gives way first, or null if none does. */
+    /** The first connection to evict, or null for none. */
     private ClientConnection firstToEvict() {
         ClientConnection[] first = new ClientConnection[1];
         clients.forEach(client -> {
@@ -125,34 +125,36 @@
         return first[0];
     }
 
-    /** No more clients; those that are here go on. */
+    /** Closes the listener; connected clients are served on. */
     public void stopAccepting() {
-        // One that was let in to the machine, and for which no room came.
+        // Connections that the kernel accepted and that never got room here.
         listener.close(() -> count("clients.closed_unanswered"));
     }
 
-    /** True if nobody is connected. */
+    /** True if no client is connected. */
     public boolean hasNoClients() {
         return clients.size() == 0;
     }
 
     /**
-     * From now on each answer closes its connection, unless requests behind it have been read already; what
-     * is idle or has not begun ends at once.
+     * From now on each response closes its connection, unless requests after it have arrived already. Idle
+     * connections and those without a complete message are closed now.
      */
     public void drain() {
         closeAfterResponses(true);
         closeIdle(0, 0);
     }
 
-    /** While this holds each answer closes its connection. */
+    /** Sets whether responses close their connections. */
     public void closeAfterResponses(boolean on) {
         closingAfterResponses = on;
     }
 
     /**
-     * Ends what has not begun since then, and what has been idle for so long; a request that is there
-     * already is read, not cut off.
+     * Closes connections without a complete message, and idle ones. Requests that have arrived are read first.
+     *
+     * @param maxNewAge microseconds that a connection may wait for a message to be completed
+     * @param maxIdle microseconds that a connection may be idle between messages
      */
     public void closeIdle(long maxNewAge, long maxIdle) {
         List<ClientConnection> snapshot = new ArrayList<>();
@@ -162,19 +164,19 @@
         }
     }
 
-    /** From now on each request is refused at once: there is no time left in which it could be served. */
+    /** From now on refuses each request at once: too little time is left to serve it before shutdown. */
     public void refuseNewRequests() {
         refusingNewRequests = true;
     }
 
-    /** Connections whose answer is not wholly written yet, or on which a request is coming in. */
+    /** Number of connections with a request arriving, or with a response pending or not fully written. */
     public int busyConnections() {
         int[] busy = new int[1];
         clients.forEach(client -> busy[0] += client.isBusy() ? 1 : 0);
         return busy[0];
     }
 
-    // ---- from clients ----
+    // ---- called by connections ----
 
     long add(ClientConnection client) {
         return clients.add(client);
@@ -188,22 +190,22 @@
         scheduler.counters().add(name);
     }
 
-    /** True if connections are to close behind their answers. */
+    /** True if connections are to be closed after their responses. */
     boolean closesAfterResponse() {
         return closingAfterResponses || listener.isFull();
     }
 
-    /** Jobs of clients that ask so are kept there. */
+    /** Enables durable jobs, for clients that ask for them. */
     public void setDurableJobs(DurableJobService service) {
         durableJobs = new DurableJobHandler(service);
     }
 
-    /** Answers GET on that path with what the supplier says then, as JSON. */
+    /** Answers GET on the path with the supplier's JSON text. */
     public void addReport(String path, Supplier<String> text) {
         reports.put(path, text);
     }
 
-    /** Answers carry what this says of the epoch that their requests came under, unless it is empty. */
+    /** Sets the value of the Config-Version header by the settings epoch of a request; empty for no header. */
     public void setVersionHeaders(IntFunction<String> versionOfEpoch) {
         versionHeaders = versionOfEpoch;
     }
@@ -212,7 +214,7 @@
         return durableJobs;
     }
 
-    /** Hands a message's job to whoever keeps it, if it asks so; the answer comes when it is on disk. */
+    /** Submits the job as durable if the message asks for it; the response is sent once it is on disk. */
     boolean submitDurable(ClientConnection client, long slot, HttpHead head, byte[] body, long arrivedAt)
             throws HttpException {
         if (durableJobs == null || head.header("prefer") == null) {
@@ -248,7 +250,7 @@
         }
     }
 
-    /** The request of a message that arrived then, its id held from now on; to be submitted. */
+    /** Parses the request of a message and reserves its id; the caller submits it. */
     Request openRequest(long slot, HttpHead head, byte[] body, long arrivedAt) throws HttpException {
         Request request = jobReader.read(this, slot, head, body, arrivedAt);
         if (!openRequestIds.add(request.payload.requestId())) {
@@ -265,7 +267,7 @@
         scheduler.submit(request);
     }
 
-    /** It has its answer: its id may come again. */
+    /** Releases the id of a request that has ended. */
     void releaseId(Request request) {
         openRequestIds.remove(request.payload.requestId());
     }
@@ -275,7 +277,7 @@
         scheduler.withdraw(request);
     }
 
-    // ---- answers ----
+    // ---- responses ----
 
     @Override
     public String name() {
--- a/src/main/java/laneflow/http/HttpHead.java
+++ b/src/main/java/laneflow/http/HttpHead.java
@@ -9,11 +9,11 @@
 /** The start line and the headers of one message. */
 final class HttpHead {
     private static final int MAX_HEADERS = 100;
-    /** Besides all that begin with req-. */
+    /** Headers that may occur only once, beside all that begin with {@code req-}. */
     private static final Set<String> SINGLE_HEADERS =
             Set.of("content-length", "transfer-encoding", "host", "idempotency-key", "srv-declined", "srv-load");
 
-    /** The three parts of the start line. */
+    /** The parts of the start line of a request, or of a response. */
     final String methodOrVersion;
 
     final String targetOrStatus;
@@ -27,7 +27,7 @@
     }
 
     static HttpHead parse(byte[] bytes, boolean response) throws HttpException {
-        // Every message comes through here: patterns compiled anew for each took much of a cold start's time.
+        // No regular expressions: compiling them for each message slowed cold starts.
         String text = new String(bytes, StandardCharsets.ISO_8859_1);
         HttpHead head = null;
         for (int lineStart = 0; lineStart < text.length(); ) {
@@ -75,8 +75,8 @@
             throw new HttpException(400, "header line");
         }
         String name = line.substring(0, colon).toLowerCase(Locale.ROOT);
-        // Looked at before blanks are cut off: a coding behind a vertical tab is no coding to a proxy, and
-        // one to the server behind it.
+        // Checked before trimming: a transfer coding after a vertical tab is ignored by some proxies and
+        // applied by the server behind them.
         for (int i = colon + 1; i < line.length(); i++) {
             if (line.charAt(i) < ' ' && line.charAt(i) != '\t' || line.charAt(i) == 127) {
                 throw new HttpException(400, "header value");
@@ -85,7 +85,7 @@
         String value = trimBlanks(line, colon + 1);
         String earlier = headers.put(name, value);
         if (earlier != null) {
-            // Two lengths or codings, alike or not, are how requests are smuggled past a proxy.
+            // Repeated lengths or codings, equal or not, are used for request smuggling.
             if (name.startsWith("req-") || SINGLE_HEADERS.contains(name)) {
                 throw new HttpException(400, "header twice");
             }
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Cuts off blanks and tabs, and nothing else that might pass for white space. */
+    /** Trims spaces and tabs, and no other white space. */
     private static String trimBlanks(String line, int from) {
         int start = from;
         int end = line.length();
@@ -136,7 +136,7 @@
         return !text.isEmpty();
     }
 
-    /** A header's value by its name in lower case, or null. */
+    /** A header's value by its lower-case name, or null. */
     String header(String name) {
         return headers.get(name);
     }
@@ -145,7 +145,7 @@
         return Integer.parseInt(targetOrStatus);
     }
 
-    /** True if the connection lives on behind this message. */
+    /** True if the connection stays open after this message. */
     boolean isKeepAlive() {
         String connection = headers.getOrDefault("connection", "").toLowerCase(Locale.ROOT);
         boolean isHttp10 = methodOrVersion.equals("HTTP/1.0") || versionOrReason.equals("HTTP/1.0");
--- a/src/main/java/laneflow/http/HttpReader.java
+++ b/src/main/java/laneflow/http/HttpReader.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import laneflow.net.Ring;
 
-/** Reads one HTTP/1.1 message after the other out of a ring, however its bytes are split. */
+/** Incremental parser of the HTTP/1.1 messages in a ring buffer. */
 final class HttpReader {
     static final int MAX_HEAD_BYTES = 16 * 1024;
     private static final int MAX_LINE_BYTES = 256;
@@ -11,7 +11,7 @@
     private static final int MAX_LENGTH_DIGITS = 9;
     private static final int MAX_CHUNK_SIZE_DIGITS = 7;
 
-    /** What is told of a message, in order. */
+    /** Receives the parts of a message in order. */
     interface Sink {
         void head(HttpHead head) throws HttpException;
 
@@ -43,7 +43,7 @@
         this.sink = sink;
     }
 
-    /** Goes on with the next message. */
+    /** Starts parsing the next message. */
     void nextMessage() {
         state = State.HEAD;
         scanned = 0;
@@ -54,12 +54,12 @@
         return state == State.DONE;
     }
 
-    /** True if the present message has begun and not ended. */
+    /** True if the current message has begun and not ended. */
     boolean isInsideMessage(Ring in) {
         return state != State.DONE && (state != State.HEAD || !in.isEmpty());
     }
 
-    /** Reads as far as it can, to the end of the message at most. */
+    /** Reads the available input, up to the end of the message. */
     void read(Ring in) throws HttpException {
         boolean progressed = true;
         while (progressed && state != State.DONE) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /** The connection has ended; true if that is the message's end. */
+    /** Handles the end of the connection; true if that ends the message. */
     boolean endOfInput() throws HttpException {
         if (state != State.UNTIL_CLOSE) {
             return false;
@@ -160,7 +160,7 @@
         }
     }
 
-    /** Digits, and no more than so many: no sign, no blank, nothing that overflows. */
+    /** True for decimal digits only, limited in number against overflow; signs and spaces are rejected. */
     static boolean isNumber(String text, int maxDigits) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) < '0' || text.charAt(i) > '9') {
--- a/src/main/java/laneflow/http/JobReader.java
+++ b/src/main/java/laneflow/http/JobReader.java
@@ -11,22 +11,22 @@
 import laneflow.decision.Dispatch.JobClass;
 import laneflow.decision.Dispatch.Settings;
 
-/** Makes a request of a whole message; what makes none is an {@link HttpException} and comes no further. */
+/** Parses HTTP messages into requests; rejects invalid ones with {@link HttpException}. */
 final class JobReader {
     private static final int MAX_ID_LENGTH = 128;
     private static final double MAX_WAIT_MS = 3_600_000;
-    /** Slots or units of memory of one job: one told as larger would spoil its endpoint's sums. */
+    /** Maximum slots, or units of memory, of one job: a larger value would distort its endpoint's totals. */
     private static final double MAX_EXTRA = 1024;
 
     private final Map<String, Integer> classIndexes = new HashMap<>();
     private final Map<String, Integer> tenantIndexes = new HashMap<>();
     private final JobClass[] classes;
 
-    /** For these classes, in the settings' order, and the settings' tenants. */
+    /** @param classNames names of the job classes, in the settings' order */
     JobReader(String[] classNames, Settings settings) {
         classes = settings.classes;
         for (int i = 0; i < settings.tenants.length; i++) {
-            // As a head is read, a byte a character: names may be of any language.
+            // Heads are decoded as ISO 8859-1, so names in UTF-8 are compared in that form.
             tenantIndexes.put(new String(settings.tenants[i].name.getBytes(UTF_8), ISO_8859_1), i);
         }
         for (int i = 0; i < classNames.length; i++) {
@@ -35,9 +35,10 @@
     }
 
     /**
-     * A message's request, for this front under this mark.
+     * Parses the request of a message.
      *
-     * @param arrived when the message's last byte came, microseconds: its time is counted from then
+     * @param tag identifies the request to the front
+     * @param arrivedAt when the message's last byte arrived, in microseconds; the deadline counts from then
      */
     Request read(Front front, long tag, HttpHead head, byte[] body, long arrivedAt) throws HttpException {
         String target = head.targetOrStatus;
@@ -55,7 +56,7 @@
         Payload payload = new Payload(head.methodOrVersion, target, id, head.header(HeaderNames.IDEMPOTENCY_KEY), body);
         Request request =
                 new Request(front, tag, payload, jobClass, arrivedAt + (long) (Math.min(waitMs, MAX_WAIT_MS) * 1000));
-        // An owner that no settings name has no share that it could be beyond.
+        // An unknown owner is no tenant, so no share limits it.
         request.tenant = tenantIndexes.getOrDefault(head.header(HeaderNames.OWNER), -1);
         request.hint = numberOr(head.header(HeaderNames.COST), HeaderNames.COST, Double.NaN) / 1e6;
         request.subject = query < 0 ? 0 : parseKey(target, query + 1);
@@ -63,7 +64,7 @@
         return request;
     }
 
-    /** The path's first part; a header that says otherwise would have two programs read two classes. */
+    /** The path's first segment; a differing header is rejected, as programs would see different classes. */
     private static String className(HttpHead head, String path) throws HttpException {
         int end = path.indexOf('/', 1);
         String pathClass =
@@ -88,7 +89,7 @@
         return text == null ? defaultValue : parseNumber(text, headerName);
     }
 
-    /** Digits, and behind a point some more: no sign, no exponent, nothing that overflows. */
+    /** Parses digits with an optional fraction; rejects signs, exponents and overflow. */
     private static double parseNumber(String text, String headerName) throws HttpException {
         int digits = 0;
         int point = -1;
@@ -108,7 +109,7 @@
         return Double.parseDouble(text);
     }
 
-    /** What the request concerns, as a number. */
+    /** The query parameter {@code key}, as a number; 0 without one. */
     private static long parseKey(String target, int from) {
         for (int start = from; start >= from && start < target.length(); ) {
             int end = target.indexOf('&', start);
--- a/src/main/java/laneflow/http/JsonObjectSplitter.java
+++ b/src/main/java/laneflow/http/JsonObjectSplitter.java
@@ -4,19 +4,19 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Cuts JSON objects out of a stream of bytes, however they are indented or split: an object ends with the
- * brace that closes it, not with its line. Whether it is sound JSON is for whoever parses it to say.
+ * Splits a stream of bytes into JSON objects. An object ends with its closing brace, whatever its line
+ * breaks. Only brackets and strings are tracked: the objects need not be valid JSON.
  */
 final class JsonObjectSplitter {
-    /** What is told of the stream, in order. */
+    /** Receives the parts of the stream in order. */
     interface Sink {
-        /** A line with nothing on it, outside any object. */
+        /** An empty line outside any object. */
         void emptyLine() throws HttpException;
 
-        /** An object has begun. */
+        /** The opening brace of an object. */
         void objectBegun();
 
-        /** An object, whole. */
+        /** A complete object. */
         void object(String text) throws HttpException;
     }
 
@@ -26,10 +26,10 @@
     private int depth;
     private boolean quoted;
     private boolean escaped;
-    /** An object has ended on the present line. */
+    /** An object has ended on the current line. */
     private boolean objectEndedOnLine;
 
-    /** @param most bytes of the longest object taken */
+    /** @param maxObjectBytes length of the longest object accepted */
     JsonObjectSplitter(int maxObjectBytes, Sink sink) {
         this.maxObjectBytes = maxObjectBytes;
         this.sink = sink;
@@ -40,7 +40,7 @@
         return depth > 0;
     }
 
-    /** Takes the next bytes in. */
+    /** Processes the next bytes of the stream. */
     void accept(byte[] bytes) throws HttpException {
         for (byte b : bytes) {
             if (depth > 0) {
@@ -62,14 +62,14 @@
             }
             objectEndedOnLine = false;
         } else if (b != ' ' && b != '\t' && b != '\r') {
-            throw new HttpException(400, "a line that is no object");
+            throw new HttpException(400, "unexpected character outside a JSON object");
         }
     }
 
     private void acceptInsideObject(byte b) throws HttpException {
         buffer.write(b);
         if (buffer.size() > maxObjectBytes) {
-            throw new HttpException(400, "object too long");
+            throw new HttpException(400, "JSON object too long");
         }
         if (quoted) {
             quoted = escaped || b != '"';
--- a/src/main/java/laneflow/http/LineStream.java
+++ b/src/main/java/laneflow/http/LineStream.java
@@ -7,23 +7,23 @@
 import laneflow.net.Loop;
 
 /**
- * One long HTTP/1.1 exchange with lines both ways: a POST whose body goes on for as long as the stream
- * lasts, a chunk a line, and an answer that does the same. An empty line is a sign of life. It ends once,
- * whatever ends it, and is not begun anew here. On the loop's thread.
+ * A bidirectional stream of lines over one HTTP/1.1 exchange: a chunked POST request and its chunked
+ * response, both open for as long as the stream lasts, with one chunk per line. Empty lines are heartbeats.
+ * A stream that has ended is not reopened. Used on the loop's thread.
  */
 public final class LineStream implements LinkHandler, HttpReader.Sink {
     private static final int IN_RING = 1 << 20;
     private static final int OUT_RING = 1 << 20;
 
-    /** Who reads the lines. */
+    /** Receives the events of a stream. */
     public interface Listener {
-        /** The other side has answered 200. */
+        /** The peer has answered 200. */
         void onOpen();
 
-        /** A line that is not empty, without its end, in UTF-8. */
+        /** A non-empty line in UTF-8, without its terminator. */
         void onLine(byte[] text);
 
-        /** It is over; told once, and nothing after it. */
+        /** The stream has ended; called once, after all other events. */
         void onClose(String reason);
     }
 
@@ -38,12 +38,12 @@
     private boolean closed;
 
     /**
-     * Begins one.
+     * Connects and opens a stream.
      *
-     * @param headers further header lines, each with its end
-     * @param connect microseconds within which it must be up
-     * @param silence microseconds without a byte after which it counts as dead
-     * @param mostLine bytes of the longest line taken
+     * @param headers further header lines, each with its terminator
+     * @param connectTimeout microseconds within which the connection must be established
+     * @param silenceTimeout microseconds without input after which the stream is closed
+     * @param maxLineBytes length of the longest line accepted
      */
     public LineStream(
             Loop loop,
@@ -60,22 +60,22 @@
         lines = new ChunkedLines(maxLineBytes);
         requestHead = "POST " + path + " HTTP/1.1\r\nHost: " + address + "\r\nContent-Type: application/x-ndjson\r\n"
                 + headers + "Transfer-Encoding: chunked\r\n\r\n";
-        timer = loop.deadlines().create(() -> finish("nothing was heard in time"));
+        timer = loop.deadlines().create(() -> finish("no data received in time"));
         loop.deadlines().set(timer, loop.micros() + connectTimeout);
         link = loop.connect(Loop.address(address), IN_RING, OUT_RING, this);
     }
 
-    /** Sends a line; false if it can't take it, and then it is over. */
+    /** Sends a line; returns false, and ends the stream, if it is closed or its buffer is full. */
     public boolean send(String text) {
         if (closed || !ChunkedLines.put(text, link.out)) {
-            loop.later(() -> finish("it does not read what it is sent"));
+            loop.later(() -> finish("send buffer full: the peer does not read"));
             return false;
         }
         link.flush();
         return true;
     }
 
-    /** Reads no more until {@link #resumeReading}: what came is not yet worked off. Silence is not counted then. */
+    /** Stops reading, and the silence time-out, until {@link #resumeReading}: earlier lines are being processed. */
     public void pauseReading() {
         loop.deadlines().cancel(timer);
         link.holdReads();
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Closes it; nothing more is told. */
+    /** Closes the stream without further events. */
     public void close() {
         closed = true;
         loop.deadlines().cancel(timer);
@@ -111,7 +111,7 @@
 
     @Override
     public void notOpened(Link failedLink) {
-        finish("no connection");
+        finish("connection failed");
     }
 
     @Override
@@ -120,7 +120,7 @@
         try {
             httpReader.read(link.in);
             if (httpReader.isDone()) {
-                finish("it was ended by the other side");
+                finish("the peer ended the stream");
             }
         } catch (HttpException e) {
             finish(e.getMessage());
@@ -129,13 +129,13 @@
 
     @Override
     public void broken(Link brokenLink) {
-        finish("the connection broke");
+        finish("connection lost");
     }
 
     @Override
     public void head(HttpHead received) throws HttpException {
         if (received.status() != 200) {
-            throw new HttpException(received.status(), "answered " + received.status());
+            throw new HttpException(received.status(), "unexpected status " + received.status());
         }
         listener.onOpen();
     }
@@ -151,6 +151,6 @@
 
     @Override
     public void end() {
-        // Told once the reader has returned.
+        // Reported once the reader has returned.
     }
 }
--- a/src/main/java/laneflow/http/LoadReports.java
+++ b/src/main/java/laneflow/http/LoadReports.java
@@ -6,11 +6,11 @@
 import laneflow.decision.Dispatch.LoadReport;
 import laneflow.wire.ReportFields;
 
-/** Load reports as endpoints write them: an object, or {@code name=value,name=value}. */
+/** Parses endpoints' load reports: a JSON object, or {@code name=value,name=value}. */
 final class LoadReports {
     private LoadReports() {}
 
-    /** A report, or null if there is none that can be read. */
+    /** Parses a JSON object; null if there is none. */
     static LoadReport parse(JsonElement json) {
         if (json == null || !json.isJsonObject()) {
             return null;
@@ -26,7 +26,7 @@
         return report;
     }
 
-    /** A report, or null if there is none that can be read. */
+    /** Parses {@code name=value} pairs, and skips malformed ones; null for null. */
     static LoadReport parse(String text) {
         if (text == null) {
             return null;
--- a/src/main/java/laneflow/http/OperatorPort.java
+++ b/src/main/java/laneflow/http/OperatorPort.java
@@ -14,9 +14,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A listener for operators, apart from the clients' port: GET on a few paths, an answer a connection, nothing
- * that changes anything. It takes few connections, each for a short time, so that it keeps no client out. On
- * the loop's thread.
+ * A read-only port for operators, separate from the clients' port: GET on a few paths, one response per
+ * connection. It limits the number and the duration of its connections, so that clients keep their share of
+ * descriptors. Used on the loop's thread.
  */
 public final class OperatorPort {
     private static final Logger LOG = LoggerFactory.getLogger(OperatorPort.class);
@@ -34,7 +34,7 @@
         this.loop = loop;
     }
 
-    /** Answers GET on that path with what the supplier says then, as JSON. */
+    /** Answers GET on the path with the supplier's JSON text. */
     public void addReport(String path, Supplier<String> text) {
         reports.put(path, text);
     }
@@ -49,7 +49,7 @@
         return listener.address();
     }
 
-    /** One who asks. */
+    /** An operator's connection. */
     private final class Connection implements LinkHandler, HttpReader.Sink {
         private final HttpReader reader = new HttpReader(false, this);
         private final Deadline timer = loop.deadlines().create(this::onTimeout);
--- a/src/main/java/laneflow/http/StreamPort.java
+++ b/src/main/java/laneflow/http/StreamPort.java
@@ -12,30 +12,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The other side of {@link LineStream}: a listener at which schedulers hold long exchanges with lines both
- * ways, and at which operators ask and order by ordinary requests. Everybody shows the token, where there is
- * one. On the loop's thread.
+ * The server side of {@link LineStream}: a port on which other schedulers open streams, and operators send
+ * ordinary requests. All must present the token, if there is one. Used on the loop's thread.
  */
 public final class StreamPort {
     private static final Logger LOG = LoggerFactory.getLogger(StreamPort.class);
     private static final int IN_RING_BYTES = 1 << 20;
     private static final int OUT_RING_BYTES = 1 << 20;
     private static final int MAX_BODY_BYTES = 1 << 20;
-    /** An ordinary request is there, and has its answer, within this time. */
+    /** Time within which an ordinary request must be answered and its connection closed. */
     private static final long REQUEST_TIMEOUT_US = 60_000_000;
 
-    /** What is done with those that come. */
+    /** Handles the streams and requests of a port. */
     public interface Handler {
-        /** A stream has begun; its lines go to the reader that is returned. */
+        /** A peer has opened a stream; returns the listener for its events. */
         LineStream.Listener streamOpened(Stream stream);
 
-        /** A request that is no stream; answered once, now or later. */
+        /** Handles an ordinary request; answers it once, now or later. */
         void handleRequest(String verb, String path, byte[] body, Responder answer);
     }
 
-    /** Answers a request; of a peer that has left meanwhile nothing is heard. */
+    /** Sends the response to a request; does nothing if the peer has left meanwhile. */
     public interface Responder {
-        /** @param type the content's, such as {@code application/json} */
+        /** @param type media type, such as {@code application/json} */
         void respond(int status, String type, String headers, String text);
     }
 
@@ -48,12 +47,12 @@
     private Loop.Listener listener;
 
     /**
-     * One that does not listen yet.
+     * Creates a port; {@link #listen} opens it.
      *
-     * @param path of streams
-     * @param token that everybody must show, or null
-     * @param silence microseconds without a byte after which a stream counts as dead
-     * @param mostLine bytes of the longest line taken
+     * @param path path of the POST requests that open streams
+     * @param token bearer token that every request must carry, or null for none
+     * @param silenceTimeout microseconds without input after which a stream is closed
+     * @param maxLineBytes length of the longest line accepted
      */
     public StreamPort(Loop loop, String path, String token, long silenceTimeout, int maxLineBytes, Handler handler) {
         this.loop = loop;
@@ -64,7 +63,7 @@
         this.handler = handler;
     }
 
-    /** @param most connections at a time; they come out of no client's part of the descriptors */
+    /** @param maxConnections limit of simultaneous connections; these do not use the clients' share of descriptors */
     public void listen(InetSocketAddress address, int maxConnections) throws IOException {
         listener =
                 loop.listenApart(address, IN_RING_BYTES, OUT_RING_BYTES, maxConnections, () -> false, Connection::new);
@@ -76,19 +75,19 @@
         return listener.address();
     }
 
-    /** A stream that another has begun. */
+    /** A stream opened by a peer. */
     public interface Stream {
-        /** Sends a line; false if it can't take it, and then it is over. */
+        /** Sends a line; returns false, and ends the stream, if it is closed or its buffer is full. */
         boolean send(String text);
 
-        /** Closes it; nothing more is told. */
+        /** Closes the stream without further events. */
         void close();
     }
 
-    /** One connection. */
+    /** A connection that carries a stream or one ordinary request. */
     private final class Connection implements LinkHandler, HttpReader.Sink, Stream {
         private final HttpReader reader = new HttpReader(false, this);
-        private final Deadline timer = loop.deadlines().create(() -> finish("nothing was heard in time"));
+        private final Deadline timer = loop.deadlines().create(() -> finish("no data received in time"));
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private ChunkedLines lines;
         private LineStream.Listener lineListener;
@@ -122,7 +121,7 @@
                     reader.read(link.in);
                 }
                 if (reader.isDone() && lineListener != null) {
-                    finish("it was ended by the other side");
+                    finish("the peer ended the stream");
                 } else if (reader.isDone() && !answered) {
                     answered = true;
                     loop.deadlines().set(timer, loop.micros() + REQUEST_TIMEOUT_US);
@@ -150,7 +149,7 @@
             if (fits) {
                 link.endWhenFlushed();
             } else {
-                finish("an answer of " + bytes.length + " bytes");
+                finish("response of " + bytes.length + " bytes exceeds the send buffer");
             }
         }
 
@@ -192,13 +191,13 @@
 
         @Override
         public void broken(Link brokenLink) {
-            finish("the connection broke");
+            finish("connection lost");
         }
 
         @Override
         public boolean send(String text) {
             if (closed || !ChunkedLines.put(text, link.out)) {
-                loop.later(() -> finish("it does not read what it is sent"));
+                loop.later(() -> finish("send buffer full: the peer does not read"));
                 return false;
             }
             link.flush();
