--- a/src/test/java/laneflow/http/AnnouncementTimesTest.java
+++ b/src/test/java/laneflow/http/AnnouncementTimesTest.java
@@ -12,15 +12,15 @@
 
     private long now = 10 * SECOND;
     /** By the rule: the instant of the last beat or list. */
-    private long wanted;
+    private long expected;
 
     @Test
-    void theFirstListMayHaveBeenToldSinceAWatchWasUpToDateLast() {
+    void theFirstListMayBeAsOldAsTheLastUpToDateWatch() {
         int orders = 0;
         for (String first : SCRIPTS) {
             for (String second : SCRIPTS) {
                 for (String third : SCRIPTS) {
-                    firstListBehind(first, second, third);
+                    checkFirstListAfter(first, second, third);
                     orders++;
                 }
             }
@@ -28,47 +28,47 @@
         assertEquals(512, orders);
     }
 
-    private void firstListBehind(String... scripts) {
-        AnnouncementTimes told = new AnnouncementTimes();
-        wanted = 0;
+    private void checkFirstListAfter(String... scripts) {
+        AnnouncementTimes times = new AnnouncementTimes();
+        expected = 0;
         for (String script : scripts) {
-            AnnouncementTimes.PerWatch watch = told.new PerWatch();
-            script.chars().forEach(event -> play(watch, (char) event));
+            AnnouncementTimes.PerWatch watch = times.new PerWatch();
+            script.chars().forEach(event -> applyEvent(watch, (char) event));
         }
-        AnnouncementTimes.PerWatch last = told.new PerWatch();
+        AnnouncementTimes.PerWatch last = times.new PerWatch();
         last.head(now);
         last.emptyLine(now, true);
-        assertEquals(wanted, last.earliest(now, false), String.join(",", scripts));
+        assertEquals(expected, last.earliest(now, false), String.join(",", scripts));
         last.listRead(now, true);
         assertEquals(now + SECOND, last.earliest(now + SECOND, false));
     }
 
-    private void play(AnnouncementTimes.PerWatch watch, char event) {
+    private void applyEvent(AnnouncementTimes.PerWatch watch, char event) {
         now += event == 'b' ? 2 * SECOND : SECOND / 10;
         if (event == 'h') {
             watch.head(now);
         } else if (event == 'l') {
             watch.listRead(now, true);
-            wanted = now;
+            expected = now;
         } else {
             watch.emptyLine(now, true);
             // Behind a beat the watch is up to date, however soon the next empty line comes.
-            wanted = event == 'b' || wanted == now - SECOND / 10 ? now : wanted;
+            expected = event == 'b' || expected == now - SECOND / 10 ? now : expected;
         }
     }
 
     /** A silent watch's late words may be as old as its silence; a former one's do not count for the next. */
     @Test
-    void whatIsOnlyListenedToMovesNothing() {
-        AnnouncementTimes told = new AnnouncementTimes();
-        AnnouncementTimes.PerWatch watch = told.new PerWatch();
+    void aWatchThatIsNotCurrentDoesNotCountAsUpToDate() {
+        AnnouncementTimes times = new AnnouncementTimes();
+        AnnouncementTimes.PerWatch watch = times.new PerWatch();
         watch.head(now);
         watch.listRead(now, true);
-        AnnouncementTimes.PerWatch next = told.new PerWatch();
+        AnnouncementTimes.PerWatch next = times.new PerWatch();
         assertEquals(now, watch.earliest(now + 5 * SECOND, true));
         watch.listRead(now + 5 * SECOND, false);
         assertEquals(now, next.earliest(now + 6 * SECOND, false));
-        assertEquals(now, told.new PerWatch().earliest(now + 6 * SECOND, false));
+        assertEquals(now, times.new PerWatch().earliest(now + 6 * SECOND, false));
         assertEquals(now + 6 * SECOND, watch.earliest(now + 6 * SECOND, false));
     }
 }
--- a/src/test/java/laneflow/http/ClientStoryTest.java
+++ b/src/test/java/laneflow/http/ClientStoryTest.java
@@ -31,29 +31,29 @@
 
     private static final int CLIENTS = 8;
 
-    private interface Step {
+    private interface Action {
         void run() throws Exception;
     }
 
-    private static String done(String id) {
+    private static String doneStatus(String id) {
         return "{'id':'" + id + "','state':'done','result':'r" + id + "'}";
     }
 
-    private static String job(String id, String more) {
-        return "POST /basket-check?key=7f HTTP/1.1\r\nReq-Id: " + id + "\r\n" + more + "Content-Length: 0\r\n\r\n";
+    private static String jobRequest(String id, String headers) {
+        return "POST /basket-check?key=7f HTTP/1.1\r\nReq-Id: " + id + "\r\n" + headers + "Content-Length: 0\r\n\r\n";
     }
 
     /** One that waits for its answer however slow the story's endpoint is: without a head, others go elsewhere. */
-    private static String capture(String id) {
-        return job(id, "").replace("basket-check", "card-capture");
+    private static String captureRequest(String id) {
+        return jobRequest(id, "").replace("basket-check", "card-capture");
     }
 
     /** Runs it within one turn of the loop. */
-    private static void inOneTurn(Stand stand, Step step) throws Exception {
+    private static void inOneTurn(Stand stand, Action action) throws Exception {
         Exception[] failure = new Exception[1];
         stand.serve.loop().call(() -> {
             try {
-                step.run();
+                action.run();
             } catch (Exception e) {
                 failure[0] = e;
             }
@@ -64,28 +64,28 @@
     }
 
     private static void await(Stand stand, Callable<Boolean> condition) throws Exception {
-        boolean[] holds = new boolean[1];
+        boolean[] result = new boolean[1];
         long end = System.nanoTime() + 60_000_000_000L;
-        while (!holds[0]) {
+        while (!result[0]) {
             assertTrue(System.nanoTime() < end, "waited in vain");
-            inOneTurn(stand, () -> holds[0] = condition.call());
+            inOneTurn(stand, () -> result[0] = condition.call());
         }
     }
 
     /** A scheduler whose room for clients is taken up by requests that are at work. */
-    private static final class Full implements AutoCloseable {
+    private static final class FullScheduler implements AutoCloseable {
         final Stand stand;
         final Endpoint endpoint = new Endpoint("e0");
         final List<Peer> clients = new ArrayList<>();
         final List<Peer> calls = new ArrayList<>();
         final List<String> ids = new ArrayList<>();
 
-        Full() throws Exception {
-            Endpoint[] known = new Endpoint[CLIENTS];
+        FullScheduler() throws Exception {
+            Endpoint[] endpoints = new Endpoint[CLIENTS];
             for (int i = 0; i < CLIENTS; i++) {
-                known[i] = new Endpoint("e" + i, endpoint);
+                endpoints[i] = new Endpoint("e" + i, endpoint);
             }
-            stand = new Stand(null, FEW_SOCKETS, known);
+            stand = new Stand(null, FEW_SOCKETS, endpoints);
             for (int i = 0; i < CLIENTS; i++) {
                 clients.add(stand.http().post("card-capture", "" + i, "", ""));
                 Peer call = endpoint.accept();
@@ -97,14 +97,14 @@
         }
 
         /** One more that has asked, and waits for room. */
-        Peer waiting(String id, String more) throws Exception {
-            Peer waits = stand.http().write(job(id, more));
+        Peer connectWaiting(String id, String headers) throws Exception {
+            Peer waitingClient = stand.http().write(jobRequest(id, headers));
             await(stand, () -> stand.serve.front().closesAfterResponse());
-            return waits;
+            return waitingClient;
         }
 
-        void answerFirst() throws IOException {
-            calls.get(0).says(done(ids.get(0)));
+        void answerFirstJob() throws IOException {
+            calls.get(0).says(doneStatus(ids.get(0)));
             assertTrue(clients.get(0).message().endsWith("r" + ids.get(0)));
         }
 
@@ -117,19 +117,19 @@
     // ---- a client that has left ----
 
     @Test
-    void aClientThatLeavesOrEndsItsSendingWithdrawsItsRequest() throws Exception {
+    void aClientThatClosesResetsOrShutsDownOutputWithdrawsItsRequest() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint)) {
-            Step[] ends = new Step[3];
-            for (int i = 0; i < ends.length; i++) {
+            Action[] departures = new Action[3];
+            for (int i = 0; i < departures.length; i++) {
                 Peer client = stand.http();
-                ends[0] = client::close;
-                ends[1] = client::reset;
-                ends[2] = client.socket::shutdownOutput;
+                departures[0] = client::close;
+                departures[1] = client::reset;
+                departures[2] = client.socket::shutdownOutput;
                 client.post("basket-check", "" + i, "", "");
                 Peer call = endpoint.accept();
                 call.message();
-                ends[i].run();
+                departures[i].run();
                 assertTrue(call.ended());
                 stand.await("http.withdrawn", i + 1);
             }
@@ -137,28 +137,28 @@
     }
 
     @Test
-    void whoLeftWhileItWaitedForRoomIsNotSentOn() throws Exception {
-        try (Full full = new Full()) {
-            full.waiting("left", "").close();
-            Peer stays = full.stand.http().write(job("stays", ""));
-            full.answerFirst();
+    void aRequestOfAClientThatLeftWhileWaitingForRoomIsNotSent() throws Exception {
+        try (FullScheduler full = new FullScheduler()) {
+            full.connectWaiting("left", "").close();
+            Peer nextClient = full.stand.http().write(jobRequest("stays", ""));
+            full.answerFirstJob();
             full.clients.get(0).close();
             // The kept connection carries the next call.
             assertTrue(full.calls.get(0).message().contains("Req-Id: stays\r\n"));
-            full.calls.get(0).says(done("stays"));
-            assertTrue(stays.message().endsWith("rstays"));
+            full.calls.get(0).says(doneStatus("stays"));
+            assertTrue(nextClient.message().endsWith("rstays"));
             assertEquals(CLIENTS + 1, full.stand.counter("http.taken"));
         }
     }
 
     /** The end lies unread in the socket when the answer before it lets the next request begin. */
     @RepeatedTest(5)
-    void theNextRequestOfAClientThatLeftInThisTurnIsNotSentOn() throws Exception {
+    void aQueuedRequestOfAClientThatLeftInTheSameTurnIsNotSent() throws Exception {
         for (boolean reset : new boolean[] {false, true}) {
             Endpoint endpoint = new Endpoint("e1");
             try (Stand stand = new Stand(null, endpoint);
                     Peer client = stand.http()) {
-                client.write(job("1", "") + job("2", ""));
+                client.write(jobRequest("1", "") + jobRequest("2", ""));
                 Peer call = endpoint.accept();
                 call.message();
                 inOneTurn(stand, () -> {
@@ -177,17 +177,17 @@
     }
 
     @Test
-    void theEndIsSeenBehindMoreThanIsKeptOfWhatAClientSendsAtOnce() throws Exception {
-        for (int much : new int[] {200, 2000}) {
+    void aCloseIsNoticedBehindMoreInputThanTheRingHolds() throws Exception {
+        for (int requests : new int[] {200, 2000}) {
             Endpoint endpoint = new Endpoint("e1");
             try (Stand stand = new Stand(null, endpoint);
                     Peer client = stand.http()) {
-                client.write(job("1", ""));
+                client.write(jobRequest("1", ""));
                 Peer call = endpoint.accept();
                 call.message();
                 call.begins("{'id':'1','state':'started'}");
-                for (int i = 2; i < much; i++) {
-                    client.write(job("" + i, "X-Filler: " + "x".repeat(200) + "\r\n"));
+                for (int i = 2; i < requests; i++) {
+                    client.write(jobRequest("" + i, "X-Filler: " + "x".repeat(200) + "\r\n"));
                 }
                 client.close();
                 assertTrue(call.ended());
@@ -201,87 +201,89 @@
     // ---- a request's time ----
 
     @Test
-    void aRequestsTimeCountsFromItsArrivalBehindAnother() throws Exception {
+    void theDeadlineOfAQueuedRequestCountsFromItsArrival() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Peer client = stand.http()) {
-            client.write(job("1", "") + job("2", "Req-Deadline-Ms: 3000\r\n"));
+            client.write(jobRequest("1", "") + jobRequest("2", "Req-Deadline-Ms: 3000\r\n"));
             Peer call = endpoint.accept();
             call.message();
             call.begins("{'id':'1','state':'started'}");
             Thread.sleep(600);
-            call.ends(done("1"));
+            call.ends(doneStatus("1"));
             assertTrue(client.message().endsWith("r1"));
             String sent = call.message();
             int at = sent.indexOf("Req-Deadline-Ms: ") + 17;
-            int told = Integer.parseInt(sent.substring(at, sent.indexOf('\r', at)));
-            assertTrue(told <= 2400, sent);
-            call.says(done("2"));
+            int remainingMs = Integer.parseInt(sent.substring(at, sent.indexOf('\r', at)));
+            assertTrue(remainingMs <= 2400, sent);
+            call.says(doneStatus("2"));
             assertTrue(client.message().endsWith("r2"));
         }
     }
 
     /** Its last byte counts, not its first, and not what came in later behind it. */
     @Test
-    void aRequestsTimeCountsFromItsLastByte() throws Exception {
+    void theDeadlineCountsFromTheRequestsLastByte() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Peer client = stand.http()) {
-            String second = job("2", "Req-Deadline-Ms: 2000\r\n");
-            client.write(job("1", "") + second.substring(0, 30));
+            String second = jobRequest("2", "Req-Deadline-Ms: 2000\r\n");
+            client.write(jobRequest("1", "") + second.substring(0, 30));
             Peer call = endpoint.accept();
             call.message();
             call.begins("{'id':'1','state':'started'}");
             Thread.sleep(300);
-            long from = System.nanoTime();
+            long sentAt = System.nanoTime();
             client.write(second.substring(30));
             // Between two of these the loop looks at its sockets: behind them the bytes have been read.
             for (int turn = 0; turn < 10; turn++) {
                 inOneTurn(stand, () -> {});
             }
-            long read = System.nanoTime();
+            long readAt = System.nanoTime();
             Thread.sleep(300);
-            client.write(job("3", "Req-Deadline-Ms: 2000\r\n"));
-            long waited = (System.nanoTime() - read) / 1_000_000;
-            call.ends(done("1"));
+            client.write(jobRequest("3", "Req-Deadline-Ms: 2000\r\n"));
+            long waitedMs = (System.nanoTime() - readAt) / 1_000_000;
+            call.ends(doneStatus("1"));
             assertTrue(client.message().endsWith("r1"));
             String sent = call.message();
             int at = sent.indexOf("Req-Deadline-Ms: ") + 17;
-            int told = Integer.parseInt(sent.substring(at, sent.indexOf('\r', at)));
-            long passed = (System.nanoTime() - from) / 1_000_000;
-            assertTrue(told <= 2000 - waited && told >= 2000 - passed - 100, passed + " ms passed: " + sent);
+            int remainingMs = Integer.parseInt(sent.substring(at, sent.indexOf('\r', at)));
+            long passedMs = (System.nanoTime() - sentAt) / 1_000_000;
+            assertTrue(
+                    remainingMs <= 2000 - waitedMs && remainingMs >= 2000 - passedMs - 100,
+                    passedMs + " ms passed: " + sent);
         }
     }
 
     @Test
-    void whoseTimeIsOverWhenItsTurnComesIsRefusedAtOnceAndNotSentOn() throws Exception {
+    void aQueuedRequestPastItsDeadlineIsRefusedAndNotSent() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Peer client = stand.http()) {
-            client.write(job("1", "") + job("2", "Req-Deadline-Ms: 100\r\n") + job("3", ""));
+            client.write(jobRequest("1", "") + jobRequest("2", "Req-Deadline-Ms: 100\r\n") + jobRequest("3", ""));
             Peer call = endpoint.accept();
             call.message();
             call.begins("{'id':'1','state':'started'}");
             Thread.sleep(200);
-            call.ends(done("1"));
+            call.ends(doneStatus("1"));
             assertTrue(client.message().endsWith("r1"));
             String refused = client.message();
             assertTrue(refused.startsWith("HTTP/1.1 503 ") && refused.contains("\r\nRetry-After: "), refused);
             assertTrue(call.message().contains("Req-Id: 3\r\n"));
-            call.says(done("3"));
+            call.says(doneStatus("3"));
             assertTrue(client.message().endsWith("r3"));
             assertEquals(2, stand.counter("call.sent"));
         }
     }
 
     @Test
-    void aRequestsTimeCountsWhileItsConnectionWaitsForRoom() throws Exception {
-        try (Full full = new Full()) {
-            Peer waits = full.waiting("late", "Req-Deadline-Ms: 100\r\n");
+    void theDeadlineCountsWhileTheConnectionWaitsForRoom() throws Exception {
+        try (FullScheduler full = new FullScheduler()) {
+            Peer waitingClient = full.connectWaiting("late", "Req-Deadline-Ms: 100\r\n");
             Thread.sleep(200);
-            full.answerFirst();
+            full.answerFirstJob();
             full.clients.get(0).close();
-            assertTrue(waits.message().startsWith("HTTP/1.1 503 "));
+            assertTrue(waitingClient.message().startsWith("HTTP/1.1 503 "));
             assertEquals(CLIENTS, full.stand.counter("call.sent"));
         }
     }
@@ -297,17 +299,17 @@
             await(stand, () -> !stand.serve.front().hasNoClients());
             inOneTurn(stand, () -> {
                 Thread.sleep(2100);
-                client.write(capture("1"));
+                client.write(captureRequest("1"));
             });
             Peer call = endpoint.accept();
             call.message();
-            call.says(done("1"));
+            call.says(doneStatus("1"));
             assertTrue(client.message().endsWith("r1"));
         }
     }
 
     @Test
-    void aRequestThatArrivesInTheTurnInWhichRoomIsMadeIsServed() throws Exception {
+    void aRequestThatArrivesInTheTurnOfAnEvictionIsServed() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Peer first = stand.http();
@@ -316,19 +318,19 @@
                 idle.write("GET /health/live HTTP/1.1\r\n\r\n").message();
             }
             inOneTurn(stand, () -> {
-                first.write(capture("1"));
+                first.write(captureRequest("1"));
                 assertTrue(stand.serve.front().makeRoom());
             });
             assertTrue(second.ended());
             Peer call = endpoint.accept();
             call.message();
-            call.says(done("1"));
+            call.says(doneStatus("1"));
             assertTrue(first.message().endsWith("r1"));
         }
     }
 
     @RepeatedTest(5)
-    void aRequestThatArrivesInTheTurnOfADrainIsAnsweredAndALaterOneIsNotSentOn() throws Exception {
+    void aRequestThatArrivesInTheTurnOfADrainIsAnsweredAndALaterOneIsNotSent() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Peer client = stand.http();
@@ -337,18 +339,18 @@
                 each.write("GET /health/live HTTP/1.1\r\n\r\n").message();
             }
             inOneTurn(stand, () -> {
-                client.write(capture("1"));
+                client.write(captureRequest("1"));
                 stand.serve.front().drain();
-                idle.write(job("2", ""));
+                idle.write(jobRequest("2", ""));
             });
             Peer call = endpoint.accept();
             assertTrue(call.message().contains("Req-Id: 1\r\n"));
-            call.says(done("1"));
+            call.says(doneStatus("1"));
             String answer = client.message();
             assertTrue(answer.endsWith("r1") && answer.contains("Connection: close"), answer);
             // An orderly end, no reset: the client asks once more elsewhere.
             assertEquals(-1, idle.socket.getInputStream().read());
-            idle.write(job("3", ""));
+            idle.write(jobRequest("3", ""));
             assertEquals(-1, client.socket.getInputStream().read());
             assertEquals(1, stand.counter("http.taken"));
         }
@@ -356,44 +358,44 @@
 
     /** Closed at once, the connection would be reset by the client's next bytes, and the rest of the answer lost. */
     @Test
-    void anAnswerThatIsStillOnItsWaySurvivesTheCloseOfItsConnection() throws Exception {
+    void anAnswerStillBeingSentSurvivesTheCloseOfItsConnection() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Socket socket = new Socket()) {
             socket.setReceiveBufferSize(2048);
             InetSocketAddress at = stand.serve.front().address();
             socket.connect(at);
-            socket.getOutputStream().write(capture("1").getBytes());
+            socket.getOutputStream().write(captureRequest("1").getBytes());
             Peer call = endpoint.accept();
             call.message();
             call.says("{'id':'1','state':'done','result':'" + "x".repeat(200_000) + "'}");
             stand.await("http.served", 1);
             await(stand, () -> stand.serve.front().busyConnections() == 0);
             inOneTurn(stand, () -> stand.serve.front().drain());
-            socket.getOutputStream().write(job("2", "").getBytes());
+            socket.getOutputStream().write(jobRequest("2", "").getBytes());
             String answer = new String(socket.getInputStream().readAllBytes());
             assertTrue(answer.endsWith("x".repeat(200_000)), answer.length() + " bytes");
         }
     }
 
     @Test
-    void whatWasReadBeforeADrainIsAnsweredWholeAndItsLastAnswerCloses() throws Exception {
+    void requestsReadBeforeADrainAreAnsweredAndTheLastAnswerCloses() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Peer client = stand.http()) {
-            client.write(job("1", "") + job("2", "") + job("3", ""));
+            client.write(jobRequest("1", "") + jobRequest("2", "") + jobRequest("3", ""));
             Peer call = endpoint.accept();
             call.message();
             inOneTurn(stand, () -> stand.serve.front().drain());
-            call.says(done("1"));
+            call.says(doneStatus("1"));
             assertFalse(client.message().contains("Connection: close"));
             assertTrue(call.message().contains("Req-Id: 2\r\n"));
-            call.says(done("2"));
+            call.says(doneStatus("2"));
             // What comes only now is not for this scheduler.
-            client.write(job("4", ""));
+            client.write(jobRequest("4", ""));
             assertFalse(client.message().contains("Connection: close"));
             assertTrue(call.message().contains("Req-Id: 3\r\n"));
-            call.says(done("3"));
+            call.says(doneStatus("3"));
             String last = client.message();
             assertTrue(last.endsWith("r3") && last.contains("Connection: close"), last);
             assertEquals(-1, client.socket.getInputStream().read());
@@ -403,11 +405,11 @@
 
     /** At a planned end, shortly before the kill: what was read behind a request that is given up has no time left. */
     @Test
-    void whatWasReadBehindARequestThatIsGivenUpIsRefusedAtOnce() throws Exception {
+    void requestsQueuedBehindAnAbandonedOneAreRefusedAtOnce() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Peer client = stand.http()) {
-            client.write(job("1", "") + job("2", ""));
+            client.write(jobRequest("1", "") + jobRequest("2", ""));
             Peer call = endpoint.accept();
             call.message();
             inOneTurn(stand, () -> {
@@ -426,13 +428,13 @@
 
     /** The process ends while an answer is still on its way and the client's next bytes lie unread. */
     @Test
-    void anAnswerThatIsStillOnItsWaySurvivesTheEndOfTheProcess() throws Exception {
+    void anAnswerStillBeingSentSurvivesTheEndOfTheProcess() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Socket socket = new Socket()) {
             socket.setReceiveBufferSize(2048);
             socket.connect(stand.serve.front().address());
-            socket.getOutputStream().write(capture("1").getBytes());
+            socket.getOutputStream().write(captureRequest("1").getBytes());
             Peer call = endpoint.accept();
             call.message();
             call.says("{'id':'1','state':'done','result':'" + "x".repeat(200_000) + "'}");
@@ -451,7 +453,7 @@
                 while (halt.getState() != Thread.State.WAITING) {
                     Thread.onSpinWait();
                 }
-                socket.getOutputStream().write(job("2", "").getBytes());
+                socket.getOutputStream().write(jobRequest("2", "").getBytes());
             });
             halt.join();
             String answer = new String(socket.getInputStream().readAllBytes());
@@ -461,7 +463,7 @@
 
     /** It is in the machine's queue, and its request has come, when the listener closes in the same turn. */
     @Test
-    void whoCameBeforeTheListenerClosedIsServed() throws Exception {
+    void clientsThatConnectedBeforeTheListenerClosedAreServed() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint)) {
             Peer[] client = new Peer[40];
@@ -481,39 +483,39 @@
 
     /** The one that has its last answer doesn't close its connection: it gives way before its time. */
     @Test
-    void whoHasItsLastAnswerGivesWayToWhoWaitsForRoom() throws Exception {
-        try (Full full = new Full()) {
-            Peer waits = full.waiting("waits", "");
-            full.answerFirst();
+    void aClientWithItsLastAnswerIsEvictedForAWaitingOne() throws Exception {
+        try (FullScheduler full = new FullScheduler()) {
+            Peer waitingClient = full.connectWaiting("waits", "");
+            full.answerFirstJob();
             assertTrue(full.calls.get(0).message().contains("Req-Id: waits\r\n"));
-            full.calls.get(0).says(done("waits"));
-            assertTrue(waits.message().endsWith("rwaits"));
+            full.calls.get(0).says(doneStatus("waits"));
+            assertTrue(waitingClient.message().endsWith("rwaits"));
             assertEquals(1, full.stand.counter("http.gave_way"));
         }
     }
 
     /** Several have been accepted by XNIO at once, and more than one of them waits. */
     @Test
-    void theLoopRestsWhileClientsWaitForRoom() throws Exception {
-        try (Full full = new Full()) {
+    void theLoopDoesNotSpinWhileClientsWaitForRoom() throws Exception {
+        try (FullScheduler full = new FullScheduler()) {
             inOneTurn(full.stand, () -> {
                 for (int i = 0; i < 5; i++) {
-                    full.stand.http().write(job("w" + i, ""));
+                    full.stand.http().write(jobRequest("w" + i, ""));
                 }
                 // XNIO's own thread accepts them meanwhile.
                 Thread.sleep(100);
             });
             await(full.stand, () -> full.stand.serve.front().closesAfterResponse());
-            long began = System.nanoTime();
-            long used = loopTime();
+            long startedAt = System.nanoTime();
+            long cpuBefore = loopCpuNanos();
             Thread.sleep(500);
-            double part = (double) (loopTime() - used) / (System.nanoTime() - began);
-            assertTrue(part < 0.5, "part of the time that the loop was at work: " + part);
+            double busyShare = (double) (loopCpuNanos() - cpuBefore) / (System.nanoTime() - startedAt);
+            assertTrue(busyShare < 0.5, "part of the time that the loop was at work: " + busyShare);
         }
     }
 
     /** Processor time of the loops' threads that live, nanoseconds. */
-    private static long loopTime() {
+    private static long loopCpuNanos() {
         ThreadMXBean threads = ManagementFactory.getThreadMXBean();
         long sum = 0;
         for (long id : threads.getAllThreadIds()) {
@@ -526,7 +528,7 @@
     }
 
     @Test
-    void idleClientsDontKeepDiscoveryOrEndpointsOut() throws Exception {
+    void idleClientsLeaveDescriptorsForDiscoveryAndEndpoints() throws Exception {
         Endpoint discovery = new Endpoint("d");
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(discovery, FEW_SOCKETS, endpoint)) {
@@ -541,10 +543,10 @@
             next.readTo("\r\n\r\n");
             next.write(Stand.watching(Stand.list(2, true, endpoint.host("Ready"))));
             stand.await("discovery.lists", 1);
-            Peer client = stand.http().write(capture("1"));
+            Peer client = stand.http().write(captureRequest("1"));
             Peer call = endpoint.accept();
             call.message();
-            call.says(done("1"));
+            call.says(doneStatus("1"));
             assertTrue(client.message().endsWith("r1"));
             assertEquals(0, stand.counter("clients.lost"));
         }
@@ -553,19 +555,19 @@
     // ---- many commands at once ----
 
     @Test
-    void manyCommandsAtOnceAreAnsweredInOrder() throws Exception {
+    void pipelinedRequestsAreAnsweredInOrder() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Peer client = stand.http()) {
-            StringBuilder all = new StringBuilder();
+            StringBuilder requests = new StringBuilder();
             for (int i = 0; i < 300; i++) {
-                all.append(job("" + i, "X-Filler: " + "x".repeat(200) + "\r\n"));
+                requests.append(jobRequest("" + i, "X-Filler: " + "x".repeat(200) + "\r\n"));
             }
-            client.write(all.toString());
+            client.write(requests.toString());
             Peer call = endpoint.accept();
             for (int i = 0; i < 300; i++) {
                 assertTrue(call.message().contains("Req-Id: " + i + "\r\n"));
-                call.says(done("" + i));
+                call.says(doneStatus("" + i));
                 assertTrue(client.message().endsWith("r" + i));
             }
             assertEquals(1, stand.counter("endpoint.connects"));
@@ -574,11 +576,11 @@
 
     /** What is kept of it is answered; the first that is not whole any more is refused, and that is the end. */
     @Test
-    void whoSendsTooMuchAtOnceIsAnsweredForWhatIsKeptAndEnded() throws Exception {
+    void excessivePipeliningIsAnsweredAsFarAsBufferedThenRejected() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Peer client = stand.http()) {
-            client.write(job("0", ""));
+            client.write(jobRequest("0", ""));
             Peer call = endpoint.accept();
             call.message();
             call.begins("{'id':'0','state':'started'}");
@@ -586,14 +588,14 @@
                 client.write("GET /health/live HTTP/1.1\r\nX-Filler: " + "x".repeat(8000) + "\r\n\r\n");
             }
             stand.await("http.too_much_at_once", 1);
-            call.ends(done("0"));
+            call.ends(doneStatus("0"));
             assertTrue(client.message().endsWith("r0"));
-            int lives = 0;
+            int okResponses = 0;
             String answer = client.message();
             for (; answer.startsWith("HTTP/1.1 200 "); answer = client.message()) {
-                lives++;
+                okResponses++;
             }
-            assertTrue(lives > 10 && lives < 40, "" + lives);
+            assertTrue(okResponses > 10 && okResponses < 40, "" + okResponses);
             assertTrue(answer.startsWith("HTTP/1.1 429 ") && answer.contains("Connection: close"), answer);
             assertEquals(-1, client.socket.getInputStream().read());
         }
--- a/src/test/java/laneflow/http/DiscoveryStoryTest.java
+++ b/src/test/java/laneflow/http/DiscoveryStoryTest.java
@@ -25,7 +25,7 @@
     }
 
     /** The next watch that has asked: on a busy machine one may have been given up before it came up. */
-    private static Peer watch(Endpoint discovery, String after) throws IOException {
+    private static Peer acceptWatch(Endpoint discovery, String after) throws IOException {
         while (true) {
             Peer watch = discovery.accept();
             try {
@@ -37,33 +37,33 @@
         }
     }
 
-    private static double seconds(long since) {
-        return (System.nanoTime() - since) / 1e9;
+    private static double secondsSince(long instant) {
+        return (System.nanoTime() - instant) / 1e9;
     }
 
     @Test
-    void aListMayComeIndentedAndALineInPieces() throws Exception {
+    void listsMayBeIndentedAndSplit() throws Exception {
         Endpoint discovery = new Endpoint("d");
-        Endpoint one = new Endpoint("e1");
-        Endpoint two = new Endpoint("e2");
-        try (Stand stand = new Stand(discovery, one);
+        Endpoint endpoint1 = new Endpoint("e1");
+        Endpoint endpoint2 = new Endpoint("e2");
+        try (Stand stand = new Stand(discovery, endpoint1);
                 Peer client = stand.http()) {
-            Peer watch = watch(discovery, "1");
+            Peer watch = acceptWatch(discovery, "1");
             long watches = stand.counter("discovery.watches");
-            String list = Stand.list(2, false, one.host("Terminating"), two.host("Ready"))
+            String list = Stand.list(2, false, endpoint1.host("Terminating"), endpoint2.host("Ready"))
                     .replace("{", "{\n    ")
                     .replace(",", ",\r\n  ")
                     .replace("}", "\n}");
             watch.write(HEAD);
-            for (char each : ("\n" + list).toCharArray()) {
-                watch.write(chunk("" + each));
+            for (char character : ("\n" + list).toCharArray()) {
+                watch.write(chunk("" + character));
             }
             // It needs no line's end: the last brace is its end.
             stand.await("discovery.lists", 1);
-            watch.write(chunk("\n\n  " + Stand.list(3, false, two.host("Ready"))) + chunk("\n"));
+            watch.write(chunk("\n\n  " + Stand.list(3, false, endpoint2.host("Ready"))) + chunk("\n"));
             stand.await("discovery.lists", 2);
             client.post("basket-check", "1", "", "");
-            Peer call = two.accept();
+            Peer call = endpoint2.accept();
             call.message();
             call.says("{'id':'1','state':'done','result':'priced'}");
             assertTrue(client.message().endsWith("priced"));
@@ -73,21 +73,21 @@
 
     /** News missed counts as told 6 s after the silence began: two more watches come up before that. */
     @Test
-    void aSilentWatchIsBegunAgainOnceABeatAndTheListStaysInUse() throws Exception {
+    void aSilentWatchIsReplacedAndTheListStaysInUse() throws Exception {
         Endpoint discovery = new Endpoint("d");
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(discovery, endpoint)) {
-            long from = System.nanoTime();
-            Peer silent = watch(discovery, "1");
+            long startedAt = System.nanoTime();
+            Peer silent = acceptWatch(discovery, "1");
             long watches = stand.counter("discovery.watches");
             silent.write(HEAD + chunk("\n"));
             // Bytes that make no line are no sign of life, be it that they come and come.
-            Peer next = watch(discovery, "1");
-            assertTrue(seconds(from) > 2 && seconds(from) < 4.4, "" + seconds(from));
+            Peer next = acceptWatch(discovery, "1");
+            assertTrue(secondsSince(startedAt) > 2 && secondsSince(startedAt) < 4.4, "" + secondsSince(startedAt));
             assertTrue(silent.ended());
-            from = System.nanoTime();
+            startedAt = System.nanoTime();
             next.write(HEAD + chunk("{"));
-            Thread drops = new Thread(() -> {
+            Thread slowWriter = new Thread(() -> {
                 try {
                     for (; true; Thread.sleep(100)) {
                         next.write(chunk(" "));
@@ -96,10 +96,10 @@
                     // Cut off: that is what the story waits for.
                 }
             });
-            drops.start();
-            Peer third = watch(discovery, "1");
-            drops.join();
-            assertTrue(seconds(from) > 2 && seconds(from) < 4.4, "" + seconds(from));
+            slowWriter.start();
+            Peer third = acceptWatch(discovery, "1");
+            slowWriter.join();
+            assertTrue(secondsSince(startedAt) > 2 && secondsSince(startedAt) < 4.4, "" + secondsSince(startedAt));
             assertEquals(2, stand.counter("discovery.silent"));
             assertEquals(watches + 2, stand.counter("discovery.watches"));
             assertServedAt(endpoint, stand);
@@ -113,18 +113,19 @@
      * in which a beat is missing, although nothing of an answer had come from an agent on this machine.
      */
     @Test
-    void aWatchThatOwesMissedNewsAndSaysNothingIsFollowedByAThirdInTime() throws Exception {
+    void aSilentSuccessorOfASilentWatchIsReplacedInTime() throws Exception {
         Endpoint discovery = new Endpoint("d");
-        Endpoint one = new Endpoint("e1");
-        try (Stand stand = new Stand(discovery, one)) {
-            Peer first = watch(discovery, "1");
+        Endpoint endpoint1 = new Endpoint("e1");
+        try (Stand stand = new Stand(discovery, endpoint1)) {
+            Peer first = acceptWatch(discovery, "1");
             first.write(HEAD + chunk("\n"));
-            long from = System.nanoTime();
-            Peer second = watch(discovery, "1");
-            Peer third = watch(discovery, "1");
-            assertTrue(seconds(from) < 4, "asked again " + seconds(from) + " s after the last word");
+            long startedAt = System.nanoTime();
+            Peer second = acceptWatch(discovery, "1");
+            Peer third = acceptWatch(discovery, "1");
+            assertTrue(
+                    secondsSince(startedAt) < 4, "asked again " + secondsSince(startedAt) + " s after the last word");
             assertTrue(second.ended());
-            third.write(HEAD + chunk(Stand.list(2, false, one.host("Terminating"))));
+            third.write(HEAD + chunk(Stand.list(2, false, endpoint1.host("Terminating"))));
             stand.await("discovery.lists", 1);
             assertEquals(2, stand.counter("discovery.silent"));
         }
@@ -132,33 +133,33 @@
 
     /** What its agent holds counts from a process's first moment: before it has spoken nobody is asked for. */
     @Test
-    void aNewProcessIsReadyOnceItsAgentHasSpokenOrHasNothingToSay() throws Exception {
+    void aNewProcessIsReadyOnceItsAgentHasAnsweredOrHadTheTimeTo() throws Exception {
         Endpoint discovery = new Endpoint("d");
         try (Stand stand = new Stand(discovery, new Endpoint("e1"));
                 Peer client = stand.http()) {
-            boolean[] early = new boolean[1];
+            boolean[] readyTooEarly = new boolean[1];
             stand.serve
                     .loop()
-                    .call(() -> early[0] = stand.serve.front().isReady()
+                    .call(() -> readyTooEarly[0] = stand.serve.front().isReady()
                             && stand.serve.scheduler().counters().get("discovery.lists") == 0);
-            Peer watch = watch(discovery, "1");
+            Peer watch = acceptWatch(discovery, "1");
             // Silent, as while discovery is down: then what was known last is used.
             String ready;
             do {
                 ready = client.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
             } while (ready.startsWith("HTTP/1.1 503 "));
             assertTrue(ready.startsWith("HTTP/1.1 200 "), ready);
-            assertTrue(!early[0], "ready with its agent unheard");
+            assertTrue(!readyTooEarly[0], "ready with its agent unheard");
         }
     }
 
     /** Where lists are asked for, a call waits for its turn: that it is not answered yet is no silence. */
     @Test
-    void whereListsAreAskedForACallMayWaitForItsTurn() throws Exception {
+    void aWatchAtASharedServiceMayBeQueued() throws Exception {
         Endpoint discovery = new Endpoint("d");
         try (Stand stand =
                 Stand.changed("'tick':0.005", "'tick':0.005,'discovery':'ask'", discovery, new Endpoint("e1"))) {
-            Peer watch = watch(discovery, "1");
+            Peer watch = acceptWatch(discovery, "1");
             long watches = stand.counter("discovery.watches");
             Thread.sleep(2800);
             watch.write(HEAD + chunk(Stand.list(2, true)));
@@ -173,26 +174,26 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"", "\n"})
-    void whatANewWatchTellsFirstMayHaveBeenToldSinceTheOldOneSpoke(String ahead) throws Exception {
+    void aDrainInTheFirstListCountsFromTheLastSignOfLife(String prefix) throws Exception {
         Endpoint discovery = new Endpoint("d");
-        Endpoint one = new Endpoint("e1", 1);
-        try (Stand stand = Stand.changed("'connectTimeout':1", "'connectTimeout':4.5", discovery, one);
+        Endpoint endpoint1 = new Endpoint("e1", 1);
+        try (Stand stand = Stand.changed("'connectTimeout':1", "'connectTimeout':4.5", discovery, endpoint1);
                 Peer client = stand.http()) {
-            Peer watch = watch(discovery, "1");
+            Peer watch = acceptWatch(discovery, "1");
             watch.write(HEAD + chunk("\n"));
-            int crowd = one.crowd();
+            int crowd = endpoint1.crowd();
             client.post("card-capture", "1", "", "pay");
             stand.await("endpoint.connects", 1);
             watch.reset();
-            Peer next = watch(discovery, "1");
+            Peer next = acceptWatch(discovery, "1");
             // The connection comes up a second after it was asked for, or three where this thread is late.
             Thread.sleep(800);
-            next.write(HEAD + chunk(ahead + Stand.list(2, false, one.host("Terminating"))));
+            next.write(HEAD + chunk(prefix + Stand.list(2, false, endpoint1.host("Terminating"))));
             stand.await("discovery.lists", 1);
             for (int i = 0; i < crowd; i++) {
-                one.accept();
+                endpoint1.accept();
             }
-            Peer late = one.accept();
+            Peer late = endpoint1.accept();
             assertTrue(late.ended());
             assertTrue(client.message().startsWith("HTTP/1.1 503 "));
             assertEquals(1, stand.counter("core.kept.drain"));
@@ -201,45 +202,45 @@
 
     /** What the agent gets at its return counts at once: no list may go to a connection closed already. */
     @Test
-    void aSilentWatchIsHeardUntilTheNextOneHasAsked() throws Exception {
+    void aSilentWatchIsReadUntilTheNextOneHasSentItsRequest() throws Exception {
         Endpoint discovery = new Endpoint("d", 1);
-        Endpoint one = new Endpoint("e1");
-        try (Stand stand = new Stand(discovery, one)) {
-            Peer silent = watch(discovery, "1");
+        Endpoint endpoint1 = new Endpoint("e1");
+        try (Stand stand = new Stand(discovery, endpoint1)) {
+            Peer silent = acceptWatch(discovery, "1");
             silent.write(HEAD + chunk("\n"));
             // The next connection can't come up before those ahead of it have been accepted.
             int crowd = discovery.crowd();
             stand.await("discovery.silent", 1);
-            silent.write(chunk(Stand.list(2, false, one.host("Terminating"))));
+            silent.write(chunk(Stand.list(2, false, endpoint1.host("Terminating"))));
             stand.await("discovery.lists", 1);
             for (int i = 0; i < crowd; i++) {
                 discovery.accept();
             }
-            watch(discovery, "2");
+            acceptWatch(discovery, "2");
             assertTrue(silent.ended());
         }
     }
 
     /** Of two moves at once the second counts, and the old address is heard until its list has come. */
     @Test
-    void aSecondMoveAmidTheFirstIsFollowedAndTheOldAddressHeardMeanwhile() throws Exception {
+    void aSecondMoveDuringTheFirstIsFollowedAndTheFormerAddressRead() throws Exception {
         Endpoint discovery = new Endpoint("d");
-        Endpoint neverUp = new Endpoint("d2", 1);
+        Endpoint unreachable = new Endpoint("d2", 1);
         Endpoint last = new Endpoint("d3");
-        Endpoint one = new Endpoint("e1");
-        try (Stand stand = new Stand(discovery, one)) {
-            Peer old = watch(discovery, "1");
+        Endpoint endpoint1 = new Endpoint("e1");
+        try (Stand stand = new Stand(discovery, endpoint1)) {
+            Peer old = acceptWatch(discovery, "1");
             old.write(HEAD + chunk("\n"));
-            neverUp.crowd();
-            move(stand, neverUp);
+            unreachable.crowd();
+            move(stand, unreachable);
             stand.await("discovery.moves", 1);
-            old.write(chunk(Stand.list(2, false, one.host("Ready"))));
+            old.write(chunk(Stand.list(2, false, endpoint1.host("Ready"))));
             stand.await("discovery.lists", 1);
             move(stand, last);
-            Peer present = watch(last, "0");
-            old.write(chunk(Stand.list(3, false, one.host("Ready"))));
+            Peer current = acceptWatch(last, "0");
+            old.write(chunk(Stand.list(3, false, endpoint1.host("Ready"))));
             stand.await("discovery.lists", 2);
-            present.write(HEAD + chunk(Stand.list(1, true, one.host("Ready"))));
+            current.write(HEAD + chunk(Stand.list(1, true, endpoint1.host("Ready"))));
             stand.await("discovery.lists", 3);
             assertTrue(old.ended());
             assertEquals(2, stand.counter("discovery.moves"));
@@ -253,27 +254,27 @@
     @Test
     void ofFourMovesInARowTheLastIsFollowed() throws Exception {
         Endpoint discovery = new Endpoint("d");
-        Endpoint one = new Endpoint("e1");
+        Endpoint endpoint1 = new Endpoint("e1");
         Endpoint last = new Endpoint("d5");
-        try (Stand stand = new Stand(discovery, one)) {
-            Peer old = watch(discovery, "1");
+        try (Stand stand = new Stand(discovery, endpoint1)) {
+            Peer old = acceptWatch(discovery, "1");
             old.write(HEAD + chunk("\n"));
-            List<Endpoint> between = List.of(new Endpoint("d2"), new Endpoint("d3"), new Endpoint("d4"));
-            for (Endpoint place : between) {
-                move(stand, place);
-                watch(place, "0");
+            List<Endpoint> intermediate = List.of(new Endpoint("d2"), new Endpoint("d3"), new Endpoint("d4"));
+            for (Endpoint address : intermediate) {
+                move(stand, address);
+                acceptWatch(address, "0");
             }
             move(stand, last);
-            Peer present = watch(last, "0");
-            old.write(chunk(Stand.list(2, false, one.host("Terminating"))));
+            Peer current = acceptWatch(last, "0");
+            old.write(chunk(Stand.list(2, false, endpoint1.host("Terminating"))));
             stand.await("discovery.lists", 1);
-            present.write(HEAD + chunk(Stand.list(1, true, one.host("Ready"))));
+            current.write(HEAD + chunk(Stand.list(1, true, endpoint1.host("Ready"))));
             stand.await("discovery.lists", 2);
             assertTrue(old.ended());
             assertEquals(4, stand.counter("discovery.moves"));
-            assertServedAt(one, stand);
-            for (Endpoint place : between) {
-                place.close();
+            assertServedAt(endpoint1, stand);
+            for (Endpoint address : intermediate) {
+                address.close();
             }
         }
     }
@@ -293,18 +294,18 @@
 
     /** Where lists are asked for at a service that all share, one that can't be read is no reason to hurry. */
     @Test
-    void listsThatCantBeReadAreAskedForAfterLongerAndLongerWaits() throws Exception {
+    void unreadableListsAreRequestedAgainWithGrowingWaits() throws Exception {
         Endpoint discovery = new Endpoint("d");
         try (Stand stand =
                 Stand.changed("'tick':0.005", "'tick':0.005,'discovery':'ask'", discovery, new Endpoint("e1"))) {
-            Peer watch = watch(discovery, "1");
-            long from = System.nanoTime();
+            Peer watch = acceptWatch(discovery, "1");
+            long startedAt = System.nanoTime();
             for (int i = 0; i < 4; i++) {
                 watch.write(HEAD + chunk("{\"seq\":9,\"hosts\":7}\n"));
-                watch = watch(discovery, "0");
+                watch = acceptWatch(discovery, "0");
             }
             // 0.1, 0.2, 0.4 and 0.8 s at least.
-            assertTrue(seconds(from) >= 1.5, "" + seconds(from));
+            assertTrue(secondsSince(startedAt) >= 1.5, "" + secondsSince(startedAt));
             assertEquals(0, stand.counter("discovery.lists"));
             watch.write(HEAD + chunk(Stand.list(2, true)));
             stand.await("discovery.lists", 1);
@@ -313,16 +314,16 @@
 
     /** Begun with nothing known while discovery is down, it could only refuse: it asks for nobody. */
     @Test
-    void withNothingKnownAProcessIsReadyOnceItHasAList() throws Exception {
+    void withoutEndpointsAProcessIsReadyOnceItHasAList() throws Exception {
         Endpoint discovery = new Endpoint("d");
         // Held on to: a socket that nothing refers to may be closed at any time.
         try (Stand stand = new Stand(discovery);
-                Peer silent = watch(discovery, "1")) {
+                Peer silent = acceptWatch(discovery, "1")) {
             stand.await("discovery.silent", 1);
             Peer client = stand.http();
             client.write("GET /health/ready HTTP/1.1\r\n\r\n");
             assertTrue(client.message().startsWith("HTTP/1.1 503 "));
-            Peer next = watch(discovery, "1").write(HEAD + chunk(Stand.list(2, true)));
+            Peer next = acceptWatch(discovery, "1").write(HEAD + chunk(Stand.list(2, true)));
             stand.await("discovery.lists", 1);
             next.write(chunk("\n"));
             assertTrue(!silent.socket.isClosed());
@@ -337,7 +338,7 @@
      * that have nobody else found a closed door, where an answer at once would tell them when to come back.
      */
     @Test
-    void withNothingKnownAndDiscoveryAwayAProcessIsReadyWithinTenSeconds() throws Exception {
+    void withoutEndpointsAndDiscoveryAProcessIsReadyWithinTenSeconds() throws Exception {
         Endpoint discovery = new Endpoint("d");
         discovery.close();
         long start = System.nanoTime();
@@ -356,19 +357,19 @@
 
     /** Clients have a part of the descriptors, and the watch is none of them. */
     @Test
-    void idleClientsThatFillTheDescriptorsKeepNoWatchOut() throws Exception {
+    void idleClientsLeaveADescriptorForTheWatch() throws Exception {
         Endpoint discovery = new Endpoint("d");
-        Endpoint one = new Endpoint("e1");
-        int room = 48;
-        try (Stand stand = new Stand(discovery, 160, one)) {
-            Peer watch = watch(discovery, "1");
+        Endpoint endpoint1 = new Endpoint("e1");
+        int clientDescriptors = 48;
+        try (Stand stand = new Stand(discovery, 160, endpoint1)) {
+            Peer watch = acceptWatch(discovery, "1");
             List<Peer> idle = new ArrayList<>();
-            for (int i = 0; i < 2 * room; i++) {
+            for (int i = 0; i < 2 * clientDescriptors; i++) {
                 idle.add(stand.http());
             }
             stand.await("http.gave_way", 1);
             watch.reset();
-            watch(discovery, "1").write(HEAD + chunk(Stand.list(2, false, one.host("Ready"))));
+            acceptWatch(discovery, "1").write(HEAD + chunk(Stand.list(2, false, endpoint1.host("Ready"))));
             stand.await("discovery.lists", 1);
         }
     }
--- a/src/test/java/laneflow/http/EndpointCrossingTest.java
+++ b/src/test/java/laneflow/http/EndpointRaceTest.java
@@ -30,25 +30,25 @@
  * question is over, so that the next turn finds both.
  */
 @Timeout(60)
-class EndpointCrossingTest {
+class EndpointRaceTest {
     private static final int CHECK = 0;
     private static final int CAPTURE = 1;
     private static final int POST = 2;
     private static final String[] CLASSES = {"basket-check", "card-capture", "points-post"};
     private static final int REPEATS = 3;
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_US = 1_000_000;
     /** Microseconds after which a connection's last byte is held back though its job may run twice. */
-    private static final long STALE = 60_000;
+    private static final long STALE_US = 60_000;
     /** Longer than a last byte is held, and than an endpoint takes to say that it has a call. */
-    private static final long HELD = 5_000;
+    private static final long HOLD_US = 5_000;
 
-    private static final long SILENT = 260_000;
+    private static final long SILENT_US = 260_000;
     /** As in the settings of these stories: an endpoint that may be asked again and sends no head is given up then. */
-    private static final long CONNECT_TIMEOUT = SECOND;
+    private static final long CONNECT_TIMEOUT_US = SECOND_US;
 
     /** Clients of this test: their answers, and what is done within the turn of the next one. */
-    private static final class Clients implements Front {
-        private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
+    private static final class RecordingFront implements Front {
+        private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
         private Runnable onServed = () -> {};
 
         @Override
@@ -58,64 +58,64 @@
 
         @Override
         public void served(long tag, byte[] result) {
-            Runnable then = onServed;
+            Runnable action = onServed;
             onServed = () -> {};
-            then.run();
-            answers.add("served");
+            action.run();
+            outcomes.add("served");
         }
 
         @Override
         public void refused(long tag, double retryAfter) {
-            answers.add("refused");
+            outcomes.add("refused");
         }
 
         @Override
         public void failed(long tag) {
-            answers.add("failed");
+            outcomes.add("failed");
         }
 
-        private String next() throws InterruptedException {
-            String answer = answers.poll(30, TimeUnit.SECONDS);
-            return answer == null ? "none" : answer;
+        private String nextOutcome() throws InterruptedException {
+            String outcome = outcomes.poll(30, TimeUnit.SECONDS);
+            return outcome == null ? "none" : outcome;
         }
     }
 
-    private interface Step {
+    private interface Action {
         void run() throws Exception;
     }
 
-    private interface OnConnection {
+    private interface ConnectionAction {
         void run(Peer call) throws Exception;
     }
 
-    private final Clients clients = new Clients();
+    private final RecordingFront front = new RecordingFront();
 
-    private static String done(String id) {
+    private static String doneStatus(String id) {
         return "{'id':'" + id + "','state':'done','result':'ok'}";
     }
 
     /** On the loop's thread: takes a job in, with a body of three bytes. */
-    private Request submit(Stand stand, int jobClass, String id, long within) {
+    private Request submit(Stand stand, int jobClass, String id, long timeout) {
         Payload payload =
                 new Payload("POST", "/" + CLASSES[jobClass], id, jobClass == POST ? "k" + id : null, "pay".getBytes());
         Request request =
-                new Request(clients, 0, payload, jobClass, stand.serve.loop().currentMicros() + within);
+                new Request(front, 0, payload, jobClass, stand.serve.loop().currentMicros() + timeout);
         stand.serve.scheduler().submit(request);
         return request;
     }
 
     /** Runs this in one turn; a fault in it is the test's. */
-    private static void inOneTurn(Stand stand, Step step) throws Exception {
-        Exception[] fault = new Exception[1];
-        stand.serve.loop().call(() -> fault[0] = faultOf(step));
-        if (fault[0] != null) {
-            throw fault[0];
+    private static void inOneTurn(Stand stand, Action action) throws Exception {
+        Exception[] failure = new Exception[1];
+        stand.serve.loop().call(() -> failure[0] = failureOf(action));
+        if (failure[0] != null) {
+            throw failure[0];
         }
     }
 
-    private static Exception faultOf(Step step) {
+    private static Exception failureOf(Action action) {
         try {
-            step.run();
+            action.run();
             return null;
         } catch (Exception e) {
             return e;
@@ -125,24 +125,24 @@
     }
 
     /** On any thread: waits for the clock alone. */
-    private static void untilPast(Stand stand, long instant) throws InterruptedException {
+    private static void waitUntilAfter(Stand stand, long instant) throws InterruptedException {
         while (stand.serve.loop().currentMicros() <= instant) {
             Thread.sleep(1);
         }
     }
 
     /** A connection to the endpoint that has served a job and rests. */
-    private Peer rested(Stand stand, Endpoint endpoint) throws Exception {
-        return rested(stand, endpoint, new AtomicReference<>());
+    private Peer idleConnection(Stand stand, Endpoint endpoint) throws Exception {
+        return idleConnection(stand, endpoint, new AtomicReference<>());
     }
 
-    private Peer rested(Stand stand, Endpoint endpoint, AtomicReference<Peer> known) throws Exception {
-        inOneTurn(stand, () -> submit(stand, CHECK, "first", 5 * SECOND));
+    private Peer idleConnection(Stand stand, Endpoint endpoint, AtomicReference<Peer> connection) throws Exception {
+        inOneTurn(stand, () -> submit(stand, CHECK, "first", 5 * SECOND_US));
         Peer call = endpoint.accept();
-        known.set(call);
+        connection.set(call);
         call.message();
-        call.says(done("first"));
-        assertEquals("served", clients.next());
+        call.says(doneStatus("first"));
+        assertEquals("served", front.nextOutcome());
         return call;
     }
 
@@ -150,32 +150,32 @@
      * What is to be done on the loop's thread, in the very turn in which a connection has come to rest: so it
      * can't have grown stale.
      */
-    private void asOneComesToRest(Stand stand, Endpoint endpoint, OnConnection step) throws Exception {
+    private void whenConnectionBecomesIdle(Stand stand, Endpoint endpoint, ConnectionAction action) throws Exception {
         AtomicReference<Peer> call = new AtomicReference<>();
-        CompletableFuture<Exception> over = new CompletableFuture<>();
+        CompletableFuture<Exception> done = new CompletableFuture<>();
         Deadlines deadlines = stand.serve.loop().deadlines();
-        Runnable atTurnsEnd = () -> over.complete(faultOf(() -> step.run(call.get())));
-        clients.onServed = () -> deadlines.set(deadlines.create(atTurnsEnd), 0, Long.MAX_VALUE);
-        rested(stand, endpoint, call);
-        Exception fault = over.get();
-        if (fault != null) {
-            throw fault;
+        Runnable atEndOfTurn = () -> done.complete(failureOf(() -> action.run(call.get())));
+        front.onServed = () -> deadlines.set(deadlines.create(atEndOfTurn), 0, Long.MAX_VALUE);
+        idleConnection(stand, endpoint, call);
+        Exception failure = done.get();
+        if (failure != null) {
+            throw failure;
         }
     }
 
     /** The same, at rest for so long that a last byte is held back on it whatever the job. */
-    private Peer stale(Stand stand, Endpoint endpoint) throws Exception {
-        Peer call = rested(stand, endpoint);
-        untilPast(stand, stand.serve.loop().currentMicros() + STALE);
+    private Peer staleConnection(Stand stand, Endpoint endpoint) throws Exception {
+        Peer call = idleConnection(stand, endpoint);
+        waitUntilAfter(stand, stand.serve.loop().currentMicros() + STALE_US);
         return call;
     }
 
     /** The first request that comes on any connection, with those closed in silence passed over. */
-    private static String firstRequest(Endpoint endpoint, Peer[] on) throws IOException {
+    private static String firstRequest(Endpoint endpoint, Peer[] connection) throws IOException {
         while (true) {
-            on[0] = endpoint.accept();
+            connection[0] = endpoint.accept();
             try {
-                return on[0].message();
+                return connection[0].message();
             } catch (IOException e) {
                 // Closed with nothing whole said.
             }
@@ -190,14 +190,14 @@
     }
 
     /** On the loop's thread: the endpoint's drain counts as told so long ago that its grace is over. */
-    private static void drainedLongAgo(Stand stand, String name) {
+    private static void announceOldDrain(Stand stand, String name) {
         stand.serve
                 .scheduler()
                 .list(
                         stand.serve.scheduler().endpoints().get(name).connector,
                         false,
                         List.of(draining(name)),
-                        stand.serve.loop().micros() - SECOND);
+                        stand.serve.loop().micros() - SECOND_US);
     }
 
     private static Stand withoutCancel(Endpoint endpoint) throws Exception {
@@ -207,29 +207,29 @@
     // ---- departure ----
 
     @RepeatedTest(REPEATS)
-    void whoLeavesWhileTheConnectionComesUpIsNotSentOn() throws Exception {
+    void aRequestWithdrawnDuringConnectIsNotSent() throws Exception {
         for (int jobClass : new int[] {CHECK, CAPTURE, POST}) {
             Endpoint endpoint = new Endpoint("e1");
             try (Stand stand = withoutCancel(endpoint)) {
-                inOneTurn(stand, () -> stand.serve.scheduler().withdraw(submit(stand, jobClass, "left", SECOND)));
-                inOneTurn(stand, () -> submit(stand, jobClass, "next", 5 * SECOND));
+                inOneTurn(stand, () -> stand.serve.scheduler().withdraw(submit(stand, jobClass, "left", SECOND_US)));
+                inOneTurn(stand, () -> submit(stand, jobClass, "next", 5 * SECOND_US));
                 Peer[] call = new Peer[1];
                 String sent = firstRequest(endpoint, call);
                 assertTrue(sent.contains("Req-Id: next\r\n"), sent);
-                call[0].says(done("next"));
-                assertEquals("served", clients.next());
+                call[0].says(doneStatus("next"));
+                assertEquals("served", front.nextOutcome());
                 assertEquals(1, stand.counter("call.moot"));
             }
         }
     }
 
     @RepeatedTest(REPEATS)
-    void whoLeavesWhileTheLastByteIsHeldIsNotSentOn() throws Exception {
+    void aRequestWithdrawnWhileItsLastByteIsHeldIsNotCompleted() throws Exception {
         for (int jobClass : new int[] {CHECK, POST}) {
             Endpoint endpoint = new Endpoint("e1");
             try (Stand stand = withoutCancel(endpoint)) {
-                Peer call = stale(stand, endpoint);
-                inOneTurn(stand, () -> stand.serve.scheduler().withdraw(submit(stand, jobClass, "left", SECOND)));
+                Peer call = staleConnection(stand, endpoint);
+                inOneTurn(stand, () -> stand.serve.scheduler().withdraw(submit(stand, jobClass, "left", SECOND_US)));
                 call.readTo("\r\n\r\npa");
                 assertTrue(call.ended());
             }
@@ -238,11 +238,11 @@
 
     /** One that must not run twice goes out on a connection used in that very turn, its last byte held. */
     @RepeatedTest(REPEATS)
-    void whoseCaptureIsHeldWhenItLeavesIsNotSentOn() throws Exception {
+    void aCaptureWithdrawnWhileItsLastByteIsHeldIsNotCompleted() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = withoutCancel(endpoint)) {
-            asOneComesToRest(stand, endpoint, call -> {
-                stand.serve.scheduler().withdraw(submit(stand, CAPTURE, "left", SECOND));
+            whenConnectionBecomesIdle(stand, endpoint, call -> {
+                stand.serve.scheduler().withdraw(submit(stand, CAPTURE, "left", SECOND_US));
                 call.readTo("\r\n\r\npa");
                 assertTrue(call.ended());
             });
@@ -251,17 +251,17 @@
 
     /** With its whole request there it may be at work, and is heard out. */
     @RepeatedTest(REPEATS)
-    void whoLeavesBehindTheLastByteLeavesItsCallAtWork() throws Exception {
+    void aCallWithdrawnAfterItsLastByteRunsToItsEnd() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = withoutCancel(endpoint)) {
             Request[] request = new Request[1];
-            inOneTurn(stand, () -> request[0] = submit(stand, CAPTURE, "left", 5 * SECOND));
+            inOneTurn(stand, () -> request[0] = submit(stand, CAPTURE, "left", 5 * SECOND_US));
             Peer call = endpoint.accept();
             call.message();
             inOneTurn(stand, () -> stand.serve.scheduler().withdraw(request[0]));
-            call.says(done("left"));
+            call.says(doneStatus("left"));
             stand.await("call.ok", 1);
-            assertTrue(clients.answers.isEmpty());
+            assertTrue(front.outcomes.isEmpty());
         }
     }
 
@@ -270,7 +270,7 @@
      * over too, so its connection is looked at before the client's is read: a further attempt used to go out.
      */
     @RepeatedTest(REPEATS)
-    void whoLeavesAmidAStallGetsNoFurtherAttempt() throws Exception {
+    void aClientThatLeavesDuringAStallGetsNoFurtherAttempt() throws Exception {
         Endpoint first = new Endpoint("e1");
         Endpoint second = new Endpoint("e2");
         try (Stand stand = new Stand(null, first, second)) {
@@ -282,7 +282,7 @@
                 stand.serve.scheduler().ban(Set.of());
                 client.close();
                 call.reset();
-                untilPast(stand, stand.serve.loop().currentMicros() + CONNECT_TIMEOUT);
+                waitUntilAfter(stand, stand.serve.loop().currentMicros() + CONNECT_TIMEOUT_US);
             });
             stand.await("http.withdrawn", 1);
             assertEquals(1, stand.counter("call.reset"));
@@ -294,120 +294,120 @@
     // ---- time ----
 
     @RepeatedTest(REPEATS)
-    void theTimeThatACallTellsIsWhatIsLeftHoweverLongTheTurnHasLasted() throws Exception {
+    void theDeadlineSentIsTheTimeLeftEvenAfterALongTurn() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint)) {
-            Peer call = rested(stand, endpoint);
+            Peer call = idleConnection(stand, endpoint);
             inOneTurn(stand, () -> {
-                untilPast(stand, stand.serve.loop().micros() + 300_000);
+                waitUntilAfter(stand, stand.serve.loop().micros() + 300_000);
                 submit(stand, CHECK, "late", 700_000);
             });
-            assertTrue(told(call.message()) <= 700);
+            assertTrue(deadlineMs(call.message()) <= 700);
         }
     }
 
-    private static long told(String message) {
+    private static long deadlineMs(String message) {
         int at = message.indexOf("Req-Deadline-Ms: ") + 17;
         return Long.parseLong(message.substring(at, message.indexOf('\r', at)));
     }
 
     @RepeatedTest(REPEATS)
-    void whatHasNoTimeLeftIsNotSent() throws Exception {
+    void aRequestPastItsDeadlineIsNotSent() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint)) {
-            Peer call = rested(stand, endpoint);
+            Peer call = idleConnection(stand, endpoint);
             inOneTurn(stand, () -> {
                 // By the turn's clock it has time, by the clock it has none.
-                untilPast(stand, stand.serve.loop().micros() + 300_000);
+                waitUntilAfter(stand, stand.serve.loop().micros() + 300_000);
                 submit(stand, CHECK, "late", -10_000);
             });
-            assertEquals("refused", clients.next());
+            assertEquals("refused", front.nextOutcome());
             assertTrue(call.ended());
         }
     }
 
     /** Less than a millisecond, or than a last byte is held: no time that could be told is left. */
     @RepeatedTest(REPEATS)
-    void whatHasLessLeftThanTheHoldIsNotSent() throws Exception {
+    void aRequestWithLessTimeLeftThanTheHoldIsNotSent() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint)) {
-            Peer call = stale(stand, endpoint);
+            Peer call = staleConnection(stand, endpoint);
             inOneTurn(stand, () -> {
-                untilPast(stand, stand.serve.loop().micros() + 300_000);
+                waitUntilAfter(stand, stand.serve.loop().micros() + 300_000);
                 submit(stand, CHECK, "late", 2_500);
             });
-            assertEquals("refused", clients.next());
+            assertEquals("refused", front.nextOutcome());
             assertTrue(call.ended());
         }
     }
 
     @RepeatedTest(REPEATS)
-    void anAnswerThatIsThereAsItsEndpointsSilenceIsOverIsServed() throws Exception {
+    void anAnswerThatArrivesWithTheSilenceTimeoutIsServed() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint)) {
-            asOneComesToRest(stand, endpoint, call -> {
-                submit(stand, POST, "1", 5 * SECOND);
-                answers(call);
-                untilPast(stand, stand.serve.loop().currentMicros() + SILENT);
+            whenConnectionBecomesIdle(stand, endpoint, call -> {
+                submit(stand, POST, "1", 5 * SECOND_US);
+                answer(call);
+                waitUntilAfter(stand, stand.serve.loop().currentMicros() + SILENT_US);
             });
-            assertEquals("served", clients.next());
+            assertEquals("served", front.nextOutcome());
             assertEquals(0, stand.counter("endpoint.silent"));
         }
     }
 
     /** Its last call, and the time itself, are over in the turn in which the answer is there to be read. */
     @RepeatedTest(REPEATS)
-    void anAnswerThatIsThereAsItsClientsTimeIsOverIsServed() throws Exception {
+    void anAnswerThatArrivesWithTheDeadlineIsServed() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint)) {
-            asOneComesToRest(stand, endpoint, call -> {
-                Request request = submit(stand, CHECK, "1", SILENT / 2);
-                answers(call);
-                untilPast(stand, request.deadline);
+            whenConnectionBecomesIdle(stand, endpoint, call -> {
+                Request request = submit(stand, CHECK, "1", SILENT_US / 2);
+                answer(call);
+                waitUntilAfter(stand, request.deadline);
             });
-            assertEquals("served", clients.next());
+            assertEquals("served", front.nextOutcome());
             assertEquals(0, stand.counter("call.cancelled") + stand.counter("call.timeout"));
         }
     }
 
     /** A declined call never ran: what must not run twice is refused and not failed, its time being over. */
     @RepeatedTest(REPEATS)
-    void aDeclinedCaptureWhoseTimeIsOverInThatTurnIsRefused() throws Exception {
+    void aCaptureDeclinedInTheTurnOfItsDeadlineIsRefused() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint)) {
             Request[] request = new Request[1];
-            inOneTurn(stand, () -> request[0] = submit(stand, CAPTURE, "1", SILENT));
+            inOneTurn(stand, () -> request[0] = submit(stand, CAPTURE, "1", SILENT_US));
             Peer call = endpoint.accept();
             call.message();
             inOneTurn(stand, () -> {
                 call.write("HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
-                untilPast(stand, request[0].deadline);
+                waitUntilAfter(stand, request[0].deadline);
             });
-            assertEquals("refused", clients.next());
+            assertEquals("refused", front.nextOutcome());
             assertEquals(1, stand.counter("call.full"));
         }
     }
 
     /** The endpoint reads the call and answers it. */
-    private static void answers(Peer call) throws IOException {
+    private static void answer(Peer call) throws IOException {
         call.message();
-        call.says(done("1"));
+        call.says(doneStatus("1"));
     }
 
     // ---- closes ----
 
     /** The endpoint closes a resting connection just as a capture is written to it: that never ran. */
     @RepeatedTest(REPEATS)
-    void whatItsEndpointClosesBeforeTheLastByteNeverRan() throws Exception {
+    void aCaptureHasNotRunIfTheEndpointClosesBeforeTheLastByte() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint)) {
-            asOneComesToRest(stand, endpoint, call -> {
-                submit(stand, CAPTURE, "1", 5 * SECOND);
+            whenConnectionBecomesIdle(stand, endpoint, call -> {
+                submit(stand, CAPTURE, "1", 5 * SECOND_US);
                 call.readTo("\r\n\r\npa");
                 call.close();
-                untilPast(stand, stand.serve.loop().currentMicros() + HELD);
+                waitUntilAfter(stand, stand.serve.loop().currentMicros() + HOLD_US);
             });
-            assertEquals("refused", clients.next());
+            assertEquals("refused", front.nextOutcome());
             assertEquals(0, stand.counter("call.reset"));
             assertEquals(1, stand.counter("call.moot"));
         }
@@ -415,32 +415,32 @@
 
     /** Put back among the resting ones as its peer closes it: it is looked at before it is used. */
     @RepeatedTest(REPEATS)
-    void aConnectionThatItsPeerClosedInThatTurnIsNotUsed() throws Exception {
+    void aConnectionClosedInTheSameTurnIsNotUsed() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint)) {
-            Peer call = rested(stand, endpoint);
+            Peer call = idleConnection(stand, endpoint);
             inOneTurn(stand, () -> {
                 call.close();
-                submit(stand, CHECK, "1", 5 * SECOND);
+                submit(stand, CHECK, "1", 5 * SECOND_US);
             });
             Peer next = endpoint.accept();
             assertTrue(next.message().contains("Req-Id: 1\r\n"));
-            next.says(done("1"));
-            assertEquals("served", clients.next());
+            next.says(doneStatus("1"));
+            assertEquals("served", front.nextOutcome());
             assertEquals(0, stand.counter("call.reset") + stand.counter("call.moot"));
         }
     }
 
     @RepeatedTest(REPEATS)
-    void halfALineInTheMomentOfACloseIsNoAnswer() throws Exception {
+    void aPartialLineBeforeACloseIsNoAnswer() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint)) {
-            inOneTurn(stand, () -> submit(stand, CAPTURE, "1", 5 * SECOND));
+            inOneTurn(stand, () -> submit(stand, CAPTURE, "1", 5 * SECOND_US));
             Peer call = endpoint.accept();
             call.message();
             call.write("HTTP/1.1 200 OK\r\n\r\n{\"id\":\"1\",\"state\":\"done\",\"result\":\"o");
             call.close();
-            assertEquals("failed", clients.next());
+            assertEquals("failed", front.nextOutcome());
             assertEquals(1, stand.counter("call.reset"));
         }
     }
@@ -448,14 +448,14 @@
     // ---- drains ----
 
     @RepeatedTest(REPEATS)
-    void aDrainToldWhileTheConnectionComesUpIsNotTheEndpointsFailure() throws Exception {
+    void aDrainDuringConnectIsNoFailureOfTheEndpoint() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint)) {
             inOneTurn(stand, () -> {
-                submit(stand, CAPTURE, "1", 5 * SECOND);
-                drainedLongAgo(stand, "e1");
+                submit(stand, CAPTURE, "1", 5 * SECOND_US);
+                announceOldDrain(stand, "e1");
             });
-            assertEquals("refused", clients.next());
+            assertEquals("refused", front.nextOutcome());
             assertTrue(endpoint.accept().ended());
             assertEquals(1, stand.counter("core.kept.drain"));
             assertEquals(1, stand.counter("call.moot"));
@@ -464,34 +464,34 @@
     }
 
     @RepeatedTest(REPEATS)
-    void aDrainToldWhileTheLastByteIsHeldKeepsItBack() throws Exception {
+    void aDrainWhileTheLastByteIsHeldKeepsItBack() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint)) {
-            Peer call = stale(stand, endpoint);
+            Peer call = staleConnection(stand, endpoint);
             inOneTurn(stand, () -> {
-                submit(stand, CHECK, "1", 5 * SECOND);
-                drainedLongAgo(stand, "e1");
+                submit(stand, CHECK, "1", 5 * SECOND_US);
+                announceOldDrain(stand, "e1");
             });
             assertThrows(IOException.class, call::message);
-            assertEquals("refused", clients.next());
+            assertEquals("refused", front.nextOutcome());
         }
     }
 
     // ---- answers that are not this call's ----
 
     @RepeatedTest(REPEATS)
-    void aSecondAnswerToTheJobTwoBeforeIsPassedOver() throws Exception {
+    void aRepeatedAnswerToTheJobBeforeLastIsIgnored() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint)) {
-            Peer call = rested(stand, endpoint);
+            Peer call = idleConnection(stand, endpoint);
             for (String id : new String[] {"1", "2"}) {
-                inOneTurn(stand, () -> submit(stand, POST, id, 5 * SECOND));
+                inOneTurn(stand, () -> submit(stand, POST, id, 5 * SECOND_US));
                 call.message();
                 if (id.equals("2")) {
-                    call.says(done("first"));
+                    call.says(doneStatus("first"));
                 }
-                call.says(done(id));
-                assertEquals("served", clients.next());
+                call.says(doneStatus(id));
+                assertEquals("served", front.nextOutcome());
             }
             assertEquals(1, stand.counter("endpoint.second_answer"));
             assertEquals(0, stand.counter("endpoint.malformed"));
--- a/src/test/java/laneflow/http/EndpointStoryTest.java
+++ b/src/test/java/laneflow/http/EndpointStoryTest.java
@@ -13,12 +13,12 @@
 /** Stories of endpoints that answer too much, too late or for ever, as the operators' page has them. */
 @Timeout(120)
 class EndpointStoryTest {
-    private static String done(String id, String result) {
+    private static String doneStatus(String id, String result) {
         return "{'id':'" + id + "','state':'done','result':'" + result + "'}";
     }
 
     /** Writes the same until the other side ends it. */
-    private static Thread floods(Peer call, String text) {
+    private static Thread startFlood(Peer call, String text) {
         Thread flood = new Thread(() -> {
             try {
                 while (true) {
@@ -33,18 +33,18 @@
     }
 
     @Test
-    void aSecondAnswerIsNotTakenForTheNextRequests() throws Exception {
+    void aRepeatedAnswerIsNotTakenForTheNextRequests() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Peer client = stand.http()) {
             client.post("basket-check", "1", "", "");
             Peer call = endpoint.accept();
             call.message();
-            call.says(done("1", "one"));
+            call.says(doneStatus("1", "one"));
             assertTrue(client.message().endsWith("one"));
             client.post("basket-check", "2", "", "");
             assertTrue(call.message().contains("Req-Id: 2\r\n"));
-            call.says(done("1", "one")).says(done("2", "two"));
+            call.says(doneStatus("1", "one")).says(doneStatus("2", "two"));
             String answer = client.message();
             assertTrue(answer.endsWith("two"), answer);
             assertEquals(1, stand.counter("endpoint.second_answer"));
@@ -56,7 +56,7 @@
 
     /** The core hears that the job is done with the first bytes of the last line, once, and of none that is whole. */
     @Test
-    void anAnswerThatBeginsToComeIsTold() throws Exception {
+    void theFirstBytesOfAResultAreReported() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Peer client = stand.http()) {
@@ -66,7 +66,7 @@
             call.begins("{'id':'1','state':'started'}");
             stand.await("call.started", 1);
             assertEquals(0, stand.counter("call.answering"));
-            String line = done("1", "one").replace('\'', '"') + "\n";
+            String line = doneStatus("1", "one").replace('\'', '"') + "\n";
             call.write(Integer.toHexString(line.length()) + "\r\n" + line.substring(0, 3));
             stand.await("call.answering", 1);
             call.write(line.substring(3, 9));
@@ -75,32 +75,32 @@
             assertEquals(1, stand.counter("call.answering"));
             client.post("basket-check", "2", "", "");
             call.message();
-            call.begins("{'id':'2','state':'started'}").ends(done("2", "two"));
+            call.begins("{'id':'2','state':'started'}").ends(doneStatus("2", "two"));
             assertTrue(client.message().endsWith("two"));
             assertEquals(1, stand.counter("call.answering"));
         }
     }
 
     @Test
-    void aSecondAnswerOnARestingConnectionEndsItAndAThirdIsNone() throws Exception {
+    void aRepeatedAnswerClosesAnIdleConnectionAndTwoAreMalformed() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Peer client = stand.http()) {
             client.post("basket-check", "1", "", "");
             Peer call = endpoint.accept();
             call.message();
-            call.says(done("1", "one"));
+            call.says(doneStatus("1", "one"));
             assertTrue(client.message().endsWith("one"));
-            call.says(done("1", "one"));
+            call.says(doneStatus("1", "one"));
             assertTrue(call.ended());
             client.post("points-post", "2", "", "");
             Peer next = endpoint.accept();
             next.message();
-            next.says(done("2", "two"));
+            next.says(doneStatus("2", "two"));
             assertTrue(client.message().endsWith("two"));
             client.post("basket-check", "3", "Req-Deadline-Ms: 400\r\n", "");
             assertTrue(next.message().contains("Req-Id: 3\r\n"));
-            next.says(done("2", "two")).says(done("2", "two"));
+            next.says(doneStatus("2", "two")).says(doneStatus("2", "two"));
             assertTrue(next.ended());
             assertTrue(client.message().startsWith("HTTP/1.1 503 "));
             assertEquals(1, stand.counter("endpoint.malformed"));
@@ -111,44 +111,44 @@
     private static final String CHUNK = Integer.toHexString(RUNNING.length()) + "\r\n" + RUNNING + "\r\n";
 
     @Test
-    void anAnswerThatNeverEndsIsCutOffByItsClientsTime() throws Exception {
+    void anEndlessSlowResponseIsCutOffAtTheDeadline() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Peer client = stand.http()) {
-            long from = System.nanoTime();
+            long startedAt = System.nanoTime();
             client.post("card-capture", "1", "Req-Deadline-Ms: 400\r\n", "pay");
-            Peer drops = endpoint.accept();
-            drops.message();
-            drops.begins("{'id':'1','state':'started'}");
-            Thread slow = new Thread(() -> {
+            Peer slowCall = endpoint.accept();
+            slowCall.message();
+            slowCall.begins("{'id':'1','state':'started'}");
+            Thread slowWriter = new Thread(() -> {
                 try {
                     for (; true; Thread.sleep(20)) {
-                        drops.write(CHUNK);
+                        slowCall.write(CHUNK);
                     }
                 } catch (IOException | InterruptedException e) {
                     // Cut off: that is what the story waits for.
                 }
             });
-            slow.start();
+            slowWriter.start();
             assertTrue(client.message().startsWith("HTTP/1.1 500 "));
-            assertTrue(System.nanoTime() - from < 3_000_000_000L);
-            slow.join();
+            assertTrue(System.nanoTime() - startedAt < 3_000_000_000L);
+            slowWriter.join();
         }
     }
 
     @Test
-    void anAnswerWithoutEndIsCutOffByItsBytesBeforeItsLastWordAndBehindIt() throws Exception {
-        for (boolean behind : new boolean[] {false, true}) {
+    void anEndlessResponseIsCutOffByLengthBeforeAndAfterItsOutcome() throws Exception {
+        for (boolean afterOutcome : new boolean[] {false, true}) {
             Endpoint endpoint = new Endpoint("e1");
             try (Stand stand = new Stand(null, endpoint);
                     Peer client = stand.http()) {
                 client.post("card-capture", "1", "", "pay");
                 Peer call = endpoint.accept();
                 call.message();
-                call.begins(behind ? done("1", "paid") : "{'id':'1','state':'started'}");
-                Thread flood = floods(call, CHUNK.repeat(1000));
+                call.begins(afterOutcome ? doneStatus("1", "paid") : "{'id':'1','state':'started'}");
+                Thread flood = startFlood(call, CHUNK.repeat(1000));
                 String answer = client.message();
-                assertTrue(behind ? answer.endsWith("paid") : answer.startsWith("HTTP/1.1 500 "), answer);
+                assertTrue(afterOutcome ? answer.endsWith("paid") : answer.startsWith("HTTP/1.1 500 "), answer);
                 flood.join();
                 stand.await("endpoint.malformed", 1);
             }
@@ -157,19 +157,19 @@
 
     /** Interim answers are none: one that goes on with them is as silent as one that says nothing. */
     @Test
-    void interimAnswersAreNoHead() throws Exception {
-        Endpoint one = new Endpoint("e1");
-        Endpoint two = new Endpoint("e2", one);
-        try (Stand stand = Stand.changed("'connectTimeout':1", "'connectTimeout':0.25", null, one, two);
+    void interimResponsesAreNoHead() throws Exception {
+        Endpoint endpoint1 = new Endpoint("e1");
+        Endpoint endpoint2 = new Endpoint("e2", endpoint1);
+        try (Stand stand = Stand.changed("'connectTimeout':1", "'connectTimeout':0.25", null, endpoint1, endpoint2);
                 Peer client = stand.http()) {
             client.post("basket-check", "1", "", "");
-            Peer silent = one.accept();
+            Peer silent = endpoint1.accept();
             silent.message();
             silent.write("HTTP/1.1 102 Processing\r\n\r\n");
-            Peer again = one.accept();
-            again.message();
+            Peer retry = endpoint1.accept();
+            retry.message();
             assertTrue(silent.ended());
-            again.write("HTTP/1.1 100 Continue\r\n\r\n").says(done("1", "priced"));
+            retry.write("HTTP/1.1 100 Continue\r\n\r\n").says(doneStatus("1", "priced"));
             assertTrue(client.message().endsWith("priced"));
             assertEquals(1, stand.counter("endpoint.silent"));
         }
@@ -177,40 +177,40 @@
 
     /** It goes elsewhere, or its client hears at once; what comes up late never carries it. */
     @Test
-    void aConnectionThatComesUpLateIsGivenUpInTimeAndCarriesNothing() throws Exception {
+    void aConnectionThatOpensTooLateIsAbandonedAndCarriesNothing() throws Exception {
         Endpoint endpoint = new Endpoint("e1", 1);
         try (Stand stand = Stand.changed("'connectTimeout':1", "'connectTimeout':0.25", null, endpoint);
                 Peer client = stand.http()) {
             int crowd = endpoint.crowd();
-            long from = System.nanoTime();
+            long startedAt = System.nanoTime();
             client.post("card-capture", "1", "", "pay");
             assertTrue(client.message().startsWith("HTTP/1.1 503 "));
-            double took = (System.nanoTime() - from) / 1e9;
-            assertTrue(took > 0.24 && took < 3, "" + took);
+            double seconds = (System.nanoTime() - startedAt) / 1e9;
+            assertTrue(seconds > 0.24 && seconds < 3, "" + seconds);
             assertEquals(1, stand.counter("call.connect_failed"));
             for (int i = 0; i < crowd; i++) {
                 endpoint.accept();
             }
             // Whatever comes up of it carries nothing; the first that asks is the next job.
-            Thread serves = new Thread(() -> {
+            Thread server = new Thread(() -> {
                 while (true) {
                     try (Peer call = endpoint.accept()) {
                         assertTrue(call.message().contains("Req-Id: 2\r\n"));
-                        call.says(done("2", "posted"));
+                        call.says(doneStatus("2", "posted"));
                         return;
                     } catch (IOException e) {
                         // Closed with nothing said.
                     }
                 }
             });
-            serves.start();
+            server.start();
             // For a while it is under suspicion.
             String answer;
             do {
                 answer = client.post("points-post", "2", "", "").message();
             } while (answer.startsWith("HTTP/1.1 503 "));
             assertTrue(answer.endsWith("posted"), answer);
-            serves.join();
+            server.join();
         }
     }
 }
--- a/src/test/java/laneflow/http/HttpStoryTest.java
+++ b/src/test/java/laneflow/http/HttpStoryTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aRequestPassesThroughUnchangedHoweverItIsSplit() throws Exception {
+    void aRequestIsPassedOnUnchangedHoweverItIsSplit() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Peer client = stand.http()) {
@@ -56,28 +56,28 @@
     }
 
     @Test
-    void aConnectionThatBreaksBehindTheLastByteMayHaveRunIt() throws Exception {
-        Endpoint one = new Endpoint("e1");
-        Endpoint two = new Endpoint("e2", one);
-        try (Stand stand = new Stand(null, one, two);
+    void aJobMayHaveRunIfTheConnectionBreaksAfterTheLastByte() throws Exception {
+        Endpoint endpoint1 = new Endpoint("e1");
+        Endpoint endpoint2 = new Endpoint("e2", endpoint1);
+        try (Stand stand = new Stand(null, endpoint1, endpoint2);
                 Peer client = stand.http()) {
             client.post("card-capture", "1", "", "pay");
-            Peer call = one.accept();
+            Peer call = endpoint1.accept();
             call.message();
             call.reset();
             assertTrue(client.message().startsWith("HTTP/1.1 500 "));
             assertEquals(1, stand.counter("call.sent"));
             client.post("basket-check", "2", "", "");
             // What is safe goes to the other one, since the first is under suspicion.
-            Peer again = one.accept();
-            again.message();
-            again.says("{'id':'2','state':'done','result':'ok'}");
+            Peer nextCall = endpoint1.accept();
+            nextCall.message();
+            nextCall.says("{'id':'2','state':'done','result':'ok'}");
             assertTrue(client.message().endsWith("ok"));
         }
     }
 
     @Test
-    void aConnectionThatBreaksBeforeTheLastByteNeverRanIt() throws Exception {
+    void aJobHasNotRunIfTheConnectionBreaksBeforeTheLastByte() throws Exception {
         boolean refused = false;
         // The byte is held back for 2 ms only: a peer that is late sees it go out, and tries again.
         for (int i = 0; i < 30 && !refused; i++) {
@@ -97,14 +97,14 @@
     }
 
     @Test
-    void whatMustNotRunTwiceIsSentOnNoConnectionThatMayBeStale() throws Exception {
+    void unsafeJobsAreNotSentOnStaleConnections() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Peer client = stand.http()) {
             client.post("basket-check", "1", "", "");
-            Peer kept = endpoint.accept();
-            kept.message();
-            kept.says("{'id':'1','state':'done','result':'priced'}");
+            Peer idleCall = endpoint.accept();
+            idleCall.message();
+            idleCall.says("{'id':'1','state':'done','result':'priced'}");
             client.message();
             // Its endpoint may close it unheard while it rests; 50 ms are trusted.
             Thread.sleep(60);
@@ -117,26 +117,26 @@
     }
 
     @Test
-    void whatGetsNoHeadGoesElsewhereIfItMayRunTwice() throws Exception {
-        Endpoint one = new Endpoint("e1");
-        Endpoint two = new Endpoint("e2", one);
-        try (Stand stand = Stand.changed("'connectTimeout':1", "'connectTimeout':0.25", null, one, two);
+    void aSafeJobWithoutAResponseHeadIsRetriedElsewhere() throws Exception {
+        Endpoint endpoint1 = new Endpoint("e1");
+        Endpoint endpoint2 = new Endpoint("e2", endpoint1);
+        try (Stand stand = Stand.changed("'connectTimeout':1", "'connectTimeout':0.25", null, endpoint1, endpoint2);
                 Peer client = stand.http()) {
             client.post("basket-check", "1", "", "");
-            Peer silent = one.accept();
+            Peer silent = endpoint1.accept();
             silent.message();
-            Peer again = one.accept();
-            again.message();
+            Peer retry = endpoint1.accept();
+            retry.message();
             assertTrue(silent.ended());
-            again.says("{'id':'1','state':'done','result':'priced'}");
+            retry.says("{'id':'1','state':'done','result':'priced'}");
             assertTrue(client.message().endsWith("priced"));
             assertEquals(1, stand.counter("endpoint.silent"));
         }
     }
 
     @Test
-    void nothingIsServedThatNoEndpointMadeForIt() throws Exception {
-        for (String word : new String[] {
+    void onlyAValidResultForTheRequestIsServed() throws Exception {
+        for (String status : new String[] {
             "{'state':'done','result':'x'}",
             "{'id':'2','state':'done','result':'x'}",
             "{'id':'1','state':'done'}",
@@ -151,15 +151,15 @@
                 client.post("card-capture", "1", "", "pay");
                 Peer call = endpoint.accept();
                 call.message();
-                call.says(word);
-                assertTrue(client.message().startsWith("HTTP/1.1 500 "), word);
-                assertEquals(1, stand.counter("endpoint.malformed"), word);
+                call.says(status);
+                assertTrue(client.message().startsWith("HTTP/1.1 500 "), status);
+                assertEquals(1, stand.counter("endpoint.malformed"), status);
             }
         }
     }
 
     @Test
-    void noEndpointMeansARefusalWithATimeToComeBack() throws Exception {
+    void withoutAnEndpointRequestsAreRefusedWithRetryAfter() throws Exception {
         Endpoint closed = new Endpoint("e1");
         closed.close();
         try (Stand stand = new Stand(null, closed);
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void aDeclinedCallNeverRanAndBadBytesAreAFailedCall() throws Exception {
+    void aDeclinedCallIsRefusedAndAMalformedResponseFails() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Peer client = stand.http()) {
@@ -213,7 +213,7 @@
     }
 
     @Test
-    void whatIsNoHttpGets400AndTooMuch413AndGoesNoFurther() throws Exception {
+    void malformedRequestsGet400AndTooLongBodies413() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint)) {
             String post = "POST /basket-check HTTP/1.1\r\nReq-Id: 1\r\n";
@@ -244,10 +244,10 @@
                 {"POST /basket-check HTTP/1.1\r\nContent-Length: 0\r\n\r\n", "400"},
                 {"POST /no-class HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: no-class\r\n\r\n", "400"}
             };
-            for (String[] each : cases) {
+            for (String[] requestAndStatus : cases) {
                 try (Peer client = stand.http()) {
-                    String answer = client.write(each[0]).message();
-                    assertTrue(answer.startsWith("HTTP/1.1 " + each[1]), each[0] + answer);
+                    String answer = client.write(requestAndStatus[0]).message();
+                    assertTrue(answer.startsWith("HTTP/1.1 " + requestAndStatus[1]), requestAndStatus[0] + answer);
                 }
             }
             assertEquals(0, stand.counter("http.taken"));
@@ -255,7 +255,7 @@
     }
 
     @Test
-    void whatIsTooLongIsAnsweredThoughItsBytesGoOnComing() throws Exception {
+    void aTooLongBodyIsRejectedWhileItsBytesStillArrive() throws Exception {
         try (Stand stand = new Stand(null);
                 Peer client = stand.http()) {
             client.write("POST /basket-check HTTP/1.1\r\nReq-Id: 1\r\nContent-Length: 60000000\r\n\r\n");
@@ -268,19 +268,19 @@
     }
 
     @Test
-    void whoSaysNothingOrHalfAMessageIsEndedAndAKeptConnectionIsNot() throws Exception {
+    void silentAndSlowConnectionsAreClosedAndIdleOnesAreKept() throws Exception {
         try (Stand stand = new Stand(null);
-                Peer kept = stand.http();
+                Peer idle = stand.http();
                 Peer silent = stand.http();
                 Peer slow = stand.http();
-                Peer later = stand.http()) {
-            kept.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
-            later.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
+                Peer partial = stand.http()) {
+            idle.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
+            partial.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
             // An empty line behind a body is no message begun.
-            kept.write("\r\n");
-            later.write("GET /hea");
+            idle.write("\r\n");
+            partial.write("GET /hea");
             long from = System.nanoTime();
-            Thread drops = new Thread(() -> {
+            Thread slowWriter = new Thread(() -> {
                 try {
                     for (slow.write("POST / HTTP/1.1\r\n"); true; Thread.sleep(100)) {
                         slow.write("X: y\r\n");
@@ -289,20 +289,20 @@
                     // Cut off: that is what the story waits for.
                 }
             });
-            drops.start();
+            slowWriter.start();
             assertTrue(silent.ended());
             assertTrue(slow.message().startsWith("HTTP/1.1 408 "));
-            assertTrue(later.message().startsWith("HTTP/1.1 408 "));
+            assertTrue(partial.message().startsWith("HTTP/1.1 408 "));
             assertTrue(System.nanoTime() - from < 3_000_000_000L);
             assertTrue(
-                    kept.write("GET /health/ready HTTP/1.1\r\n\r\n").message().endsWith("ok\n"));
-            drops.interrupt();
-            drops.join();
+                    idle.write("GET /health/ready HTTP/1.1\r\n\r\n").message().endsWith("ok\n"));
+            slowWriter.interrupt();
+            slowWriter.join();
         }
     }
 
     @Test
-    void anOpenRequestsIdAgainIsAnErrorAndNeverASecondCall() throws Exception {
+    void aRepeatedIdOfAnOpenRequestIsRejected() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Peer client = stand.http();
@@ -318,7 +318,7 @@
     }
 
     @Test
-    void silentConnectionsKeepNobodyOut() throws Exception {
+    void silentConnectionsAreEvictedForNewClients() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, 80, endpoint)) {
             for (int i = 0; i < 40; i++) {
@@ -351,28 +351,28 @@
 
     /** What they sent is no burden on those that stay: no call, no descriptor and no request is left of it. */
     @Test
-    void clientsThatSendMuchAndGoLeaveNothingBehind() throws Exception {
+    void clientsThatSendManyRequestsAndLeaveHoldNoResources() throws Exception {
         Endpoint endpoint = new Endpoint("e1", 200);
         try (Stand stand = new Stand(null, 200, endpoint)) {
             String job = "POST /basket-check HTTP/1.1\r\nReq-Id: %d\r\nContent-Length: 2000\r\n\r\n" + "x".repeat(2000);
             for (int burst = 0; burst < 3; burst++) {
                 for (int i = 0; i < 40; i++) {
-                    Peer gone = stand.http();
-                    for (int much = 0; much < 15; much++) {
-                        gone.write(String.format(job, burst * 10_000 + i * 100 + much));
+                    Peer leaving = stand.http();
+                    for (int requestNumber = 0; requestNumber < 15; requestNumber++) {
+                        leaving.write(String.format(job, burst * 10_000 + i * 100 + requestNumber));
                     }
                     if (i % 2 == 0) {
-                        gone.reset();
+                        leaving.reset();
                     } else {
-                        gone.close();
+                        leaving.close();
                     }
                 }
             }
-            int[] left = {1, 1};
-            while (left[0] + left[1] > 0) {
+            int[] openAndBusy = {1, 1};
+            while (openAndBusy[0] + openAndBusy[1] > 0) {
                 stand.serve.loop().call(() -> {
-                    left[0] = stand.serve.scheduler().openRequests();
-                    left[1] = stand.serve.front().busyConnections();
+                    openAndBusy[0] = stand.serve.scheduler().openRequests();
+                    openAndBusy[1] = stand.serve.front().busyConnections();
                 });
             }
             // Whatever became of each: taken and withdrawn, or never heard of.
@@ -380,7 +380,7 @@
                     stand.counter("http.taken"),
                     stand.counter("http.withdrawn") + stand.counter("http.refused") + stand.counter("http.failed"));
             assertEquals(0, stand.counter("clients.lost"));
-            Thread serves = new Thread(() -> {
+            Thread server = new Thread(() -> {
                 for (boolean more = true; more; ) {
                     try (Peer call = endpoint.accept()) {
                         more = !call.message().contains("Req-Id: last\r\n");
@@ -390,7 +390,7 @@
                     }
                 }
             });
-            serves.start();
+            server.start();
             String answer;
             try (Peer client = stand.http()) {
                 do {
@@ -398,13 +398,13 @@
                 } while (answer.startsWith("HTTP/1.1 503 "));
             }
             assertTrue(answer.endsWith("priced"), answer);
-            serves.join();
+            server.join();
         }
     }
 
     /** Half a second behind its time an answer earns nothing; later it is lost, and counted so. */
     @Test
-    void anAnswerThatComesTooLateIsCountedAsLost() throws Exception {
+    void aLateAnswerIsCountedAsLost() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Peer client = stand.http()) {
@@ -425,7 +425,7 @@
     }
 
     @Test
-    void aSilentEndpointIsAnsweredForBeforeTheClientGivesUp() throws Exception {
+    void aRequestToASilentEndpointFailsAtItsDeadline() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Peer client = stand.http()) {
@@ -441,19 +441,19 @@
     }
 
     @Test
-    void discoveryIsFollowedThroughItsTroubles() throws Exception {
+    void theWatchRecoversFromItsEndAndFromInvalidLists() throws Exception {
         Endpoint discovery = new Endpoint("d");
-        Endpoint one = new Endpoint("e1");
-        Endpoint two = new Endpoint("e2");
-        try (Stand stand = new Stand(discovery, one);
+        Endpoint endpoint1 = new Endpoint("e1");
+        Endpoint endpoint2 = new Endpoint("e2");
+        try (Stand stand = new Stand(discovery, endpoint1);
                 Peer client = stand.http()) {
             Peer watch = discovery.accept();
             assertTrue(watch.readTo("\r\n\r\n").startsWith("GET /registry/instances?watch=1&after=1 "));
-            watch.says(Stand.list(2, false, one.host("Terminating"), two.host("Ready"))
+            watch.says(Stand.list(2, false, endpoint1.host("Terminating"), endpoint2.host("Ready"))
                     .replace('"', '\''));
             stand.await("discovery.lists", 1);
             client.post("basket-check", "1", "", "");
-            Peer call = two.accept();
+            Peer call = endpoint2.accept();
             call.message();
             call.says("{'id':'1','state':'done','result':''}");
             client.message();
@@ -470,18 +470,18 @@
     }
 
     @Test
-    void aMovedDiscoveryIsFollowedAndItsOldAddressHeardUntilTheNewOneSpeaks() throws Exception {
+    void aMovedDiscoveryIsFollowedAndItsFormerAddressReadUntilTheNewOneSendsAList() throws Exception {
         Endpoint first = new Endpoint("d1");
         Endpoint second = new Endpoint("d2");
         Endpoint third = new Endpoint("d3");
-        Endpoint one = new Endpoint("e1");
+        Endpoint endpoint1 = new Endpoint("e1");
         Path file = folder.resolve("config.json");
-        try (Stand stand = new Stand(first, one);
+        try (Stand stand = new Stand(first, endpoint1);
                 Peer client = stand.http()) {
             Peer old = first.accept();
             old.readTo("\r\n\r\n");
             client.post("card-capture", "1", "", "pay");
-            Peer call = one.accept();
+            Peer call = endpoint1.accept();
             call.message();
             // Half a file, and one that names no address: what runs stays as it is.
             for (String bad : new String[] {"{\"disco", Stand.config("discovery.svc")}) {
@@ -491,15 +491,15 @@
             reload(stand, Files.writeString(file, Stand.config(second.dial())));
             Peer silent = second.accept();
             assertTrue(silent.readTo("\r\n\r\n").contains("after=0 "));
-            old.write(Stand.watching(Stand.list(8, false, one.host("Terminating"))));
+            old.write(Stand.watching(Stand.list(8, false, endpoint1.host("Terminating"))));
             stand.await("discovery.lists", 1);
             // Moved again before it has spoken: only the latest counts, and the oldest is still heard.
             reload(stand, Files.writeString(file, Stand.config(third.dial())));
             assertTrue(silent.ended());
-            Peer now = third.accept();
-            now.readTo("\r\n\r\n");
+            Peer current = third.accept();
+            current.readTo("\r\n\r\n");
             // A list of lower number: another address counts as it likes.
-            now.write(Stand.watching(Stand.list(3, true, one.host("Ready"))));
+            current.write(Stand.watching(Stand.list(3, true, endpoint1.host("Ready"))));
             stand.await("discovery.lists", 2);
             assertTrue(old.ended());
             call.says("{'id':'1','state':'done','result':'paid'}");
@@ -510,7 +510,7 @@
     }
 
     @Test
-    void withNothingKnownItIsReadyOnceDiscoveryHasSpoken() throws Exception {
+    void withoutEndpointsItIsReadyOnceDiscoverySendsAList() throws Exception {
         Endpoint discovery = new Endpoint("d");
         try (Stand stand = new Stand(discovery);
                 Peer client = stand.http()) {
@@ -526,7 +526,7 @@
     }
 
     @Test
-    void aProbeThatIsSlowHoldsNoRequestUp() throws Exception {
+    void aSlowProbeDelaysNoRequest() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = Stand.probing(endpoint);
                 Peer client = stand.http()) {
@@ -547,15 +547,15 @@
 
     /** Half open: the endpoint takes the probe, or begins its answer, and then nothing comes any more. */
     @Test
-    void aProbeThatIsNeverAnsweredGivesItsConnectionBack() throws Exception {
-        for (String begun : new String[] {"", "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nutil"}) {
+    void anUnansweredProbeReleasesItsConnection() throws Exception {
+        for (String partialResponse : new String[] {"", "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nutil"}) {
             Endpoint endpoint = new Endpoint("e1");
             try (Stand stand = Stand.probing(endpoint);
                     Peer client = stand.http()) {
                 client.post("card-capture", "1", "", "pay");
                 Peer probe = endpoint.accept();
                 probe.message();
-                probe.write(begun);
+                probe.write(partialResponse);
                 Peer call = endpoint.accept();
                 call.message();
                 call.says("{'id':'1','state':'done','result':'paid'}");
@@ -568,7 +568,7 @@
 
     /** In one piece or byte by byte: the same verdict. */
     @Test
-    void whatComesBehindAWholeLastWordTakesNothingFromIt() throws Exception {
+    void garbageAfterACompleteOutcomeDoesNotChangeIt() throws Exception {
         for (boolean split : new boolean[] {true, false}) {
             Endpoint endpoint = new Endpoint("e1");
             try (Stand stand = new Stand(null, endpoint);
@@ -592,7 +592,7 @@
     }
 
     @Test
-    void aPlannedStopAnswersAllThatWasTaken() throws Exception {
+    void aPlannedStopAnswersAllAcceptedRequests() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Peer client = stand.http();
@@ -631,7 +631,7 @@
     }
 
     @Test
-    void aPlannedStopOfOneThatTookNobodyOverSendsItsClientsAwayEarly() throws Exception {
+    void aPlannedStopWithoutTakenOverClientsClosesConnectionsEarly() throws Exception {
         try (Stand stand = new Stand(null);
                 Peer idle = stand.http()) {
             idle.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
@@ -661,7 +661,7 @@
     }
 
     @Test
-    void idleClientsLeaveRoomForOthersAndForCalls() throws Exception {
+    void idleClientsAreEvictedForOthersAndForCalls() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         // 64 descriptors are the machine's own: 16 are left, half of them for clients.
         try (Stand stand = new Stand(null, 80, endpoint)) {
@@ -682,17 +682,17 @@
     }
 
     @Test
-    void discoveryShortOfRoomIsNotAskedAgainAndAgain() throws Exception {
+    void anOverloadedDiscoveryIsRetriedWithGrowingWaits() throws Exception {
         Endpoint discovery = new Endpoint("d");
         try (Stand stand =
                 Stand.changed("'tick':0.005", "'tick':0.005,'discovery':'ask'", discovery, new Endpoint("e1"))) {
-            long began = System.nanoTime();
+            long startedAt = System.nanoTime();
             List<Long> waits = new java.util.ArrayList<>();
             for (int i = 0; i < 5; i++) {
                 Peer watch = discovery.accept();
                 watch.readTo("\r\n\r\n");
-                waits.add((System.nanoTime() - began) / 1_000_000);
-                began = System.nanoTime();
+                waits.add((System.nanoTime() - startedAt) / 1_000_000);
+                startedAt = System.nanoTime();
                 watch.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
                 watch.close();
             }
@@ -706,9 +706,9 @@
             watch.write(Stand.watching(Stand.list(2, true)));
             stand.await("discovery.lists", 1);
             watch.reset();
-            began = System.nanoTime();
+            startedAt = System.nanoTime();
             discovery.accept();
-            assertTrue(System.nanoTime() - began < 1_300_000_000L);
+            assertTrue(System.nanoTime() - startedAt < 1_300_000_000L);
         }
     }
 }
--- a/src/test/java/laneflow/http/JobReaderTest.java
+++ b/src/test/java/laneflow/http/JobReaderTest.java
@@ -26,7 +26,7 @@
         "'Req-Owner:\\r\\n', -1",
         "'', -1"
     })
-    void theOwnerIsTheTenantOfThatNameOrNobodyThatIsKnown(String header, int tenant) throws HttpException {
+    void theOwnerIsTheTenantOfThatNameOrUnknown(String header, int tenant) throws HttpException {
         Settings settings = new Settings();
         settings.classes = new JobClass[] {new JobClass()};
         settings.tenants = new Tenant[] {tenant("one"), tenant("zwölf")};
--- a/src/test/java/laneflow/http/JsonObjectSplitterTest.java
+++ b/src/test/java/laneflow/http/JsonObjectSplitterTest.java
@@ -21,54 +21,54 @@
         "{\n  \"seq\": 4,\r\n\t\"hosts\": [\n    {\"host\": \"a}{\", \"dial\": \"\\\"]\\\\\"}\n,\n\n  {}\n  ]\n}"
     };
 
-    private final List<String> told = new ArrayList<>();
-    private int blanks;
-    private final JsonObjectSplitter frames = new JsonObjectSplitter(100, new JsonObjectSplitter.Sink() {
+    private final List<String> events = new ArrayList<>();
+    private int emptyLines;
+    private final JsonObjectSplitter splitter = new JsonObjectSplitter(100, new JsonObjectSplitter.Sink() {
         @Override
         public void emptyLine() {
-            blanks++;
+            emptyLines++;
         }
 
         @Override
         public void objectBegun() {
-            told.add("begun");
+            events.add("begun");
         }
 
         @Override
         public void object(String text) {
-            told.add(text);
+            events.add(text);
         }
     });
 
     @Property(tries = 300)
-    void theSameObjectsHoweverTheyAreSplit(
-            @ForAll @Size(max = 6) List<@IntRange(max = 2) Integer> which,
-            @ForAll @Size(min = 1, max = 5) List<@IntRange(min = 1, max = 40) Integer> pieces)
+    void splitsObjectsIndependentlyOfChunking(
+            @ForAll @Size(max = 6) List<@IntRange(max = 2) Integer> listIndexes,
+            @ForAll @Size(min = 1, max = 5) List<@IntRange(min = 1, max = 40) Integer> pieceSizes)
             throws Exception {
-        told.clear();
-        blanks = 0;
+        events.clear();
+        emptyLines = 0;
         StringBuilder text = new StringBuilder();
-        List<String> wanted = new ArrayList<>();
-        for (int each : which) {
-            text.append("  ").append(LISTS[each]).append(" \r\n\r\n");
-            wanted.add("begun");
-            wanted.add(LISTS[each]);
+        List<String> expected = new ArrayList<>();
+        for (int index : listIndexes) {
+            text.append("  ").append(LISTS[index]).append(" \r\n\r\n");
+            expected.add("begun");
+            expected.add(LISTS[index]);
         }
         byte[] bytes = text.toString().getBytes(StandardCharsets.UTF_8);
         for (int from = 0, i = 0; from < bytes.length; i++) {
-            int to = Math.min(bytes.length, from + pieces.get(i % pieces.size()));
-            frames.accept(Arrays.copyOfRange(bytes, from, to));
+            int to = Math.min(bytes.length, from + pieceSizes.get(i % pieceSizes.size()));
+            splitter.accept(Arrays.copyOfRange(bytes, from, to));
             from = to;
         }
-        assertEquals(wanted, told);
-        assertEquals(which.size(), blanks);
+        assertEquals(expected, events);
+        assertEquals(listIndexes.size(), emptyLines);
     }
 
     @Example
-    void whatIsNoObjectOrTooLongIsAnError() {
+    void rejectsNonObjectsAndTooLongObjects() {
         for (String bad : new String[] {"x", "[]", "{}}", "7\n", "{\"a\":\"" + "x".repeat(100)}) {
-            JsonObjectSplitter each = new JsonObjectSplitterTest().frames;
-            assertThrows(HttpException.class, () -> each.accept(bad.getBytes(StandardCharsets.UTF_8)), bad);
+            JsonObjectSplitter newSplitter = new JsonObjectSplitterTest().splitter;
+            assertThrows(HttpException.class, () -> newSplitter.accept(bad.getBytes(StandardCharsets.UTF_8)), bad);
         }
     }
 }
--- a/src/test/java/laneflow/http/PlannedEndStoryTest.java
+++ b/src/test/java/laneflow/http/PlannedEndStoryTest.java
@@ -17,11 +17,11 @@
 @Timeout(120)
 class PlannedEndStoryTest {
     private final AtomicInteger answered = new AtomicInteger();
-    private final AtomicInteger torn = new AtomicInteger();
-    private final AtomicInteger crossed = new AtomicInteger();
+    private final AtomicInteger brokenAnswers = new AtomicInteger();
+    private final AtomicInteger unansweredRequests = new AtomicInteger();
 
     /** Asks again as soon as it has its answer, until its connection is closed between two requests. */
-    private Thread asks(Peer client, int number) {
+    private Thread startClient(Peer client, int number) {
         Thread thread = new Thread(() -> {
             for (int i = 0; true; i++) {
                 try {
@@ -29,7 +29,7 @@
                     client.readTo("HTTP/1.1 ");
                 } catch (IOException e) {
                     // Not a byte of an answer: it crossed the close, and would be sent once more elsewhere.
-                    crossed.incrementAndGet();
+                    unansweredRequests.incrementAndGet();
                     return;
                 }
                 try {
@@ -39,7 +39,7 @@
                         return;
                     }
                 } catch (IOException e) {
-                    torn.incrementAndGet();
+                    brokenAnswers.incrementAndGet();
                     return;
                 }
             }
@@ -48,7 +48,7 @@
         return thread;
     }
 
-    private static Thread serves(Endpoint endpoint) {
+    private static Thread startServer(Endpoint endpoint) {
         Thread accepting = new Thread(() -> {
             while (true) {
                 Peer call;
@@ -77,13 +77,13 @@
     }
 
     @Test
-    void noRequestIsLostInTheCrossing() throws Exception {
+    void noRequestIsLostWhileConnectionsAreClosed() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        Thread serves = serves(endpoint);
+        Thread server = startServer(endpoint);
         try (Stand stand = new Stand(null, endpoint)) {
             List<Thread> clients = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                clients.add(asks(stand.http(), i));
+                clients.add(startClient(stand.http(), i));
             }
             stand.await("http.served", 20);
             Thread stop = new Thread(stand.serve::stop);
@@ -91,7 +91,7 @@
             stand.await("stop.begun", 1);
             // New connections keep coming for a while.
             for (int i = 6; i < 12; i++) {
-                clients.add(asks(stand.http(), i));
+                clients.add(startClient(stand.http(), i));
             }
             for (Thread client : clients) {
                 client.join();
@@ -101,11 +101,11 @@
             counts[0] = stand.serve.scheduler().counters().get("http.taken");
             counts[1] = stand.serve.scheduler().counters().get("clients.lost");
             counts[2] = stand.serve.scheduler().counters().get("clients.closed_unanswered");
-            assertEquals(0, torn.get());
-            assertEquals(counts[0], answered.get(), crossed + " crossed");
+            assertEquals(0, brokenAnswers.get());
+            assertEquals(counts[0], answered.get(), unansweredRequests + " crossed");
             assertEquals(0, counts[1] + counts[2]);
             assertTrue(answered.get() > 20, "" + answered);
         }
-        serves.join();
+        server.join();
     }
 }
--- a/src/test/java/laneflow/transcripts/HttpTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/HttpTranscriptsTest.java
@@ -83,14 +83,14 @@
         Transcript.of(
                 "A connection ends before anything was read there: what may be repeated goes to another.",
                 transcript -> {
-                    Endpoint one = new Endpoint("e1");
-                    Endpoint two = new Endpoint("e2", one);
-                    try (Stand stand = new Stand(null, one, two);
+                    Endpoint endpoint1 = new Endpoint("e1");
+                    Endpoint endpoint2 = new Endpoint("e2", endpoint1);
+                    try (Stand stand = new Stand(null, endpoint1, endpoint2);
                             RecordedPeer client = client(transcript, stand)) {
                         client.post("basket-check", "1", "", "two");
-                        RecordedPeer first = call(transcript, "first endpoint", one);
+                        RecordedPeer first = call(transcript, "first endpoint", endpoint1);
                         first.reset();
-                        RecordedPeer second = call(transcript, "second endpoint", one);
+                        RecordedPeer second = call(transcript, "second endpoint", endpoint1);
                         second.message();
                         second.reply("{'id':'1','state':'done','result':'priced'}");
                         client.message();
@@ -103,15 +103,15 @@
         Transcript.of(
                 "A connection breaks behind the last byte: what may run twice is sent to another endpoint.",
                 transcript -> {
-                    Endpoint one = new Endpoint("e1");
-                    Endpoint two = new Endpoint("e2", one);
-                    try (Stand stand = new Stand(null, one, two);
+                    Endpoint endpoint1 = new Endpoint("e1");
+                    Endpoint endpoint2 = new Endpoint("e2", endpoint1);
+                    try (Stand stand = new Stand(null, endpoint1, endpoint2);
                             RecordedPeer client = client(transcript, stand)) {
                         client.post("basket-check", "1", "", "two");
-                        RecordedPeer first = call(transcript, "first endpoint", one);
+                        RecordedPeer first = call(transcript, "first endpoint", endpoint1);
                         first.message();
                         first.reset();
-                        RecordedPeer second = call(transcript, "second endpoint", one);
+                        RecordedPeer second = call(transcript, "second endpoint", endpoint1);
                         second.message();
                         second.reply("{'id':'1','state':'done','result':'priced'}");
                         client.message();
@@ -124,12 +124,12 @@
         Transcript.of(
                 "A connection breaks behind the last byte: what must not run twice is failed, and sent no more.",
                 transcript -> {
-                    Endpoint one = new Endpoint("e1");
-                    Endpoint two = new Endpoint("e2", one);
-                    try (Stand stand = new Stand(null, one, two);
+                    Endpoint endpoint1 = new Endpoint("e1");
+                    Endpoint endpoint2 = new Endpoint("e2", endpoint1);
+                    try (Stand stand = new Stand(null, endpoint1, endpoint2);
                             RecordedPeer client = client(transcript, stand)) {
                         client.post("card-capture", "1", "", "pay");
-                        RecordedPeer first = call(transcript, "first endpoint", one);
+                        RecordedPeer first = call(transcript, "first endpoint", endpoint1);
                         first.message();
                         first.reset();
                         client.message();
@@ -186,15 +186,15 @@
         Transcript.of(
                 "An answer that can't be read, for what may run twice: it is asked of another endpoint.",
                 transcript -> {
-                    Endpoint one = new Endpoint("e1");
-                    Endpoint two = new Endpoint("e2", one);
-                    try (Stand stand = new Stand(null, one, two);
+                    Endpoint endpoint1 = new Endpoint("e1");
+                    Endpoint endpoint2 = new Endpoint("e2", endpoint1);
+                    try (Stand stand = new Stand(null, endpoint1, endpoint2);
                             RecordedPeer client = client(transcript, stand)) {
                         client.post("basket-check", "1", "", "two");
-                        RecordedPeer first = call(transcript, "first endpoint", one);
+                        RecordedPeer first = call(transcript, "first endpoint", endpoint1);
                         first.message();
                         first.write("HTTP/9 what\r\n\r\n");
-                        RecordedPeer second = call(transcript, "second endpoint", one);
+                        RecordedPeer second = call(transcript, "second endpoint", endpoint1);
                         second.message();
                         second.reply("{'id':'1','state':'done','result':'priced'}");
                         client.message();
@@ -207,14 +207,15 @@
         Transcript.of(
                 "No head within 250 ms: what may run twice goes elsewhere, and the silent call is ended.",
                 transcript -> {
-                    Endpoint one = new Endpoint("e1");
-                    Endpoint two = new Endpoint("e2", one);
-                    try (Stand stand = Stand.changed("'connectTimeout':1", "'connectTimeout':0.25", null, one, two);
+                    Endpoint endpoint1 = new Endpoint("e1");
+                    Endpoint endpoint2 = new Endpoint("e2", endpoint1);
+                    try (Stand stand = Stand.changed(
+                                    "'connectTimeout':1", "'connectTimeout':0.25", null, endpoint1, endpoint2);
                             RecordedPeer client = client(transcript, stand)) {
                         client.post("basket-check", "1", "", "two");
-                        RecordedPeer first = call(transcript, "first endpoint", one);
+                        RecordedPeer first = call(transcript, "first endpoint", endpoint1);
                         first.message();
-                        RecordedPeer second = call(transcript, "second endpoint", one);
+                        RecordedPeer second = call(transcript, "second endpoint", endpoint1);
                         second.message();
                         first.expectEnd();
                         second.reply("{'id':'1','state':'done','result':'priced'}");
@@ -298,10 +299,10 @@
                             post + "Req-Id: 1\r\n\r\n"
                         }) {
                             try (RecordedPeer client = client(transcript, stand)) {
-                                client.peer.noted(said -> transcript.message(
+                                client.peer.noted(message -> transcript.message(
                                         "client",
                                         "scheduler",
-                                        said.length() < 1000 ? said : said.replaceAll("a{1000,}", "aaa...")));
+                                        message.length() < 1000 ? message : message.replaceAll("a{1000,}", "aaa...")));
                                 client.write(bad);
                                 client.message();
                             }
@@ -316,15 +317,15 @@
         Transcript.of(
                 "What can be read and is no request: each gets its error, and its connection is kept.", transcript -> {
                     try (Stand stand = new Stand(null, new Endpoint("e1"))) {
-                        String rest = "Content-Length: 0\r\n\r\n";
+                        String suffix = "Content-Length: 0\r\n\r\n";
                         for (String bad : new String[] {
-                            "POST /basket-check HTTP/1.1\r\n" + rest,
-                            "POST /no-class HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: no-class\r\n" + rest,
-                            "POST /basket-check HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: card-capture\r\n" + rest,
-                            "POST /basket-check HTTP/1.1\r\nReq-Id: 1\r\nReq-Deadline-Ms: soon\r\n" + rest,
-                            "POST /basket-check HTTP/1.1\r\nReq-Id: 1\r\nReq-Deadline-Ms: -5\r\n" + rest,
+                            "POST /basket-check HTTP/1.1\r\n" + suffix,
+                            "POST /no-class HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: no-class\r\n" + suffix,
+                            "POST /basket-check HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: card-capture\r\n" + suffix,
+                            "POST /basket-check HTTP/1.1\r\nReq-Id: 1\r\nReq-Deadline-Ms: soon\r\n" + suffix,
+                            "POST /basket-check HTTP/1.1\r\nReq-Id: 1\r\nReq-Deadline-Ms: -5\r\n" + suffix,
                             "GET /nothing HTTP/1.1\r\n\r\n",
-                            "DELETE /basket-check HTTP/1.1\r\n" + rest
+                            "DELETE /basket-check HTTP/1.1\r\n" + suffix
                         }) {
                             try (RecordedPeer client = client(transcript, stand)) {
                                 client.write(bad);
