--- a/src/main/java/laneflow/http/EndpointConnection.java
+++ b/src/main/java/laneflow/http/EndpointConnection.java
@@ -25,7 +25,7 @@
     private static final long TAIL_TIMEOUT_US = 1_000_000;
 
     private static final int MAX_TAIL_BYTES = 64 * 1024;
-    /** Limit of a response's length, extended by the next constant for each second that the response lasts. */
+    /** Maximum length of a response, plus {@link #MAX_RESPONSE_BYTES_PER_SECOND} for each second that it lasts. */
     private static final long MAX_RESPONSE_BYTES = 1 << 20;
 
     private static final long MAX_RESPONSE_BYTES_PER_SECOND = 64 * 1024;
@@ -258,7 +258,7 @@
     private boolean putRequest(Payload payload) {
         String idempotencyKey = payload.repeatKey();
         int heldBytes = mayBeStale() || !connector.mayRepeat(attempt) ? 1 : 0;
-        // From the current time, as a turn may be long, and as of the sending of the last byte.
+        // The time left when the last byte is sent; by the current time, since a turn of the loop may be long.
         long remainingMs =
                 (attempt.request.deadline - connector.loop.currentMicros() - heldBytes * holdMicros()) / MICROS_PER_MS;
         if (remainingMs <= 0) {
@@ -277,7 +277,7 @@
         return true;
     }
 
-    /** Sends the held byte, unless the attempt is no longer allowed: the connection was not reset meanwhile. */
+    /** Sends the held byte after a hold without a reset, unless the attempt is no longer allowed. */
     private void releaseHeldByte() {
         if (!connector.scheduler.maySend(attempt)) {
             finish(Outcome.MOOT);
--- a/src/main/java/laneflow/http/HttpFront.java
+++ b/src/main/java/laneflow/http/HttpFront.java
@@ -127,7 +127,7 @@
 
     /** Closes the listener; connected clients are served on. */
     public void stopAccepting() {
-        // Connections that the kernel accepted and that never got room here.
+        // Connections accepted by the kernel that never got room here.
         listener.close(() -> count("clients.closed_unanswered"));
     }
 
--- a/src/test/java/laneflow/http/AnnouncementTimesTest.java
+++ b/src/test/java/laneflow/http/AnnouncementTimesTest.java
@@ -4,14 +4,14 @@
 
 import org.junit.jupiter.api.Test;
 
-/** All orders in which three watches say a little, or nothing, before the fourth tells of a drain. */
+/** Plays all combinations of events of three watches before a fourth watch receives a drain. */
 class AnnouncementTimesTest {
     private static final long SECOND = 1_000_000;
-    /** What a watch says before it breaks: a head, an early empty line, a beat, a list. */
+    /** Events of a watch before it breaks: h = head, e = early empty line, b = heartbeat, l = list. */
     private static final String[] SCRIPTS = {"", "h", "he", "hb", "hl", "hel", "heb", "hbe"};
 
     private long now = 10 * SECOND;
-    /** By the rule: the instant of the last beat or list. */
+    /** By the rule: the instant of the last heartbeat or list. */
     private long expected;
 
     @Test
@@ -33,7 +33,7 @@
         expected = 0;
         for (String script : scripts) {
             AnnouncementTimes.PerWatch watch = times.new PerWatch();
-            script.chars().forEach(event -> applyEvent(watch, (char) event));
+            script.chars().forEach(event -> play(watch, (char) event));
         }
         AnnouncementTimes.PerWatch last = times.new PerWatch();
         last.head(now);
@@ -43,7 +43,7 @@
         assertEquals(now + SECOND, last.earliest(now + SECOND, false));
     }
 
-    private void applyEvent(AnnouncementTimes.PerWatch watch, char event) {
+    private void play(AnnouncementTimes.PerWatch watch, char event) {
         now += event == 'b' ? 2 * SECOND : SECOND / 10;
         if (event == 'h') {
             watch.head(now);
@@ -52,12 +52,12 @@
             expected = now;
         } else {
             watch.emptyLine(now, true);
-            // Behind a beat the watch is up to date, however soon the next empty line comes.
+            // After a heartbeat the watch is up to date, however soon the next empty line comes.
             expected = event == 'b' || expected == now - SECOND / 10 ? now : expected;
         }
     }
 
-    /** A silent watch's late words may be as old as its silence; a former one's do not count for the next. */
+    /** Late changes on a silent watch may be as old as its silence, and do not show that the next one is up to date. */
     @Test
     void aWatchThatIsNotCurrentDoesNotCountAsUpToDate() {
         AnnouncementTimes times = new AnnouncementTimes();
--- a/src/test/java/laneflow/http/ClientStoryTest.java
+++ b/src/test/java/laneflow/http/ClientStoryTest.java
@@ -21,12 +21,12 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Events that cross on a client's connection: its end, a request, an answer and the scheduler's own close, in one
- * turn of the loop. What is done inside a turn lies unread in the socket until the turn is over.
+ * Races on a client's connection: its close, a request, a response and the scheduler's own close in one turn of the
+ * loop. What a test sends within a turn stays unread in the socket until the turn ends.
  */
 @Timeout(120)
 class ClientStoryTest {
-    /** 64 descriptors are the process's own; of the other 16 half are for clients. */
+    /** 64 descriptors are reserved for the process itself; half of the other 16 are for clients. */
     private static final int FEW_SOCKETS = 80;
 
     private static final int CLIENTS = 8;
@@ -43,12 +43,12 @@
         return "POST /basket-check?key=7f HTTP/1.1\r\nReq-Id: " + id + "\r\n" + headers + "Content-Length: 0\r\n\r\n";
     }
 
-    /** One that waits for its answer however slow the story's endpoint is: without a head, others go elsewhere. */
+    /** A job that must not run twice: others are sent elsewhere if the test's endpoint is slow to send a head. */
     private static String captureRequest(String id) {
         return jobRequest(id, "").replace("basket-check", "card-capture");
     }
 
-    /** Runs it within one turn of the loop. */
+    /** Runs the action within one turn of the loop. */
     private static void inOneTurn(Stand stand, Action action) throws Exception {
         Exception[] failure = new Exception[1];
         stand.serve.loop().call(() -> {
@@ -67,12 +67,12 @@
         boolean[] result = new boolean[1];
         long end = System.nanoTime() + 60_000_000_000L;
         while (!result[0]) {
-            assertTrue(System.nanoTime() < end, "waited in vain");
+            assertTrue(System.nanoTime() < end, "condition not met within 60 s");
             inOneTurn(stand, () -> result[0] = condition.call());
         }
     }
 
-    /** A scheduler whose room for clients is taken up by requests that are at work. */
+    /** A scheduler whose descriptors for clients are all in use by running requests. */
     private static final class FullScheduler implements AutoCloseable {
         final Stand stand;
         final Endpoint endpoint = new Endpoint("e0");
@@ -96,7 +96,7 @@
             }
         }
 
-        /** One more that has asked, and waits for room. */
+        /** Connects one more client, which sends a request and waits for room. */
         Peer connectWaiting(String id, String headers) throws Exception {
             Peer waitingClient = stand.http().write(jobRequest(id, headers));
             await(stand, () -> stand.serve.front().closesAfterResponse());
@@ -114,7 +114,7 @@
         }
     }
 
-    // ---- a client that has left ----
+    // ---- clients that have left ----
 
     @Test
     void aClientThatClosesResetsOrShutsDownOutputWithdrawsItsRequest() throws Exception {
@@ -143,7 +143,7 @@
             Peer nextClient = full.stand.http().write(jobRequest("stays", ""));
             full.answerFirstJob();
             full.clients.get(0).close();
-            // The kept connection carries the next call.
+            // The idle connection carries the next call.
             assertTrue(full.calls.get(0).message().contains("Req-Id: stays\r\n"));
             full.calls.get(0).says(doneStatus("stays"));
             assertTrue(nextClient.message().endsWith("rstays"));
@@ -151,7 +151,7 @@
         }
     }
 
-    /** The end lies unread in the socket when the answer before it lets the next request begin. */
+    /** The close is still unread in the socket when the response before it lets the next request start. */
     @RepeatedTest(5)
     void aQueuedRequestOfAClientThatLeftInTheSameTurnIsNotSent() throws Exception {
         for (boolean reset : new boolean[] {false, true}) {
@@ -198,7 +198,7 @@
         }
     }
 
-    // ---- a request's time ----
+    // ---- deadlines ----
 
     @Test
     void theDeadlineOfAQueuedRequestCountsFromItsArrival() throws Exception {
@@ -221,7 +221,7 @@
         }
     }
 
-    /** Its last byte counts, not its first, and not what came in later behind it. */
+    /** The deadline counts from the last byte, not from the first or from later input. */
     @Test
     void theDeadlineCountsFromTheRequestsLastByte() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
@@ -235,7 +235,7 @@
             Thread.sleep(300);
             long sentAt = System.nanoTime();
             client.write(second.substring(30));
-            // Between two of these the loop looks at its sockets: behind them the bytes have been read.
+            // The loop polls its sockets between two turns: after these the bytes have been read.
             for (int turn = 0; turn < 10; turn++) {
                 inOneTurn(stand, () -> {});
             }
@@ -290,7 +290,7 @@
 
     // ---- the scheduler's own close ----
 
-    /** The time for its first request is over, and the request lies unread in the socket. */
+    /** The time-out for the first request expires while the request is unread in the socket. */
     @Test
     void aRequestThatArrivesInTheTurnOfATimeoutIsServed() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
@@ -348,7 +348,7 @@
             call.says(doneStatus("1"));
             String answer = client.message();
             assertTrue(answer.endsWith("r1") && answer.contains("Connection: close"), answer);
-            // An orderly end, no reset: the client asks once more elsewhere.
+            // An orderly close, no reset: the client retries elsewhere.
             assertEquals(-1, idle.socket.getInputStream().read());
             idle.write(jobRequest("3", ""));
             assertEquals(-1, client.socket.getInputStream().read());
@@ -356,7 +356,7 @@
         }
     }
 
-    /** Closed at once, the connection would be reset by the client's next bytes, and the rest of the answer lost. */
+    /** If closed at once, the connection would be reset by the client's next bytes, losing the rest of the answer. */
     @Test
     void anAnswerStillBeingSentSurvivesTheCloseOfItsConnection() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
@@ -391,7 +391,7 @@
             assertFalse(client.message().contains("Connection: close"));
             assertTrue(call.message().contains("Req-Id: 2\r\n"));
             call.says(doneStatus("2"));
-            // What comes only now is not for this scheduler.
+            // A request that arrives only now is not accepted.
             client.write(jobRequest("4", ""));
             assertFalse(client.message().contains("Connection: close"));
             assertTrue(call.message().contains("Req-Id: 3\r\n"));
@@ -403,7 +403,7 @@
         }
     }
 
-    /** At a planned end, shortly before the kill: what was read behind a request that is given up has no time left. */
+    /** Just before the kill of a planned stop no time is left for requests queued behind an abandoned one. */
     @Test
     void requestsQueuedBehindAnAbandonedOneAreRefusedAtOnce() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
@@ -426,7 +426,7 @@
         }
     }
 
-    /** The process ends while an answer is still on its way and the client's next bytes lie unread. */
+    /** The process ends while an answer is being sent and the client's next bytes are unread. */
     @Test
     void anAnswerStillBeingSentSurvivesTheEndOfTheProcess() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
@@ -449,7 +449,7 @@
             });
             inOneTurn(stand, () -> {
                 halt.start();
-                // Its close waits for this turn's end, and runs before the next look at the sockets.
+                // halt() closes at the end of this turn, before the loop polls its sockets again.
                 while (halt.getState() != Thread.State.WAITING) {
                     Thread.onSpinWait();
                 }
@@ -461,7 +461,7 @@
         }
     }
 
-    /** It is in the machine's queue, and its request has come, when the listener closes in the same turn. */
+    /** The clients are in the kernel's accept queue, with requests sent, when the listener closes in the same turn. */
     @Test
     void clientsThatConnectedBeforeTheListenerClosedAreServed() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
@@ -479,9 +479,9 @@
         }
     }
 
-    // ---- room ----
+    // ---- descriptors ----
 
-    /** The one that has its last answer doesn't close its connection: it gives way before its time. */
+    /** A client that does not close after its last answer is evicted before its time-out. */
     @Test
     void aClientWithItsLastAnswerIsEvictedForAWaitingOne() throws Exception {
         try (FullScheduler full = new FullScheduler()) {
@@ -494,7 +494,7 @@
         }
     }
 
-    /** Several have been accepted by XNIO at once, and more than one of them waits. */
+    /** XNIO has accepted several clients at once, and more than one of them waits for room. */
     @Test
     void theLoopDoesNotSpinWhileClientsWaitForRoom() throws Exception {
         try (FullScheduler full = new FullScheduler()) {
@@ -502,7 +502,7 @@
                 for (int i = 0; i < 5; i++) {
                     full.stand.http().write(jobRequest("w" + i, ""));
                 }
-                // XNIO's own thread accepts them meanwhile.
+                // XNIO's thread accepts them meanwhile.
                 Thread.sleep(100);
             });
             await(full.stand, () -> full.stand.serve.front().closesAfterResponse());
@@ -510,11 +510,11 @@
             long cpuBefore = loopCpuNanos();
             Thread.sleep(500);
             double busyShare = (double) (loopCpuNanos() - cpuBefore) / (System.nanoTime() - startedAt);
-            assertTrue(busyShare < 0.5, "part of the time that the loop was at work: " + busyShare);
+            assertTrue(busyShare < 0.5, "share of the time that the loop was busy: " + busyShare);
         }
     }
 
-    /** Processor time of the loops' threads that live, nanoseconds. */
+    /** CPU time of the live loop threads, in nanoseconds. */
     private static long loopCpuNanos() {
         ThreadMXBean threads = ManagementFactory.getThreadMXBean();
         long sum = 0;
@@ -535,7 +535,7 @@
             Peer watch = discovery.accept();
             watch.readTo("\r\n\r\n");
             watch.reset();
-            // While discovery says nothing, idle clients take all there is.
+            // While discovery is disconnected, idle clients use all descriptors that they can get.
             for (int i = 0; i < 3 * CLIENTS; i++) {
                 stand.http().write("GET /health/live HTTP/1.1\r\n\r\n").message();
             }
@@ -552,7 +552,7 @@
         }
     }
 
-    // ---- many commands at once ----
+    // ---- pipelining ----
 
     @Test
     void pipelinedRequestsAreAnsweredInOrder() throws Exception {
@@ -574,7 +574,7 @@
         }
     }
 
-    /** What is kept of it is answered; the first that is not whole any more is refused, and that is the end. */
+    /** Buffered requests are answered; the first incomplete one is rejected and the connection closed. */
     @Test
     void excessivePipeliningIsAnsweredAsFarAsBufferedThenRejected() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
--- a/src/test/java/laneflow/http/DiscoveryStoryTest.java
+++ b/src/test/java/laneflow/http/DiscoveryStoryTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Stories of discovery's watch, one for each sentence of the operators' page on it. */
+/** The watch on discovery: one test for each sentence of the operators' page on it. */
 @Timeout(120)
 class DiscoveryStoryTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -24,7 +24,7 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** The next watch that has asked: on a busy machine one may have been given up before it came up. */
+    /** Accepts the next watch that sends its request: on a busy machine one may be abandoned before it connects. */
     private static Peer acceptWatch(Endpoint discovery, String after) throws IOException {
         while (true) {
             Peer watch = discovery.accept();
@@ -58,7 +58,7 @@
             for (char character : ("\n" + list).toCharArray()) {
                 watch.write(chunk("" + character));
             }
-            // It needs no line's end: the last brace is its end.
+            // The last brace ends the list, without a line feed.
             stand.await("discovery.lists", 1);
             watch.write(chunk("\n\n  " + Stand.list(3, false, endpoint2.host("Ready"))) + chunk("\n"));
             stand.await("discovery.lists", 2);
@@ -71,7 +71,7 @@
         }
     }
 
-    /** News missed counts as told 6 s after the silence began: two more watches come up before that. */
+    /** Missed changes count as announced 6 s after the silence began: two more watches are opened before that. */
     @Test
     void aSilentWatchIsReplacedAndTheListStaysInUse() throws Exception {
         Endpoint discovery = new Endpoint("d");
@@ -81,7 +81,7 @@
             Peer silent = acceptWatch(discovery, "1");
             long watches = stand.counter("discovery.watches");
             silent.write(HEAD + chunk("\n"));
-            // Bytes that make no line are no sign of life, be it that they come and come.
+            // An incomplete line is no sign of life, even if bytes keep arriving.
             Peer next = acceptWatch(discovery, "1");
             assertTrue(secondsSince(startedAt) > 2 && secondsSince(startedAt) < 4.4, "" + secondsSince(startedAt));
             assertTrue(silent.ended());
@@ -93,7 +93,7 @@
                         next.write(chunk(" "));
                     }
                 } catch (IOException | InterruptedException e) {
-                    // Cut off: that is what the story waits for.
+                    // The expected close.
                 }
             });
             slowWriter.start();
@@ -107,10 +107,10 @@
     }
 
     /**
-     * A watch that was up to date falls silent, and the next one is accepted and says nothing at all. What the first
-     * one misses counts as told 6 s after its last word, and each of the two connections behind it may take 1 s to
-     * come up, so 4 s are left until the third watch asks. It used to ask after 5 s: the second watch had the 2.5 s
-     * in which a beat is missing, although nothing of an answer had come from an agent on this machine.
+     * A watch that was up to date falls silent, and its successor is accepted but never answered. Changes missed by the
+     * first one count as announced 6 s after its last sign of life, and each of the two later connections may take 1 s
+     * to open, so the third watch must ask within 4 s. It used to ask after 5 s, as the second watch was given the full
+     * 2.5 s of a missing heartbeat although an agent on this machine would have answered at once.
      */
     @Test
     void aSilentSuccessorOfASilentWatchIsReplacedInTime() throws Exception {
@@ -123,7 +123,8 @@
             Peer second = acceptWatch(discovery, "1");
             Peer third = acceptWatch(discovery, "1");
             assertTrue(
-                    secondsSince(startedAt) < 4, "asked again " + secondsSince(startedAt) + " s after the last word");
+                    secondsSince(startedAt) < 4,
+                    "requested again " + secondsSince(startedAt) + " s after the last sign of life");
             assertTrue(second.ended());
             third.write(HEAD + chunk(Stand.list(2, false, endpoint1.host("Terminating"))));
             stand.await("discovery.lists", 1);
@@ -131,7 +132,7 @@
         }
     }
 
-    /** What its agent holds counts from a process's first moment: before it has spoken nobody is asked for. */
+    /** The agent's list counts from the process's start, so the process is not ready before the agent has answered. */
     @Test
     void aNewProcessIsReadyOnceItsAgentHasAnsweredOrHadTheTimeTo() throws Exception {
         Endpoint discovery = new Endpoint("d");
@@ -143,17 +144,17 @@
                     .call(() -> readyTooEarly[0] = stand.serve.front().isReady()
                             && stand.serve.scheduler().counters().get("discovery.lists") == 0);
             Peer watch = acceptWatch(discovery, "1");
-            // Silent, as while discovery is down: then what was known last is used.
+            // No answer, as while discovery is down: then the last known list is used.
             String ready;
             do {
                 ready = client.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
             } while (ready.startsWith("HTTP/1.1 503 "));
             assertTrue(ready.startsWith("HTTP/1.1 200 "), ready);
-            assertTrue(!readyTooEarly[0], "ready with its agent unheard");
+            assertTrue(!readyTooEarly[0], "ready before its agent answered");
         }
     }
 
-    /** Where lists are asked for, a call waits for its turn: that it is not answered yet is no silence. */
+    /** At a shared service a watch may be queued: not being answered yet does not count as silence. */
     @Test
     void aWatchAtASharedServiceMayBeQueued() throws Exception {
         Endpoint discovery = new Endpoint("d");
@@ -169,8 +170,8 @@
     }
 
     /**
-     * The drain's clock runs from when it may have been told, not from when it was read; an empty line ahead of
-     * the first list is no word that nothing was missed.
+     * The grace of a drain runs from when it may have been announced, not from when it was read; an empty line before
+     * the first list does not show that nothing was missed.
      */
     @ParameterizedTest
     @ValueSource(strings = {"", "\n"})
@@ -186,7 +187,7 @@
             stand.await("endpoint.connects", 1);
             watch.reset();
             Peer next = acceptWatch(discovery, "1");
-            // The connection comes up a second after it was asked for, or three where this thread is late.
+            // The connection opens 1 s after it was requested, or 3 s if this thread is late.
             Thread.sleep(800);
             next.write(HEAD + chunk(prefix + Stand.list(2, false, endpoint1.host("Terminating"))));
             stand.await("discovery.lists", 1);
@@ -200,7 +201,7 @@
         }
     }
 
-    /** What the agent gets at its return counts at once: no list may go to a connection closed already. */
+    /** When the agent recovers, its list counts at once and must not go to a connection that is already closed. */
     @Test
     void aSilentWatchIsReadUntilTheNextOneHasSentItsRequest() throws Exception {
         Endpoint discovery = new Endpoint("d", 1);
@@ -208,7 +209,7 @@
         try (Stand stand = new Stand(discovery, endpoint1)) {
             Peer silent = acceptWatch(discovery, "1");
             silent.write(HEAD + chunk("\n"));
-            // The next connection can't come up before those ahead of it have been accepted.
+            // The next connection can't open before those ahead of it have been accepted.
             int crowd = discovery.crowd();
             stand.await("discovery.silent", 1);
             silent.write(chunk(Stand.list(2, false, endpoint1.host("Terminating"))));
@@ -221,7 +222,7 @@
         }
     }
 
-    /** Of two moves at once the second counts, and the old address is heard until its list has come. */
+    /** Of two moves in a row the second counts; the former address is read until the new one has sent its list. */
     @Test
     void aSecondMoveDuringTheFirstIsFollowedAndTheFormerAddressRead() throws Exception {
         Endpoint discovery = new Endpoint("d");
@@ -248,8 +249,8 @@
     }
 
     /**
-     * Configurations come in quick succession: the places in between take the watch and say nothing. The last one is
-     * followed and owes its whole list, and the first one is heard until it has spoken.
+     * Configurations change in quick succession, and the addresses in between accept the watch but never answer. The
+     * last address must send its complete list, and the first one is read until it has.
      */
     @Test
     void ofFourMovesInARowTheLastIsFollowed() throws Exception {
@@ -279,7 +280,7 @@
         }
     }
 
-    /** A request is sent on to that endpoint, and its client has the answer. */
+    /** Checks that a request is sent to the endpoint and that its client gets the answer. */
     private static void assertServedAt(Endpoint endpoint, Stand stand) throws Exception {
         Peer client = stand.http().post("basket-check", "1", "", "");
         Peer call = endpoint.accept();
@@ -292,7 +293,7 @@
         stand.serve.reload(() -> new Setup(Config.parse(Stand.config(to.dial())), null, null, null));
     }
 
-    /** Where lists are asked for at a service that all share, one that can't be read is no reason to hurry. */
+    /** After an unreadable list a shared service is not asked again at once. */
     @Test
     void unreadableListsAreRequestedAgainWithGrowingWaits() throws Exception {
         Endpoint discovery = new Endpoint("d");
@@ -312,11 +313,11 @@
         }
     }
 
-    /** Begun with nothing known while discovery is down, it could only refuse: it asks for nobody. */
+    /** Started without a list while discovery is down, a process could only refuse requests, so it is not ready. */
     @Test
     void withoutEndpointsAProcessIsReadyOnceItHasAList() throws Exception {
         Endpoint discovery = new Endpoint("d");
-        // Held on to: a socket that nothing refers to may be closed at any time.
+        // Referenced to the end: an unreachable socket may be closed at any time.
         try (Stand stand = new Stand(discovery);
                 Peer silent = acceptWatch(discovery, "1")) {
             stand.await("discovery.silent", 1);
@@ -333,9 +334,9 @@
     }
 
     /**
-     * A process starts anew with no list while discovery can't be reached. The operators allow each process 30 s
-     * until it is ready, and nine in ten 10 s. It used to stay unready for as long as discovery was away: clients
-     * that have nobody else found a closed door, where an answer at once would tell them when to come back.
+     * A process restarts without a list while discovery is unreachable. The operators allow each process 30 s to become
+     * ready, and nine in ten 10 s. It used to stay unready as long as discovery was unreachable, and clients without
+     * another scheduler got no answer, where a refusal would have told them when to retry.
      */
     @Test
     void withoutEndpointsAndDiscoveryAProcessIsReadyWithinTenSeconds() throws Exception {
@@ -346,7 +347,7 @@
                 Peer client = stand.http()) {
             String ready;
             do {
-                // As often as the operators' front asks.
+                // The interval of the operators' front.
                 Thread.sleep(100);
                 ready = client.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
             } while (ready.startsWith("HTTP/1.1 503 ") && System.nanoTime() - start < 10_000_000_000L);
@@ -355,7 +356,7 @@
         }
     }
 
-    /** Clients have a part of the descriptors, and the watch is none of them. */
+    /** Clients have a share of the descriptors, which the watch does not use. */
     @Test
     void idleClientsLeaveADescriptorForTheWatch() throws Exception {
         Endpoint discovery = new Endpoint("d");
--- a/src/test/java/laneflow/http/DiscoveryWatchTest.java
+++ b/src/test/java/laneflow/http/DiscoveryWatchTest.java
@@ -6,11 +6,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The longest time, in microseconds, for which news can go unheard, from the watch's own figures. */
+/** Checks by the watch's constants how long, in microseconds, a change can be missed. */
 class DiscoveryWatchTest {
-    /** What a silent or unreachable discovery has to tell counts as told by then. */
+    /** Time after which a change at a silent or unreachable discovery counts as announced. */
     private static final long COUNTS_AS_ANNOUNCED_US = 6_000_000;
-    /** What the agent has counts at once, and sending may go on for so long behind that. */
+    /** A change that the agent has counts at once; sending may continue for this time. */
     private static final long DRAIN_GRACE_US = 500_000;
 
     private static long longestBackoff(boolean sharedService) {
@@ -21,7 +21,7 @@
         return longest;
     }
 
-    /** It can be reached from the moment on in which a call was begun that came to nothing. */
+    /** Discovery becomes reachable just after a connection attempt that fails was started. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aReachableDiscoveryIsAskedBeforeItsChangesCountAsAnnounced(boolean sharedService) {
@@ -37,14 +37,14 @@
                 afterRefusal + " " + afterConnectTimeout + " " + afterSilence);
     }
 
-    /** A watch falls silent, and so does the next one; the connection of one of them comes up late. */
+    /** A watch falls silent, and so does the next one; one of their connections is slow to open. */
     @Test
     void theThirdWatchAsksBeforeChangesMissedByTwoSilentOnesCount() {
         long detectedAt = 2 * DiscoveryWatch.SILENCE_TIMEOUT_US;
         assertTrue(detectedAt + DiscoveryWatch.CONNECT_TIMEOUT_US <= COUNTS_AS_ANNOUNCED_US, "" + detectedAt);
     }
 
-    /** A watch falls silent, and the next one says nothing at all; both connections behind it come up late. */
+    /** A watch falls silent, and the next one is never answered; both later connections are slow to open. */
     @Test
     void theThirdWatchAsksInTimeIfTheSecondIsSilentAndConnectionsAreSlow() {
         long askedAt = DiscoveryWatch.SILENCE_TIMEOUT_US
--- a/src/test/java/laneflow/http/EndpointRaceTest.java
+++ b/src/test/java/laneflow/http/EndpointRaceTest.java
@@ -25,9 +25,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Two events on one connection to an endpoint in one turn of the loop, on real sockets. The crossing is forced:
- * the loop's thread itself submits, and stays in that turn until the endpoint has done its part and the time in
- * question is over, so that the next turn finds both.
+ * Races of two events on one connection to an endpoint within one turn of the loop, on real sockets. The race is
+ * forced: the loop's thread submits the request and stays in its turn until the endpoint has acted and the time-out
+ * in question has passed, so that the next turn finds both events.
  */
 @Timeout(60)
 class EndpointRaceTest {
@@ -37,16 +37,16 @@
     private static final String[] CLASSES = {"basket-check", "card-capture", "points-post"};
     private static final int REPEATS = 3;
     private static final long SECOND_US = 1_000_000;
-    /** Microseconds after which a connection's last byte is held back though its job may run twice. */
+    /** Idle time after which the last byte is held back even for jobs that may run twice. */
     private static final long STALE_US = 60_000;
-    /** Longer than a last byte is held, and than an endpoint takes to say that it has a call. */
+    /** Longer than a last byte is held back, and than an endpoint takes to receive a call. */
     private static final long HOLD_US = 5_000;
 
     private static final long SILENT_US = 260_000;
-    /** As in the settings of these stories: an endpoint that may be asked again and sends no head is given up then. */
+    /** As in the tests' settings: a retryable call without a response head is abandoned after this time. */
     private static final long CONNECT_TIMEOUT_US = SECOND_US;
 
-    /** Clients of this test: their answers, and what is done within the turn of the next one. */
+    /** Records the outcomes of requests, and runs an action within the turn of the next one served. */
     private static final class RecordingFront implements Front {
         private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
         private Runnable onServed = () -> {};
@@ -94,7 +94,7 @@
         return "{'id':'" + id + "','state':'done','result':'ok'}";
     }
 
-    /** On the loop's thread: takes a job in, with a body of three bytes. */
+    /** On the loop's thread: submits a job with a body of three bytes. */
     private Request submit(Stand stand, int jobClass, String id, long timeout) {
         Payload payload =
                 new Payload("POST", "/" + CLASSES[jobClass], id, jobClass == POST ? "k" + id : null, "pay".getBytes());
@@ -104,7 +104,7 @@
         return request;
     }
 
-    /** Runs this in one turn; a fault in it is the test's. */
+    /** Runs the action within one turn; its failure fails the test. */
     private static void inOneTurn(Stand stand, Action action) throws Exception {
         Exception[] failure = new Exception[1];
         stand.serve.loop().call(() -> failure[0] = failureOf(action));
@@ -124,14 +124,14 @@
         }
     }
 
-    /** On any thread: waits for the clock alone. */
+    /** On any thread: waits until the clock is past the instant. */
     private static void waitUntilAfter(Stand stand, long instant) throws InterruptedException {
         while (stand.serve.loop().currentMicros() <= instant) {
             Thread.sleep(1);
         }
     }
 
-    /** A connection to the endpoint that has served a job and rests. */
+    /** Returns a connection to the endpoint that has served a job and is idle. */
     private Peer idleConnection(Stand stand, Endpoint endpoint) throws Exception {
         return idleConnection(stand, endpoint, new AtomicReference<>());
     }
@@ -147,8 +147,8 @@
     }
 
     /**
-     * What is to be done on the loop's thread, in the very turn in which a connection has come to rest: so it
-     * can't have grown stale.
+     * Runs the action on the loop's thread in the same turn in which a connection becomes idle, so that it can't be
+     * stale.
      */
     private void whenConnectionBecomesIdle(Stand stand, Endpoint endpoint, ConnectionAction action) throws Exception {
         AtomicReference<Peer> call = new AtomicReference<>();
@@ -163,21 +163,21 @@
         }
     }
 
-    /** The same, at rest for so long that a last byte is held back on it whatever the job. */
+    /** Returns a connection that has been idle for so long that the last byte of any job is held back on it. */
     private Peer staleConnection(Stand stand, Endpoint endpoint) throws Exception {
         Peer call = idleConnection(stand, endpoint);
         waitUntilAfter(stand, stand.serve.loop().currentMicros() + STALE_US);
         return call;
     }
 
-    /** The first request that comes on any connection, with those closed in silence passed over. */
+    /** Returns the first request on any connection, and skips connections closed without one. */
     private static String firstRequest(Endpoint endpoint, Peer[] connection) throws IOException {
         while (true) {
             connection[0] = endpoint.accept();
             try {
                 return connection[0].message();
             } catch (IOException e) {
-                // Closed with nothing whole said.
+                // Closed without a complete request.
             }
         }
     }
@@ -189,7 +189,7 @@
         return entry;
     }
 
-    /** On the loop's thread: the endpoint's drain counts as told so long ago that its grace is over. */
+    /** On the loop's thread: announces a drain of the endpoint whose grace has already passed. */
     private static void announceOldDrain(Stand stand, String name) {
         stand.serve
                 .scheduler()
@@ -204,7 +204,7 @@
         return Stand.changed("'cancel':true", "'cancel':false", null, endpoint);
     }
 
-    // ---- departure ----
+    // ---- clients that leave ----
 
     @RepeatedTest(REPEATS)
     void aRequestWithdrawnDuringConnectIsNotSent() throws Exception {
@@ -236,7 +236,7 @@
         }
     }
 
-    /** One that must not run twice goes out on a connection used in that very turn, its last byte held. */
+    /** A job that must not run twice is sent on a connection used in the same turn, with its last byte held back. */
     @RepeatedTest(REPEATS)
     void aCaptureWithdrawnWhileItsLastByteIsHeldIsNotCompleted() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
@@ -249,7 +249,7 @@
         }
     }
 
-    /** With its whole request there it may be at work, and is heard out. */
+    /** The endpoint has the whole request and may run it, so the call continues. */
     @RepeatedTest(REPEATS)
     void aCallWithdrawnAfterItsLastByteRunsToItsEnd() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
@@ -266,8 +266,8 @@
     }
 
     /**
-     * The loop is held up, and meanwhile a client closes and its first attempt is reset. The time of that attempt is
-     * over too, so its connection is looked at before the client's is read: a further attempt used to go out.
+     * During a stall of the loop a client closes and its first attempt is reset. The attempt's time-out has passed too,
+     * so its connection is read before the client's. A further attempt used to be sent then.
      */
     @RepeatedTest(REPEATS)
     void aClientThatLeavesDuringAStallGetsNoFurtherAttempt() throws Exception {
@@ -291,7 +291,7 @@
         }
     }
 
-    // ---- time ----
+    // ---- deadlines and time-outs ----
 
     @RepeatedTest(REPEATS)
     void theDeadlineSentIsTheTimeLeftEvenAfterALongTurn() throws Exception {
@@ -317,7 +317,7 @@
         try (Stand stand = new Stand(null, endpoint)) {
             Peer call = idleConnection(stand, endpoint);
             inOneTurn(stand, () -> {
-                // By the turn's clock it has time, by the clock it has none.
+                // Time is left by the clock of the turn, but not by the current time.
                 waitUntilAfter(stand, stand.serve.loop().micros() + 300_000);
                 submit(stand, CHECK, "late", -10_000);
             });
@@ -326,7 +326,7 @@
         }
     }
 
-    /** Less than a millisecond, or than a last byte is held: no time that could be told is left. */
+    /** After the hold of the last byte less than a millisecond is left, the unit of the deadline header. */
     @RepeatedTest(REPEATS)
     void aRequestWithLessTimeLeftThanTheHoldIsNotSent() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
@@ -355,7 +355,7 @@
         }
     }
 
-    /** Its last call, and the time itself, are over in the turn in which the answer is there to be read. */
+    /** The time-out of the last call and the deadline pass in the turn in which the answer arrives. */
     @RepeatedTest(REPEATS)
     void anAnswerThatArrivesWithTheDeadlineIsServed() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
@@ -370,7 +370,7 @@
         }
     }
 
-    /** A declined call never ran: what must not run twice is refused and not failed, its time being over. */
+    /** A declined job has not run, so past its deadline it is refused, not failed, even if it must not run twice. */
     @RepeatedTest(REPEATS)
     void aCaptureDeclinedInTheTurnOfItsDeadlineIsRefused() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
@@ -388,15 +388,15 @@
         }
     }
 
-    /** The endpoint reads the call and answers it. */
+    /** Reads the call at the endpoint and answers it. */
     private static void answer(Peer call) throws IOException {
         call.message();
         call.says(doneStatus("1"));
     }
 
-    // ---- closes ----
+    // ---- closed connections ----
 
-    /** The endpoint closes a resting connection just as a capture is written to it: that never ran. */
+    /** The endpoint closes an idle connection just as a capture is written to it: the job has not run. */
     @RepeatedTest(REPEATS)
     void aCaptureHasNotRunIfTheEndpointClosesBeforeTheLastByte() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
@@ -413,7 +413,7 @@
         }
     }
 
-    /** Put back among the resting ones as its peer closes it: it is looked at before it is used. */
+    /** A pooled connection that the endpoint closes in this turn is checked before it is used. */
     @RepeatedTest(REPEATS)
     void aConnectionClosedInTheSameTurnIsNotUsed() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
@@ -477,7 +477,7 @@
         }
     }
 
-    // ---- answers that are not this call's ----
+    // ---- answers to other calls ----
 
     @RepeatedTest(REPEATS)
     void aRepeatedAnswerToTheJobBeforeLastIsIgnored() throws Exception {
--- a/src/test/java/laneflow/http/EndpointStoryTest.java
+++ b/src/test/java/laneflow/http/EndpointStoryTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Stories of endpoints that answer too much, too late or for ever, as the operators' page has them. */
+/** Endpoints that answer twice, too late or without end, as the operators' page describes them. */
 @Timeout(120)
 class EndpointStoryTest {
     private static String doneStatus(String id, String result) {
         return "{'id':'" + id + "','state':'done','result':'" + result + "'}";
     }
 
-    /** Writes the same until the other side ends it. */
+    /** Writes the text repeatedly until the scheduler closes the connection. */
     private static Thread startFlood(Peer call, String text) {
         Thread flood = new Thread(() -> {
             try {
@@ -25,7 +25,7 @@
                     call.write(text);
                 }
             } catch (IOException e) {
-                // Cut off: that is what the story waits for.
+                // The expected close.
             }
         });
         flood.start();
@@ -49,12 +49,12 @@
             assertTrue(answer.endsWith("two"), answer);
             assertEquals(1, stand.counter("endpoint.second_answer"));
             assertEquals(1, stand.counter("endpoint.connects"));
-            // Nor is it used again.
+            // The connection is not used again.
             assertTrue(call.ended());
         }
     }
 
-    /** The core hears that the job is done with the first bytes of the last line, once, and of none that is whole. */
+    /** The scheduler learns of a result from the first bytes of its line, once, and not from a line read as a whole. */
     @Test
     void theFirstBytesOfAResultAreReported() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
@@ -126,7 +126,7 @@
                         slowCall.write(CHUNK);
                     }
                 } catch (IOException | InterruptedException e) {
-                    // Cut off: that is what the story waits for.
+                    // The expected close.
                 }
             });
             slowWriter.start();
@@ -155,7 +155,7 @@
         }
     }
 
-    /** Interim answers are none: one that goes on with them is as silent as one that says nothing. */
+    /** Interim responses do not count: an endpoint that sends only those is as silent as one that sends nothing. */
     @Test
     void interimResponsesAreNoHead() throws Exception {
         Endpoint endpoint1 = new Endpoint("e1");
@@ -175,7 +175,7 @@
         }
     }
 
-    /** It goes elsewhere, or its client hears at once; what comes up late never carries it. */
+    /** The request is retried or refused at once; the connection that opens late does not carry it. */
     @Test
     void aConnectionThatOpensTooLateIsAbandonedAndCarriesNothing() throws Exception {
         Endpoint endpoint = new Endpoint("e1", 1);
@@ -191,7 +191,7 @@
             for (int i = 0; i < crowd; i++) {
                 endpoint.accept();
             }
-            // Whatever comes up of it carries nothing; the first that asks is the next job.
+            // The late connection carries nothing; the first request is the next job.
             Thread server = new Thread(() -> {
                 while (true) {
                     try (Peer call = endpoint.accept()) {
@@ -199,12 +199,12 @@
                         call.says(doneStatus("2", "posted"));
                         return;
                     } catch (IOException e) {
-                        // Closed with nothing said.
+                        // Closed without a request.
                     }
                 }
             });
             server.start();
-            // For a while it is under suspicion.
+            // The endpoint counts as suspect for a while.
             String answer;
             do {
                 answer = client.post("points-post", "2", "", "").message();
--- a/src/test/java/laneflow/http/HttpStoryTest.java
+++ b/src/test/java/laneflow/http/HttpStoryTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Stories of the platform's front, one for each failure met. */
+/** The HTTP front and connector: one test for each failure that was met. */
 @Timeout(120)
 class HttpStoryTest {
     @TempDir
@@ -44,7 +44,7 @@
             assertTrue(sent.endsWith("\r\n\r\n" + body));
             call.says("{'id':'9b1f','state':'started'}", "{'id':'9b1f','state':'done','result':'a\\nb'}");
             assertTrue(client.message().endsWith("\r\n\r\na\nb"));
-            // The same connections serve the next one, two messages at once included.
+            // The same connections serve the next requests, two of them sent at once.
             client.post("basket-check", "1", "", "").post("basket-check", "2", "", "");
             for (String id : new String[] {"1", "2"}) {
                 assertTrue(call.message().contains("Req-Id: " + id + "\r\n"));
@@ -68,7 +68,7 @@
             assertTrue(client.message().startsWith("HTTP/1.1 500 "));
             assertEquals(1, stand.counter("call.sent"));
             client.post("basket-check", "2", "", "");
-            // What is safe goes to the other one, since the first is under suspicion.
+            // A safe job goes to the other endpoint, as the first one is suspect.
             Peer nextCall = endpoint1.accept();
             nextCall.message();
             nextCall.says("{'id':'2','state':'done','result':'ok'}");
@@ -79,7 +79,7 @@
     @Test
     void aJobHasNotRunIfTheConnectionBreaksBeforeTheLastByte() throws Exception {
         boolean refused = false;
-        // The byte is held back for 2 ms only: a peer that is late sees it go out, and tries again.
+        // The byte is held back for 2 ms only: if this thread is late, it is sent, and the test tries again.
         for (int i = 0; i < 30 && !refused; i++) {
             Endpoint endpoint = new Endpoint("e1");
             try (Stand stand = new Stand(null, endpoint);
@@ -106,7 +106,7 @@
             idleCall.message();
             idleCall.says("{'id':'1','state':'done','result':'priced'}");
             client.message();
-            // Its endpoint may close it unheard while it rests; 50 ms are trusted.
+            // The endpoint may close an idle connection unnoticed; it is trusted for 50 ms.
             Thread.sleep(60);
             client.post("card-capture", "2", "", "pay");
             Peer call = endpoint.accept();
@@ -170,7 +170,7 @@
             assertTrue(answer.contains("\r\nRetry-After: "), answer);
             assertEquals(1, stand.counter("call.connect_failed"));
             assertEquals(1, stand.counter("clients.refused"));
-            // As often as it comes again at once: it hears so each time, and nothing is kept of it.
+            // Immediate retries are refused each time, and leave nothing behind.
             for (int i = 2; i < 300; i++) {
                 assertTrue(
                         client.post("card-capture", "" + i, "", "pay").message().startsWith("HTTP/1.1 503 "));
@@ -259,7 +259,7 @@
         try (Stand stand = new Stand(null);
                 Peer client = stand.http()) {
             client.write("POST /basket-check HTTP/1.1\r\nReq-Id: 1\r\nContent-Length: 60000000\r\n\r\n");
-            // Closed with these unread, the connection would be reset and the answer lost on its way.
+            // If closed with these unread, the connection would be reset and the answer lost.
             client.write(new byte[200_000]);
             assertTrue(client.message().startsWith("HTTP/1.1 413 "));
             assertEquals(-1, client.socket.getInputStream().read());
@@ -276,7 +276,7 @@
                 Peer partial = stand.http()) {
             idle.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
             partial.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
-            // An empty line behind a body is no message begun.
+            // An empty line after a message does not begin another.
             idle.write("\r\n");
             partial.write("GET /hea");
             long from = System.nanoTime();
@@ -286,7 +286,7 @@
                         slow.write("X: y\r\n");
                     }
                 } catch (IOException | InterruptedException e) {
-                    // Cut off: that is what the story waits for.
+                    // The expected close.
                 }
             });
             slowWriter.start();
@@ -329,7 +329,7 @@
             call.message();
             call.says("{'id':'1','state':'done','result':'priced'}");
             assertTrue(client.message().endsWith("priced"));
-            // No more made way than came, and none of the last ones.
+            // No more were evicted than needed, and none of the last ones.
             assertEquals(33, stand.counter("http.gave_way"));
             assertEquals(33, stand.counter("clients.closed_unanswered"));
         }
@@ -349,7 +349,7 @@
         }
     }
 
-    /** What they sent is no burden on those that stay: no call, no descriptor and no request is left of it. */
+    /** Clients that have left hold no call, descriptor or request that others could use. */
     @Test
     void clientsThatSendManyRequestsAndLeaveHoldNoResources() throws Exception {
         Endpoint endpoint = new Endpoint("e1", 200);
@@ -375,7 +375,7 @@
                     openAndBusy[1] = stand.serve.front().busyConnections();
                 });
             }
-            // Whatever became of each: taken and withdrawn, or never heard of.
+            // Each request was either accepted and ended, or never read.
             assertEquals(
                     stand.counter("http.taken"),
                     stand.counter("http.withdrawn") + stand.counter("http.refused") + stand.counter("http.failed"));
@@ -386,7 +386,7 @@
                         more = !call.message().contains("Req-Id: last\r\n");
                         call.says("{'id':'last','state':'done','result':'priced'}");
                     } catch (IOException e) {
-                        // One that its client had left.
+                        // A call whose client had left.
                     }
                 }
             });
@@ -402,7 +402,7 @@
         }
     }
 
-    /** Half a second behind its time an answer earns nothing; later it is lost, and counted so. */
+    /** An answer more than half a second after its deadline is counted as lost. */
     @Test
     void aLateAnswerIsCountedAsLost() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
@@ -411,7 +411,7 @@
             client.post("basket-check", "1", "Req-Deadline-Ms: 1500\r\n", "");
             endpoint.accept().message();
             assertEquals(0, stand.counter("clients.late") + stand.counter("clients.lost"));
-            // A turn of the loop that stands still, as where the machine does.
+            // A stall of the loop, as when the machine stalls.
             stand.serve.loop().call(() -> {
                 try {
                     Thread.sleep(2200);
@@ -434,7 +434,7 @@
             Peer call = endpoint.accept();
             assertTrue(call.message().contains("Req-Deadline-Ms: "));
             assertTrue(client.message().startsWith("HTTP/1.1 500 "));
-            // Its class would wait for 6 s; how near to its own 0.3 s is the machine's affair.
+            // The class's deadline is 6 s; how close to the request's 0.3 s depends on the machine.
             assertTrue(System.nanoTime() - from < 3_000_000_000L);
             assertTrue(call.ended());
         }
@@ -457,7 +457,7 @@
             call.message();
             call.says("{'id':'1','state':'done','result':''}");
             client.message();
-            // The watch has ended: it is begun again behind what was heard, and a whole list drops the rest.
+            // The watch has ended: the next one asks for later changes, and a complete list replaces the old one.
             Peer next = discovery.accept();
             assertTrue(next.readTo("\r\n\r\n").contains("after=2 "));
             next.says("no list at all");
@@ -483,7 +483,7 @@
             client.post("card-capture", "1", "", "pay");
             Peer call = endpoint1.accept();
             call.message();
-            // Half a file, and one that names no address: what runs stays as it is.
+            // A truncated file and one without a valid address change nothing.
             for (String bad : new String[] {"{\"disco", Stand.config("discovery.svc")}) {
                 reload(stand, Files.writeString(file, bad));
             }
@@ -493,12 +493,12 @@
             assertTrue(silent.readTo("\r\n\r\n").contains("after=0 "));
             old.write(Stand.watching(Stand.list(8, false, endpoint1.host("Terminating"))));
             stand.await("discovery.lists", 1);
-            // Moved again before it has spoken: only the latest counts, and the oldest is still heard.
+            // Moved again before the second has answered: only the latest counts, and the first is still read.
             reload(stand, Files.writeString(file, Stand.config(third.dial())));
             assertTrue(silent.ended());
             Peer current = third.accept();
             current.readTo("\r\n\r\n");
-            // A list of lower number: another address counts as it likes.
+            // A lower sequence number: each address counts by itself.
             current.write(Stand.watching(Stand.list(3, true, endpoint1.host("Ready"))));
             stand.await("discovery.lists", 2);
             assertTrue(old.ended());
@@ -539,13 +539,14 @@
             assertTrue(client.message().endsWith("paid"));
             probe.write("HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nutil=0.5,x0=3.0");
             stand.await("probe.ok", 1);
-            // The probe's connection, kept last, serves the next call; its report is fresh, so no probe again.
+            // The probe's connection, the last one to become idle, serves the next call; its report is fresh, so there
+            // is no further probe.
             client.post("card-capture", "2", "", "pay");
             assertTrue(probe.message().contains("Req-Id: 2\r\n"));
         }
     }
 
-    /** Half open: the endpoint takes the probe, or begins its answer, and then nothing comes any more. */
+    /** The endpoint accepts the probe, or begins its answer, and then sends nothing more. */
     @Test
     void anUnansweredProbeReleasesItsConnection() throws Exception {
         for (String partialResponse : new String[] {"", "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nutil"}) {
@@ -566,7 +567,7 @@
         }
     }
 
-    /** In one piece or byte by byte: the same verdict. */
+    /** Garbage that arrives with the outcome or after it makes no difference. */
     @Test
     void garbageAfterACompleteOutcomeDoesNotChangeIt() throws Exception {
         for (boolean split : new boolean[] {true, false}) {
@@ -585,7 +586,7 @@
                     call.write(done + "no chunk\r\n");
                     assertTrue(client.message().endsWith("paid"));
                 }
-                // It is used no more.
+                // The connection is not used again.
                 assertTrue(call.ended());
             }
         }
@@ -601,11 +602,11 @@
             client.post("card-capture", "1", "", "");
             Peer call = endpoint.accept();
             call.message();
-            // As where another scheduler's clients have just come: they have nobody else yet.
+            // As if clients of another scheduler had just been taken over, which have no other scheduler yet.
             long from = System.nanoTime();
             Thread stop = new Thread(() -> stand.serve.stop(() -> true));
             stop.start();
-            // New connections are still let in, and kept ones served.
+            // New connections are still accepted, and open ones served.
             try (Peer late = stand.http()) {
                 assertTrue(late.write("GET /health/live HTTP/1.1\r\n\r\n")
                         .message()
@@ -613,7 +614,7 @@
                 call.says("{'id':'1','state':'done','result':'paid'}");
                 String answer = client.message();
                 assertTrue(answer.endsWith("paid") && !answer.contains("Connection: close"), answer);
-                // Then what is idle is sent away, and no answer is still out when the kill may come.
+                // Then idle clients are closed, and all answers are sent before the process may be killed.
                 while (System.nanoTime() - from < 800_000_000L) {
                     late.write("GET /health/live HTTP/1.1\r\n\r\n").message();
                 }
@@ -663,7 +664,7 @@
     @Test
     void idleClientsAreEvictedForOthersAndForCalls() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        // 64 descriptors are the machine's own: 16 are left, half of them for clients.
+        // 64 descriptors are reserved for the process: 16 are left, half of them for clients.
         try (Stand stand = new Stand(null, 80, endpoint)) {
             Peer[] idle = new Peer[12];
             for (int i = 0; i < idle.length; i++) {
@@ -696,11 +697,11 @@
                 watch.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
                 watch.close();
             }
-            // 0.2, 0.4, 0.8 and 1.6 s, each half to one and a half times.
+            // 0.2, 0.4, 0.8 and 1.6 s, each multiplied by 0.5 to 1.5.
             for (int i = 1; i < 5; i++) {
                 assertTrue(waits.get(i) >= 95L << i - 1 && waits.get(i) < (100L << i - 1) * 3 + 1000, "" + waits);
             }
-            // Once it speaks, a watch that breaks is begun anew soon.
+            // After a list has arrived, a broken watch is replaced without a long wait.
             Peer watch = discovery.accept();
             watch.readTo("\r\n\r\n");
             watch.write(Stand.watching(Stand.list(2, true)));
--- a/src/test/java/laneflow/http/JobReaderTest.java
+++ b/src/test/java/laneflow/http/JobReaderTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Whose a request is. */
+/** Checks which tenant a request belongs to. */
 class JobReaderTest {
     private static Tenant tenant(String name) {
         Tenant tenant = new Tenant();
--- a/src/test/java/laneflow/http/JsonObjectSplitterTest.java
+++ b/src/test/java/laneflow/http/JsonObjectSplitterTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** However a list is indented or split, the same objects come out. */
+/** Checks that indentation and chunking do not change the objects found. */
 class JsonObjectSplitterTest {
     private static final String[] LISTS = {
         "{}",
--- a/src/test/java/laneflow/http/PlannedEndStoryTest.java
+++ b/src/test/java/laneflow/http/PlannedEndStoryTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** After SIGTERM clients send on every connection that stays open: what came is answered whole, once. */
+/** After SIGTERM clients keep sending on all open connections: each request read is answered once, completely. */
 @Timeout(120)
 class PlannedEndStoryTest {
     private final AtomicInteger answered = new AtomicInteger();
     private final AtomicInteger brokenAnswers = new AtomicInteger();
     private final AtomicInteger unansweredRequests = new AtomicInteger();
 
-    /** Asks again as soon as it has its answer, until its connection is closed between two requests. */
+    /** Starts a client that sends a request after each answer, until its connection is closed in between. */
     private Thread startClient(Peer client, int number) {
         Thread thread = new Thread(() -> {
             for (int i = 0; true; i++) {
@@ -28,7 +28,7 @@
                     client.post("basket-check", number + "-" + i, "", "x".repeat(i % 50 * 100));
                     client.readTo("HTTP/1.1 ");
                 } catch (IOException e) {
-                    // Not a byte of an answer: it crossed the close, and would be sent once more elsewhere.
+                    // No byte of an answer: the request crossed the close, and a client would retry it elsewhere.
                     unansweredRequests.incrementAndGet();
                     return;
                 }
@@ -66,7 +66,7 @@
                                             + "','state':'done','result':'ok'}");
                                 }
                             } catch (IOException e) {
-                                // The scheduler has let it go.
+                                // The scheduler has closed the connection.
                             }
                         })
                         .start();
@@ -89,7 +89,7 @@
             Thread stop = new Thread(stand.serve::stop);
             stop.start();
             stand.await("stop.begun", 1);
-            // New connections keep coming for a while.
+            // New connections still arrive for a while.
             for (int i = 6; i < 12; i++) {
                 clients.add(startClient(stand.http(), i));
             }
@@ -102,7 +102,7 @@
             counts[1] = stand.serve.scheduler().counters().get("clients.lost");
             counts[2] = stand.serve.scheduler().counters().get("clients.closed_unanswered");
             assertEquals(0, brokenAnswers.get());
-            assertEquals(counts[0], answered.get(), unansweredRequests + " crossed");
+            assertEquals(counts[0], answered.get(), unansweredRequests + " requests without an answer");
             assertEquals(0, counts[1] + counts[2]);
             assertTrue(answered.get() > 20, "" + answered);
         }
--- a/src/test/java/laneflow/transcripts/HttpTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/HttpTranscriptsTest.java
@@ -6,14 +6,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A request's life on the platform's front, with each outcome and repeat. */
+/** Transcripts of requests on the HTTP front, for each outcome and kind of retry. */
 @Timeout(120)
 class HttpTranscriptsTest {
     private static RecordedPeer client(Transcript transcript, Stand stand) throws IOException {
         return new RecordedPeer(transcript, "client", stand.http());
     }
 
-    /** The next connection there, whatever endpoint it is for: two that listen at one address are told apart so. */
+    /** Accepts the next connection; two endpoints that share an address are told apart by the order of their calls. */
     private static RecordedPeer call(Transcript transcript, String name, Endpoint at) throws IOException {
         return new RecordedPeer(transcript, name, at.accept());
     }
@@ -39,7 +39,7 @@
 
     @Test
     void refusedForWantOfAnEndpoint() throws Exception {
-        Transcript.of("No endpoint is known: refused at once, with a time to come back.", transcript -> {
+        Transcript.of("No endpoint is known: the request is refused at once with Retry-After.", transcript -> {
             try (Stand stand = new Stand(null);
                     RecordedPeer client = client(transcript, stand)) {
                 client.post("card-capture", "1", "", "pay");
@@ -50,22 +50,23 @@
 
     @Test
     void failedAtItsEndpoint() throws Exception {
-        Transcript.of("The endpoint says that the job failed: it ran, so it is failed and not refused.", transcript -> {
-            Endpoint endpoint = new Endpoint("e1");
-            try (Stand stand = new Stand(null, endpoint);
-                    RecordedPeer client = client(transcript, stand)) {
-                client.post("card-capture", "1", "", "pay");
-                RecordedPeer call = call(transcript, "e1", endpoint);
-                call.message();
-                call.reply("{'id':'1','state':'started'}", "{'id':'1','state':'failed'}");
-                client.message();
-            }
-        });
+        Transcript.of(
+                "The endpoint reports that the job failed: it has run, so it is failed, not refused.", transcript -> {
+                    Endpoint endpoint = new Endpoint("e1");
+                    try (Stand stand = new Stand(null, endpoint);
+                            RecordedPeer client = client(transcript, stand)) {
+                        client.post("card-capture", "1", "", "pay");
+                        RecordedPeer call = call(transcript, "e1", endpoint);
+                        call.message();
+                        call.reply("{'id':'1','state':'started'}", "{'id':'1','state':'failed'}");
+                        client.message();
+                    }
+                });
     }
 
     @Test
     void connectFailedAndRefused() throws Exception {
-        Transcript.of("The only endpoint refuses connections: the job never ran, and is refused.", transcript -> {
+        Transcript.of("The only endpoint refuses connections: the job has not run, and is refused.", transcript -> {
             Endpoint closed = new Endpoint("e1");
             closed.close();
             try (Stand stand = new Stand(null, closed);
@@ -77,11 +78,11 @@
         });
     }
 
-    /** Which of the two is called first is the module's choice, so one of them breaks whatever comes first. */
+    /** The decision module chooses which endpoint is called first, so the connection accepted first breaks. */
     @Test
     void resetBeforeItsLastByteThenServed() throws Exception {
         Transcript.of(
-                "A connection ends before anything was read there: what may be repeated goes to another.",
+                "A connection is reset before the endpoint reads anything: a retryable job goes to another endpoint.",
                 transcript -> {
                     Endpoint endpoint1 = new Endpoint("e1");
                     Endpoint endpoint2 = new Endpoint("e2", endpoint1);
@@ -101,7 +102,7 @@
     @Test
     void resetOfWhatMayRunTwice() throws Exception {
         Transcript.of(
-                "A connection breaks behind the last byte: what may run twice is sent to another endpoint.",
+                "A connection breaks after the last byte: a job that may run twice is sent to another endpoint.",
                 transcript -> {
                     Endpoint endpoint1 = new Endpoint("e1");
                     Endpoint endpoint2 = new Endpoint("e2", endpoint1);
@@ -122,7 +123,7 @@
     @Test
     void resetOfWhatMustNotRunTwice() throws Exception {
         Transcript.of(
-                "A connection breaks behind the last byte: what must not run twice is failed, and sent no more.",
+                "A connection breaks after the last byte: a job that must not run twice is failed, and not sent again.",
                 transcript -> {
                     Endpoint endpoint1 = new Endpoint("e1");
                     Endpoint endpoint2 = new Endpoint("e2", endpoint1);
@@ -140,25 +141,24 @@
 
     @Test
     void declined() throws Exception {
-        Transcript.of(
-                "The endpoint declines: the job never ran, and is refused with a time to come back.", transcript -> {
-                    Endpoint endpoint = new Endpoint("e1");
-                    try (Stand stand = new Stand(null, endpoint);
-                            RecordedPeer client = client(transcript, stand)) {
-                        client.post("card-capture", "1", "", "pay");
-                        RecordedPeer call = call(transcript, "e1", endpoint);
-                        call.message();
-                        call.write("HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nSrv-Load: util=1,queue=3,x0=0\r\n"
-                                + "Content-Length: 0\r\n\r\n");
-                        client.message();
-                    }
-                });
+        Transcript.of("The endpoint declines: the job has not run, and is refused with Retry-After.", transcript -> {
+            Endpoint endpoint = new Endpoint("e1");
+            try (Stand stand = new Stand(null, endpoint);
+                    RecordedPeer client = client(transcript, stand)) {
+                client.post("card-capture", "1", "", "pay");
+                RecordedPeer call = call(transcript, "e1", endpoint);
+                call.message();
+                call.write("HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nSrv-Load: util=1,queue=3,x0=0\r\n"
+                        + "Content-Length: 0\r\n\r\n");
+                client.message();
+            }
+        });
     }
 
     @Test
     void garbled() throws Exception {
         Transcript.of(
-                "Answers that can't be read: each call is over, and what must not run twice is failed.", transcript -> {
+                "Malformed responses: each call ends, and a job that must not run twice is failed.", transcript -> {
                     for (String garbage : new String[] {
                         "HTTP/9 what\r\n\r\n",
                         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
@@ -184,8 +184,7 @@
     @Test
     void garbledAndRepeated() throws Exception {
         Transcript.of(
-                "An answer that can't be read, for what may run twice: it is asked of another endpoint.",
-                transcript -> {
+                "A malformed response to a job that may run twice: it is sent to another endpoint.", transcript -> {
                     Endpoint endpoint1 = new Endpoint("e1");
                     Endpoint endpoint2 = new Endpoint("e2", endpoint1);
                     try (Stand stand = new Stand(null, endpoint1, endpoint2);
@@ -205,7 +204,7 @@
     @Test
     void silentAndRepeated() throws Exception {
         Transcript.of(
-                "No head within 250 ms: what may run twice goes elsewhere, and the silent call is ended.",
+                "No head within 250 ms: a job that may run twice goes elsewhere, and the silent call is closed.",
                 transcript -> {
                     Endpoint endpoint1 = new Endpoint("e1");
                     Endpoint endpoint2 = new Endpoint("e2", endpoint1);
@@ -226,7 +225,7 @@
 
     @Test
     void clientGone() throws Exception {
-        Transcript.of("The client leaves: its call is cancelled.", transcript -> {
+        Transcript.of("The client closes its connection: its call is cancelled.", transcript -> {
             Endpoint endpoint = new Endpoint("e1");
             try (Stand stand = new Stand(null, endpoint);
                     RecordedPeer client = client(transcript, stand)) {
@@ -243,7 +242,7 @@
     @Test
     void late() throws Exception {
         Transcript.of(
-                "The endpoint is silent until the client's deadline: failed in time, since it may have run.",
+                "The endpoint is silent until the client's deadline: the job may have run, so it is failed in time.",
                 transcript -> {
                     Endpoint endpoint = new Endpoint("e1");
                     try (Stand stand = new Stand(null, endpoint);
@@ -260,7 +259,7 @@
     @Test
     void sameIdAgain() throws Exception {
         Transcript.of(
-                "An id that is at work is handed in again: an error for the second, and no second call.",
+                "The id of an open request is submitted again: an error for the second request, and no second call.",
                 transcript -> {
                     Endpoint endpoint = new Endpoint("e1");
                     try (Stand stand = new Stand(null, endpoint);
@@ -282,7 +281,7 @@
     void malformed() throws Exception {
         String post = "POST /basket-check HTTP/1.1\r\nReq-Id: 1\r\n";
         Transcript.of(
-                "What can't be read: each gets its error and the end of its connection; none is a request.",
+                "Malformed messages: each is answered with an error that closes its connection; none is a request.",
                 transcript -> {
                     try (Stand stand = new Stand(null, new Endpoint("e1"))) {
                         for (String bad : new String[] {
@@ -315,7 +314,8 @@
     @Test
     void senseless() throws Exception {
         Transcript.of(
-                "What can be read and is no request: each gets its error, and its connection is kept.", transcript -> {
+                "Well-formed messages that are no valid request: each gets an error, and its connection stays open.",
+                transcript -> {
                     try (Stand stand = new Stand(null, new Endpoint("e1"))) {
                         String suffix = "Content-Length: 0\r\n\r\n";
                         for (String bad : new String[] {
