--- a/src/main/java/laneflow/http/JobReader.java
+++ b/src/main/java/laneflow/http/JobReader.java
@@ -26,7 +26,7 @@
     JobReader(String[] classNames, Settings settings) {
         classes = settings.classes;
         for (int i = 0; i < settings.tenants.length; i++) {
-            // Heads are decoded as ISO 8859-1, so names in UTF-8 are compared in that form.
+            // Heads are decoded as ISO 8859-1, one character per byte, so names in UTF-8 are compared in that form.
             tenantIndexes.put(new String(settings.tenants[i].name.getBytes(UTF_8), ISO_8859_1), i);
         }
         for (int i = 0; i < classNames.length; i++) {
@@ -64,7 +64,7 @@
         return request;
     }
 
-    /** The path's first segment; a differing header is rejected, as programs would see different classes. */
+    /** The path's first segment. A header with another class is rejected: other programs might go by the header. */
     private static String className(HttpHead head, String path) throws HttpException {
         int end = path.indexOf('/', 1);
         String pathClass =
--- a/src/main/java/laneflow/http/JsonObjectSplitter.java
+++ b/src/main/java/laneflow/http/JsonObjectSplitter.java
@@ -36,7 +36,7 @@
     }
 
     /** True if an object has begun and not ended. */
-    boolean isInside() {
+    boolean isInsideObject() {
         return depth > 0;
     }
 
--- a/src/test/java/laneflow/http/ClientStoryTest.java
+++ b/src/test/java/laneflow/http/ClientStoryTest.java
@@ -90,8 +90,8 @@
                 clients.add(stand.http().post("card-capture", "" + i, "", ""));
                 Peer call = endpoint.accept();
                 String sent = call.message();
-                int at = sent.indexOf("Req-Id: ") + 8;
-                ids.add(sent.substring(at, sent.indexOf('\r', at)));
+                int idStart = sent.indexOf("Req-Id: ") + 8;
+                ids.add(sent.substring(idStart, sent.indexOf('\r', idStart)));
                 calls.add(call);
             }
         }
@@ -213,8 +213,8 @@
             call.ends(doneStatus("1"));
             assertTrue(client.message().endsWith("r1"));
             String sent = call.message();
-            int at = sent.indexOf("Req-Deadline-Ms: ") + 17;
-            int remainingMs = Integer.parseInt(sent.substring(at, sent.indexOf('\r', at)));
+            int valueStart = sent.indexOf("Req-Deadline-Ms: ") + 17;
+            int remainingMs = Integer.parseInt(sent.substring(valueStart, sent.indexOf('\r', valueStart)));
             assertTrue(remainingMs <= 2400, sent);
             call.says(doneStatus("2"));
             assertTrue(client.message().endsWith("r2"));
@@ -246,8 +246,8 @@
             call.ends(doneStatus("1"));
             assertTrue(client.message().endsWith("r1"));
             String sent = call.message();
-            int at = sent.indexOf("Req-Deadline-Ms: ") + 17;
-            int remainingMs = Integer.parseInt(sent.substring(at, sent.indexOf('\r', at)));
+            int valueStart = sent.indexOf("Req-Deadline-Ms: ") + 17;
+            int remainingMs = Integer.parseInt(sent.substring(valueStart, sent.indexOf('\r', valueStart)));
             long passedMs = (System.nanoTime() - sentAt) / 1_000_000;
             assertTrue(
                     remainingMs <= 2000 - waitedMs && remainingMs >= 2000 - passedMs - 100,
@@ -363,8 +363,8 @@
         try (Stand stand = new Stand(null, endpoint);
                 Socket socket = new Socket()) {
             socket.setReceiveBufferSize(2048);
-            InetSocketAddress at = stand.serve.front().address();
-            socket.connect(at);
+            InetSocketAddress address = stand.serve.front().address();
+            socket.connect(address);
             socket.getOutputStream().write(captureRequest("1").getBytes());
             Peer call = endpoint.accept();
             call.message();
--- a/src/test/java/laneflow/http/DiscoveryStoryTest.java
+++ b/src/test/java/laneflow/http/DiscoveryStoryTest.java
@@ -230,20 +230,20 @@
         Endpoint last = new Endpoint("d3");
         Endpoint endpoint1 = new Endpoint("e1");
         try (Stand stand = new Stand(discovery, endpoint1)) {
-            Peer old = acceptWatch(discovery, "1");
-            old.write(HEAD + chunk("\n"));
+            Peer formerWatch = acceptWatch(discovery, "1");
+            formerWatch.write(HEAD + chunk("\n"));
             unreachable.crowd();
             move(stand, unreachable);
             stand.await("discovery.moves", 1);
-            old.write(chunk(Stand.list(2, false, endpoint1.host("Ready"))));
+            formerWatch.write(chunk(Stand.list(2, false, endpoint1.host("Ready"))));
             stand.await("discovery.lists", 1);
             move(stand, last);
             Peer current = acceptWatch(last, "0");
-            old.write(chunk(Stand.list(3, false, endpoint1.host("Ready"))));
+            formerWatch.write(chunk(Stand.list(3, false, endpoint1.host("Ready"))));
             stand.await("discovery.lists", 2);
             current.write(HEAD + chunk(Stand.list(1, true, endpoint1.host("Ready"))));
             stand.await("discovery.lists", 3);
-            assertTrue(old.ended());
+            assertTrue(formerWatch.ended());
             assertEquals(2, stand.counter("discovery.moves"));
         }
     }
@@ -258,24 +258,24 @@
         Endpoint endpoint1 = new Endpoint("e1");
         Endpoint last = new Endpoint("d5");
         try (Stand stand = new Stand(discovery, endpoint1)) {
-            Peer old = acceptWatch(discovery, "1");
-            old.write(HEAD + chunk("\n"));
+            Peer formerWatch = acceptWatch(discovery, "1");
+            formerWatch.write(HEAD + chunk("\n"));
             List<Endpoint> intermediate = List.of(new Endpoint("d2"), new Endpoint("d3"), new Endpoint("d4"));
-            for (Endpoint address : intermediate) {
-                move(stand, address);
-                acceptWatch(address, "0");
+            for (Endpoint intermediateAddress : intermediate) {
+                move(stand, intermediateAddress);
+                acceptWatch(intermediateAddress, "0");
             }
             move(stand, last);
             Peer current = acceptWatch(last, "0");
-            old.write(chunk(Stand.list(2, false, endpoint1.host("Terminating"))));
+            formerWatch.write(chunk(Stand.list(2, false, endpoint1.host("Terminating"))));
             stand.await("discovery.lists", 1);
             current.write(HEAD + chunk(Stand.list(1, true, endpoint1.host("Ready"))));
             stand.await("discovery.lists", 2);
-            assertTrue(old.ended());
+            assertTrue(formerWatch.ended());
             assertEquals(4, stand.counter("discovery.moves"));
             assertServedAt(endpoint1, stand);
-            for (Endpoint address : intermediate) {
-                address.close();
+            for (Endpoint intermediateAddress : intermediate) {
+                intermediateAddress.close();
             }
         }
     }
--- a/src/test/java/laneflow/http/EndpointRaceTest.java
+++ b/src/test/java/laneflow/http/EndpointRaceTest.java
@@ -307,8 +307,8 @@
     }
 
     private static long deadlineMs(String message) {
-        int at = message.indexOf("Req-Deadline-Ms: ") + 17;
-        return Long.parseLong(message.substring(at, message.indexOf('\r', at)));
+        int valueStart = message.indexOf("Req-Deadline-Ms: ") + 17;
+        return Long.parseLong(message.substring(valueStart, message.indexOf('\r', valueStart)));
     }
 
     @RepeatedTest(REPEATS)
--- a/src/test/java/laneflow/http/HttpStoryTest.java
+++ b/src/test/java/laneflow/http/HttpStoryTest.java
@@ -279,7 +279,7 @@
             // An empty line after a message does not begin another.
             idle.write("\r\n");
             partial.write("GET /hea");
-            long from = System.nanoTime();
+            long startedAt = System.nanoTime();
             Thread slowWriter = new Thread(() -> {
                 try {
                     for (slow.write("POST / HTTP/1.1\r\n"); true; Thread.sleep(100)) {
@@ -293,7 +293,7 @@
             assertTrue(silent.ended());
             assertTrue(slow.message().startsWith("HTTP/1.1 408 "));
             assertTrue(partial.message().startsWith("HTTP/1.1 408 "));
-            assertTrue(System.nanoTime() - from < 3_000_000_000L);
+            assertTrue(System.nanoTime() - startedAt < 3_000_000_000L);
             assertTrue(
                     idle.write("GET /health/ready HTTP/1.1\r\n\r\n").message().endsWith("ok\n"));
             slowWriter.interrupt();
@@ -429,13 +429,13 @@
         Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = new Stand(null, endpoint);
                 Peer client = stand.http()) {
-            long from = System.nanoTime();
+            long startedAt = System.nanoTime();
             client.post("card-capture", "1", "Req-Deadline-Ms: 300\r\n", "");
             Peer call = endpoint.accept();
             assertTrue(call.message().contains("Req-Deadline-Ms: "));
             assertTrue(client.message().startsWith("HTTP/1.1 500 "));
             // The class's deadline is 6 s; how close to the request's 0.3 s depends on the machine.
-            assertTrue(System.nanoTime() - from < 3_000_000_000L);
+            assertTrue(System.nanoTime() - startedAt < 3_000_000_000L);
             assertTrue(call.ended());
         }
     }
@@ -478,8 +478,8 @@
         Path file = folder.resolve("config.json");
         try (Stand stand = new Stand(first, endpoint1);
                 Peer client = stand.http()) {
-            Peer old = first.accept();
-            old.readTo("\r\n\r\n");
+            Peer formerWatch = first.accept();
+            formerWatch.readTo("\r\n\r\n");
             client.post("card-capture", "1", "", "pay");
             Peer call = endpoint1.accept();
             call.message();
@@ -491,7 +491,7 @@
             reload(stand, Files.writeString(file, Stand.config(second.dial())));
             Peer silent = second.accept();
             assertTrue(silent.readTo("\r\n\r\n").contains("after=0 "));
-            old.write(Stand.watching(Stand.list(8, false, endpoint1.host("Terminating"))));
+            formerWatch.write(Stand.watching(Stand.list(8, false, endpoint1.host("Terminating"))));
             stand.await("discovery.lists", 1);
             // Moved again before the second has answered: only the latest counts, and the first is still read.
             reload(stand, Files.writeString(file, Stand.config(third.dial())));
@@ -501,7 +501,7 @@
             // A lower sequence number: each address counts by itself.
             current.write(Stand.watching(Stand.list(3, true, endpoint1.host("Ready"))));
             stand.await("discovery.lists", 2);
-            assertTrue(old.ended());
+            assertTrue(formerWatch.ended());
             call.says("{'id':'1','state':'done','result':'paid'}");
             assertTrue(client.message().endsWith("paid"));
             client.post("basket-check", "2", "", "");
@@ -603,7 +603,7 @@
             Peer call = endpoint.accept();
             call.message();
             // As if clients of another scheduler had just been taken over, which have no other scheduler yet.
-            long from = System.nanoTime();
+            long startedAt = System.nanoTime();
             Thread stop = new Thread(() -> stand.serve.stop(() -> true));
             stop.start();
             // New connections are still accepted, and open ones served.
@@ -615,7 +615,7 @@
                 String answer = client.message();
                 assertTrue(answer.endsWith("paid") && !answer.contains("Connection: close"), answer);
                 // Then idle clients are closed, and all answers are sent before the process may be killed.
-                while (System.nanoTime() - from < 800_000_000L) {
+                while (System.nanoTime() - startedAt < 800_000_000L) {
                     late.write("GET /health/live HTTP/1.1\r\n\r\n").message();
                 }
                 client.post("basket-check", "2", "", "");
@@ -624,7 +624,7 @@
                 assertTrue(idle.ended());
                 answer = client.message();
                 assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("Connection: close"), answer);
-                assertTrue(System.nanoTime() - from < 3_700_000_000L);
+                assertTrue(System.nanoTime() - startedAt < 3_700_000_000L);
             }
             stop.join(5000);
             assertFalse(stop.isAlive());
@@ -636,10 +636,10 @@
         try (Stand stand = new Stand(null);
                 Peer idle = stand.http()) {
             idle.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
-            long from = System.nanoTime();
+            long startedAt = System.nanoTime();
             new Thread(stand.serve::stop).start();
             assertTrue(idle.ended());
-            assertTrue(System.nanoTime() - from < 1_500_000_000L);
+            assertTrue(System.nanoTime() - startedAt < 1_500_000_000L);
         }
     }
 
@@ -688,18 +688,18 @@
         try (Stand stand =
                 Stand.changed("'tick':0.005", "'tick':0.005,'discovery':'ask'", discovery, new Endpoint("e1"))) {
             long startedAt = System.nanoTime();
-            List<Long> waits = new java.util.ArrayList<>();
+            List<Long> waitsMs = new java.util.ArrayList<>();
             for (int i = 0; i < 5; i++) {
                 Peer watch = discovery.accept();
                 watch.readTo("\r\n\r\n");
-                waits.add((System.nanoTime() - startedAt) / 1_000_000);
+                waitsMs.add((System.nanoTime() - startedAt) / 1_000_000);
                 startedAt = System.nanoTime();
                 watch.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
                 watch.close();
             }
             // 0.2, 0.4, 0.8 and 1.6 s, each multiplied by 0.5 to 1.5.
             for (int i = 1; i < 5; i++) {
-                assertTrue(waits.get(i) >= 95L << i - 1 && waits.get(i) < (100L << i - 1) * 3 + 1000, "" + waits);
+                assertTrue(waitsMs.get(i) >= 95L << i - 1 && waitsMs.get(i) < (100L << i - 1) * 3 + 1000, "" + waitsMs);
             }
             // After a list has arrived, a broken watch is replaced without a long wait.
             Peer watch = discovery.accept();
--- a/src/test/java/laneflow/http/PlannedEndStoryTest.java
+++ b/src/test/java/laneflow/http/PlannedEndStoryTest.java
@@ -49,7 +49,7 @@
     }
 
     private static Thread startServer(Endpoint endpoint) {
-        Thread accepting = new Thread(() -> {
+        Thread acceptor = new Thread(() -> {
             while (true) {
                 Peer call;
                 try {
@@ -61,8 +61,8 @@
                             try {
                                 while (true) {
                                     String sent = call.message();
-                                    int at = sent.indexOf("Req-Id: ") + 8;
-                                    call.says("{'id':'" + sent.substring(at, sent.indexOf('\r', at))
+                                    int idStart = sent.indexOf("Req-Id: ") + 8;
+                                    call.says("{'id':'" + sent.substring(idStart, sent.indexOf('\r', idStart))
                                             + "','state':'done','result':'ok'}");
                                 }
                             } catch (IOException e) {
@@ -72,8 +72,8 @@
                         .start();
             }
         });
-        accepting.start();
-        return accepting;
+        acceptor.start();
+        return acceptor;
     }
 
     @Test
--- a/src/test/java/laneflow/transcripts/HttpTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/HttpTranscriptsTest.java
@@ -14,8 +14,8 @@
     }
 
     /** Accepts the next connection; two endpoints that share an address are told apart by the order of their calls. */
-    private static RecordedPeer call(Transcript transcript, String name, Endpoint at) throws IOException {
-        return new RecordedPeer(transcript, name, at.accept());
+    private static RecordedPeer call(Transcript transcript, String name, Endpoint endpoint) throws IOException {
+        return new RecordedPeer(transcript, name, endpoint.accept());
     }
 
     @Test
