--- a/src/main/java/laneflow/http/Config.java
+++ b/src/main/java/laneflow/http/Config.java
@@ -16,90 +16,91 @@
 import laneflow.wire.SettingsReader;
 import laneflow.wire.WireException;
 
-/** What a scheduler is told at its start, and lists in discovery's form. */
+/** A scheduler's start-up configuration, and endpoint lists in discovery's format. */
 public final class Config {
-    private static final int SOCKETS = 1024;
-    private static final double CONN_IDLE = 10;
+    private static final int DEFAULT_MAX_SOCKETS = 1024;
+    private static final double DEFAULT_IDLE_CONNECTION_SECONDS = 10;
 
-    /** The scheduler's name, the same after a restart. */
+    /** The scheduler's name, stable across restarts. */
     public final String name;
 
     public final String listen;
-    /** The second address, where on-call staff call in; null where there is none. */
-    public final String ops;
-    /** Discovery's address, or null where there is none. */
-    public final String discovery;
+    /** Address of the operations port, or null for none. */
+    public final String opsAddress;
+    /** Address of discovery, or null for none. */
+    public final String discoveryAddress;
 
     public final long seed;
-    public final int sockets;
+    public final int maxSockets;
     public final Settings settings;
     public final String[] classNames;
-    public final double connIdle;
-    /** The destination set last held. */
-    public final Listing known;
+    public final double idleConnectionSeconds;
+    /** The endpoint list known at start-up. */
+    public final Listing lastKnown;
 
     public final List<String> zones;
-    private final List<String> kinds;
+    private final List<String> endpointKinds;
 
-    /** A list in discovery's form. */
+    /** A list of endpoints, complete or with changes only, in discovery's format. */
     public static final class Listing {
         public long seq;
-        public boolean whole;
+        public boolean complete;
         public final List<Entry> entries = new ArrayList<>();
     }
 
     private Config(JsonObject root) throws WireException {
-        JsonObject from = root.getAsJsonObject("settings");
-        if (from == null) {
-            throw new WireException("the configuration holds no settings");
+        JsonObject settingsJson = root.getAsJsonObject("settings");
+        if (settingsJson == null) {
+            throw new WireException("the configuration has no object 'settings'");
         }
-        settings = SettingsReader.read(from.toString()).settings;
-        zones = strings(from.get("areas"));
-        kinds = strings(from.get("shapes"));
-        JsonArray classes = from.getAsJsonArray("classes");
+        settings = SettingsReader.read(settingsJson.toString()).settings;
+        zones = stringList(settingsJson.get("areas"));
+        endpointKinds = stringList(settingsJson.get("shapes"));
+        JsonArray classes = settingsJson.getAsJsonArray("classes");
         classNames = new String[classes.size()];
         for (int i = 0; i < classNames.length; i++) {
-            classNames[i] = text(classes.get(i).getAsJsonObject(), "name", String.valueOf(i));
+            classNames[i] = stringOr(classes.get(i).getAsJsonObject(), "name", String.valueOf(i));
         }
-        JsonObject limits = from.has("limits") ? from.getAsJsonObject("limits") : new JsonObject();
-        connIdle = limits.has("connIdle") ? limits.get("connIdle").getAsDouble() : CONN_IDLE;
-        name = text(root, "name", "");
-        listen = text(root, "listen", null);
-        ops = text(root, "ops", null);
-        discovery = text(root, "discovery", null);
-        seed = seed(text(root, "seed", "0"));
-        JsonObject own = root.has("limits") ? root.getAsJsonObject("limits") : new JsonObject();
-        sockets = own.has("sockets") ? own.get("sockets").getAsInt() : SOCKETS;
-        known = root.has("known") && root.get("known").isJsonObject()
-                ? listing(root.getAsJsonObject("known"))
+        JsonObject limits = settingsJson.has("limits") ? settingsJson.getAsJsonObject("limits") : new JsonObject();
+        idleConnectionSeconds =
+                limits.has("connIdle") ? limits.get("connIdle").getAsDouble() : DEFAULT_IDLE_CONNECTION_SECONDS;
+        name = stringOr(root, "name", "");
+        listen = stringOr(root, "listen", null);
+        opsAddress = stringOr(root, "ops", null);
+        discoveryAddress = stringOr(root, "discovery", null);
+        seed = parseSeed(stringOr(root, "seed", "0"));
+        JsonObject processLimits = root.has("limits") ? root.getAsJsonObject("limits") : new JsonObject();
+        maxSockets = processLimits.has("sockets") ? processLimits.get("sockets").getAsInt() : DEFAULT_MAX_SOCKETS;
+        lastKnown = root.has("known") && root.get("known").isJsonObject()
+                ? parseListing(root.getAsJsonObject("known"))
                 : new Listing();
     }
 
-    /** Reads the file; a destination set beside it, unless null, stands in for discovery. */
+    /** Reads the file; a destination set, unless null, replaces discovery. */
     public static Config read(Path file, Path destinations) throws IOException, WireException {
-        JsonObject root = object(file);
+        JsonObject root = readJson(file);
         if (destinations != null) {
-            fixDestinations(root, destinations);
+            setDestinations(root, destinations);
         }
         return parse(root.toString());
     }
 
-    /** The file's object, as it stands. */
-    public static JsonObject object(Path file) throws IOException, WireException {
-        return object(Files.readString(file), "the configuration");
+    /** Reads the file as a JSON object, without interpreting it. */
+    public static JsonObject readJson(Path file) throws IOException, WireException {
+        return parseObject(Files.readString(file), "the configuration");
     }
 
-    /** Puts a destination set in place of discovery. */
-    public static void fixDestinations(JsonObject root, Path destinations) throws IOException, WireException {
-        root.add("known", object(Files.readString(destinations), destinations.toString()));
+    /** Replaces discovery in a configuration by the destination set of a file. */
+    public static void setDestinations(JsonObject root, Path destinations) throws IOException, WireException {
+        root.add("known", parseObject(Files.readString(destinations), destinations.toString()));
         root.remove("discovery");
     }
 
-    private static JsonObject object(String text, String what) throws WireException {
+    private static JsonObject parseObject(String text, String description) throws WireException {
         try {
             return JsonParser.parseString(text).getAsJsonObject();
         } catch (JsonParseException | IllegalStateException e) {
-            throw new WireException(what + " can't be read: " + e.getMessage());
+            throw new WireException(description + " is not a JSON object: " + e.getMessage());
         }
     }
 
@@ -112,66 +113,66 @@
                 | NumberFormatException
                 | UnsupportedOperationException
                 | NullPointerException e) {
-            throw new WireException("the configuration can't be read: " + e.getMessage());
+            throw new WireException("invalid configuration: " + e.getMessage());
         }
     }
 
-    /** Reads one list or one line of changes. */
-    public Listing listing(String text) throws WireException {
+    /** Parses a list, complete or with changes only. */
+    public Listing parseListing(String text) throws WireException {
         try {
-            return listing(JsonParser.parseString(text).getAsJsonObject());
+            return parseListing(JsonParser.parseString(text).getAsJsonObject());
         } catch (JsonParseException
                 | IllegalStateException
                 | ClassCastException
                 | NumberFormatException
                 | UnsupportedOperationException
                 | NullPointerException e) {
-            throw new WireException("a list can't be read: " + e.getMessage());
+            throw new WireException("invalid endpoint list: " + e.getMessage());
         }
     }
 
-    private Listing listing(JsonObject from) throws WireException {
+    private Listing parseListing(JsonObject json) throws WireException {
         Listing listing = new Listing();
-        listing.seq = from.has("seq") ? from.get("seq").getAsLong() : 0;
-        listing.whole = from.has("whole") && from.get("whole").getAsBoolean();
-        if (from.has("hosts")) {
-            for (JsonElement host : from.getAsJsonArray("hosts")) {
-                listing.entries.add(entry(host.getAsJsonObject()));
+        listing.seq = json.has("seq") ? json.get("seq").getAsLong() : 0;
+        listing.complete = json.has("whole") && json.get("whole").getAsBoolean();
+        if (json.has("hosts")) {
+            for (JsonElement host : json.getAsJsonArray("hosts")) {
+                listing.entries.add(parseEntry(host.getAsJsonObject()));
             }
         }
         return listing;
     }
 
-    private Entry entry(JsonObject from) throws WireException {
+    private Entry parseEntry(JsonObject json) throws WireException {
         Entry entry = new Entry();
-        entry.name = text(from, "host", null);
+        entry.name = stringOr(json, "host", null);
         if (entry.name == null) {
-            throw new WireException("a host without a name");
+            throw new WireException("host without a name");
         }
-        entry.dial = text(from, "dial", "");
-        entry.zone = from.has("site") ? index(zones, from.get("site")) : settings.zone;
-        entry.kind = index(kinds, from.get("class"));
-        entry.cell = from.has("block") ? from.get("block").getAsInt() : 0;
-        entry.weight = from.has("share") ? from.get("share").getAsDouble() : 1;
-        entry.startedAt = from.has("born_ms") ? (long) (from.get("born_ms").getAsDouble() * 1000) : 0;
-        entry.state = state(text(from, "health", "Ready"));
+        entry.dial = stringOr(json, "dial", "");
+        entry.zone = json.has("site") ? indexOf(zones, json.get("site")) : settings.zone;
+        entry.kind = indexOf(endpointKinds, json.get("class"));
+        entry.cell = json.has("block") ? json.get("block").getAsInt() : 0;
+        entry.weight = json.has("share") ? json.get("share").getAsDouble() : 1;
+        entry.startedAt = json.has("born_ms") ? (long) (json.get("born_ms").getAsDouble() * 1000) : 0;
+        entry.state = parseState(stringOr(json, "health", "Ready"));
         return entry;
     }
 
-    private static State state(String word) {
-        // A state this build has not heard of is no leave to send: it is read as one that drains.
-        return word.equals("Ready") ? State.READY : word.equals("Gone") ? State.GONE : State.DRAINING;
+    private static State parseState(String health) {
+        // No requests are sent to an endpoint in an unknown state: it counts as draining.
+        return health.equals("Ready") ? State.READY : health.equals("Gone") ? State.GONE : State.DRAINING;
     }
 
-    private static int index(List<String> names, JsonElement value) {
+    private static int indexOf(List<String> names, JsonElement value) {
         if (value == null || value.isJsonNull()) {
             return 0;
         }
-        int found = names.indexOf(value.getAsString());
-        return found >= 0 ? found : value.getAsJsonPrimitive().isNumber() ? value.getAsInt() : -1;
+        int index = names.indexOf(value.getAsString());
+        return index >= 0 ? index : value.getAsJsonPrimitive().isNumber() ? value.getAsInt() : -1;
     }
 
-    private static long seed(String text) {
+    private static long parseSeed(String text) {
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
@@ -179,15 +180,15 @@
         }
     }
 
-    private static List<String> strings(JsonElement from) {
-        List<String> all = new ArrayList<>();
-        if (from != null && from.isJsonArray()) {
-            from.getAsJsonArray().forEach(e -> all.add(e.getAsString()));
+    private static List<String> stringList(JsonElement json) {
+        List<String> list = new ArrayList<>();
+        if (json != null && json.isJsonArray()) {
+            json.getAsJsonArray().forEach(e -> list.add(e.getAsString()));
         }
-        return all;
+        return list;
     }
 
-    private static String text(JsonObject from, String key, String absent) {
-        return from.has(key) && !from.get(key).isJsonNull() ? from.get(key).getAsString() : absent;
+    private static String stringOr(JsonObject json, String key, String defaultValue) {
+        return json.has(key) && !json.get(key).isJsonNull() ? json.get(key).getAsString() : defaultValue;
     }
 }
--- a/src/main/java/laneflow/http/DiscoveryWatch.java
+++ b/src/main/java/laneflow/http/DiscoveryWatch.java
@@ -13,44 +13,45 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Watches discovery's list: one watch at a time, begun anew when it ends, falls silent or makes no sense.
- * When discovery moves, the former watch is still heard until the new address has spoken.
+ * Watches discovery's endpoint list. One watch is open at a time; a new one is started when it ends, falls
+ * silent or sends malformed data. When discovery moves, the watch at the former address is still read until the
+ * new address has sent a list.
  *
- * <p>What a silent watch misses counts as told 6 s after it fell silent at the latest, and at once where an
- * agent on this machine holds it. So silence is noticed half a second behind the beat that is missing, the
- * next watch begins in the same turn, and drains in its first word count from the last sign of life.
+ * <p>A change that a silent watch misses counts as announced at the latest 6 s after the watch fell silent, and
+ * at once where an agent on this machine has it. Silence is therefore detected half a second after a missing
+ * heartbeat, the next watch starts in the same turn of the loop, and drains in its first list count from the
+ * last sign of life.
  */
 public final class DiscoveryWatch {
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryWatch.class);
-    private static final int RING = 256 * 1024;
-    private static final int MOST_LIST = 4 << 20;
-    /** An empty line comes every 2 s: that one is missing is silence, half a second behind its time. */
-    static final long SILENCE = 2_500_000;
+    private static final int RING_BYTES = 256 * 1024;
+    private static final int MAX_LIST_BYTES = 4 << 20;
+    /** Heartbeats (empty lines) come every 2 s; a watch is silent half a second after one is missing. */
+    static final long SILENCE_TIMEOUT_US = 2_500_000;
     /**
-     * A watch begun behind one that has fallen silent owes what that one missed. An agent on this machine begins its
-     * answer at once: where it has not by then, that watch may be silent too, and a further one is begun beside it,
-     * while 6 s behind the first one's last word are not over, even if both connections come up late.
+     * Time-out for the head of a watch that follows a silent one and must deliver what that one missed. An agent on
+     * this machine answers at once; if it has not by then, this watch may be silent too, and a third one is started
+     * within 6 s after the first one's last sign of life, even if both connections are slow to open.
      */
-    static final long HEAD_SOON = 1_000_000;
-    /** Where lists are asked for, a call may wait for its turn at discovery: so long, for its head. */
-    static final long TURN = 4_500_000;
+    static final long HEAD_TIMEOUT_AFTER_SILENCE_US = 1_000_000;
+    /** Time-out for the head from a shared discovery service, where a watch may be queued. */
+    static final long SHARED_SERVICE_HEAD_TIMEOUT_US = 4_500_000;
     /**
-     * An agent on this machine answers at once, or has nothing: so long a start waits for its word before it
-     * asks for clients, since what the agent holds counts as told from the process's first moment.
+     * Time for which start-up waits for an agent's first list before the process reports ready: what the agent has
+     * counts as announced from the process's start. An agent on this machine answers at once, or has no list.
      */
-    private static final long FIRST_WORD = 300_000;
-    /** The agent is on this machine: a connection that is not up within that time never will be. */
-    static final long CONNECT = 1_000_000;
+    private static final long STARTUP_WAIT_US = 300_000;
+    /** Connect time-out: a connection to the agent on this machine opens within this time, or never. */
+    static final long CONNECT_TIMEOUT_US = 1_000_000;
     /**
-     * The wait before the next watch: doubled with each one that tells nothing, and half to one and a half
-     * times as long by chance. When many schedulers start at one moment, or discovery is short of room, they
-     * must not come back all at once, nor again and again.
+     * Wait before the next watch, doubled after each watch that received nothing, and multiplied by a random factor
+     * from 0.5 to 1.5. Schedulers that start together, or find discovery overloaded, must not retry all at once.
      */
-    private static final long AGAIN = 200_000;
-    /** With the time for a connection it stays well within the 6 s after which news counts as told. */
-    private static final long LONGEST_AGAIN = 1_600_000;
-    /** What an agent on this machine gets counts at once, and asking it costs nothing. */
-    private static final long LONGEST_AGAIN_AT_AGENT = AGAIN;
+    private static final long FIRST_BACKOFF_US = 200_000;
+    /** With the connect time-out this stays well below the 6 s after which changes count as announced. */
+    private static final long MAX_BACKOFF_US = 1_600_000;
+    /** Shorter for an agent on this machine: its changes count at once, and connecting to it costs little. */
+    private static final long MAX_AGENT_BACKOFF_US = FIRST_BACKOFF_US;
 
     private final Loop loop;
     private final Scheduler scheduler;
@@ -58,227 +59,235 @@
     private final Config config;
     private final Deadline timer;
     private final SplittableRandom random;
-    /** Lists are asked for at a service that all schedulers share, not at an agent on this machine. */
-    private final boolean asked;
-    /** Watches in a row that have told nothing. */
-    private int vain;
+    /** Lists come from a service that all schedulers share, not from an agent on this machine. */
+    private final boolean sharedService;
+    /** Consecutive watches that received nothing. */
+    private int emptyWatches;
 
     private String address;
-    /** The list's version as this address counts; another may count differently. */
+    /** Sequence number of the last list; each address counts by itself. */
     private long seq;
 
     private Watch current;
-    /** The watch at the address before, until the present one has spoken; else null. */
-    private Watch former;
-    /** The watch that fell silent at this address, heard until the present one has asked; else null. */
-    private Watch silent;
+    /** The watch at the former address, until the current one has received a list; else null. */
+    private Watch formerWatch;
+    /** A watch at this address that fell silent, read until the current one has sent its request; else null. */
+    private Watch silentWatch;
 
-    private final ToldSince toldSince = new ToldSince();
-    /** From then on clients may be asked for. */
-    private long lookedAt = Long.MAX_VALUE;
+    private final AnnouncementTimes announcementTimes = new AnnouncementTimes();
+    /** When the wait at start-up ends. */
+    private long startupWaitEnd = Long.MAX_VALUE;
 
     public DiscoveryWatch(Loop loop, Scheduler scheduler, Connector connector, Config config) {
         this.loop = loop;
         this.scheduler = scheduler;
         this.connector = connector;
         this.config = config;
-        address = config.discovery;
-        seq = config.known.seq;
+        address = config.discoveryAddress;
+        seq = config.lastKnown.seq;
         random = new SplittableRandom(config.seed);
-        asked = config.settings.listNeedsSubscription;
-        timer = loop.deadlines().create(this::due);
+        sharedService = config.settings.listNeedsSubscription;
+        timer = loop.deadlines().create(this::onTimer);
     }
 
-    /** True once it has spoken, or would have if there were anything to hear: clients may be asked for. */
-    public boolean hasLooked() {
-        return asked || loop.micros() >= lookedAt;
+    /** True once discovery has sent something, or has had the time to: the process may report ready. */
+    public boolean isStartupWaitOver() {
+        return sharedService || loop.micros() >= startupWaitEnd;
     }
 
-    private void looked(long at) {
-        lookedAt = Math.min(lookedAt, at);
+    private void endStartupWait(long instant) {
+        startupWaitEnd = Math.min(startupWaitEnd, instant);
     }
 
-    private void due() {
+    private void onTimer() {
         if (current.link.isClosed()) {
-            begin();
+            startWatch();
         } else {
-            current.late();
+            current.onTimeout();
         }
     }
 
-    /** The wait before the next watch. */
-    private long pause() {
-        if (!asked && vain == 0 && loop.micros() - current.begunAt > SILENCE) {
-            // It went on for a while and broke: what its agent holds counts whether or not one listens.
+    /** The wait before the next watch, in microseconds. */
+    private long nextBackoff() {
+        if (!sharedService && emptyWatches == 0 && loop.micros() - current.startedAt > SILENCE_TIMEOUT_US) {
+            // The watch worked for a while and broke. The agent's changes count even while no watch is open.
             return 0;
         }
-        return backOff(asked, vain++, random.nextDouble());
+        return backoff(sharedService, emptyWatches++, random.nextDouble());
     }
 
     /**
-     * How long to wait, in microseconds, after so many watches in a row that told nothing.
+     * The wait, in microseconds, after a number of consecutive watches that received nothing.
      *
-     * @param chance from 0 to 1
+     * @param chance random number from 0 to 1
      */
-    static long backOff(boolean asked, int vain, double chance) {
-        long wait = Math.min(asked ? LONGEST_AGAIN : LONGEST_AGAIN_AT_AGENT, AGAIN << Math.min(vain, 10));
-        return (long) (wait * (0.5 + chance));
+    static long backoff(boolean sharedService, int emptyWatches, double chance) {
+        long backoff = Math.min(
+                sharedService ? MAX_BACKOFF_US : MAX_AGENT_BACKOFF_US, FIRST_BACKOFF_US << Math.min(emptyWatches, 10));
+        return (long) (backoff * (0.5 + chance));
     }
 
-    /** Begins a watch, in place of the one there is. */
-    public void begin() {
-        if (current != null && current != former && current != silent) {
+    /** Starts a watch in place of the current one. */
+    public void startWatch() {
+        if (current != null && current != formerWatch && current != silentWatch) {
             current.link.close();
         }
         scheduler.counters().add("discovery.watches");
-        loop.deadlines().set(timer, loop.micros() + CONNECT);
+        loop.deadlines().set(timer, loop.micros() + CONNECT_TIMEOUT_US);
         current = new Watch();
-        current.link = loop.connect(Loop.parseAddress(address), RING, RING, current);
+        current.link = loop.connect(Loop.parseAddress(address), RING_BYTES, RING_BYTES, current);
     }
 
-    /** Discovery is elsewhere now. The new address owes its whole list, whatever the old one told last. */
-    public void follow(String to) {
-        if (to.equals(address)) {
+    /** Moves to a new address of discovery, which must send its complete list, whatever the old one sent. */
+    public void moveTo(String newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
         scheduler.counters().add("discovery.moves");
-        LOG.info("discovery moves from {} to {}", address, to);
-        dropSilent();
-        if (former == null && !current.link.isClosed()) {
-            former = current;
+        LOG.info("discovery moves from {} to {}", address, newAddress);
+        closeSilentWatch();
+        if (formerWatch == null && !current.link.isClosed()) {
+            formerWatch = current;
         }
-        address = to;
+        address = newAddress;
         seq = 0;
-        vain = 0;
-        begin();
+        emptyWatches = 0;
+        startWatch();
     }
 
-    private void dropFormer() {
-        if (former != null) {
-            former.link.close();
-            former = null;
+    private void closeFormerWatch() {
+        if (formerWatch != null) {
+            formerWatch.link.close();
+            formerWatch = null;
         }
     }
 
-    private void dropSilent() {
-        if (silent != null) {
-            silent.link.close();
-            silent = null;
+    private void closeSilentWatch() {
+        if (silentWatch != null) {
+            silentWatch.link.close();
+            silentWatch = null;
         }
     }
 
     /** One connection to discovery. */
-    private final class Watch implements LinkHandler, HttpReader.Sink, JsonFrames.Sink {
+    private final class Watch implements LinkHandler, HttpReader.Sink, JsonObjectSplitter.Sink {
         private final HttpReader reader = new HttpReader(true, this);
-        private final JsonFrames frames = new JsonFrames(MOST_LIST, this);
-        private final long begunAt = loop.micros();
-        private final ToldSince.OfWatch told = toldSince.new OfWatch();
-        private final int vainBefore = vain;
-        private final boolean owesMissedNews = !asked && current != null && current.spoke && current == silent;
+        private final JsonObjectSplitter splitter = new JsonObjectSplitter(MAX_LIST_BYTES, this);
+        private final long startedAt = loop.micros();
+        private final AnnouncementTimes.PerWatch times = announcementTimes.new PerWatch();
+        private final int emptyWatchesBefore = emptyWatches;
+        private final boolean mayHaveMissedChanges =
+                !sharedService && current != null && current.headReceived && current == silentWatch;
         private Link link;
-        private boolean up;
-        /** Its head has come. */
-        private boolean spoke;
+        private boolean connected;
+        /** The response head has arrived. */
+        private boolean headReceived;
 
-        /** It is over: what has been replaced already is not begun again. */
-        private void over() {
+        /** Ends the watch; schedules the next one unless this one has been replaced already. */
+        private void finish() {
             link.close();
             if (this == current) {
-                looked(loop.micros());
-                loop.deadlines().set(timer, loop.micros() + pause());
-            } else if (this == former) {
-                former = null;
-            } else if (this == silent) {
-                silent = null;
+                endStartupWait(loop.micros());
+                loop.deadlines().set(timer, loop.micros() + nextBackoff());
+            } else if (this == formerWatch) {
+                formerWatch = null;
+            } else if (this == silentWatch) {
+                silentWatch = null;
             }
         }
 
-        /** Its time has run out: unless a word lies there unread, the next watch begins. */
-        private void late() {
-            if (up) {
+        /** Handles the time-out: reads pending input, and starts the next watch if there was none. */
+        private void onTimeout() {
+            if (connected) {
                 link.readNow();
             }
             if (timer.isSet()) {
                 return;
             }
-            if (up) {
+            if (connected) {
                 scheduler.counters().add("discovery.silent");
                 LOG.info("discovery at {} is silent", address);
-                // It had its time: waiting on top of it, news would come in unheard. Until the next watch has
-                // asked this one is listened to: what its agent says just now must not go unheard.
-                if (silent == null) {
-                    silent = this;
+                // The next watch starts without a wait, in which changes would be missed. This one is read until
+                // the next has sent its request, for changes that the agent sends at this moment.
+                if (silentWatch == null) {
+                    silentWatch = this;
                 }
-                begin();
+                startWatch();
             } else {
-                over();
+                finish();
             }
         }
 
-        /** No byte extends it but a whole line's last: neither a head nor an object may trickle for ever. */
-        private void within(long micros) {
+        /**
+         * Restarts the time-out of the current watch. Not called on each byte: a head or an object that trickles in
+         * must time out.
+         */
+        private void restartTimer(long timeout) {
             if (this == current) {
-                loop.deadlines().set(timer, loop.micros() + micros);
+                loop.deadlines().set(timer, loop.micros() + timeout);
             }
         }
 
         @Override
-        public void opened(Link opened) {
-            up = true;
-            looked(loop.micros() + FIRST_WORD);
-            within(asked ? TURN : owesMissedNews ? HEAD_SOON : SILENCE);
+        public void opened(Link openedLink) {
+            connected = true;
+            endStartupWait(loop.micros() + STARTUP_WAIT_US);
+            restartTimer(
+                    sharedService
+                            ? SHARED_SERVICE_HEAD_TIMEOUT_US
+                            : mayHaveMissedChanges ? HEAD_TIMEOUT_AFTER_SILENCE_US : SILENCE_TIMEOUT_US);
             String request =
                     "GET /registry/instances?watch=1&after=" + seq + " HTTP/1.1\r\nHost: " + address + "\r\n\r\n";
             link.out.put(request.getBytes(StandardCharsets.US_ASCII));
             link.flush();
             if (this == current) {
-                dropSilent();
+                closeSilentWatch();
             }
         }
 
         @Override
-        public void connectFailed(Link gone) {
-            over();
+        public void connectFailed(Link failedLink) {
+            finish();
         }
 
         @Override
-        public void received(Link from) {
+        public void received(Link source) {
             try {
                 reader.read(link.in);
                 if (reader.isDone()) {
-                    over();
+                    finish();
                 }
             } catch (HttpException e) {
-                LOG.warn("discovery: {}", e.getMessage());
-                over();
+                LOG.warn("discovery watch failed: {}", e.getMessage());
+                finish();
             }
         }
 
         @Override
-        public void disconnected(Link gone) {
-            over();
+        public void disconnected(Link brokenLink) {
+            finish();
         }
 
         @Override
         public void head(HttpHead head) throws HttpException {
             if (head.status() != 200) {
-                throw new HttpException(head.status(), "watch answered " + head.status());
+                throw new HttpException(head.status(), "unexpected status " + head.status());
             }
-            told.head(loop.micros());
-            spoke = true;
-            within(SILENCE);
+            times.head(loop.micros());
+            headReceived = true;
+            restartTimer(SILENCE_TIMEOUT_US);
         }
 
         @Override
         public void body(byte[] bytes) throws HttpException {
             try {
-                frames.take(bytes);
+                splitter.accept(bytes);
             } catch (HttpException e) {
                 if (this == current) {
-                    // Changes that can't be read leave the list held unsure: the whole one is asked for, with
-                    // longer and longer waits where that goes on.
+                    // After unreadable changes the list may be wrong: the complete list is requested, with
+                    // growing waits if that fails too.
                     seq = 0;
-                    vain = vainBefore;
+                    emptyWatches = emptyWatchesBefore;
                 }
                 throw e;
             }
@@ -286,47 +295,47 @@
 
         @Override
         public void end() {
-            // Begun again once the reader has returned.
+            // Handled once the reader has returned.
         }
 
         @Override
-        public void begun() {
-            within(SILENCE);
+        public void objectBegun() {
+            restartTimer(SILENCE_TIMEOUT_US);
         }
 
         @Override
-        public void blank() {
-            speaks();
-            told.blank(loop.micros(), this == current);
+        public void emptyLine() {
+            onSignOfLife();
+            times.emptyLine(loop.micros(), this == current);
         }
 
-        /** A sign of life: the next watch need not wait long. */
-        private void speaks() {
+        /** Handles an object or empty line: resets the backoff and the time-out. */
+        private void onSignOfLife() {
             if (this == current) {
-                vain = 0;
-                looked(loop.micros());
-                within(SILENCE);
+                emptyWatches = 0;
+                endStartupWait(loop.micros());
+                restartTimer(SILENCE_TIMEOUT_US);
             }
         }
 
         @Override
         public void object(String text) throws HttpException {
-            long since = told.since(loop.micros(), this == silent);
-            speaks();
+            long earliest = times.earliest(loop.micros(), this == silentWatch);
+            onSignOfLife();
             try {
-                Config.Listing listing = config.listing(text);
-                told.list(loop.micros(), this == current);
-                if (this == current || this == silent) {
-                    if (!listing.whole && listing.seq <= seq) {
+                Config.Listing listing = config.parseListing(text);
+                times.listRead(loop.micros(), this == current);
+                if (this == current || this == silentWatch) {
+                    if (!listing.complete && listing.seq <= seq) {
                         return;
                     }
                     seq = listing.seq;
-                    dropFormer();
-                } else if (this != former) {
+                    closeFormerWatch();
+                } else if (this != formerWatch) {
                     return;
                 }
                 scheduler.counters().add("discovery.lists");
-                scheduler.list(connector, listing.whole, listing.entries, since);
+                scheduler.list(connector, listing.complete, listing.entries, earliest);
             } catch (WireException e) {
                 throw new HttpException(400, e.getMessage());
             }
--- a/src/main/java/laneflow/http/HttpConnector.java
+++ b/src/main/java/laneflow/http/HttpConnector.java
@@ -11,76 +11,77 @@
 import laneflow.net.Loop;
 
 /**
- * Attempts over HTTP/1.1, one at a time on a connection, and the idle connections to each endpoint.
- * Nothing is ever sent again here: whether a call is repeated is the module's decision.
+ * Sends attempts over HTTP/1.1, one at a time per connection, and pools idle connections to each endpoint.
+ * It never retries by itself: the decision module decides on retries.
  */
 public final class HttpConnector implements Connector {
-    /** Part of the idle limit after which a connection is closed: later that might cross a request. */
-    private static final double IDLE_PART = 0.7;
-    /** Idle connections kept to one endpoint: each takes a little of what it can do. */
-    private static final int MOST_KEPT = 8;
+    /** Share of the endpoints' idle limit after which a connection is closed, before the endpoint closes it. */
+    private static final double IDLE_LIMIT_SHARE = 0.7;
+    /** Idle connections kept per endpoint: each costs the endpoint some of its resources. */
+    private static final int MAX_IDLE_PER_ENDPOINT = 8;
 
     final Loop loop;
     final Scheduler scheduler;
-    final long idleLimit;
-    final long connectTimeout;
-    /** Idle connections to all endpoints, the longest idle first. */
-    private final ArrayDeque<EndpointConnection> idle = new ArrayDeque<>();
+    final long idleLimitMicros;
+    final long connectTimeoutMicros;
+    /** Idle connections to all endpoints, longest idle first. */
+    private final ArrayDeque<EndpointConnection> idleConnections = new ArrayDeque<>();
 
-    /** What a call may hold besides its body. */
-    private static final int HEAD = 16 * 1024;
+    /** Room for a request's head beside its body. */
+    private static final int MAX_HEAD_BYTES = 16 * 1024;
 
-    private int outRing = 128 * 1024;
+    private int outRingBytes = 128 * 1024;
 
-    /** @param idleSeconds after which endpoints close idle connections themselves */
+    /** @param idleSeconds time after which endpoints close idle connections */
     public HttpConnector(Loop loop, Scheduler scheduler, double idleSeconds) {
         this.loop = loop;
         this.scheduler = scheduler;
-        idleLimit = (long) (idleSeconds * IDLE_PART * 1e6);
-        connectTimeout = (long) (scheduler.settings().connectTimeout * 1e6);
+        idleLimitMicros = (long) (idleSeconds * IDLE_LIMIT_SHARE * 1e6);
+        connectTimeoutMicros = (long) (scheduler.settings().connectTimeout * 1e6);
     }
 
-    /** Requests of another front may be longer than this wire's own. */
-    public void mostBody(int bytes) {
-        outRing = Math.max(outRing, Integer.highestOneBit(bytes + HEAD) << 1);
+    /** Makes room for requests of another front whose bodies may be longer than those of the HTTP front. */
+    public void raiseMaxBody(int maxBodyBytes) {
+        outRingBytes = Math.max(outRingBytes, Integer.highestOneBit(maxBodyBytes + MAX_HEAD_BYTES) << 1);
     }
 
-    int outRing() {
-        return outRing;
+    int outRingBytes() {
+        return outRingBytes;
     }
 
     @Override
-    public void open(Attempt call) {
-        take(call.endpoint, !mayRepeat(call)).begin(call);
+    public void open(Attempt attempt) {
+        acquire(attempt.endpoint, !mayRepeat(attempt)).send(attempt);
     }
 
     @Override
-    public boolean close(Attempt call) {
-        // Without a connection it was never opened: its lease had not been written yet.
-        return !(call.attachment instanceof EndpointConnection) || ((EndpointConnection) call.attachment).giveUp(call);
+    public boolean close(Attempt attempt) {
+        // Without a connection the attempt was never opened: its lease had not been written yet.
+        return !(attempt.attachment instanceof EndpointConnection)
+                || ((EndpointConnection) attempt.attachment).cancel(attempt);
     }
 
     @Override
-    public boolean closeUnsent(Attempt call) {
-        return !(call.attachment instanceof EndpointConnection)
-                || ((EndpointConnection) call.attachment).giveUpUnsent(call);
+    public boolean closeUnsent(Attempt attempt) {
+        return !(attempt.attachment instanceof EndpointConnection)
+                || ((EndpointConnection) attempt.attachment).cancelUnsent(attempt);
     }
 
     @Override
     public void probe(Endpoint endpoint) {
-        take(endpoint, false).probe();
+        acquire(endpoint, false).probe();
     }
 
     @Override
     public void closeIdle(Endpoint endpoint) {
-        for (EndpointConnection connection : idleOf(endpoint)) {
-            connection.shut();
+        for (EndpointConnection connection : idleConnectionsOf(endpoint)) {
+            connection.close();
         }
     }
 
-    private List<EndpointConnection> idleOf(Endpoint endpoint) {
+    private List<EndpointConnection> idleConnectionsOf(Endpoint endpoint) {
         List<EndpointConnection> found = new ArrayList<>();
-        for (EndpointConnection connection : idle) {
+        for (EndpointConnection connection : idleConnections) {
             if (connection.endpoint == endpoint) {
                 found.add(connection);
             }
@@ -88,42 +89,46 @@
         return found;
     }
 
-    /** True if the call's job may run twice. */
-    boolean mayRepeat(Attempt call) {
-        return scheduler.settings().classes[call.request.jobClass].effect != Effect.UNSAFE;
+    /** True if the attempt's job may run twice. */
+    boolean mayRepeat(Attempt attempt) {
+        return scheduler.settings().classes[attempt.request.jobClass].effect != Effect.UNSAFE;
     }
 
-    /** The connection to the endpoint used last, or a new one; none that may be stale if so asked. */
-    private EndpointConnection take(Endpoint endpoint, boolean sure) {
-        List<EndpointConnection> found = idleOf(endpoint);
-        // One that leads to where the endpoint no longer is must not be used.
-        for (int i = found.size() - 1; i >= 0; i--) {
-            EndpointConnection connection = found.get(i);
-            if (!connection.dial.equals(endpoint.dial)) {
-                connection.shut();
-            } else if ((!sure || !connection.mayBeStale()) && connection.isSound()) {
-                idle.remove(connection);
+    /**
+     * Returns the most recently used idle connection to the endpoint, or a new one.
+     *
+     * @param freshOnly true to skip connections that the endpoint may have closed meanwhile
+     */
+    private EndpointConnection acquire(Endpoint endpoint, boolean freshOnly) {
+        List<EndpointConnection> candidates = idleConnectionsOf(endpoint);
+        // Connections to a former address of the endpoint are closed.
+        for (int i = candidates.size() - 1; i >= 0; i--) {
+            EndpointConnection connection = candidates.get(i);
+            if (!connection.address.equals(endpoint.dial)) {
+                connection.close();
+            } else if ((!freshOnly || !connection.mayBeStale()) && connection.isUsable()) {
+                idleConnections.remove(connection);
                 return connection;
             }
         }
-        if (!loop.hasRoom() && !idle.isEmpty()) {
-            idle.peek().shut();
+        if (!loop.hasRoom() && !idleConnections.isEmpty()) {
+            idleConnections.peek().close();
         }
         return new EndpointConnection(this, endpoint);
     }
 
-    // ---- from connections ----
+    // ---- called by connections ----
 
-    void keep(EndpointConnection connection) {
-        idle.add(connection);
-        List<EndpointConnection> found = idleOf(connection.endpoint);
-        if (found.size() > MOST_KEPT) {
-            found.get(0).shut();
+    void addIdle(EndpointConnection connection) {
+        idleConnections.add(connection);
+        List<EndpointConnection> kept = idleConnectionsOf(connection.endpoint);
+        if (kept.size() > MAX_IDLE_PER_ENDPOINT) {
+            kept.get(0).close();
         }
     }
 
-    void forget(EndpointConnection connection) {
-        idle.remove(connection);
+    void removeIdle(EndpointConnection connection) {
+        idleConnections.remove(connection);
     }
 
     void count(String name) {
--- a/src/main/java/laneflow/http/HttpFront.java
+++ b/src/main/java/laneflow/http/HttpFront.java
@@ -22,68 +22,74 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The platform's front: clients hand in one request at a time on HTTP/1.1 connections. */
+/** The HTTP/1.1 front: each client connection carries one request at a time. */
 public final class HttpFront implements Front {
     private static final Logger LOG = LoggerFactory.getLogger(HttpFront.class);
-    /** The longest body taken, bytes. */
-    public static final int MOST_BODY = 64 * 1024;
-    /** Room for a whole message behind one that is at work. */
-    private static final int IN_RING = 128 * 1024;
+    /** Longest request body. */
+    public static final int MAX_BODY_BYTES = 64 * 1024;
+    /** Room for a complete message while the one before it is being processed. */
+    private static final int IN_RING_BYTES = 128 * 1024;
 
-    private static final int OUT_RING = 1 << 20;
+    private static final int OUT_RING_BYTES = 1 << 20;
 
     final Loop loop;
     private final Scheduler scheduler;
-    private final JobReader jobs;
-    private final SlotTable<Client> clients = new SlotTable<>();
-    /** The ids of open requests: one that comes again must not become a second call. */
-    private final Set<String> open = new HashSet<>();
+    private final JobReader jobReader;
+    private final SlotTable<ClientConnection> clients = new SlotTable<>();
+    /** Ids of open requests: a request with an id that is open is rejected, not sent a second time. */
+    private final Set<String> openRequestIds = new HashSet<>();
 
-    private BooleanSupplier ready = () -> true;
+    private BooleanSupplier readiness = () -> true;
     private Loop.Listener listener;
     private final String[] classNames;
     private final Map<String, Supplier<String>> reports = new HashMap<>();
-    /** Null where durable jobs are off. */
-    private KeptJobs kept;
+    /** Null if durable jobs are disabled. */
+    private DurableJobHandler durableJobs;
 
-    private IntFunction<String> versions;
-    private boolean draining;
-    private boolean refusing;
-    private long came;
+    private IntFunction<String> versionHeaders;
+    private boolean closingAfterResponses;
+    private boolean refusingNewRequests;
+    private long acceptedClients;
 
-    /** A front for these classes, in the settings' order. */
+    /** @param classNames names of the job classes, in the settings' order */
     public HttpFront(Loop loop, Scheduler scheduler, String[] classNames) {
         this.loop = loop;
         this.scheduler = scheduler;
         this.classNames = classNames;
-        jobs = new JobReader(classNames, scheduler.settings());
+        jobReader = new JobReader(classNames, scheduler.settings());
     }
 
-    /** Until this holds no clients are asked for. */
-    public void readyWhen(BooleanSupplier condition) {
-        ready = condition;
+    /** Sets the condition for which {@code /health/ready} answers 200. */
+    public void setReadiness(BooleanSupplier condition) {
+        readiness = condition;
     }
 
-    /** Whether clients may be asked for. */
+    /** Whether {@code /health/ready} answers 200. */
     public boolean isReady() {
-        return ready.getAsBoolean();
+        return readiness.getAsBoolean();
     }
 
-    public void listen(InetSocketAddress at) throws IOException {
-        listener = loop.listen(at, IN_RING, OUT_RING, this::makeRoom, () -> new Client(this, ++came));
-        // Not before it is known here: a client that is heard at once would find no listener.
+    public void listen(InetSocketAddress address) throws IOException {
+        listener = loop.listen(
+                address,
+                IN_RING_BYTES,
+                OUT_RING_BYTES,
+                this::makeRoom,
+                () -> new ClientConnection(this, ++acceptedClients));
+        // Only after the field is set: the first client may arrive at once and needs it.
         listener.begin();
         LOG.info("clients at {}", listener.address());
     }
 
-    /** Takes clients from the listening socket that was passed to this process, once told to. */
-    public void listenPassed() throws IOException {
-        listener = loop.listenPassed(IN_RING, OUT_RING, this::makeRoom, () -> new Client(this, ++came));
+    /** Uses the listening socket passed to this process; accepts only after {@link #setAccepting}. */
+    public void listenOnPassedSocket() throws IOException {
+        listener = loop.listenPassed(
+                IN_RING_BYTES, OUT_RING_BYTES, this::makeRoom, () -> new ClientConnection(this, ++acceptedClients));
         LOG.info("clients at {}, a socket that was passed", listener.address());
     }
 
-    /** Takes clients from a socket that was passed, or leaves them to other processes. */
-    public void accept(boolean on) {
+    /** Accepts clients from the passed socket, or leaves them to other processes that hold it. */
+    public void setAccepting(boolean on) {
         if (on) {
             listener.begin();
         } else {
@@ -96,81 +102,83 @@
     }
 
     /**
-     * Neither idle nor bad clients must keep others out that have something to ask. One whose request lies
-     * unread is neither: it is read instead, and another one is looked for.
+     * Evicts a client that is idle or misbehaves, so that others can send requests; false if there is none. A
+     * candidate with an unread request is served instead, and the next one is tried.
      */
     boolean makeRoom() {
-        for (Client first = firstToGiveWay(); first != null; first = firstToGiveWay()) {
-            if (first.giveWay()) {
+        for (ClientConnection first = firstToEvict(); first != null; first = firstToEvict()) {
+            if (first.evict()) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Who gives way first, or null if none does. */
-    private Client firstToGiveWay() {
-        Client[] first = new Client[1];
+    /** The first connection to evict, or null for none. */
+    private ClientConnection firstToEvict() {
+        ClientConnection[] first = new ClientConnection[1];
         clients.forEach(client -> {
-            if (client.rank() < Integer.MAX_VALUE && (first[0] == null || client.before(first[0]))) {
+            if (client.evictionRank() < Integer.MAX_VALUE && (first[0] == null || client.isEvictedBefore(first[0]))) {
                 first[0] = client;
             }
         });
         return first[0];
     }
 
-    /** No more clients; those that are here go on. */
+    /** Closes the listener; connected clients are served on. */
     public void stopAccepting() {
-        // One that was let in to the machine, and for which no room came.
+        // Connections accepted by the kernel that never got room here.
         listener.close(() -> count("clients.closed_unanswered"));
     }
 
-    /** True if nobody is connected. */
-    public boolean isAlone() {
+    /** True if no client is connected. */
+    public boolean hasNoClients() {
         return clients.size() == 0;
     }
 
     /**
-     * From now on each answer closes its connection, unless requests behind it have been read already; what
-     * is idle or has not begun ends at once.
+     * From now on each response closes its connection, unless requests after it have arrived already. Idle
+     * connections and those without a complete message are closed now.
      */
     public void drain() {
-        sendAway(true);
+        closeAfterResponses(true);
         closeIdle(0, 0);
     }
 
-    /** While this holds each answer closes its connection. */
-    public void sendAway(boolean away) {
-        draining = away;
+    /** Sets whether responses close their connections. */
+    public void closeAfterResponses(boolean on) {
+        closingAfterResponses = on;
     }
 
     /**
-     * Ends what has not begun since then, and what has been idle for so long; a request that is there
-     * already is read, not cut off.
+     * Closes connections without a complete message, and idle ones. Requests that have arrived are read first.
+     *
+     * @param maxNewAge microseconds that a connection may wait for a message to be completed
+     * @param maxIdle microseconds that a connection may be idle between messages
      */
-    public void closeIdle(long young, long unused) {
-        List<Client> all = new ArrayList<>();
-        clients.forEach(all::add);
-        for (Client client : all) {
-            client.endUnlessBusy(young, unused);
+    public void closeIdle(long maxNewAge, long maxIdle) {
+        List<ClientConnection> snapshot = new ArrayList<>();
+        clients.forEach(snapshot::add);
+        for (ClientConnection client : snapshot) {
+            client.closeUnlessBusy(maxNewAge, maxIdle);
         }
     }
 
-    /** From now on each request is refused at once: there is no time left in which it could be served. */
-    public void refuseFurther() {
-        refusing = true;
+    /** From now on refuses each request at once: too little time is left to serve it before shutdown. */
+    public void refuseNewRequests() {
+        refusingNewRequests = true;
     }
 
-    /** Connections whose answer is not wholly written yet, or on which a request is coming in. */
-    public int busy() {
+    /** Number of connections with a request arriving, or with a response pending or not fully written. */
+    public int busyConnections() {
         int[] busy = new int[1];
         clients.forEach(client -> busy[0] += client.isBusy() ? 1 : 0);
         return busy[0];
     }
 
-    // ---- from clients ----
+    // ---- called by connections ----
 
-    long add(Client client) {
+    long add(ClientConnection client) {
         return clients.add(client);
     }
 
@@ -182,92 +190,94 @@
         scheduler.counters().add(name);
     }
 
-    /** True if connections are to close behind their answers. */
-    boolean isLeaving() {
-        return draining || listener.isFull();
+    /** True if connections are to be closed after their responses. */
+    boolean closesAfterResponse() {
+        return closingAfterResponses || listener.isFull();
     }
 
-    /** Jobs of clients that ask so are kept there. */
-    public void keepIn(DurableJobService keeper) {
-        kept = new KeptJobs(keeper);
+    /** Enables durable jobs, for clients that ask for them. */
+    public void setDurableJobs(DurableJobService service) {
+        durableJobs = new DurableJobHandler(service);
     }
 
-    /** Answers GET on that path with what the supplier says then, as JSON. */
-    public void report(String path, Supplier<String> text) {
+    /** Answers GET on the path with the supplier's JSON text. */
+    public void addReport(String path, Supplier<String> text) {
         reports.put(path, text);
     }
 
-    /** Answers carry what this says of the epoch that their requests came under, unless it is empty. */
-    public void tellVersions(IntFunction<String> of) {
-        versions = of;
+    /** Sets the value of the Config-Version header by the settings epoch of a request; empty for no header. */
+    public void setVersionHeaders(IntFunction<String> versionOfEpoch) {
+        versionHeaders = versionOfEpoch;
     }
 
-    KeptJobs kept() {
-        return kept;
+    DurableJobHandler durableJobs() {
+        return durableJobs;
     }
 
-    /** Hands a message's job to whoever keeps it, if it asks so; the answer comes when it is on disk. */
-    boolean keeps(Client client, long slot, HttpHead head, byte[] body, long arrived) throws HttpException {
-        if (kept == null || head.header("prefer") == null) {
+    /** Submits the job as durable if the message asks for it; the response is sent once it is on disk. */
+    boolean submitDurable(ClientConnection client, long slot, HttpHead head, byte[] body, long arrivedAt)
+            throws HttpException {
+        if (durableJobs == null || head.header("prefer") == null) {
             return false;
         }
-        Request asked = jobs.read(this, slot, head, body, arrived);
-        boolean wants = kept.wants(head, asked);
-        if (wants) {
-            kept.submit(client, asked, classNames[asked.jobClass]);
+        Request request = jobReader.read(this, slot, head, body, arrivedAt);
+        boolean isDurable = durableJobs.wantsDurable(head, request);
+        if (isDurable) {
+            durableJobs.submit(client, request, classNames[request.jobClass]);
         }
-        return wants;
+        return isDurable;
     }
 
-    void get(Client client, String path) {
+    void handleGet(ClientConnection client, String path) {
         Supplier<String> report = reports.get(path);
         if (report != null) {
-            client.answer(
+            client.respond(
                     200,
                     "OK",
                     "Content-Type: application/json\r\n",
                     report.get().getBytes(StandardCharsets.UTF_8));
-        } else if (kept != null && KeptJobs.isPath(path)) {
-            kept.get(client, path);
-        } else if (path.equals("/health/ready") && !ready.getAsBoolean()) {
-            client.answer(503, "Service Unavailable", "", Client.ascii("not ready\n"));
+        } else if (durableJobs != null && DurableJobHandler.isJobPath(path)) {
+            durableJobs.handleGet(client, path);
+        } else if (path.equals("/health/ready") && !readiness.getAsBoolean()) {
+            client.respond(503, "Service Unavailable", "", ClientConnection.ascii("not ready\n"));
         } else if (path.equals("/health/ready") || path.equals("/health/live")) {
-            client.answer(200, "OK", "", Client.ascii("ok\n"));
+            client.respond(200, "OK", "", ClientConnection.ascii("ok\n"));
         } else if (path.equals("/counters")) {
-            client.answer(200, "OK", "", Client.ascii(scheduler.counters().text()));
+            client.respond(
+                    200, "OK", "", ClientConnection.ascii(scheduler.counters().text()));
         } else {
-            client.answer(404, "Not Found", "", new byte[0]);
+            client.respond(404, "Not Found", "", new byte[0]);
         }
     }
 
-    /** The request of a message that arrived then, its id held from now on; to be submitted. */
-    Request take(long slot, HttpHead head, byte[] body, long arrived) throws HttpException {
-        Request request = jobs.read(this, slot, head, body, arrived);
-        if (!open.add(request.payload.requestId())) {
+    /** Parses the request of a message and reserves its id; the caller submits it. */
+    Request openRequest(long slot, HttpHead head, byte[] body, long arrivedAt) throws HttpException {
+        Request request = jobReader.read(this, slot, head, body, arrivedAt);
+        if (!openRequestIds.add(request.payload.requestId())) {
             throw new HttpException(409, "this Req-Id is at work");
         }
         return request;
     }
 
     void submit(Request request) {
-        if (refusing) {
+        if (refusingNewRequests) {
             refused(request.tag, scheduler.settings().retryAfter ? scheduler.settings().tick : 0);
             return;
         }
         scheduler.submit(request);
     }
 
-    /** It has its answer: its id may come again. */
-    void close(Request request) {
-        open.remove(request.payload.requestId());
+    /** Releases the id of a request that has ended. */
+    void releaseId(Request request) {
+        openRequestIds.remove(request.payload.requestId());
     }
 
     void withdraw(Request request) {
-        close(request);
+        releaseId(request);
         scheduler.withdraw(request);
     }
 
-    // ---- answers ----
+    // ---- responses ----
 
     @Override
     public String name() {
@@ -276,33 +286,33 @@
 
     @Override
     public boolean hasLeft(long tag) {
-        Client client = clients.get(tag);
-        return client == null || client.hasLeft();
+        ClientConnection client = clients.get(tag);
+        return client == null || client.hasPeerEnded();
     }
 
     @Override
     public void served(long tag, byte[] result) {
-        answer(tag, 200, "OK", "", result);
+        respond(tag, 200, "OK", "", result);
     }
 
     @Override
     public void refused(long tag, double retryAfter) {
         count("clients.refused");
-        String when = retryAfter > 0 ? String.format(Locale.ROOT, "Retry-After: %.3f\r\n", retryAfter) : "";
-        answer(tag, 503, "Service Unavailable", when, Client.ascii("fail-fast\n"));
+        String retryHeader = retryAfter > 0 ? String.format(Locale.ROOT, "Retry-After: %.3f\r\n", retryAfter) : "";
+        respond(tag, 503, "Service Unavailable", retryHeader, ClientConnection.ascii("fail-fast\n"));
     }
 
     @Override
     public void failed(long tag) {
-        answer(tag, 500, "Internal Server Error", "", Client.ascii("failed\n"));
+        respond(tag, 500, "Internal Server Error", "", ClientConnection.ascii("failed\n"));
     }
 
-    private void answer(long tag, int status, String reason, String headers, byte[] body) {
-        Client client = clients.get(tag);
+    private void respond(long tag, int status, String reason, String headers, byte[] body) {
+        ClientConnection client = clients.get(tag);
         if (client != null) {
-            String under = versions == null ? "" : versions.apply(client.epoch());
-            headers = under.isEmpty() ? headers : headers + "Config-Version: " + under + "\r\n";
-            client.answer(status, reason, headers, body);
+            String version = versionHeaders == null ? "" : versionHeaders.apply(client.epoch());
+            headers = version.isEmpty() ? headers : headers + "Config-Version: " + version + "\r\n";
+            client.respond(status, reason, headers, body);
         }
     }
 }
--- a/src/main/java/laneflow/http/LineStream.java
+++ b/src/main/java/laneflow/http/LineStream.java
@@ -7,150 +7,150 @@
 import laneflow.net.Loop;
 
 /**
- * One long HTTP/1.1 exchange with lines both ways: a POST whose body goes on for as long as the stream
- * lasts, a chunk a line, and an answer that does the same. An empty line is a sign of life. It ends once,
- * whatever ends it, and is not begun anew here. On the loop's thread.
+ * A bidirectional stream of lines over one HTTP/1.1 exchange: a chunked POST request and its chunked
+ * response, both open for as long as the stream lasts, with one chunk per line. Empty lines are heartbeats.
+ * A stream that has ended is not reopened. Used on the loop's thread.
  */
 public final class LineStream implements LinkHandler, HttpReader.Sink {
     private static final int IN_RING = 1 << 20;
     private static final int OUT_RING = 1 << 20;
 
-    /** Who reads the lines. */
-    public interface Reader {
-        /** The other side has answered 200. */
-        void up();
+    /** Receives the events of a stream. */
+    public interface Listener {
+        /** The peer has answered 200. */
+        void onOpen();
 
-        /** A line that is not empty, without its end, in UTF-8. */
-        void line(byte[] text);
+        /** A non-empty line in UTF-8, without its terminator. */
+        void onLine(byte[] text);
 
-        /** It is over; told once, and nothing after it. */
-        void over(String why);
+        /** The stream has ended; called once, after all other events. */
+        void onClose(String reason);
     }
 
     private final Loop loop;
-    private final Reader reader;
-    private final HttpReader http = new HttpReader(true, this);
-    private final Lines lines;
+    private final Listener listener;
+    private final HttpReader httpReader = new HttpReader(true, this);
+    private final ChunkedLines lines;
     private final Deadline timer;
-    private final String head;
-    private final long silence;
+    private final String requestHead;
+    private final long silenceTimeout;
     private Link link;
-    private boolean over;
+    private boolean closed;
 
     /**
-     * Begins one.
+     * Connects and opens a stream.
      *
-     * @param headers further header lines, each with its end
-     * @param connect microseconds within which it must be up
-     * @param silence microseconds without a byte after which it counts as dead
-     * @param mostLine bytes of the longest line taken
+     * @param headers further header lines, each with its terminator
+     * @param connectTimeout microseconds within which the connection must be established
+     * @param silenceTimeout microseconds without input after which the stream is closed
+     * @param maxLineBytes length of the longest line accepted
      */
     public LineStream(
             Loop loop,
             String address,
             String path,
             String headers,
-            long connect,
-            long silence,
-            int mostLine,
-            Reader reader) {
+            long connectTimeout,
+            long silenceTimeout,
+            int maxLineBytes,
+            Listener listener) {
         this.loop = loop;
-        this.reader = reader;
-        this.silence = silence;
-        lines = new Lines(mostLine);
-        head = "POST " + path + " HTTP/1.1\r\nHost: " + address + "\r\nContent-Type: application/x-ndjson\r\n" + headers
-                + "Transfer-Encoding: chunked\r\n\r\n";
-        timer = loop.deadlines().create(() -> end("nothing was heard in time"));
-        loop.deadlines().set(timer, loop.micros() + connect);
+        this.listener = listener;
+        this.silenceTimeout = silenceTimeout;
+        lines = new ChunkedLines(maxLineBytes);
+        requestHead = "POST " + path + " HTTP/1.1\r\nHost: " + address + "\r\nContent-Type: application/x-ndjson\r\n"
+                + headers + "Transfer-Encoding: chunked\r\n\r\n";
+        timer = loop.deadlines().create(() -> finish("no data received in time"));
+        loop.deadlines().set(timer, loop.micros() + connectTimeout);
         link = loop.connect(Loop.parseAddress(address), IN_RING, OUT_RING, this);
     }
 
-    /** Sends a line; false if it can't take it, and then it is over. */
+    /** Sends a line; returns false, and ends the stream, if it is closed or its buffer is full. */
     public boolean send(String text) {
-        if (over || !Lines.put(text, link.out)) {
-            loop.later(() -> end("it does not read what it is sent"));
+        if (closed || !ChunkedLines.put(text, link.out)) {
+            loop.later(() -> finish("send buffer full: the peer does not read"));
             return false;
         }
         link.flush();
         return true;
     }
 
-    /** Reads no more until {@link #resume}: what came is not yet worked off. Silence is not counted then. */
-    public void hold() {
+    /** Stops reading, and the silence time-out, until {@link #resumeReading}: earlier lines are being processed. */
+    public void pauseReading() {
         loop.deadlines().cancel(timer);
         link.suspendReads();
     }
 
-    public void resume() {
-        if (!over) {
-            loop.deadlines().set(timer, loop.micros() + silence);
+    public void resumeReading() {
+        if (!closed) {
+            loop.deadlines().set(timer, loop.micros() + silenceTimeout);
             link.resumeReads();
         }
     }
 
-    /** Closes it; nothing more is told. */
+    /** Closes the stream without further events. */
     public void close() {
-        over = true;
+        closed = true;
         loop.deadlines().cancel(timer);
         link.close();
     }
 
-    private void end(String why) {
-        if (!over) {
+    private void finish(String reason) {
+        if (!closed) {
             close();
-            reader.over(why);
+            listener.onClose(reason);
         }
     }
 
     @Override
-    public void opened(Link opened) {
-        loop.deadlines().set(timer, loop.micros() + silence);
-        link.out.put(head.getBytes(StandardCharsets.US_ASCII));
+    public void opened(Link openedLink) {
+        loop.deadlines().set(timer, loop.micros() + silenceTimeout);
+        link.out.put(requestHead.getBytes(StandardCharsets.US_ASCII));
         link.flush();
     }
 
     @Override
-    public void connectFailed(Link gone) {
-        end("no connection");
+    public void connectFailed(Link failedLink) {
+        finish("connection failed");
     }
 
     @Override
-    public void received(Link from) {
-        loop.deadlines().set(timer, loop.micros() + silence);
+    public void received(Link source) {
+        loop.deadlines().set(timer, loop.micros() + silenceTimeout);
         try {
-            http.read(link.in);
-            if (http.isDone()) {
-                end("it was ended by the other side");
+            httpReader.read(link.in);
+            if (httpReader.isDone()) {
+                finish("the peer ended the stream");
             }
         } catch (HttpException e) {
-            end(e.getMessage());
+            finish(e.getMessage());
         }
     }
 
     @Override
-    public void disconnected(Link gone) {
-        end("the connection broke");
+    public void disconnected(Link brokenLink) {
+        finish("connection lost");
     }
 
     @Override
     public void head(HttpHead received) throws HttpException {
         if (received.status() != 200) {
-            throw new HttpException(received.status(), "answered " + received.status());
+            throw new HttpException(received.status(), "unexpected status " + received.status());
         }
-        reader.up();
+        listener.onOpen();
     }
 
     @Override
     public void body(byte[] bytes) throws HttpException {
-        lines.take(bytes, text -> {
-            if (!over) {
-                reader.line(text);
+        lines.accept(bytes, text -> {
+            if (!closed) {
+                listener.onLine(text);
             }
         });
     }
 
     @Override
     public void end() {
-        // Told once the reader has returned.
+        // Reported once the reader has returned.
     }
 }
--- a/src/main/java/laneflow/http/Loads.java
+++ b/src/main/java/laneflow/http/LoadReports.java
@@ -6,17 +6,17 @@
 import laneflow.decision.Dispatch.LoadReport;
 import laneflow.wire.ReportFields;
 
-/** Load reports as endpoints write them: an object, or {@code name=value,name=value}. */
-final class Loads {
-    private Loads() {}
+/** Parses endpoints' load reports: a JSON object, or {@code name=value,name=value}. */
+final class LoadReports {
+    private LoadReports() {}
 
-    /** A report, or null if there is none that can be read. */
-    static LoadReport read(JsonElement from) {
-        if (from == null || !from.isJsonObject()) {
+    /** Parses a JSON object; null if there is none. */
+    static LoadReport parse(JsonElement json) {
+        if (json == null || !json.isJsonObject()) {
             return null;
         }
         LoadReport report = new LoadReport();
-        JsonObject object = from.getAsJsonObject();
+        JsonObject object = json.getAsJsonObject();
         for (Map.Entry<String, JsonElement> field : object.entrySet()) {
             if (field.getValue().isJsonPrimitive()
                     && field.getValue().getAsJsonPrimitive().isNumber()) {
@@ -26,8 +26,8 @@
         return report;
     }
 
-    /** A report, or null if there is none that can be read. */
-    static LoadReport read(String text) {
+    /** Parses {@code name=value} pairs, and skips malformed ones; null for null. */
+    static LoadReport parse(String text) {
         if (text == null) {
             return null;
         }
--- a/src/main/java/laneflow/http/StreamPort.java
+++ b/src/main/java/laneflow/http/StreamPort.java
@@ -12,61 +12,61 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The other side of {@link LineStream}: a listener at which schedulers hold long exchanges with lines both
- * ways, and at which operators ask and order by ordinary requests. Everybody shows the token, where there is
- * one. On the loop's thread.
+ * The server side of {@link LineStream}: a port on which other schedulers open streams, and operators send
+ * ordinary requests. All must present the token, if there is one. Used on the loop's thread.
  */
 public final class StreamPort {
     private static final Logger LOG = LoggerFactory.getLogger(StreamPort.class);
-    private static final int IN_RING = 1 << 20;
-    private static final int OUT_RING = 1 << 20;
-    private static final int MOST_BODY = 1 << 20;
-    /** An ordinary request is there, and has its answer, within this time. */
-    private static final long WITHIN = 60_000_000;
-
-    /** What is done with those that come. */
-    public interface Host {
-        /** A stream has begun; its lines go to the reader that is returned. */
-        LineStream.Reader begun(Stream stream);
-
-        /** A request that is no stream; answered once, now or later. */
-        void asked(String verb, String path, byte[] body, Answer answer);
+    private static final int IN_RING_BYTES = 1 << 20;
+    private static final int OUT_RING_BYTES = 1 << 20;
+    private static final int MAX_BODY_BYTES = 1 << 20;
+    /** Time within which an ordinary request must be answered and its connection closed. */
+    private static final long REQUEST_TIMEOUT_US = 60_000_000;
+
+    /** Handles the streams and requests of a port. */
+    public interface Handler {
+        /** A peer has opened a stream; returns the listener for its events. */
+        LineStream.Listener streamOpened(Stream stream);
+
+        /** Handles an ordinary request; answers it once, now or later. */
+        void handleRequest(String verb, String path, byte[] body, Responder answer);
     }
 
-    /** Answers a request; of a peer that has left meanwhile nothing is heard. */
-    public interface Answer {
-        /** @param type the content's, such as {@code application/json} */
-        void say(int status, String type, String headers, String text);
+    /** Sends the response to a request; does nothing if the peer has left meanwhile. */
+    public interface Responder {
+        /** @param type media type, such as {@code application/json} */
+        void respond(int status, String type, String headers, String text);
     }
 
     private final Loop loop;
     private final String path;
     private final String token;
-    private final long silence;
-    private final int mostLine;
-    private final Host host;
+    private final long silenceTimeout;
+    private final int maxLineBytes;
+    private final Handler handler;
     private Loop.Listener listener;
 
     /**
-     * One that does not listen yet.
+     * Creates a port; {@link #listen} opens it.
      *
-     * @param path of streams
-     * @param token that everybody must show, or null
-     * @param silence microseconds without a byte after which a stream counts as dead
-     * @param mostLine bytes of the longest line taken
+     * @param path path of the POST requests that open streams
+     * @param token bearer token that every request must carry, or null for none
+     * @param silenceTimeout microseconds without input after which a stream is closed
+     * @param maxLineBytes length of the longest line accepted
      */
-    public StreamPort(Loop loop, String path, String token, long silence, int mostLine, Host host) {
+    public StreamPort(Loop loop, String path, String token, long silenceTimeout, int maxLineBytes, Handler handler) {
         this.loop = loop;
         this.path = path;
         this.token = token;
-        this.silence = silence;
-        this.mostLine = mostLine;
-        this.host = host;
+        this.silenceTimeout = silenceTimeout;
+        this.maxLineBytes = maxLineBytes;
+        this.handler = handler;
     }
 
-    /** @param most connections at a time; they come out of no client's part of the descriptors */
-    public void listen(InetSocketAddress at, int most) throws IOException {
-        listener = loop.listenWithOwnLimit(at, IN_RING, OUT_RING, most, () -> false, Peer::new);
+    /** @param maxConnections limit of simultaneous connections; these do not use the clients' share of descriptors */
+    public void listen(InetSocketAddress address, int maxConnections) throws IOException {
+        listener =
+                loop.listenWithOwnLimit(address, IN_RING_BYTES, OUT_RING_BYTES, maxConnections, () -> false, Connection::new);
         listener.begin();
         LOG.info("other schedulers at {}", listener.address());
     }
@@ -75,69 +75,69 @@
         return listener.address();
     }
 
-    /** A stream that another has begun. */
+    /** A stream opened by a peer. */
     public interface Stream {
-        /** Sends a line; false if it can't take it, and then it is over. */
+        /** Sends a line; returns false, and ends the stream, if it is closed or its buffer is full. */
         boolean send(String text);
 
-        /** Closes it; nothing more is told. */
+        /** Closes the stream without further events. */
         void close();
     }
 
-    /** One connection. */
-    private final class Peer implements LinkHandler, HttpReader.Sink, Stream {
+    /** A connection that carries a stream or one ordinary request. */
+    private final class Connection implements LinkHandler, HttpReader.Sink, Stream {
         private final HttpReader reader = new HttpReader(false, this);
-        private final Deadline timer = loop.deadlines().create(() -> over("nothing was heard in time"));
+        private final Deadline timer = loop.deadlines().create(() -> finish("no data received in time"));
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-        private Lines lines;
-        private LineStream.Reader to;
+        private ChunkedLines lines;
+        private LineStream.Listener lineListener;
         private Link link;
         private HttpHead head;
         private boolean answered;
-        private boolean over;
+        private boolean closed;
 
         @Override
-        public void opened(Link up) {
-            link = up;
-            loop.deadlines().set(timer, loop.micros() + silence);
+        public void opened(Link openedLink) {
+            link = openedLink;
+            loop.deadlines().set(timer, loop.micros() + silenceTimeout);
         }
 
-        private void over(String why) {
-            if (!over) {
+        private void finish(String reason) {
+            if (!closed) {
                 close();
-                if (to != null) {
-                    to.over(why);
+                if (lineListener != null) {
+                    lineListener.onClose(reason);
                 }
             }
         }
 
         @Override
-        public void received(Link from) {
-            if (to != null) {
-                loop.deadlines().set(timer, loop.micros() + silence);
+        public void received(Link source) {
+            if (lineListener != null) {
+                loop.deadlines().set(timer, loop.micros() + silenceTimeout);
             }
             try {
                 if (!answered) {
                     reader.read(link.in);
                 }
-                if (reader.isDone() && to != null) {
-                    over("it was ended by the other side");
+                if (reader.isDone() && lineListener != null) {
+                    finish("the peer ended the stream");
                 } else if (reader.isDone() && !answered) {
                     answered = true;
-                    loop.deadlines().set(timer, loop.micros() + WITHIN);
-                    host.asked(head.first, head.second, body.toByteArray(), this::say);
+                    loop.deadlines().set(timer, loop.micros() + REQUEST_TIMEOUT_US);
+                    handler.handleRequest(head.methodOrVersion, head.targetOrStatus, body.toByteArray(), this::respond);
                 }
             } catch (HttpException e) {
-                if (to != null) {
-                    over(e.getMessage());
+                if (lineListener != null) {
+                    finish(e.getMessage());
                 } else {
-                    say(e.status, "text/plain", "", e.getMessage() + "\n");
+                    respond(e.status, "text/plain", "", e.getMessage() + "\n");
                 }
             }
         }
 
-        private void say(int status, String type, String headers, String text) {
-            if (over || to != null) {
+        private void respond(int status, String type, String headers, String text) {
+            if (closed || lineListener != null) {
                 return;
             }
             answered = true;
@@ -149,7 +149,7 @@
             if (fits) {
                 link.endOutputWhenFlushed();
             } else {
-                over("an answer of " + bytes.length + " bytes");
+                finish("response of " + bytes.length + " bytes exceeds the send buffer");
             }
         }
 
@@ -159,28 +159,28 @@
             if (token != null && !("Bearer " + token).equals(received.header("authorization"))) {
                 throw new HttpException(401, "the token is missing or is another");
             }
-            if (received.first.equals("POST") && received.second.equals(path)) {
+            if (received.methodOrVersion.equals("POST") && received.targetOrStatus.equals(path)) {
                 link.out.put("HTTP/1.1 200 OK\r\nContent-Type: application/x-ndjson\r\n"
                         .getBytes(StandardCharsets.US_ASCII));
                 link.out.put("Transfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-                lines = new Lines(mostLine);
-                to = host.begun(this);
+                lines = new ChunkedLines(maxLineBytes);
+                lineListener = handler.streamOpened(this);
             }
         }
 
         @Override
         public void body(byte[] bytes) throws HttpException {
-            if (to != null) {
-                lines.take(bytes, text -> {
-                    if (!over) {
-                        to.line(text);
+            if (lineListener != null) {
+                lines.accept(bytes, text -> {
+                    if (!closed) {
+                        lineListener.onLine(text);
                     }
                 });
                 return;
             }
             body.writeBytes(bytes);
-            if (body.size() > MOST_BODY) {
-                throw new HttpException(413, "more than " + MOST_BODY + " bytes");
+            if (body.size() > MAX_BODY_BYTES) {
+                throw new HttpException(413, "more than " + MAX_BODY_BYTES + " bytes");
             }
         }
 
@@ -190,14 +190,14 @@
         }
 
         @Override
-        public void disconnected(Link gone) {
-            over("the connection broke");
+        public void disconnected(Link brokenLink) {
+            finish("connection lost");
         }
 
         @Override
         public boolean send(String text) {
-            if (over || !Lines.put(text, link.out)) {
-                loop.later(() -> over("it does not read what it is sent"));
+            if (closed || !ChunkedLines.put(text, link.out)) {
+                loop.later(() -> finish("send buffer full: the peer does not read"));
                 return false;
             }
             link.flush();
@@ -206,7 +206,7 @@
 
         @Override
         public void close() {
-            over = true;
+            closed = true;
             loop.deadlines().cancel(timer);
             link.close();
         }
--- a/src/main/java/laneflow/ops/Drain.java
+++ b/src/main/java/laneflow/ops/Drain.java
@@ -54,7 +54,7 @@
     /** Starts the drain over with its first delay, or undoes it if neither reason applies any more. */
     private void restart() {
         since = loop.micros();
-        front.sendAway(ordered || handedOver);
+        front.closeAfterResponses(ordered || handedOver);
         if (ordered || handedOver) {
             loop.deadlines().set(timer, since + FIRST_CLOSE_DELAY_US);
         } else {
--- a/src/main/java/laneflow/ops/Operations.java
+++ b/src/main/java/laneflow/ops/Operations.java
@@ -87,7 +87,7 @@
         if (upgrade != null) {
             upgrade.begin();
         } else {
-            front.accept(true);
+            front.setAccepting(true);
         }
     }
 
--- a/src/main/java/laneflow/ops/Upgrade.java
+++ b/src/main/java/laneflow/ops/Upgrade.java
@@ -92,7 +92,7 @@
     void begin() {
         if (handover.isAlone()) {
             // No other process would answer readiness checks.
-            front.accept(true);
+            front.setAccepting(true);
         }
         loop.later(this::poll);
     }
@@ -103,7 +103,7 @@
             handover.startServing(now);
         }
         handover.tick(now);
-        if (handover.isSuperseded() && front.isAlone() && scheduler.openRequests() == 0 && drain.isOver(now)) {
+        if (handover.isSuperseded() && front.hasNoClients() && scheduler.openRequests() == 0 && drain.isOver(now)) {
             LOG.info("all clients have gone over to the other process");
             onReplaced.run();
             return;
@@ -128,7 +128,7 @@
 
     @Override
     public void acceptClients(boolean on) {
-        front.accept(on);
+        front.setAccepting(on);
     }
 
     @Override
--- a/src/test/java/laneflow/http/EndpointCrossingTest.java
+++ b/src/test/java/laneflow/http/EndpointRaceTest.java
@@ -25,30 +25,30 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Two events on one connection to an endpoint in one turn of the loop, on real sockets. The crossing is forced:
- * the loop's thread itself submits, and stays in that turn until the endpoint has done its part and the time in
- * question is over, so that the next turn finds both.
+ * Races of two events on one connection to an endpoint within one turn of the loop, on real sockets. The race is
+ * forced: the loop's thread submits the request and stays in its turn until the endpoint has acted and the time-out
+ * in question has passed, so that the next turn finds both events.
  */
 @Timeout(60)
-class EndpointCrossingTest {
+class EndpointRaceTest {
     private static final int CHECK = 0;
     private static final int CAPTURE = 1;
     private static final int POST = 2;
     private static final String[] CLASSES = {"basket-check", "card-capture", "points-post"};
     private static final int REPEATS = 3;
-    private static final long SECOND = 1_000_000;
-    /** Microseconds after which a connection's last byte is held back though its job may run twice. */
-    private static final long STALE = 60_000;
-    /** Longer than a last byte is held, and than an endpoint takes to say that it has a call. */
-    private static final long HELD = 5_000;
-
-    private static final long SILENT = 260_000;
-    /** As in the settings of these stories: an endpoint that may be asked again and sends no head is given up then. */
-    private static final long CONNECT_TIMEOUT = SECOND;
-
-    /** Clients of this test: their answers, and what is done within the turn of the next one. */
-    private static final class Clients implements Front {
-        private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
+    private static final long SECOND_US = 1_000_000;
+    /** Idle time after which the last byte is held back even for jobs that may run twice. */
+    private static final long STALE_US = 60_000;
+    /** Longer than a last byte is held back, and than an endpoint takes to receive a call. */
+    private static final long HOLD_US = 5_000;
+
+    private static final long SILENT_US = 260_000;
+    /** As in the tests' settings: a retryable call without a response head is abandoned after this time. */
+    private static final long CONNECT_TIMEOUT_US = SECOND_US;
+
+    /** Records the outcomes of requests, and runs an action within the turn of the next one served. */
+    private static final class RecordingFront implements Front {
+        private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
         private Runnable onServed = () -> {};
 
         @Override
@@ -58,64 +58,64 @@
 
         @Override
         public void served(long tag, byte[] result) {
-            Runnable then = onServed;
+            Runnable action = onServed;
             onServed = () -> {};
-            then.run();
-            answers.add("served");
+            action.run();
+            outcomes.add("served");
         }
 
         @Override
         public void refused(long tag, double retryAfter) {
-            answers.add("refused");
+            outcomes.add("refused");
         }
 
         @Override
         public void failed(long tag) {
-            answers.add("failed");
+            outcomes.add("failed");
         }
 
-        private String next() throws InterruptedException {
-            String answer = answers.poll(30, TimeUnit.SECONDS);
-            return answer == null ? "none" : answer;
+        private String nextOutcome() throws InterruptedException {
+            String outcome = outcomes.poll(30, TimeUnit.SECONDS);
+            return outcome == null ? "none" : outcome;
         }
     }
 
-    private interface Step {
+    private interface Action {
         void run() throws Exception;
     }
 
-    private interface OnConnection {
+    private interface ConnectionAction {
         void run(Peer call) throws Exception;
     }
 
-    private final Clients clients = new Clients();
+    private final RecordingFront front = new RecordingFront();
 
-    private static String done(String id) {
+    private static String doneStatus(String id) {
         return "{'id':'" + id + "','state':'done','result':'ok'}";
     }
 
-    /** On the loop's thread: takes a job in, with a body of three bytes. */
-    private Request submit(SchedulerHarness harness, int jobClass, String id, long within) {
+    /** On the loop's thread: submits a job with a body of three bytes. */
+    private Request submit(SchedulerHarness harness, int jobClass, String id, long timeout) {
         Payload payload =
                 new Payload("POST", "/" + CLASSES[jobClass], id, jobClass == POST ? "k" + id : null, "pay".getBytes());
         Request request =
-                new Request(clients, 0, payload, jobClass, harness.serve.loop().currentMicros() + within);
+                new Request(front, 0, payload, jobClass, harness.serve.loop().currentMicros() + timeout);
         harness.serve.scheduler().submit(request);
         return request;
     }
 
-    /** Runs this in one turn; a fault in it is the test's. */
-    private static void inOneTurn(SchedulerHarness harness, Step step) throws Exception {
-        Exception[] fault = new Exception[1];
-        harness.serve.loop().call(() -> fault[0] = faultOf(step));
-        if (fault[0] != null) {
-            throw fault[0];
+    /** Runs the action within one turn; its failure fails the test. */
+    private static void inOneTurn(SchedulerHarness harness, Action action) throws Exception {
+        Exception[] failure = new Exception[1];
+        harness.serve.loop().call(() -> failure[0] = failureOf(action));
+        if (failure[0] != null) {
+            throw failure[0];
         }
     }
 
-    private static Exception faultOf(Step step) {
+    private static Exception failureOf(Action action) {
         try {
-            step.run();
+            action.run();
             return null;
         } catch (Exception e) {
             return e;
@@ -124,60 +124,60 @@
         }
     }
 
-    /** On any thread: waits for the clock alone. */
-    private static void untilPast(SchedulerHarness harness, long instant) throws InterruptedException {
+    /** On any thread: waits until the clock is past the instant. */
+    private static void waitUntilAfter(SchedulerHarness harness, long instant) throws InterruptedException {
         while (harness.serve.loop().currentMicros() <= instant) {
             Thread.sleep(1);
         }
     }
 
-    /** A connection to the endpoint that has served a job and rests. */
-    private Peer rested(SchedulerHarness harness, Endpoint endpoint) throws Exception {
-        return rested(harness, endpoint, new AtomicReference<>());
+    /** Returns a connection to the endpoint that has served a job and is idle. */
+    private Peer idleConnection(SchedulerHarness harness, Endpoint endpoint) throws Exception {
+        return idleConnection(harness, endpoint, new AtomicReference<>());
     }
 
-    private Peer rested(SchedulerHarness harness, Endpoint endpoint, AtomicReference<Peer> known) throws Exception {
-        inOneTurn(harness, () -> submit(harness, CHECK, "first", 5 * SECOND));
+    private Peer idleConnection(SchedulerHarness harness, Endpoint endpoint, AtomicReference<Peer> connection) throws Exception {
+        inOneTurn(harness, () -> submit(harness, CHECK, "first", 5 * SECOND_US));
         Peer call = endpoint.accept();
-        known.set(call);
+        connection.set(call);
         call.message();
-        call.respond(done("first"));
-        assertEquals("served", clients.next());
+        call.respond(doneStatus("first"));
+        assertEquals("served", front.nextOutcome());
         return call;
     }
 
     /**
-     * What is to be done on the loop's thread, in the very turn in which a connection has come to rest: so it
-     * can't have grown stale.
+     * Runs the action on the loop's thread in the same turn in which a connection becomes idle, so that it can't be
+     * stale.
      */
-    private void asOneComesToRest(SchedulerHarness harness, Endpoint endpoint, OnConnection step) throws Exception {
+    private void whenConnectionBecomesIdle(SchedulerHarness harness, Endpoint endpoint, ConnectionAction action) throws Exception {
         AtomicReference<Peer> call = new AtomicReference<>();
-        CompletableFuture<Exception> over = new CompletableFuture<>();
+        CompletableFuture<Exception> done = new CompletableFuture<>();
         Deadlines deadlines = harness.serve.loop().deadlines();
-        Runnable atTurnsEnd = () -> over.complete(faultOf(() -> step.run(call.get())));
-        clients.onServed = () -> deadlines.set(deadlines.create(atTurnsEnd), 0, Long.MAX_VALUE);
-        rested(harness, endpoint, call);
-        Exception fault = over.get();
-        if (fault != null) {
-            throw fault;
+        Runnable atEndOfTurn = () -> done.complete(failureOf(() -> action.run(call.get())));
+        front.onServed = () -> deadlines.set(deadlines.create(atEndOfTurn), 0, Long.MAX_VALUE);
+        idleConnection(harness, endpoint, call);
+        Exception failure = done.get();
+        if (failure != null) {
+            throw failure;
         }
     }
 
-    /** The same, at rest for so long that a last byte is held back on it whatever the job. */
-    private Peer stale(SchedulerHarness harness, Endpoint endpoint) throws Exception {
-        Peer call = rested(harness, endpoint);
-        untilPast(harness, harness.serve.loop().currentMicros() + STALE);
+    /** Returns a connection that has been idle for so long that the last byte of any job is held back on it. */
+    private Peer staleConnection(SchedulerHarness harness, Endpoint endpoint) throws Exception {
+        Peer call = idleConnection(harness, endpoint);
+        waitUntilAfter(harness, harness.serve.loop().currentMicros() + STALE_US);
         return call;
     }
 
-    /** The first request that comes on any connection, with those closed in silence passed over. */
-    private static String firstRequest(Endpoint endpoint, Peer[] on) throws IOException {
+    /** Returns the first request on any connection, and skips connections closed without one. */
+    private static String firstRequest(Endpoint endpoint, Peer[] connection) throws IOException {
         while (true) {
-            on[0] = endpoint.accept();
+            connection[0] = endpoint.accept();
             try {
-                return on[0].message();
+                return connection[0].message();
             } catch (IOException e) {
-                // Closed with nothing whole said.
+                // Closed without a complete request.
             }
         }
     }
@@ -189,88 +189,88 @@
         return entry;
     }
 
-    /** On the loop's thread: the endpoint's drain counts as told so long ago that its grace is over. */
-    private static void drainedLongAgo(SchedulerHarness harness, String name) {
+    /** On the loop's thread: announces a drain of the endpoint whose grace has already passed. */
+    private static void announceOldDrain(SchedulerHarness harness, String name) {
         harness.serve
                 .scheduler()
                 .list(
                         harness.serve.scheduler().endpoints().get(name).connector,
                         false,
                         List.of(draining(name)),
-                        harness.serve.loop().micros() - SECOND);
+                        harness.serve.loop().micros() - SECOND_US);
     }
 
     private static SchedulerHarness withoutCancel(Endpoint endpoint) throws Exception {
         return SchedulerHarness.withSetting("'cancel':true", "'cancel':false", null, endpoint);
     }
 
-    // ---- departure ----
+    // ---- clients that leave ----
 
     @RepeatedTest(REPEATS)
-    void whoLeavesWhileTheConnectionComesUpIsNotSentOn() throws Exception {
+    void aRequestWithdrawnDuringConnectIsNotSent() throws Exception {
         for (int jobClass : new int[] {CHECK, CAPTURE, POST}) {
             Endpoint endpoint = new Endpoint("e1");
             try (SchedulerHarness harness = withoutCancel(endpoint)) {
-                inOneTurn(harness, () -> harness.serve.scheduler().withdraw(submit(harness, jobClass, "left", SECOND)));
-                inOneTurn(harness, () -> submit(harness, jobClass, "next", 5 * SECOND));
+                inOneTurn(harness, () -> harness.serve.scheduler().withdraw(submit(harness, jobClass, "left", SECOND_US)));
+                inOneTurn(harness, () -> submit(harness, jobClass, "next", 5 * SECOND_US));
                 Peer[] call = new Peer[1];
                 String sent = firstRequest(endpoint, call);
                 assertTrue(sent.contains("Req-Id: next\r\n"), sent);
-                call[0].respond(done("next"));
-                assertEquals("served", clients.next());
+                call[0].respond(doneStatus("next"));
+                assertEquals("served", front.nextOutcome());
                 assertEquals(1, harness.counter("call.moot"));
             }
         }
     }
 
     @RepeatedTest(REPEATS)
-    void whoLeavesWhileTheLastByteIsHeldIsNotSentOn() throws Exception {
+    void aRequestWithdrawnWhileItsLastByteIsHeldIsNotCompleted() throws Exception {
         for (int jobClass : new int[] {CHECK, POST}) {
             Endpoint endpoint = new Endpoint("e1");
             try (SchedulerHarness harness = withoutCancel(endpoint)) {
-                Peer call = stale(harness, endpoint);
-                inOneTurn(harness, () -> harness.serve.scheduler().withdraw(submit(harness, jobClass, "left", SECOND)));
+                Peer call = staleConnection(harness, endpoint);
+                inOneTurn(harness, () -> harness.serve.scheduler().withdraw(submit(harness, jobClass, "left", SECOND_US)));
                 call.readTo("\r\n\r\npa");
                 assertTrue(call.isClosedByPeer());
             }
         }
     }
 
-    /** One that must not run twice goes out on a connection used in that very turn, its last byte held. */
+    /** A job that must not run twice is sent on a connection used in the same turn, with its last byte held back. */
     @RepeatedTest(REPEATS)
-    void whoseCaptureIsHeldWhenItLeavesIsNotSentOn() throws Exception {
+    void aCaptureWithdrawnWhileItsLastByteIsHeldIsNotCompleted() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = withoutCancel(endpoint)) {
-            asOneComesToRest(harness, endpoint, call -> {
-                harness.serve.scheduler().withdraw(submit(harness, CAPTURE, "left", SECOND));
+            whenConnectionBecomesIdle(harness, endpoint, call -> {
+                harness.serve.scheduler().withdraw(submit(harness, CAPTURE, "left", SECOND_US));
                 call.readTo("\r\n\r\npa");
                 assertTrue(call.isClosedByPeer());
             });
         }
     }
 
-    /** With its whole request there it may be at work, and is heard out. */
+    /** The endpoint has the whole request and may run it, so the call continues. */
     @RepeatedTest(REPEATS)
-    void whoLeavesBehindTheLastByteLeavesItsCallAtWork() throws Exception {
+    void aCallWithdrawnAfterItsLastByteRunsToItsEnd() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = withoutCancel(endpoint)) {
             Request[] request = new Request[1];
-            inOneTurn(harness, () -> request[0] = submit(harness, CAPTURE, "left", 5 * SECOND));
+            inOneTurn(harness, () -> request[0] = submit(harness, CAPTURE, "left", 5 * SECOND_US));
             Peer call = endpoint.accept();
             call.message();
             inOneTurn(harness, () -> harness.serve.scheduler().withdraw(request[0]));
-            call.respond(done("left"));
+            call.respond(doneStatus("left"));
             harness.awaitCounter("call.ok", 1);
-            assertTrue(clients.answers.isEmpty());
+            assertTrue(front.outcomes.isEmpty());
         }
     }
 
     /**
-     * The loop is held up, and meanwhile a client closes and its first attempt is reset. The time of that attempt is
-     * over too, so its connection is looked at before the client's is read: a further attempt used to go out.
+     * During a stall of the loop a client closes and its first attempt is reset. The attempt's time-out has passed too,
+     * so its connection is read before the client's. A further attempt used to be sent then.
      */
     @RepeatedTest(REPEATS)
-    void whoLeavesAmidAStallGetsNoFurtherAttempt() throws Exception {
+    void aClientThatLeavesDuringAStallGetsNoFurtherAttempt() throws Exception {
         Endpoint first = new Endpoint("e1");
         Endpoint second = new Endpoint("e2");
         try (SchedulerHarness harness = new SchedulerHarness(null, first, second)) {
@@ -282,7 +282,7 @@
                 harness.serve.scheduler().ban(Set.of());
                 client.close();
                 call.reset();
-                untilPast(harness, harness.serve.loop().currentMicros() + CONNECT_TIMEOUT);
+                waitUntilAfter(harness, harness.serve.loop().currentMicros() + CONNECT_TIMEOUT_US);
             });
             harness.awaitCounter("http.withdrawn", 1);
             assertEquals(1, harness.counter("call.reset"));
@@ -291,156 +291,156 @@
         }
     }
 
-    // ---- time ----
+    // ---- deadlines and time-outs ----
 
     @RepeatedTest(REPEATS)
-    void theTimeThatACallTellsIsWhatIsLeftHoweverLongTheTurnHasLasted() throws Exception {
+    void theDeadlineSentIsTheTimeLeftEvenAfterALongTurn() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
-            Peer call = rested(harness, endpoint);
+            Peer call = idleConnection(harness, endpoint);
             inOneTurn(harness, () -> {
-                untilPast(harness, harness.serve.loop().micros() + 300_000);
+                waitUntilAfter(harness, harness.serve.loop().micros() + 300_000);
                 submit(harness, CHECK, "late", 700_000);
             });
-            assertTrue(told(call.message()) <= 700);
+            assertTrue(deadlineMs(call.message()) <= 700);
         }
     }
 
-    private static long told(String message) {
-        int at = message.indexOf("Req-Deadline-Ms: ") + 17;
-        return Long.parseLong(message.substring(at, message.indexOf('\r', at)));
+    private static long deadlineMs(String message) {
+        int valueStart = message.indexOf("Req-Deadline-Ms: ") + 17;
+        return Long.parseLong(message.substring(valueStart, message.indexOf('\r', valueStart)));
     }
 
     @RepeatedTest(REPEATS)
-    void whatHasNoTimeLeftIsNotSent() throws Exception {
+    void aRequestPastItsDeadlineIsNotSent() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
-            Peer call = rested(harness, endpoint);
+            Peer call = idleConnection(harness, endpoint);
             inOneTurn(harness, () -> {
-                // By the turn's clock it has time, by the clock it has none.
-                untilPast(harness, harness.serve.loop().micros() + 300_000);
+                // Time is left by the clock of the turn, but not by the current time.
+                waitUntilAfter(harness, harness.serve.loop().micros() + 300_000);
                 submit(harness, CHECK, "late", -10_000);
             });
-            assertEquals("refused", clients.next());
+            assertEquals("refused", front.nextOutcome());
             assertTrue(call.isClosedByPeer());
         }
     }
 
-    /** Less than a millisecond, or than a last byte is held: no time that could be told is left. */
+    /** After the hold of the last byte less than a millisecond is left, the unit of the deadline header. */
     @RepeatedTest(REPEATS)
-    void whatHasLessLeftThanTheHoldIsNotSent() throws Exception {
+    void aRequestWithLessTimeLeftThanTheHoldIsNotSent() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
-            Peer call = stale(harness, endpoint);
+            Peer call = staleConnection(harness, endpoint);
             inOneTurn(harness, () -> {
-                untilPast(harness, harness.serve.loop().micros() + 300_000);
+                waitUntilAfter(harness, harness.serve.loop().micros() + 300_000);
                 submit(harness, CHECK, "late", 2_500);
             });
-            assertEquals("refused", clients.next());
+            assertEquals("refused", front.nextOutcome());
             assertTrue(call.isClosedByPeer());
         }
     }
 
     @RepeatedTest(REPEATS)
-    void anAnswerThatIsThereAsItsEndpointsSilenceIsOverIsServed() throws Exception {
+    void anAnswerThatArrivesWithTheSilenceTimeoutIsServed() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
-            asOneComesToRest(harness, endpoint, call -> {
-                submit(harness, POST, "1", 5 * SECOND);
-                answers(call);
-                untilPast(harness, harness.serve.loop().currentMicros() + SILENT);
+            whenConnectionBecomesIdle(harness, endpoint, call -> {
+                submit(harness, POST, "1", 5 * SECOND_US);
+                answer(call);
+                waitUntilAfter(harness, harness.serve.loop().currentMicros() + SILENT_US);
             });
-            assertEquals("served", clients.next());
+            assertEquals("served", front.nextOutcome());
             assertEquals(0, harness.counter("endpoint.silent"));
         }
     }
 
-    /** Its last call, and the time itself, are over in the turn in which the answer is there to be read. */
+    /** The time-out of the last call and the deadline pass in the turn in which the answer arrives. */
     @RepeatedTest(REPEATS)
-    void anAnswerThatIsThereAsItsClientsTimeIsOverIsServed() throws Exception {
+    void anAnswerThatArrivesWithTheDeadlineIsServed() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
-            asOneComesToRest(harness, endpoint, call -> {
-                Request request = submit(harness, CHECK, "1", SILENT / 2);
-                answers(call);
-                untilPast(harness, request.deadline);
+            whenConnectionBecomesIdle(harness, endpoint, call -> {
+                Request request = submit(harness, CHECK, "1", SILENT_US / 2);
+                answer(call);
+                waitUntilAfter(harness, request.deadline);
             });
-            assertEquals("served", clients.next());
+            assertEquals("served", front.nextOutcome());
             assertEquals(0, harness.counter("call.cancelled") + harness.counter("call.timeout"));
         }
     }
 
-    /** A declined call never ran: what must not run twice is refused and not failed, its time being over. */
+    /** A declined job has not run, so past its deadline it is refused, not failed, even if it must not run twice. */
     @RepeatedTest(REPEATS)
-    void aDeclinedCaptureWhoseTimeIsOverInThatTurnIsRefused() throws Exception {
+    void aCaptureDeclinedInTheTurnOfItsDeadlineIsRefused() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
             Request[] request = new Request[1];
-            inOneTurn(harness, () -> request[0] = submit(harness, CAPTURE, "1", SILENT));
+            inOneTurn(harness, () -> request[0] = submit(harness, CAPTURE, "1", SILENT_US));
             Peer call = endpoint.accept();
             call.message();
             inOneTurn(harness, () -> {
                 call.write("HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
-                untilPast(harness, request[0].deadline);
+                waitUntilAfter(harness, request[0].deadline);
             });
-            assertEquals("refused", clients.next());
+            assertEquals("refused", front.nextOutcome());
             assertEquals(1, harness.counter("call.full"));
         }
     }
 
-    /** The endpoint reads the call and answers it. */
-    private static void answers(Peer call) throws IOException {
+    /** Reads the call at the endpoint and answers it. */
+    private static void answer(Peer call) throws IOException {
         call.message();
-        call.respond(done("1"));
+        call.respond(doneStatus("1"));
     }
 
-    // ---- closes ----
+    // ---- closed connections ----
 
-    /** The endpoint closes a resting connection just as a capture is written to it: that never ran. */
+    /** The endpoint closes an idle connection just as a capture is written to it: the job has not run. */
     @RepeatedTest(REPEATS)
-    void whatItsEndpointClosesBeforeTheLastByteNeverRan() throws Exception {
+    void aCaptureHasNotRunIfTheEndpointClosesBeforeTheLastByte() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
-            asOneComesToRest(harness, endpoint, call -> {
-                submit(harness, CAPTURE, "1", 5 * SECOND);
+            whenConnectionBecomesIdle(harness, endpoint, call -> {
+                submit(harness, CAPTURE, "1", 5 * SECOND_US);
                 call.readTo("\r\n\r\npa");
                 call.close();
-                untilPast(harness, harness.serve.loop().currentMicros() + HELD);
+                waitUntilAfter(harness, harness.serve.loop().currentMicros() + HOLD_US);
             });
-            assertEquals("refused", clients.next());
+            assertEquals("refused", front.nextOutcome());
             assertEquals(0, harness.counter("call.reset"));
             assertEquals(1, harness.counter("call.moot"));
         }
     }
 
-    /** Put back among the resting ones as its peer closes it: it is looked at before it is used. */
+    /** A pooled connection that the endpoint closes in this turn is checked before it is used. */
     @RepeatedTest(REPEATS)
-    void aConnectionThatItsPeerClosedInThatTurnIsNotUsed() throws Exception {
+    void aConnectionClosedInTheSameTurnIsNotUsed() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
-            Peer call = rested(harness, endpoint);
+            Peer call = idleConnection(harness, endpoint);
             inOneTurn(harness, () -> {
                 call.close();
-                submit(harness, CHECK, "1", 5 * SECOND);
+                submit(harness, CHECK, "1", 5 * SECOND_US);
             });
             Peer next = endpoint.accept();
             assertTrue(next.message().contains("Req-Id: 1\r\n"));
-            next.respond(done("1"));
-            assertEquals("served", clients.next());
+            next.respond(doneStatus("1"));
+            assertEquals("served", front.nextOutcome());
             assertEquals(0, harness.counter("call.reset") + harness.counter("call.moot"));
         }
     }
 
     @RepeatedTest(REPEATS)
-    void halfALineInTheMomentOfACloseIsNoAnswer() throws Exception {
+    void aPartialLineBeforeACloseIsNoAnswer() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
-            inOneTurn(harness, () -> submit(harness, CAPTURE, "1", 5 * SECOND));
+            inOneTurn(harness, () -> submit(harness, CAPTURE, "1", 5 * SECOND_US));
             Peer call = endpoint.accept();
             call.message();
             call.write("HTTP/1.1 200 OK\r\n\r\n{\"id\":\"1\",\"state\":\"done\",\"result\":\"o");
             call.close();
-            assertEquals("failed", clients.next());
+            assertEquals("failed", front.nextOutcome());
             assertEquals(1, harness.counter("call.reset"));
         }
     }
@@ -448,14 +448,14 @@
     // ---- drains ----
 
     @RepeatedTest(REPEATS)
-    void aDrainToldWhileTheConnectionComesUpIsNotTheEndpointsFailure() throws Exception {
+    void aDrainDuringConnectIsNoFailureOfTheEndpoint() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
             inOneTurn(harness, () -> {
-                submit(harness, CAPTURE, "1", 5 * SECOND);
-                drainedLongAgo(harness, "e1");
+                submit(harness, CAPTURE, "1", 5 * SECOND_US);
+                announceOldDrain(harness, "e1");
             });
-            assertEquals("refused", clients.next());
+            assertEquals("refused", front.nextOutcome());
             assertTrue(endpoint.accept().isClosedByPeer());
             assertEquals(1, harness.counter("core.kept.drain"));
             assertEquals(1, harness.counter("call.moot"));
@@ -464,34 +464,34 @@
     }
 
     @RepeatedTest(REPEATS)
-    void aDrainToldWhileTheLastByteIsHeldKeepsItBack() throws Exception {
+    void aDrainWhileTheLastByteIsHeldKeepsItBack() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
-            Peer call = stale(harness, endpoint);
+            Peer call = staleConnection(harness, endpoint);
             inOneTurn(harness, () -> {
-                submit(harness, CHECK, "1", 5 * SECOND);
-                drainedLongAgo(harness, "e1");
+                submit(harness, CHECK, "1", 5 * SECOND_US);
+                announceOldDrain(harness, "e1");
             });
             assertThrows(IOException.class, call::message);
-            assertEquals("refused", clients.next());
+            assertEquals("refused", front.nextOutcome());
         }
     }
 
-    // ---- answers that are not this call's ----
+    // ---- answers to other calls ----
 
     @RepeatedTest(REPEATS)
-    void aSecondAnswerToTheJobTwoBeforeIsPassedOver() throws Exception {
+    void aRepeatedAnswerToTheJobBeforeLastIsIgnored() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
-            Peer call = rested(harness, endpoint);
+            Peer call = idleConnection(harness, endpoint);
             for (String id : new String[] {"1", "2"}) {
-                inOneTurn(harness, () -> submit(harness, POST, id, 5 * SECOND));
+                inOneTurn(harness, () -> submit(harness, POST, id, 5 * SECOND_US));
                 call.message();
                 if (id.equals("2")) {
-                    call.respond(done("first"));
+                    call.respond(doneStatus("first"));
                 }
-                call.respond(done(id));
-                assertEquals("served", clients.next());
+                call.respond(doneStatus(id));
+                assertEquals("served", front.nextOutcome());
             }
             assertEquals(1, harness.counter("endpoint.second_answer"));
             assertEquals(0, harness.counter("endpoint.malformed"));
--- a/src/test/java/laneflow/http/EndpointStoryTest.java
+++ b/src/test/java/laneflow/http/EndpointStoryTest.java
@@ -10,22 +10,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Stories of endpoints that answer too much, too late or for ever, as the operators' page has them. */
+/** Endpoints that answer twice, too late or without end, as the operators' page describes them. */
 @Timeout(120)
 class EndpointStoryTest {
-    private static String done(String id, String result) {
+    private static String doneStatus(String id, String result) {
         return "{'id':'" + id + "','state':'done','result':'" + result + "'}";
     }
 
-    /** Writes the same until the other side ends it. */
-    private static Thread floods(Peer call, String text) {
+    /** Writes the text repeatedly until the scheduler closes the connection. */
+    private static Thread startFlood(Peer call, String text) {
         Thread flood = new Thread(() -> {
             try {
                 while (true) {
                     call.write(text);
                 }
             } catch (IOException e) {
-                // Cut off: that is what the story waits for.
+                // The expected close.
             }
         });
         flood.start();
@@ -33,30 +33,30 @@
     }
 
     @Test
-    void aSecondAnswerIsNotTakenForTheNextRequests() throws Exception {
+    void aRepeatedAnswerIsNotTakenForTheNextRequests() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
                 Peer client = harness.http()) {
             client.post("basket-check", "1", "", "");
             Peer call = endpoint.accept();
             call.message();
-            call.respond(done("1", "one"));
+            call.respond(doneStatus("1", "one"));
             assertTrue(client.message().endsWith("one"));
             client.post("basket-check", "2", "", "");
             assertTrue(call.message().contains("Req-Id: 2\r\n"));
-            call.respond(done("1", "one")).respond(done("2", "two"));
+            call.respond(doneStatus("1", "one")).respond(doneStatus("2", "two"));
             String answer = client.message();
             assertTrue(answer.endsWith("two"), answer);
             assertEquals(1, harness.counter("endpoint.second_answer"));
             assertEquals(1, harness.counter("endpoint.connects"));
-            // Nor is it used again.
+            // The connection is not used again.
             assertTrue(call.isClosedByPeer());
         }
     }
 
-    /** The core hears that the job is done with the first bytes of the last line, once, and of none that is whole. */
+    /** The scheduler learns of a result from the first bytes of its line, once, and not from a line read as a whole. */
     @Test
-    void anAnswerThatBeginsToComeIsTold() throws Exception {
+    void theFirstBytesOfAResultAreReported() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
                 Peer client = harness.http()) {
@@ -66,7 +66,7 @@
             call.beginResponse("{'id':'1','state':'started'}");
             harness.awaitCounter("call.started", 1);
             assertEquals(0, harness.counter("call.answering"));
-            String line = done("1", "one").replace('\'', '"') + "\n";
+            String line = doneStatus("1", "one").replace('\'', '"') + "\n";
             call.write(Integer.toHexString(line.length()) + "\r\n" + line.substring(0, 3));
             harness.awaitCounter("call.answering", 1);
             call.write(line.substring(3, 9));
@@ -75,32 +75,32 @@
             assertEquals(1, harness.counter("call.answering"));
             client.post("basket-check", "2", "", "");
             call.message();
-            call.beginResponse("{'id':'2','state':'started'}").endResponse(done("2", "two"));
+            call.beginResponse("{'id':'2','state':'started'}").endResponse(doneStatus("2", "two"));
             assertTrue(client.message().endsWith("two"));
             assertEquals(1, harness.counter("call.answering"));
         }
     }
 
     @Test
-    void aSecondAnswerOnARestingConnectionEndsItAndAThirdIsNone() throws Exception {
+    void aRepeatedAnswerClosesAnIdleConnectionAndTwoAreMalformed() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
                 Peer client = harness.http()) {
             client.post("basket-check", "1", "", "");
             Peer call = endpoint.accept();
             call.message();
-            call.respond(done("1", "one"));
+            call.respond(doneStatus("1", "one"));
             assertTrue(client.message().endsWith("one"));
-            call.respond(done("1", "one"));
+            call.respond(doneStatus("1", "one"));
             assertTrue(call.isClosedByPeer());
             client.post("points-post", "2", "", "");
             Peer next = endpoint.accept();
             next.message();
-            next.respond(done("2", "two"));
+            next.respond(doneStatus("2", "two"));
             assertTrue(client.message().endsWith("two"));
             client.post("basket-check", "3", "Req-Deadline-Ms: 400\r\n", "");
             assertTrue(next.message().contains("Req-Id: 3\r\n"));
-            next.respond(done("2", "two")).respond(done("2", "two"));
+            next.respond(doneStatus("2", "two")).respond(doneStatus("2", "two"));
             assertTrue(next.isClosedByPeer());
             assertTrue(client.message().startsWith("HTTP/1.1 503 "));
             assertEquals(1, harness.counter("endpoint.malformed"));
@@ -111,108 +111,108 @@
     private static final String CHUNK = Integer.toHexString(RUNNING.length()) + "\r\n" + RUNNING + "\r\n";
 
     @Test
-    void anAnswerThatNeverEndsIsCutOffByItsClientsTime() throws Exception {
+    void anEndlessSlowResponseIsCutOffAtTheDeadline() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
                 Peer client = harness.http()) {
-            long from = System.nanoTime();
+            long startedAt = System.nanoTime();
             client.post("card-capture", "1", "Req-Deadline-Ms: 400\r\n", "pay");
-            Peer drops = endpoint.accept();
-            drops.message();
-            drops.beginResponse("{'id':'1','state':'started'}");
-            Thread slow = new Thread(() -> {
+            Peer slowCall = endpoint.accept();
+            slowCall.message();
+            slowCall.beginResponse("{'id':'1','state':'started'}");
+            Thread slowWriter = new Thread(() -> {
                 try {
                     for (; true; Thread.sleep(20)) {
-                        drops.write(CHUNK);
+                        slowCall.write(CHUNK);
                     }
                 } catch (IOException | InterruptedException e) {
-                    // Cut off: that is what the story waits for.
+                    // The expected close.
                 }
             });
-            slow.start();
+            slowWriter.start();
             assertTrue(client.message().startsWith("HTTP/1.1 500 "));
-            assertTrue(System.nanoTime() - from < 3_000_000_000L);
-            slow.join();
+            assertTrue(System.nanoTime() - startedAt < 3_000_000_000L);
+            slowWriter.join();
         }
     }
 
     @Test
-    void anAnswerWithoutEndIsCutOffByItsBytesBeforeItsLastWordAndBehindIt() throws Exception {
-        for (boolean behind : new boolean[] {false, true}) {
+    void anEndlessResponseIsCutOffByLengthBeforeAndAfterItsOutcome() throws Exception {
+        for (boolean afterOutcome : new boolean[] {false, true}) {
             Endpoint endpoint = new Endpoint("e1");
             try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
                     Peer client = harness.http()) {
                 client.post("card-capture", "1", "", "pay");
                 Peer call = endpoint.accept();
                 call.message();
-                call.beginResponse(behind ? done("1", "paid") : "{'id':'1','state':'started'}");
-                Thread flood = floods(call, CHUNK.repeat(1000));
+                call.beginResponse(afterOutcome ? doneStatus("1", "paid") : "{'id':'1','state':'started'}");
+                Thread flood = startFlood(call, CHUNK.repeat(1000));
                 String answer = client.message();
-                assertTrue(behind ? answer.endsWith("paid") : answer.startsWith("HTTP/1.1 500 "), answer);
+                assertTrue(afterOutcome ? answer.endsWith("paid") : answer.startsWith("HTTP/1.1 500 "), answer);
                 flood.join();
                 harness.awaitCounter("endpoint.malformed", 1);
             }
         }
     }
 
-    /** Interim answers are none: one that goes on with them is as silent as one that says nothing. */
+    /** Interim responses do not count: an endpoint that sends only those is as silent as one that sends nothing. */
     @Test
-    void interimAnswersAreNoHead() throws Exception {
-        Endpoint one = new Endpoint("e1");
-        Endpoint two = new Endpoint("e2", one);
+    void interimResponsesAreNoHead() throws Exception {
+        Endpoint endpoint1 = new Endpoint("e1");
+        Endpoint endpoint2 = new Endpoint("e2", endpoint1);
         try (SchedulerHarness harness =
-                        SchedulerHarness.withSetting("'connectTimeout':1", "'connectTimeout':0.25", null, one, two);
+                        SchedulerHarness.withSetting("'connectTimeout':1", "'connectTimeout':0.25", null, endpoint1, endpoint2);
                 Peer client = harness.http()) {
             client.post("basket-check", "1", "", "");
-            Peer silent = one.accept();
+            Peer silent = endpoint1.accept();
             silent.message();
             silent.write("HTTP/1.1 102 Processing\r\n\r\n");
-            Peer again = one.accept();
-            again.message();
+            Peer retry = endpoint1.accept();
+            retry.message();
             assertTrue(silent.isClosedByPeer());
-            again.write("HTTP/1.1 100 Continue\r\n\r\n").respond(done("1", "priced"));
+            retry.write("HTTP/1.1 100 Continue\r\n\r\n").respond(doneStatus("1", "priced"));
             assertTrue(client.message().endsWith("priced"));
             assertEquals(1, harness.counter("endpoint.silent"));
         }
     }
 
-    /** It goes elsewhere, or its client hears at once; what comes up late never carries it. */
+    /** The request is retried or refused at once; the connection that opens late does not carry it. */
     @Test
-    void aConnectionThatComesUpLateIsGivenUpInTimeAndCarriesNothing() throws Exception {
+    void aConnectionThatOpensTooLateIsAbandonedAndCarriesNothing() throws Exception {
         Endpoint endpoint = new Endpoint("e1", 1);
         try (SchedulerHarness harness =
                         SchedulerHarness.withSetting("'connectTimeout':1", "'connectTimeout':0.25", null, endpoint);
                 Peer client = harness.http()) {
             int crowd = endpoint.fillBacklog();
-            long from = System.nanoTime();
+            long startedAt = System.nanoTime();
             client.post("card-capture", "1", "", "pay");
             assertTrue(client.message().startsWith("HTTP/1.1 503 "));
-            double took = (System.nanoTime() - from) / 1e9;
-            assertTrue(took > 0.24 && took < 3, "" + took);
+            double seconds = (System.nanoTime() - startedAt) / 1e9;
+            assertTrue(seconds > 0.24 && seconds < 3, "" + seconds);
             assertEquals(1, harness.counter("call.connect_failed"));
             for (int i = 0; i < crowd; i++) {
                 endpoint.accept();
             }
-            // Whatever comes up of it carries nothing; the first that asks is the next job.
-            Thread serves = new Thread(() -> {
+            // The late connection carries nothing; the first request is the next job.
+            Thread server = new Thread(() -> {
                 while (true) {
                     try (Peer call = endpoint.accept()) {
                         assertTrue(call.message().contains("Req-Id: 2\r\n"));
-                        call.respond(done("2", "posted"));
+                        call.respond(doneStatus("2", "posted"));
                         return;
                     } catch (IOException e) {
-                        // Closed with nothing said.
+                        // Closed without a request.
                     }
                 }
             });
-            serves.start();
-            // For a while it is under suspicion.
+            server.start();
+            // The endpoint counts as suspect for a while.
             String answer;
             do {
                 answer = client.post("points-post", "2", "", "").message();
             } while (answer.startsWith("HTTP/1.1 503 "));
             assertTrue(answer.endsWith("posted"), answer);
-            serves.join();
+            server.join();
         }
     }
 }
--- a/src/test/java/laneflow/http/HttpStoryTest.java
+++ b/src/test/java/laneflow/http/HttpStoryTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Stories of the platform's front, one for each failure met. */
+/** The HTTP front and connector: one test for each failure that was met. */
 @Timeout(120)
 class HttpStoryTest {
     @TempDir
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aRequestPassesThroughUnchangedHoweverItIsSplit() throws Exception {
+    void aRequestIsPassedOnUnchangedHoweverItIsSplit() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
                 Peer client = harness.http()) {
@@ -44,7 +44,7 @@
             assertTrue(sent.endsWith("\r\n\r\n" + body));
             call.respond("{'id':'9b1f','state':'started'}", "{'id':'9b1f','state':'done','result':'a\\nb'}");
             assertTrue(client.message().endsWith("\r\n\r\na\nb"));
-            // The same connections serve the next one, two messages at once included.
+            // The same connections serve the next requests, two of them sent at once.
             client.post("basket-check", "1", "", "").post("basket-check", "2", "", "");
             for (String id : new String[] {"1", "2"}) {
                 assertTrue(call.message().contains("Req-Id: " + id + "\r\n"));
@@ -56,30 +56,30 @@
     }
 
     @Test
-    void aConnectionThatBreaksBehindTheLastByteMayHaveRunIt() throws Exception {
-        Endpoint one = new Endpoint("e1");
-        Endpoint two = new Endpoint("e2", one);
-        try (SchedulerHarness harness = new SchedulerHarness(null, one, two);
+    void aJobMayHaveRunIfTheConnectionBreaksAfterTheLastByte() throws Exception {
+        Endpoint endpoint1 = new Endpoint("e1");
+        Endpoint endpoint2 = new Endpoint("e2", endpoint1);
+        try (SchedulerHarness harness = new SchedulerHarness(null, endpoint1, endpoint2);
                 Peer client = harness.http()) {
             client.post("card-capture", "1", "", "pay");
-            Peer call = one.accept();
+            Peer call = endpoint1.accept();
             call.message();
             call.reset();
             assertTrue(client.message().startsWith("HTTP/1.1 500 "));
             assertEquals(1, harness.counter("call.sent"));
             client.post("basket-check", "2", "", "");
-            // What is safe goes to the other one, since the first is under suspicion.
-            Peer again = one.accept();
-            again.message();
-            again.respond("{'id':'2','state':'done','result':'ok'}");
+            // A safe job goes to the other endpoint, as the first one is suspect.
+            Peer nextCall = endpoint1.accept();
+            nextCall.message();
+            nextCall.respond("{'id':'2','state':'done','result':'ok'}");
             assertTrue(client.message().endsWith("ok"));
         }
     }
 
     @Test
-    void aConnectionThatBreaksBeforeTheLastByteNeverRanIt() throws Exception {
+    void aJobHasNotRunIfTheConnectionBreaksBeforeTheLastByte() throws Exception {
         boolean refused = false;
-        // The byte is held back for 2 ms only: a peer that is late sees it go out, and tries again.
+        // The byte is held back for 2 ms only: if this thread is late, it is sent, and the test tries again.
         for (int i = 0; i < 30 && !refused; i++) {
             Endpoint endpoint = new Endpoint("e1");
             try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
@@ -97,16 +97,16 @@
     }
 
     @Test
-    void whatMustNotRunTwiceIsSentOnNoConnectionThatMayBeStale() throws Exception {
+    void unsafeJobsAreNotSentOnStaleConnections() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
                 Peer client = harness.http()) {
             client.post("basket-check", "1", "", "");
-            Peer kept = endpoint.accept();
-            kept.message();
-            kept.respond("{'id':'1','state':'done','result':'priced'}");
+            Peer idleCall = endpoint.accept();
+            idleCall.message();
+            idleCall.respond("{'id':'1','state':'done','result':'priced'}");
             client.message();
-            // Its endpoint may close it unheard while it rests; 50 ms are trusted.
+            // The endpoint may close an idle connection unnoticed; it is trusted for 50 ms.
             Thread.sleep(60);
             client.post("card-capture", "2", "", "pay");
             Peer call = endpoint.accept();
@@ -117,27 +117,27 @@
     }
 
     @Test
-    void whatGetsNoHeadGoesElsewhereIfItMayRunTwice() throws Exception {
-        Endpoint one = new Endpoint("e1");
-        Endpoint two = new Endpoint("e2", one);
+    void aSafeJobWithoutAResponseHeadIsRetriedElsewhere() throws Exception {
+        Endpoint endpoint1 = new Endpoint("e1");
+        Endpoint endpoint2 = new Endpoint("e2", endpoint1);
         try (SchedulerHarness harness =
-                        SchedulerHarness.withSetting("'connectTimeout':1", "'connectTimeout':0.25", null, one, two);
+                        SchedulerHarness.withSetting("'connectTimeout':1", "'connectTimeout':0.25", null, endpoint1, endpoint2);
                 Peer client = harness.http()) {
             client.post("basket-check", "1", "", "");
-            Peer silent = one.accept();
+            Peer silent = endpoint1.accept();
             silent.message();
-            Peer again = one.accept();
-            again.message();
+            Peer retry = endpoint1.accept();
+            retry.message();
             assertTrue(silent.isClosedByPeer());
-            again.respond("{'id':'1','state':'done','result':'priced'}");
+            retry.respond("{'id':'1','state':'done','result':'priced'}");
             assertTrue(client.message().endsWith("priced"));
             assertEquals(1, harness.counter("endpoint.silent"));
         }
     }
 
     @Test
-    void nothingIsServedThatNoEndpointMadeForIt() throws Exception {
-        for (String word : new String[] {
+    void onlyAValidResultForTheRequestIsServed() throws Exception {
+        for (String status : new String[] {
             "{'state':'done','result':'x'}",
             "{'id':'2','state':'done','result':'x'}",
             "{'id':'1','state':'done'}",
@@ -152,15 +152,15 @@
                 client.post("card-capture", "1", "", "pay");
                 Peer call = endpoint.accept();
                 call.message();
-                call.respond(word);
-                assertTrue(client.message().startsWith("HTTP/1.1 500 "), word);
-                assertEquals(1, harness.counter("endpoint.malformed"), word);
+                call.respond(status);
+                assertTrue(client.message().startsWith("HTTP/1.1 500 "), status);
+                assertEquals(1, harness.counter("endpoint.malformed"), status);
             }
         }
     }
 
     @Test
-    void noEndpointMeansARefusalWithATimeToComeBack() throws Exception {
+    void withoutAnEndpointRequestsAreRefusedWithRetryAfter() throws Exception {
         Endpoint closed = new Endpoint("e1");
         closed.close();
         try (SchedulerHarness harness = new SchedulerHarness(null, closed);
@@ -171,7 +171,7 @@
             assertTrue(answer.contains("\r\nRetry-After: "), answer);
             assertEquals(1, harness.counter("call.connect_failed"));
             assertEquals(1, harness.counter("clients.refused"));
-            // As often as it comes again at once: it hears so each time, and nothing is kept of it.
+            // Immediate retries are refused each time, and leave nothing behind.
             for (int i = 2; i < 300; i++) {
                 assertTrue(
                         client.post("card-capture", "" + i, "", "pay").message().startsWith("HTTP/1.1 503 "));
@@ -184,7 +184,7 @@
     }
 
     @Test
-    void aDeclinedCallNeverRanAndBadBytesAreAFailedCall() throws Exception {
+    void aDeclinedCallIsRefusedAndAMalformedResponseFails() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
                 Peer client = harness.http()) {
@@ -214,7 +214,7 @@
     }
 
     @Test
-    void whatIsNoHttpGets400AndTooMuch413AndGoesNoFurther() throws Exception {
+    void malformedRequestsGet400AndTooLongBodies413() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
             String post = "POST /basket-check HTTP/1.1\r\nReq-Id: 1\r\n";
@@ -245,10 +245,10 @@
                 {"POST /basket-check HTTP/1.1\r\nContent-Length: 0\r\n\r\n", "400"},
                 {"POST /no-class HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: no-class\r\n\r\n", "400"}
             };
-            for (String[] each : cases) {
+            for (String[] requestAndStatus : cases) {
                 try (Peer client = harness.http()) {
-                    String answer = client.write(each[0]).message();
-                    assertTrue(answer.startsWith("HTTP/1.1 " + each[1]), each[0] + answer);
+                    String answer = client.write(requestAndStatus[0]).message();
+                    assertTrue(answer.startsWith("HTTP/1.1 " + requestAndStatus[1]), requestAndStatus[0] + answer);
                 }
             }
             assertEquals(0, harness.counter("http.taken"));
@@ -256,11 +256,11 @@
     }
 
     @Test
-    void whatIsTooLongIsAnsweredThoughItsBytesGoOnComing() throws Exception {
+    void aTooLongBodyIsRejectedWhileItsBytesStillArrive() throws Exception {
         try (SchedulerHarness harness = new SchedulerHarness(null);
                 Peer client = harness.http()) {
             client.write("POST /basket-check HTTP/1.1\r\nReq-Id: 1\r\nContent-Length: 60000000\r\n\r\n");
-            // Closed with these unread, the connection would be reset and the answer lost on its way.
+            // If closed with these unread, the connection would be reset and the answer lost.
             client.write(new byte[200_000]);
             assertTrue(client.message().startsWith("HTTP/1.1 413 "));
             assertEquals(-1, client.socket.getInputStream().read());
@@ -269,41 +269,41 @@
     }
 
     @Test
-    void whoSaysNothingOrHalfAMessageIsEndedAndAKeptConnectionIsNot() throws Exception {
+    void silentAndSlowConnectionsAreClosedAndIdleOnesAreKept() throws Exception {
         try (SchedulerHarness harness = new SchedulerHarness(null);
-                Peer kept = harness.http();
+                Peer idle = harness.http();
                 Peer silent = harness.http();
                 Peer slow = harness.http();
-                Peer later = harness.http()) {
-            kept.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
-            later.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
-            // An empty line behind a body is no message begun.
-            kept.write("\r\n");
-            later.write("GET /hea");
-            long from = System.nanoTime();
-            Thread drops = new Thread(() -> {
+                Peer partial = harness.http()) {
+            idle.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
+            partial.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
+            // An empty line after a message does not begin another.
+            idle.write("\r\n");
+            partial.write("GET /hea");
+            long startedAt = System.nanoTime();
+            Thread slowWriter = new Thread(() -> {
                 try {
                     for (slow.write("POST / HTTP/1.1\r\n"); true; Thread.sleep(100)) {
                         slow.write("X: y\r\n");
                     }
                 } catch (IOException | InterruptedException e) {
-                    // Cut off: that is what the story waits for.
+                    // The expected close.
                 }
             });
-            drops.start();
+            slowWriter.start();
             assertTrue(silent.isClosedByPeer());
             assertTrue(slow.message().startsWith("HTTP/1.1 408 "));
-            assertTrue(later.message().startsWith("HTTP/1.1 408 "));
-            assertTrue(System.nanoTime() - from < 3_000_000_000L);
+            assertTrue(partial.message().startsWith("HTTP/1.1 408 "));
+            assertTrue(System.nanoTime() - startedAt < 3_000_000_000L);
             assertTrue(
-                    kept.write("GET /health/ready HTTP/1.1\r\n\r\n").message().endsWith("ok\n"));
-            drops.interrupt();
-            drops.join();
+                    idle.write("GET /health/ready HTTP/1.1\r\n\r\n").message().endsWith("ok\n"));
+            slowWriter.interrupt();
+            slowWriter.join();
         }
     }
 
     @Test
-    void anOpenRequestsIdAgainIsAnErrorAndNeverASecondCall() throws Exception {
+    void aRepeatedIdOfAnOpenRequestIsRejected() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
                 Peer client = harness.http();
@@ -319,7 +319,7 @@
     }
 
     @Test
-    void silentConnectionsKeepNobodyOut() throws Exception {
+    void silentConnectionsAreEvictedForNewClients() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, 80, endpoint)) {
             for (int i = 0; i < 40; i++) {
@@ -330,7 +330,7 @@
             call.message();
             call.respond("{'id':'1','state':'done','result':'priced'}");
             assertTrue(client.message().endsWith("priced"));
-            // No more made way than came, and none of the last ones.
+            // No more were evicted than needed, and none of the last ones.
             assertEquals(33, harness.counter("http.gave_way"));
             assertEquals(33, harness.counter("clients.closed_unanswered"));
         }
@@ -350,50 +350,50 @@
         }
     }
 
-    /** What they sent is no burden on those that stay: no call, no descriptor and no request is left of it. */
+    /** Clients that have left hold no call, descriptor or request that others could use. */
     @Test
-    void clientsThatSendMuchAndGoLeaveNothingBehind() throws Exception {
+    void clientsThatSendManyRequestsAndLeaveHoldNoResources() throws Exception {
         Endpoint endpoint = new Endpoint("e1", 200);
         try (SchedulerHarness harness = new SchedulerHarness(null, 200, endpoint)) {
             String job = "POST /basket-check HTTP/1.1\r\nReq-Id: %d\r\nContent-Length: 2000\r\n\r\n" + "x".repeat(2000);
             for (int burst = 0; burst < 3; burst++) {
                 for (int i = 0; i < 40; i++) {
-                    Peer gone = harness.http();
-                    for (int much = 0; much < 15; much++) {
-                        gone.write(String.format(job, burst * 10_000 + i * 100 + much));
+                    Peer leaving = harness.http();
+                    for (int requestNumber = 0; requestNumber < 15; requestNumber++) {
+                        leaving.write(String.format(job, burst * 10_000 + i * 100 + requestNumber));
                     }
                     if (i % 2 == 0) {
-                        gone.reset();
+                        leaving.reset();
                     } else {
-                        gone.close();
+                        leaving.close();
                     }
                 }
             }
-            int[] left = {1, 1};
-            while (left[0] + left[1] > 0) {
+            int[] openAndBusy = {1, 1};
+            while (openAndBusy[0] + openAndBusy[1] > 0) {
                 harness.serve.loop().call(() -> {
-                    left[0] = harness.serve.scheduler().openRequests();
-                    left[1] = harness.serve.front().busy();
+                    openAndBusy[0] = harness.serve.scheduler().openRequests();
+                    openAndBusy[1] = harness.serve.front().busyConnections();
                 });
             }
-            // Whatever became of each: taken and withdrawn, or never heard of.
+            // Each request was either accepted and ended, or never read.
             assertEquals(
                     harness.counter("http.taken"),
                     harness.counter("http.withdrawn")
                             + harness.counter("http.refused")
                             + harness.counter("http.failed"));
             assertEquals(0, harness.counter("clients.lost"));
-            Thread serves = new Thread(() -> {
+            Thread server = new Thread(() -> {
                 for (boolean more = true; more; ) {
                     try (Peer call = endpoint.accept()) {
                         more = !call.message().contains("Req-Id: last\r\n");
                         call.respond("{'id':'last','state':'done','result':'priced'}");
                     } catch (IOException e) {
-                        // One that its client had left.
+                        // A call whose client had left.
                     }
                 }
             });
-            serves.start();
+            server.start();
             String answer;
             try (Peer client = harness.http()) {
                 do {
@@ -401,20 +401,20 @@
                 } while (answer.startsWith("HTTP/1.1 503 "));
             }
             assertTrue(answer.endsWith("priced"), answer);
-            serves.join();
+            server.join();
         }
     }
 
-    /** Half a second behind its time an answer earns nothing; later it is lost, and counted so. */
+    /** An answer more than half a second after its deadline is counted as lost. */
     @Test
-    void anAnswerThatComesTooLateIsCountedAsLost() throws Exception {
+    void aLateAnswerIsCountedAsLost() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
                 Peer client = harness.http()) {
             client.post("basket-check", "1", "Req-Deadline-Ms: 1500\r\n", "");
             endpoint.accept().message();
             assertEquals(0, harness.counter("clients.late") + harness.counter("clients.lost"));
-            // A turn of the loop that stands still, as where the machine does.
+            // A stall of the loop, as when the machine stalls.
             harness.serve.loop().call(() -> {
                 try {
                     Thread.sleep(2200);
@@ -428,39 +428,39 @@
     }
 
     @Test
-    void aSilentEndpointIsAnsweredForBeforeTheClientGivesUp() throws Exception {
+    void aRequestToASilentEndpointFailsAtItsDeadline() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
                 Peer client = harness.http()) {
-            long from = System.nanoTime();
+            long startedAt = System.nanoTime();
             client.post("card-capture", "1", "Req-Deadline-Ms: 300\r\n", "");
             Peer call = endpoint.accept();
             assertTrue(call.message().contains("Req-Deadline-Ms: "));
             assertTrue(client.message().startsWith("HTTP/1.1 500 "));
-            // Its class would wait for 6 s; how near to its own 0.3 s is the machine's affair.
-            assertTrue(System.nanoTime() - from < 3_000_000_000L);
+            // The class's deadline is 6 s; how close to the request's 0.3 s depends on the machine.
+            assertTrue(System.nanoTime() - startedAt < 3_000_000_000L);
             assertTrue(call.isClosedByPeer());
         }
     }
 
     @Test
-    void discoveryIsFollowedThroughItsTroubles() throws Exception {
+    void theWatchRecoversFromItsEndAndFromInvalidLists() throws Exception {
         Endpoint discovery = new Endpoint("d");
-        Endpoint one = new Endpoint("e1");
-        Endpoint two = new Endpoint("e2");
-        try (SchedulerHarness harness = new SchedulerHarness(discovery, one);
+        Endpoint endpoint1 = new Endpoint("e1");
+        Endpoint endpoint2 = new Endpoint("e2");
+        try (SchedulerHarness harness = new SchedulerHarness(discovery, endpoint1);
                 Peer client = harness.http()) {
             Peer watch = discovery.accept();
             assertTrue(watch.readTo("\r\n\r\n").startsWith("GET /registry/instances?watch=1&after=1 "));
-            watch.respond(SchedulerHarness.hostList(2, false, one.host("Terminating"), two.host("Ready"))
+            watch.respond(SchedulerHarness.hostList(2, false, endpoint1.host("Terminating"), endpoint2.host("Ready"))
                     .replace('"', '\''));
             harness.awaitCounter("discovery.lists", 1);
             client.post("basket-check", "1", "", "");
-            Peer call = two.accept();
+            Peer call = endpoint2.accept();
             call.message();
             call.respond("{'id':'1','state':'done','result':''}");
             client.message();
-            // The watch has ended: it is begun again behind what was heard, and a whole list drops the rest.
+            // The watch has ended: the next one asks for later changes, and a complete list replaces the old one.
             Peer next = discovery.accept();
             assertTrue(next.readTo("\r\n\r\n").contains("after=2 "));
             next.respond("no list at all");
@@ -473,20 +473,20 @@
     }
 
     @Test
-    void aMovedDiscoveryIsFollowedAndItsOldAddressHeardUntilTheNewOneSpeaks() throws Exception {
+    void aMovedDiscoveryIsFollowedAndItsFormerAddressReadUntilTheNewOneSendsAList() throws Exception {
         Endpoint first = new Endpoint("d1");
         Endpoint second = new Endpoint("d2");
         Endpoint third = new Endpoint("d3");
-        Endpoint one = new Endpoint("e1");
+        Endpoint endpoint1 = new Endpoint("e1");
         Path file = folder.resolve("config.json");
-        try (SchedulerHarness harness = new SchedulerHarness(first, one);
+        try (SchedulerHarness harness = new SchedulerHarness(first, endpoint1);
                 Peer client = harness.http()) {
-            Peer old = first.accept();
-            old.readTo("\r\n\r\n");
+            Peer formerWatch = first.accept();
+            formerWatch.readTo("\r\n\r\n");
             client.post("card-capture", "1", "", "pay");
-            Peer call = one.accept();
+            Peer call = endpoint1.accept();
             call.message();
-            // Half a file, and one that names no address: what runs stays as it is.
+            // A truncated file and one without a valid address change nothing.
             for (String bad : new String[] {"{\"disco", SchedulerHarness.configWithDiscovery("discovery.svc")}) {
                 reload(harness, Files.writeString(file, bad));
             }
@@ -494,17 +494,17 @@
             reload(harness, Files.writeString(file, SchedulerHarness.configWithDiscovery(second.dial())));
             Peer silent = second.accept();
             assertTrue(silent.readTo("\r\n\r\n").contains("after=0 "));
-            old.write(SchedulerHarness.watchResponse(SchedulerHarness.hostList(8, false, one.host("Terminating"))));
+            formerWatch.write(SchedulerHarness.watchResponse(SchedulerHarness.hostList(8, false, endpoint1.host("Terminating"))));
             harness.awaitCounter("discovery.lists", 1);
-            // Moved again before it has spoken: only the latest counts, and the oldest is still heard.
+            // Moved again before the second has answered: only the latest counts, and the first is still read.
             reload(harness, Files.writeString(file, SchedulerHarness.configWithDiscovery(third.dial())));
             assertTrue(silent.isClosedByPeer());
-            Peer now = third.accept();
-            now.readTo("\r\n\r\n");
-            // A list of lower number: another address counts as it likes.
-            now.write(SchedulerHarness.watchResponse(SchedulerHarness.hostList(3, true, one.host("Ready"))));
+            Peer current = third.accept();
+            current.readTo("\r\n\r\n");
+            // A lower sequence number: each address counts by itself.
+            current.write(SchedulerHarness.watchResponse(SchedulerHarness.hostList(3, true, endpoint1.host("Ready"))));
             harness.awaitCounter("discovery.lists", 2);
-            assertTrue(old.isClosedByPeer());
+            assertTrue(formerWatch.isClosedByPeer());
             call.respond("{'id':'1','state':'done','result':'paid'}");
             assertTrue(client.message().endsWith("paid"));
             client.post("basket-check", "2", "", "");
@@ -513,7 +513,7 @@
     }
 
     @Test
-    void withNothingKnownItIsReadyOnceDiscoveryHasSpoken() throws Exception {
+    void withoutEndpointsItIsReadyOnceDiscoverySendsAList() throws Exception {
         Endpoint discovery = new Endpoint("d");
         try (SchedulerHarness harness = new SchedulerHarness(discovery);
                 Peer client = harness.http()) {
@@ -529,7 +529,7 @@
     }
 
     @Test
-    void aProbeThatIsSlowHoldsNoRequestUp() throws Exception {
+    void aSlowProbeDelaysNoRequest() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = SchedulerHarness.withProbes(endpoint);
                 Peer client = harness.http()) {
@@ -542,23 +542,24 @@
             assertTrue(client.message().endsWith("paid"));
             probe.write("HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nutil=0.5,x0=3.0");
             harness.awaitCounter("probe.ok", 1);
-            // The probe's connection, kept last, serves the next call; its report is fresh, so no probe again.
+            // The probe's connection, the last one to become idle, serves the next call; its report is fresh, so there
+            // is no further probe.
             client.post("card-capture", "2", "", "pay");
             assertTrue(probe.message().contains("Req-Id: 2\r\n"));
         }
     }
 
-    /** Half open: the endpoint takes the probe, or begins its answer, and then nothing comes any more. */
+    /** The endpoint accepts the probe, or begins its answer, and then sends nothing more. */
     @Test
-    void aProbeThatIsNeverAnsweredGivesItsConnectionBack() throws Exception {
-        for (String begun : new String[] {"", "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nutil"}) {
+    void anUnansweredProbeReleasesItsConnection() throws Exception {
+        for (String partialResponse : new String[] {"", "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nutil"}) {
             Endpoint endpoint = new Endpoint("e1");
             try (SchedulerHarness harness = SchedulerHarness.withProbes(endpoint);
                     Peer client = harness.http()) {
                 client.post("card-capture", "1", "", "pay");
                 Peer probe = endpoint.accept();
                 probe.message();
-                probe.write(begun);
+                probe.write(partialResponse);
                 Peer call = endpoint.accept();
                 call.message();
                 call.respond("{'id':'1','state':'done','result':'paid'}");
@@ -569,9 +570,9 @@
         }
     }
 
-    /** In one piece or byte by byte: the same verdict. */
+    /** Garbage that arrives with the outcome or after it makes no difference. */
     @Test
-    void whatComesBehindAWholeLastWordTakesNothingFromIt() throws Exception {
+    void garbageAfterACompleteOutcomeDoesNotChangeIt() throws Exception {
         for (boolean split : new boolean[] {true, false}) {
             Endpoint endpoint = new Endpoint("e1");
             try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
@@ -589,14 +590,14 @@
                     call.write(done + "no chunk\r\n");
                     assertTrue(client.message().endsWith("paid"));
                 }
-                // It is used no more.
+                // The connection is not used again.
                 assertTrue(call.isClosedByPeer());
             }
         }
     }
 
     @Test
-    void aPlannedStopAnswersAllThatWasTaken() throws Exception {
+    void aPlannedStopAnswersAllAcceptedRequests() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
                 Peer client = harness.http();
@@ -605,11 +606,11 @@
             client.post("card-capture", "1", "", "");
             Peer call = endpoint.accept();
             call.message();
-            // As where another scheduler's clients have just come: they have nobody else yet.
-            long from = System.nanoTime();
+            // As if clients of another scheduler had just been taken over, which have no other scheduler yet.
+            long startedAt = System.nanoTime();
             Thread stop = new Thread(() -> harness.serve.stop(() -> true));
             stop.start();
-            // New connections are still let in, and kept ones served.
+            // New connections are still accepted, and open ones served.
             try (Peer late = harness.http()) {
                 assertTrue(late.write("GET /health/live HTTP/1.1\r\n\r\n")
                         .message()
@@ -617,8 +618,8 @@
                 call.respond("{'id':'1','state':'done','result':'paid'}");
                 String answer = client.message();
                 assertTrue(answer.endsWith("paid") && !answer.contains("Connection: close"), answer);
-                // Then what is idle is sent away, and no answer is still out when the kill may come.
-                while (System.nanoTime() - from < 800_000_000L) {
+                // Then idle clients are closed, and all answers are sent before the process may be killed.
+                while (System.nanoTime() - startedAt < 800_000_000L) {
                     late.write("GET /health/live HTTP/1.1\r\n\r\n").message();
                 }
                 client.post("basket-check", "2", "", "");
@@ -627,7 +628,7 @@
                 assertTrue(idle.isClosedByPeer());
                 answer = client.message();
                 assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("Connection: close"), answer);
-                assertTrue(System.nanoTime() - from < 3_700_000_000L);
+                assertTrue(System.nanoTime() - startedAt < 3_700_000_000L);
             }
             stop.join(5000);
             assertFalse(stop.isAlive());
@@ -635,14 +636,14 @@
     }
 
     @Test
-    void aPlannedStopOfOneThatTookNobodyOverSendsItsClientsAwayEarly() throws Exception {
+    void aPlannedStopWithoutTakenOverClientsClosesConnectionsEarly() throws Exception {
         try (SchedulerHarness harness = new SchedulerHarness(null);
                 Peer idle = harness.http()) {
             idle.write("GET /health/ready HTTP/1.1\r\n\r\n").message();
-            long from = System.nanoTime();
+            long startedAt = System.nanoTime();
             new Thread(harness.serve::stop).start();
             assertTrue(idle.isClosedByPeer());
-            assertTrue(System.nanoTime() - from < 1_500_000_000L);
+            assertTrue(System.nanoTime() - startedAt < 1_500_000_000L);
         }
     }
 
@@ -665,9 +666,9 @@
     }
 
     @Test
-    void idleClientsLeaveRoomForOthersAndForCalls() throws Exception {
+    void idleClientsAreEvictedForOthersAndForCalls() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        // 64 descriptors are the machine's own: 16 are left, half of them for clients.
+        // 64 descriptors are reserved for the process: 16 are left, half of them for clients.
         try (SchedulerHarness harness = new SchedulerHarness(null, 80, endpoint)) {
             Peer[] idle = new Peer[12];
             for (int i = 0; i < idle.length; i++) {
@@ -686,33 +687,33 @@
     }
 
     @Test
-    void discoveryShortOfRoomIsNotAskedAgainAndAgain() throws Exception {
+    void anOverloadedDiscoveryIsRetriedWithGrowingWaits() throws Exception {
         Endpoint discovery = new Endpoint("d");
         try (SchedulerHarness harness = SchedulerHarness.withSetting(
                 "'tick':0.005", "'tick':0.005,'discovery':'ask'", discovery, new Endpoint("e1"))) {
-            long began = System.nanoTime();
-            List<Long> waits = new java.util.ArrayList<>();
+            long startedAt = System.nanoTime();
+            List<Long> waitsMs = new java.util.ArrayList<>();
             for (int i = 0; i < 5; i++) {
                 Peer watch = discovery.accept();
                 watch.readTo("\r\n\r\n");
-                waits.add((System.nanoTime() - began) / 1_000_000);
-                began = System.nanoTime();
+                waitsMs.add((System.nanoTime() - startedAt) / 1_000_000);
+                startedAt = System.nanoTime();
                 watch.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
                 watch.close();
             }
-            // 0.2, 0.4, 0.8 and 1.6 s, each half to one and a half times.
+            // 0.2, 0.4, 0.8 and 1.6 s, each multiplied by 0.5 to 1.5.
             for (int i = 1; i < 5; i++) {
-                assertTrue(waits.get(i) >= 95L << i - 1 && waits.get(i) < (100L << i - 1) * 3 + 1000, "" + waits);
+                assertTrue(waitsMs.get(i) >= 95L << i - 1 && waitsMs.get(i) < (100L << i - 1) * 3 + 1000, "" + waitsMs);
             }
-            // Once it speaks, a watch that breaks is begun anew soon.
+            // After a list has arrived, a broken watch is replaced without a long wait.
             Peer watch = discovery.accept();
             watch.readTo("\r\n\r\n");
             watch.write(SchedulerHarness.watchResponse(SchedulerHarness.hostList(2, true)));
             harness.awaitCounter("discovery.lists", 1);
             watch.reset();
-            began = System.nanoTime();
+            startedAt = System.nanoTime();
             discovery.accept();
-            assertTrue(System.nanoTime() - began < 1_300_000_000L);
+            assertTrue(System.nanoTime() - startedAt < 1_300_000_000L);
         }
     }
 }
--- a/src/test/java/laneflow/http/JobReaderTest.java
+++ b/src/test/java/laneflow/http/JobReaderTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Whose a request is. */
+/** Checks which tenant a request belongs to. */
 class JobReaderTest {
     private static Tenant tenant(String name) {
         Tenant tenant = new Tenant();
@@ -26,7 +26,7 @@
         "'Req-Owner:\\r\\n', -1",
         "'', -1"
     })
-    void theOwnerIsTheTenantOfThatNameOrNobodyThatIsKnown(String header, int tenant) throws HttpException {
+    void theOwnerIsTheTenantOfThatNameOrUnknown(String header, int tenant) throws HttpException {
         Settings settings = new Settings();
         settings.classes = new JobClass[] {new JobClass()};
         settings.tenants = new Tenant[] {tenant("one"), tenant("zwölf")};
--- a/src/test/java/laneflow/http/PlannedEndStoryTest.java
+++ b/src/test/java/laneflow/http/PlannedEndStoryTest.java
@@ -13,23 +13,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** After SIGTERM clients send on every connection that stays open: what came is answered whole, once. */
+/** After SIGTERM clients keep sending on all open connections: each request read is answered once, completely. */
 @Timeout(120)
 class PlannedEndStoryTest {
     private final AtomicInteger answered = new AtomicInteger();
-    private final AtomicInteger torn = new AtomicInteger();
-    private final AtomicInteger crossed = new AtomicInteger();
+    private final AtomicInteger brokenAnswers = new AtomicInteger();
+    private final AtomicInteger unansweredRequests = new AtomicInteger();
 
-    /** Asks again as soon as it has its answer, until its connection is closed between two requests. */
-    private Thread asks(Peer client, int number) {
+    /** Starts a client that sends a request after each answer, until its connection is closed in between. */
+    private Thread startClient(Peer client, int number) {
         Thread thread = new Thread(() -> {
             for (int i = 0; true; i++) {
                 try {
                     client.post("basket-check", number + "-" + i, "", "x".repeat(i % 50 * 100));
                     client.readTo("HTTP/1.1 ");
                 } catch (IOException e) {
-                    // Not a byte of an answer: it crossed the close, and would be sent once more elsewhere.
-                    crossed.incrementAndGet();
+                    // No byte of an answer: the request crossed the close, and a client would retry it elsewhere.
+                    unansweredRequests.incrementAndGet();
                     return;
                 }
                 try {
@@ -39,7 +39,7 @@
                         return;
                     }
                 } catch (IOException e) {
-                    torn.incrementAndGet();
+                    brokenAnswers.incrementAndGet();
                     return;
                 }
             }
@@ -48,8 +48,8 @@
         return thread;
     }
 
-    private static Thread serves(Endpoint endpoint) {
-        Thread accepting = new Thread(() -> {
+    private static Thread startServer(Endpoint endpoint) {
+        Thread acceptor = new Thread(() -> {
             while (true) {
                 Peer call;
                 try {
@@ -61,37 +61,37 @@
                             try {
                                 while (true) {
                                     String sent = call.message();
-                                    int at = sent.indexOf("Req-Id: ") + 8;
-                                    call.respond("{'id':'" + sent.substring(at, sent.indexOf('\r', at))
+                                    int idStart = sent.indexOf("Req-Id: ") + 8;
+                                    call.respond("{'id':'" + sent.substring(idStart, sent.indexOf('\r', idStart))
                                             + "','state':'done','result':'ok'}");
                                 }
                             } catch (IOException e) {
-                                // The scheduler has let it go.
+                                // The scheduler has closed the connection.
                             }
                         })
                         .start();
             }
         });
-        accepting.start();
-        return accepting;
+        acceptor.start();
+        return acceptor;
     }
 
     @Test
-    void noRequestIsLostInTheCrossing() throws Exception {
+    void noRequestIsLostWhileConnectionsAreClosed() throws Exception {
         Endpoint endpoint = new Endpoint("e1");
-        Thread serves = serves(endpoint);
+        Thread server = startServer(endpoint);
         try (SchedulerHarness harness = new SchedulerHarness(null, endpoint)) {
             List<Thread> clients = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                clients.add(asks(harness.http(), i));
+                clients.add(startClient(harness.http(), i));
             }
             harness.awaitCounter("http.served", 20);
             Thread stop = new Thread(harness.serve::stop);
             stop.start();
             harness.awaitCounter("stop.begun", 1);
-            // New connections keep coming for a while.
+            // New connections still arrive for a while.
             for (int i = 6; i < 12; i++) {
-                clients.add(asks(harness.http(), i));
+                clients.add(startClient(harness.http(), i));
             }
             for (Thread client : clients) {
                 client.join();
@@ -101,11 +101,11 @@
             counts[0] = harness.serve.scheduler().counters().get("http.taken");
             counts[1] = harness.serve.scheduler().counters().get("clients.lost");
             counts[2] = harness.serve.scheduler().counters().get("clients.closed_unanswered");
-            assertEquals(0, torn.get());
-            assertEquals(counts[0], answered.get(), crossed + " crossed");
+            assertEquals(0, brokenAnswers.get());
+            assertEquals(counts[0], answered.get(), unansweredRequests + " requests without an answer");
             assertEquals(0, counts[1] + counts[2]);
             assertTrue(answered.get() > 20, "" + answered);
         }
-        serves.join();
+        server.join();
     }
 }
--- a/src/test/java/laneflow/transcripts/HttpTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/HttpTranscriptsTest.java
@@ -6,16 +6,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A request's life on the platform's front, with each outcome and repeat. */
+/** Transcripts of requests on the HTTP front, for each outcome and kind of retry. */
 @Timeout(120)
 class HttpTranscriptsTest {
     private static RecordedPeer client(Transcript transcript, SchedulerHarness harness) throws IOException {
         return new RecordedPeer(transcript, "client", harness.http());
     }
 
-    /** The next connection there, whatever endpoint it is for: two that listen at one address are told apart so. */
-    private static RecordedPeer call(Transcript transcript, String name, Endpoint at) throws IOException {
-        return new RecordedPeer(transcript, name, at.accept());
+    /** Accepts the next connection; two endpoints that share an address are told apart by the order of their calls. */
+    private static RecordedPeer call(Transcript transcript, String name, Endpoint endpoint) throws IOException {
+        return new RecordedPeer(transcript, name, endpoint.accept());
     }
 
     @Test
@@ -39,7 +39,7 @@
 
     @Test
     void refusedForWantOfAnEndpoint() throws Exception {
-        Transcript.of("No endpoint is known: refused at once, with a time to come back.", transcript -> {
+        Transcript.of("No endpoint is known: the request is refused at once with Retry-After.", transcript -> {
             try (SchedulerHarness harness = new SchedulerHarness(null);
                     RecordedPeer client = client(transcript, harness)) {
                 client.post("card-capture", "1", "", "pay");
@@ -50,22 +50,23 @@
 
     @Test
     void failedAtItsEndpoint() throws Exception {
-        Transcript.of("The endpoint says that the job failed: it ran, so it is failed and not refused.", transcript -> {
-            Endpoint endpoint = new Endpoint("e1");
-            try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
-                    RecordedPeer client = client(transcript, harness)) {
-                client.post("card-capture", "1", "", "pay");
-                RecordedPeer call = call(transcript, "e1", endpoint);
-                call.message();
-                call.reply("{'id':'1','state':'started'}", "{'id':'1','state':'failed'}");
-                client.message();
-            }
-        });
+        Transcript.of(
+                "The endpoint reports that the job failed: it has run, so it is failed, not refused.", transcript -> {
+                    Endpoint endpoint = new Endpoint("e1");
+                    try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                            RecordedPeer client = client(transcript, harness)) {
+                        client.post("card-capture", "1", "", "pay");
+                        RecordedPeer call = call(transcript, "e1", endpoint);
+                        call.message();
+                        call.reply("{'id':'1','state':'started'}", "{'id':'1','state':'failed'}");
+                        client.message();
+                    }
+                });
     }
 
     @Test
     void connectFailedAndRefused() throws Exception {
-        Transcript.of("The only endpoint refuses connections: the job never ran, and is refused.", transcript -> {
+        Transcript.of("The only endpoint refuses connections: the job has not run, and is refused.", transcript -> {
             Endpoint closed = new Endpoint("e1");
             closed.close();
             try (SchedulerHarness harness = new SchedulerHarness(null, closed);
@@ -77,20 +78,20 @@
         });
     }
 
-    /** Which of the two is called first is the module's choice, so one of them breaks whatever comes first. */
+    /** The decision module chooses which endpoint is called first, so the connection accepted first breaks. */
     @Test
     void resetBeforeItsLastByteThenServed() throws Exception {
         Transcript.of(
-                "A connection ends before anything was read there: what may be repeated goes to another.",
+                "A connection is reset before the endpoint reads anything: a retryable job goes to another endpoint.",
                 transcript -> {
-                    Endpoint one = new Endpoint("e1");
-                    Endpoint two = new Endpoint("e2", one);
-                    try (SchedulerHarness harness = new SchedulerHarness(null, one, two);
+                    Endpoint endpoint1 = new Endpoint("e1");
+                    Endpoint endpoint2 = new Endpoint("e2", endpoint1);
+                    try (SchedulerHarness harness = new SchedulerHarness(null, endpoint1, endpoint2);
                             RecordedPeer client = client(transcript, harness)) {
                         client.post("basket-check", "1", "", "two");
-                        RecordedPeer first = call(transcript, "first endpoint", one);
+                        RecordedPeer first = call(transcript, "first endpoint", endpoint1);
                         first.reset();
-                        RecordedPeer second = call(transcript, "second endpoint", one);
+                        RecordedPeer second = call(transcript, "second endpoint", endpoint1);
                         second.message();
                         second.reply("{'id':'1','state':'done','result':'priced'}");
                         client.message();
@@ -101,17 +102,17 @@
     @Test
     void resetOfWhatMayRunTwice() throws Exception {
         Transcript.of(
-                "A connection breaks behind the last byte: what may run twice is sent to another endpoint.",
+                "A connection breaks after the last byte: a job that may run twice is sent to another endpoint.",
                 transcript -> {
-                    Endpoint one = new Endpoint("e1");
-                    Endpoint two = new Endpoint("e2", one);
-                    try (SchedulerHarness harness = new SchedulerHarness(null, one, two);
+                    Endpoint endpoint1 = new Endpoint("e1");
+                    Endpoint endpoint2 = new Endpoint("e2", endpoint1);
+                    try (SchedulerHarness harness = new SchedulerHarness(null, endpoint1, endpoint2);
                             RecordedPeer client = client(transcript, harness)) {
                         client.post("basket-check", "1", "", "two");
-                        RecordedPeer first = call(transcript, "first endpoint", one);
+                        RecordedPeer first = call(transcript, "first endpoint", endpoint1);
                         first.message();
                         first.reset();
-                        RecordedPeer second = call(transcript, "second endpoint", one);
+                        RecordedPeer second = call(transcript, "second endpoint", endpoint1);
                         second.message();
                         second.reply("{'id':'1','state':'done','result':'priced'}");
                         client.message();
@@ -122,14 +123,14 @@
     @Test
     void resetOfWhatMustNotRunTwice() throws Exception {
         Transcript.of(
-                "A connection breaks behind the last byte: what must not run twice is failed, and sent no more.",
+                "A connection breaks after the last byte: a job that must not run twice is failed, and not sent again.",
                 transcript -> {
-                    Endpoint one = new Endpoint("e1");
-                    Endpoint two = new Endpoint("e2", one);
-                    try (SchedulerHarness harness = new SchedulerHarness(null, one, two);
+                    Endpoint endpoint1 = new Endpoint("e1");
+                    Endpoint endpoint2 = new Endpoint("e2", endpoint1);
+                    try (SchedulerHarness harness = new SchedulerHarness(null, endpoint1, endpoint2);
                             RecordedPeer client = client(transcript, harness)) {
                         client.post("card-capture", "1", "", "pay");
-                        RecordedPeer first = call(transcript, "first endpoint", one);
+                        RecordedPeer first = call(transcript, "first endpoint", endpoint1);
                         first.message();
                         first.reset();
                         client.message();
@@ -140,25 +141,24 @@
 
     @Test
     void declined() throws Exception {
-        Transcript.of(
-                "The endpoint declines: the job never ran, and is refused with a time to come back.", transcript -> {
-                    Endpoint endpoint = new Endpoint("e1");
-                    try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
-                            RecordedPeer client = client(transcript, harness)) {
-                        client.post("card-capture", "1", "", "pay");
-                        RecordedPeer call = call(transcript, "e1", endpoint);
-                        call.message();
-                        call.write("HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nSrv-Load: util=1,queue=3,x0=0\r\n"
-                                + "Content-Length: 0\r\n\r\n");
-                        client.message();
-                    }
-                });
+        Transcript.of("The endpoint declines: the job has not run, and is refused with Retry-After.", transcript -> {
+            Endpoint endpoint = new Endpoint("e1");
+            try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
+                    RecordedPeer client = client(transcript, harness)) {
+                client.post("card-capture", "1", "", "pay");
+                RecordedPeer call = call(transcript, "e1", endpoint);
+                call.message();
+                call.write("HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nSrv-Load: util=1,queue=3,x0=0\r\n"
+                        + "Content-Length: 0\r\n\r\n");
+                client.message();
+            }
+        });
     }
 
     @Test
     void garbled() throws Exception {
         Transcript.of(
-                "Answers that can't be read: each call is over, and what must not run twice is failed.", transcript -> {
+                "Malformed responses: each call ends, and a job that must not run twice is failed.", transcript -> {
                     for (String garbage : new String[] {
                         "HTTP/9 what\r\n\r\n",
                         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
@@ -184,17 +184,16 @@
     @Test
     void garbledAndRepeated() throws Exception {
         Transcript.of(
-                "An answer that can't be read, for what may run twice: it is asked of another endpoint.",
-                transcript -> {
-                    Endpoint one = new Endpoint("e1");
-                    Endpoint two = new Endpoint("e2", one);
-                    try (SchedulerHarness harness = new SchedulerHarness(null, one, two);
+                "A malformed response to a job that may run twice: it is sent to another endpoint.", transcript -> {
+                    Endpoint endpoint1 = new Endpoint("e1");
+                    Endpoint endpoint2 = new Endpoint("e2", endpoint1);
+                    try (SchedulerHarness harness = new SchedulerHarness(null, endpoint1, endpoint2);
                             RecordedPeer client = client(transcript, harness)) {
                         client.post("basket-check", "1", "", "two");
-                        RecordedPeer first = call(transcript, "first endpoint", one);
+                        RecordedPeer first = call(transcript, "first endpoint", endpoint1);
                         first.message();
                         first.write("HTTP/9 what\r\n\r\n");
-                        RecordedPeer second = call(transcript, "second endpoint", one);
+                        RecordedPeer second = call(transcript, "second endpoint", endpoint1);
                         second.message();
                         second.reply("{'id':'1','state':'done','result':'priced'}");
                         client.message();
@@ -205,17 +204,17 @@
     @Test
     void silentAndRepeated() throws Exception {
         Transcript.of(
-                "No head within 250 ms: what may run twice goes elsewhere, and the silent call is ended.",
+                "No head within 250 ms: a job that may run twice goes elsewhere, and the silent call is closed.",
                 transcript -> {
-                    Endpoint one = new Endpoint("e1");
-                    Endpoint two = new Endpoint("e2", one);
+                    Endpoint endpoint1 = new Endpoint("e1");
+                    Endpoint endpoint2 = new Endpoint("e2", endpoint1);
                     try (SchedulerHarness harness = SchedulerHarness.withSetting(
-                                    "'connectTimeout':1", "'connectTimeout':0.25", null, one, two);
+                                    "'connectTimeout':1", "'connectTimeout':0.25", null, endpoint1, endpoint2);
                             RecordedPeer client = client(transcript, harness)) {
                         client.post("basket-check", "1", "", "two");
-                        RecordedPeer first = call(transcript, "first endpoint", one);
+                        RecordedPeer first = call(transcript, "first endpoint", endpoint1);
                         first.message();
-                        RecordedPeer second = call(transcript, "second endpoint", one);
+                        RecordedPeer second = call(transcript, "second endpoint", endpoint1);
                         second.message();
                         first.expectEnd();
                         second.reply("{'id':'1','state':'done','result':'priced'}");
@@ -226,7 +225,7 @@
 
     @Test
     void clientGone() throws Exception {
-        Transcript.of("The client leaves: its call is cancelled.", transcript -> {
+        Transcript.of("The client closes its connection: its call is cancelled.", transcript -> {
             Endpoint endpoint = new Endpoint("e1");
             try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
                     RecordedPeer client = client(transcript, harness)) {
@@ -243,7 +242,7 @@
     @Test
     void late() throws Exception {
         Transcript.of(
-                "The endpoint is silent until the client's deadline: failed in time, since it may have run.",
+                "The endpoint is silent until the client's deadline: the job may have run, so it is failed in time.",
                 transcript -> {
                     Endpoint endpoint = new Endpoint("e1");
                     try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
@@ -260,7 +259,7 @@
     @Test
     void sameIdAgain() throws Exception {
         Transcript.of(
-                "An id that is at work is handed in again: an error for the second, and no second call.",
+                "The id of an open request is submitted again: an error for the second request, and no second call.",
                 transcript -> {
                     Endpoint endpoint = new Endpoint("e1");
                     try (SchedulerHarness harness = new SchedulerHarness(null, endpoint);
@@ -282,7 +281,7 @@
     void malformed() throws Exception {
         String post = "POST /basket-check HTTP/1.1\r\nReq-Id: 1\r\n";
         Transcript.of(
-                "What can't be read: each gets its error and the end of its connection; none is a request.",
+                "Malformed messages: each is answered with an error that closes its connection; none is a request.",
                 transcript -> {
                     try (SchedulerHarness harness = new SchedulerHarness(null, new Endpoint("e1"))) {
                         for (String bad : new String[] {
@@ -299,10 +298,10 @@
                             post + "Req-Id: 1\r\n\r\n"
                         }) {
                             try (RecordedPeer client = client(transcript, harness)) {
-                                client.peer.recordTo(said -> transcript.message(
+                                client.peer.recordTo(message -> transcript.message(
                                         "client",
                                         "scheduler",
-                                        said.length() < 1000 ? said : said.replaceAll("a{1000,}", "aaa...")));
+                                        message.length() < 1000 ? message : message.replaceAll("a{1000,}", "aaa...")));
                                 client.write(bad);
                                 client.message();
                             }
@@ -315,17 +314,18 @@
     @Test
     void senseless() throws Exception {
         Transcript.of(
-                "What can be read and is no request: each gets its error, and its connection is kept.", transcript -> {
+                "Well-formed messages that are no valid request: each gets an error, and its connection stays open.",
+                transcript -> {
                     try (SchedulerHarness harness = new SchedulerHarness(null, new Endpoint("e1"))) {
-                        String rest = "Content-Length: 0\r\n\r\n";
+                        String suffix = "Content-Length: 0\r\n\r\n";
                         for (String bad : new String[] {
-                            "POST /basket-check HTTP/1.1\r\n" + rest,
-                            "POST /no-class HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: no-class\r\n" + rest,
-                            "POST /basket-check HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: card-capture\r\n" + rest,
-                            "POST /basket-check HTTP/1.1\r\nReq-Id: 1\r\nReq-Deadline-Ms: soon\r\n" + rest,
-                            "POST /basket-check HTTP/1.1\r\nReq-Id: 1\r\nReq-Deadline-Ms: -5\r\n" + rest,
+                            "POST /basket-check HTTP/1.1\r\n" + suffix,
+                            "POST /no-class HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: no-class\r\n" + suffix,
+                            "POST /basket-check HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: card-capture\r\n" + suffix,
+                            "POST /basket-check HTTP/1.1\r\nReq-Id: 1\r\nReq-Deadline-Ms: soon\r\n" + suffix,
+                            "POST /basket-check HTTP/1.1\r\nReq-Id: 1\r\nReq-Deadline-Ms: -5\r\n" + suffix,
                             "GET /nothing HTTP/1.1\r\n\r\n",
-                            "DELETE /basket-check HTTP/1.1\r\n" + rest
+                            "DELETE /basket-check HTTP/1.1\r\n" + suffix
                         }) {
                             try (RecordedPeer client = client(transcript, harness)) {
                                 client.write(bad);
