--- a/src/main/java/laneflow/http/StreamPort.java
+++ b/src/main/java/laneflow/http/StreamPort.java
@@ -65,8 +65,8 @@
 
     /** @param maxConnections limit of simultaneous connections; these do not use the clients' share of descriptors */
     public void listen(InetSocketAddress address, int maxConnections) throws IOException {
-        listener =
-                loop.listenWithOwnLimit(address, IN_RING_BYTES, OUT_RING_BYTES, maxConnections, () -> false, Connection::new);
+        listener = loop.listenWithOwnLimit(
+                address, IN_RING_BYTES, OUT_RING_BYTES, maxConnections, () -> false, Connection::new);
         listener.begin();
         LOG.info("other schedulers at {}", listener.address());
     }
--- a/src/test/java/laneflow/http/DiscoveryStoryTest.java
+++ b/src/test/java/laneflow/http/DiscoveryStoryTest.java
@@ -178,8 +178,8 @@
     void aDrainInTheFirstListCountsFromTheLastSignOfLife(String prefix) throws Exception {
         Endpoint discovery = new Endpoint("d");
         Endpoint endpoint1 = new Endpoint("e1", 1);
-        try (SchedulerHarness harness =
-                        SchedulerHarness.withSetting("'connectTimeout':1", "'connectTimeout':4.5", discovery, endpoint1);
+        try (SchedulerHarness harness = SchedulerHarness.withSetting(
+                        "'connectTimeout':1", "'connectTimeout':4.5", discovery, endpoint1);
                 Peer client = harness.http()) {
             Peer watch = acceptWatch(discovery, "1");
             watch.write(HEAD + chunk("\n"));
@@ -372,7 +372,8 @@
             }
             harness.awaitCounter("http.gave_way", 1);
             watch.reset();
-            acceptWatch(discovery, "1").write(HEAD + chunk(SchedulerHarness.hostList(2, false, endpoint1.host("Ready"))));
+            acceptWatch(discovery, "1")
+                    .write(HEAD + chunk(SchedulerHarness.hostList(2, false, endpoint1.host("Ready"))));
             harness.awaitCounter("discovery.lists", 1);
         }
     }
--- a/src/test/java/laneflow/http/EndpointRaceTest.java
+++ b/src/test/java/laneflow/http/EndpointRaceTest.java
@@ -136,7 +136,8 @@
         return idleConnection(harness, endpoint, new AtomicReference<>());
     }
 
-    private Peer idleConnection(SchedulerHarness harness, Endpoint endpoint, AtomicReference<Peer> connection) throws Exception {
+    private Peer idleConnection(SchedulerHarness harness, Endpoint endpoint, AtomicReference<Peer> connection)
+            throws Exception {
         inOneTurn(harness, () -> submit(harness, CHECK, "first", 5 * SECOND_US));
         Peer call = endpoint.accept();
         connection.set(call);
@@ -150,7 +151,8 @@
      * Runs the action on the loop's thread in the same turn in which a connection becomes idle, so that it can't be
      * stale.
      */
-    private void whenConnectionBecomesIdle(SchedulerHarness harness, Endpoint endpoint, ConnectionAction action) throws Exception {
+    private void whenConnectionBecomesIdle(SchedulerHarness harness, Endpoint endpoint, ConnectionAction action)
+            throws Exception {
         AtomicReference<Peer> call = new AtomicReference<>();
         CompletableFuture<Exception> done = new CompletableFuture<>();
         Deadlines deadlines = harness.serve.loop().deadlines();
@@ -211,7 +213,9 @@
         for (int jobClass : new int[] {CHECK, CAPTURE, POST}) {
             Endpoint endpoint = new Endpoint("e1");
             try (SchedulerHarness harness = withoutCancel(endpoint)) {
-                inOneTurn(harness, () -> harness.serve.scheduler().withdraw(submit(harness, jobClass, "left", SECOND_US)));
+                inOneTurn(
+                        harness,
+                        () -> harness.serve.scheduler().withdraw(submit(harness, jobClass, "left", SECOND_US)));
                 inOneTurn(harness, () -> submit(harness, jobClass, "next", 5 * SECOND_US));
                 Peer[] call = new Peer[1];
                 String sent = firstRequest(endpoint, call);
@@ -229,7 +233,9 @@
             Endpoint endpoint = new Endpoint("e1");
             try (SchedulerHarness harness = withoutCancel(endpoint)) {
                 Peer call = staleConnection(harness, endpoint);
-                inOneTurn(harness, () -> harness.serve.scheduler().withdraw(submit(harness, jobClass, "left", SECOND_US)));
+                inOneTurn(
+                        harness,
+                        () -> harness.serve.scheduler().withdraw(submit(harness, jobClass, "left", SECOND_US)));
                 call.readTo("\r\n\r\npa");
                 assertTrue(call.isClosedByPeer());
             }
--- a/src/test/java/laneflow/http/EndpointStoryTest.java
+++ b/src/test/java/laneflow/http/EndpointStoryTest.java
@@ -160,8 +160,8 @@
     void interimResponsesAreNoHead() throws Exception {
         Endpoint endpoint1 = new Endpoint("e1");
         Endpoint endpoint2 = new Endpoint("e2", endpoint1);
-        try (SchedulerHarness harness =
-                        SchedulerHarness.withSetting("'connectTimeout':1", "'connectTimeout':0.25", null, endpoint1, endpoint2);
+        try (SchedulerHarness harness = SchedulerHarness.withSetting(
+                        "'connectTimeout':1", "'connectTimeout':0.25", null, endpoint1, endpoint2);
                 Peer client = harness.http()) {
             client.post("basket-check", "1", "", "");
             Peer silent = endpoint1.accept();
--- a/src/test/java/laneflow/http/HttpStoryTest.java
+++ b/src/test/java/laneflow/http/HttpStoryTest.java
@@ -120,8 +120,8 @@
     void aSafeJobWithoutAResponseHeadIsRetriedElsewhere() throws Exception {
         Endpoint endpoint1 = new Endpoint("e1");
         Endpoint endpoint2 = new Endpoint("e2", endpoint1);
-        try (SchedulerHarness harness =
-                        SchedulerHarness.withSetting("'connectTimeout':1", "'connectTimeout':0.25", null, endpoint1, endpoint2);
+        try (SchedulerHarness harness = SchedulerHarness.withSetting(
+                        "'connectTimeout':1", "'connectTimeout':0.25", null, endpoint1, endpoint2);
                 Peer client = harness.http()) {
             client.post("basket-check", "1", "", "");
             Peer silent = endpoint1.accept();
@@ -494,7 +494,8 @@
             reload(harness, Files.writeString(file, SchedulerHarness.configWithDiscovery(second.dial())));
             Peer silent = second.accept();
             assertTrue(silent.readTo("\r\n\r\n").contains("after=0 "));
-            formerWatch.write(SchedulerHarness.watchResponse(SchedulerHarness.hostList(8, false, endpoint1.host("Terminating"))));
+            formerWatch.write(
+                    SchedulerHarness.watchResponse(SchedulerHarness.hostList(8, false, endpoint1.host("Terminating"))));
             harness.awaitCounter("discovery.lists", 1);
             // Moved again before the second has answered: only the latest counts, and the first is still read.
             reload(harness, Files.writeString(file, SchedulerHarness.configWithDiscovery(third.dial())));
