--- a/src/test/java/laneflow/maintenance/InventoryReaderTest.java
+++ b/src/test/java/laneflow/maintenance/InventoryReaderTest.java
@@ -73,22 +73,22 @@
 
     @Test
     void allErrorsAreReportedAtOnce() {
-        OperatorFile bad = OperatorFile.parse(
+        OperatorFile invalid = OperatorFile.parse(
                 FILE.replace("share = 3", "share = 0")
                         .replace("zones = [\"a\"]\nc", "zones = [\"x\"]\nc")
                         .replace("slots = 8", "slots = -1"),
                 "f.toml");
-        String all = bad.findings().all().toString();
+        String messages = invalid.findings().all().toString();
         for (String part : List.of(
                 "[tenants.shop] share: 0 is not between",
                 "[tenants.till] zones: 'x' is none of",
                 "[endpoints.e1] slots: -1 is not between")) {
-            assertTrue(all.contains(part), part + " in " + all);
+            assertTrue(messages.contains(part), part + " in " + messages);
         }
         Findings findings = new Findings("f.toml");
-        OperatorFile apart =
+        OperatorFile conflicting =
                 OperatorFile.parse(FILE.replace("zone = \"b\"\n", "zone = \"b\"\nrack = \"r1\"\n"), "f.toml");
-        assertNull(read(apart.platform(), findings));
+        assertNull(read(conflicting.platform(), findings));
         assertTrue(
                 findings.all().toString().contains("'r1' is in zone a by another endpoint, but by this one in zone b"));
     }
--- a/src/test/java/laneflow/maintenance/MaintenanceConfigTest.java
+++ b/src/test/java/laneflow/maintenance/MaintenanceConfigTest.java
@@ -31,7 +31,7 @@
         return Setup.operators(file, null, null);
     }
 
-    private String wrong(String tables) {
+    private String errorOf(String tables) {
         return assertThrows(ConfigException.class, () -> read(tables)).getMessage();
     }
 
@@ -54,8 +54,8 @@
 
     @Test
     void allErrorsAreReportedAtOnce() {
-        String alone =
-                wrong("[maintenance]\nstep_ms = 5\nahead_ms = 1000\ndemand = 2\nearly_ms = 1999\n" + "more = 1\n");
+        String errors =
+                errorOf("[maintenance]\nstep_ms = 5\nahead_ms = 1000\ndemand = 2\nearly_ms = 1999\n" + "more = 1\n");
         for (String part : List.of(
                 "[maintenance] needs the table [policy]",
                 "needs the table [tasks]",
@@ -64,9 +64,9 @@
                 "demand: 2 is not between",
                 "early_ms: is less than two looks",
                 "more: is unknown")) {
-            assertTrue(alone.contains(part), alone);
+            assertTrue(errors.contains(part), errors);
         }
-        String serves = wrong(FLEET + "cut_off = \"serve\"\n[tasks]\n[maintenance]\n");
-        assertTrue(serves.contains("needs [policy] cut_off"), serves);
+        String errorWithServe = errorOf(FLEET + "cut_off = \"serve\"\n[tasks]\n[maintenance]\n");
+        assertTrue(errorWithServe.contains("needs [policy] cut_off"), errorWithServe);
     }
 }
--- a/src/test/java/laneflow/maintenance/MaintenanceFaultStoryTest.java
+++ b/src/test/java/laneflow/maintenance/MaintenanceFaultStoryTest.java
@@ -20,10 +20,10 @@
 
     @Test
     void aDrainWhoseCoordinatorIsKilledContinuesFromTheLedger() throws Exception {
-        traffic();
+        startClients();
         awaitCalls("b");
         int first = coordinator();
-        long token = show().get("token").getAsLong();
+        long token = report().get("token").getAsLong();
         // Open calls delay the drain long enough for the coordinator to be killed in it.
         backends.setJobMillis(900);
         request(window("power-b", 300, "b"));
@@ -32,7 +32,7 @@
         backends.setJobMillis(20);
         int next = coordinator();
         assertNotEquals(first, next);
-        assertTrue(show().get("token").getAsLong() > token);
+        assertTrue(report().get("token").getAsLong() > token);
         completeWork("power-b", "b");
         await("power-b", "done");
         awaitCalls("b");
@@ -40,15 +40,15 @@
 
     @Test
     void aCoordinatorThatIsCutOffMovesNothingAndTheOthersKeepTheBans() throws Exception {
-        traffic();
+        startClients();
         awaitCalls("c");
         request(window("power-c", 300, "c"));
         await("power-c", "down");
-        assertEquals(200, order("power-c", "begin").statusCode());
-        long from = System.nanoTime();
+        assertEquals(200, command("power-c", "begin").statusCode());
+        long startNs = System.nanoTime();
         int cut = coordinator();
         rig.partAll(List.of(cut));
-        rig.await("another coordinates", () -> {
+        rig.await("another scheduler coordinates", () -> {
             int other = rig.leader();
             return other >= 0
                     && other != cut
@@ -58,40 +58,40 @@
         rig.heal();
         rig.awaitDeciding(rig.policy((cut + 1) % 3).get("policy").getAsLong(), rig.all());
         assertEquals("down", state("power-c"));
-        long to = System.nanoTime();
-        assertEquals(200, order("power-c", "finish").statusCode());
-        assertNoCalls(from, to, "c");
+        long endNs = System.nanoTime();
+        assertEquals(200, command("power-c", "finish").statusCode());
+        assertNoCalls(startNs, endNs, "c");
         await("power-c", "done");
         awaitCalls("c");
     }
 
     @Test
-    void aCrewThatNeverSaysFinishIsShownAndNothingComesBackBeforeItDoes() throws Exception {
-        traffic();
+    void aWindowWithoutAFinishReportIsShownAndItsRacksStayBanned() throws Exception {
+        startClients();
         awaitCalls("d");
         request(window("power-d", 200, "d"), window("late-b", 200, "b"));
         await("power-d", "down");
-        assertEquals(200, order("power-d", "begin").statusCode());
-        long from = System.nanoTime();
+        assertEquals(200, command("power-d", "begin").statusCode());
+        long startNs = System.nanoTime();
         // A window whose crew never begins is turned back, since nobody is at work there.
         await("late-b", "down");
         await("late-b", "returning", "postponed", "refused", "planned");
-        assertEquals(409, order("late-b", "begin").statusCode());
-        assertEquals(200, order("late-b", "abort").statusCode());
+        assertEquals(409, command("late-b", "begin").statusCode());
+        assertEquals(200, command("late-b", "abort").statusCode());
         await("power-d", "overrun");
-        JsonObject shown = shown("power-d");
-        assertTrue(shown.get("reasons").toString().contains("not finished in time"), shown.toString());
-        assertEquals(409, order("power-d", "abort").statusCode());
-        long to = System.nanoTime();
-        assertEquals(200, order("power-d", "finish").statusCode());
-        assertNoCalls(from, to, "d");
+        JsonObject window = windowReport("power-d");
+        assertTrue(window.get("reasons").toString().contains("not finished in time"), window.toString());
+        assertEquals(409, command("power-d", "abort").statusCode());
+        long endNs = System.nanoTime();
+        assertEquals(200, command("power-d", "finish").statusCode());
+        assertNoCalls(startNs, endNs, "d");
         await("power-d", "done");
         awaitCalls("d");
     }
 
     @Test
-    void racksThatAreLostTurnADrainBackAndGiveItsRacksToThoseWhoNeedThem() throws Exception {
-        traffic();
+    void lossOfOtherRacksCancelsADrainAndReturnsItsRacks() throws Exception {
+        startClients();
         awaitCalls("a");
         // Open calls delay the drain.
         backends.setJobMillis(1200);
@@ -101,9 +101,9 @@
         backends.fail("till-3");
         await("power-a", "returning", "postponed", "refused", "planned");
         assertTrue(
-                shown("power-a").get("reasons").toString().contains("short"),
-                shown("power-a").toString());
-        assertEquals(409, order("power-a", "begin").statusCode());
+                windowReport("power-a").get("reasons").toString().contains("short"),
+                windowReport("power-a").toString());
+        assertEquals(409, command("power-a", "begin").statusCode());
         backends.setJobMillis(20);
         awaitCalls("a");
         await("power-a", "refused", "postponed", "planned");
--- a/src/test/java/laneflow/maintenance/MaintenanceStorySupport.java
+++ b/src/test/java/laneflow/maintenance/MaintenanceStorySupport.java
@@ -49,7 +49,7 @@
     }
 
     @BeforeEach
-    void begin() throws Exception {
+    void startFleet() throws Exception {
         backends = new RecordingEndpoints(5, 20);
         StringBuilder file = new StringBuilder("zones = [\"z\"]\n[classes.check]\ndeadline_ms = 1500\n"
                 + "repeat = \"safe\"\n[tenants.shop]\nshare = 2\n[tenants.web]\n");
@@ -72,7 +72,7 @@
     }
 
     @AfterEach
-    void end() throws Exception {
+    void stopFleet() throws Exception {
         isStopping = true;
         for (Thread thread : clients) {
             thread.join();
@@ -89,19 +89,19 @@
     // ---- clients ----
 
     /** Starts clients at all schedulers, each with one request at a time. */
-    void traffic() {
+    void startClients() {
         for (int i = 0; i < rig.size(); i++) {
             for (int k = 0; k < 4; k++) {
-                int at = i;
+                int scheduler = i;
                 String id = "c" + i + "-" + k + "-";
-                Thread thread = new Thread(() -> ask(at, id), "client");
+                Thread thread = new Thread(() -> sendRequests(scheduler, id), "client");
                 clients.add(thread);
                 thread.start();
             }
         }
     }
 
-    private void ask(int i, String id) {
+    private void sendRequests(int i, String id) {
         for (int n = 0; !isStopping; n++) {
             try {
                 HttpResponse<String> answer = client.send(
@@ -117,7 +117,7 @@
                 }
                 Thread.sleep(40);
             } catch (IOException e) {
-                // Its scheduler is killed or paused.
+                // The scheduler is killed or paused.
                 Thread.onSpinWait();
             } catch (InterruptedException e) {
                 return;
@@ -133,18 +133,18 @@
                 name, "power crew", List.of(racks), workMs, now, now + 40_000, 0, workMs, Set.of(), List.of());
     }
 
-    static String body(boolean dryRun, Request... all) {
+    static String requestsBody(boolean dryRun, Request... requests) {
         JsonObject body = new JsonObject();
         JsonArray list = new JsonArray();
-        for (Request one : all) {
-            list.add(MaintenanceJson.write(one));
+        for (Request request : requests) {
+            list.add(MaintenanceJson.write(request));
         }
         body.add("requests", list);
         body.addProperty("dry_run", dryRun);
         return body.toString();
     }
 
-    /** Asks any scheduler that is up, and retries while there is no leader. */
+    /** Sends a request to any scheduler that is up, and retries while there is no leader. */
     HttpResponse<String> ask(String path, String body) throws IOException, InterruptedException {
         List<HttpResponse<String>> found = new ArrayList<>();
         rig.await(path + " is answered", () -> {
@@ -160,31 +160,31 @@
         return found.get(0);
     }
 
-    void request(Request... all) throws IOException, InterruptedException {
-        HttpResponse<String> answer = ask("/maintenance/requests", body(false, all));
+    void request(Request... requests) throws IOException, InterruptedException {
+        HttpResponse<String> answer = ask("/maintenance/requests", requestsBody(false, requests));
         assertEquals(200, answer.statusCode(), answer.body());
     }
 
-    HttpResponse<String> order(String name, String what) throws IOException, InterruptedException {
-        return ask("/maintenance/windows/" + name, "{\"do\":\"" + what + "\"}");
+    HttpResponse<String> command(String name, String command) throws IOException, InterruptedException {
+        return ask("/maintenance/windows/" + name, "{\"do\":\"" + command + "\"}");
     }
 
-    JsonObject show() throws IOException, InterruptedException {
+    JsonObject report() throws IOException, InterruptedException {
         return JsonParser.parseString(ask("/maintenance", null).body()).getAsJsonObject();
     }
 
-    JsonObject shown(String name) throws IOException, InterruptedException {
-        for (JsonElement one : show().getAsJsonArray("windows")) {
-            if (one.getAsJsonObject().get("name").getAsString().equals(name)) {
-                return one.getAsJsonObject();
+    JsonObject windowReport(String name) throws IOException, InterruptedException {
+        for (JsonElement element : report().getAsJsonArray("windows")) {
+            if (element.getAsJsonObject().get("name").getAsString().equals(name)) {
+                return element.getAsJsonObject();
             }
         }
         return new JsonObject();
     }
 
     String state(String name) throws IOException, InterruptedException {
-        JsonObject one = shown(name);
-        return one.has("state") ? one.get("state").getAsString() : "unknown";
+        JsonObject window = windowReport(name);
+        return window.has("state") ? window.get("state").getAsString() : "unknown";
     }
 
     void await(String name, String... states) throws IOException, InterruptedException {
@@ -196,8 +196,8 @@
     /** The number of the coordinating scheduler, once there is one. */
     int coordinator() throws IOException, InterruptedException {
         int[] found = {-1};
-        rig.await("somebody coordinates", () -> {
-            String who = show().get("coordinator").getAsString();
+        rig.await("there is a coordinator", () -> {
+            String who = report().get("coordinator").getAsString();
             for (int i = 0; i < rig.size(); i++) {
                 found[0] = who.startsWith(Rig.name(i) + "#") && rig.isUp(i) ? i : found[0];
             }
@@ -206,23 +206,23 @@
         return found[0];
     }
 
-    /** The crew's work from leave to its end; no call may reach the racks meanwhile. */
+    /** Waits for leave, then reports the begin and the finish of the work; no call may reach the racks meanwhile. */
     void completeWork(String name, String... racks) throws IOException, InterruptedException {
         await(name, "down");
-        HttpResponse<String> leave = order(name, "begin");
-        long from = System.nanoTime();
+        HttpResponse<String> leave = command(name, "begin");
+        long startNs = System.nanoTime();
         assertEquals(200, leave.statusCode(), leave.body());
         Thread.sleep(300);
-        long to = System.nanoTime();
-        assertEquals(200, order(name, "finish").statusCode());
-        assertNoCalls(from, to, racks);
+        long endNs = System.nanoTime();
+        assertEquals(200, command(name, "finish").statusCode());
+        assertNoCalls(startNs, endNs, racks);
     }
 
-    void assertNoCalls(long from, long to, String... racks) {
+    void assertNoCalls(long startNs, long endNs, String... racks) {
         for (String rack : racks) {
             assertEquals(
                     List.of(),
-                    backends.openDuring(endpoints(rack), from, to).stream()
+                    backends.openDuring(endpoints(rack), startNs, endNs).stream()
                             .map(call -> call.endpoint)
                             .toList(),
                     "calls to a rack that is down");
@@ -231,16 +231,16 @@
 
     /** Waits until calls reach all endpoints of the rack again. */
     void awaitCalls(String rack) throws IOException, InterruptedException {
-        long from = System.nanoTime();
+        long startNs = System.nanoTime();
         for (String endpoint : endpoints(rack)) {
-            rig.await(endpoint + " is called again", () -> backends.countSince(endpoint, from) > 0);
+            rig.await(endpoint + " is called again", () -> backends.countSince(endpoint, startNs) > 0);
         }
     }
 
-    static void assertAnswer(HttpResponse<String> answer, int status, String... words) {
+    static void assertAnswer(HttpResponse<String> answer, int status, String... parts) {
         assertEquals(status, answer.statusCode(), answer.body());
-        for (String word : words) {
-            assertTrue(answer.body().contains(word), answer.body());
+        for (String part : parts) {
+            assertTrue(answer.body().contains(part), answer.body());
         }
     }
 }
--- a/src/test/java/laneflow/maintenance/MaintenanceStoryTest.java
+++ b/src/test/java/laneflow/maintenance/MaintenanceStoryTest.java
@@ -14,11 +14,11 @@
 class MaintenanceStoryTest extends MaintenanceStorySupport {
     @Test
     void aWindowGoesFromRequestToDoneUnderTrafficAndNobodyCallsWhatIsDown() throws Exception {
-        traffic();
+        startClients();
         awaitCalls("a");
         HttpResponse<String> dry = ask(
                 "/maintenance/requests",
-                body(true, window("firmware-a", 300, "a"), window("all", 300, "a", "b", "c", "d")));
+                requestsBody(true, window("firmware-a", 300, "a"), window("all", 300, "a", "b", "c", "d")));
         assertEquals(200, dry.statusCode(), dry.body());
         JsonObject first = JsonParser.parseString(dry.body())
                 .getAsJsonObject()
@@ -27,9 +27,9 @@
                 .getAsJsonObject();
         assertEquals("planned", first.get("state").getAsString(), dry.body());
         assertTrue(dry.body().contains("\"refused\"") && dry.body().contains("slots short"), dry.body());
-        assertEquals(0, show().getAsJsonArray("windows").size(), "a dry run decides nothing");
+        assertEquals(0, report().getAsJsonArray("windows").size(), "a dry run decides nothing");
         assertAnswer(
-                ask("/maintenance/requests", body(false, window("x y", 0, "a", "a", "z"))),
+                ask("/maintenance/requests", requestsBody(false, window("x y", 0, "a", "a", "z"))),
                 400,
                 "name",
                 "work_ms",
@@ -37,8 +37,11 @@
                 "'z' is not known");
 
         request(window("firmware-a", 300, "a"));
-        assertAnswer(ask("/maintenance/requests", body(false, window("firmware-a", 500, "a"))), 409, "another request");
-        assertAnswer(order("nobody", "begin"), 404, "no window");
+        assertAnswer(
+                ask("/maintenance/requests", requestsBody(false, window("firmware-a", 500, "a"))),
+                409,
+                "another request");
+        assertAnswer(command("nobody", "begin"), 404, "no window");
         await("firmware-a", "draining", "down");
         assertAnswer(
                 rig.ask(0, "/policy/changes", "{\"name\":\"give-back\",\"types\":{\"bans\":[]}}"),
--- a/src/test/java/laneflow/maintenance/RecordingEndpoints.java
+++ b/src/test/java/laneflow/maintenance/RecordingEndpoints.java
@@ -20,8 +20,8 @@
     /** A call; its end is Long.MAX_VALUE while it is open. */
     static final class Call {
         final String endpoint;
-        final long beganNs = System.nanoTime();
-        volatile long endedNs = Long.MAX_VALUE;
+        final long startNs = System.nanoTime();
+        volatile long endNs = Long.MAX_VALUE;
 
         private Call(String endpoint) {
             this.endpoint = endpoint;
@@ -54,7 +54,7 @@
         server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 256);
         servers.put(name, server);
         ports.put(name, server.getLocalPort());
-        daemon(() -> accept(name, server));
+        startDaemon(() -> accept(name, server));
     }
 
     /** The endpoint fails without notice: connections break and no new ones are accepted. */
@@ -77,20 +77,20 @@
     }
 
     /** Calls to these endpoints that were open at any time in the period. */
-    List<Call> openDuring(List<String> these, long fromNs, long toNs) {
+    List<Call> openDuring(List<String> endpoints, long fromNs, long toNs) {
         return calls.stream()
-                .filter(call -> these.contains(call.endpoint) && call.beganNs < toNs && call.endedNs > fromNs)
+                .filter(call -> endpoints.contains(call.endpoint) && call.startNs < toNs && call.endNs > fromNs)
                 .toList();
     }
 
-    /** Number of calls that began there since. */
+    /** Number of calls to the endpoint that began after that time. */
     long countSince(String endpoint, long ns) {
         return calls.stream()
-                .filter(call -> call.endpoint.equals(endpoint) && call.beganNs > ns)
+                .filter(call -> call.endpoint.equals(endpoint) && call.startNs > ns)
                 .count();
     }
 
-    private static void daemon(Runnable work) {
+    private static void startDaemon(Runnable work) {
         Thread thread = new Thread(work, "till");
         thread.setDaemon(true);
         thread.start();
@@ -102,7 +102,7 @@
                 Socket socket = server.accept();
                 socket.setTcpNoDelay(true);
                 sockets.add(socket);
-                daemon(() -> serve(name, socket));
+                startDaemon(() -> serve(name, socket));
             } catch (IOException e) {
                 return;
             }
@@ -120,15 +120,15 @@
                 in.readNBytes(Integer.parseInt(HttpText.field(head, "Content-Length", "0")));
                 Thread.sleep(jobMillis);
                 String line = "{\"id\":\"" + id + "\",\"state\":\"done\",\"result\":\"" + name + "\"}\n";
-                // Ends before the caller can know.
-                call[0].endedNs = System.nanoTime();
+                // The end is recorded before the caller can see the response.
+                call[0].endNs = System.nanoTime();
                 socket.getOutputStream()
                         .write(("HTTP/1.1 200 OK\r\nContent-Length: " + line.length() + "\r\n\r\n" + line)
                                 .getBytes(StandardCharsets.UTF_8));
             }
         } catch (IOException | InterruptedException e) {
             if (call[0] != null) {
-                call[0].endedNs = Math.min(call[0].endedNs, System.nanoTime());
+                call[0].endNs = Math.min(call[0].endNs, System.nanoTime());
             }
         }
     }
--- a/src/test/java/laneflow/maintenance/RequestFileTest.java
+++ b/src/test/java/laneflow/maintenance/RequestFileTest.java
@@ -34,7 +34,7 @@
 
     @Test
     void allFieldsAreRead() {
-        Request one = read(
+        Request request = read(
                         "2026-12-10T22:00",
                         "2026-12-11T06:00",
                         "notice_minutes = 1440\nabort_minutes = 30\n" + "apart = [\"power-3\"]\nafter = [\"other\"]")
@@ -51,20 +51,20 @@
                         1_800_000,
                         Set.of("power-3"),
                         List.of("other")),
-                one);
+                request);
     }
 
     @Test
     void aRepeatedLocalTimeGivesTheLongestPeriod() {
-        Request one = read("2026-10-25T02:30", "2026-10-25T02:45", "").get(0);
-        assertEquals(ms("2026-10-25T00:30:00Z"), one.earliestMs());
-        assertEquals(ms("2026-10-25T01:45:00Z"), one.latestMs());
+        Request request = read("2026-10-25T02:30", "2026-10-25T02:45", "").get(0);
+        assertEquals(ms("2026-10-25T00:30:00Z"), request.earliestMs());
+        assertEquals(ms("2026-10-25T01:45:00Z"), request.latestMs());
     }
 
     @Test
     void aSkippedLocalTimeBeginsAnHourLater() {
-        Request one = read("2026-03-29T02:30", "2026-03-29T05:00", "").get(0);
-        assertEquals(ms("2026-03-29T01:30:00Z"), one.earliestMs());
+        Request request = read("2026-03-29T02:30", "2026-03-29T05:00", "").get(0);
+        assertEquals(ms("2026-03-29T01:30:00Z"), request.earliestMs());
         // Four hours by local time are three real hours in that night.
         assertEquals(
                 3 * 3_600_000L,
@@ -116,15 +116,15 @@
 
     @Test
     void invalidRulesAreRefused() {
-        for (String[] one : new String[][] {
+        for (String[] ruleAndError : new String[][] {
             {"FREQ=OFTEN", "is no rule of RFC 5545"},
             {"FREQ=HOURLY", "before the one before it has to end"},
             {"FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=30", "never happens within what is planned"}
         }) {
             ConfigException e = assertThrows(
                     ConfigException.class,
-                    () -> read("2026-09-01T02:30", "2026-09-01T06:00", "rule = \"" + one[0] + "\""));
-            assertTrue(e.getMessage().contains(one[1]), e.getMessage());
+                    () -> read("2026-09-01T02:30", "2026-09-01T06:00", "rule = \"" + ruleAndError[0] + "\""));
+            assertTrue(e.getMessage().contains(ruleAndError[1]), e.getMessage());
         }
     }
 
--- a/src/test/java/laneflow/maintenance/RequestReaderTest.java
+++ b/src/test/java/laneflow/maintenance/RequestReaderTest.java
@@ -23,7 +23,7 @@
 
     @Test
     void writtenRequestsAreReadBack() {
-        Request whole = new Request(
+        Request written = new Request(
                 "w",
                 "crew",
                 List.of("a", "b"),
@@ -36,8 +36,8 @@
                 List.of("v"),
                 List.of(new Plan.Freeze("sale", 100, 200)));
         JsonArray list = new JsonArray();
-        list.add(MaintenanceJson.write(whole));
-        assertEquals(List.of(whole), read(list.toString()));
+        list.add(MaintenanceJson.write(written));
+        assertEquals(List.of(written), read(list.toString()));
         assertEquals(List.of(), findings.all());
     }
 
@@ -47,7 +47,7 @@
                 + "'abort_ms':9,'after':['a b'],'freezes':[{'name':'f','from_ms':5,'to_ms':5},7]},7,"
                 + "{'name':'x','owner':'c','racks':['a'],'work_ms':10,'earliest_ms':1,'latest_ms':5},"
                 + "{'name':'x','owner':'c','racks':[],'earliest_ms':'soon','latest_ms':5}]");
-        String all = String.join("\n", findings.all());
+        String errors = String.join("\n", findings.all());
         for (String part : List.of(
                 "requests[0].name: is up to 64",
                 "racks: 'a' is named twice",
@@ -64,7 +64,7 @@
                 "requests[3].racks: names none",
                 "requests[3].work_ms: is missing",
                 "earliest_ms: must be a whole")) {
-            assertTrue(all.contains(part), part + "\n" + all);
+            assertTrue(errors.contains(part), part + "\n" + errors);
         }
         assertEquals(List.of(), read("[]"));
         assertTrue(String.join("\n", findings.all()).contains("have to be 1 to 500"));
--- a/src/test/java/laneflow/maintenance/decision/FairnessTest.java
+++ b/src/test/java/laneflow/maintenance/decision/FairnessTest.java
@@ -23,7 +23,7 @@
 import org.ojalgo.optimisation.Optimisation;
 import org.ojalgo.optimisation.Variable;
 
-/** Checks losses and fairness against the limits, and against a linear program that is independent of the flow. */
+/** Checks losses and fairness against the limits, and against a linear program in place of the flow algorithm. */
 class FairnessTest {
     private static final Limits LIMITS = Limits.defaults();
 
@@ -37,18 +37,18 @@
         double[] due = fairness.due(demand);
         double[] dues = fairness.sumByTenant(due);
         for (int t = 0; t < dues.length; t++) {
-            double asked =
+            double demanded =
                     demand[t][0] * random.inventory.slotFactor(0) + demand[t][1] * random.inventory.slotFactor(1);
-            assertTrue(dues[t] <= Math.min(asked, random.inventory.entitlement(t)) + 0.01);
+            assertTrue(dues[t] <= Math.min(demanded, random.inventory.entitlement(t)) + 0.01);
         }
         Evaluation evaluation = fairness.evaluate(due, random.inventory.totalSlots(), null);
         assertEquals(0, evaluation.totalLoss());
         assertTrue(evaluation.fair());
     }
 
-    /** What a tenant is due is computed by sums over unions; a flow over its own parts has to give the same. */
+    /** The amounts due come from sums over unions of cells; a flow over the tenant's entitlements must give the same. */
     @Property(tries = 100, seed = "7")
-    void dueAmountsAreWhatTheTenantsOwnPartsCarry(
+    void dueAmountsEqualTheFlowOverTheTenantsEntitlements(
             @ForAll @LongRange(min = 0, max = 100_000) long seed,
             @ForAll @DoubleRange(min = 0.3, max = 2.5) double load) {
         RandomInventory random = new RandomInventory(seed, 24, 5, false);
@@ -57,35 +57,36 @@
         double[] due = fairness.due(demand);
         for (int t = 0; t < 5; t++) {
             Placement.WorkKind[] kinds = new Placement.WorkKind[2];
-            double[] asked = new double[2];
-            double[] said = new double[2];
+            double[] demanded = new double[2];
+            double[] dueByKind = new double[2];
             for (int k = 0; k < 2; k++) {
                 kinds[k] = new Placement.WorkKind(k, random.inventory.eligibleCells(t, k));
-                asked[k] = kinds[k].cellMask() == 0 ? 0 : demand[t][k] * random.inventory.slotFactor(k);
+                demanded[k] = kinds[k].cellMask() == 0 ? 0 : demand[t][k] * random.inventory.slotFactor(k);
             }
             for (int i = 0; i < due.length; i++) {
                 for (int k = 0; k < 2; k++) {
-                    said[k] += fairness.owner(i) == t && fairness.cellMask(i) == kinds[k].cellMask() ? due[i] : 0;
+                    dueByKind[k] += fairness.owner(i) == t && fairness.cellMask(i) == kinds[k].cellMask() ? due[i] : 0;
                 }
             }
             double[] capacity = new double[random.inventory.cells()];
             for (int c = 0; c < capacity.length; c++) {
                 capacity[c] = random.inventory.cellEntitlement(t, c);
             }
-            Placement own = new Placement(kinds, 2, capacity.length);
-            own.set(asked, capacity);
+            Placement placement = new Placement(kinds, 2, capacity.length);
+            placement.set(demanded, capacity);
             double[] loss = MaxMinLosses.fill(
-                            own, asked, new double[] {Math.max(asked[0], 1e-9), Math.max(asked[1], 1e-9)})
+                            placement, demanded, new double[] {Math.max(demanded[0], 1e-9), Math.max(demanded[1], 1e-9)
+                            })
                     .loss();
             if (kinds[0].cellMask() == kinds[1].cellMask()) {
-                assertEquals(asked[0] + asked[1] - loss[0] - loss[1], said[0], 0.02);
+                assertEquals(demanded[0] + demanded[1] - loss[0] - loss[1], dueByKind[0], 0.02);
             } else {
-                assertArrayEquals(new double[] {asked[0] - loss[0], asked[1] - loss[1]}, said, 0.02);
+                assertArrayEquals(new double[] {demanded[0] - loss[0], demanded[1] - loss[1]}, dueByKind, 0.02);
             }
         }
     }
 
-    /** The same question as a linear program: the smallest level at which losses of level x weight suffice. */
+    /** Solves for the smallest level at which every tenant's loss is at most level x scale, as a linear program. */
     private static double levelByProgram(Fairness fairness, double[] due, double[] left, double[] scale) {
         ExpressionsBasedModel model = new ExpressionsBasedModel();
         Variable level = model.newVariable("level").lower(0).weight(1);
@@ -156,19 +157,20 @@
         for (int t = 0; t < minimums.length; t++) {
             minimums[t] = dues[t] - evaluation.loss()[t] - 0.05;
         }
-        assertTrue(placement.isFeasible(minimums), "what is said to be placed can be placed");
-        for (int one = 0; one < minimums.length; one++) {
-            double mine = evaluation.loss()[one] / (evaluation.allowed()[one] + Fairness.LOSS_EPSILON);
-            if (evaluation.loss()[one] < 0.5) {
+        assertTrue(placement.isFeasible(minimums), "the reported placement is feasible");
+        for (int relieved = 0; relieved < minimums.length; relieved++) {
+            double relativeLoss =
+                    evaluation.loss()[relieved] / (evaluation.allowed()[relieved] + Fairness.LOSS_EPSILON);
+            if (evaluation.loss()[relieved] < 0.5) {
                 continue;
             }
-            double[] eased = new double[dues.length];
-            for (int t = 0; t < eased.length; t++) {
+            double[] relaxed = new double[dues.length];
+            for (int t = 0; t < relaxed.length; t++) {
                 double scale = evaluation.allowed()[t] + Fairness.LOSS_EPSILON;
-                double may = Math.max(evaluation.loss()[t], Math.min(dues[t], 0.95 * mine * scale));
-                eased[t] = Math.max(0, dues[t] - (t == one ? evaluation.loss()[t] - 0.4 : may));
+                double acceptedLoss = Math.max(evaluation.loss()[t], Math.min(dues[t], 0.95 * relativeLoss * scale));
+                relaxed[t] = Math.max(0, dues[t] - (t == relieved ? evaluation.loss()[t] - 0.4 : acceptedLoss));
             }
-            assertFalse(placement.isFeasible(eased), "tenant " + one + " could lose less");
+            assertFalse(placement.isFeasible(relaxed), "tenant " + relieved + " could lose less");
         }
     }
 
@@ -194,26 +196,26 @@
         double[] accounts = new double[9];
         accounts[(int) (seed % 9)] = 0.0007;
         Evaluation evaluation = fairness.evaluate(due, left, accounts);
-        boolean close = false;
+        boolean nearLimit = false;
         for (int t = 0; t < accounts.length; t++) {
-            close |= Math.abs(evaluation.loss()[t] - evaluation.allowed()[t] - Fairness.LOSS_EPSILON) < 0.05;
+            nearLimit |= Math.abs(evaluation.loss()[t] - evaluation.allowed()[t] - Fairness.LOSS_EPSILON) < 0.05;
         }
-        assertTrue(close || fairness.isFair(due, left, accounts) == evaluation.fair(), evaluation.toString());
+        assertTrue(nearLimit || fairness.isFair(due, left, accounts) == evaluation.fair(), evaluation.toString());
     }
 
     @Property(tries = 80, seed = "7")
-    void askingForMoreThanOnesPartMovesNothing(
+    void demandAboveTheEntitlementChangesNoLoss(
             @ForAll @LongRange(min = 0, max = 100_000) long seed, @ForAll @IntRange(min = 1, max = 6) int down) {
         RandomInventory random = new RandomInventory(seed, 24, 6, true);
         Fairness fairness = new Fairness(random.inventory, LIMITS);
         double[][] demand = random.demand(0.8);
-        double whole = random.inventory.entitlement(0);
-        demand[0][0] = whole;
-        demand[0][1] = whole;
+        double entitlement = random.inventory.entitlement(0);
+        demand[0][0] = entitlement;
+        demand[0][1] = entitlement;
         double[] left = random.inventory.slotsWithout(random.randomRacks(down));
         Evaluation honest = fairness.evaluate(fairness.due(demand), left, null);
-        demand[0][0] = 50 * whole;
-        demand[0][1] = 50 * whole;
+        demand[0][0] = 50 * entitlement;
+        demand[0][1] = 50 * entitlement;
         Evaluation greedy = fairness.evaluate(fairness.due(demand), left, null);
         assertArrayEquals(honest.loss(), greedy.loss(), 0.1);
     }
@@ -242,7 +244,7 @@
         assertTrue(placed <= capacity + 0.5);
     }
 
-    private static Inventory two(double memory) {
+    private static Inventory twoRacks(double memory) {
         return new Inventory(
                 List.of("quick"),
                 new double[] {memory},
@@ -254,7 +256,7 @@
 
     @Test
     void aTenantRestrictedToAZoneLosesItsRackAndIsNamed() {
-        Fairness fairness = new Fairness(two(0), LIMITS);
+        Fairness fairness = new Fairness(twoRacks(0), LIMITS);
         assertEquals(25, fairness.inventory().entitlement(0));
         assertEquals(75, fairness.inventory().entitlement(1));
         double[] due = fairness.due(new double[][] {{25}, {20}});
@@ -270,14 +272,14 @@
 
     @Test
     void memoryCountsAsSlots() {
-        Fairness fairness = new Fairness(two(2), LIMITS);
+        Fairness fairness = new Fairness(twoRacks(2), LIMITS);
         double[] due = fairness.due(new double[][] {{20}, {10}});
         assertArrayEquals(new double[] {25, 20}, fairness.sumByTenant(due), 0.01);
     }
 
     @Test
     void aTenantWithLargerPastLossesHasNoToleranceLeft() {
-        Fairness fairness = new Fairness(two(0), new Limits(0.2, 0.5, 0.001, 1e9));
+        Fairness fairness = new Fairness(twoRacks(0), new Limits(0.2, 0.5, 0.001, 1e9));
         // 53 slots are due where 50 are left, so both lose: the restricted tenant gets what the free
         // one leaves.
         double[] due = fairness.due(new double[][] {{12}, {41}});
--- a/src/test/java/laneflow/maintenance/decision/LossAccountsTest.java
+++ b/src/test/java/laneflow/maintenance/decision/LossAccountsTest.java
@@ -21,24 +21,24 @@
         assertEquals(36_000, accounts.lost("a", DAY), 1e-6);
         assertEquals(0.1, accounts.lossRate("a", DAY), 1e-9);
         assertEquals(18_000, accounts.lost("a", 8 * DAY), 1e-6);
-        assertEquals(0, accounts.lossRate("never heard of", DAY));
+        assertEquals(0, accounts.lossRate("unknown tenant", DAY));
     }
 
     @Property(tries = 200, seed = "7")
     void restoringASnapshotChangesNothing(
             @ForAll @IntRange(min = 1, max = 30) int steps, @ForAll @DoubleRange(min = 0, max = 50) double lost) {
-        LossAccounts one = new LossAccounts(HALF_LIFE);
-        LossAccounts other = new LossAccounts(HALF_LIFE);
+        LossAccounts continuous = new LossAccounts(HALF_LIFE);
+        LossAccounts restored = new LossAccounts(HALF_LIFE);
         for (int i = 0; i < steps; i++) {
-            one.addLoss("t" + i % 3, lost * i, 40, 900_000, i * DAY);
-            other.addLoss("t" + i % 3, lost * i, 40, 900_000, i * DAY);
+            continuous.addLoss("t" + i % 3, lost * i, 40, 900_000, i * DAY);
+            restored.addLoss("t" + i % 3, lost * i, 40, 900_000, i * DAY);
             LossAccounts next = new LossAccounts(HALF_LIFE);
-            next.restore(other.state());
-            other = next;
+            next.restore(restored.state());
+            restored = next;
         }
         for (int t = 0; t < 3; t++) {
-            assertEquals(one.lossRate("t" + t, steps * DAY), other.lossRate("t" + t, steps * DAY), 1e-12);
-            assertTrue(one.lossRate("t" + t, steps * DAY) <= 1, "nobody loses more than its entitlement");
+            assertEquals(continuous.lossRate("t" + t, steps * DAY), restored.lossRate("t" + t, steps * DAY), 1e-12);
+            assertTrue(continuous.lossRate("t" + t, steps * DAY) <= 1, "nobody loses more than its entitlement");
         }
     }
 
@@ -53,11 +53,12 @@
 
     @Property(tries = 200, seed = "7")
     void demandThatWasNeverServedDoesNotCount(
-            @ForAll @DoubleRange(min = 0, max = 100) double ran, @ForAll @DoubleRange(min = 0, max = 1e6) double said) {
+            @ForAll @DoubleRange(min = 0, max = 100) double servedSlots,
+            @ForAll @DoubleRange(min = 0, max = 1e6) double claimed) {
         LossAccounts accounts = new LossAccounts(HALF_LIFE);
-        accounts.recordServed("a", ran, DAY);
-        double counted = accounts.provenDemand("a", said, 0.1, DAY);
-        assertTrue(counted <= 1.1 * ran + 1e-9 && counted <= said);
-        assertEquals(Math.min(1.1 * ran, 1e6), accounts.provenDemand("a", 1e6, 0.1, DAY), 1e-6);
+        accounts.recordServed("a", servedSlots, DAY);
+        double counted = accounts.provenDemand("a", claimed, 0.1, DAY);
+        assertTrue(counted <= 1.1 * servedSlots + 1e-9 && counted <= claimed);
+        assertEquals(Math.min(1.1 * servedSlots, 1e6), accounts.provenDemand("a", 1e6, 0.1, DAY), 1e-6);
     }
 }
--- a/src/test/java/laneflow/maintenance/decision/MaintenanceSimulation.java
+++ b/src/test/java/laneflow/maintenance/decision/MaintenanceSimulation.java
@@ -17,9 +17,9 @@
 
 /**
  * Simulation in virtual time of windows, successive coordinators that may not know of each other, a policy
- * that schedulers apply when they hear of it, calls, crews, rack failures and changing demand. Operations on
- * the log are delayed, lost, duplicated and reordered. The checker looks at racks and calls, not at what the
- * ledger says about them.
+ * that schedulers apply when they receive it, calls, crews, rack failures and changing demand. Operations on
+ * the log are delayed, lost, duplicated and reordered. The invariants are checked on the simulated racks and
+ * calls, not on the ledger's records of them.
  */
 final class MaintenanceSimulation {
     static final long MINUTE = 60_000;
@@ -45,15 +45,15 @@
     static final class Violation extends AssertionError {
         private static final long serialVersionUID = 1L;
 
-        Violation(String what) {
-            super(what);
+        Violation(String message) {
+            super(message);
         }
     }
 
     private static final class Scheduler {
         private Set<String> bans = Set.of();
         private boolean isCutOff;
-        private long heardAt;
+        private long lastPolicyAt;
         /** Open calls by rack, with the latest time at which each ends. */
         private final Map<String, Long> calls = new HashMap<>();
     }
@@ -61,7 +61,7 @@
     final Fault fault;
     final Fairness fairness;
     private final Coordinator coordinator;
-    private final Set<String> names = new TreeSet<>();
+    private final Set<String> rackNames = new TreeSet<>();
     private Windows windows = new Windows();
     private Set<String> banned = new TreeSet<>();
     private final List<Scheduler> schedulers = List.of(new Scheduler(), new Scheduler());
@@ -69,9 +69,9 @@
     private final List<JsonObject> delayed = new ArrayList<>();
     private final Set<String> working = new HashSet<>();
     private final TreeMap<Long, Double> demand = new TreeMap<>();
-    private final TreeMap<Long, Set<String>> lost = new TreeMap<>();
-    private final Set<String> stepsTaken = new HashSet<>();
-    private long highest;
+    private final TreeMap<Long, Set<String>> lostRacks = new TreeMap<>();
+    private final Set<String> appliedSteps = new HashSet<>();
+    private long highestToken;
     private long token = 1;
     long now = START;
     int done;
@@ -83,9 +83,10 @@
         List<Rack> racks = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             racks.add(new Rack("r" + i, "a", List.of(new EndpointGroup(1, SLOTS[i], 0))));
-            names.add("r" + i);
+            rackNames.add("r" + i);
         }
-        // Of 40 slots: any rack may go while 24 are due, two while 18 are, but not the largest while 30 are.
+        // Of 40 slots: any one rack may be away while 24 slots are due, any two while 18 are, but not the
+        // largest one while 30 are.
         fairness = new Fairness(
                 new Inventory(
                         List.of("quick"),
@@ -100,7 +101,7 @@
                 new Coordinator.Timeouts(
                         20 * MINUTE, 15 * MINUTE, 10 * MINUTE, 30 * MINUTE, 20 * MINUTE, 10 * MINUTE, 60 * MINUTE));
         demand.put(0L, 24.0);
-        lost.put(0L, Set.of());
+        lostRacks.put(0L, Set.of());
     }
 
     // ---- events ----
@@ -121,8 +122,8 @@
 
     /** A coordinator decides, and its operations are sent to the log. A superseded coordinator acts late. */
     void decide(boolean isFormer) {
-        long by = isFormer ? Math.max(1, token - 1) : token;
-        Coordinator.Orders orders = coordinator.orders(windows, observe(), by);
+        long actingToken = isFormer ? Math.max(1, token - 1) : token;
+        Coordinator.Orders orders = coordinator.orders(windows, observe(), actingToken);
         inFlight.addAll(orders.steps());
         Set<String> bans = new TreeSet<>(orders.banned());
         if (fault == Fault.BANS_NEVER_REMOVED) {
@@ -139,25 +140,26 @@
 
     private Coordinator.Observation observe() {
         Set<String> drained = new HashSet<>();
-        for (String rack : names) {
-            boolean all = true;
-            for (Scheduler one : schedulers) {
-                boolean silent = one.isCutOff
-                        && (now > one.heardAt + LEASE + DEADLINE || fault == Fault.SILENT_COUNTS_AS_DRAINED);
-                all &= silent || !one.isCutOff && one.bans.contains(rack) && !one.calls.containsKey(rack);
+        for (String rack : rackNames) {
+            boolean allDrained = true;
+            for (Scheduler scheduler : schedulers) {
+                boolean silent = scheduler.isCutOff
+                        && (now > scheduler.lastPolicyAt + LEASE + DEADLINE || fault == Fault.SILENT_COUNTS_AS_DRAINED);
+                allDrained &= silent
+                        || !scheduler.isCutOff && scheduler.bans.contains(rack) && !scheduler.calls.containsKey(rack);
             }
-            if (all || fault == Fault.LEAVE_BEFORE_BANS) {
+            if (allDrained || fault == Fault.LEAVE_BEFORE_BANS) {
                 drained.add(rack);
             }
         }
-        Set<String> down = lost.lastEntry().getValue();
-        Set<String> recovered = new HashSet<>(names);
+        Set<String> down = lostRacks.lastEntry().getValue();
+        Set<String> recovered = new HashSet<>(rackNames);
         recovered.removeAll(down);
         return new Coordinator.Observation(
                 now,
                 due(now),
                 fault == Fault.LOST_RACKS_IGNORED ? Set.of() : down,
-                fault == Fault.LEAVE_BEFORE_BANS ? names : Set.copyOf(banned),
+                fault == Fault.LEAVE_BEFORE_BANS ? rackNames : Set.copyOf(banned),
                 drained,
                 recovered,
                 null);
@@ -169,11 +171,11 @@
     }
 
     /** The log applies an operation in flight: the oldest or the newest. */
-    void arrive(boolean newest, boolean again) {
+    void arrive(boolean newest, boolean twice) {
         if (!inFlight.isEmpty()) {
             JsonObject op = inFlight.remove(newest ? inFlight.size() - 1 : 0);
             apply(op);
-            if (again) {
+            if (twice) {
                 apply(op);
             }
         }
@@ -187,7 +189,7 @@
         }
     }
 
-    void release(int which) {
+    void releaseDelayed(int which) {
         if (!delayed.isEmpty()) {
             apply(delayed.remove(which % delayed.size()));
         }
@@ -218,17 +220,17 @@
             }
             return op;
         }
-        JsonObject as = op.deepCopy();
+        JsonObject altered = op.deepCopy();
         Window window = windows.window(op.get("name").getAsString());
         boolean step = op.get("op").getAsString().equals("step");
         if (step && fault == Fault.DRAINS_JUDGED_SEPARATELY) {
-            as.addProperty("away", windows.awayChanges());
+            altered.addProperty("away", windows.awayChanges());
         } else if (step && fault == Fault.TOKENS_IGNORED) {
-            as.addProperty("token", windows.token());
+            altered.addProperty("token", windows.token());
         } else if (step && fault == Fault.STEPS_IGNORED) {
-            as.addProperty("steps", window.steps());
+            altered.addProperty("steps", window.steps());
         }
-        JsonObject answer = windows.apply(as, fault == Fault.LEAVE_BEFORE_BANS ? rack -> true : banned::contains);
+        JsonObject answer = windows.apply(altered, fault == Fault.LEAVE_BEFORE_BANS ? rack -> true : banned::contains);
         if (step && !answer.has("error")) {
             checkStep(op, window);
         }
@@ -236,13 +238,13 @@
     }
 
     private void checkStep(JsonObject op, Window before) {
-        long by = op.get("token").getAsLong();
-        if (by < highest) {
-            throw new Violation("token " + by + " was taken behind " + highest);
+        long stepToken = op.get("token").getAsLong();
+        if (stepToken < highestToken) {
+            throw new Violation("token " + stepToken + " was accepted after " + highestToken);
         }
-        highest = by;
-        if (!stepsTaken.add(op.get("name").getAsString() + "/" + op.get("steps"))) {
-            throw new Violation("a step was taken twice: " + op);
+        highestToken = stepToken;
+        if (!appliedSteps.add(op.get("name").getAsString() + "/" + op.get("steps"))) {
+            throw new Violation("a step was applied twice: " + op);
         }
         Window window = windows.window(before.name());
         done += window.state() == State.DONE ? 1 : 0;
@@ -250,19 +252,20 @@
         overruns += window.state() == State.OVERRUN ? 1 : 0;
         if (window.state() == State.DRAINING) {
             long at = op.get("ms").getAsLong();
-            Set<Integer> out = new HashSet<>();
-            lost.floorEntry(at)
+            Set<Integer> racksAway = new HashSet<>();
+            lostRacks
+                    .floorEntry(at)
                     .getValue()
-                    .forEach(rack -> out.add(fairness.inventory().rackIndex(rack)));
-            for (Window one : windows.all()) {
-                if (one.state().isAway()) {
-                    one.request()
+                    .forEach(rack -> racksAway.add(fairness.inventory().rackIndex(rack)));
+            for (Window other : windows.all()) {
+                if (other.state().isAway()) {
+                    other.request()
                             .racks()
-                            .forEach(rack -> out.add(fairness.inventory().rackIndex(rack)));
+                            .forEach(rack -> racksAway.add(fairness.inventory().rackIndex(rack)));
                 }
             }
-            if (!fairness.isFair(due(at), fairness.inventory().slotsWithout(out), null)) {
-                throw new Violation("unfair: " + out + " are away since " + window.name());
+            if (!fairness.isFair(due(at), fairness.inventory().slotsWithout(racksAway), null)) {
+                throw new Violation("unfair: " + racksAway + " are away since " + window.name());
             }
         }
     }
@@ -275,40 +278,42 @@
         windows = next;
     }
 
-    void applyPolicy(int scheduler) {
-        Scheduler one = schedulers.get(scheduler);
-        if (!one.isCutOff) {
-            one.bans = Set.copyOf(banned);
-            one.heardAt = now;
+    void applyPolicy(int index) {
+        Scheduler scheduler = schedulers.get(index);
+        if (!scheduler.isCutOff) {
+            scheduler.bans = Set.copyOf(banned);
+            scheduler.lastPolicyAt = now;
         }
         checkCalls();
     }
 
-    void setCutOff(int scheduler, boolean is) {
-        Scheduler one = schedulers.get(scheduler);
-        if (is && !one.isCutOff) {
-            one.heardAt = now;
+    void setCutOff(int index, boolean cutOff) {
+        Scheduler scheduler = schedulers.get(index);
+        if (cutOff && !scheduler.isCutOff) {
+            scheduler.lastPolicyAt = now;
         }
-        one.isCutOff = is;
-        if (!is) {
-            // It has no lease before it has heard the policy in force.
-            applyPolicy(scheduler);
+        scheduler.isCutOff = cutOff;
+        if (!cutOff) {
+            // A scheduler gets no lease before it has received the policy in force.
+            applyPolicy(index);
         }
     }
 
-    /** A scheduler sends to every rack that it may. */
-    void send(int scheduler) {
-        Scheduler one = schedulers.get(scheduler);
-        for (String rack : names) {
-            boolean may = !one.isCutOff || now < one.heardAt + LEASE;
-            if (may && !one.bans.contains(rack) && !lost.lastEntry().getValue().contains(rack)) {
-                one.calls.put(rack, now + DEADLINE);
+    /** A scheduler sends a call to every rack to which it may. */
+    void sendCalls(int index) {
+        Scheduler scheduler = schedulers.get(index);
+        for (String rack : rackNames) {
+            boolean maySend = !scheduler.isCutOff || now < scheduler.lastPolicyAt + LEASE;
+            if (maySend
+                    && !scheduler.bans.contains(rack)
+                    && !lostRacks.lastEntry().getValue().contains(rack)) {
+                scheduler.calls.put(rack, now + DEADLINE);
             }
         }
         checkCalls();
     }
 
-    void end(int scheduler) {
+    void endCalls(int scheduler) {
         schedulers.get(scheduler).calls.clear();
     }
 
@@ -333,10 +338,10 @@
         }
     }
 
-    void fail(String rack, boolean is) {
-        Set<String> next = new TreeSet<>(lost.lastEntry().getValue());
-        if (is ? next.add(rack) : next.remove(rack)) {
-            lost.put(now, next);
+    void fail(String rack, boolean failed) {
+        Set<String> next = new TreeSet<>(lostRacks.lastEntry().getValue());
+        if (failed ? next.add(rack) : next.remove(rack)) {
+            lostRacks.put(now, next);
         }
     }
 
@@ -346,8 +351,8 @@
 
     void advance(long ms) {
         now += ms;
-        for (Scheduler one : schedulers) {
-            one.calls.values().removeIf(ends -> ends <= now);
+        for (Scheduler scheduler : schedulers) {
+            scheduler.calls.values().removeIf(latestEnd -> latestEnd <= now);
         }
         checkCalls();
     }
@@ -367,7 +372,7 @@
         }
     }
 
-    /** Rounds without faults: decisions are made, heard and applied in order. */
+    /** Runs rounds without faults: decisions are made, received and applied in order. */
     void runCalmly(int rounds) {
         for (int i = 0; i < rounds; i++) {
             decide(false);
@@ -376,8 +381,8 @@
             }
             applyPolicy(0);
             applyPolicy(1);
-            send(0);
-            send(1);
+            sendCalls(0);
+            sendCalls(1);
             advance(MINUTE + 1);
         }
     }
@@ -394,18 +399,18 @@
     void heal() {
         setCutOff(0, false);
         setCutOff(1, false);
-        names.forEach(rack -> fail(rack, false));
+        rackNames.forEach(rack -> fail(rack, false));
         demand(24);
         for (int i = 0; i < 900; i++) {
             runCalmly(1);
             if (i % 5 == 0) {
-                windows.all().forEach(one -> {
-                    if (working.contains(one.name()) || one.state() == State.DOWN) {
-                        crewActs(one.name());
+                windows.all().forEach(window -> {
+                    if (working.contains(window.name()) || window.state() == State.DOWN) {
+                        crewActs(window.name());
                     }
                 });
             }
-            if (windows.all().stream().allMatch(one -> one.state().isFinal()) && banned.isEmpty()) {
+            if (windows.all().stream().allMatch(window -> window.state().isFinal()) && banned.isEmpty()) {
                 return;
             }
         }
--- a/src/test/java/laneflow/maintenance/decision/PlannerTest.java
+++ b/src/test/java/laneflow/maintenance/decision/PlannerTest.java
@@ -34,45 +34,48 @@
         List<double[]> dues = Cuts.dueBySpan(fairness, random.forecast);
         Set<Object> seen = new HashSet<>();
         for (long ms = FROM; ms < FROM + 14 * 24 * HOUR; ms += HOUR / 4) {
-            Set<Integer> out = new HashSet<>();
+            Set<Integer> racksAway = new HashSet<>();
             for (Window window : plan.windows()) {
                 if (window.overlaps(ms, ms + HOUR / 4)) {
                     for (String rack : window.request().racks()) {
-                        if (!out.add(random.generated.inventory.rackIndex(rack))) {
+                        if (!racksAway.add(random.generated.inventory.rackIndex(rack))) {
                             violations.add(rack + " is away twice at " + ms);
                         }
                     }
                 }
             }
-            boolean isNew = !out.isEmpty() && seen.add(List.of(random.forecast.spanAt(ms), Set.copyOf(out)));
+            boolean isNew =
+                    !racksAway.isEmpty() && seen.add(List.of(random.forecast.spanAt(ms), Set.copyOf(racksAway)));
             if (isNew
                     && !fairness.isFair(
-                            dues.get(random.forecast.spanAt(ms)), random.generated.inventory.slotsWithout(out), null)) {
+                            dues.get(random.forecast.spanAt(ms)),
+                            random.generated.inventory.slotsWithout(racksAway),
+                            null)) {
                 violations.add("unfair at " + (ms - FROM) / HOUR + " h");
             }
         }
-        for (Window one : plan.windows()) {
-            Request request = one.request();
-            if (one.startMs() < request.earliestMs()
-                    || one.startMs() < FROM + request.noticeMs()
-                    || one.endMs() > request.latestMs()
-                    || one.endMs() - one.startMs() < request.workMs()) {
-                violations.add(request.name() + " is out of its time");
+        for (Window window : plan.windows()) {
+            Request request = window.request();
+            if (window.startMs() < request.earliestMs()
+                    || window.startMs() < FROM + request.noticeMs()
+                    || window.endMs() > request.latestMs()
+                    || window.endMs() - window.startMs() < request.workMs()) {
+                violations.add(request.name() + " is outside its permitted period");
             }
             freezes.stream()
-                    .filter(freeze -> one.overlaps(freeze.fromMs(), freeze.toMs()))
+                    .filter(freeze -> window.overlaps(freeze.fromMs(), freeze.toMs()))
                     .forEach(freeze -> violations.add(request.name() + " is in a freeze"));
             for (String before : request.after()) {
                 Window first = plan.window(before);
-                if (first == null || first.endMs() > one.startMs()) {
+                if (first == null || first.endMs() > window.startMs()) {
                     violations.add(request.name() + " comes before " + before);
                 }
             }
             for (Window other : plan.windows()) {
-                boolean share = other.request().apart().stream().anyMatch(request.apart()::contains);
-                if (other != one && share && other.overlaps(one.startMs(), one.endMs())) {
-                    violations.add(request.name() + " goes together with "
-                            + other.request().name());
+                boolean mustBeApart = other.request().apart().stream().anyMatch(request.apart()::contains);
+                if (other != window && mustBeApart && other.overlaps(window.startMs(), window.endMs())) {
+                    violations.add(
+                            request.name() + " overlaps " + other.request().name());
                 }
             }
         }
@@ -96,12 +99,14 @@
     void aCalendarBindsTheRequestsThatItCameWith() {
         RandomPlanInput random = new RandomPlanInput(1, 40, 6, 24, 1.2);
         List<Window> free = Planner.plan(random.fairness, random.input()).windows();
-        Window amid = free.get(free.size() / 2);
-        List<Freeze> calendar = List.of(new Freeze("audit", amid.startMs() - 6 * HOUR, amid.endMs() + 6 * HOUR));
-        List<Request> asked = new ArrayList<>();
-        random.requests.forEach(one -> asked.add(
-                asked.size() % 2 == 0 || one.name().equals(amid.request().name()) ? one.withFreezes(calendar) : one));
-        Plan plan = Planner.plan(random.fairness, random.input(asked, null, List.of(), List.of()));
+        Window middle = free.get(free.size() / 2);
+        List<Freeze> calendar = List.of(new Freeze("audit", middle.startMs() - 6 * HOUR, middle.endMs() + 6 * HOUR));
+        List<Request> requests = new ArrayList<>();
+        random.requests.forEach(one -> requests.add(
+                requests.size() % 2 == 0 || one.name().equals(middle.request().name())
+                        ? one.withFreezes(calendar)
+                        : one));
+        Plan plan = Planner.plan(random.fairness, random.input(requests, null, List.of(), List.of()));
         Freeze audit = calendar.get(0);
         assertEquals(List.of(), violations(random, plan, List.of()));
         List<Window> within = plan.windows().stream()
@@ -109,14 +114,14 @@
                 .toList();
         assertTrue(within.stream().allMatch(one -> one.request().freezes().isEmpty()), within.toString());
         assertFalse(within.isEmpty());
-        Request bound = asked.stream()
-                .filter(one -> one.name().equals(amid.request().name()))
+        Request bound = requests.stream()
+                .filter(one -> one.name().equals(middle.request().name()))
                 .findFirst()
                 .orElseThrow();
         assertEquals(calendar, bound.freezes());
         assertEquals(bound, MaintenanceJson.request(MaintenanceJson.write(bound)));
         assertTrue(Planner.objections(
-                        random.fairness, random.input(asked, null, List.of(), List.of()), bound, amid.startMs())
+                        random.fairness, random.input(requests, null, List.of(), List.of()), bound, middle.startMs())
                 .contains("freeze audit"));
     }
 
@@ -130,8 +135,8 @@
                 random,
                 new Plan(all, new java.util.TreeMap<>(), 0, 0, 0),
                 List.of(new Freeze("one", FROM + 60 * HOUR, FROM + 61 * HOUR)));
-        for (String fault :
-                List.of("unfair at", "is away twice", "is out of its time", "is in a freeze", "goes together with")) {
+        for (String fault : List.of(
+                "unfair at", "is away twice", "is outside its permitted period", "is in a freeze", "overlaps")) {
             assertTrue(violations.stream().anyMatch(text -> text.contains(fault)), fault);
         }
     }
@@ -148,19 +153,20 @@
         int possible = 0;
         for (long seed = 1; seed <= 6; seed++) {
             RandomPlanInput random = random(seed);
-            int mine = Planner.plan(random.fairness, random.input()).windows().size();
-            int theirs = Planner.firstComeFirstServed(random.fairness, random.input(), false)
+            int plannedHere =
+                    Planner.plan(random.fairness, random.input()).windows().size();
+            int firstComeHere = Planner.firstComeFirstServed(random.fairness, random.input(), false)
                     .windows()
                     .size();
-            assertTrue(mine >= theirs, "seed " + seed + ": " + mine + " and " + theirs);
-            planned += mine;
+            assertTrue(plannedHere >= firstComeHere, "seed " + seed + ": " + plannedHere + " and " + firstComeHere);
+            planned += plannedHere;
             Timeline timeline = new Timeline(
                     random.input().parameters(), random.fairness, random.forecast, null, List.of(), List.of(), 0);
             for (Request request : random.requests) {
                 int at = timeline.feasibleStarts(request).nextSetBit(timeline.firstStep(request));
                 possible += at >= 0 && at <= timeline.lastStep(request) ? 1 : 0;
             }
-            firstCome += theirs;
+            firstCome += firstComeHere;
             oneAtATime += Planner.firstComeFirstServed(random.fairness, random.input(), true)
                     .windows()
                     .size();
@@ -210,7 +216,7 @@
     }
 
     /** Three racks of 50 slots; one tenant may run in the first zone only. */
-    private static Fairness three() {
+    private static Fairness threeRacks() {
         return new Fairness(
                 new Inventory(
                         List.of("quick"),
@@ -225,7 +231,7 @@
 
     @Test
     void windowsThatAreUnfairTogetherRunInSequence() {
-        Plan plan = Planner.plan(three(), input(0.9, List.of(), request("one", "r1"), request("other", "r2")));
+        Plan plan = Planner.plan(threeRacks(), input(0.9, List.of(), request("one", "r1"), request("other", "r2")));
         assertEquals(2, plan.windows().size());
         assertTrue(plan.windows().get(0).endMs() <= plan.windows().get(1).startMs());
     }
@@ -234,34 +240,36 @@
     void aDryRunNamesTheObjections() {
         Freeze freeze = new Freeze("year's end", FROM, FROM + HOUR);
         Planner.Input input = input(0.9, List.of(freeze), request("one", "r1"));
-        assertEquals(List.of("freeze year's end"), Planner.objections(three(), input, request("two", "r2", "x"), FROM));
-        List<String> zone = Planner.objections(three(), input, request("two", "r0"), FROM + 5 * HOUR);
+        assertEquals(
+                List.of("freeze year's end"), Planner.objections(threeRacks(), input, request("two", "r2", "x"), FROM));
+        List<String> zone = Planner.objections(threeRacks(), input, request("two", "r0"), FROM + 5 * HOUR);
         assertTrue(
                 zone.get(0).startsWith("tenant bound loses 22.5 slots, its fair share is 0.5 (full: zone a"),
                 zone.toString());
-        assertEquals(List.of(), Planner.objections(three(), input, request("two", "r2"), FROM + 5 * HOUR));
-        Plan plan = Planner.plan(three(), input(0.9, List.of(freeze), request("two", "r0")));
+        assertEquals(List.of(), Planner.objections(threeRacks(), input, request("two", "r2"), FROM + 5 * HOUR));
+        Plan plan = Planner.plan(threeRacks(), input(0.9, List.of(freeze), request("two", "r0")));
         assertNull(plan.window("two"));
         assertTrue(
                 plan.refused().get("two").stream().anyMatch(text -> text.startsWith("tenant bound loses")),
                 plan.refused().toString());
-        // A dry run moves no window, and windows that are already planned stand in its way.
+        // A dry run moves no window: windows that are already planned count against the request.
         Planner.Input planned = new Planner.Input(
                 input.parameters(),
                 input.forecast(),
                 List.of(request("one", "r1")),
                 List.of(),
-                Planner.plan(three(), input),
+                Planner.plan(threeRacks(), input),
                 input.freezes(),
                 List.of(),
                 0,
                 null);
         long at = planned.previous().window("one").startMs();
         assertTrue(
-                Planner.objections(three(), planned, request("two", "r2"), at)
+                Planner.objections(threeRacks(), planned, request("two", "r2"), at)
                         .toString()
                         .contains("with r1 down"),
-                Planner.objections(three(), planned, request("two", "r2"), at).toString());
+                Planner.objections(threeRacks(), planned, request("two", "r2"), at)
+                        .toString());
     }
 
     /** A refused request is told the smallest change that would have given it a time. */
@@ -270,18 +278,19 @@
         Freeze morning = new Freeze("morning", FROM, FROM + 5 * HOUR);
         Request soon =
                 new Request("soon", "ops", List.of("r1"), HOUR, FROM, FROM + 4 * HOUR, 0, 0, Set.of(), List.of());
-        List<String> late = Planner.plan(three(), input(0.9, List.of(morning), soon))
+        List<String> reasonsForLate = Planner.plan(threeRacks(), input(0.9, List.of(morning), soon))
                 .refused()
                 .get("soon");
         assertEquals(
                 "would have a time if it might end by " + java.time.Instant.ofEpochMilli(FROM + 6 * HOUR),
-                late.get(late.size() - 1));
+                reasonsForLate.get(reasonsForLate.size() - 1));
         Request both =
                 new Request("both", "ops", List.of("r1", "r2"), HOUR, FROM, FROM + 4 * HOUR, 0, 0, Set.of(), List.of());
-        List<String> less =
-                Planner.plan(three(), input(0.9, List.of(), both)).refused().get("both");
+        List<String> reasonsForBoth = Planner.plan(threeRacks(), input(0.9, List.of(), both))
+                .refused()
+                .get("both");
         assertEquals(
                 "would have a time with only r1, at " + java.time.Instant.ofEpochMilli(FROM),
-                less.get(less.size() - 1));
+                reasonsForBoth.get(reasonsForBoth.size() - 1));
     }
 }
--- a/src/test/java/laneflow/maintenance/decision/RandomInventory.java
+++ b/src/test/java/laneflow/maintenance/decision/RandomInventory.java
@@ -17,26 +17,26 @@
     final double[] memory;
     private final SplittableRandom random;
 
-    RandomInventory(long seed, int racks, int tenants, boolean lean) {
+    RandomInventory(long seed, int racks, int tenants, boolean lowMemory) {
         random = new SplittableRandom(seed);
-        List<Rack> all = new ArrayList<>();
+        List<Rack> allRacks = new ArrayList<>();
         for (int r = 0; r < racks; r++) {
             // Three kinds of endpoint; the third runs the classes of both others.
             int kind = r % 5 == 0 ? 3 : 1 + r / 4 % 2;
             double slots = 8 * (2 + random.nextInt(5));
-            all.add(new Rack("r" + r, ZONES[r % ZONES.length], List.of(new EndpointGroup(kind, slots, slots))));
+            allRacks.add(new Rack("r" + r, ZONES[r % ZONES.length], List.of(new EndpointGroup(kind, slots, slots))));
         }
-        List<Tenant> owners = new ArrayList<>();
+        List<Tenant> allTenants = new ArrayList<>();
         for (int t = 0; t < tenants; t++) {
             Set<String> zones = new HashSet<>();
             if (random.nextInt(3) == 0) {
                 zones.add(ZONES[random.nextInt(4)]);
                 zones.add(ZONES[random.nextInt(4)]);
             }
-            owners.add(new Tenant("t" + t, 1 + random.nextInt(5), zones, random.nextInt(6) == 0 ? 1 : 3));
+            allTenants.add(new Tenant("t" + t, 1 + random.nextInt(5), zones, random.nextInt(6) == 0 ? 1 : 3));
         }
-        memory = lean ? new double[] {0.5, 0.8} : new double[] {0.5, 1 + random.nextDouble()};
-        inventory = new Inventory(List.of("quick", "batch"), memory, all, owners);
+        memory = lowMemory ? new double[] {0.5, 0.8} : new double[] {0.5, 1 + random.nextDouble()};
+        inventory = new Inventory(List.of("quick", "batch"), memory, allRacks, allTenants);
     }
 
     /** Slots by tenant and class: each tenant at about this fraction of its entitlement, some far above it. */
@@ -53,10 +53,10 @@
     }
 
     List<Integer> randomRacks(int racks) {
-        Set<Integer> out = new HashSet<>();
-        while (out.size() < racks) {
-            out.add(random.nextInt(inventory.racks().size()));
+        Set<Integer> chosen = new HashSet<>();
+        while (chosen.size() < racks) {
+            chosen.add(random.nextInt(inventory.racks().size()));
         }
-        return new ArrayList<>(out);
+        return new ArrayList<>(chosen);
     }
 }
--- a/src/test/java/laneflow/maintenance/decision/RandomPlanInput.java
+++ b/src/test/java/laneflow/maintenance/decision/RandomPlanInput.java
@@ -38,11 +38,11 @@
         }
         forecast = new Forecast(FROM, HOUR, week);
         for (int i = 0; i < count; i++) {
-            Set<String> down = new HashSet<>();
-            int most = 1 + random.nextInt(Math.max(1, racks / 9));
+            Set<String> rackNames = new HashSet<>();
+            int rackCount = 1 + random.nextInt(Math.max(1, racks / 9));
             int first = random.nextInt(racks);
-            for (int r = 0; r < most; r++) {
-                down.add("r" + (first + 4 * r) % racks);
+            for (int r = 0; r < rackCount; r++) {
+                rackNames.add("r" + (first + 4 * r) % racks);
             }
             long work = HOUR * (1 + random.nextInt(7));
             long earliest = FROM + HOUR * random.nextInt(11 * 24);
@@ -58,7 +58,7 @@
             requests.add(new Request(
                     "w" + i,
                     "ops",
-                    down.stream().sorted().toList(),
+                    rackNames.stream().sorted().toList(),
                     work,
                     earliest,
                     latest,
@@ -69,11 +69,11 @@
         }
     }
 
-    Planner.Input input(List<Request> asked, Plan previous, List<Plan.Freeze> freezes, List<String> lost) {
+    Planner.Input input(List<Request> requested, Plan previous, List<Plan.Freeze> freezes, List<String> lost) {
         return new Planner.Input(
                 new Planner.Parameters(FROM, HOUR / 4, 14 * 24 * 4, HOUR / 4, HOUR / 4, 0.02, 1500),
                 forecast,
-                asked,
+                requested,
                 List.of(),
                 previous,
                 freezes,
--- a/src/test/java/laneflow/maintenance/decision/SendingTest.java
+++ b/src/test/java/laneflow/maintenance/decision/SendingTest.java
@@ -30,7 +30,9 @@
         sending.onReport(LATER + 1, "n1", report(3));
         assertEquals(List.of(), sending.possibleSenders(LATER + 1, 3, "till-0"));
         assertEquals(
-                List.of("n1"), sending.possibleSenders(LATER + 1, 4, "till-0"), "of another policy it says nothing");
+                List.of("n1"),
+                sending.possibleSenders(LATER + 1, 4, "till-0"),
+                "a report covers only the policy that it names");
     }
 
     @Test
--- a/src/test/java/laneflow/maintenance/decision/WindowLedgerTest.java
+++ b/src/test/java/laneflow/maintenance/decision/WindowLedgerTest.java
@@ -24,14 +24,14 @@
     }
 
     private static JsonObject bans(String... names) {
-        StringBuilder all = new StringBuilder();
+        StringBuilder entries = new StringBuilder();
         for (String name : names) {
-            all.append(all.isEmpty() ? "" : ",")
+            entries.append(entries.isEmpty() ? "" : ",")
                     .append("{\"name\":\"")
                     .append(name)
                     .append("\"}");
         }
-        return JsonParser.parseString("{\"bans\":[" + all + "]}").getAsJsonObject();
+        return JsonParser.parseString("{\"bans\":[" + entries + "]}").getAsJsonObject();
     }
 
     private View view() {
@@ -58,14 +58,14 @@
                         : WindowLedger.partOp(step));
     }
 
-    private void ok(JsonObject answer) {
+    private void assertOk(JsonObject answer) {
         assertFalse(answer.has("error"), answer.toString());
     }
 
-    private void drains(String name) {
-        ok(step(name, State.PLANNED));
-        ok(step(name, State.ANNOUNCED));
-        ok(step(name, State.DRAINING));
+    private void startDrain(String name) {
+        assertOk(step(name, State.PLANNED));
+        assertOk(step(name, State.ANNOUNCED));
+        assertOk(step(name, State.DRAINING));
     }
 
     private void apply(String name, JsonObject types) {
@@ -73,26 +73,26 @@
     }
 
     private void apply(String name, JsonObject types, String by) {
-        ok(ledger.run(Ledger.propose(name, types, by, 1)));
+        assertOk(ledger.run(Ledger.propose(name, types, by, 1)));
         assertEquals("applied", ledger.run(Ledger.apply(name, 2)).get("state").getAsString());
     }
 
     @Test
     void leaveIsGivenOnlyWhileThePolicyInForceBansAllOfTheRack() {
-        ok(ledger.run(WindowLedger.requestsOp(List.of(request("w", "a")))));
-        drains("w");
+        assertOk(ledger.run(WindowLedger.requestsOp(List.of(request("w", "a")))));
+        startDrain("w");
         assertTrue(step("w", State.DOWN).get("error").getAsString().contains("does not ban"));
         apply("half", bans("a1", "a2", "x"));
-        ok(step("w", State.DOWN));
+        assertOk(step("w", State.DOWN));
         assertTrue(view().isBanned("a"));
     }
 
     @Test
     void aChangeThatUnbansRacksOfAWindowIsRefusedWhenProposedAndWhenApplied() {
-        ok(ledger.run(WindowLedger.requestsOp(List.of(request("w", "a")))));
+        assertOk(ledger.run(WindowLedger.requestsOp(List.of(request("w", "a")))));
         // Proposed while no rack was away, applied during the drain.
-        ok(ledger.run(Ledger.propose("early", bans("x"), "test", 1)));
-        drains("w");
+        assertOk(ledger.run(Ledger.propose("early", bans("x"), "test", 1)));
+        startDrain("w");
         JsonObject early = ledger.run(Ledger.apply("early", 2));
         assertEquals("abandoned", early.get("state").getAsString());
         assertTrue(early.get("reasons").toString().contains("rack a is away"), early.toString());
@@ -107,21 +107,21 @@
         // A change without bans, or with these bans included, is accepted.
         apply("limits", JsonParser.parseString("{\"limits\":[]}").getAsJsonObject());
         apply("more", bans("a1", "a2", "x"));
-        ok(step("w", State.DOWN));
-        ok(step("w", State.RETURNING));
+        assertOk(step("w", State.DOWN));
+        assertOk(step("w", State.RETURNING));
         apply("returned", bans());
     }
 
     @Test
     void endpointsBannedByOperatorsStayBannedAfterTheWindow() {
         apply("operators", bans("a1", "x"));
-        ok(ledger.run(WindowLedger.requestsOp(List.of(request("w", "a"), request("v", "b")))));
-        drains("w");
+        assertOk(ledger.run(WindowLedger.requestsOp(List.of(request("w", "a"), request("v", "b")))));
+        startDrain("w");
         assertEquals(Set.of("a1", "a2", "x"), view().bansFor(Set.of("a")));
         apply("bans", bans("a1", "a2", "x"), WindowLedger.NAME);
         assertEquals(Set.of("a2"), view().windowBans());
-        ok(step("w", State.DOWN));
-        ok(step("w", State.RETURNING));
+        assertOk(step("w", State.DOWN));
+        assertOk(step("w", State.RETURNING));
         assertEquals(Set.of("a1", "x"), view().bansFor(Set.of()));
         apply("back", bans("a1", "x"), WindowLedger.NAME);
         assertEquals(Set.of(), view().windowBans());
@@ -133,34 +133,34 @@
      */
     @Test
     void aBanAppliedAfterItsWindowsReturnStillBelongsToTheWindow() {
-        ok(ledger.run(WindowLedger.requestsOp(List.of(request("w", "a")))));
-        drains("w");
-        ok(step("w", State.RETURNING));
-        ok(ledger.run(Ledger.propose("bans", bans("a1", "a2"), WindowLedger.NAME, 1)));
+        assertOk(ledger.run(WindowLedger.requestsOp(List.of(request("w", "a")))));
+        startDrain("w");
+        assertOk(step("w", State.RETURNING));
+        assertOk(ledger.run(Ledger.propose("bans", bans("a1", "a2"), WindowLedger.NAME, 1)));
         assertEquals(Set.of("a1", "a2"), view().windowBans());
-        ok(step("w", State.DONE));
+        assertOk(step("w", State.DONE));
         ledger.run(Ledger.apply("bans", 2));
         assertEquals(Set.of("a1", "a2"), view().windowBans());
         assertEquals(Set.of(), view().bansFor(Set.of()));
-        ok(ledger.run(Ledger.propose("abandoned", bans("a1", "a2", "a3"), WindowLedger.NAME, 1)));
+        assertOk(ledger.run(Ledger.propose("abandoned", bans("a1", "a2", "a3"), WindowLedger.NAME, 1)));
         ledger.run(Ledger.abandon("abandoned", List.of(), 2));
         assertEquals(Set.of("a1", "a2"), view().windowBans());
     }
 
     @Test
     void aProposalBasedOnAnOlderPolicyIsRefused() {
-        ok(ledger.run(Ledger.propose("one", bans("x"), "test", 1, 0)));
+        assertOk(ledger.run(Ledger.propose("one", bans("x"), "test", 1, 0)));
         assertTrue(ledger.run(Ledger.propose("two", bans("y"), "test", 1, 0)).has("error"));
         ledger.run(Ledger.apply("one", 1));
         assertTrue(ledger.run(Ledger.propose("two", bans("y"), "test", 1, 0)).has("error"));
-        ok(ledger.run(Ledger.propose("two", bans("y"), "test", 1, 1)));
+        assertOk(ledger.run(Ledger.propose("two", bans("y"), "test", 1, 1)));
         // A repeated proposal is the same change.
-        ok(ledger.run(Ledger.propose("two", bans("y"), "test", 1, 1)));
+        assertOk(ledger.run(Ledger.propose("two", bans("y"), "test", 1, 1)));
     }
 
     @Test
     void requestsAreAcceptedTogetherOrNotAtAll() {
-        ok(ledger.run(WindowLedger.requestsOp(List.of(request("w", "a")))));
+        assertOk(ledger.run(WindowLedger.requestsOp(List.of(request("w", "a")))));
         JsonObject answer = ledger.run(WindowLedger.requestsOp(List.of(request("v", "b"), request("w", "b"))));
         assertTrue(answer.has("error"));
         assertEquals(1, view().windows().all().size());
@@ -170,9 +170,9 @@
     @Test
     void aSnapshotIsCompleteAndOneOfAnEarlierBuildRestoresEmptyState() {
         apply("operators", bans("x"));
-        ok(ledger.run(WindowLedger.requestsOp(List.of(request("w", "a")))));
-        drains("w");
-        ok(ledger.run(WindowLedger.accountsOp(1, Map.of("shop", new double[] {1, 2, 3, 4}))));
+        assertOk(ledger.run(WindowLedger.requestsOp(List.of(request("w", "a")))));
+        startDrain("w");
+        assertOk(ledger.run(WindowLedger.accountsOp(1, Map.of("shop", new double[] {1, 2, 3, 4}))));
         Ledger other = new Ledger(Map.of(WindowLedger.NAME, new WindowLedger()));
         other.restore(JsonParser.parseString(ledger.snapshot().toString()).getAsJsonObject());
         assertEquals(
@@ -192,9 +192,9 @@
 
     @Test
     void theViewForACoordinatorRoundTrips() {
-        ok(ledger.run(WindowLedger.requestsOp(List.of(request("w", "a"), request("v", "b")))));
-        drains("w");
-        ok(step("v", State.REFUSED));
+        assertOk(ledger.run(WindowLedger.requestsOp(List.of(request("w", "a"), request("v", "b")))));
+        startDrain("w");
+        assertOk(step("v", State.REFUSED));
         View read =
                 View.fromJson(JsonParser.parseString(view().toJson().toString()).getAsJsonObject());
         assertEquals(List.of(window("w")), read.windows().all());
--- a/src/test/java/laneflow/maintenance/decision/WindowOrdersTest.java
+++ b/src/test/java/laneflow/maintenance/decision/WindowOrdersTest.java
@@ -17,7 +17,7 @@
 
 /** Windows under every order of a few events, and in long random runs with all kinds of events. */
 class WindowOrdersTest {
-    private record Event(String name, Consumer<MaintenanceSimulation> act) {
+    private record Event(String name, Consumer<MaintenanceSimulation> action) {
         @Override
         public String toString() {
             return name;
@@ -32,32 +32,32 @@
             new Event("coordinator replaced", MaintenanceSimulation::replaceCoordinator),
             new Event("s0 applies policy", simulation -> simulation.applyPolicy(0)),
             new Event("s1 cut off", simulation -> simulation.setCutOff(1, true)),
-            new Event("s1 sends", simulation -> simulation.send(1)),
+            new Event("s1 sends", simulation -> simulation.sendCalls(1)),
             new Event("crew acts", simulation -> simulation.crewActs("w0")),
             new Event("abort", simulation -> simulation.abort("w0")),
             new Event("r3 fails", simulation -> simulation.fail("r3", true)),
             new Event("minutes pass", simulation -> simulation.advance(4 * MaintenanceSimulation.MINUTE)));
 
     /** State in which the events begin. */
-    private enum From {
+    private enum InitialState {
         ANNOUNCED(State.ANNOUNCED),
         DRAINING(State.DRAINING),
         DOWN(State.DOWN);
 
         private final State state;
 
-        From(State state) {
+        InitialState(State state) {
             this.state = state;
         }
     }
 
-    private static MaintenanceSimulation simulationIn(From from, Fault fault) {
+    private static MaintenanceSimulation simulationIn(InitialState initial, Fault fault) {
         MaintenanceSimulation simulation = new MaintenanceSimulation(fault);
         simulation.request("w0", "r0");
         simulation.request("w1", "r1");
         int rounds = 0;
-        while (simulation.state("w0") != from.state) {
-            if (from == From.DRAINING && simulation.state("w0") == State.ANNOUNCED) {
+        while (simulation.state("w0") != initial.state) {
+            if (initial == InitialState.DRAINING && simulation.state("w0") == State.ANNOUNCED) {
                 // Starts the drain before the bans are in force.
                 simulation.decide(false);
                 simulation.arrive(false, false);
@@ -65,25 +65,25 @@
             } else {
                 simulation.runCalmly(1);
             }
-            assertTrue(rounds++ < 200, "never " + from + ": " + simulation.window("w0"));
+            assertTrue(rounds++ < 200, "never " + initial + ": " + simulation.window("w0"));
         }
         return simulation;
     }
 
     private int executed;
 
-    private void playAllOrders(From from, int depth, List<Event> before) {
+    private void runAllOrders(InitialState initial, int depth, List<Event> before) {
         if (depth > 0) {
             for (Event event : EVENTS) {
                 before.add(event);
-                playAllOrders(from, depth - 1, before);
+                runAllOrders(initial, depth - 1, before);
                 before.remove(before.size() - 1);
             }
             return;
         }
-        MaintenanceSimulation simulation = simulationIn(from, Fault.NONE);
+        MaintenanceSimulation simulation = simulationIn(initial, Fault.NONE);
         try {
-            before.forEach(event -> event.act().accept(simulation));
+            before.forEach(event -> event.action().accept(simulation));
             if (executed++ % 50 == 0) {
                 simulation.heal();
             }
@@ -93,9 +93,9 @@
     }
 
     @ParameterizedTest
-    @EnumSource(From.class)
-    void noOrderOfThreeEventsViolatesAnInvariant(From from) {
-        playAllOrders(from, 3, new ArrayList<>());
+    @EnumSource(InitialState.class)
+    void noOrderOfThreeEventsViolatesAnInvariant(InitialState initial) {
+        runAllOrders(initial, 3, new ArrayList<>());
         assertEquals(1728, executed);
     }
 
@@ -112,7 +112,7 @@
                 simulation.request("w" + i, "r" + i);
             }
             for (int i = 0; i < 120; i++) {
-                int one = random.nextInt(2);
+                int scheduler = random.nextInt(2);
                 String name = "w" + random.nextInt(4);
                 switch (random.nextInt(28)) {
                     case 0, 1, 2, 3 -> simulation.decide(false);
@@ -121,11 +121,11 @@
                     case 9 -> simulation.arrive(true, false);
                     case 10 -> simulation.drop();
                     case 11 -> simulation.replaceCoordinator();
-                    case 12, 13 -> simulation.applyPolicy(one);
-                    case 14 -> simulation.setCutOff(one, random.nextInt(3) > 0);
-                    case 15, 16 -> simulation.send(one);
+                    case 12, 13 -> simulation.applyPolicy(scheduler);
+                    case 14 -> simulation.setCutOff(scheduler, random.nextInt(3) > 0);
+                    case 15, 16 -> simulation.sendCalls(scheduler);
                     case 17 -> simulation.crewActs(name);
-                    case 18 -> simulation.end(one);
+                    case 18 -> simulation.endCalls(scheduler);
                     case 19 -> simulation.fail("r" + random.nextInt(4), random.nextInt(3) == 0);
                     case 20 -> simulation.demand(new double[] {18, 24, 30, 30, 38}[random.nextInt(5)]);
                     case 21 ->
@@ -140,9 +140,9 @@
                     }
                     case 23, 24 -> simulation.delay();
                     case 25 -> {
-                        simulation.release(random.nextInt(5));
-                        simulation.applyPolicy(one);
-                        simulation.send(one);
+                        simulation.releaseDelayed(random.nextInt(5));
+                        simulation.applyPolicy(scheduler);
+                        simulation.sendCalls(scheduler);
                     }
                     default -> simulation.runCalmly(1 + random.nextInt(6));
                 }
@@ -171,12 +171,12 @@
     }
 
     private static void staleBansDuringWork(Fault fault) {
-        MaintenanceSimulation simulation = simulationIn(From.DOWN, fault);
+        MaintenanceSimulation simulation = simulationIn(InitialState.DOWN, fault);
         simulation.crewActs("w0");
         assertTrue(simulation.window("w0").begun());
         simulation.applyStaleBans();
         simulation.applyPolicy(1);
-        simulation.send(1);
+        simulation.sendCalls(1);
         simulation.heal();
     }
 
--- a/src/test/java/laneflow/maintenance/decision/WindowsTest.java
+++ b/src/test/java/laneflow/maintenance/decision/WindowsTest.java
@@ -22,7 +22,7 @@
                 rack -> true);
     }
 
-    private void to(State... states) {
+    private void advanceTo(State... states) {
         windows.apply(Windows.request(REQUEST), rack -> true);
         for (State state : states) {
             assertFalse(step(1, state).has("error"), state.toString());
@@ -39,7 +39,7 @@
 
     @Test
     void aRepeatedRequestIsOneWindowAndADifferentOneNeedsAnotherName() {
-        to();
+        advanceTo();
         assertEquals("requested", run(Windows.request(REQUEST)).get("state").getAsString());
         Request other = new Request("w", "ops", List.of("r1"), 1000, 0, 9000, 100, 500, Set.of(), List.of());
         assertEquals("the name 'w' is that of another request", error(run(Windows.request(other))));
@@ -47,8 +47,8 @@
     }
 
     @Test
-    void nobodyBeginsWithoutLeave() {
-        to(State.PLANNED, State.ANNOUNCED, State.DRAINING);
+    void workCannotBeginWithoutLeave() {
+        advanceTo(State.PLANNED, State.ANNOUNCED, State.DRAINING);
         assertEquals("no leave: w is draining", error(run(Windows.begin("w"))));
         JsonObject down = Windows.step(1, windows.window("w"), State.DOWN, 0, 0, State.DONE, List.of(), 2000);
         assertEquals("w: the policy in force does not ban all of its racks", error(windows.apply(down, rack -> false)));
@@ -60,7 +60,7 @@
 
     @Test
     void supersededAndRepeatedStepsChangeNothing() {
-        to(State.PLANNED);
+        advanceTo(State.PLANNED);
         JsonObject old = Windows.step(1, windows.window("w"), State.ANNOUNCED, 0, 0, State.DONE, List.of(), 0);
         assertFalse(step(2, State.ANNOUNCED).has("error"));
         assertEquals("token 1 is superseded: 2 has been seen", error(run(old)));
@@ -71,7 +71,7 @@
 
     @Test
     void aWindowWithACrewAtWorkCannotReturn() {
-        to(State.PLANNED, State.ANNOUNCED, State.DRAINING, State.DOWN);
+        advanceTo(State.PLANNED, State.ANNOUNCED, State.DRAINING, State.DOWN);
         run(Windows.begin("w"));
         assertTrue(error(step(1, State.RETURNING)).contains("its crew is at work"));
         assertEquals("w is past its abort point: it has to be finished", error(run(Windows.abort("w", 2501))));
@@ -85,7 +85,7 @@
 
     @Test
     void aSnapshotIsComplete() {
-        to(State.PLANNED, State.ANNOUNCED, State.DRAINING, State.DOWN);
+        advanceTo(State.PLANNED, State.ANNOUNCED, State.DRAINING, State.DOWN);
         run(Windows.begin("w"));
         Windows other = new Windows();
         other.restore(windows.snapshot());
--- a/src/test/java/laneflow/policy/LeaseGateTest.java
+++ b/src/test/java/laneflow/policy/LeaseGateTest.java
@@ -60,9 +60,9 @@
                 () -> 1,
                 config,
                 () -> {
-                    long read = now;
+                    long timeRead = now;
                     onClockRead.run();
-                    return read;
+                    return timeRead;
                 },
                 (number, waits) -> events.add("adopted " + number)));
     }
--- a/src/test/java/laneflow/policy/PolicyConfigTest.java
+++ b/src/test/java/laneflow/policy/PolicyConfigTest.java
@@ -50,10 +50,10 @@
         String fleet = "[fleet]\nlisten = \"127.0.0.1:0\"\n[fleet.peers]\nn2 = \"127.0.0.1:1\"\n[policy]\n";
         assertTrue(errorOf(fleet + "voters = [\"n1\", \"n2\"]\ndir = \"d\"\n").contains("names 2 schedulers"));
         assertTrue(errorOf(fleet + "voters = [\"n1\"]\n").contains("[policy] dir: is missing"));
-        String many =
+        String errors =
                 errorOf(fleet + "voters = [\"n1\", \"n2\", \"n9\"]\ndir = \"d\"\nlease_ms = 5\ncut_off = \"maybe\"\n");
         for (String part : List.of("'n9' is neither", "5 is not between 100 and 600000", "'maybe' is none of")) {
-            assertTrue(many.contains(part), many);
+            assertTrue(errors.contains(part), errors);
         }
         assertTrue(errorOf("[fleet]\nlisten = \"here\"\nname = \"a b\"\n").contains("is no name"));
         assertTrue(errorOf(fleet.replace("127.0.0.1:1", "x") + "voters = [\"n2\"]\n")
--- a/src/test/java/laneflow/policy/PolicyDisruptionStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyDisruptionStoryTest.java
@@ -25,7 +25,7 @@
 
     @Test
     void gracefulStopKeepsRequestPoliciesAndDelaysNoChange() throws Exception {
-        fleet(4);
+        createFleet(4);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         try (Peer client = sendRequest(3, "open")) {
@@ -34,24 +34,24 @@
                 // Without a message from the endpoint the request would be given up before the change is
                 // made.
                 call.begins("{'id':'open','state':'started'}");
-                // It drains during the change and still accepts requests.
+                // The scheduler drains during the change and still accepts requests.
                 rig.term(3);
-                rig.await("it logs that it stops", () -> rig.log(3).contains("stopping, 1 open"));
+                rig.await("the scheduler logs that it stops", () -> rig.log(3).contains("stopping, 1 open"));
                 rig.proposeUntilTaken(0, "during-drain", bans("x"));
                 awaitState(0, "during-drain", "applied");
                 rig.awaitDeciding(1, rig.all());
-                String late = responseOrRefusal(3, "late");
+                String lateResponse = responseOrRefusal(3, "late");
                 call.ends("{'id':'open','state':'done','result':'ran'}");
                 assertTrue(client.message().contains("Config-Version: policy=0"));
-                assertTrue(late.contains("policy=1") || late.contains(" 503 "), late);
+                assertTrue(lateResponse.contains("policy=1") || lateResponse.contains(" 503 "), lateResponse);
             }
         }
         assertEquals(143, rig.ended(3));
-        // It has announced its stop: the next change does not wait for its lease.
-        long from = System.nanoTime();
+        // The stopped scheduler has announced its stop: the next change does not wait for its lease.
+        long startNs = System.nanoTime();
         rig.proposeUntilTaken(0, "after-stop", bans("y"));
         rig.awaitDeciding(2, 0, 1, 2);
-        assertTrue(System.nanoTime() - from < TimeUnit.SECONDS.toNanos(30));
+        assertTrue(System.nanoTime() - startNs < TimeUnit.SECONDS.toNanos(30));
         checkHistory();
     }
 
@@ -60,14 +60,14 @@
         try (Peer client = sendRequest(i, id)) {
             return client.message();
         } catch (IOException e) {
-            // It accepts no more connections.
+            // The draining scheduler accepts no more connections.
             return "HTTP/1.1 503 closed";
         }
     }
 
     @Test
     void nextLeaderFinishesTheChangeOfALeaderThatStops() throws Exception {
-        fleet(4);
+        createFleet(4);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         int leader = rig.leader();
@@ -88,18 +88,18 @@
 
     @Test
     void fullDiskCostsTheVoteButNotTheService() throws Exception {
-        fleet(4);
-        // The SQLite library unpacks itself there first and is somewhat smaller than this.
+        createFleet(4);
+        // The SQLite library is unpacked to this disk first and is somewhat smaller than the limit.
         rig.fullAt(1, 2_500_000);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         // Each change takes about ten pages of the voter's log.
-        String many = "name".repeat(2000);
+        String longName = "name".repeat(2000);
         StringBuilder names = new StringBuilder();
         for (int i = 0; i < 40; i++) {
             names.append(i == 0 ? "" : ",")
                     .append("{\"name\":\"")
-                    .append(many, 0, 100)
+                    .append(longName, 0, 100)
                     .append(i)
                     .append("\"}");
         }
@@ -122,26 +122,28 @@
 
     @Test
     void schedulerOfAnEarlierBuildCanRejectAChange() throws Exception {
-        fleet(3);
+        createFleet(3);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         int leader = rig.leader();
         // A stand-in for a build that knows neither the resource type nor newer messages, and sends fields
         // unknown here.
-        try (Peer old = Stand.peer(
+        try (Peer earlierBuild = Stand.peer(
                 "127.0.0.1", Integer.parseInt(rig.fleetAddress(leader).split(":")[1]))) {
-            old.write("POST /fleet/link HTTP/1.1\r\nHost: f\r\nTransfer-Encoding: chunked\r\n\r\n");
-            sendLine(old, "{'t':'hello','name':'old','life':'1','build':'0.1','from':1,'to':1,'extra':{'a':[1]}}");
-            sendLine(old, "{'t':'unknown-kind','x':1}");
-            sendLine(old, renewal(0, "[]"));
-            readUntil(old, "\"t\":\"grant\"");
+            earlierBuild.write("POST /fleet/link HTTP/1.1\r\nHost: f\r\nTransfer-Encoding: chunked\r\n\r\n");
+            sendLine(
+                    earlierBuild,
+                    "{'t':'hello','name':'old','life':'1','build':'0.1','from':1,'to':1,'extra':{'a':[1]}}");
+            sendLine(earlierBuild, "{'t':'unknown-kind','x':1}");
+            sendLine(earlierBuild, renewal(0, "[]"));
+            readUntil(earlierBuild, "\"t\":\"grant\"");
             rig.proposeUntilTaken(leader, "new-type", "{\"module\":[{\"name\":\"module\",\"cross_each_way\":0.3}]}");
-            readUntil(old, "\"t\":\"content\"");
-            sendLine(old, renewal(1, "['module: is not a type accepted by this scheduler']"));
+            readUntil(earlierBuild, "\"t\":\"content\"");
+            sendLine(earlierBuild, renewal(1, "['module: is not a type accepted by this scheduler']"));
             awaitState(leader, "new-type", "abandoned");
             JsonObject change = rig.change(leader, "new-type");
             assertTrue(change.get("reasons").toString().contains("old#1: module: is not a type"), change.toString());
-            // It never announced its stop: the next change waits until its lease ends, and no longer.
+            // The earlier build never announced its stop: the next change waits only until that lease ends.
             rig.proposeUntilTaken(leader, "next", bans("x"));
         }
         awaitState(leader, "next", "applied");
@@ -172,40 +174,41 @@
 
     @Test
     void upgradeWithPassedSocketDuringChangesKeepsTheInvariants() throws Exception {
-        fleet(4);
+        createFleet(4);
         rig.start(0);
         rig.start(1);
         rig.start(3);
         Path config = rig.write(2);
         try (Platform platform = new Platform(
                 folder, folder.resolve(Rig.name(2) + ".log"), Map.of(), "serve", "--config", config.toString())) {
-            Started former = platform.launch();
-            rig.await("it serves", () -> former.call("check").equals("done"));
+            Started oldProcess = platform.launch();
+            rig.await("the old process serves", () -> oldProcess.call("check").equals("done"));
             rig.awaitDeciding(0, rig.all());
             rig.proposeUntilTaken(0, "before", bans("a"));
             rig.awaitDeciding(1, rig.all());
-            Started next = platform.launch();
+            Started newProcess = platform.launch();
             // Both processes run and decide, and a change applies to both.
             rig.proposeUntilTaken(0, "during-upgrade-1", bans("b"));
-            rig.await("the new process can serve", () -> next.call("check").equals("done"));
+            rig.await(
+                    "the new process can serve", () -> newProcess.call("check").equals("done"));
             rig.proposeUntilTaken(1, "during-upgrade-2", bans("c"));
             awaitState(0, "during-upgrade-2", "applied");
             // Between two policies no request reaches the endpoint: send one when both decide by the new
             // policy.
             rig.awaitDeciding(3, rig.all());
-            rig.await("the new process decides", () -> next.call("check").equals("done"));
+            rig.await("the new process decides", () -> newProcess.call("check").equals("done"));
             try (Peer client = sendRequestTo(platform.port, "u");
                     Peer call = endpoint.accept()) {
                 call.message();
                 answer(call, "u");
             }
-            former.handle().destroy();
-            former.ended();
+            oldProcess.handle().destroy();
+            oldProcess.ended();
             // The new process has taken over the address and the store: it answers there and votes with the
             // stored state.
             rig.awaitDeciding(3, rig.all());
             rig.await(
-                    "it votes",
+                    "the new process votes",
                     () -> rig.policy(2).getAsJsonObject("voter").get("votes").getAsBoolean());
             rig.kill(0);
             rig.proposeUntilTaken(1, "with-its-vote", bans("d"));
--- a/src/test/java/laneflow/policy/PolicyStoryBase.java
+++ b/src/test/java/laneflow/policy/PolicyStoryBase.java
@@ -32,31 +32,31 @@
     Endpoint endpoint;
     Rig rig;
     final PolicyHistory history = new PolicyHistory();
-    boolean checked;
+    boolean historyChecked;
 
     @BeforeEach
     void startEndpoint() throws IOException {
         endpoint = new Endpoint("till");
     }
 
-    String file(String classes) {
+    String configText(String classes) {
         return "zones = [\"z\"]\n" + classes + "[endpoints.till]\ndial = \"" + endpoint.dial()
                 + "\"\n[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\ntell_policy = true\n";
     }
 
-    void fleet(int schedulers) throws IOException {
-        fleet(schedulers, "");
+    void createFleet(int schedulers) throws IOException {
+        createFleet(schedulers, "");
     }
 
-    /** The same, with more lines in the [policy] table. */
-    void fleet(int schedulers, String policy) throws IOException {
-        rig = new Rig(folder, schedulers, 3, 7, file(CLASSES + POST) + policy);
+    /** Creates the fleet with more lines in the [policy] table. */
+    void createFleet(int schedulers, String policy) throws IOException {
+        rig = new Rig(folder, schedulers, 3, 7, configText(CLASSES + POST) + policy);
     }
 
     @AfterEach
     void closeAll() throws Exception {
         try {
-            assertTrue(checked, "the test did not check its history");
+            assertTrue(historyChecked, "the test did not check its history");
         } finally {
             rig.close();
             endpoint.close();
@@ -64,14 +64,14 @@
     }
 
     static String bans(String... names) {
-        StringBuilder all = new StringBuilder();
+        StringBuilder entries = new StringBuilder();
         for (String name : names) {
-            all.append(all.isEmpty() ? "" : ",")
+            entries.append(entries.isEmpty() ? "" : ",")
                     .append("{\"name\":\"")
                     .append(name)
                     .append("\"}");
         }
-        return "{\"bans\":[" + all + "]}";
+        return "{\"bans\":[" + entries + "]}";
     }
 
     /** Reads all logs and outcomes and checks them against the invariants. */
@@ -79,20 +79,20 @@
         checkHistoryWith(-1);
     }
 
-    /** The same if that scheduler was not started by the rig. */
+    /** Like {@link #checkHistory}, for a test that started one of the schedulers without the rig. */
     void checkHistoryWith(int startedElsewhere) throws Exception {
-        checked = true;
+        historyChecked = true;
         for (int i = 0; i < rig.size(); i++) {
             history.log(Rig.name(i), rig.log(i));
             if (rig.isUp(i) || i == startedElsewhere) {
-                int at = i;
+                int scheduler = i;
                 rig.await(
                         "the outcomes are readable",
-                        () -> rig.ask(at, "/policy/history", null).statusCode() == 200);
+                        () -> rig.ask(scheduler, "/policy/history", null).statusCode() == 200);
                 JsonParser.parseString(rig.ask(i, "/policy/history", null).body())
                         .getAsJsonArray()
-                        .forEach(one -> {
-                            JsonObject change = one.getAsJsonObject();
+                        .forEach(element -> {
+                            JsonObject change = element.getAsJsonObject();
                             history.outcome(
                                     change.get("name").getAsString(),
                                     change.get("number").getAsLong(),
--- a/src/test/java/laneflow/policy/PolicyStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyStoryTest.java
@@ -17,9 +17,9 @@
 class PolicyStoryTest extends PolicyStoryBase {
     @Test
     void changeIsAppliedEverywhereOrNowhere() throws Exception {
-        fleet(4);
+        createFleet(4);
         // Its own file does not declare posts safe to repeat, and no policy can declare that there.
-        rig.file(3, file(CLASSES + "[classes.post]\ndeadline_ms = 5000\n"));
+        rig.file(3, configText(CLASSES + "[classes.post]\ndeadline_ms = 5000\n"));
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         assertTrue(request(3, "r0").contains("Config-Version: policy=0"));
@@ -64,7 +64,7 @@
 
     @Test
     void proposalOfAKilledLeaderIsDecided() throws Exception {
-        fleet(5);
+        createFleet(5);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         for (int round = 1; round <= 2; round++) {
@@ -88,7 +88,7 @@
 
     @Test
     void restartedVotersElectANewLeader() throws Exception {
-        fleet(4);
+        createFleet(4);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         for (int round = 1; round <= 3; round++) {
@@ -109,7 +109,7 @@
             rig.start(leader);
             rig.awaitDeciding(round, rig.all());
         }
-        // A leader that stops gracefully transfers its leadership: nobody stops deciding meanwhile.
+        // A leader that stops gracefully transfers its leadership: no scheduler stops deciding meanwhile.
         int leader = rig.leader();
         int expirations = rig.log(3).split("the lease has expired").length;
         assertEquals(143, rig.end(leader));
@@ -120,7 +120,7 @@
 
     @Test
     void partitionedMinorityStopsDecidingAndCatchesUp() throws Exception {
-        fleet(5);
+        createFleet(5);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         int leader = rig.leader();
@@ -149,8 +149,8 @@
 
     @Test
     void cutOffServeKeepsServingAndTheHistoryShowsTheOverlap() throws Exception {
-        fleet(4);
-        rig.file(3, file(CLASSES + POST) + "cut_off = \"serve\"\n");
+        createFleet(4);
+        rig.file(3, configText(CLASSES + POST) + "cut_off = \"serve\"\n");
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         rig.partAll(List.of(3));
@@ -166,7 +166,7 @@
         rig.await("it is logged", () -> rig.log(3).contains("serving on by policy 0 as set by cut_off"));
         rig.heal();
         rig.awaitDeciding(1, rig.all());
-        checked = true;
+        historyChecked = true;
         history.outcome("meanwhile", 1, "applied");
         for (int i : rig.all()) {
             history.log(Rig.name(i), rig.log(i));
@@ -178,7 +178,7 @@
 
     @Test
     void suspendedProcessDecidesNothingOnResume() throws Exception {
-        fleet(4);
+        createFleet(4);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         int leader = rig.leader();
@@ -201,7 +201,7 @@
 
     @Test
     void killedFleetRestartsWithWhatWasDecided() throws Exception {
-        fleet(4);
+        createFleet(4);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         rig.proposeUntilTaken(1, "kept", bans("x"));
@@ -242,11 +242,11 @@
         rig.awaitDeciding(2, rig.all());
         // A damaged log is rejected and costs only the vote.
         rig.kill(1);
-        byte[] log = Files.readAllBytes(rig.votes(1).resolve("votes.db-wal"));
-        for (int at = log.length / 2; at < log.length; at += 50) {
-            log[at] ^= 0x55;
+        byte[] writeAheadLog = Files.readAllBytes(rig.votes(1).resolve("votes.db-wal"));
+        for (int offset = writeAheadLog.length / 2; offset < writeAheadLog.length; offset += 50) {
+            writeAheadLog[offset] ^= 0x55;
         }
-        Files.write(rig.votes(1).resolve("votes.db-wal"), log);
+        Files.write(rig.votes(1).resolve("votes.db-wal"), writeAheadLog);
         rig.start(1);
         rig.awaitDeciding(2, rig.all());
         assertTrue(rig.log(1).contains("this process does not vote"), rig.log(1));
@@ -259,7 +259,7 @@
     void changeSurvivesLossDuplicatesJitterAndAOneWayCut() throws Exception {
         // A reachable scheduler that is not ready in time has the change abandoned, and broken links take
         // seconds to recover.
-        fleet(4, "prepare_ms = 60000\n");
+        createFleet(4, "prepare_ms = 60000\n");
         // Clock rates that differ by almost as much as is allowed.
         rig.option(0, "-Dlaneflow.lab.clock_rate=0.9996");
         rig.option(3, "-Dlaneflow.lab.clock_rate=1.0005");
@@ -273,13 +273,13 @@
         rig.await("the change is applied", () -> changeState(1, "through").equals("applied"));
         rig.heal();
         rig.awaitDeciding(1, rig.all());
-        // A scheduler that sends but receives nothing: it stops deciding, and the change waits no longer than
-        // for its lease.
+        // A scheduler that sends but receives nothing stops deciding, and a change waits for it only until its
+        // lease expires.
         int leader = rig.leader();
-        int deaf = (leader + 1) % 3;
+        int sendOnly = (leader + 1) % 3;
         for (int i : rig.all()) {
-            if (i != deaf) {
-                rig.cut(i, deaf);
+            if (i != sendOnly) {
+                rig.cut(i, sendOnly);
             }
         }
         rig.proposeUntilTaken(leader, "without", bans("y"));
@@ -287,14 +287,14 @@
         rig.awaitDeciding(2, leader, 3);
         rig.await(
                 "it stops deciding",
-                () -> rig.policy(deaf).get("state").getAsString().equals("not deciding"));
+                () -> rig.policy(sendOnly).get("state").getAsString().equals("not deciding"));
         rig.heal();
         rig.awaitDeciding(2, rig.all());
-        // Links that break within a line lose what was under way and nothing else.
+        // Links that break in the middle of a message lose only the messages in flight.
         rig.reset(leader);
         rig.proposeUntilTaken(3, "reset", bans("z"));
         rig.awaitDeciding(3, rig.all());
-        // A graceful stop is announced: nobody waits for that lease.
+        // A graceful stop is announced: no change waits for that scheduler's lease.
         assertEquals(143, rig.end(3));
         rig.proposeUntilTaken(0, "last", bans("a"));
         rig.awaitDeciding(4, 0, 1, 2);
--- a/src/test/java/laneflow/policy/PolicyVotersStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyVotersStoryTest.java
@@ -18,21 +18,21 @@
 class PolicyVotersStoryTest extends PolicyStoryBase {
     /** Proposes changes one after the other and sends a request after each, until closed. */
     private final class Load implements AutoCloseable {
-        private final List<String> names = new ArrayList<>();
+        private final List<String> decidedNames = new ArrayList<>();
         private final Thread thread = new Thread(this::run, "load");
-        private final Thread answering = new Thread(this::answer, "endpoint");
-        private volatile boolean over;
-        private volatile Exception failed;
+        private final Thread endpointThread = new Thread(this::answerCalls, "endpoint");
+        private volatile boolean stopped;
+        private volatile Exception failure;
 
         private Load() {
-            answering.setDaemon(true);
-            answering.start();
+            endpointThread.setDaemon(true);
+            endpointThread.start();
             thread.start();
         }
 
-        /** The endpoint answers every call; between two policies none comes. */
-        private void answer() {
-            while (!over) {
+        /** Answers every call to the endpoint. No call comes between the end of one policy and the start of the next. */
+        private void answerCalls() {
+            while (!stopped) {
                 try (Peer call = endpoint.accept()) {
                     String head = call.message();
                     String id = head.replaceAll("(?s).*Req-Id: ([^\r]*)\r.*", "$1");
@@ -45,11 +45,11 @@
 
         private void run() {
             try {
-                for (int n = 0; !over; n++) {
+                for (int n = 0; !stopped; n++) {
                     String name = "load-" + n;
                     rig.proposeUntilTaken(4, name, bans("x" + name));
                     awaitState(4, name, "applied");
-                    names.add(name);
+                    decidedNames.add(name);
                     try (Peer client = sendRequest(4, name)) {
                         String answer = client.message();
                         // Between two policies schedulers refuse requests for a moment.
@@ -57,22 +57,22 @@
                     }
                 }
             } catch (Exception e) {
-                failed = e;
+                failure = e;
             }
         }
 
         @Override
         public void close() throws Exception {
-            over = true;
+            stopped = true;
             thread.join();
-            if (failed != null) {
-                throw failed;
+            if (failure != null) {
+                throw failure;
             }
         }
     }
 
-    private int changeVoter(String what, int voter) throws IOException, InterruptedException {
-        return rig.ask(4, "/policy/voters", "{\"" + what + "\":\"" + Rig.name(voter) + "\"}")
+    private int changeVoter(String operation, int voter) throws IOException, InterruptedException {
+        return rig.ask(4, "/policy/voters", "{\"" + operation + "\":\"" + Rig.name(voter) + "\"}")
                 .statusCode();
     }
 
@@ -80,13 +80,13 @@
         return rig.policy(i).getAsJsonObject("voter");
     }
 
-    private boolean flag(int i, String what) throws IOException, InterruptedException {
-        return voter(i).get(what).getAsBoolean();
+    private boolean flag(int i, String field) throws IOException, InterruptedException {
+        return voter(i).get(field).getAsBoolean();
     }
 
     @Test
     void votersAreAddedAndRemovedUnderLoad() throws Exception {
-        rig = new Rig(folder, 5, 4, 11, file(CLASSES + POST));
+        rig = new Rig(folder, 5, 4, 11, configText(CLASSES + POST));
         rig.votersNamed(3);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
@@ -94,27 +94,27 @@
         List<String> names;
         try (Load load = new Load()) {
             // A fourth voter is added; adding it again is an error.
-            rig.await("it is added", () -> changeVoter("add", 3) == 200);
+            rig.await("the voter is added", () -> changeVoter("add", 3) == 200);
             rig.await(
-                    "it votes",
+                    "the added voter votes",
                     () -> flag(3, "votes") && voter(3).getAsJsonArray("voters").size() == 4);
             assertEquals(409, changeVoter("add", 3));
             assertEquals(409, changeVoter("remove", 4));
             // The leader is removed: it transfers its leadership first.
-            int first = rig.leader();
-            rig.await("it is removed", () -> changeVoter("remove", first) == 200);
-            rig.await("it learns of its removal", () -> flag(first, "removed"));
-            assertFalse(flag(first, "votes"));
+            int formerLeader = rig.leader();
+            rig.await("the leader is removed", () -> changeVoter("remove", formerLeader) == 200);
+            rig.await("the former leader learns of its removal", () -> flag(formerLeader, "removed"));
+            assertFalse(flag(formerLeader, "votes"));
             // There are three voters now, one of them new: another one may fail.
-            int second = rig.leader();
-            int third = otherVoter(first, second);
-            rig.kill(third);
-            String then = "three-vote";
-            rig.proposeUntilTaken(4, then, bans("t"));
-            awaitState(4, then, "applied");
-            rig.start(third);
-            rig.await("it votes again", () -> flag(third, "votes"));
-            names = load.names;
+            int leader = rig.leader();
+            int killed = otherVoter(formerLeader, leader);
+            rig.kill(killed);
+            String changeName = "three-vote";
+            rig.proposeUntilTaken(4, changeName, bans("t"));
+            awaitState(4, changeName, "applied");
+            rig.start(killed);
+            rig.await("the restarted voter votes again", () -> flag(killed, "votes"));
+            names = load.decidedNames;
         }
         assertTrue(names.size() > 3, names + " were decided under load");
         // Restarted with its old store, the removed voter does not unseat the leader.
@@ -123,7 +123,7 @@
         int term = rig.policy(rig.leader()).getAsJsonObject("voter").get("term").getAsInt();
         rig.kill(removed);
         rig.start(removed);
-        rig.await("it learns of its removal again", () -> flag(removed, "removed"));
+        rig.await("the restarted voter learns of its removal again", () -> flag(removed, "removed"));
         rig.proposeUntilTaken(4, "after-restart", bans("s"));
         awaitState(4, "after-restart", "applied");
         assertEquals(
@@ -134,9 +134,11 @@
         rig.kill(removed);
         rig.wipe(removed);
         rig.start(removed);
-        rig.await("it is up", () -> rig.policy(removed).has("voter"));
-        rig.await("it is added", () -> changeVoter("add", removed) == 200);
-        rig.await("it votes", () -> flag(removed, "votes"));
+        rig.await(
+                "the removed voter is up with an empty store",
+                () -> rig.policy(removed).has("voter"));
+        rig.await("the voter is added", () -> changeVoter("add", removed) == 200);
+        rig.await("the added voter votes", () -> flag(removed, "votes"));
         long last = rig.policy(rig.leader()).get("policy").getAsLong();
         rig.awaitDeciding(last, rig.all());
         checkHistory();
@@ -152,9 +154,9 @@
     }
 
     /** A voter other than these two. */
-    private static int otherVoter(int one, int two) {
+    private static int otherVoter(int first, int second) {
         for (int i = 0; i < 4; i++) {
-            if (i != one && i != two) {
+            if (i != first && i != second) {
                 return i;
             }
         }
--- a/src/test/java/laneflow/policy/decision/LeaseInterleavingTest.java
+++ b/src/test/java/laneflow/policy/decision/LeaseInterleavingTest.java
@@ -19,7 +19,7 @@
  */
 class LeaseInterleavingTest {
     /** An event and its name in failure messages. */
-    private record Event(String name, Consumer<LeaseSimulation> act) {
+    private record Event(String name, Consumer<LeaseSimulation> action) {
         @Override
         public String toString() {
             return name;
@@ -27,18 +27,18 @@
     }
 
     private static final List<Event> EVENTS = List.of(
-            new Event("renew0", world -> world.renew(0, 0)),
-            new Event("renew1", world -> world.renew(1, 0)),
-            new Event("renew0 to the former leader", world -> world.renew(0, 1)),
-            new Event("oldest message arrives", world -> world.deliver(false)),
-            new Event("newest message arrives", world -> world.deliver(true)),
+            new Event("renew0", simulation -> simulation.renew(0, 0)),
+            new Event("renew1", simulation -> simulation.renew(1, 0)),
+            new Event("renew0 to the former leader", simulation -> simulation.renew(0, 1)),
+            new Event("oldest message arrives", simulation -> simulation.deliver(false)),
+            new Event("newest message arrives", simulation -> simulation.deliver(true)),
             new Event("oldest message lost", LeaseSimulation::dropOldest),
             new Event("election", LeaseSimulation::elect),
-            new Event("confirm", world -> world.confirm(0)),
-            new Event("confirm the former leader", world -> world.confirm(1)),
-            new Event("third of a lease", world -> world.advance(LeaseSimulation.LEASE / 3)),
-            new Event("crash1", world -> world.crash(1)),
-            new Event("restart1", world -> world.restart(1)));
+            new Event("confirm", simulation -> simulation.confirm(0)),
+            new Event("confirm the former leader", simulation -> simulation.confirm(1)),
+            new Event("third of a lease", simulation -> simulation.advance(LeaseSimulation.LEASE / 3)),
+            new Event("crash1", simulation -> simulation.crash(1)),
+            new Event("restart1", simulation -> simulation.restart(1)));
 
     /**
      * The state in which a sequence starts: a change that is open, applied, applied with a new leader, or
@@ -51,50 +51,50 @@
         STARTED
     }
 
-    private static LeaseSimulation simulation(Fault fault, StartState from) {
-        LeaseSimulation world = new LeaseSimulation(fault, 2);
-        world.startSettled();
-        world.propose();
-        world.confirm(0);
-        if (from == StartState.OPEN) {
-            return world;
+    private static LeaseSimulation simulation(Fault fault, StartState start) {
+        LeaseSimulation simulation = new LeaseSimulation(fault, 2);
+        simulation.startSettled();
+        simulation.propose();
+        simulation.confirm(0);
+        if (start == StartState.OPEN) {
+            return simulation;
         }
-        // Both schedulers learn of it and make it ready; it is applied when both have reported so.
+        // Both schedulers receive the change and prepare it; it is applied once both have reported it ready.
         for (int i = 0; i < 2; i++) {
-            world.renew(0, 0);
-            world.renew(1, 0);
+            simulation.renew(0, 0);
+            simulation.renew(1, 0);
             for (int k = 0; k < 4; k++) {
-                world.deliver(false);
+                simulation.deliver(false);
             }
         }
-        assertEquals(1, world.ledger.view().inForce());
-        if (from == StartState.LEADERLESS) {
-            world.elect();
-            world.confirm(0);
-        } else if (from == StartState.STARTED) {
-            world.runRounds(2);
-            world.propose();
-            world.confirm(0);
+        assertEquals(1, simulation.ledger.view().inForce());
+        if (start == StartState.LEADERLESS) {
+            simulation.elect();
+            simulation.confirm(0);
+        } else if (start == StartState.STARTED) {
+            simulation.runRounds(2);
+            simulation.propose();
+            simulation.confirm(0);
         }
-        return world;
+        return simulation;
     }
 
     private int sequencesRun;
 
-    private void runSequences(StartState from, int depth, List<Event> sequence) {
+    private void runSequences(StartState start, int depth, List<Event> sequence) {
         if (depth == 0) {
             sequencesRun++;
-            LeaseSimulation world = simulation(Fault.NONE, from);
+            LeaseSimulation simulation = simulation(Fault.NONE, start);
             try {
-                sequence.forEach(event -> event.act.accept(world));
+                sequence.forEach(event -> event.action.accept(simulation));
             } catch (Violation e) {
-                throw new AssertionError(from + " " + sequence + ": " + e.getMessage(), e);
+                throw new AssertionError(start + " " + sequence + ": " + e.getMessage(), e);
             }
             return;
         }
         for (Event event : EVENTS) {
             sequence.add(event);
-            runSequences(from, depth - 1, sequence);
+            runSequences(start, depth - 1, sequence);
             sequence.remove(sequence.size() - 1);
         }
     }
@@ -103,8 +103,8 @@
     @EnumSource(
             value = StartState.class,
             names = {"APPLIED", "LEADERLESS"})
-    void noSequenceOfFiveEventsViolatesAnInvariant(StartState from) {
-        runSequences(from, 5, new ArrayList<>());
+    void noSequenceOfFiveEventsViolatesAnInvariant(StartState start) {
+        runSequences(start, 5, new ArrayList<>());
         assertEquals(248_832, sequencesRun);
     }
 
@@ -112,8 +112,8 @@
     @EnumSource(
             value = StartState.class,
             names = {"OPEN", "STARTED"})
-    void noSequenceOfFourEventsViolatesAnInvariant(StartState from) {
-        runSequences(from, 4, new ArrayList<>());
+    void noSequenceOfFourEventsViolatesAnInvariant(StartState start) {
+        runSequences(start, 4, new ArrayList<>());
         assertEquals(20_736, sequencesRun);
     }
 
@@ -125,37 +125,37 @@
         int switches = 0;
         SplittableRandom random = new SplittableRandom(7);
         for (int run = 0; run < runs; run++) {
-            LeaseSimulation world = new LeaseSimulation(fault, 3);
-            world.startSettled();
+            LeaseSimulation simulation = new LeaseSimulation(fault, 3);
+            simulation.startSettled();
             for (int i = 0; i < 60; i++) {
                 int node = random.nextInt(3);
                 switch (random.nextInt(20)) {
-                    case 0 -> world.elect();
-                    case 1, 2, 3 -> world.confirm(0);
-                    case 4 -> world.confirm(1);
-                    case 5, 6, 7 -> world.renew(node, 0);
-                    case 8 -> world.renew(node, 1);
-                    case 9, 10, 11, 12 -> world.deliver(false);
-                    case 13 -> world.deliver(true);
-                    case 14 -> world.deliverTwice();
-                    case 15 -> world.dropOldest();
-                    case 16 -> world.advance(LeaseSimulation.LEASE / 4);
-                    case 17 -> world.propose();
+                    case 0 -> simulation.elect();
+                    case 1, 2, 3 -> simulation.confirm(0);
+                    case 4 -> simulation.confirm(1);
+                    case 5, 6, 7 -> simulation.renew(node, 0);
+                    case 8 -> simulation.renew(node, 1);
+                    case 9, 10, 11, 12 -> simulation.deliver(false);
+                    case 13 -> simulation.deliver(true);
+                    case 14 -> simulation.deliverTwice();
+                    case 15 -> simulation.dropOldest();
+                    case 16 -> simulation.advance(LeaseSimulation.LEASE / 4);
+                    case 17 -> simulation.propose();
                     case 18 -> {
                         if (random.nextBoolean()) {
-                            world.crash(node);
+                            simulation.crash(node);
                         } else {
-                            world.stopGracefully(node);
+                            simulation.stopGracefully(node);
                         }
                     }
-                    default -> world.restart(node);
+                    default -> simulation.restart(node);
                 }
                 if (random.nextInt(6) == 0) {
-                    world.runRounds(1);
+                    simulation.runRounds(1);
                 }
             }
-            world.healAndCheck();
-            switches += world.switches;
+            simulation.healAndCheck();
+            switches += simulation.switches;
         }
         return switches;
     }
@@ -174,63 +174,67 @@
 
     @Test
     void rejectionByOneSchedulerAbandonsTheChange() {
-        LeaseSimulation world = new LeaseSimulation(Fault.NONE, 3);
-        world.startSettled();
-        world.nodes.get(2).refusedChange = 1;
-        world.propose();
-        world.runRounds(4);
-        Change change = world.ledger.change("c1");
+        LeaseSimulation simulation = new LeaseSimulation(Fault.NONE, 3);
+        simulation.startSettled();
+        simulation.nodes.get(2).refusedChange = 1;
+        simulation.propose();
+        simulation.runRounds(4);
+        Change change = simulation.ledger.change("c1");
         assertEquals(Change.State.ABANDONED, change.state());
         assertEquals(List.of("s2#0: not allowed"), change.reasons());
-        world.healAndCheck();
-        assertEquals(0, world.nodes.get(0).lease.policyAt(world.nodes.get(0).clock()));
+        simulation.healAndCheck();
+        assertEquals(
+                0,
+                simulation.nodes.get(0).lease.policyAt(simulation.nodes.get(0).clock()));
     }
 
     /** Messages per scheduler from a proposal until all schedulers decide by it. */
     private static double messagesPerScheduler(int schedulers) {
-        LeaseSimulation world = new LeaseSimulation(Fault.NONE, schedulers);
-        world.startSettled();
-        world.propose();
-        int before = world.delivered;
-        while (world.nodes.stream().anyMatch(node -> node.lease.policyAt(node.clock()) != 1)) {
-            world.confirm(0);
+        LeaseSimulation simulation = new LeaseSimulation(Fault.NONE, schedulers);
+        simulation.startSettled();
+        simulation.propose();
+        int before = simulation.delivered;
+        while (simulation.nodes.stream().anyMatch(node -> node.lease.policyAt(node.clock()) != 1)) {
+            simulation.confirm(0);
             for (int i = 0; i < schedulers; i++) {
-                world.renew(i, 0);
+                simulation.renew(i, 0);
             }
             for (int i = 0; i < 4 * schedulers; i++) {
-                world.deliver(false);
+                simulation.deliver(false);
             }
-            world.advance(10_000);
+            simulation.advance(10_000);
         }
-        return (world.delivered - before) / (double) schedulers;
+        return (simulation.delivered - before) / (double) schedulers;
     }
 
     @Test
     void messagesPerSchedulerDoNotGrowWithTheFleet() {
-        double few = messagesPerScheduler(10);
-        double many = messagesPerScheduler(200);
-        assertTrue(many <= few + 1 && many < 20, few + " and " + many + " messages per scheduler");
+        double small = messagesPerScheduler(10);
+        double large = messagesPerScheduler(200);
+        assertTrue(large <= small + 1 && large < 20, small + " and " + large + " messages per scheduler");
     }
 
     @Test
     void unreachableSchedulerStopsDecidingAndBlocksNobody() {
-        LeaseSimulation world = new LeaseSimulation(Fault.NONE, 3);
-        world.startSettled();
-        world.propose();
-        long from = world.now;
-        LeaseSimulation.Node unreachable = world.nodes.get(2);
-        // It neither sends nor receives: it has only its lease.
-        while (world.nodes.get(0).lease.policyAt(world.nodes.get(0).clock()) == 0) {
-            world.confirm(0);
-            world.renew(0, 0);
-            world.renew(1, 0);
+        LeaseSimulation simulation = new LeaseSimulation(Fault.NONE, 3);
+        simulation.startSettled();
+        simulation.propose();
+        long startedAt = simulation.now;
+        LeaseSimulation.Node unreachable = simulation.nodes.get(2);
+        // It neither sends nor receives and decides only until its lease expires.
+        while (simulation.nodes.get(0).lease.policyAt(simulation.nodes.get(0).clock()) == 0) {
+            simulation.confirm(0);
+            simulation.renew(0, 0);
+            simulation.renew(1, 0);
             for (int i = 0; i < 12; i++) {
-                world.deliver(false);
+                simulation.deliver(false);
             }
-            world.advance(LeaseSimulation.LEASE / 32);
-            assertTrue(world.now - from < 2 * LeaseSimulation.LEASE, "the unreachable scheduler blocks the change");
+            simulation.advance(LeaseSimulation.LEASE / 32);
+            assertTrue(
+                    simulation.now - startedAt < 2 * LeaseSimulation.LEASE,
+                    "the unreachable scheduler blocks the change");
             if (unreachable.lease.policyAt(unreachable.clock()) >= 0) {
-                assertEquals(0, world.nodes.get(0).lease.current());
+                assertEquals(0, simulation.nodes.get(0).lease.current());
             }
         }
         assertEquals(-1, unreachable.lease.policyAt(unreachable.clock()));
--- a/src/test/java/laneflow/policy/decision/LeaseSimulation.java
+++ b/src/test/java/laneflow/policy/decision/LeaseSimulation.java
@@ -31,8 +31,8 @@
     static final class Violation extends AssertionError {
         private static final long serialVersionUID = 1L;
 
-        Violation(String what) {
-            super(what);
+        Violation(String message) {
+            super(message);
         }
     }
 
@@ -46,7 +46,7 @@
         boolean hasLeft;
 
         long refusedChange;
-        int life;
+        int incarnation;
 
         private Node(int number, double rate) {
             this.number = number;
@@ -62,7 +62,7 @@
         }
 
         String processId() {
-            return "s" + number + "#" + life;
+            return "s" + number + "#" + incarnation;
         }
     }
 
@@ -85,7 +85,7 @@
 
     /** A message in flight. */
     private record Message(
-            boolean isRenewal, Node node, int life, Leader leader, Renewal renewal, long sentAt, Grant grant) {}
+            boolean isRenewal, Node node, int incarnation, Leader leader, Renewal renewal, long sentAt, Grant grant) {}
 
     final Fault fault;
     final List<Node> nodes = new ArrayList<>();
@@ -153,7 +153,7 @@
                 from.refusedChange,
                 from.refusedChange > 0 ? List.of("not allowed") : List.of(),
                 2_000);
-        inFlight.add(new Message(true, from, from.life, to, renewal, from.clock(), null));
+        inFlight.add(new Message(true, from, from.incarnation, to, renewal, from.clock(), null));
     }
 
     /** Delivers the newest or the oldest message. */
@@ -183,15 +183,15 @@
         Node node = message.node;
         Leader leader = message.leader;
         if (message.isRenewal) {
-            leader.state.onRenewal(leader.clock(), "s" + node.number + "#" + message.life, message.renewal);
+            leader.state.onRenewal(leader.clock(), "s" + node.number + "#" + message.incarnation, message.renewal);
             runLeader(leader);
-            Grant grant = leader.state.grant(leader.clock(), "s" + node.number + "#" + message.life);
+            Grant grant = leader.state.grant(leader.clock(), "s" + node.number + "#" + message.incarnation);
             if (grant != null) {
-                inFlight.add(new Message(false, node, message.life, leader, null, message.sentAt, grant));
+                inFlight.add(new Message(false, node, message.incarnation, leader, null, message.sentAt, grant));
             }
             return;
         }
-        if (!node.up || node.life != message.life) {
+        if (!node.up || node.incarnation != message.incarnation) {
             return;
         }
         node.lease.accept(message.grant, message.sentAt, node.clock());
@@ -219,7 +219,7 @@
         Node restarted = nodes.get(node);
         restarted.up = true;
         restarted.hasLeft = false;
-        restarted.life++;
+        restarted.incarnation++;
         restarted.lease = new Lease();
         restarted.ready = new HashSet<>(Set.of(0L));
     }
@@ -257,7 +257,7 @@
             for (Node node : nodes) {
                 Grant grant = leader.state.grant(leader.clock(), node.processId());
                 if (grant != null) {
-                    inFlight.add(new Message(false, node, node.life, leader, null, -1, grant));
+                    inFlight.add(new Message(false, node, node.incarnation, leader, null, -1, grant));
                 }
             }
         }
--- a/src/test/java/laneflow/policy/decision/LeaseSnapshotTest.java
+++ b/src/test/java/laneflow/policy/decision/LeaseSnapshotTest.java
@@ -24,10 +24,10 @@
                 lease.accept(new Grant(1, seq, now, number, from, until, 0), now - random.nextLong(200), now);
                 LeaseSnapshot snapshot = lease.snapshot();
                 long previous = lease.current();
-                for (long at = now; at < now + 1000; at += 1 + random.nextLong(90)) {
-                    assertEquals(lease.policyAt(at), snapshot.policyAt(at), "run " + run + " seq " + seq);
-                    assertEquals(lease.fence(), snapshot.fence(at));
-                    deciding += snapshot.policyAt(at) >= 0 ? 1 : 0;
+                for (long instant = now; instant < now + 1000; instant += 1 + random.nextLong(90)) {
+                    assertEquals(lease.policyAt(instant), snapshot.policyAt(instant), "run " + run + " seq " + seq);
+                    assertEquals(lease.fence(), snapshot.fence(instant));
+                    deciding += snapshot.policyAt(instant) >= 0 ? 1 : 0;
                 }
                 changes += lease.current() > previous ? 1 : 0;
                 now += 1000;
--- a/src/test/java/laneflow/policy/decision/LedgerTest.java
+++ b/src/test/java/laneflow/policy/decision/LedgerTest.java
@@ -86,7 +86,7 @@
     @Test
     void sameOperationsAndSnapshotsLeadToTheSameState() {
         SplittableRandom random = new SplittableRandom(3);
-        Ledger other = new Ledger();
+        Ledger replica = new Ledger();
         for (int i = 0; i < 2000; i++) {
             Change open = ledger.view().open();
             String name = open != null && random.nextBoolean() ? open.name() : "c" + random.nextInt(i + 1);
@@ -95,15 +95,15 @@
                 case 1 -> Ledger.apply(name, i);
                 default -> Ledger.abandon(name, List.of("r" + i), i);
             };
-            assertEquals(ledger.run(op), other.run(op));
+            assertEquals(ledger.run(op), replica.run(op));
             if (random.nextInt(50) == 0) {
-                Ledger again = new Ledger();
-                again.restore(
-                        JsonParser.parseString(other.snapshot().toString()).getAsJsonObject());
-                other = again;
+                Ledger restored = new Ledger();
+                restored.restore(
+                        JsonParser.parseString(replica.snapshot().toString()).getAsJsonObject());
+                replica = restored;
             }
         }
-        assertEquals(ledger.snapshot(), other.snapshot());
+        assertEquals(ledger.snapshot(), replica.snapshot());
         assertTrue(ledger.view().inForce() > 50, ledger.view().inForce() + "");
     }
 
