--- a/src/main/java/laneflow/config/Canonical.java
+++ b/src/main/java/laneflow/config/Canonical.java
@@ -17,14 +17,14 @@
     public static JsonElement sortKeys(JsonElement value) {
         if (value.isJsonArray()) {
             JsonArray sorted = new JsonArray();
-            value.getAsJsonArray().forEach(one -> sorted.add(sortKeys(one)));
+            value.getAsJsonArray().forEach(member -> sorted.add(sortKeys(member)));
             return sorted;
         }
         if (!value.isJsonObject()) {
             return value;
         }
         JsonObject sorted = new JsonObject();
-        new TreeMap<>(value.getAsJsonObject().asMap()).forEach((key, one) -> sorted.add(key, sortKeys(one)));
+        new TreeMap<>(value.getAsJsonObject().asMap()).forEach((key, member) -> sorted.add(key, sortKeys(member)));
         return sorted;
     }
 
--- a/src/main/java/laneflow/config/Findings.java
+++ b/src/main/java/laneflow/config/Findings.java
@@ -10,7 +10,7 @@
 public final class Findings {
     private final String file;
     private final boolean paths;
-    private final List<String> all = new ArrayList<>();
+    private final List<String> findings = new ArrayList<>();
 
     /** Creates findings on a file; each begins with the file's name. */
     public Findings(String file) {
@@ -28,27 +28,27 @@
     }
 
     /** Adds a finding on a key of a table; an empty table name stands for the top level. */
-    public void add(String table, String key, String what) {
+    public void add(String table, String key, String message) {
         if (paths) {
-            all.add(table + (table.isEmpty() || key.isEmpty() ? "" : ".") + key + ": " + what);
+            findings.add(table + (table.isEmpty() || key.isEmpty() ? "" : ".") + key + ": " + message);
             return;
         }
         String place = (table.isEmpty() ? "" : "[" + table + "] ") + (key.isEmpty() ? "" : key + ": ");
-        all.add(file + ": " + place + what);
+        findings.add(file + ": " + place + message);
     }
 
     public boolean isEmpty() {
-        return all.isEmpty();
+        return findings.isEmpty();
     }
 
     public List<String> all() {
-        return List.copyOf(all);
+        return List.copyOf(findings);
     }
 
     /** Throws a {@link ConfigException} if there are findings. */
     public void throwIfAny() {
-        if (!all.isEmpty()) {
-            throw new ConfigException(all);
+        if (!findings.isEmpty()) {
+            throw new ConfigException(findings);
         }
     }
 }
--- a/src/main/java/laneflow/config/OperatorFile.java
+++ b/src/main/java/laneflow/config/OperatorFile.java
@@ -140,24 +140,24 @@
         return platform;
     }
 
-    /** Merges the platform's file with this one: its values take precedence, missing ones come from here. */
+    /** Merges the platform's file with this one: its values take precedence, missing ones come from this file. */
     public JsonObject withDefaults(JsonObject named) {
         return merge(named, platform);
     }
 
     private static JsonObject merge(JsonObject first, JsonObject second) {
-        JsonObject all = first.deepCopy();
+        JsonObject merged = first.deepCopy();
         for (Map.Entry<String, JsonElement> entry : second.entrySet()) {
-            JsonElement there = all.get(entry.getKey());
-            if (there == null) {
-                all.add(entry.getKey(), entry.getValue());
-            } else if (there.isJsonObject() && entry.getValue().isJsonObject()) {
-                all.add(
+            JsonElement existing = merged.get(entry.getKey());
+            if (existing == null) {
+                merged.add(entry.getKey(), entry.getValue());
+            } else if (existing.isJsonObject() && entry.getValue().isJsonObject()) {
+                merged.add(
                         entry.getKey(),
-                        merge(there.getAsJsonObject(), entry.getValue().getAsJsonObject()));
+                        merge(existing.getAsJsonObject(), entry.getValue().getAsJsonObject()));
             }
         }
-        return all;
+        return merged;
     }
 
     private void readTopLevel() {
@@ -209,9 +209,9 @@
 
     /** Translates a table of limits into the platform's format: process limits and limits of the settings. */
     public static void limits(Table from, JsonObject platform, JsonObject settings) {
-        JsonObject own = new JsonObject();
-        own.addProperty("sockets", from.integer("sockets", 1024, 96, 1 << 20));
-        platform.add("limits", own);
+        JsonObject processLimits = new JsonObject();
+        processLimits.addProperty("sockets", from.integer("sockets", 1024, 96, 1 << 20));
+        platform.add("limits", processLimits);
         JsonObject to = new JsonObject();
         to.addProperty("cancel", from.flag("cancel", true));
         to.addProperty("probes", from.flag("probes", false));
@@ -353,15 +353,15 @@
 
     private static void copyKnownNames(Table from, String key, List<String> known, JsonObject to) {
         List<String> named = from.texts(key);
-        JsonArray all = new JsonArray();
-        for (String one : named) {
-            if (!known.contains(one)) {
-                from.addFinding(key, "'" + one + "' is none of " + known);
+        JsonArray names = new JsonArray();
+        for (String name : named) {
+            if (!known.contains(name)) {
+                from.addFinding(key, "'" + name + "' is none of " + known);
             }
-            all.add(one);
+            names.add(name);
         }
         if (!named.isEmpty()) {
-            to.add(key, all);
+            to.add(key, names);
         }
     }
 }
--- a/src/main/java/laneflow/config/Table.java
+++ b/src/main/java/laneflow/config/Table.java
@@ -62,9 +62,9 @@
             return plain(value.getAsJsonObject());
         }
         if (value.isJsonArray()) {
-            List<Object> all = new ArrayList<>();
-            value.getAsJsonArray().forEach(one -> all.add(plain(one)));
-            return all;
+            List<Object> list = new ArrayList<>();
+            value.getAsJsonArray().forEach(element -> list.add(plain(element)));
+            return list;
         }
         if (value.isJsonPrimitive() && value.getAsJsonPrimitive().isNumber()) {
             String text = value.getAsString();
@@ -85,8 +85,8 @@
     }
 
     /** Adds a finding on a key of this table. */
-    public void addFinding(String key, String what) {
-        findings.add(path, key, what);
+    public void addFinding(String key, String message) {
+        findings.add(path, key, message);
     }
 
     public boolean has(String key) {
@@ -179,9 +179,9 @@
         if (value != null && !(value instanceof List)) {
             addFinding(key, "must be a list of texts");
         } else if (value != null) {
-            for (Object one : (List<?>) value) {
-                if (one instanceof String) {
-                    texts.add((String) one);
+            for (Object element : (List<?>) value) {
+                if (element instanceof String) {
+                    texts.add((String) element);
                 } else {
                     addFinding(key, "must be a list of texts");
                 }
@@ -206,9 +206,9 @@
         Table outer = table(key);
         if (outer != null) {
             for (UnmodifiableConfig.Entry entry : outer.values.entrySet()) {
-                Table one = outer.table(entry.getKey());
-                if (one != null) {
-                    found.put(entry.getKey(), one);
+                Table table = outer.table(entry.getKey());
+                if (table != null) {
+                    found.put(entry.getKey(), table);
                 }
             }
         }
@@ -233,7 +233,7 @@
     }
 
     private static String formatNumber(double number) {
-        boolean whole = number == Math.rint(number) && Math.abs(number) < 1e15;
-        return whole ? String.format(Locale.ROOT, "%.0f", number) : String.valueOf(number);
+        boolean isWhole = number == Math.rint(number) && Math.abs(number) < 1e15;
+        return isWhole ? String.format(Locale.ROOT, "%.0f", number) : String.valueOf(number);
     }
 }
--- a/src/main/java/laneflow/control/ControlClient.java
+++ b/src/main/java/laneflow/control/ControlClient.java
@@ -67,8 +67,8 @@
     private final Loop loop;
     private final Scheduler scheduler;
     private final ControlConfig config;
-    private final Map<String, TypeRun> types = new LinkedHashMap<>();
-    /** Types that are not streamed here, by their names on the stream, with the reason. */
+    private final Map<String, TypeState> types = new LinkedHashMap<>();
+    /** Types that this scheduler does not accept, by their names on the stream, with the reason. */
     private final Map<String, String> rejectedTypes = new LinkedHashMap<>();
 
     private final String[] classNames;
@@ -83,10 +83,10 @@
     private final Deadline reconnectTimer;
     private final Deadline trialTimer;
     private final Deadline figuresTimer;
-    private final ArrayDeque<byte[]> waiting = new ArrayDeque<>();
+    private final ArrayDeque<byte[]> waitingLines = new ArrayDeque<>();
     private final Map<Integer, String> versionHeaders = new LinkedHashMap<>();
     private final Histogram adoptions = new Histogram(3);
-    private long waitingBytes;
+    private long waitingLineBytes;
     private boolean lineInProgress;
     private boolean paused;
     /** Number of the current stream; results from an earlier one are dropped. */
@@ -99,7 +99,7 @@
     private String streamAddress = "";
     private long[][] group;
 
-    /** The client's environment apart from its configuration. */
+    /** What the client depends on besides its configuration. */
     public record Context(
             String name,
             String token,
@@ -115,21 +115,25 @@
      * @param types the accepted types, in the order of subscription, each with its last-good file or null
      */
     public ControlClient(
-            Loop loop, Scheduler scheduler, ControlConfig config, Context around, Map<ResourceType, LastGood> types) {
+            Loop loop, Scheduler scheduler, ControlConfig config, Context context, Map<ResourceType, LastGood> types) {
         this.loop = loop;
         this.scheduler = scheduler;
         this.config = config;
-        name = around.name();
-        token = around.token();
-        reading = around.reading();
-        wall = around.wall();
-        classNames = around.classNames().toArray(new String[0]);
-        random = new SplittableRandom(around.seed());
+        name = context.name();
+        token = context.token();
+        reading = context.reading();
+        wall = context.wall();
+        classNames = context.classNames().toArray(new String[0]);
+        random = new SplittableRandom(context.seed());
         counters = scheduler.counters();
-        history = new History(config.folder, around.disk(), wall);
-        types.forEach((type, file) -> this.types.put(type.url(), new TypeRun(type, file, around.disk())));
+        history = new History(config.folder, context.disk(), wall);
+        types.forEach((type, file) -> this.types.put(type.url(), new TypeState(type, file, context.disk())));
         trial = new Trial(
-                classNames, Math.max(1, config.probation), config.bound, loop.micros(), scheduler.countsByClass());
+                classNames,
+                Math.max(1, config.trialMicros),
+                config.maxWorsening,
+                loop.micros(),
+                scheduler.countsByClass());
         reconnectTimer = loop.deadlines().create(this::connect);
         trialTimer = loop.deadlines().create(this::evaluateTrial);
         figuresTimer = loop.deadlines().create(this::sendFigures);
@@ -141,38 +145,39 @@
     }
 
     /** Applies a type's saved version until the service sends one; called before {@link #begin}. */
-    public void startFrom(String type, LastGood.SavedVersion kept) {
-        TypeRun run = types.get(ResourceType.PREFIX + type);
-        JsonArray resources = kept.resources().getAsJsonArray("resources");
-        ResourceType.ParsedResources read = run.type.read(resources);
-        if (!read.findings.isEmpty()) {
-            history.add(run.type.url(), kept.version().toString(), "passed_over", "last-good", read.findings.get(0));
+    public void startFrom(String type, LastGood.SavedVersion saved) {
+        TypeState state = types.get(ResourceType.PREFIX + type);
+        JsonArray resources = saved.resources().getAsJsonArray("resources");
+        ResourceType.ParsedResources parsed = state.type.read(resources);
+        if (!parsed.findings.isEmpty()) {
+            history.add(
+                    state.type.url(), saved.version().toString(), "passed_over", "last-good", parsed.findings.get(0));
             return;
         }
-        run.startAt(kept, read);
+        state.startAt(saved, parsed);
         history.add(
-                run.type.url(),
-                kept.version().toString(),
+                state.type.url(),
+                saved.version().toString(),
                 "running",
                 "last-good",
-                "age_s=" + (wall.getAsLong() - kept.adoptedMs()) / 1000);
+                "age_s=" + (wall.getAsLong() - saved.adoptedMs()) / 1000);
         startEpoch();
     }
 
     public void begin() {
-        if (config.probation > 0) {
+        if (config.trialMicros > 0) {
             evaluateTrial();
         }
-        if (config.figures > 0) {
+        if (config.figuresMicros > 0) {
             sendFigures();
         }
         connect();
         reading.execute(() -> runWarmup(new Warmup()));
     }
 
-    /** Runs one part and queues the next behind the lines that wait by then. */
+    /** Runs one part of the warm-up and queues the next part behind the lines received meanwhile. */
     private void runWarmup(Warmup warmup) {
-        if (warmup.part()) {
+        if (warmup.runPart()) {
             reading.execute(() -> runWarmup(warmup));
         }
     }
@@ -184,20 +189,20 @@
         counters.add("config.streams");
         String headers = token == null ? "" : "Authorization: Bearer " + token + "\r\n";
         generation++;
-        waiting.clear();
-        waitingBytes = 0;
+        waitingLines.clear();
+        waitingLineBytes = 0;
         paused = false;
         streamAddress = address;
-        types.values().forEach(run -> run.nonce = "");
-        stream =
-                new LineStream(loop, address, PATH, headers, CONNECT_TIMEOUT_US, config.silence, config.mostLine, this);
+        types.values().forEach(state -> state.nonce = "");
+        stream = new LineStream(
+                loop, address, PATH, headers, CONNECT_TIMEOUT_US, config.silenceMicros, config.maxLineBytes, this);
     }
 
     @Override
     public void up() {
         isUp = true;
-        for (TypeRun run : types.values()) {
-            JsonObject first = request(run);
+        for (TypeState state : types.values()) {
+            JsonObject first = request(state);
             first.addProperty("incremental", true);
             stream.send(first.toString());
         }
@@ -207,7 +212,7 @@
     public void over(String why) {
         isUp = false;
         // Full jitter, so that schedulers that lost a service together do not reconnect together.
-        long cap = Math.min(config.longestBackoff, FIRST_BACKOFF_US << Math.min(20, failures++));
+        long cap = Math.min(config.maxBackoffMicros, FIRST_BACKOFF_US << Math.min(20, failures++));
         long wait = (long) (random.nextDouble() * cap);
         loop.deadlines().set(reconnectTimer, loop.micros() + wait);
         LOG.debug("control service {}: {}; connecting to the next one in {} us", streamAddress, why, wait);
@@ -216,9 +221,9 @@
 
     @Override
     public void line(byte[] text) {
-        waiting.add(text);
-        waitingBytes += text.length;
-        if (waiting.size() > MAX_WAITING_LINES || waitingBytes > 2L * config.mostLine) {
+        waitingLines.add(text);
+        waitingLineBytes += text.length;
+        if (waitingLines.size() > MAX_WAITING_LINES || waitingLineBytes > 2L * config.maxLineBytes) {
             paused = true;
             stream.hold();
         }
@@ -227,13 +232,13 @@
 
     /** Reads one line at a time: its effects are in place before the next line is checked. */
     private void readNext() {
-        if (lineInProgress || waiting.isEmpty()) {
+        if (lineInProgress || waitingLines.isEmpty()) {
             return;
         }
         lineInProgress = true;
-        byte[] text = waiting.poll();
-        waitingBytes -= text.length;
-        if (paused && waiting.size() < MAX_WAITING_LINES / 2 && waitingBytes <= config.mostLine) {
+        byte[] text = waitingLines.poll();
+        waitingLineBytes -= text.length;
+        if (paused && waitingLines.size() < MAX_WAITING_LINES / 2 && waitingLineBytes <= config.maxLineBytes) {
             paused = false;
             stream.resume();
         }
@@ -258,14 +263,14 @@
         }
     }
 
-    private void done() {
+    private void finishLine() {
         lineInProgress = false;
         readNext();
     }
 
     private void handle(int streamGeneration, Message message) {
         if (streamGeneration != generation || !isUp) {
-            done();
+            finishLine();
             return;
         }
         if (message == null) {
@@ -273,16 +278,16 @@
             counters.add("config.garbled");
             stream.close();
             over("a line that is no JSON object");
-            done();
+            finishLine();
             return;
         }
         if (message.type.equals(GROUP)) {
-            readGroup(message.all);
-            done();
+            readGroup(message.json);
+            finishLine();
             return;
         }
-        TypeRun run = types.get(message.type);
-        if (run == null) {
+        TypeState state = types.get(message.type);
+        if (state == null) {
             String refusal = rejectedTypes.get(message.type);
             nack(
                     null,
@@ -292,96 +297,96 @@
                     refusal != null
                             ? refusal
                             : "this type is not taken here; taken are " + String.join(", ", types.keySet()));
-            done();
+            finishLine();
             return;
         }
         // Only a message of a known type shows that the service works: it resets the backoff.
         failures = 0;
-        run.nonce = message.nonce;
+        state.nonce = message.nonce;
         Version offered;
         Version from;
         try {
             offered = Version.parse(message.version);
             from = message.from == null ? null : Version.parse(message.from);
         } catch (IllegalArgumentException e) {
-            nack(run, INVALID_ARGUMENT, "version_info: " + e.getMessage());
-            done();
+            nack(state, INVALID_ARGUMENT, "version_info: " + e.getMessage());
+            finishLine();
             return;
         }
-        Reply reply = from == null ? run.track.classifyFull(offered) : run.track.classifyDelta(from, offered);
-        String heldBack = reply.kind() == Kind.CHECK ? heldBack(message.all) : null;
+        Reply reply = from == null ? state.track.classifyFull(offered) : state.track.classifyDelta(from, offered);
+        String heldBack = reply.kind() == Kind.CHECK ? heldBack(message.json) : null;
         if (reply.isAck()) {
-            ack(run, offered);
+            ack(state, offered);
         } else if (reply.kind() == Kind.FULL_STATE_NEEDED) {
-            requestFullState(run, reply.reason());
+            requestFullState(state, reply.reason());
         } else if (reply.kind() != Kind.CHECK || heldBack != null) {
-            nack(run, FAILED_PRECONDITION, heldBack != null ? heldBack : reply.reason());
+            nack(state, FAILED_PRECONDITION, heldBack != null ? heldBack : reply.reason());
         } else {
-            check(streamGeneration, run, offered, message);
+            check(streamGeneration, state, offered, message);
             return;
         }
-        done();
+        finishLine();
     }
 
     /** Returns why the rollout does not include this scheduler yet, or null if it does. */
     private String heldBack(JsonObject message) {
-        JsonElement given = message.get("rollout");
-        if (given == null || !given.isJsonObject()) {
+        JsonElement element = message.get("rollout");
+        if (element == null || !element.isJsonObject()) {
             return null;
         }
-        JsonObject rollout = given.getAsJsonObject();
+        JsonObject rollout = element.getAsJsonObject();
         double share = Message.number(rollout, "share", 1);
-        double place = Rollout.position(name, (long) Message.number(rollout, "seed", 0));
-        return place < share ? null : "held back: " + name + " stands at " + place + ", the share is " + share;
+        double position = Rollout.position(name, (long) Message.number(rollout, "seed", 0));
+        return position < share ? null : "held back: " + name + " stands at " + position + ", the share is " + share;
     }
 
-    private void check(int streamGeneration, TypeRun run, Version offered, Message message) {
-        JsonArray runs = run.running;
+    private void check(int streamGeneration, TypeState state, Version offered, Message message) {
+        JsonArray running = state.running;
         reading.execute(() -> {
             List<String> findings = new ArrayList<>();
             JsonArray resources = null;
             ResourceType.ParsedResources read = null;
             try {
-                resources = message.resources(runs, findings);
+                resources = message.resources(running, findings);
                 String digest = findings.isEmpty() ? Message.digestFinding(offered.digest(), resources) : null;
                 if (digest != null) {
                     findings.add(digest);
                 }
-                read = findings.isEmpty() ? run.type.read(resources) : null;
+                read = findings.isEmpty() ? state.type.read(resources) : null;
                 findings.addAll(read == null ? List.of() : read.findings);
             } catch (RuntimeException | StackOverflowError e) {
                 // A fault of a reader must still produce a reply: without one, all later lines would wait.
-                LOG.error("a {} resource could not be read", run.type.name(), e);
+                LOG.error("a {} resource could not be read", state.type.name(), e);
                 findings.add("resources: can't be read: " + e);
             }
-            JsonArray whole = resources;
-            ResourceType.ParsedResources sound = read;
-            runOnLoop(() -> checked(streamGeneration, run, offered, whole, sound, findings));
+            JsonArray fullState = resources;
+            ResourceType.ParsedResources parsed = read;
+            runOnLoop(() -> onChecked(streamGeneration, state, offered, fullState, parsed, findings));
         });
     }
 
-    private void checked(
+    private void onChecked(
             int streamGeneration,
-            TypeRun run,
+            TypeState state,
             Version offered,
             JsonArray resources,
             ResourceType.ParsedResources read,
             List<String> findings) {
         if (findings.isEmpty()) {
-            steps(read::prepare, () -> conclude(streamGeneration, run, offered, resources, read, findings));
+            runSteps(read::prepare, () -> conclude(streamGeneration, state, offered, resources, read, findings));
         } else {
-            conclude(streamGeneration, run, offered, resources, read, findings);
+            conclude(streamGeneration, state, offered, resources, read, findings);
         }
     }
 
     /** Runs one step per turn, with I/O in between, until one returns false: a large set must not block the loop. */
-    private void steps(BooleanSupplier step, Runnable then) {
-        long began = System.nanoTime();
-        long ran = CPU.getCurrentThreadCpuTime();
+    private void runSteps(BooleanSupplier step, Runnable then) {
+        long startNs = System.nanoTime();
+        long startCpuNs = CPU.getCurrentThreadCpuTime();
         boolean more = step.getAsBoolean();
-        recordMax("config.step_most_us", (System.nanoTime() - began) / 1000);
-        recordMax("config.step_cpu_most_us", (CPU.getCurrentThreadCpuTime() - ran) / 1000);
-        loop.deadlines().at(loop.micros() + STEP_INTERVAL_US, more ? () -> steps(step, then) : then);
+        recordMax("config.step_most_us", (System.nanoTime() - startNs) / 1000);
+        recordMax("config.step_cpu_most_us", (CPU.getCurrentThreadCpuTime() - startCpuNs) / 1000);
+        loop.deadlines().at(loop.micros() + STEP_INTERVAL_US, more ? () -> runSteps(step, then) : then);
     }
 
     private void recordMax(String name, long value) {
@@ -390,7 +395,7 @@
 
     private void conclude(
             int streamGeneration,
-            TypeRun run,
+            TypeState state,
             Version offered,
             JsonArray resources,
             ResourceType.ParsedResources read,
@@ -398,45 +403,46 @@
         // The stream may have ended, or the running version been rolled back, in the meantime.
         if (streamGeneration == generation
                 && isUp
-                && run.track.classifyFull(offered).kind() == Kind.CHECK) {
+                && state.track.classifyFull(offered).kind() == Kind.CHECK) {
             if (findings.isEmpty()) {
-                adopt(run, offered, resources, read);
-                ack(run, offered);
+                adopt(state, offered, resources, read);
+                ack(state, offered);
                 // Clean-up finishes before the next line is read, since it belongs to this version alone.
-                steps(read::cleanUp, this::done);
+                runSteps(read::cleanUp, this::finishLine);
                 return;
             } else {
                 String reason = String.join("\n", findings);
-                run.track.refuse(offered, reason);
-                history.add(run.type.url(), offered.toString(), "refused", streamAddress, reason);
-                nack(run, INVALID_ARGUMENT, reason);
+                state.track.refuse(offered, reason);
+                history.add(state.type.url(), offered.toString(), "refused", streamAddress, reason);
+                nack(state, INVALID_ARGUMENT, reason);
             }
         } else if (streamGeneration == generation && isUp) {
-            nack(run, FAILED_PRECONDITION, run.track.classifyFull(offered).reason());
+            nack(state, FAILED_PRECONDITION, state.track.classifyFull(offered).reason());
         }
-        done();
+        finishLine();
     }
 
     // ---- adoption and rollback ----
 
     /** Adopts the version within this turn: later requests see the new state, open ones continue. */
-    private void adopt(TypeRun run, Version offered, JsonArray resources, ResourceType.ParsedResources read) {
-        long began = System.nanoTime();
-        long ran = CPU.getCurrentThreadCpuTime();
-        boolean first = !run.hasGood();
-        run.adopt(offered, resources, read, streamAddress, wall.getAsLong());
-        long took = (System.nanoTime() - began) / 1000;
-        adoptions.recordValue(took);
+    private void adopt(TypeState state, Version offered, JsonArray resources, ResourceType.ParsedResources read) {
+        long startNs = System.nanoTime();
+        long startCpuNs = CPU.getCurrentThreadCpuTime();
+        boolean first = !state.hasGood();
+        state.adopt(offered, resources, read, streamAddress, wall.getAsLong());
+        long tookMicros = (System.nanoTime() - startNs) / 1000;
+        adoptions.recordValue(tookMicros);
         counters.set("config.adopt_p99_us", adoptions.getValueAtPercentile(99));
         counters.set("config.adopt_most_us", adoptions.getMaxValue());
-        recordMax("config.adopt_cpu_most_us", (CPU.getCurrentThreadCpuTime() - ran) / 1000);
+        recordMax("config.adopt_cpu_most_us", (CPU.getCurrentThreadCpuTime() - startCpuNs) / 1000);
         counters.add("config.adopted");
-        history.add(run.type.url(), offered.toString(), "adopted", streamAddress, String.join(";", run.needRestart));
+        history.add(
+                state.type.url(), offered.toString(), "adopted", streamAddress, String.join(";", state.needRestart));
         startEpoch();
-        if (config.probation > 0 && !first) {
+        if (config.trialMicros > 0 && !first) {
             trial.versionAdopted(loop.micros(), scheduler.countsByClass(), group);
         } else {
-            run.settle();
+            state.settle();
         }
     }
 
@@ -447,9 +453,10 @@
         if (running && finding.verdict() == Verdict.TAKE_BACK) {
             takeBack(finding.figures());
         } else if (running && finding.verdict() == Verdict.KEEP) {
-            types.values().stream().filter(run -> run.track.isOnTrial()).forEach(run -> {
-                run.settle();
-                history.add(run.type.url(), run.track.running().toString(), "settled", run.from, finding.figures());
+            types.values().stream().filter(state -> state.track.isOnTrial()).forEach(state -> {
+                state.settle();
+                history.add(
+                        state.type.url(), state.track.running().toString(), "settled", state.source, finding.figures());
             });
         }
         loop.deadlines().set(trialTimer, trial.nextEvaluation(now));
@@ -457,15 +464,15 @@
 
     /** Rolls back every version on trial, since it is unknown which of them degraded service. */
     private void takeBack(String figures) {
-        for (TypeRun run : types.values()) {
-            if (!run.track.isOnTrial()) {
+        for (TypeState state : types.values()) {
+            if (!state.track.isOnTrial()) {
                 continue;
             }
-            Version broken = run.track.running();
-            run.takeBack(figures);
+            Version broken = state.track.running();
+            state.takeBack(figures);
             counters.add("config.taken_back");
-            history.add(run.type.url(), broken.toString(), "taken_back", run.from, figures);
-            nack(run, FAILED_PRECONDITION, "version " + broken + " was taken back: " + figures);
+            history.add(state.type.url(), broken.toString(), "taken_back", state.source, figures);
+            nack(state, FAILED_PRECONDITION, "version " + broken + " was taken back: " + figures);
         }
         startEpoch();
     }
@@ -478,32 +485,32 @@
             counters.add("config.bad_group");
             return;
         }
-        long[][] given = new long[classNames.length][COUNT_KEYS.length];
+        long[][] counts = new long[classNames.length][COUNT_KEYS.length];
         for (int i = 0; i < classNames.length; i++) {
-            JsonElement one = classes.getAsJsonObject().get(classNames[i]);
-            for (int k = 0; k < COUNT_KEYS.length && one != null && one.isJsonObject(); k++) {
-                given[i][k] = (long) Message.number(one.getAsJsonObject(), COUNT_KEYS[k], 0);
+            JsonElement row = classes.getAsJsonObject().get(classNames[i]);
+            for (int k = 0; k < COUNT_KEYS.length && row != null && row.isJsonObject(); k++) {
+                counts[i][k] = (long) Message.number(row.getAsJsonObject(), COUNT_KEYS[k], 0);
             }
         }
-        group = given;
+        group = counts;
     }
 
     private void sendFigures() {
         if (isUp) {
             JsonObject classes = new JsonObject();
             for (int i = 0; i < classNames.length; i++) {
-                JsonObject one = new JsonObject();
+                JsonObject row = new JsonObject();
                 for (int k = 0; k < COUNT_KEYS.length; k++) {
-                    one.addProperty(COUNT_KEYS[k], scheduler.countsByClass()[i][k]);
+                    row.addProperty(COUNT_KEYS[k], scheduler.countsByClass()[i][k]);
                 }
-                classes.add(classNames[i], one);
+                classes.add(classNames[i], row);
             }
             JsonObject message = node();
             message.addProperty("type_url", FIGURES);
             message.add("classes", classes);
             stream.send(message.toString());
         }
-        loop.deadlines().set(figuresTimer, loop.micros() + config.figures);
+        loop.deadlines().set(figuresTimer, loop.micros() + config.figuresMicros);
     }
 
     // ---- messages ----
@@ -516,48 +523,48 @@
         return request;
     }
 
-    private JsonObject request(TypeRun run) {
+    private JsonObject request(TypeState state) {
         JsonObject request = node();
-        Version runs = run.track.running();
-        request.addProperty("type_url", run.type.url());
+        Version runs = state.track.running();
+        request.addProperty("type_url", state.type.url());
         request.addProperty("version_info", runs.equals(Version.NONE) ? "" : runs.toString());
-        request.addProperty("response_nonce", run.nonce);
+        request.addProperty("response_nonce", state.nonce);
         return request;
     }
 
-    private void ack(TypeRun run, Version offered) {
+    private void ack(TypeState state, Version offered) {
         counters.add("config.acked");
-        JsonObject request = request(run);
-        if (!run.needRestart.isEmpty()) {
-            // An extension to xDS: without it the service would take all of the version to be in effect.
-            request.add("restart_needed", TypeRun.toJson(run.needRestart));
+        JsonObject request = request(state);
+        if (!state.needRestart.isEmpty()) {
+            // An extension to xDS: without it the service would assume that the whole version is in effect.
+            request.add("restart_needed", TypeState.toJson(state.needRestart));
         }
         stream.send(request.toString());
     }
 
-    private void requestFullState(TypeRun run, String reason) {
+    private void requestFullState(TypeState state, String reason) {
         counters.add("config.nacked");
-        JsonObject request = request(run);
-        JsonArray all = new JsonArray();
-        all.add("*");
-        request.add("resource_names_subscribe", all);
+        JsonObject request = request(state);
+        JsonArray names = new JsonArray();
+        names.add("*");
+        request.add("resource_names_subscribe", names);
         request.add("error_detail", detail(FAILED_PRECONDITION, reason));
         stream.send(request.toString());
     }
 
-    private void nack(TypeRun run, int code, String reason) {
-        nack(run, run.type.url(), run.nonce, code, reason);
+    private void nack(TypeState state, int code, String reason) {
+        nack(state, state.type.url(), state.nonce, code, reason);
     }
 
-    private void nack(TypeRun run, String url, String nonce, int code, String reason) {
+    private void nack(TypeState state, String url, String nonce, int code, String reason) {
         if (!isUp) {
             // The next stream starts with the running versions.
             return;
         }
         counters.add("config.nacked");
-        JsonObject request = run == null ? node() : request(run);
+        JsonObject request = state == null ? node() : request(state);
         request.addProperty("type_url", url);
-        if (run == null) {
+        if (state == null) {
             request.addProperty("version_info", "");
         }
         request.addProperty("response_nonce", nonce);
@@ -581,16 +588,16 @@
         if (!config.tellVersions) {
             return;
         }
-        StringBuilder all = new StringBuilder();
-        types.values().forEach(run -> {
-            if (!run.track.running().equals(Version.NONE)) {
-                all.append(all.isEmpty() ? "" : " ")
-                        .append(run.type.name())
+        StringBuilder header = new StringBuilder();
+        types.values().forEach(state -> {
+            if (!state.track.running().equals(Version.NONE)) {
+                header.append(header.isEmpty() ? "" : " ")
+                        .append(state.type.name())
                         .append('=')
-                        .append(run.track.running());
+                        .append(state.track.running());
             }
         });
-        versionHeaders.put(epoch, all.toString());
+        versionHeaders.put(epoch, header.toString());
         if (versionHeaders.size() > MAX_VERSION_HEADERS) {
             versionHeaders.remove(versionHeaders.keySet().iterator().next());
         }
@@ -603,13 +610,13 @@
 
     /** Returns the running versions as JSON. */
     public String report() {
-        JsonObject all = new JsonObject();
-        all.addProperty("scheduler", name);
-        all.addProperty("stream", isUp ? streamAddress : "");
-        JsonObject each = new JsonObject();
-        types.forEach((url, run) -> each.add(url, run.report()));
-        all.add("types", each);
-        return all + "\n";
+        JsonObject report = new JsonObject();
+        report.addProperty("scheduler", name);
+        report.addProperty("stream", isUp ? streamAddress : "");
+        JsonObject typeReports = new JsonObject();
+        types.forEach((url, state) -> typeReports.add(url, state.report()));
+        report.add("types", typeReports);
+        return report + "\n";
     }
 
     /** Returns the latest version changes as JSON. */
--- a/src/main/java/laneflow/control/ControlConfig.java
+++ b/src/main/java/laneflow/control/ControlConfig.java
@@ -18,20 +18,20 @@
     /** Address ranges allowed for endpoints. */
     public final List<AddressRange> allowed = new ArrayList<>();
     /** Microseconds without input after which a stream is closed. */
-    public final long silence;
+    public final long silenceMicros;
 
-    public final long longestBackoff;
-    public final long probation;
+    public final long maxBackoffMicros;
+    public final long trialMicros;
     /** Increase of the share of failed or refused requests that causes a rollback. */
-    public final double bound;
+    public final double maxWorsening;
 
-    public final int mostLine;
+    public final int maxLineBytes;
     /** Address for operators' queries, or null to answer them on the clients' port. */
     public final String listen;
     /** Whether answers to clients carry the versions that applied to their requests. */
     public final boolean tellVersions;
     /** Microseconds between two reports of this scheduler's counts to the service; 0 disables them. */
-    public final long figures;
+    public final long figuresMicros;
 
     private ControlConfig(Table from) {
         addresses = from.texts("addresses");
@@ -57,11 +57,11 @@
                 from.addFinding("allowed_endpoints", e.getMessage());
             }
         }
-        silence = from.integer("silence_ms", 10_000, 50, 3_600_000) * 1000;
-        longestBackoff = from.integer("longest_backoff_ms", 10_000, 10, 3_600_000) * 1000;
-        probation = from.integer("probation_ms", 30_000, 0, 3_600_000) * 1000;
-        bound = from.number("worse_by", 0.02, 0.001, 1);
-        mostLine = (int) from.integer("most_line_kib", 8192, 1, 65_536) * 1024;
+        silenceMicros = from.integer("silence_ms", 10_000, 50, 3_600_000) * 1000;
+        maxBackoffMicros = from.integer("longest_backoff_ms", 10_000, 10, 3_600_000) * 1000;
+        trialMicros = from.integer("probation_ms", 30_000, 0, 3_600_000) * 1000;
+        maxWorsening = from.number("worse_by", 0.02, 0.001, 1);
+        maxLineBytes = (int) from.integer("most_line_kib", 8192, 1, 65_536) * 1024;
         listen = from.text("listen", null);
         try {
             if (listen != null) {
@@ -71,7 +71,7 @@
             from.addFinding("listen", e.getMessage());
         }
         tellVersions = from.flag("tell_versions", false);
-        figures = from.integer("figures_ms", 1000, 0, 3_600_000) * 1000;
+        figuresMicros = from.integer("figures_ms", 1000, 0, 3_600_000) * 1000;
         from.close();
     }
 
--- a/src/main/java/laneflow/control/DestinationType.java
+++ b/src/main/java/laneflow/control/DestinationType.java
@@ -27,26 +27,30 @@
         StagedUpdate replacement(List<Entry> entries, Set<String> named);
     }
 
-    private final Form form = new Form("destinations");
+    private final ResourceSchema schema = new ResourceSchema("destinations");
     private final List<String> zones;
     private final List<String> classes;
     private final List<AddressRange> allowed;
-    private final boolean othersRun;
+    private final boolean runsElsewhere;
     private final Adopter adopter;
 
     /**
      * Creates the type for these zones and classes.
      *
      * @param allowed address ranges allowed for endpoints
-     * @param othersRun whether classes may also run outside the sets, as on Gearman workers
+     * @param runsElsewhere whether classes may also run outside the sets, as on Gearman workers
      * @param adopter applies a valid set, on the loop's thread
      */
     public DestinationType(
-            List<String> zones, List<String> classes, List<AddressRange> allowed, boolean othersRun, Adopter adopter) {
+            List<String> zones,
+            List<String> classes,
+            List<AddressRange> allowed,
+            boolean runsElsewhere,
+            Adopter adopter) {
         this.zones = zones;
         this.classes = classes;
         this.allowed = allowed;
-        this.othersRun = othersRun;
+        this.runsElsewhere = runsElsewhere;
         this.adopter = adopter;
     }
 
@@ -62,10 +66,10 @@
 
     @Override
     public ParsedResources read(JsonArray resources) {
-        List<String> findings = form.findings(resources);
+        List<String> findings = schema.findings(resources);
         List<Entry> entries = new ArrayList<>();
         if (findings.isEmpty()) {
-            for (int i = 0; i < resources.size() && findings.size() < Form.MAX_FINDINGS; i++) {
+            for (int i = 0; i < resources.size() && findings.size() < ResourceSchema.MAX_FINDINGS; i++) {
                 entries.add(entry(resources.get(i).getAsJsonObject(), "resources[" + i + "]", findings));
             }
         }
@@ -120,11 +124,11 @@
         if (from.has("classes")) {
             entry.classes = 0;
             for (JsonElement name : from.getAsJsonArray("classes")) {
-                int at = classes.indexOf(name.getAsString());
-                if (at < 0) {
+                int index = classes.indexOf(name.getAsString());
+                if (index < 0) {
                     findings.add(path + ".classes: " + name + " is none of " + classes);
                 } else {
-                    entry.classes |= 1L << at;
+                    entry.classes |= 1L << index;
                 }
             }
         }
@@ -147,17 +151,17 @@
     /** Rejects sets that match the schema but would leave a zone or a class without a live endpoint. */
     private void checkCoverage(List<Entry> entries, List<String> findings) {
         for (int zone = 0; zone < Math.max(1, zones.size()); zone++) {
-            int at = zone;
-            List<Entry> here =
-                    entries.stream().filter(entry -> entry.zone == at).toList();
+            int zoneIndex = zone;
+            List<Entry> zoneEntries =
+                    entries.stream().filter(entry -> entry.zone == zoneIndex).toList();
             String name = zones.isEmpty() ? "any zone" : "zone " + zones.get(zone);
-            if (here.stream().noneMatch(entry -> entry.state == State.READY)) {
+            if (zoneEntries.stream().noneMatch(entry -> entry.state == State.READY)) {
                 findings.add("resources: no live endpoint in " + name);
-            } else if (here.stream().noneMatch(entry -> entry.state == State.READY && entry.weight > 0)) {
+            } else if (zoneEntries.stream().noneMatch(entry -> entry.state == State.READY && entry.weight > 0)) {
                 findings.add("resources: all weights of live endpoints in " + name + " are 0");
             }
         }
-        for (int i = 0; i < classes.size() && !othersRun && findings.isEmpty(); i++) {
+        for (int i = 0; i < classes.size() && !runsElsewhere && findings.isEmpty(); i++) {
             long bit = 1L << i;
             if (entries.stream().noneMatch(entry -> entry.state == State.READY && (entry.classes & bit) != 0)) {
                 findings.add("resources: no live endpoint runs class " + classes.get(i));
--- a/src/main/java/laneflow/control/History.java
+++ b/src/main/java/laneflow/control/History.java
@@ -77,8 +77,8 @@
 
     /** Returns the latest changes as JSON, the oldest first. */
     String report() {
-        JsonArray all = new JsonArray();
-        recent.forEach(all::add);
-        return all + "\n";
+        JsonArray changes = new JsonArray();
+        recent.forEach(changes::add);
+        return changes + "\n";
     }
 }
--- a/src/main/java/laneflow/control/LastGood.java
+++ b/src/main/java/laneflow/control/LastGood.java
@@ -48,13 +48,13 @@
     }
 
     /** Replaces the file's content, which is on disk when this returns. */
-    public void write(SavedVersion kept) throws IOException {
-        JsonObject all = new JsonObject();
-        all.addProperty("type", kept.type());
-        all.addProperty("version", kept.version().toString());
-        all.addProperty("adopted_ms", kept.adoptedMs());
-        all.add("resources", kept.resources());
-        byte[] body = all.toString().getBytes(StandardCharsets.UTF_8);
+    public void write(SavedVersion saved) throws IOException {
+        JsonObject json = new JsonObject();
+        json.addProperty("type", saved.type());
+        json.addProperty("version", saved.version().toString());
+        json.addProperty("adopted_ms", saved.adoptedMs());
+        json.add("resources", saved.resources());
+        byte[] body = json.toString().getBytes(StandardCharsets.UTF_8);
         byte[] header = (MAGIC + " " + FORMAT + " " + checksum(body) + " " + body.length + "\n")
                 .getBytes(StandardCharsets.US_ASCII);
         try (FileChannel out = FileChannel.open(
@@ -80,30 +80,30 @@
     }
 
     /** Parses the content of a file; the name is used in messages. */
-    static SavedVersion parse(byte[] all, String file) throws Unusable {
+    static SavedVersion parse(byte[] content, String file) throws Unusable {
         int end = 0;
-        while (end < all.length && all[end] != '\n') {
+        while (end < content.length && content[end] != '\n') {
             end++;
         }
-        String[] header = new String(all, 0, end, StandardCharsets.US_ASCII).split(" ");
+        String[] header = new String(content, 0, end, StandardCharsets.US_ASCII).split(" ");
         if (header.length != 4 || !header[0].equals(MAGIC)) {
             throw new Unusable(file + ": is no file of a last good version");
         }
         if (!header[1].equals(String.valueOf(FORMAT))) {
             throw new Unusable(file + ": has format " + header[1] + ", this build reads " + FORMAT);
         }
-        byte[] body = java.util.Arrays.copyOfRange(all, Math.min(all.length, end + 1), all.length);
+        byte[] body = java.util.Arrays.copyOfRange(content, Math.min(content.length, end + 1), content.length);
         if (!header[3].equals(String.valueOf(body.length)) || !header[2].equals(checksum(body))) {
             throw new Unusable(file + ": is damaged, its content is not what was written");
         }
         try {
-            JsonObject from = JsonParser.parseString(new String(body, StandardCharsets.UTF_8))
+            JsonObject json = JsonParser.parseString(new String(body, StandardCharsets.UTF_8))
                     .getAsJsonObject();
             return new SavedVersion(
-                    from.get("type").getAsString(),
-                    Version.parse(from.get("version").getAsString()),
-                    from.get("adopted_ms").getAsLong(),
-                    from.getAsJsonObject("resources"));
+                    json.get("type").getAsString(),
+                    Version.parse(json.get("version").getAsString()),
+                    json.get("adopted_ms").getAsLong(),
+                    json.getAsJsonObject("resources"));
         } catch (JsonParseException | IllegalStateException | NullPointerException | IllegalArgumentException e) {
             throw new Unusable(file + ": can't be read: " + e.getMessage());
         }
--- a/src/main/java/laneflow/control/Message.java
+++ b/src/main/java/laneflow/control/Message.java
@@ -26,15 +26,15 @@
     /** The version that a delta is based on; null for a full state. */
     final String from;
 
-    final JsonObject all;
+    final JsonObject json;
 
-    private Message(JsonObject all) {
-        this.all = all;
-        type = text(all, "type_url");
-        nonce = text(all, "nonce");
-        boolean isDelta = all.has("system_version_info");
-        version = text(all, isDelta ? "system_version_info" : "version_info");
-        from = isDelta ? text(all, "from_version") : null;
+    private Message(JsonObject json) {
+        this.json = json;
+        type = text(json, "type_url");
+        nonce = text(json, "nonce");
+        boolean isDelta = json.has("system_version_info");
+        version = text(json, isDelta ? "system_version_info" : "version_info");
+        from = isDelta ? text(json, "from_version") : null;
     }
 
     /** Parses a line; throws JsonParseException if it is not a JSON object. */
@@ -49,37 +49,37 @@
     /**
      * Returns the full state that results from the message.
      *
-     * @param runs the running resources, to which a delta is applied; null if there are none
+     * @param running the running resources, to which a delta is applied; null if there are none
      * @param findings receives the errors in the message's structure, each with its path
      */
-    JsonArray resources(JsonArray runs, List<String> findings) {
-        JsonElement given = all.get("resources");
+    JsonArray resources(JsonArray running, List<String> findings) {
+        JsonElement listed = json.get("resources");
         if (from == null) {
-            if (given == null || !given.isJsonArray()) {
+            if (listed == null || !listed.isJsonArray()) {
                 findings.add("resources: must be a list");
                 return null;
             }
-            return given.getAsJsonArray();
+            return listed.getAsJsonArray();
         }
         Map<String, JsonElement> byName = new LinkedHashMap<>();
-        for (JsonElement one : runs == null ? new JsonArray() : runs) {
-            byName.put(one.getAsJsonObject().get("name").getAsString(), one);
+        for (JsonElement resource : running == null ? new JsonArray() : running) {
+            byName.put(resource.getAsJsonObject().get("name").getAsString(), resource);
         }
         applyRemovals(byName, findings);
-        if (given != null && !given.isJsonArray()) {
+        if (listed != null && !listed.isJsonArray()) {
             findings.add("resources: must be a list");
-        } else if (given != null) {
-            for (int i = 0; i < given.getAsJsonArray().size(); i++) {
-                put(given.getAsJsonArray().get(i), "resources[" + i + "]", byName, findings);
+        } else if (listed != null) {
+            for (int i = 0; i < listed.getAsJsonArray().size(); i++) {
+                put(listed.getAsJsonArray().get(i), "resources[" + i + "]", byName, findings);
             }
         }
-        JsonArray whole = new JsonArray();
-        byName.values().forEach(whole::add);
-        return whole;
+        JsonArray fullState = new JsonArray();
+        byName.values().forEach(fullState::add);
+        return fullState;
     }
 
     private void applyRemovals(Map<String, JsonElement> byName, List<String> findings) {
-        JsonElement removed = all.get("removed_resources");
+        JsonElement removed = json.get("removed_resources");
         if (removed != null && !removed.isJsonArray()) {
             findings.add("removed_resources: must be a list of names");
         } else if (removed != null) {
@@ -91,15 +91,16 @@
         }
     }
 
-    private static void put(JsonElement given, String path, Map<String, JsonElement> byName, List<String> findings) {
-        JsonElement resource = given.isJsonObject() ? given.getAsJsonObject().get("resource") : null;
+    private static void put(JsonElement element, String path, Map<String, JsonElement> byName, List<String> findings) {
+        JsonElement resource =
+                element.isJsonObject() ? element.getAsJsonObject().get("resource") : null;
         JsonElement name = resource != null && resource.isJsonObject()
                 ? resource.getAsJsonObject().get("name")
                 : null;
         if (name == null || !name.isJsonPrimitive()) {
             findings.add(path + ".resource: must be an object with a name");
-        } else if (given.getAsJsonObject().has("name")
-                && !text(given.getAsJsonObject(), "name").equals(name.getAsString())) {
+        } else if (element.getAsJsonObject().has("name")
+                && !text(element.getAsJsonObject(), "name").equals(name.getAsString())) {
             findings.add(path + ".name: is not its resource's name");
         } else {
             byName.put(name.getAsString(), resource);
@@ -123,11 +124,11 @@
      * space, numbers in their original notation.
      */
     public static String digest(JsonArray resources) {
-        List<JsonElement> all = new ArrayList<>();
-        resources.forEach(all::add);
-        all.sort((a, b) -> nameOf(a).compareTo(nameOf(b)));
+        List<JsonElement> ordered = new ArrayList<>();
+        resources.forEach(ordered::add);
+        ordered.sort((a, b) -> nameOf(a).compareTo(nameOf(b)));
         JsonArray sorted = new JsonArray();
-        all.forEach(sorted::add);
+        ordered.forEach(sorted::add);
         return Canonical.digest(sorted);
     }
 
--- a/src/main/java/laneflow/control/Form.java
+++ b/src/main/java/laneflow/control/ResourceSchema.java
@@ -21,7 +21,7 @@
  * Checks the resources of a message against the type's JSON schema (draft 2020-12), which ships with the
  * program for authors of control services, and that resource names are unique. Not thread-safe.
  */
-final class Form {
+final class ResourceSchema {
     /** Limit for messages with errors throughout. */
     static final int MAX_FINDINGS = 50;
 
@@ -29,8 +29,8 @@
     private final URI schema;
 
     /** Loads the schema of a type. */
-    Form(String type) {
-        try (InputStream in = Form.class.getResourceAsStream(type + ".schema.json")) {
+    ResourceSchema(String type) {
+        try (InputStream in = ResourceSchema.class.getResourceAsStream(type + ".schema.json")) {
             validator = new ValidatorFactory()
                     .withJsonNodeFactory(new GsonNode.Factory())
                     .withDisabledSchemaValidation(true)
@@ -48,10 +48,10 @@
             if (findings.size() >= MAX_FINDINGS) {
                 break;
             }
-            String at = path(error.getInstanceLocation());
+            String path = path(error.getInstanceLocation());
             // An applicator's own error only repeats that a value below it is invalid.
             if (!"items".equals(error.getKeyword()) && !"properties".equals(error.getKeyword())) {
-                findings.add(at + ": " + describe(error, value(resources, error.getInstanceLocation())));
+                findings.add(path + ": " + describe(error, value(resources, error.getInstanceLocation())));
             }
         }
         checkUniqueNames(resources, findings);
@@ -69,8 +69,9 @@
     private static void checkUniqueNames(JsonArray resources, List<String> findings) {
         Map<String, Integer> seen = new HashMap<>();
         for (int i = 0; i < resources.size() && findings.size() < MAX_FINDINGS; i++) {
-            JsonElement one = resources.get(i);
-            JsonElement name = one.isJsonObject() ? one.getAsJsonObject().get("name") : null;
+            JsonElement resource = resources.get(i);
+            JsonElement name =
+                    resource.isJsonObject() ? resource.getAsJsonObject().get("name") : null;
             if (name != null && name.isJsonPrimitive()) {
                 Integer before = seen.putIfAbsent(name.getAsString(), i);
                 if (before != null) {
@@ -95,18 +96,18 @@
     }
 
     private static JsonElement value(JsonArray resources, String pointer) {
-        JsonElement at = resources;
+        JsonElement current = resources;
         for (String part : pointer.split("/")) {
-            if (part.isEmpty() || at == null) {
+            if (part.isEmpty() || current == null) {
                 continue;
             }
             String key = part.replace("~1", "/").replace("~0", "~");
-            at = at.isJsonArray()
+            current = current.isJsonArray()
                             && key.matches("[0-9]{1,9}")
-                            && Integer.parseInt(key) < at.getAsJsonArray().size()
-                    ? at.getAsJsonArray().get(Integer.parseInt(key))
-                    : at.isJsonObject() ? ((JsonObject) at).get(key) : null;
+                            && Integer.parseInt(key) < current.getAsJsonArray().size()
+                    ? current.getAsJsonArray().get(Integer.parseInt(key))
+                    : current.isJsonObject() ? ((JsonObject) current).get(key) : null;
         }
-        return at;
+        return current;
     }
 }
--- a/src/main/java/laneflow/control/SettingTypes.java
+++ b/src/main/java/laneflow/control/SettingTypes.java
@@ -37,14 +37,14 @@
     /** A type read by a function; a resource is rejected if the function adds findings. */
     private static final class Setting implements ResourceType {
         private final String name;
-        private final Form form;
-        private final BiFunction<JsonArray, List<String>, Adopting> reader;
-        private final Adopting base;
+        private final ResourceSchema schema;
+        private final BiFunction<JsonArray, List<String>, Adoption> reader;
+        private final Adoption initial;
 
-        Setting(String name, Adopting base, BiFunction<JsonArray, List<String>, Adopting> reader) {
-            this.base = base;
+        Setting(String name, Adoption initial, BiFunction<JsonArray, List<String>, Adoption> reader) {
+            this.initial = initial;
             this.name = name;
-            this.form = new Form(name);
+            this.schema = new ResourceSchema(name);
             this.reader = reader;
         }
 
@@ -53,30 +53,30 @@
             return name;
         }
 
-        private static ParsedResources reading(List<String> findings, int count, Adopting adopting) {
+        private static ParsedResources reading(List<String> findings, int count, Adoption adoption) {
             return new ParsedResources(findings, count) {
                 @Override
                 public List<String> adopt() {
-                    return adopting.run();
+                    return adoption.run();
                 }
             };
         }
 
         @Override
         public ParsedResources initial() {
-            return reading(List.of(), 0, base);
+            return reading(List.of(), 0, initial);
         }
 
         @Override
         public ParsedResources read(JsonArray resources) {
-            List<String> findings = form.findings(resources);
-            Adopting adopting = findings.isEmpty() ? reader.apply(resources, findings) : null;
-            return reading(findings, resources.size(), adopting);
+            List<String> findings = schema.findings(resources);
+            Adoption adoption = findings.isEmpty() ? reader.apply(resources, findings) : null;
+            return reading(findings, resources.size(), adoption);
         }
     }
 
     /** Adopts the settings and returns what needs a restart. */
-    private interface Adopting {
+    private interface Adoption {
         List<String> run();
     }
 
@@ -87,26 +87,26 @@
      * @param settings the running settings, whose classes are replaced on the loop's thread
      */
     public static ResourceType classes(Settings settings, List<String> names) {
-        JobClass[] first = settings.classes.clone();
-        Adopting base = () -> {
-            System.arraycopy(first, 0, settings.classes, 0, first.length);
+        JobClass[] initialClasses = settings.classes.clone();
+        Adoption initial = () -> {
+            System.arraycopy(initialClasses, 0, settings.classes, 0, initialClasses.length);
             return List.of();
         };
-        return new Setting("classes", base, (resources, errors) -> {
+        return new Setting("classes", initial, (resources, errors) -> {
             Findings findings = Findings.paths();
             JsonArray classes = new JsonArray();
             JsonArray stretches = new JsonArray();
             List<String> named = new ArrayList<>();
             for (int i = 0; i < resources.size(); i++) {
-                JsonObject one = resources.get(i).getAsJsonObject().deepCopy();
-                String name = one.remove("name").getAsString();
+                JsonObject resource = resources.get(i).getAsJsonObject().deepCopy();
+                String name = resource.remove("name").getAsString();
                 String path = "resources[" + i + "]";
-                OperatorFile.classOf(name, Table.of(one, path, findings), classes, stretches);
+                OperatorFile.classOf(name, Table.of(resource, path, findings), classes, stretches);
                 named.add(name);
-                int at = names.indexOf(name);
-                boolean never =
-                        !one.has("repeat") || one.get("repeat").getAsString().equals("never");
-                if (at >= 0 && first[at].effect == Effect.UNSAFE && !never) {
+                int index = names.indexOf(name);
+                boolean never = !resource.has("repeat")
+                        || resource.get("repeat").getAsString().equals("never");
+                if (index >= 0 && initialClasses[index].effect == Effect.UNSAFE && !never) {
                     findings.add(
                             path,
                             "repeat",
@@ -122,12 +122,12 @@
             if (!errors.isEmpty()) {
                 return null;
             }
-            JsonObject all = new JsonObject();
-            all.add("classes", classes);
-            all.add("familyInfo", OperatorFile.familyInfo(stretches));
+            JsonObject json = new JsonObject();
+            json.add("classes", classes);
+            json.add("familyInfo", OperatorFile.familyInfo(stretches));
             JobClass[] read;
             try {
-                read = SettingsReader.read(all.toString()).settings.classes;
+                read = SettingsReader.read(json.toString()).settings.classes;
             } catch (WireException e) {
                 errors.add("resources: " + e.getMessage());
                 return null;
@@ -135,11 +135,11 @@
             return () -> {
                 List<String> needRestart = new ArrayList<>();
                 for (int i = 0; i < read.length; i++) {
-                    int at = names.indexOf(named.get(i));
-                    if (at < 0) {
+                    int index = names.indexOf(named.get(i));
+                    if (index < 0) {
                         needRestart.add(named.get(i) + ": is a class from the next start on");
                     } else {
-                        adopt(named.get(i), settings.classes, at, read[i], needRestart);
+                        adopt(named.get(i), settings.classes, index, read[i], needRestart);
                     }
                 }
                 return needRestart;
@@ -147,8 +147,8 @@
         });
     }
 
-    private static void adopt(String name, JobClass[] classes, int at, JobClass to, List<String> needRestart) {
-        JobClass from = classes[at];
+    private static void adopt(String name, JobClass[] classes, int index, JobClass to, List<String> needRestart) {
+        JobClass from = classes[index];
         if (from.effect != to.effect || from.dedupWindow != to.dedupWindow) {
             needRestart.add(name + ": repeat and window_ms from the next start on");
         }
@@ -163,44 +163,45 @@
         next.dedupWindow = from.dedupWindow;
         next.kind = from.kind;
         next.stream = from.stream;
-        classes[at] = next;
+        classes[index] = next;
     }
 
     /** The type of limits: those on retries and refusals change under traffic, the others need a restart. */
-    public static ResourceType limits(Settings settings, Config runs, ProcessLimits ceilings) {
+    public static ResourceType limits(Settings settings, Config config, ProcessLimits processLimits) {
         int maxAttempts = settings.maxAttempts;
         boolean retryAfter = settings.retryAfter;
         double maxRetryAfter = settings.maxRetryAfter;
-        int sockets = runs.sockets;
-        Adopting base = () -> {
+        int sockets = config.sockets;
+        Adoption initial = () -> {
             settings.maxAttempts = maxAttempts;
             settings.retryAfter = retryAfter;
             settings.maxRetryAfter = maxRetryAfter;
             return List.of();
         };
-        return new Setting("limits", base, (resources, errors) -> {
+        return new Setting("limits", initial, (resources, errors) -> {
             Findings findings = Findings.paths();
-            JsonObject one = resources.get(0).getAsJsonObject().deepCopy();
-            one.remove("name");
-            JsonElement listen = one.remove("listen");
+            JsonObject resource = resources.get(0).getAsJsonObject().deepCopy();
+            resource.remove("name");
+            JsonElement listen = resource.remove("listen");
             checkListen(listen, findings);
             JsonObject platform = new JsonObject();
             JsonObject read = new JsonObject();
-            OperatorFile.limits(Table.of(one, "resources[0]", findings), platform, read);
+            OperatorFile.limits(Table.of(resource, "resources[0]", findings), platform, read);
             int newSockets = platform.getAsJsonObject("limits").get("sockets").getAsInt();
-            if (newSockets > ceilings.descriptors()) {
+            if (newSockets > processLimits.descriptors()) {
                 findings.add(
                         "resources[0]",
                         "sockets",
-                        newSockets + " is more than the " + ceilings.descriptors()
+                        newSockets + " is more than the " + processLimits.descriptors()
                                 + " descriptors that this process may have");
             }
-            if (newSockets * CONNECTION_BYTES > ceilings.heap() / 2) {
+            if (newSockets * CONNECTION_BYTES > processLimits.heap() / 2) {
                 findings.add(
                         "resources[0]",
                         "sockets",
                         newSockets + " connections begin with "
-                                + newSockets * CONNECTION_BYTES + " bytes, more than half of the " + ceilings.heap()
+                                + newSockets * CONNECTION_BYTES + " bytes, more than half of the "
+                                + processLimits.heap()
                                 + " that this process may have");
             }
             errors.addAll(findings.all());
@@ -210,7 +211,7 @@
                 settings.maxAttempts = limits.get("maxAttempts").getAsInt();
                 settings.retryAfter = limits.get("retryAfter").getAsBoolean();
                 settings.maxRetryAfter = limits.get("maxRetryAfter").getAsDouble();
-                if (listen != null && !listen.getAsString().equals(runs.listen)) {
+                if (listen != null && !listen.getAsString().equals(config.listen)) {
                     needRestart.add("listen: from the next start on");
                 }
                 if (newSockets != sockets) {
@@ -223,7 +224,7 @@
                         || limits.get("probes").getAsBoolean() != settings.mayProbe) {
                     needRestart.add("cancel and probes: from the next start on");
                 }
-                if (limits.get("connIdle").getAsDouble() != runs.connIdle) {
+                if (limits.get("connIdle").getAsDouble() != config.connIdle) {
                     needRestart.add("endpoint_idle_ms: from the next start on");
                 }
                 return needRestart;
@@ -236,13 +237,13 @@
      * neighbouring zone and the retry budget. They apply to later requests.
      */
     public static ResourceType module(Settings settings) {
-        double[] first = {settings.crossEachWay, settings.retryFree, settings.retryShare, settings.retryWindow};
-        return new Setting("module", () -> adopt(settings, first), (resources, errors) -> {
+        double[] initialValues = {settings.crossEachWay, settings.retryFree, settings.retryShare, settings.retryWindow};
+        return new Setting("module", () -> adopt(settings, initialValues), (resources, errors) -> {
             Findings findings = Findings.paths();
-            JsonObject one = resources.get(0).getAsJsonObject().deepCopy();
-            one.remove("name");
+            JsonObject resource = resources.get(0).getAsJsonObject().deepCopy();
+            resource.remove("name");
             JsonObject rules = new JsonObject();
-            OperatorFile.module(Table.of(one, "resources[0]", findings), rules);
+            OperatorFile.module(Table.of(resource, "resources[0]", findings), rules);
             errors.addAll(findings.all());
             double[] read = {
                 rules.get("crossEachWay").getAsDouble(),
@@ -276,31 +277,31 @@
      * A type whose resources are tables of a subsystem, read by that subsystem.
      *
      * @param shape converts the resources to the subsystem's table
-     * @param base the settings in effect before the first version
+     * @param initial the settings in effect before the first version
      * @param reader reads that table and adds errors to its findings
-     * @param adopting adopts the result on the loop's thread and returns what needs a restart
+     * @param adoption adopts the result on the loop's thread and returns what needs a restart
      */
     public static <T> ResourceType table(
             String name,
             Function<JsonArray, JsonObject> shape,
             Function<Table, T> reader,
-            T base,
-            Function<T, List<String>> adopting) {
-        return new Setting(name, () -> adopting.apply(base), (resources, errors) -> {
+            T initial,
+            Function<T, List<String>> adoption) {
+        return new Setting(name, () -> adoption.apply(initial), (resources, errors) -> {
             Findings findings = Findings.paths();
             T read = reader.apply(Table.of(shape.apply(resources), "resources", findings));
             errors.addAll(findings.all());
-            return () -> adopting.apply(read);
+            return () -> adoption.apply(read);
         });
     }
 
     /** Returns the resources keyed by name, with the name removed from each. */
     public static JsonObject byName(JsonArray resources) {
-        JsonObject all = new JsonObject();
+        JsonObject tables = new JsonObject();
         resources.forEach(resource -> {
-            JsonObject one = resource.getAsJsonObject().deepCopy();
-            all.add(one.remove("name").getAsString(), one);
+            JsonObject table = resource.getAsJsonObject().deepCopy();
+            tables.add(table.remove("name").getAsString(), table);
         });
-        return all;
+        return tables;
     }
 }
--- a/src/main/java/laneflow/control/TypeRun.java
+++ b/src/main/java/laneflow/control/TypeState.java
@@ -15,83 +15,83 @@
  * The state of one resource type at this scheduler: the running version with its time and source, the last good
  * version, and the file that saves it. Runs on the loop's thread, except for file I/O.
  */
-final class TypeRun {
-    private static final Logger LOG = LoggerFactory.getLogger(TypeRun.class);
+final class TypeState {
+    private static final Logger LOG = LoggerFactory.getLogger(TypeState.class);
 
     final ResourceType type;
     final VersionTracker track = new VersionTracker();
     /** The running resources; null before the first version. Never modified. */
     JsonArray running;
 
-    String from = "";
+    String source = "";
     /** Parts of the running version that need a restart. */
     List<String> needRestart = List.of();
     /** Nonce of the latest response on the current stream. */
     String nonce = "";
 
     private JsonArray goodResources;
-    private ResourceType.ParsedResources runningRead;
-    private ResourceType.ParsedResources goodRead;
-    private String goodFrom = "";
-    private long since;
-    private long goodSince;
+    private ResourceType.ParsedResources runningParsed;
+    private ResourceType.ParsedResources goodParsed;
+    private String goodSource = "";
+    private long adoptedMs;
+    private long goodAdoptedMs;
     private final LastGood lastGood;
     private final Executor disk;
 
     /** @param lastGood null if versions are not saved */
-    TypeRun(ResourceType type, LastGood lastGood, Executor disk) {
+    TypeState(ResourceType type, LastGood lastGood, Executor disk) {
         this.type = type;
         this.lastGood = lastGood;
         this.disk = disk;
-        runningRead = type.initial();
-        goodRead = runningRead;
+        runningParsed = type.initial();
+        goodParsed = runningParsed;
     }
 
     /** Returns whether there is a good state to compare a version with and to roll back to. */
     boolean hasGood() {
-        return goodRead != null;
+        return goodParsed != null;
     }
 
     /** Starts with the saved version, which counts as good. */
-    void startAt(LastGood.SavedVersion kept, ResourceType.ParsedResources read) {
-        runningRead = read;
-        goodRead = read;
-        track.startAt(kept.version());
-        running = kept.resources().getAsJsonArray("resources");
-        from = "last-good";
-        since = kept.adoptedMs();
+    void startAt(LastGood.SavedVersion saved, ResourceType.ParsedResources parsed) {
+        runningParsed = parsed;
+        goodParsed = parsed;
+        track.startAt(saved.version());
+        running = saved.resources().getAsJsonArray("resources");
+        source = "last-good";
+        adoptedMs = saved.adoptedMs();
         // If the settings were already loaded from this version, adopting it reports nothing that needs a restart.
-        needRestart = read.adopt();
+        needRestart = parsed.adopt();
         goodResources = running;
-        goodFrom = from;
-        goodSince = since;
+        goodSource = source;
+        goodAdoptedMs = adoptedMs;
     }
 
-    void adopt(Version version, JsonArray resources, ResourceType.ParsedResources read, String at, long nowMs) {
-        needRestart = read.adopt();
-        runningRead = read;
+    void adopt(Version version, JsonArray resources, ResourceType.ParsedResources parsed, String address, long nowMs) {
+        needRestart = parsed.adopt();
+        runningParsed = parsed;
         track.accept(version);
         running = resources;
-        from = at;
-        since = nowMs;
+        source = address;
+        adoptedMs = nowMs;
     }
 
     /** Marks the running version as good and saves it for the next start. */
     void settle() {
         track.settle();
         goodResources = running;
-        goodRead = runningRead;
-        goodFrom = from;
-        goodSince = since;
+        goodParsed = runningParsed;
+        goodSource = source;
+        goodAdoptedMs = adoptedMs;
         if (lastGood == null) {
             return;
         }
-        JsonObject all = new JsonObject();
-        all.add("resources", running);
-        LastGood.SavedVersion kept = new LastGood.SavedVersion(type.url(), track.running(), since, all);
+        JsonObject json = new JsonObject();
+        json.add("resources", running);
+        LastGood.SavedVersion saved = new LastGood.SavedVersion(type.url(), track.running(), adoptedMs, json);
         disk.execute(() -> {
             try {
-                lastGood.write(kept);
+                lastGood.write(saved);
             } catch (IOException e) {
                 LOG.error("the last good version of {} could not be saved: {}", type.name(), e.getMessage());
             }
@@ -102,35 +102,35 @@
     void takeBack(String reason) {
         track.takeBack(reason);
         running = goodResources;
-        runningRead = goodRead;
-        needRestart = goodRead.adopt();
-        from = goodFrom;
-        since = goodSince;
+        runningParsed = goodParsed;
+        needRestart = goodParsed.adopt();
+        source = goodSource;
+        adoptedMs = goodAdoptedMs;
     }
 
     JsonObject report() {
-        JsonObject one = new JsonObject();
-        one.addProperty("version", track.running().toString());
-        one.addProperty("since_ms", since);
-        one.addProperty("from", from);
-        one.addProperty("on_trial", track.isOnTrial());
-        one.addProperty("gaps", track.gaps());
+        JsonObject report = new JsonObject();
+        report.addProperty("version", track.running().toString());
+        report.addProperty("since_ms", adoptedMs);
+        report.addProperty("from", source);
+        report.addProperty("on_trial", track.isOnTrial());
+        report.addProperty("gaps", track.gaps());
         if (!needRestart.isEmpty()) {
-            one.add("restart_needed", toJson(needRestart));
+            report.add("restart_needed", toJson(needRestart));
         }
         Map.Entry<Version, String> last = track.lastRefused();
         if (last != null) {
             JsonObject refused = new JsonObject();
             refused.addProperty("version", last.getKey().toString());
             refused.addProperty("reason", last.getValue());
-            one.add("last_refused", refused);
+            report.add("last_refused", refused);
         }
-        return one;
+        return report;
     }
 
     static JsonArray toJson(List<String> texts) {
-        JsonArray all = new JsonArray();
-        texts.forEach(all::add);
-        return all;
+        JsonArray array = new JsonArray();
+        texts.forEach(array::add);
+        return array;
     }
 }
--- a/src/main/java/laneflow/control/Warmup.java
+++ b/src/main/java/laneflow/control/Warmup.java
@@ -41,36 +41,36 @@
     }
 
     /** Runs one part; returns false once nothing is left to do. */
-    boolean part() {
+    boolean runPart() {
         // Large and small sets alternate, so that the removal of endpoints is warmed up as well.
         adopt(resources(round % 2 == 0 ? ENDPOINTS : 1));
         return ++round < ROUNDS;
     }
 
     private void adopt(String text) {
-        ResourceType.ParsedResources read =
+        ResourceType.ParsedResources parsed =
                 type.read(JsonParser.parseString(text).getAsJsonArray());
-        while (read.prepare()) {
+        while (parsed.prepare()) {
             continue;
         }
-        read.adopt();
-        while (read.cleanUp()) {
+        parsed.adopt();
+        while (parsed.cleanUp()) {
             continue;
         }
     }
 
     private static String resources(int count) {
-        JsonArray all = new JsonArray();
+        JsonArray resources = new JsonArray();
         for (int i = 0; i < count; i++) {
-            JsonObject one = new JsonObject();
-            one.addProperty("name", "e-" + i);
-            one.addProperty("dial", "127.0.0.1:9");
-            one.addProperty("zone", "a");
-            one.addProperty("state", "ready");
-            one.addProperty("weight", 1);
-            all.add(one);
+            JsonObject resource = new JsonObject();
+            resource.addProperty("name", "e-" + i);
+            resource.addProperty("dial", "127.0.0.1:9");
+            resource.addProperty("zone", "a");
+            resource.addProperty("state", "ready");
+            resource.addProperty("weight", 1);
+            resources.add(resource);
         }
-        return all.toString();
+        return resources.toString();
     }
 
     /** A connector for endpoints that are never called. */
--- a/src/main/java/laneflow/control/decision/Probation.java
+++ b/src/main/java/laneflow/control/decision/Probation.java
@@ -120,11 +120,12 @@
         return increase > z * deviation;
     }
 
-    private static String describe(String what, double beforeShare, double afterShare, double common, boolean control) {
+    private static String describe(
+            String measure, double beforeShare, double afterShare, double common, boolean control) {
         return String.format(
                 Locale.ROOT,
                 "%s went from %.2f %% to %.2f %%%s",
-                what,
+                measure,
                 beforeShare * 100,
                 afterShare * 100,
                 control
--- a/src/main/java/laneflow/control/decision/Trial.java
+++ b/src/main/java/laneflow/control/decision/Trial.java
@@ -130,15 +130,15 @@
 
     /** Counts between two snapshots for a class, or for all if it is -1; null if the group's are unknown. */
     private static Counts counts(Snapshot from, Snapshot to, int jobClass, boolean group) {
-        long[][] was = group ? from.group : from.own;
-        long[][] is = group ? to.group : to.own;
-        if (was == null || is == null) {
+        long[][] earlier = group ? from.group : from.own;
+        long[][] later = group ? to.group : to.own;
+        if (earlier == null || later == null) {
             return null;
         }
         long[] sum = new long[4];
-        for (int i = 0; i < is.length; i++) {
+        for (int i = 0; i < later.length; i++) {
             for (int k = 0; k < sum.length && (jobClass < 0 || jobClass == i); k++) {
-                sum[k] += Math.max(0, is[i][k] - was[i][k]);
+                sum[k] += Math.max(0, later[i][k] - earlier[i][k]);
             }
         }
         double seconds = Math.max(1e-3, (to.at - from.at) / 1e6);
--- a/src/main/java/laneflow/control/decision/VersionTracker.java
+++ b/src/main/java/laneflow/control/decision/VersionTracker.java
@@ -68,10 +68,10 @@
             return new Reply(Kind.REFUSED, refusal);
         }
         if (order < 0) {
-            String what = offered.number() == running.number()
+            String reason = offered.number() == running.number()
                     ? "version " + running + " runs, of the same number"
                     : "version " + running + " runs, which is newer";
-            return new Reply(Kind.OLDER, what);
+            return new Reply(Kind.OLDER, reason);
         }
         return new Reply(Kind.CHECK, "");
     }
--- a/src/main/java/laneflow/wire/Record.java
+++ b/src/main/java/laneflow/wire/Record.java
@@ -28,12 +28,12 @@
         recordEnd = Codes.BATCH_HEADER_BYTES;
     }
 
-    int headerInt(int at) {
-        return buffer.getInt(at);
+    int headerInt(int offset) {
+        return buffer.getInt(offset);
     }
 
-    double headerDouble(int at) {
-        return buffer.getDouble(at);
+    double headerDouble(int offset) {
+        return buffer.getDouble(offset);
     }
 
     boolean atFrameEnd() {
@@ -42,17 +42,17 @@
 
     /** Moves to the next record, skipping the unread rest of the current one, and returns its code. */
     int next() throws WireException {
-        int at = recordEnd;
-        if (frameEnd - at < 5) {
+        int offset = recordEnd;
+        if (frameEnd - offset < 5) {
             throw new WireException("frame ends inside a record's header");
         }
-        int length = buffer.getInt(at + 1);
-        if (length < 0 || length > frameEnd - at - 5) {
+        int length = buffer.getInt(offset + 1);
+        if (length < 0 || length > frameEnd - offset - 5) {
             throw new WireException("record of " + (length & 0xffffffffL) + " bytes does not fit its frame");
         }
-        buffer.position(at + 5);
-        recordEnd = at + 5 + length;
-        return buffer.get(at) & 0xff;
+        buffer.position(offset + 5);
+        recordEnd = offset + 5 + length;
+        return buffer.get(offset) & 0xff;
     }
 
     /** True if unread bytes remain in the record: trailing fields are optional. */
@@ -108,8 +108,8 @@
         return text;
     }
 
-    void require(long n) throws WireException {
-        if (n > recordEnd - buffer.position()) {
+    void require(long bytes) throws WireException {
+        if (bytes > recordEnd - buffer.position()) {
             throw new WireException("record ends inside a field");
         }
     }
--- a/src/main/java/laneflow/wire/SettingsReader.java
+++ b/src/main/java/laneflow/wire/SettingsReader.java
@@ -22,25 +22,25 @@
     public final String[] reportFields;
 
     private SettingsReader(JsonObject root) throws WireException {
-        Settings s = settings;
-        s.zone = integer(root, "az", 0);
-        s.zones = Math.max(1, array(root, "areas").size());
-        s.dispatcherIndex = integer(root, "slotNo", 0);
-        s.dispatchers = Math.max(1, integer(root, "siblings", 1));
-        s.listNeedsSubscription = text(root, "discovery", "push").equals("ask");
-        s.weights = weights(text(root, "weightSource", "none"));
-        s.tick = number(root, "tick", s.tick);
+        Settings target = settings;
+        target.zone = integer(root, "az", 0);
+        target.zones = Math.max(1, array(root, "areas").size());
+        target.dispatcherIndex = integer(root, "slotNo", 0);
+        target.dispatchers = Math.max(1, integer(root, "siblings", 1));
+        target.listNeedsSubscription = text(root, "discovery", "push").equals("ask");
+        target.weights = weights(text(root, "weightSource", "none"));
+        target.tick = number(root, "tick", target.tick);
         classes(root);
         customers(array(root, "customers"));
-        s.overShareWorth = number(root, "overShareWorth", s.overShareWorth);
+        target.overShareWorth = number(root, "overShareWorth", target.overShareWorth);
         limits(object(root, "limits"));
         rules(object(root, "rules"));
         JsonObject info = object(root, "familyInfo");
-        s.tellsStart = flag(info, "tellsStart", false);
-        s.progressInterval = number(info, "progress", 0);
-        s.headOfLineBlocking = text(info, "queueOrder", "fifo").equals("fifo");
+        target.tellsStart = flag(info, "tellsStart", false);
+        target.progressInterval = number(info, "progress", 0);
+        target.headOfLineBlocking = text(info, "queueOrder", "fifo").equals("fifo");
         JsonObject reporting = object(root, "reporting");
-        s.reports = reports(text(reporting, "source", "none"));
+        target.reports = reports(text(reporting, "source", "none"));
         JsonArray fields = array(reporting, "fields");
         reportFields = new String[fields.size()];
         for (int i = 0; i < reportFields.length; i++) {
@@ -91,37 +91,37 @@
         for (int i = 0; i < settings.tenants.length; i++) {
             Tenant tenant = new Tenant();
             settings.tenants[i] = tenant;
-            JsonObject one = from.get(i).getAsJsonObject();
-            tenant.name = text(one, "name", tenant.name);
-            tenant.quota = number(one, "quotaPerS", 0);
-            tenant.portion = number(one, "portion", 0);
+            JsonObject customer = from.get(i).getAsJsonObject();
+            tenant.name = text(customer, "name", tenant.name);
+            tenant.quota = number(customer, "quotaPerS", 0);
+            tenant.portion = number(customer, "portion", 0);
         }
     }
 
     private void limits(JsonObject from) {
-        Settings s = settings;
-        s.mayCancel = flag(from, "cancel", false);
-        s.mayProbe = flag(from, "probes", false);
-        s.secondCopies = flag(from, "secondCopies", false);
-        s.retryAfter = flag(from, "retryAfter", false);
-        s.maxAttempts = integer(from, "maxAttempts", s.maxAttempts);
-        s.maxRetryAfter = number(from, "maxRetryAfter", 0);
-        s.connectTimeout = number(from, "connectTimeout", s.connectTimeout);
+        Settings target = settings;
+        target.mayCancel = flag(from, "cancel", false);
+        target.mayProbe = flag(from, "probes", false);
+        target.secondCopies = flag(from, "secondCopies", false);
+        target.retryAfter = flag(from, "retryAfter", false);
+        target.maxAttempts = integer(from, "maxAttempts", target.maxAttempts);
+        target.maxRetryAfter = number(from, "maxRetryAfter", 0);
+        target.connectTimeout = number(from, "connectTimeout", target.connectTimeout);
     }
 
     private void rules(JsonObject from) {
-        Settings s = settings;
-        s.drainGrace = number(from, "stopSendingWithin", 0);
-        s.coldShare = number(from, "coldFrom", s.coldShare);
-        s.coldFor = number(from, "cold", 0);
-        s.fallMultiple = number(from, "tipMultiple", s.fallMultiple);
-        s.fallWithin = number(from, "fall", 0);
-        s.fullMayHaveRun = flag(from, "lateShedding", false);
-        s.retryFree = number(from, "spareAttempts", 0);
-        s.retryShare = number(from, "repeatRatio", 0);
-        s.retryWindow = number(from, "resendSpan", 0);
-        s.crossEachWay = number(from, "crossEachWay", s.crossEachWay);
-        s.closeOnDrainWithin = number(from, "closeOnDrainWithin", 0);
+        Settings target = settings;
+        target.drainGrace = number(from, "stopSendingWithin", 0);
+        target.coldShare = number(from, "coldFrom", target.coldShare);
+        target.coldFor = number(from, "cold", 0);
+        target.fallMultiple = number(from, "tipMultiple", target.fallMultiple);
+        target.fallWithin = number(from, "fall", 0);
+        target.fullMayHaveRun = flag(from, "lateShedding", false);
+        target.retryFree = number(from, "spareAttempts", 0);
+        target.retryShare = number(from, "repeatRatio", 0);
+        target.retryWindow = number(from, "resendSpan", 0);
+        target.crossEachWay = number(from, "crossEachWay", target.crossEachWay);
+        target.closeOnDrainWithin = number(from, "closeOnDrainWithin", 0);
     }
 
     private static Effect effect(String value) throws WireException {
--- a/src/main/java/laneflow/wire/WireHost.java
+++ b/src/main/java/laneflow/wire/WireHost.java
@@ -176,11 +176,11 @@
         long worker = record.worker();
         Outcome outcome = Codes.outcome(record.u16());
         record.f64();
-        boolean over = record.u8() != 0;
+        boolean ended = record.u8() != 0;
         if (record.hasMore()) {
             record.u8();
         }
-        instance.logic.outcome(now, id, attempt, worker, outcome, over, readReport(instance.reportFields));
+        instance.logic.outcome(now, id, attempt, worker, outcome, ended, readReport(instance.reportFields));
     }
 
     private void handleNote(Dispatch logic) throws WireException {
@@ -212,13 +212,13 @@
     }
 
     private LoadReport readReport(String[] fields) throws WireException {
-        int n = record.hasMore() ? record.u8() : 0;
-        if (n == 0) {
+        int count = record.hasMore() ? record.u8() : 0;
+        if (count == 0) {
             return null;
         }
-        record.require(4L * n);
+        record.require(4L * count);
         report.clear();
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < count; i++) {
             double value = record.f32();
             if (i < fields.length) {
                 ReportFields.put(report, fields[i], value);
@@ -233,13 +233,13 @@
         if (number >= lists.size()) {
             throw new WireException("list number " + number + " is out of range");
         }
-        long n = record.u32() & 0xffffffffL;
-        record.require(n * Codes.LIST_ENTRY_BYTES);
+        long entries = record.u32() & 0xffffffffL;
+        record.require(entries * Codes.LIST_ENTRY_BYTES);
         List<Worker> list = lists.get(number);
-        while (list.size() > n) {
+        while (list.size() > entries) {
             list.remove(list.size() - 1);
         }
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < entries; i++) {
             if (i == list.size()) {
                 list.add(new Worker());
             }
--- a/src/test/java/laneflow/control/ControlStoryTest.java
+++ b/src/test/java/laneflow/control/ControlStoryTest.java
@@ -1,13 +1,13 @@
 package laneflow.control;
 
-import static laneflow.control.Service.errorDetail;
-import static laneflow.control.Service.exchange;
-import static laneflow.control.Service.receive;
-import static laneflow.control.Service.receiveSubscriptions;
-import static laneflow.control.Service.resource;
-import static laneflow.control.Service.sendLine;
-import static laneflow.control.Service.stream;
-import static laneflow.control.Service.version;
+import static laneflow.control.ScriptedControlService.acceptStream;
+import static laneflow.control.ScriptedControlService.errorDetail;
+import static laneflow.control.ScriptedControlService.exchange;
+import static laneflow.control.ScriptedControlService.receive;
+import static laneflow.control.ScriptedControlService.receiveSubscriptions;
+import static laneflow.control.ScriptedControlService.resource;
+import static laneflow.control.ScriptedControlService.sendLine;
+import static laneflow.control.ScriptedControlService.version;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -49,8 +49,8 @@
     @Test
     void versionsAreAcknowledgedOrRefusedWithEveryReason() throws Exception {
         Endpoint service = new Endpoint("control");
-        Endpoint one = new Endpoint("e1");
-        Endpoint two = new Endpoint("e2");
+        Endpoint first = new Endpoint("e1");
+        Endpoint second = new Endpoint("e2");
         Files.writeString(folder.resolve("token"), "s3cret\n");
         try (Stand stand = Stand.streaming(control(
                         service,
@@ -59,14 +59,14 @@
             Peer peer = service.accept();
             assertTrue(peer.readTo("\r\n\r\n").contains("Authorization: Bearer s3cret\r\n"));
             peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            JsonObject first = receiveSubscriptions(peer);
-            assertEquals("n3", first.getAsJsonObject("node").get("id").getAsString());
-            assertEquals("", first.get("version_info").getAsString());
-            JsonObject ack = exchange(peer, version("1-aa", "x1", resource(one)));
+            JsonObject subscription = receiveSubscriptions(peer);
+            assertEquals("n3", subscription.getAsJsonObject("node").get("id").getAsString());
+            assertEquals("", subscription.get("version_info").getAsString());
+            JsonObject ack = exchange(peer, version("1-aa", "x1", resource(first)));
             assertEquals("1-aa", ack.get("version_info").getAsString());
             assertEquals("x1", ack.get("response_nonce").getAsString());
             assertFalse(ack.has("error_detail"));
-            assertServes(stand, one, "1");
+            assertServes(stand, first, "1");
             // Errors of schema and of meaning are each reported with their path, and traffic goes on.
             String schemaErrors = errorDetail(exchange(
                     peer,
@@ -76,8 +76,8 @@
                             "{'name':'a b','dial':'tills:80','zone':'x'}",
                             "{'name':'c','dial':'10.0.0.1:80','weight':-1,'colour':'red'}",
                             "7",
-                            resource(one),
-                            resource(one))));
+                            resource(first),
+                            resource(first))));
             for (String finding : new String[] {
                 "resources[0].name: \"a b\" - ",
                 "resources[1].weight: -1 - -1 is less than 0",
@@ -94,7 +94,7 @@
                             "x2",
                             "{'name':'b','dial':'tills:80','zone':'x'}",
                             "{'name':'c','dial':'10.0.0.1:80','classes':['sweep']}",
-                            resource(one))));
+                            resource(first))));
             for (String finding : new String[] {
                 "resources[0].dial: 'tills:80' is not",
                 "resources[0].zone: \"x\" is none of",
@@ -110,28 +110,28 @@
                             version(
                                     "2-ac",
                                     "x2",
-                                    resource(one).replace("}", ",'classes':['basket-check','card-capture']}")))));
+                                    resource(first).replace("}", ",'classes':['basket-check','card-capture']}")))));
             JsonObject refusal =
-                    exchange(peer, version("3-aa", "x3", resource(one).replace("}", ",'state':'draining'}")));
+                    exchange(peer, version("3-aa", "x3", resource(first).replace("}", ",'state':'draining'}")));
             assertEquals("resources: no live endpoint in zone celje-1", errorDetail(refusal));
             assertEquals("1-aa", refusal.get("version_info").getAsString());
             assertEquals("x3", refusal.get("response_nonce").getAsString());
             assertTrue(errorDetail(
-                            exchange(peer, version("4-aa", "x4", resource(one).replace("}", ",'weight':0}"))))
+                            exchange(peer, version("4-aa", "x4", resource(first).replace("}", ",'weight':0}"))))
                     .contains("all weights of live endpoints"));
             // A refused version gets the same answer again; a repeated one is acknowledged, an older one refused.
             assertEquals(
                     "resources: no live endpoint in zone celje-1",
-                    errorDetail(exchange(peer, version("3-aa", "x5", resource(one)))));
-            assertFalse(exchange(peer, version("1-aa", "x6", resource(one))).has("error_detail"));
-            assertFalse(exchange(peer, version("9-bb", "x7", resource(two))).has("error_detail"));
-            assertTrue(errorDetail(exchange(peer, version("8-cc", "x8", resource(one))))
+                    errorDetail(exchange(peer, version("3-aa", "x5", resource(first)))));
+            assertFalse(exchange(peer, version("1-aa", "x6", resource(first))).has("error_detail"));
+            assertFalse(exchange(peer, version("9-bb", "x7", resource(second))).has("error_detail"));
+            assertTrue(errorDetail(exchange(peer, version("8-cc", "x8", resource(first))))
                     .contains("9-bb runs, which is newer"));
-            assertTrue(errorDetail(exchange(peer, version("seven", "x9", resource(one))))
+            assertTrue(errorDetail(exchange(peer, version("seven", "x9", resource(first))))
                     .contains("is no version"));
             assertTrue(errorDetail(exchange(peer, "{'type_url':'other','nonce':'y'}"))
                     .contains("not taken here"));
-            assertServes(stand, two, "2");
+            assertServes(stand, second, "2");
             String report = http.write("GET /config HTTP/1.1\r\n\r\n").message();
             assertTrue(
                     report.contains("\"version\":\"9-bb\"") && report.contains("no live endpoint")
@@ -145,38 +145,40 @@
     @Test
     void lastGoodVersionRunsWithoutAControlService() throws Exception {
         Endpoint service = new Endpoint("control");
-        Endpoint one = new Endpoint("e1");
+        Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = Stand.streaming(control(service, "silence_ms = 300\n"))) {
-            Peer peer = stream(service);
+            Peer peer = acceptStream(service);
             receiveSubscriptions(peer);
-            exchange(peer, version("5-aa", "x", resource(one)));
+            exchange(peer, version("5-aa", "x", resource(endpoint)));
             for (int i = 0; i < 1000 && !Files.exists(folder.resolve("destinations.last-good")); i++) {
                 Thread.sleep(5);
             }
             // The service goes silent: the scheduler opens a new stream and keeps running the version.
             assertTrue(peer.ended());
-            Peer again = stream(service);
+            Peer again = acceptStream(service);
             assertEquals("5-aa", receiveSubscriptions(again).get("version_info").getAsString());
-            assertServes(stand, one, "1");
+            assertServes(stand, endpoint, "1");
             // The stream ends within a line; then five connections are closed at once.
             again.write("20\r\n{\"type_url\":");
             again.close();
             for (int i = 0; i < 5; i++) {
                 service.accept().close();
             }
-            assertServes(stand, one, "2");
-            Peer garbled = stream(service);
+            assertServes(stand, endpoint, "2");
+            Peer garbled = acceptStream(service);
             receiveSubscriptions(garbled);
             sendLine(garbled, "{'type_url':");
             assertTrue(garbled.ended());
             assertEquals(
                     "5-aa",
-                    receiveSubscriptions(stream(service)).get("version_info").getAsString());
+                    receiveSubscriptions(acceptStream(service))
+                            .get("version_info")
+                            .getAsString());
         }
         // Restarts while no control service is reachable.
         service.close();
         try (Stand stand = Stand.streaming(control(service, ""))) {
-            assertServes(stand, one, "3");
+            assertServes(stand, endpoint, "3");
             assertTrue(
                     stand.http().write("GET /config HTTP/1.1\r\n\r\n").message().contains("last-good"));
         }
@@ -190,7 +192,7 @@
         dead.close();
         try (Stand stand = Stand.streaming(control(service, "probation_ms = 1500\n"));
                 Peer client = stand.http()) {
-            Peer peer = stream(service);
+            Peer peer = acceptStream(service);
             receiveSubscriptions(peer);
             exchange(peer, version("1-aa", "x1", resource(good)));
             Thread responder = new Thread(() -> {
@@ -230,11 +232,11 @@
     @Test
     void versionIsAdoptedOnceItsRolloutIncludesThisScheduler() throws Exception {
         Endpoint service = new Endpoint("control");
-        Endpoint one = new Endpoint("e1");
+        Endpoint endpoint = new Endpoint("e1");
         try (Stand stand = Stand.streaming(control(service, ""))) {
-            Peer peer = stream(service);
+            Peer peer = acceptStream(service);
             receiveSubscriptions(peer);
-            String offered = version("1-aa", "x1", resource(one));
+            String offered = version("1-aa", "x1", resource(endpoint));
             String held = offered.replace("'resources'", "'rollout':{'share':0.0,'seed':5},'resources'");
             assertTrue(errorDetail(exchange(peer, held)).contains("held back: n3 stands at 0."));
             assertFalse(exchange(peer, held.replace("0.0", "1.0")).has("error_detail"));
--- a/src/test/java/laneflow/control/ControlTypesStoryTest.java
+++ b/src/test/java/laneflow/control/ControlTypesStoryTest.java
@@ -1,14 +1,14 @@
 package laneflow.control;
 
-import static laneflow.control.Service.errorDetail;
-import static laneflow.control.Service.exchange;
-import static laneflow.control.Service.receive;
-import static laneflow.control.Service.receiveSubscriptions;
-import static laneflow.control.Service.resource;
-import static laneflow.control.Service.sendLine;
-import static laneflow.control.Service.state;
-import static laneflow.control.Service.stream;
-import static laneflow.control.Service.version;
+import static laneflow.control.ScriptedControlService.acceptStream;
+import static laneflow.control.ScriptedControlService.errorDetail;
+import static laneflow.control.ScriptedControlService.exchange;
+import static laneflow.control.ScriptedControlService.receive;
+import static laneflow.control.ScriptedControlService.receiveSubscriptions;
+import static laneflow.control.ScriptedControlService.resource;
+import static laneflow.control.ScriptedControlService.sendLine;
+import static laneflow.control.ScriptedControlService.state;
+import static laneflow.control.ScriptedControlService.version;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -67,7 +67,7 @@
         Endpoint till = new Endpoint("e1");
         Endpoint other = new Endpoint("e2");
         try (Stand stand = Stand.streaming(control(service, "tell_versions = true\nprobation_ms = 0\n"))) {
-            Peer peer = stream(service);
+            Peer peer = acceptStream(service);
             receiveSubscriptions(peer);
             exchange(peer, version("1-aa", "x1", resource(till), resource(other).replace("}", ",'state':'draining'}")));
             Peer before = stand.http().post("card-capture", "old", "", "");
@@ -90,13 +90,13 @@
                     restartNeeded.contains("points-post: repeat and window_ms")
                             && restartNeeded.contains("sweep: is a class from"),
                     restartNeeded);
-            long from = System.nanoTime();
+            long startNs = System.nanoTime();
             Peer after = stand.http().post("card-capture", "new", "", "");
             // Kept in a variable: the garbage collector would close an unreferenced socket and break the call.
             Peer afterCall = other.accept();
             assertEquals("new", receiveCall(afterCall));
             String failed = after.message();
-            long tookMs = (System.nanoTime() - from) / 1_000_000;
+            long tookMs = (System.nanoTime() - startNs) / 1_000_000;
             assertTrue(failed.startsWith("HTTP/1.1 500 "), failed);
             assertTrue(tookMs >= 250 && tookMs < 3000, tookMs + " ms");
             assertTrue(failed.contains("Config-Version: destinations=2-aa classes=7-cc\r\n"), failed);
@@ -112,7 +112,7 @@
     void invalidSettingsAreRefusedWithEveryReason() throws Exception {
         Endpoint service = new Endpoint("control");
         try (Stand stand = Stand.streaming(control(service, ""))) {
-            Peer peer = stream(service);
+            Peer peer = acceptStream(service);
             receiveSubscriptions(peer);
             String errors = errorDetail(exchange(
                     peer,
@@ -160,7 +160,7 @@
         Endpoint service = new Endpoint("control");
         try (Stand stand = Stand.streaming(
                 control(service, "probation_ms = 0\n"), "[functions.check]\nclass = 'basket-check'\n", null)) {
-            Peer peer = stream(service);
+            Peer peer = acceptStream(service);
             receiveSubscriptions(peer, "classes", "limits", "functions");
             Peer worker = Gearman.worker(stand, "check", "sum");
             Gearman.preSleep(worker);
@@ -180,7 +180,7 @@
         }
     }
 
-    private static String change(String from, String to, String resources, String removed) {
+    private static String delta(String from, String to, String resources, String removed) {
         return "{'type_url':'" + DestinationType.URL + "','system_version_info':'" + to + "','from_version':'" + from
                 + "','nonce':'" + to + "','resources':[" + resources + "],'removed_resources':[" + removed + "]}";
     }
@@ -188,13 +188,13 @@
     @Test
     void changesApplyOnlyToTheRunningVersion() throws Exception {
         Endpoint service = new Endpoint("control");
-        Endpoint one = new Endpoint("e1");
-        Endpoint two = new Endpoint("e2");
+        Endpoint first = new Endpoint("e1");
+        Endpoint second = new Endpoint("e2");
         try (Stand stand = Stand.streaming(control(service, "probation_ms = 0\n"))) {
-            Peer peer = stream(service);
+            Peer peer = acceptStream(service);
             assertTrue(receiveSubscriptions(peer).get("incremental").getAsBoolean());
-            exchange(peer, version("1-aa", "x1", resource(one)));
-            JsonObject resubscription = exchange(peer, change("9-ff", "10-aa", "", "'e1'"));
+            exchange(peer, version("1-aa", "x1", resource(first)));
+            JsonObject resubscription = exchange(peer, delta("9-ff", "10-aa", "", "'e1'"));
             assertEquals(
                     "*",
                     resubscription
@@ -202,31 +202,31 @@
                             .get(0)
                             .getAsString());
             assertTrue(errorDetail(resubscription).contains("a change from version 9-ff, and 1-aa runs"));
-            String added = "{'name':'e2','resource':" + resource(two) + "}";
-            String twoAlone =
-                    Message.digest(JsonParser.parseString("[" + resource(two).replace('\'', '"') + "]")
+            String added = "{'name':'e2','resource':" + resource(second) + "}";
+            String secondAlone =
+                    Message.digest(JsonParser.parseString("[" + resource(second).replace('\'', '"') + "]")
                             .getAsJsonArray());
             // The resulting set does not have the digest that the version names.
-            assertTrue(errorDetail(exchange(peer, change("1-aa", "2-" + twoAlone, added, "")))
+            assertTrue(errorDetail(exchange(peer, delta("1-aa", "2-" + secondAlone, added, "")))
                     .contains("its digest is not"));
             assertTrue(
                     errorDetail(exchange(
                                     peer,
-                                    change(
+                                    delta(
                                             "1-aa",
                                             "3-aa",
-                                            "{'name':'e3','resource':" + resource(two) + "},{'name':'e4'}",
+                                            "{'name':'e3','resource':" + resource(second) + "},{'name':'e4'}",
                                             "'e7'")))
                             .contains(
                                     "removed_resources: \"e7\" is not there\n"
                                             + "resources[0].name: is not its resource's name\nresources[1].resource: must be an object"));
             assertEquals(
-                    "5-" + twoAlone,
-                    exchange(peer, change("1-aa", "5-" + twoAlone, added, "'e1'"))
+                    "5-" + secondAlone,
+                    exchange(peer, delta("1-aa", "5-" + secondAlone, added, "'e1'"))
                             .get("version_info")
                             .getAsString());
             try (Peer client = stand.http().post("basket-check", "1", "", "");
-                    Peer call = two.accept()) {
+                    Peer call = second.accept()) {
                 assertEquals("1", receiveCall(call));
                 call.says("{'id':'1','state':'done','result':'r'}");
                 assertTrue(client.message().startsWith("HTTP/1.1 200 "));
@@ -241,7 +241,7 @@
         Endpoint till = new Endpoint("e1");
         try (Stand stand = Stand.streaming("addresses = ['" + first.dial() + "', '" + second.dial()
                 + "']\nlongest_backoff_ms = 20\nfigures_ms = 0\nprobation_ms = 0\n")) {
-            Peer peer = stream(first);
+            Peer peer = acceptStream(first);
             receiveSubscriptions(peer);
             assertEquals(
                     "5-aa",
@@ -249,7 +249,7 @@
                             .get("version_info")
                             .getAsString());
             peer.close();
-            Peer other = stream(second);
+            Peer other = acceptStream(second);
             assertEquals("5-aa", receiveSubscriptions(other).get("version_info").getAsString());
             assertEquals(
                     "5-bb",
@@ -257,7 +257,7 @@
                             .get("version_info")
                             .getAsString());
             other.close();
-            Peer again = stream(first);
+            Peer again = acceptStream(first);
             receiveSubscriptions(again);
             JsonObject response = exchange(again, version("5-aa", "y", resource(till)));
             assertEquals("5-bb", response.get("version_info").getAsString());
@@ -270,7 +270,7 @@
         Endpoint service = new Endpoint("control");
         Endpoint till = new Endpoint("e1");
         try (Stand stand = Stand.streaming(control(service, "most_line_kib = 256\n"))) {
-            Peer peer = stream(service);
+            Peer peer = acceptStream(service);
             receiveSubscriptions(peer);
             exchange(peer, version("1-aa", "x", resource(till)));
             byte[] filler = new byte[1 << 16];
@@ -284,10 +284,12 @@
                 // Expected: the scheduler closes the stream once the line is too long.
                 assertTrue(sent < 800);
             }
-            assertTrue(sent < 800, "50 MB were taken");
+            assertTrue(sent < 800, "50 MB were accepted");
             assertEquals(
                     "1-aa",
-                    receiveSubscriptions(stream(service)).get("version_info").getAsString());
+                    receiveSubscriptions(acceptStream(service))
+                            .get("version_info")
+                            .getAsString());
         }
     }
 
@@ -296,7 +298,7 @@
         Endpoint service = new Endpoint("control");
         Endpoint till = new Endpoint("e1");
         try (Stand stand = Stand.streaming(control(service, "probation_ms = 0\n"))) {
-            Peer peer = stream(service);
+            Peer peer = acceptStream(service);
             receiveSubscriptions(peer);
             int lines = 1200;
             Thread writer = new Thread(() -> {
@@ -320,22 +322,23 @@
     @Test
     void removedEndpointFinishesItsJobAndGetsNoNewRequests() throws Exception {
         Endpoint service = new Endpoint("control");
-        Endpoint one = new Endpoint("e1");
-        Endpoint two = new Endpoint("e2");
+        Endpoint first = new Endpoint("e1");
+        Endpoint second = new Endpoint("e2");
         try (Stand stand = Stand.streaming(
                 control(service, "probation_ms = 0\n"),
                 "[functions.kpost]\nclass = 'card-capture'\ndurable = true\n",
                 folder.resolve("jobs"))) {
-            Peer peer = stream(service);
+            Peer peer = acceptStream(service);
             receiveSubscriptions(peer, "classes", "limits", "functions", "durable");
-            exchange(peer, version("1-aa", "x", resource(one)));
+            exchange(peer, version("1-aa", "x", resource(first)));
             // A durable job runs on an endpoint that drains and is then removed.
             Peer client = stand.gearman();
             String handle = Gearman.submitBackground(client, "kpost", "u1", "b");
             assertFalse(handle.isEmpty());
-            Peer call = one.accept();
+            Peer call = first.accept();
             String id = receiveCall(call);
-            exchange(peer, version("2-aa", "x", resource(one).replace("}", ",'state':'draining'}"), resource(two)));
+            exchange(
+                    peer, version("2-aa", "x", resource(first).replace("}", ",'state':'draining'}"), resource(second)));
             exchange(
                     peer,
                     state(
@@ -343,9 +346,9 @@
                             "1-aa",
                             "{'name':'durable','dir':'" + folder.resolve("jobs")
                                     + "','most_at_work':1,'classes':{'card-capture':{'lease_ms':60000,'longest_ms':60000}}}"));
-            exchange(peer, version("3-aa", "x", resource(two)));
+            exchange(peer, version("3-aa", "x", resource(second)));
             try (Peer http = stand.http().post("basket-check", "9", "", "");
-                    Peer other = two.accept()) {
+                    Peer other = second.accept()) {
                 assertEquals("9", receiveCall(other));
                 other.says("{'id':'9','state':'done','result':'r'}");
                 assertTrue(http.message().startsWith("HTTP/1.1 200 "));
@@ -373,7 +376,7 @@
                 "[functions.kcapture]\nclass = 'card-capture'\ndurable = true\n",
                 jobs)) {
             assertEquals(5, stand.counter("durable.recovered"));
-            Peer peer = stream(service);
+            Peer peer = acceptStream(service);
             receiveSubscriptions(peer, "classes", "limits", "functions", "durable");
             exchange(peer, version("1-aa", "x", resource(till)));
             Set<String> ran = new TreeSet<>();
@@ -400,7 +403,7 @@
         Endpoint lost = new Endpoint("e1");
         Endpoint remaining = new Endpoint("e2");
         try (Stand stand = Stand.streaming(control(service, "silence_ms = 150\nprobation_ms = 0\n"))) {
-            Peer peer = stream(service);
+            Peer peer = acceptStream(service);
             receiveSubscriptions(peer);
             exchange(peer, version("1-aa", "x", resource(lost), resource(remaining)));
             lost.close();
@@ -418,7 +421,7 @@
                         assertTrue(peer.ended());
                         assertEquals(
                                 "1-aa",
-                                receiveSubscriptions(stream(service))
+                                receiveSubscriptions(acceptStream(service))
                                         .get("version_info")
                                         .getAsString());
                     }
@@ -471,7 +474,7 @@
         Path kept = folder.resolve("kept");
         try (Stand stand = Stand.streaming(
                 control(service, "probation_ms = 0\nlisten = '127.0.0.1:0'\nlast_good_dir = '" + kept + "'\n"))) {
-            Peer peer = stream(service);
+            Peer peer = acceptStream(service);
             receiveSubscriptions(peer);
             exchange(peer, version("1-aa", "x", resource(till)));
             exchange(peer, version("2-aa", "x", "7"));
--- a/src/test/java/laneflow/control/LastGoodTest.java
+++ b/src/test/java/laneflow/control/LastGoodTest.java
@@ -53,10 +53,10 @@
         Path path = folder.resolve("destinations.last-good");
         byte[] intact = Files.readAllBytes(path);
         // Parses in memory: writing a file for each case would add only disk time.
-        for (int at = 0; at < intact.length; at++) {
+        for (int position = 0; position < intact.length; position++) {
             byte[] flipped = intact.clone();
-            flipped[at] ^= 2;
-            assertThrows(LastGood.Unusable.class, () -> LastGood.parse(flipped, "f"), "byte " + at);
+            flipped[position] ^= 2;
+            assertThrows(LastGood.Unusable.class, () -> LastGood.parse(flipped, "f"), "byte " + position);
         }
         for (int length = 0; length < intact.length; length++) {
             byte[] truncated = Arrays.copyOf(intact, length);
@@ -74,7 +74,7 @@
         LastGood file = new LastGood(folder, "destinations");
         long last = 0;
         for (int i = 0; i < 6; i++) {
-            Path output = folder.resolve("said");
+            Path output = folder.resolve("output");
             long outputBytes = 20 + random.nextInt(1500);
             KilledProcess.run(output, outputBytes, Writer.class, folder.toString(), String.valueOf(last));
             String[] lines = Files.readString(output).split("\n");
--- a/src/test/java/laneflow/control/Service.java
+++ b/src/test/java/laneflow/control/ScriptedControlService.java
@@ -9,12 +9,12 @@
 import laneflow.net.Stand.Endpoint;
 import laneflow.net.Stand.Peer;
 
-/** Messages of a scripted control service, and helpers that exchange them with the scheduler. */
-final class Service {
-    private Service() {}
+/** The control service's end of a stream: builds its messages and exchanges them with the scheduler. */
+final class ScriptedControlService {
+    private ScriptedControlService() {}
 
     /** Accepts a stream: reads the request head and begins a chunked response. */
-    static Peer stream(Endpoint service) throws IOException {
+    static Peer acceptStream(Endpoint service) throws IOException {
         Peer peer = service.accept();
         assertTrue(peer.readTo("\r\n\r\n").startsWith("POST /v3/discovery:stream HTTP/1.1\r\n"));
         peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -37,7 +37,7 @@
                 + "','resources':[" + String.join(",", resources) + "]}";
     }
 
-    /** A full state of another resource type. */
+    /** A full state of the given resource type. */
     static String state(String type, String version, String... resources) {
         return version(version, version, resources).replace(DestinationType.URL, "type.laneflow/" + type);
     }
--- a/src/test/java/laneflow/control/TrialTest.java
+++ b/src/test/java/laneflow/control/TrialTest.java
@@ -56,13 +56,13 @@
     void failuresOfOneClassTakeTheVersionBackEarly() {
         simulate(30, 2000, 0.01, 100, 0.01, 0, 0.01);
         adopt();
-        long from = now;
+        long adoptedAt = now;
         // Summed over both classes, the failures of the small class would not show.
         simulate(10, 2000, 0.01, 100, 0.2, 0, 0.01);
         assertEquals(Verdict.TAKE_BACK, finding.verdict());
         assertTrue(finding.figures().startsWith("capture: failures and connect errors went from "), finding.figures());
         assertFalse(trial.isRunning());
-        assertTrue(now - from <= 10 * SECOND);
+        assertTrue(now - adoptedAt <= 10 * SECOND);
     }
 
     @Test
--- a/src/test/java/laneflow/control/VersionTrackerTest.java
+++ b/src/test/java/laneflow/control/VersionTrackerTest.java
@@ -94,24 +94,24 @@
     @Property(tries = 1000, seed = "7")
     void orderDoesNotMatter(
             @ForAll @Size(min = 1, max = 20) List<@IntRange(min = 1, max = 12) Integer> numbers, @ForAll int shuffle) {
-        List<Version> seen = new ArrayList<>();
+        List<Version> offered = new ArrayList<>();
         for (int i = 0; i < numbers.size(); i++) {
-            seen.add(version(numbers.get(i), "a" + i % 3));
+            offered.add(version(numbers.get(i), "a" + i % 3));
         }
-        VersionTracker one = new VersionTracker();
-        seen.forEach(version -> offer(one, version));
+        VersionTracker tracker = new VersionTracker();
+        offered.forEach(version -> offer(tracker, version));
         Random random = new Random(shuffle);
-        List<Version> reordered = new ArrayList<>(seen);
-        reordered.addAll(seen.subList(0, random.nextInt(seen.size())));
+        List<Version> reordered = new ArrayList<>(offered);
+        reordered.addAll(offered.subList(0, random.nextInt(offered.size())));
         Collections.shuffle(reordered, random);
-        VersionTracker other = new VersionTracker();
-        reordered.forEach(version -> offer(other, version));
-        Version newest = seen.stream()
+        VersionTracker reorderedTracker = new VersionTracker();
+        reordered.forEach(version -> offer(reorderedTracker, version));
+        Version newest = offered.stream()
                 .filter(version -> !isInvalid(version))
                 .max(Version::compareTo)
                 .orElse(Version.NONE);
-        assertEquals(newest, one.running());
-        assertEquals(newest, other.running());
+        assertEquals(newest, tracker.running());
+        assertEquals(newest, reorderedTracker.running());
     }
 
     @Test
--- a/src/test/java/laneflow/transcripts/ControlTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/ControlTranscriptsTest.java
@@ -12,7 +12,7 @@
 @Timeout(120)
 class ControlTranscriptsTest {
     private static final String DESTINATIONS = "type.laneflow/destinations";
-    private static final int TYPES = 3;
+    private static final int STREAMED_TYPES = 3;
 
     @TempDir
     private Path folder;
@@ -27,7 +27,7 @@
         RecordedPeer peer = new RecordedPeer(transcript, name, service.accept());
         peer.head();
         peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        for (int i = 0; i < TYPES; i++) {
+        for (int i = 0; i < STREAMED_TYPES; i++) {
             peer.chunk();
         }
         return peer;
@@ -57,13 +57,13 @@
                 "Versions of the destination set: one acknowledged, others turned down with every reason.",
                 transcript -> {
                     Endpoint service = new Endpoint("control");
-                    Endpoint one = new Endpoint("e1");
+                    Endpoint endpoint = new Endpoint("e1");
                     try (Stand stand = Stand.streaming(control(service));
                             RecordedPeer client = new RecordedPeer(transcript, "client", stand.http())) {
                         RecordedPeer peer = stream(transcript, "control", service);
-                        offerDestinations(peer, "1-aa", "x1", resource(one));
+                        offerDestinations(peer, "1-aa", "x1", resource(endpoint));
                         client.post("card-capture", "1", "", "pay");
-                        RecordedPeer call = new RecordedPeer(transcript, "e1", one.accept());
+                        RecordedPeer call = new RecordedPeer(transcript, "e1", endpoint.accept());
                         call.message();
                         call.reply("{'id':'1','state':'done','result':'paid'}");
                         client.message();
@@ -74,17 +74,17 @@
                                 "{'name':'a b','dial':'tills:80','zone':'x'}",
                                 "{'name':'c','weight':-1,'colour':'red'}",
                                 "7",
-                                resource(one),
-                                resource(one));
+                                resource(endpoint),
+                                resource(endpoint));
                         offerDestinations(
                                 peer,
                                 "2-ab",
                                 "x3",
                                 "{'name':'b','dial':'tills:80','zone':'x'}",
                                 "{'name':'c','dial':'10.0.0.1:80','classes':['sweep']}",
-                                resource(one));
-                        offerDestinations(peer, "3-aa", "x4", resource(one).replace("}", ",'state':'draining'}"));
-                        offerDestinations(peer, "seven", "x5", resource(one));
+                                resource(endpoint));
+                        offerDestinations(peer, "3-aa", "x4", resource(endpoint).replace("}", ",'state':'draining'}"));
+                        offerDestinations(peer, "seven", "x5", resource(endpoint));
                         transcript.note("adopted: " + stand.counter("config.adopted"));
                     }
                 });
@@ -92,14 +92,14 @@
 
     @Test
     void olderRepeatedAndOther() throws Exception {
-        Transcript.of("Versions that are older, repeated, or of a type that is not taken.", transcript -> {
+        Transcript.of("Versions that are older, repeated, or of a type that is not accepted.", transcript -> {
             Endpoint service = new Endpoint("control");
-            Endpoint one = new Endpoint("e1");
+            Endpoint endpoint = new Endpoint("e1");
             try (Stand stand = Stand.streaming(control(service))) {
                 RecordedPeer peer = stream(transcript, "control", service);
-                offerDestinations(peer, "9-bb", "x1", resource(one));
-                offerDestinations(peer, "9-bb", "x2", resource(one));
-                offerDestinations(peer, "8-cc", "x3", resource(one));
+                offerDestinations(peer, "9-bb", "x1", resource(endpoint));
+                offerDestinations(peer, "9-bb", "x2", resource(endpoint));
+                offerDestinations(peer, "8-cc", "x3", resource(endpoint));
                 offer(peer, "type.laneflow/colours", "1-aa", "x4");
             }
         });
@@ -108,12 +108,12 @@
     @Test
     void brokenStream() throws Exception {
         Transcript.of(
-                "A line that is no JSON ends the stream; the next one begins by the version that runs.", transcript -> {
+                "A line that is no JSON ends the stream; the next one starts from the running version.", transcript -> {
                     Endpoint service = new Endpoint("control");
-                    Endpoint one = new Endpoint("e1");
+                    Endpoint endpoint = new Endpoint("e1");
                     try (Stand stand = Stand.streaming(control(service))) {
                         RecordedPeer peer = stream(transcript, "control", service);
-                        offerDestinations(peer, "5-aa", "x1", resource(one));
+                        offerDestinations(peer, "5-aa", "x1", resource(endpoint));
                         peer.write("e\r\n{\"type_url\":}\n\r\n");
                         peer.expectEnd();
                         stream(transcript, "control, 2nd stream", service);
