--- a/src/main/java/laneflow/policy/BansType.java
+++ b/src/main/java/laneflow/policy/BansType.java
@@ -27,7 +27,7 @@
         return "bans";
     }
 
-    private ParsedResources reading(List<String> findings, Set<String> names) {
+    private ParsedResources parsed(List<String> findings, Set<String> names) {
         return new ParsedResources(findings, names.size()) {
             @Override
             public List<String> adopt() {
@@ -39,7 +39,7 @@
 
     @Override
     public ParsedResources initial() {
-        return reading(List.of(), Set.of());
+        return parsed(List.of(), Set.of());
     }
 
     @Override
@@ -60,6 +60,6 @@
             }
             table.close();
         }
-        return reading(findings.all(), names);
+        return parsed(findings.all(), names);
     }
 }
--- a/src/main/java/laneflow/policy/FleetTrial.java
+++ b/src/main/java/laneflow/policy/FleetTrial.java
@@ -42,7 +42,7 @@
         return trialMicros > 0;
     }
 
-    /** Called when this process becomes leader: figures are counted from here. */
+    /** Called when this process becomes leader: counting starts at this point. */
     void start(long now) {
         counts.clear();
         rollback = null;
@@ -67,10 +67,10 @@
 
     private long[][] totals() {
         long[][] totals = new long[classes.size()][4];
-        counts.values().forEach(one -> {
+        counts.values().forEach(tallies -> {
             for (int i = 0; i < totals.length; i++) {
                 for (int k = 0; k < totals[i].length; k++) {
-                    totals[i][k] += one[i][k];
+                    totals[i][k] += tallies[i][k];
                 }
             }
         });
--- a/src/main/java/laneflow/policy/Leadership.java
+++ b/src/main/java/laneflow/policy/Leadership.java
@@ -177,8 +177,8 @@
         if (state == null || stopped) {
             return;
         }
-        long every = config.leaseMicros / CONFIRMATIONS_PER_LEASE;
-        loop.deadlines().set(confirmTimer, loop.micros() + every * 9 / 10, loop.micros() + every);
+        long intervalMicros = config.leaseMicros / CONFIRMATIONS_PER_LEASE;
+        loop.deadlines().set(confirmTimer, loop.micros() + intervalMicros * 9 / 10, loop.micros() + intervalMicros);
         if (confirming) {
             confirmAgain = true;
             return;
@@ -189,7 +189,7 @@
         voter.query(
                 confirmed.term(), ledger -> new ConfirmedState(ledger.view(), extensions.partViews(ledger)), result -> {
                     confirming = false;
-                    boolean again = confirmAgain;
+                    boolean repeat = confirmAgain;
                     confirmAgain = false;
                     if (state == confirmed && result instanceof ConfirmedState seen) {
                         onConfirmed(submittedAt, seen.view());
@@ -197,7 +197,7 @@
                             extensions.onConfirmed(submittedAt, seen.parts());
                         }
                     }
-                    if (again) {
+                    if (repeat) {
                         confirm();
                     }
                 });
--- a/src/main/java/laneflow/policy/LeaseGate.java
+++ b/src/main/java/laneflow/policy/LeaseGate.java
@@ -21,7 +21,7 @@
  * that: whatever was published before the control thread acknowledged a grant is seen by every later
  * decision. An expired lease closes the gate by the clock alone, whatever the control thread is doing.
  *
- * <p>A policy is adopted here, as a whole and in one turn; the control thread is notified afterwards.
+ * <p>The gate adopts a policy as a whole, in one turn; the control thread is notified afterwards.
  */
 final class LeaseGate implements AdmissionGate {
     private static final Logger LOG = LoggerFactory.getLogger(LeaseGate.class);
@@ -203,10 +203,10 @@
         return Math.max(0, adoptedPolicy);
     }
 
-    /** The policy of that epoch's requests, as told to clients; empty before the first policy. */
+    /** The policy of that epoch's requests, as sent to clients; empty before the first policy. */
     String versionOfEpoch(int epoch) {
-        Map.Entry<Integer, Long> at = policyByEpoch.floorEntry(epoch);
-        return at == null ? "" : "policy=" + at.getValue();
+        Map.Entry<Integer, Long> entry = policyByEpoch.floorEntry(epoch);
+        return entry == null ? "" : "policy=" + entry.getValue();
     }
 
     /** Stops using any lease, for good. */
--- a/src/main/java/laneflow/policy/PolicyAgent.java
+++ b/src/main/java/laneflow/policy/PolicyAgent.java
@@ -349,12 +349,12 @@
         Set<Long> ready = new HashSet<>();
         long refused = 0;
         List<String> reasons = List.of();
-        for (Map.Entry<Long, PolicyTypes.Prepared> one : prepared.entrySet()) {
-            if (one.getValue().findings.isEmpty()) {
-                ready.add(one.getKey());
-            } else if (one.getKey() == openNumber) {
+        for (Map.Entry<Long, PolicyTypes.Prepared> entry : prepared.entrySet()) {
+            if (entry.getValue().findings.isEmpty()) {
+                ready.add(entry.getKey());
+            } else if (entry.getKey() == openNumber) {
                 refused = openNumber;
-                reasons = one.getValue().findings;
+                reasons = entry.getValue().findings;
             }
         }
         // Active is what the traffic thread has adopted, however long that takes it.
@@ -403,7 +403,7 @@
         }
         lastAnnouncedVoters = announced;
         voterNames.clear();
-        announced.getAsJsonArray().forEach(one -> voterNames.add(one.getAsString()));
+        announced.getAsJsonArray().forEach(element -> voterNames.add(element.getAsString()));
         voterNames.removeIf(name -> fleet.address(name) == null);
         voterNames.forEach(fleet::dial);
         // The file's voters stay as candidates: what was announced may become outdated.
@@ -463,9 +463,9 @@
         }
         try {
             reader.execute(() -> {
-                PolicyTypes.Prepared read =
+                PolicyTypes.Prepared parsed =
                         types.read(JsonParser.parseString(text).getAsJsonObject());
-                runOnLoop(() -> onPrepared(number, read));
+                runOnLoop(() -> onPrepared(number, parsed));
             });
         } catch (RejectedExecutionException e) {
             LOG.warn("policy: too many policies wait to be read");
@@ -480,15 +480,15 @@
         }
     }
 
-    private void onPrepared(long number, PolicyTypes.Prepared read) {
+    private void onPrepared(long number, PolicyTypes.Prepared parsed) {
         contentRequested.remove(number);
-        prepared.put(number, read);
+        prepared.put(number, parsed);
         while (prepared.size() > MAX_PREPARED && prepared.firstKey() < adoptedPolicy) {
             prepared.pollFirstEntry();
         }
-        if (!read.findings.isEmpty()) {
+        if (!parsed.findings.isEmpty()) {
             counters.add("policy.refused");
-            LOG.warn("policy {} is rejected by this scheduler: {}", number, String.join("; ", read.findings));
+            LOG.warn("policy {} is rejected by this scheduler: {}", number, String.join("; ", parsed.findings));
         }
         publish();
         renewNow();
@@ -558,10 +558,10 @@
 
     private JsonElement rejectedPolicies() {
         JsonObject rejected = new JsonObject();
-        prepared.forEach((number, read) -> {
-            if (!read.findings.isEmpty()) {
+        prepared.forEach((number, policy) -> {
+            if (!policy.findings.isEmpty()) {
                 JsonArray reasons = new JsonArray();
-                read.findings.forEach(reasons::add);
+                policy.findings.forEach(reasons::add);
                 rejected.add(String.valueOf(number), reasons);
             }
         });
--- a/src/main/java/laneflow/policy/PolicyMessages.java
+++ b/src/main/java/laneflow/policy/PolicyMessages.java
@@ -32,9 +32,9 @@
 
     static Renewal renewal(JsonObject from) {
         Set<Long> ready = new HashSet<>();
-        from.getAsJsonArray("ready").forEach(one -> ready.add(one.getAsLong()));
+        from.getAsJsonArray("ready").forEach(element -> ready.add(element.getAsLong()));
         List<String> reasons = new ArrayList<>();
-        from.getAsJsonArray("reasons").forEach(one -> reasons.add(one.getAsString()));
+        from.getAsJsonArray("reasons").forEach(element -> reasons.add(element.getAsString()));
         return new Renewal(
                 from.get("term").getAsInt(),
                 from.get("seq").getAsLong(),
--- a/src/main/java/laneflow/policy/PolicySubsystem.java
+++ b/src/main/java/laneflow/policy/PolicySubsystem.java
@@ -67,27 +67,27 @@
             List<RenewalExtension> extensions) {}
 
     /**
-     * Opens the store of votes, if this process has one, and starts. From here on the scheduler decides only
-     * under a lease. A store that can't be used costs the vote, not the service.
+     * Opens the store of votes, if this process has one, and starts. From then on the scheduler decides only
+     * under a lease. Without a usable store this process serves but does not vote.
      */
-    public PolicySubsystem(Dependencies given) throws InterruptedException {
-        loop = given.loop();
-        extensions = new RenewalExtensions(given.extensions());
-        PolicyConfig config = given.config();
-        Fleet fleet = given.fleet();
-        Scheduler scheduler = given.scheduler();
-        traffic = given.traffic();
-        LongSupplier clock = PolicyAgent.clock(loop, given.clockRate());
+    public PolicySubsystem(Dependencies deps) throws InterruptedException {
+        loop = deps.loop();
+        extensions = new RenewalExtensions(deps.extensions());
+        PolicyConfig config = deps.config();
+        Fleet fleet = deps.fleet();
+        Scheduler scheduler = deps.scheduler();
+        traffic = deps.traffic();
+        LongSupplier clock = PolicyAgent.clock(loop, deps.clockRate());
         gate = new LeaseGate(traffic, scheduler.counters(), scheduler::settingsChanged, config, clock, this::onAdopted);
         policy = new PolicyAgent(
                 new PolicyAgent.Dependencies(
                         loop,
                         fleet,
-                        given.counters(),
+                        deps.counters(),
                         config,
-                        given.types().apply(new BansType(scheduler::ban)),
-                        given.reading(),
-                        given.seed(),
+                        deps.types().apply(new BansType(scheduler::ban)),
+                        deps.reading(),
+                        deps.seed(),
                         clock,
                         () -> runOn(traffic, () -> readTallies(scheduler))),
                 gate);
@@ -95,34 +95,34 @@
         boolean storeLocked = false;
         if (config.dir != null) {
             try {
-                openedStore = openStore(given);
+                openedStore = openStore(deps);
             } catch (VoteStore.StoreLockedException e) {
-                storeLocked = given.upgrade();
+                storeLocked = deps.upgrade();
                 if (!storeLocked) {
-                    reportVoteLost(given, e);
+                    reportVoteLost(deps, e);
                 }
             } catch (IOException e) {
-                reportVoteLost(given, e);
+                reportVoteLost(deps, e);
             }
         }
         OpenedStore opened = openedStore;
         traffic.call(() -> scheduler.setAdmissionGate(gate));
         loop.call(() -> {
-            Leadership leadership = opened == null ? null : startVoter(given, opened);
+            Leadership leadership = opened == null ? null : startVoter(deps, opened);
             api = new PolicyApi(
-                    fleet, policy, given.counters(), given.ledgerParts().keySet(), leadership);
+                    fleet, policy, deps.counters(), deps.ledgerParts().keySet(), leadership);
             policy.attach(extensions);
             policy.start(leadership);
         });
         if (storeLocked) {
             LOG.info("policy: voting starts when the previous process has ended");
-            Threads.daemon(() -> waitForStore(given), "policy-store").start();
+            Threads.daemon(() -> waitForStore(deps), "policy-store").start();
         }
     }
 
-    private static void reportVoteLost(Dependencies given, IOException cause) {
+    private static void reportVoteLost(Dependencies deps, IOException cause) {
         LOG.error("policy: this process does not vote: {}", cause.getMessage());
-        given.counters().set("policy.vote_lost", 1);
+        deps.counters().set("policy.vote_lost", 1);
     }
 
     /** Called on the traffic thread. */
@@ -155,14 +155,14 @@
      * Waits, during an upgrade, until the previous process ends and releases the store. Runs on a thread of
      * its own.
      */
-    private void waitForStore(Dependencies given) {
+    private void waitForStore(Dependencies deps) {
         while (!closed) {
             OpenedStore opened = null;
             try {
-                opened = openStore(given);
+                opened = openStore(deps);
                 OpenedStore openedStore = opened;
                 loop.call(() -> {
-                    Leadership leadership = startVoter(given, openedStore);
+                    Leadership leadership = startVoter(deps, openedStore);
                     policy.becomeVoter(leadership);
                     api.becomeVoter(leadership);
                 });
@@ -170,7 +170,7 @@
             } catch (VoteStore.StoreLockedException e) {
                 LOG.debug("the store is still locked", e);
             } catch (IOException e) {
-                loop.later(() -> reportVoteLost(given, e));
+                loop.later(() -> reportVoteLost(deps, e));
                 return;
             } catch (InterruptedException | RejectedExecutionException e) {
                 close(opened.store());
@@ -183,9 +183,8 @@
     /** A store of votes with the state that an earlier process left in it, or null. */
     private record OpenedStore(VoteStore store, RestoredRaftState restored) {}
 
-    private static OpenedStore openStore(Dependencies given) throws IOException {
-        VoteStore store =
-                VoteStore.open(given.config().dir, given.fleet().self().name());
+    private static OpenedStore openStore(Dependencies deps) throws IOException {
+        VoteStore store = VoteStore.open(deps.config().dir, deps.fleet().self().name());
         try {
             return new OpenedStore(store, store.restored());
         } catch (IOException e) {
@@ -194,13 +193,13 @@
         }
     }
 
-    private Leadership startVoter(Dependencies given, OpenedStore opened) {
+    private Leadership startVoter(Dependencies deps, OpenedStore opened) {
         VoterGroup[] group = new VoterGroup[1];
         Leadership[] leadership = new Leadership[1];
         voter = new RaftVoter(
                 opened.store(),
-                new Ledger(given.ledgerParts()),
-                given.config().leaseMicros,
+                new Ledger(deps.ledgerParts()),
+                deps.config().leaseMicros,
                 loop::later,
                 (to, message) -> group[0].send(to, message),
                 new RaftVoter.Listener() {
@@ -210,8 +209,8 @@
                     }
 
                     @Override
-                    public void onStopped(String why) {
-                        leadership[0].onStopped(why);
+                    public void onStopped(String reason) {
+                        leadership[0].onStopped(reason);
                     }
 
                     @Override
@@ -219,16 +218,16 @@
                         leadership[0].onRemoved();
                     }
                 });
-        group[0] = new VoterGroup(loop, given.fleet(), given.config(), given.counters(), voter);
+        group[0] = new VoterGroup(loop, deps.fleet(), deps.config(), deps.counters(), voter);
         leadership[0] = new Leadership(
                 loop,
-                given.fleet(),
-                given.config(),
-                given.counters(),
+                deps.fleet(),
+                deps.config(),
+                deps.counters(),
                 voter,
                 group[0],
                 policy,
-                new FleetTrial(given.classes(), given.config().trialMicros, given.config().maxWorsening),
+                new FleetTrial(deps.classes(), deps.config().trialMicros, deps.config().maxWorsening),
                 extensions);
         leadership[0].start();
         group[0].start(opened.restored());
@@ -249,18 +248,18 @@
         return gate.isReady();
     }
 
-    /** The policy in force here; on the traffic thread. */
+    /** The policy in force at this scheduler; on the traffic thread. */
     public long policyNumber() {
         return gate.policyNumber();
     }
 
-    /** The policy of that epoch's requests, as told to clients; on the traffic thread. */
+    /** The policy of that epoch's requests, as sent to clients; on the traffic thread. */
     public String versionOfEpoch(int epoch) {
         return gate.versionOfEpoch(epoch);
     }
 
     /**
-     * Stops deciding once all requests are answered, then tells the others, who need not wait for this
+     * Stops deciding once all requests are answered, then announces that, so that no change waits for this
      * process's lease. Not to be called on the two loops' threads.
      */
     public void stopDeciding() throws InterruptedException {
--- a/src/main/java/laneflow/policy/PolicyTypes.java
+++ b/src/main/java/laneflow/policy/PolicyTypes.java
@@ -14,7 +14,7 @@
     private final Map<String, ResourceType> types = new LinkedHashMap<>();
     private final Map<String, String> fixedTypes;
 
-    /** @param fixedTypes types that are configured elsewhere here, each with a message that says where */
+    /** @param fixedTypes types that this scheduler reads from elsewhere, each with a message that says where */
     public PolicyTypes(List<ResourceType> types, Map<String, String> fixedTypes) {
         types.forEach(type -> this.types.put(type.name(), type));
         this.fixedTypes = fixedTypes;
@@ -28,11 +28,11 @@
         /** The problems found; only a policy without any can be adopted. */
         public final List<String> findings;
 
-        private final List<ResourceType.ParsedResources> readings;
+        private final List<ResourceType.ParsedResources> parsedTypes;
 
-        private Prepared(List<String> findings, List<ResourceType.ParsedResources> readings) {
+        private Prepared(List<String> findings, List<ResourceType.ParsedResources> parsedTypes) {
             this.findings = findings;
-            this.readings = readings;
+            this.parsedTypes = parsedTypes;
         }
 
         /**
@@ -41,7 +41,7 @@
          */
         List<String> adopt() {
             List<String> waitsForRestart = new ArrayList<>();
-            readings.forEach(reading -> waitsForRestart.addAll(reading.adopt()));
+            parsedTypes.forEach(parsed -> waitsForRestart.addAll(parsed.adopt()));
             return waitsForRestart;
         }
     }
@@ -54,7 +54,7 @@
     /** Reads and validates a whole policy, without any effect on the running configuration. */
     Prepared read(JsonObject policy) {
         List<String> findings = new ArrayList<>();
-        List<ResourceType.ParsedResources> readings = new ArrayList<>();
+        List<ResourceType.ParsedResources> parsedTypes = new ArrayList<>();
         for (String name : policy.keySet()) {
             if (!types.containsKey(name)) {
                 findings.add(name + ": "
@@ -66,19 +66,19 @@
         }
         for (ResourceType type : types.values()) {
             JsonElement resources = policy.get(type.name());
-            ResourceType.ParsedResources reading = resources == null ? type.initial() : read(type, resources, findings);
-            if (reading != null) {
-                readings.add(reading);
+            ResourceType.ParsedResources parsed = resources == null ? type.initial() : read(type, resources, findings);
+            if (parsed != null) {
+                parsedTypes.add(parsed);
             }
         }
-        return new Prepared(findings, readings);
+        return new Prepared(findings, parsedTypes);
     }
 
     private static ResourceType.ParsedResources read(ResourceType type, JsonElement resources, List<String> findings) {
         try {
-            ResourceType.ParsedResources reading = type.read((JsonArray) resources);
-            reading.findings.forEach(finding -> findings.add(type.name() + ": " + finding));
-            return reading;
+            ResourceType.ParsedResources parsed = type.read((JsonArray) resources);
+            parsed.findings.forEach(finding -> findings.add(type.name() + ": " + finding));
+            return parsed;
         } catch (RuntimeException | StackOverflowError e) {
             // A fault of a reader must become a finding: without an answer from this scheduler the fleet
             // would wait.
--- a/src/main/java/laneflow/policy/RaftCodec.java
+++ b/src/main/java/laneflow/policy/RaftCodec.java
@@ -67,10 +67,10 @@
     }
 
     static JsonObject write(RaftMessage message) {
-        for (Map.Entry<String, Class<?>> one : MESSAGES.entrySet()) {
-            if (one.getValue().isInstance(message)) {
-                JsonObject json = fields(message, one.getValue());
-                json.addProperty("kind", one.getKey());
+        for (Map.Entry<String, Class<?>> messageType : MESSAGES.entrySet()) {
+            if (messageType.getValue().isInstance(message)) {
+                JsonObject json = fields(message, messageType.getValue());
+                json.addProperty("kind", messageType.getKey());
                 return json;
             }
         }
@@ -124,13 +124,13 @@
 
     static JsonArray voters(Collection<RaftEndpoint> endpoints) {
         JsonArray names = new JsonArray();
-        endpoints.forEach(one -> names.add(one.getId().toString()));
+        endpoints.forEach(endpoint -> names.add(endpoint.getId().toString()));
         return names;
     }
 
     static Collection<RaftEndpoint> readVoters(JsonArray ids) {
         Collection<RaftEndpoint> endpoints = new LinkedHashSet<>();
-        ids.forEach(one -> endpoints.add(VoterId.parse(one.getAsString())));
+        ids.forEach(id -> endpoints.add(VoterId.parse(id.getAsString())));
         return endpoints;
     }
 
@@ -161,19 +161,19 @@
 
         private ModelAccess(Class<?> type) {
             Class<?> builder = BUILDERS.get(type);
-            create = require(RaftModelFactory.class, one -> one.getReturnType() == builder);
-            setGroupId = find(builder, one -> one.getName().equals("setGroupId"));
-            build = require(builder, one -> one.getName().equals("build"));
+            create = require(RaftModelFactory.class, method -> method.getReturnType() == builder);
+            setGroupId = find(builder, method -> method.getName().equals("setGroupId"));
+            build = require(builder, method -> method.getName().equals("build"));
             for (Method set : builder.getMethods()) {
                 String name = set.getName();
                 if (name.startsWith("set") && !name.equals("setGroupId")) {
-                    String bare = name.substring(3);
+                    String property = name.substring(3);
                     Method get = require(
                             type,
-                            one -> one.getParameterCount() == 0
-                                    && (one.getName().equals("get" + bare)
-                                            || one.getName().equals("is" + bare)));
-                    fields.add(new Field(bare, set, get, set.getGenericParameterTypes()[0]));
+                            method -> method.getParameterCount() == 0
+                                    && (method.getName().equals("get" + property)
+                                            || method.getName().equals("is" + property)));
+                    fields.add(new Field(property, set, get, set.getGenericParameterTypes()[0]));
                 }
             }
         }
@@ -224,25 +224,25 @@
         }
         if (value instanceof Collection<?> collection) {
             JsonArray array = new JsonArray();
-            collection.forEach(one -> array.add(toJson(one)));
+            collection.forEach(element -> array.add(toJson(element)));
             return array;
         }
         return writeOperation(value);
     }
 
     private static Object build(JsonObject json, Class<?> type) {
-        ModelAccess shape = accessOf(type);
-        Object builder = invoke(shape.create, MODELS);
-        if (shape.setGroupId != null) {
-            invoke(shape.setGroupId, builder, GROUP_ID);
+        ModelAccess access = accessOf(type);
+        Object builder = invoke(access.create, MODELS);
+        if (access.setGroupId != null) {
+            invoke(access.setGroupId, builder, GROUP_ID);
         }
-        for (Field field : shape.fields) {
+        for (Field field : access.fields) {
             JsonElement value = json.get(field.name());
             if (value != null && !value.isJsonNull()) {
                 invoke(field.set(), builder, read(value, field.type()));
             }
         }
-        return invoke(shape.build, builder);
+        return invoke(access.build, builder);
     }
 
     private static Object read(JsonElement json, Type type) {
@@ -264,15 +264,15 @@
         if (type instanceof ParameterizedType parameterized) {
             Type elementType = parameterized.getActualTypeArguments()[0];
             List<Object> list = new ArrayList<>();
-            json.getAsJsonArray().forEach(one -> list.add(read(one, elementType)));
+            json.getAsJsonArray().forEach(element -> list.add(read(element, elementType)));
             return list;
         }
         return build(json.getAsJsonObject(), (Class<?>) type);
     }
 
-    private static Object invoke(Method method, Object on, Object... with) {
+    private static Object invoke(Method method, Object target, Object... arguments) {
         try {
-            return method.invoke(on, with);
+            return method.invoke(target, arguments);
         } catch (IllegalAccessException e) {
             throw new IllegalStateException(e);
         } catch (InvocationTargetException e) {
--- a/src/main/java/laneflow/policy/RaftVoter.java
+++ b/src/main/java/laneflow/policy/RaftVoter.java
@@ -105,7 +105,7 @@
     private final double timeScale;
     private final long leaseNs;
     private final Random random = new Random();
-    /** When the leader was last heard from, and its timeout from then on; on the voter thread. */
+    /** When the leader's last message came, and the timeout that started then; on the voter thread. */
     private long leaderLastHeardNs;
 
     private long leaderTimeoutNs;
@@ -131,14 +131,14 @@
      * Creates a voter that has not started.
      *
      * @param ledger empty
-     * @param lease microseconds
+     * @param leaseMicros duration of a lease
      * @param loopExecutor runs a call on the loop
      * @param sender sends a message to the scheduler of that name; called on the loop
      */
     RaftVoter(
             VoteStore store,
             Ledger ledger,
-            long lease,
+            long leaseMicros,
             Consumer<Runnable> loopExecutor,
             BiConsumer<String, JsonObject> sender,
             Listener listener) {
@@ -148,8 +148,8 @@
         this.loopExecutor = loopExecutor;
         this.sender = sender;
         this.listener = listener;
-        leaseNs = lease * 1000;
-        timeScale = RAFT_SECONDS_PER_LEASE * 1e6 / lease;
+        leaseNs = leaseMicros * 1000;
+        timeScale = RAFT_SECONDS_PER_LEASE * 1e6 / leaseMicros;
         thread = new ScheduledThreadPoolExecutor(1, task -> Threads.daemon(task, "voter"));
         store.onFailure(this::onStoreFailure);
         thread.setRemoveOnCancelPolicy(true);
@@ -225,7 +225,7 @@
         // After a stall of this process the leader's messages may still be waiting to be read.
         boolean stalled = now - nextWatchNs > STALL_WATCH_PERIODS * leaseNs / WATCHES_PER_LEASE;
         checkLeader(leader, now, stalled);
-        // No checks while the leader is heard from: they would run ten times per lease for nothing.
+        // No checks while the leader sends messages: they would run ten times per lease for nothing.
         scheduleWatch(Math.max(leaseNs / WATCHES_PER_LEASE, leaderLastHeardNs + leaderTimeoutNs - now));
     }
 
@@ -266,7 +266,7 @@
     }
 
     /**
-     * This voter's rank among those that may time out, in [0, 1]. All of them heard from the leader last at
+     * This voter's rank among those that may time out, in [0, 1]. All of them got the leader's last message at
      * the same time: with random timeouts two of three voters called an election at once in one of five
      * cases.
      */
@@ -274,7 +274,7 @@
         TreeSet<String> others = new TreeSet<>();
         node.getEffectiveMembers()
                 .getVotingMembers()
-                .forEach(one -> others.add(one.getId().toString()));
+                .forEach(endpoint -> others.add(endpoint.getId().toString()));
         RaftEndpoint leader = node.getTerm().getLeaderEndpoint();
         if (leader != null) {
             others.remove(leader.getId().toString());
@@ -290,13 +290,13 @@
     /** Ids of the initial voters, the same at all voters of a group. */
     List<String> initialVoterIds() {
         List<String> names = new ArrayList<>();
-        initialVoters.forEach(one -> names.add(one.getId().toString()));
+        initialVoters.forEach(endpoint -> names.add(endpoint.getId().toString()));
         names.sort(null);
         return names;
     }
 
     /** Called on the loop with the names of voters to which a link is up. */
-    void reachable(Set<String> names) {
+    void setReachable(Set<String> names) {
         reachable = Set.copyOf(names);
     }
 
@@ -396,7 +396,8 @@
                 () -> {
                     RaftGroupMembers now = node.getCommittedMembers();
                     Optional<RaftEndpoint> former = now.getMembers().stream()
-                            .filter(one -> ((VoterId) one).name().equals(voter.name()) && !one.equals(voter))
+                            .filter(endpoint ->
+                                    ((VoterId) endpoint).name().equals(voter.name()) && !endpoint.equals(voter))
                             .findFirst();
                     CompletableFuture<Long> changed = former.isEmpty()
                             ? CompletableFuture.completedFuture(now.getLogIndex())
@@ -437,7 +438,7 @@
 
     private Optional<RaftEndpoint> transferTarget() {
         return node.getEffectiveMembers().getVotingMembers().stream()
-                .filter(one -> !one.equals(self) && isReachable(one))
+                .filter(endpoint -> !endpoint.equals(self) && isReachable(endpoint))
                 .findFirst();
     }
 
@@ -495,7 +496,7 @@
         Set<String> voters = new TreeSet<>();
         report.getEffectiveMembers()
                 .getVotingMembers()
-                .forEach(one -> voters.add(one.getId().toString()));
+                .forEach(endpoint -> voters.add(endpoint.getId().toString()));
         String role = term + " " + leadsNow + " " + name + " " + voters;
         if (!role.equals(lastRole)) {
             lastRole = role;
@@ -527,8 +528,8 @@
 
     @Override
     public Object runOperation(long commitIndex, Object operation) {
-        if (operation instanceof LedgerQuery look) {
-            return look.apply(ledger);
+        if (operation instanceof LedgerQuery query) {
+            return query.apply(ledger);
         }
         if (operation == null || operation.equals(NEW_TERM)) {
             return null;
@@ -619,10 +620,10 @@
 
     /** A leader that stops gracefully names a successor, so that no voter has to time out first. */
     private void transferLeadership() throws InterruptedException {
-        Optional<RaftEndpoint> to = transferTarget();
-        if (leads && to.isPresent()) {
+        Optional<RaftEndpoint> successor = transferTarget();
+        if (leads && successor.isPresent()) {
             try {
-                node.transferLeadership(to.get()).get(TRANSFER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+                node.transferLeadership(successor.get()).get(TRANSFER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             } catch (ExecutionException | TimeoutException e) {
                 LOG.debug("leadership transfer failed, the other voters elect a leader themselves", e);
             }
--- a/src/main/java/laneflow/policy/RenewalExtension.java
+++ b/src/main/java/laneflow/policy/RenewalExtension.java
@@ -51,7 +51,7 @@
      * Data received with a grant. {@code sentAt} is when the renewal that it answers was sent; negative if
      * the grant was unsolicited.
      */
-    void onGrant(JsonElement grantData, long sentAt, long heardAt);
+    void onGrant(JsonElement grantData, long sentAt, long receivedAt);
 
     // ---- at the leader ----
 
--- a/src/main/java/laneflow/policy/RenewalExtensions.java
+++ b/src/main/java/laneflow/policy/RenewalExtensions.java
@@ -35,10 +35,10 @@
         }
     }
 
-    void onGrant(JsonObject grant, long sentAt, long heardAt) {
+    void onGrant(JsonObject grant, long sentAt, long receivedAt) {
         for (RenewalExtension extension : extensions) {
             if (grant.has(field(extension))) {
-                extension.onGrant(grant.get(field(extension)), sentAt, heardAt);
+                extension.onGrant(grant.get(field(extension)), sentAt, receivedAt);
             }
         }
     }
--- a/src/main/java/laneflow/policy/VoteStore.java
+++ b/src/main/java/laneflow/policy/VoteStore.java
@@ -50,7 +50,7 @@
     private VoterId self;
     private boolean inTransaction;
     private boolean failed;
-    private Consumer<String> failureListener = why -> {};
+    private Consumer<String> failureListener = reason -> {};
     /** Number of commits, counted in the database and, after each commit, in the witness file beside it. */
     private long commits;
 
@@ -273,7 +273,7 @@
         failureListener = listener;
     }
 
-    /** From here on the library may hold more in memory than is on the disk: it must not send anything. */
+    /** After a failed write the library may hold more in memory than is on the disk: it must not send anything. */
     private IOException fail(Exception cause) {
         String text = dir.resolve(FILE) + ": " + cause.getMessage();
         if (!failed) {
--- a/src/main/java/laneflow/policy/VoterGroup.java
+++ b/src/main/java/laneflow/policy/VoterGroup.java
@@ -101,7 +101,7 @@
                 names.add(name);
             }
         }
-        voter.reachable(names);
+        voter.setReachable(names);
         announce();
     }
 
--- a/src/main/java/laneflow/policy/decision/Change.java
+++ b/src/main/java/laneflow/policy/decision/Change.java
@@ -14,7 +14,7 @@
  * @param number its position in the order of changes, from 1; 0 while it waits
  * @param digest digest of its content
  * @param types the resources of each type that it names, or null once the content is dropped
- * @param by who proposed it
+ * @param proposer who proposed it
  * @param state its state
  * @param reasons why it was abandoned
  * @param proposedMs when the leader received it: Unix milliseconds of the leader's wall clock, for display
--- a/src/main/java/laneflow/policy/decision/LeaderClock.java
+++ b/src/main/java/laneflow/policy/decision/LeaderClock.java
@@ -53,12 +53,12 @@
         }
     }
 
-    /** A local instant not after the leader's: what ends here at that instant ends in time. */
+    /** A local instant not after the leader's: the end of a lease, converted to it, is never too late. */
     public long localNotAfter(long leaderInstant) {
         return upperAt + (long) Math.floor((leaderInstant - upperStamp) / (1 + MAX_DRIFT));
     }
 
-    /** A local instant not before the leader's: what starts here at that instant doesn't start early. */
+    /** A local instant not before the leader's: the start of a policy, converted to it, is never too early. */
     public long localNotBefore(long leaderInstant) {
         return lowerAt + (long) Math.ceil((leaderInstant - lowerStamp) / (1 - MAX_DRIFT));
     }
--- a/src/main/java/laneflow/policy/decision/LeaderState.java
+++ b/src/main/java/laneflow/policy/decision/LeaderState.java
@@ -55,11 +55,12 @@
     /** A grant that may still arrive, or the last one that the scheduler acknowledged. */
     private record IssuedGrant(long seq, long number, long until) {}
 
+    /** A scheduler that may hold grants: its last renewal and the grants that may still be in effect. */
     private static final class Holder {
-        private final List<IssuedGrant> given = new ArrayList<>();
+        private final List<IssuedGrant> issuedGrants = new ArrayList<>();
         private long seq;
         private long lastRenewalAt;
-        private long begun = -1;
+        private long activePolicy = -1;
         private Set<Long> ready = Set.of();
         private long refused;
         private List<String> reasons = List.of();
@@ -68,7 +69,7 @@
         /** Latest end of a grant for a policy with a lower number. */
         private long latestGrantEnd(long belowPolicy) {
             long latest = 0;
-            for (IssuedGrant grant : given) {
+            for (IssuedGrant grant : issuedGrants) {
                 latest = grant.number() < belowPolicy ? Math.max(latest, grant.until()) : latest;
             }
             return latest;
@@ -78,28 +79,28 @@
     private final int term;
     private final Times times;
     /** Grants of former leaders may be in effect until then. */
-    private final long formerUntil;
+    private final long formerGrantsEnd;
 
     private final Map<String, Holder> holders = new TreeMap<>();
     private View view;
     private long confirmedAt;
     /** True once the policy in force has started: no scheduler decides by an earlier one any more. */
-    private boolean begun;
+    private boolean policyStarted;
 
-    private long beginAt;
+    private long policyStartAt;
     /** The policy that schedulers use until the one in force starts; -1 if unknown. */
-    private long before = -1;
+    private long previousPolicy = -1;
 
     private long switchAt;
     private long openedAt;
-    private long open;
-    private boolean asked;
+    private long openNumber;
+    private boolean decisionRequested;
 
     /** @param electedAt an instant after the election */
     public LeaderState(int term, long electedAt, Times times) {
         this.term = term;
         this.times = times;
-        formerUntil = electedAt + (long) (times.lease() * (1 + 2 * Lease.MAX_DRIFT)) + FORMER_GRANT_MARGIN_MICROS;
+        formerGrantsEnd = electedAt + (long) (times.lease() * (1 + 2 * Lease.MAX_DRIFT)) + FORMER_GRANT_MARGIN_MICROS;
     }
 
     /**
@@ -107,25 +108,25 @@
      */
     public void onConfirmed(long submittedAt, View now) {
         if (view == null) {
-            begun = now.inForce() == 0;
+            policyStarted = now.inForce() == 0;
         } else if (now.inForce() > view.inForce()) {
-            before = begun ? view.inForce() : -1;
-            begun = false;
+            previousPolicy = policyStarted ? view.inForce() : -1;
+            policyStarted = false;
             switchAt = 0;
         }
         confirmedAt = Math.max(confirmedAt, submittedAt);
         view = now;
         long opened = now.open() == null ? 0 : now.open().number();
-        if (opened != open) {
-            open = opened;
+        if (opened != openNumber) {
+            openNumber = opened;
             openedAt = submittedAt;
-            asked = false;
+            decisionRequested = false;
         }
     }
 
     /** Records that the requested operation was not replicated: it is requested again. */
     public void onDecisionFailed() {
-        asked = false;
+        decisionRequested = false;
     }
 
     /** Records a scheduler's renewal; {@link #grant} makes the answer to it. */
@@ -136,9 +137,9 @@
         holder.ready = renewal.ready();
         holder.refused = renewal.refused();
         holder.reasons = renewal.reasons();
-        holder.begun = Math.max(holder.begun, renewal.activePolicy());
+        holder.activePolicy = Math.max(holder.activePolicy, renewal.activePolicy());
         if (renewal.grantTerm() == term) {
-            holder.given.removeIf(grant -> grant.seq() < renewal.grantSeq());
+            holder.issuedGrants.removeIf(grant -> grant.seq() < renewal.grantSeq());
         }
     }
 
@@ -153,19 +154,19 @@
      */
     public Grant grant(long now, String processId) {
         Holder holder = holders.get(processId);
-        if (view == null || holder == null || !begun && before < 0) {
+        if (view == null || holder == null || !policyStarted && previousPolicy < 0) {
             // A grant of a former leader may still be in effect: revoking it would interrupt service for
             // nothing.
             return null;
         }
         long number = view.inForce();
         long until = confirmedAt + times.lease();
-        long from = begun ? beginAt : 0;
-        if (!begun) {
+        long from = policyStarted ? policyStartAt : 0;
+        if (!policyStarted) {
             // Whoever uses the previous policy keeps it until the instant at which it ends for all
             // schedulers.
-            boolean continuesPrevious = before >= 0 && holder.begun == before;
-            number = continuesPrevious ? before : number;
+            boolean continuesPrevious = previousPolicy >= 0 && holder.activePolicy == previousPolicy;
+            number = continuesPrevious ? previousPolicy : number;
             until = continuesPrevious && switchAt > 0 ? Math.min(until, switchAt) : 0;
         } else if (!holder.ready.contains(number) || isLate(now, holder)) {
             until = 0;
@@ -173,15 +174,15 @@
         until = until > now ? until : 0;
         holder.seq++;
         // The message may be lost: earlier grants stay recorded until the scheduler acknowledges this one.
-        holder.given.add(new IssuedGrant(holder.seq, number, until));
+        holder.issuedGrants.add(new IssuedGrant(holder.seq, number, until));
         compact(holder, now);
-        return new Grant(term, holder.seq, now, number, from, until, open);
+        return new Grant(term, holder.seq, now, number, from, until, openNumber);
     }
 
     /** Drops expired grants, which can have no effect any more. */
     private static void compact(Holder holder, long now) {
-        IssuedGrant last = holder.given.get(holder.given.size() - 1);
-        holder.given.removeIf(one -> one != last && one.until() <= now);
+        IssuedGrant last = holder.issuedGrants.get(holder.issuedGrants.size() - 1);
+        holder.issuedGrants.removeIf(grant -> grant != last && grant.until() <= now);
     }
 
     /**
@@ -189,7 +190,7 @@
      * need not wait for it.
      */
     private boolean isLate(long now, Holder holder) {
-        return open > 0 && !holder.ready.contains(open) && now > openedAt + times.prepare();
+        return openNumber > 0 && !holder.ready.contains(openNumber) && now > openedAt + times.prepare();
     }
 
     private boolean isReachable(long now, Holder holder) {
@@ -204,21 +205,21 @@
         holders.values()
                 .removeIf(holder -> now - holder.lastRenewalAt > FORGET_AFTER_LEASES * times.lease()
                         && holder.latestGrantEnd(Long.MAX_VALUE) <= now);
-        return begun ? decideOpenChange(now) : startPolicyInForce(now);
+        return policyStarted ? decideOpenChange(now) : startPolicyInForce(now);
     }
 
     private Step decideOpenChange(long now) {
-        if (open == 0 || asked) {
+        if (openNumber == 0 || decisionRequested) {
             return new Step(Operation.NOTHING, null, List.of(), false);
         }
         String name = view.open().name();
         List<String> objections = new ArrayList<>();
-        boolean waits = now < formerUntil;
+        boolean waits = now < formerGrantsEnd;
         for (Map.Entry<String, Holder> entry : holders.entrySet()) {
             Holder holder = entry.getValue();
-            if (holder.refused == open) {
+            if (holder.refused == openNumber) {
                 holder.reasons.forEach(reason -> objections.add(entry.getKey() + ": " + reason));
-            } else if (!holder.ready.contains(open) && holder.latestGrantEnd(Long.MAX_VALUE) > now) {
+            } else if (!holder.ready.contains(openNumber) && holder.latestGrantEnd(Long.MAX_VALUE) > now) {
                 waits = true;
                 if (isReachable(now, holder) && now > openedAt + times.prepare()) {
                     objections.add(entry.getKey() + ": not ready within " + times.prepare() / 1000 + " ms");
@@ -226,24 +227,24 @@
             }
         }
         if (!objections.isEmpty()) {
-            asked = true;
+            decisionRequested = true;
             return new Step(Operation.ABANDON, name, objections, false);
         }
         if (waits) {
             return new Step(Operation.NOTHING, null, List.of(), false);
         }
-        asked = true;
+        decisionRequested = true;
         return new Step(Operation.APPLY, name, List.of(), false);
     }
 
     /** Starts the policy in force once no scheduler can still decide by the previous one. */
     private Step startPolicyInForce(long now) {
         long number = view.inForce();
-        if (before < 0) {
+        if (previousPolicy < 0) {
             // It was applied under a former leader. A scheduler that already uses it shows that it has
             // started.
-            boolean alreadyActive = holders.values().stream().anyMatch(holder -> holder.begun >= number);
-            if (!alreadyActive && now < formerUntil) {
+            boolean alreadyActive = holders.values().stream().anyMatch(holder -> holder.activePolicy >= number);
+            if (!alreadyActive && now < formerGrantsEnd) {
                 return new Step(Operation.NOTHING, null, List.of(), false);
             }
             return started(0);
@@ -270,8 +271,8 @@
     }
 
     private Step started(long at) {
-        begun = true;
-        beginAt = at;
+        policyStarted = true;
+        policyStartAt = at;
         return new Step(Operation.NOTHING, null, List.of(), true);
     }
 
@@ -292,19 +293,19 @@
         if (view == null) {
             return Long.MAX_VALUE;
         }
-        if (!begun) {
-            return before < 0
-                    ? Math.max(now + 1000, Math.min(formerUntil, now + times.silence()))
+        if (!policyStarted) {
+            return previousPolicy < 0
+                    ? Math.max(now + 1000, Math.min(formerGrantsEnd, now + times.silence()))
                     : now + MIN_ANNOUNCE_MICROS / 2;
         }
-        if (open == 0 || asked) {
+        if (openNumber == 0 || decisionRequested) {
             return Long.MAX_VALUE;
         }
-        long next = Math.max(formerUntil, openedAt + times.prepare() + 1);
-        next = formerUntil > now ? Math.min(next, formerUntil) : next;
+        long next = Math.max(formerGrantsEnd, openedAt + times.prepare() + 1);
+        next = formerGrantsEnd > now ? Math.min(next, formerGrantsEnd) : next;
         for (Holder holder : holders.values()) {
             long ends = holder.latestGrantEnd(Long.MAX_VALUE);
-            if (ends > now && !holder.ready.contains(open)) {
+            if (ends > now && !holder.ready.contains(openNumber)) {
                 next = Math.min(next, ends);
             }
         }
@@ -322,9 +323,11 @@
     public List<String> awaitedSchedulers(long now) {
         List<String> names = new ArrayList<>();
         holders.forEach((name, holder) -> {
-            boolean mayUsePrevious = !begun && view != null && holder.latestGrantEnd(view.inForce()) > now;
-            boolean notReady =
-                    begun && open > 0 && !holder.ready.contains(open) && holder.latestGrantEnd(Long.MAX_VALUE) > now;
+            boolean mayUsePrevious = !policyStarted && view != null && holder.latestGrantEnd(view.inForce()) > now;
+            boolean notReady = policyStarted
+                    && openNumber > 0
+                    && !holder.ready.contains(openNumber)
+                    && holder.latestGrantEnd(Long.MAX_VALUE) > now;
             if (mayUsePrevious || notReady) {
                 names.add(name);
             }
@@ -340,7 +343,7 @@
         List<SchedulerStatus> statuses = new ArrayList<>();
         holders.forEach((name, holder) -> statuses.add(new SchedulerStatus(
                 name,
-                holder.begun,
+                holder.activePolicy,
                 (now - holder.lastRenewalAt) / 1000,
                 Math.max(0, holder.latestGrantEnd(Long.MAX_VALUE) - now) / 1000)));
         statuses.sort(Comparator.comparing(SchedulerStatus::processId));
--- a/src/test/java/laneflow/policy/PolicyDisruptionStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyDisruptionStoryTest.java
@@ -204,8 +204,8 @@
             }
             oldProcess.handle().destroy();
             oldProcess.ended();
-            // The new process has taken over the address and the store: it answers there and votes with the
-            // stored state.
+            // The new process has taken over the address and the store: it answers at that address and votes with
+            // the stored state.
             rig.awaitDeciding(3, rig.all());
             rig.await(
                     "the new process votes",
--- a/src/test/java/laneflow/policy/PolicyStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyStoryTest.java
@@ -155,7 +155,8 @@
         rig.awaitDeciding(0, rig.all());
         rig.partAll(List.of(3));
         rig.await(
-                "it reports so", () -> rig.policy(3).get("state").getAsString().equals("cut off, serving"));
+                "n4 reports that it is cut off",
+                () -> rig.policy(3).get("state").getAsString().equals("cut off, serving"));
         rig.proposeUntilTaken(0, "meanwhile", bans("x"));
         rig.awaitDeciding(1, 0, 1, 2);
         Thread.sleep(20);
@@ -163,7 +164,7 @@
         String answer = request(3, "r");
         assertTrue(answer.contains("200 OK") && answer.contains("policy=0"), answer);
         assertTrue(rig.ask(3, "/counters", null).body().contains("policy.decided_without_lease 1"));
-        rig.await("it is logged", () -> rig.log(3).contains("serving on by policy 0 as set by cut_off"));
+        rig.await("the overlap is logged", () -> rig.log(3).contains("serving on by policy 0 as set by cut_off"));
         rig.heal();
         rig.awaitDeciding(1, rig.all());
         historyChecked = true;
@@ -212,7 +213,7 @@
         // Without a majority of voters nothing is decided.
         rig.start(3);
         rig.start(2);
-        rig.await("it listens", () -> rig.policy(2).get("state").getAsString().equals("not deciding"));
+        rig.await("n3 listens", () -> rig.policy(2).get("state").getAsString().equals("not deciding"));
         assertTrue(requestWithoutEndpoint(2, "r").startsWith("HTTP/1.1 503 "));
         rig.start(0);
         rig.awaitDeciding(1, 0, 2, 3);
@@ -224,15 +225,15 @@
         rig.start(1);
         rig.awaitDeciding(1, rig.all());
         rig.await(
-                "it reports so",
+                "n2 reports that its store is lost",
                 () -> rig.policy(1).getAsJsonObject("voter").get("lost").getAsBoolean());
         // Replaced as a voter, it votes: it and one other are a majority.
         assertEquals(409, rig.ask(0, "/policy/voters", "{\"replace\":\"n4\"}").statusCode());
         rig.await(
-                "it is added",
+                "n2 is added",
                 () -> rig.ask(0, "/policy/voters", "{\"replace\":\"n2\"}").statusCode() == 200);
         rig.await(
-                "it votes",
+                "n2 votes",
                 () -> rig.policy(1).getAsJsonObject("voter").get("votes").getAsBoolean());
         assertEquals(409, rig.ask(0, "/policy/voters", "{\"replace\":\"n2\"}").statusCode());
         rig.kill(2);
@@ -286,7 +287,7 @@
         awaitState(leader, "without", "applied");
         rig.awaitDeciding(2, leader, 3);
         rig.await(
-                "it stops deciding",
+                "the scheduler without incoming messages stops deciding",
                 () -> rig.policy(sendOnly).get("state").getAsString().equals("not deciding"));
         rig.heal();
         rig.awaitDeciding(2, rig.all());
