--- a/src/main/java/laneflow/gearman/GearmanConfig.java
+++ b/src/main/java/laneflow/gearman/GearmanConfig.java
@@ -62,18 +62,18 @@
         maxQueued = (int) from.integer("most_queued", 0, 0, 10_000_000);
         maxBodyBytes = (int) from.integer("most_body_kib", 1024, 1, 65_536) * 1024;
         shutdownAllowed = from.flag("shutdown", false);
-        Map<String, Table> all = from.tables("functions");
-        if (all.isEmpty() && unmappedName == null) {
+        Map<String, Table> tables = from.tables("functions");
+        if (tables.isEmpty() && unmappedName == null) {
             from.addFinding("functions", "no [functions.NAME]");
         }
-        all.forEach((name, one) -> {
-            String className = one.text("class");
+        tables.forEach((name, table) -> {
+            String className = table.text("class");
             int jobClass = classes.indexOf(className);
             if (jobClass < 0) {
-                one.addFinding("class", "'" + className + "' is none of " + classes);
+                table.addFinding("class", "'" + className + "' is none of " + classes);
             }
-            double deadlineMs = one.number("deadline_ms", 0, 1, HOUR_MS);
-            double hint = one.number("cost_ms", Double.NaN, 0, HOUR_MS) / 1000;
+            double deadlineMs = table.number("deadline_ms", 0, 1, HOUR_MS);
+            double hint = table.number("cost_ms", Double.NaN, 0, HOUR_MS) / 1000;
             functions.put(
                     name,
                     new Function(
@@ -81,9 +81,9 @@
                             jobClass,
                             (long) (deadlineMs * 1000),
                             hint,
-                            one.number("slots", 1, 0.01, 1024),
-                            one.flag("durable", false)));
-            one.close();
+                            table.number("slots", 1, 0.01, 1024),
+                            table.flag("durable", false)));
+            table.close();
         });
         from.close();
     }
@@ -113,14 +113,21 @@
         if (!listen.equals(other.listen) || zone != other.zone) {
             deferred.add("listen and zone: from the next start on");
         }
-        other.functions.forEach((name, next) -> {
-            Function now = functions.get(name);
-            if (now != null && (now.jobClass() != next.jobClass() || now.durable() != next.durable())) {
+        other.functions.forEach((name, updated) -> {
+            Function current = functions.get(name);
+            if (current != null
+                    && (current.jobClass() != updated.jobClass() || current.durable() != updated.durable())) {
                 // Workers are listed by class, and a durable job must be found by the process that accepted it.
                 deferred.add("functions." + name + ": class and durable from the next start on");
-                next = new Function(name, now.jobClass(), next.deadline(), next.hint(), next.slots(), now.durable());
+                updated = new Function(
+                        name,
+                        current.jobClass(),
+                        updated.deadline(),
+                        updated.hint(),
+                        updated.slots(),
+                        current.durable());
             }
-            functions.put(name, next);
+            functions.put(name, updated);
         });
         functions.keySet().stream()
                 .filter(name -> !other.functions.containsKey(name))
--- a/src/main/java/laneflow/gearman/Packet.java
+++ b/src/main/java/laneflow/gearman/Packet.java
@@ -87,7 +87,7 @@
             return null;
         }
         if (readInt(in, 0) != REQUEST_MAGIC) {
-            throw new MalformedPacket("no request's magic");
+            throw new MalformedPacket("the magic is not that of a request");
         }
         int size = readInt(in, 8);
         if (size < 0 || size > maxBytes) {
@@ -103,11 +103,11 @@
         return new Packet(type, data);
     }
 
-    private static int readInt(Ring in, int at) {
-        return (in.at(at) & 0xff) << 24
-                | (in.at(at + 1) & 0xff) << 16
-                | (in.at(at + 2) & 0xff) << 8
-                | in.at(at + 3) & 0xff;
+    private static int readInt(Ring in, int offset) {
+        return (in.at(offset) & 0xff) << 24
+                | (in.at(offset + 1) & 0xff) << 16
+                | (in.at(offset + 2) & 0xff) << 8
+                | in.at(offset + 3) & 0xff;
     }
 
     /** Splits the data into this number of arguments; fewer are malformed. */
--- a/src/main/java/laneflow/gearman/Peer.java
+++ b/src/main/java/laneflow/gearman/Peer.java
@@ -41,7 +41,7 @@
     private final ArrayDeque<PendingReply> pendingReplies = new ArrayDeque<>();
 
     Worker worker;
-    /** Foreground jobs whose results it waits for. */
+    /** Foreground jobs whose results this client waits for. */
     final Set<Job> waiting = new LinkedHashSet<>();
 
     boolean wantsExceptions;
@@ -53,8 +53,8 @@
     }
 
     @Override
-    public void opened(Link up) {
-        link = up;
+    public void opened(Link opened) {
+        link = opened;
         slot = front.add(this);
         worker = new Worker(front, this, "gearman-" + Long.toHexString(slot));
         startPacketTimer();
@@ -167,7 +167,7 @@
         send(Packet.ERROR, code, text);
     }
 
-    /** Its line in the reply to 'workers', which lists every connection as gearmand does. */
+    /** The connection's line in the reply to 'workers', which lists every connection as gearmand does. */
     String describe() {
         return link.handle() + " " + link.peer() + " " + clientId + " :" + worker.describeFunctions() + "\n";
     }
@@ -307,7 +307,7 @@
             case Packet.CAN_DO_TIMEOUT:
                 args = packet.arguments(2);
                 if (!Packet.text(args[1]).matches("[0-9]{1,6}")) {
-                    throw new Packet.MalformedPacket("a time-out that is no number of seconds");
+                    throw new Packet.MalformedPacket("the timeout is not a number of seconds");
                 }
                 worker.canDo(Packet.text(args[0]), Integer.parseInt(Packet.text(args[1])));
                 break;
@@ -363,7 +363,7 @@
     }
 
     @Override
-    public void broken(Link gone) {
+    public void broken(Link closed) {
         packetComplete();
         worker.disconnected();
         front.remove(this, slot);
--- a/src/main/java/laneflow/gearman/Worker.java
+++ b/src/main/java/laneflow/gearman/Worker.java
@@ -23,7 +23,7 @@
     private final Scheduler scheduler;
     private final Peer peer;
     private final String name;
-    /** Functions it can run, with time limits in seconds, 0 for none. */
+    /** Functions that the worker can run, with time limits in seconds, 0 for none. */
     private final Map<String, Integer> abilities = new LinkedHashMap<>();
     /** Announced functions that are not mapped to a class, kept because a later configuration may map them. */
     private final Map<String, Integer> unmapped = new LinkedHashMap<>();
@@ -76,7 +76,7 @@
         if (front.config.function(function) == null && unmapped.size() < MAX_UNMAPPED) {
             unmapped.put(function, seconds);
         }
-        // Unmapped functions are never assigned to it.
+        // Unmapped functions are never assigned.
         if (front.config.function(function) != null) {
             if (abilities.put(function, seconds) == null) {
                 front.queues.adjustWorkers(function, 1);
@@ -152,10 +152,10 @@
         scheduler.list(front.connector, false, List.of(entry));
     }
 
-    /** Returns queued attempts to the scheduler: all, or only those whose function it lacks. */
-    private void returnQueued(Outcome outcome, boolean all) {
+    /** Returns queued attempts to the scheduler: all, or only those whose function the worker lacks. */
+    private void returnQueued(Outcome outcome, boolean includeRunnable) {
         for (Attempt queued : new ArrayList<>(queue)) {
-            if (queue.contains(queued) && (all || functionFor(queued) == null)) {
+            if (queue.contains(queued) && (includeRunnable || functionFor(queued) == null)) {
                 queue.remove(queued);
                 scheduler.ended(queued, outcome, null, null);
             }
@@ -164,7 +164,7 @@
 
     // ---- attempts ----
 
-    /** The function under which it can run the attempt's request, or null. */
+    /** The function under which the worker can run the attempt's request, or null. */
     private String functionFor(Attempt attempt) {
         if (attempt.request.function != null) {
             return hasFunction(attempt.request.function) ? attempt.request.function : null;
@@ -179,7 +179,7 @@
 
     void enqueue(Attempt attempt) {
         if (functionFor(attempt) == null) {
-            // It lacks the function: the attempt was never sent, and another worker may run it.
+            // The worker lacks the function: the attempt was never sent, and another worker may run it.
             front.loop.later(() -> scheduler.ended(attempt, Outcome.MOOT, null, null));
             return;
         }
@@ -280,7 +280,7 @@
         scheduler.started(next);
     }
 
-    /** Removes and returns the first queued attempt that it can run and that the drain rules allow, or null. */
+    /** Removes and returns the first queued attempt that the worker can run and the drain rules allow, or null. */
     private Attempt pollRunnable() {
         for (Attempt queued : queue) {
             if (functionFor(queued) != null && scheduler.maySend(queued)) {
@@ -293,7 +293,7 @@
 
     // ---- packets about the assigned job ----
 
-    /** Handles a WORK_* packet; false if the handle is not that of its job. */
+    /** Handles a WORK_* packet; false if the handle is not that of the assigned job. */
     boolean handleWork(int type, String jobHandle, byte[] workData) throws Packet.MalformedPacket {
         if (!jobHandle.equals(handle)) {
             // WORK_EXCEPTION already ends the job; libraries send a redundant WORK_FAIL after it.
@@ -340,7 +340,7 @@
     private void status(byte[] workData) throws Packet.MalformedPacket {
         String[] parts = Packet.text(workData).split("\0", 2);
         if (parts.length < 2 || !parts[0].matches("[0-9]{1,15}") || !parts[1].matches("[0-9]{1,15}")) {
-            throw new Packet.MalformedPacket("a status that is no part of a whole");
+            throw new Packet.MalformedPacket("the status is not a numerator and a denominator");
         }
         if (assigned != null) {
             scheduler.progress(assigned, Long.parseLong(parts[0]), Long.parseLong(parts[1]));
@@ -396,7 +396,7 @@
         }
     }
 
-    /** The load as known from the connection: it has one slot. */
+    /** The load as known from the connection: a worker has one slot. */
     private LoadReport loadReport() {
         LoadReport report = new LoadReport();
         report.freeSlots = handle == null ? 1 : 0;
--- a/src/main/java/laneflow/gearman/decision/OutputForwarding.java
+++ b/src/main/java/laneflow/gearman/decision/OutputForwarding.java
@@ -3,10 +3,10 @@
 import laneflow.decision.Dispatch.Effect;
 
 /**
- * Whether a worker's intermediate output is passed on at once or held until the job's end. Passed on, it
- * can't be taken back: a second attempt would send it again, and a client that puts the pieces together would
- * have both. So only a job that is never tried again once it may have run has its output passed on; of any
- * other job the client gets the output of the successful attempt, in front of the result.
+ * Decides whether a worker's intermediate output is forwarded to the clients at once or held until the job
+ * ends. Forwarded output can't be withdrawn: a retry would send it again, and a client that concatenates the
+ * pieces would get both. It is therefore forwarded only for jobs that are never retried once they may have run;
+ * for all others the clients get the output of the successful attempt, before the result.
  */
 public final class OutputForwarding {
     private OutputForwarding() {}
--- a/src/main/java/laneflow/gearman/decision/Schedule.java
+++ b/src/main/java/laneflow/gearman/decision/Schedule.java
@@ -33,41 +33,41 @@
         int runDay = parseField("day of the month", day, 1, 31);
         int runMonth = parseField("month", month, 1, 12);
         int runWeekday = parseField("day of the week", weekday, 0, 6);
-        ZonedDateTime at = Instant.ofEpochMilli(nowMs)
+        ZonedDateTime candidate = Instant.ofEpochMilli(nowMs)
                 .atZone(ZoneOffset.UTC)
                 .truncatedTo(ChronoUnit.MINUTES)
                 .plusMinutes(1);
         for (int days = 0; days < MAX_SEARCH_DAYS; days++) {
-            boolean dateMatches = (runDay < 0 || at.getDayOfMonth() == runDay)
-                    && (runMonth < 0 || at.getMonthValue() == runMonth)
-                    && (runWeekday < 0 || at.getDayOfWeek().getValue() - 1 == runWeekday);
-            ZonedDateTime match = dateMatches ? firstMatchOnDay(at, runMinute, runHour) : null;
+            boolean dateMatches = (runDay < 0 || candidate.getDayOfMonth() == runDay)
+                    && (runMonth < 0 || candidate.getMonthValue() == runMonth)
+                    && (runWeekday < 0 || candidate.getDayOfWeek().getValue() - 1 == runWeekday);
+            ZonedDateTime match = dateMatches ? firstMatchOnDay(candidate, runMinute, runHour) : null;
             if (match != null) {
                 return match.toInstant().toEpochMilli();
             }
-            at = at.truncatedTo(ChronoUnit.DAYS).plusDays(1);
+            candidate = candidate.truncatedTo(ChronoUnit.DAYS).plusDays(1);
         }
         throw new IllegalArgumentException("no day is the " + day + ". of month " + month + " and weekday " + weekday);
     }
 
     /** The first matching minute of that day, not before {@code from}, or null. */
     private static ZonedDateTime firstMatchOnDay(ZonedDateTime from, int minute, int hour) {
-        ZonedDateTime at = from;
+        ZonedDateTime candidate = from;
         try {
-            if (hour >= 0 && at.getHour() != hour) {
-                if (at.getHour() > hour) {
+            if (hour >= 0 && candidate.getHour() != hour) {
+                if (candidate.getHour() > hour) {
                     return null;
                 }
-                at = at.withHour(hour).withMinute(0);
+                candidate = candidate.withHour(hour).withMinute(0);
             }
-            if (minute >= 0 && at.getMinute() > minute) {
+            if (minute >= 0 && candidate.getMinute() > minute) {
                 if (hour >= 0) {
                     return null;
                 }
-                at = at.plusHours(1);
+                candidate = candidate.plusHours(1);
             }
-            at = minute < 0 ? at : at.withMinute(minute);
-            return at.toLocalDate().equals(from.toLocalDate()) ? at : null;
+            candidate = minute < 0 ? candidate : candidate.withMinute(minute);
+            return candidate.toLocalDate().equals(from.toLocalDate()) ? candidate : null;
         } catch (DateTimeException e) {
             throw new IllegalArgumentException("out of the calendar", e);
         }
--- a/src/test/java/laneflow/durable/DecisionTest.java
+++ b/src/test/java/laneflow/durable/DecisionTest.java
@@ -24,11 +24,11 @@
     private static final long WINDOW = 10_000;
 
     private static List<AttemptRecord> attempts(long at, Known... known) {
-        List<AttemptRecord> all = new ArrayList<>();
-        for (Known one : known) {
-            all.add(new AttemptRecord(all.size() + 1, "e", at, at + 500, one));
+        List<AttemptRecord> attempts = new ArrayList<>();
+        for (Known outcome : known) {
+            attempts.add(new AttemptRecord(attempts.size() + 1, "e", at, at + 500, outcome));
         }
-        return all;
+        return attempts;
     }
 
     private static Verdict decide(Effect effect, long nowMs, List<AttemptRecord> attempts) {
@@ -40,9 +40,10 @@
         for (Effect effect : Effect.values()) {
             assertEquals(Kind.REQUEUE, decide(effect, 1000, List.of()).kind());
             // Also when the clock was set back, and without a limit on such attempts.
-            Known[] never = new Known[9];
-            java.util.Arrays.fill(never, Known.NEVER_RAN);
-            assertEquals(Kind.REQUEUE, decide(effect, 0, attempts(1000, never)).kind());
+            Known[] neverRan = new Known[9];
+            java.util.Arrays.fill(neverRan, Known.NEVER_RAN);
+            assertEquals(
+                    Kind.REQUEUE, decide(effect, 0, attempts(1000, neverRan)).kind());
         }
     }
 
@@ -65,26 +66,28 @@
 
     @Test
     void keyedJobIsRequeuedOnlyWithinTheWindowOfItsEarliestAttempt() {
-        List<AttemptRecord> two = attempts(1000, Known.NEVER_RAN, Known.MAY_HAVE_RUN);
-        two.add(new AttemptRecord(3, "e", 9000, 9500, Known.MAY_HAVE_RUN));
-        Verdict inside = decide(Effect.KEYED, 10_999, two);
-        assertEquals(Kind.REQUEUE, inside.kind());
-        assertEquals(11_000, inside.untilMs());
-        assertEquals(Kind.UNKNOWN, decide(Effect.KEYED, 11_000, two).kind());
+        List<AttemptRecord> attempts = attempts(1000, Known.NEVER_RAN, Known.MAY_HAVE_RUN);
+        attempts.add(new AttemptRecord(3, "e", 9000, 9500, Known.MAY_HAVE_RUN));
+        Verdict verdict = decide(Effect.KEYED, 10_999, attempts);
+        assertEquals(Kind.REQUEUE, verdict.kind());
+        assertEquals(11_000, verdict.untilMs());
+        assertEquals(Kind.UNKNOWN, decide(Effect.KEYED, 11_000, attempts).kind());
         // With the clock behind the latest record, the attempt's age is unknown.
-        assertEquals(Kind.UNKNOWN, decide(Effect.KEYED, 999, two).kind());
+        assertEquals(Kind.UNKNOWN, decide(Effect.KEYED, 999, attempts).kind());
         assertEquals(
                 Kind.UNKNOWN,
-                Settlement.decide(Effect.KEYED, two, WINDOW, 10_000, 10_001, 5).kind());
+                Settlement.decide(Effect.KEYED, attempts, WINDOW, 10_000, 10_001, 5)
+                        .kind());
     }
 
     @Test
     void attemptsAreLimitedOverTheJobsLifetime() {
-        Known[] five = {Known.MAY_HAVE_RUN, Known.MAY_HAVE_RUN, Known.OUT, Known.SAID_FAILED, Known.MAY_HAVE_RUN};
+        Known[] outcomes = {Known.MAY_HAVE_RUN, Known.MAY_HAVE_RUN, Known.OUT, Known.SAID_FAILED, Known.MAY_HAVE_RUN};
         assertEquals(
-                Kind.FAILED, decide(Effect.SAFE, 1000, attempts(1000, five)).kind());
+                Kind.FAILED, decide(Effect.SAFE, 1000, attempts(1000, outcomes)).kind());
         assertEquals(
-                Kind.UNKNOWN, decide(Effect.KEYED, 1000, attempts(1000, five)).kind());
+                Kind.UNKNOWN,
+                decide(Effect.KEYED, 1000, attempts(1000, outcomes)).kind());
     }
 
     /** For any record: a job that may have run is requeued only if it is safe, or keyed and inside its window. */
@@ -94,27 +97,27 @@
             @ForAll @Size(max = 7) List<Known> known,
             @ForAll @IntRange(max = 40_000) int nowMs,
             @ForAll @IntRange(max = 40_000) int latestMs) {
-        List<AttemptRecord> all = new ArrayList<>();
-        for (Known one : known) {
-            int n = all.size() + 1;
-            all.add(new AttemptRecord(n, "e", 1000L * n, 1000L * n + 500, one));
+        List<AttemptRecord> attempts = new ArrayList<>();
+        for (Known outcome : known) {
+            int number = attempts.size() + 1;
+            attempts.add(new AttemptRecord(number, "e", 1000L * number, 1000L * number + 500, outcome));
         }
-        boolean ran = all.stream().anyMatch(AttemptRecord::mayHaveRun);
-        long first = all.stream()
+        boolean mayHaveRun = attempts.stream().anyMatch(AttemptRecord::mayHaveRun);
+        long firstLeasedMs = attempts.stream()
                 .filter(AttemptRecord::mayHaveRun)
                 .mapToLong(AttemptRecord::leasedMs)
                 .min()
                 .orElse(0);
-        Verdict verdict = Settlement.decide(effect, all, WINDOW, nowMs, latestMs, 5);
-        assertEquals(verdict, Settlement.decide(effect, all, WINDOW, nowMs, latestMs, 5));
-        if (verdict.kind() == Kind.REQUEUE && ran) {
+        Verdict verdict = Settlement.decide(effect, attempts, WINDOW, nowMs, latestMs, 5);
+        assertEquals(verdict, Settlement.decide(effect, attempts, WINDOW, nowMs, latestMs, 5));
+        if (verdict.kind() == Kind.REQUEUE && mayHaveRun) {
             assertTrue(effect == Effect.SAFE
                     || effect == Effect.KEYED
                             && nowMs >= latestMs
-                            && nowMs < first + WINDOW
-                            && verdict.untilMs() == first + WINDOW);
+                            && nowMs < firstLeasedMs + WINDOW
+                            && verdict.untilMs() == firstLeasedMs + WINDOW);
         }
-        assertTrue(ran || verdict.kind() == Kind.REQUEUE);
+        assertTrue(mayHaveRun || verdict.kind() == Kind.REQUEUE);
     }
 
     @Test
--- a/src/test/java/laneflow/durable/DurableJobsTest.java
+++ b/src/test/java/laneflow/durable/DurableJobsTest.java
@@ -79,7 +79,7 @@
     }
 
     @AfterEach
-    void end() throws InterruptedException {
+    void closeJournal() throws InterruptedException {
         writes.release(1000);
         journal.close();
     }
@@ -245,23 +245,23 @@
                         row(5, "check", old),
                         row(6, "gone", old)),
                 46_000);
-        List<Long> out = new ArrayList<>();
+        List<Long> sentJobs = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             writes.release();
             for (Runnable run = callbacks.poll(50, TimeUnit.MILLISECONDS); run != null; run = callbacks.poll()) {
                 run.run();
             }
             for (Attempt call : new ArrayList<>(calls)) {
-                if (!out.contains(call.request.tag)) {
-                    out.add(call.request.tag);
+                if (!sentJobs.contains(call.request.tag)) {
+                    sentJobs.add(call.request.tag);
                     scheduler.ended(call, Outcome.OK, new byte[0], null);
                 }
             }
             now += 100_000;
             deadlines.runDue(now);
         }
-        assertTrue(out.contains(3L) && out.contains(4L) && out.contains(5L), out.toString());
-        assertEquals(3, out.size());
+        assertTrue(sentJobs.contains(3L) && sentJobs.contains(4L) && sentJobs.contains(5L), sentJobs.toString());
+        assertEquals(3, sentJobs.size());
         assertEquals("unknown", jobs.peek(1).state());
         assertEquals("unknown", jobs.peek(2).state());
         // A job whose class is no longer configured is kept, and a late outcome for it does no harm.
--- a/src/test/java/laneflow/durable/DurableStoryTest.java
+++ b/src/test/java/laneflow/durable/DurableStoryTest.java
@@ -43,9 +43,9 @@
     /** Polls until the job is in this state, and returns the last response. */
     private static String awaitState(Peer http, String id, String state) throws IOException {
         String response = "";
-        long end = System.nanoTime() + 60_000_000_000L;
+        long deadlineNs = System.nanoTime() + 60_000_000_000L;
         while (!response.contains("\"state\":\"" + state + "\"")) {
-            assertTrue(System.nanoTime() < end, response);
+            assertTrue(System.nanoTime() < deadlineNs, response);
             response = get(http, "/jobs/" + id);
         }
         return response;
@@ -245,8 +245,8 @@
         }
         try (Stand stand = Stand.keeping(folder.resolve("in"), "[classes.points-post]\n", endpoint);
                 Peer http = stand.http()) {
-            Peer again = endpoint.accept();
-            assertTrue(again.message().contains("Idempotency-Key: k1\r\n"));
+            Peer secondCall = endpoint.accept();
+            assertTrue(secondCall.message().contains("Idempotency-Key: k1\r\n"));
             assertTrue(get(http, "/jobs/" + httpJob).contains("\"lease\":2"));
         }
         // Moves the record of the other job back by more than its window of ten seconds.
@@ -255,14 +255,14 @@
             store.read(true, rows::add);
             JobRow row = rows.get(0);
             var old = row.attempts().get(0);
-            long then = old.leasedMs() - 10_001;
+            long earlierMs = old.leasedMs() - 10_001;
             httpJob = Store.hex(row.id());
             store.write(List.of(Op.update(
                     row.id(),
                     State.RUNNING,
                     List.of(new laneflow.durable.decision.AttemptRecord(
-                            1, old.endpoint(), then, then + 500, old.known())),
-                    then)));
+                            1, old.endpoint(), earlierMs, earlierMs + 500, old.known())),
+                    earlierMs)));
         }
         try (Stand stand = Stand.keeping(expired, "[classes.points-post]\n", endpoint);
                 Peer http = stand.http()) {
@@ -363,20 +363,20 @@
     @Test
     void shutdownLeavesQueuedAndRunningJobsToTheNextProcess() throws Exception {
         String queued;
-        String out;
+        String running;
         try (Stand stand = Stand.keeping(folder, "");
                 Peer client = stand.gearman()) {
             Peer worker = worker(stand, "kcapture");
-            out = submitBackground(client, "kcapture", "", "pay");
+            running = submitBackground(client, "kcapture", "", "pay");
             grab(worker);
             queued = submitBackground(client, "kpost", "u", "post");
-            long from = System.nanoTime();
+            long startNs = System.nanoTime();
             stand.serve.stop(() -> false);
-            assertTrue(System.nanoTime() - from < 6_000_000_000L);
+            assertTrue(System.nanoTime() - startNs < 6_000_000_000L);
         }
         try (Stand stand = Stand.keeping(folder, "");
                 Peer http = stand.http()) {
-            awaitState(http, id(out), "unknown");
+            awaitState(http, id(running), "unknown");
             awaitState(http, id(queued), "queued");
             Peer worker = worker(stand, "kpost");
             send(worker, Gearman.COMPLETE, grab(worker)[0], "posted");
--- a/src/test/java/laneflow/durable/StoreMaintenanceTest.java
+++ b/src/test/java/laneflow/durable/StoreMaintenanceTest.java
@@ -85,8 +85,8 @@
     void listsShowsAndCancelsJobs() throws Exception {
         Path dir = store("s", row(1, "a", (byte) 'x'), row(2, "b"));
         try (Store store = Store.open(dir, StoreMaintenance.NO_LIMIT)) {
-            AttemptRecord out = new AttemptRecord(1, "till-1", 2000, 2500, Known.MAY_HAVE_RUN);
-            store.write(List.of(Op.end(2, State.UNKNOWN, List.of(out), "it may have run", null, 3000)));
+            AttemptRecord attempt = new AttemptRecord(1, "till-1", 2000, 2500, Known.MAY_HAVE_RUN);
+            store.write(List.of(Op.end(2, State.UNKNOWN, List.of(attempt), "it may have run", null, 3000)));
             assertEquals(1, run("jobs", "list", dir.toString()));
             assertTrue(output.contains("the store is held by process"), output);
         }
@@ -139,14 +139,14 @@
     void adoptingAStoreTwiceMovesItsJobsOnce() throws Exception {
         Path source = store("dead", row(1, "a", (byte) 1), row(2, "b"), row(3, ""), row(4, "c"));
         Path target = store("living", row(9, "b"));
-        AttemptRecord out = new AttemptRecord(1, "till-1", 2000, 2500, Known.OUT);
+        AttemptRecord attempt = new AttemptRecord(1, "till-1", 2000, 2500, Known.OUT);
         try (Store store = Store.open(source, StoreMaintenance.NO_LIMIT);
-                Store other = Store.open(target, StoreMaintenance.NO_LIMIT)) {
+                Store targetStore = Store.open(target, StoreMaintenance.NO_LIMIT)) {
             store.write(List.of(
-                    Op.update(3, State.RUNNING, List.of(out), 2000),
-                    Op.end(4, State.DONE, List.of(out.withKnown(Known.DONE)), "served", new byte[] {7}, 2100)));
+                    Op.update(3, State.RUNNING, List.of(attempt), 2000),
+                    Op.end(4, State.DONE, List.of(attempt.withKnown(Known.DONE)), "served", new byte[] {7}, 2100)));
             // An interrupted adoption has left this job in both stores.
-            other.write(List.of(Op.accept(row(1, "a", (byte) 1))));
+            targetStore.write(List.of(Op.accept(row(1, "a", (byte) 1))));
         }
         assertEquals(0, run("jobs", "adopt", source.toString(), target.toString(), "--json"));
         JsonObject adopted = JsonParser.parseString(output).getAsJsonObject();
@@ -162,7 +162,7 @@
             store.read(true, rows::add);
             assertEquals(5, rows.size());
             assertEquals("", rows.get(1).key());
-            assertEquals(List.of(out), rows.get(2).attempts());
+            assertEquals(List.of(attempt), rows.get(2).attempts());
             assertEquals(State.DONE, rows.get(3).state());
             assertEquals(7, store.result(4)[0]);
         }
--- a/src/test/java/laneflow/durable/StoreTest.java
+++ b/src/test/java/laneflow/durable/StoreTest.java
@@ -61,7 +61,7 @@
         return Store.open(folder, 1L << 30);
     }
 
-    private static List<JobRow> all(Store store) throws IOException {
+    private static List<JobRow> readAll(Store store) throws IOException {
         List<JobRow> rows = new ArrayList<>();
         store.read(true, rows::add);
         return rows;
@@ -96,7 +96,7 @@
                     Op.end(1, State.DONE, List.of(attempt), "served", new byte[] {0, -1}, 300), Op.drop(3, 300)));
         }
         try (Store store = open()) {
-            List<JobRow> rows = all(store);
+            List<JobRow> rows = readAll(store);
             assertEquals(2, rows.size());
             assertEquals(State.DONE, rows.get(0).state());
             assertEquals(List.of(attempt), rows.get(0).attempts());
@@ -152,7 +152,7 @@
         assertTrue(e.getMessage().contains("acknowledged commits are missing"), e.getMessage());
         assertTrue(Store.acceptLoss(truncated) > 0);
         try (Store store = Store.open(truncated, 1L << 30)) {
-            assertTrue(all(store).size() < 20);
+            assertTrue(readAll(store).size() < 20);
         }
     }
 
@@ -168,7 +168,7 @@
             Files.write(before.resolve("jobs.db-wal"), java.util.Arrays.copyOf(log, log.length - 3000));
         }
         try (Store store = Store.open(before, 1L << 30)) {
-            assertEquals(1, all(store).size());
+            assertEquals(1, readAll(store).size());
             List<String> damage = new ArrayList<>();
             store.verify(damage::add);
             assertEquals(List.of(), damage);
@@ -179,51 +179,53 @@
     void flippedBitIsReportedAndNeverReturnedAsData() throws Exception {
         fill(50);
         Path file = folder.resolve("jobs.db");
-        byte[] sound = Files.readAllBytes(file);
-        String text = new String(sound, StandardCharsets.ISO_8859_1);
-        int noticed = 0;
+        byte[] intact = Files.readAllBytes(file);
+        String text = new String(intact, StandardCharsets.ISO_8859_1);
+        int detected = 0;
         // In a body, in a key, in a request id, and in a page header. Pages also contain remains of moved
         // cells, so every occurrence of the text is changed.
-        for (String at : new String[] {"b".repeat(200), "basket-checkcheckk7", "r33", ""}) {
-            byte[] flipped = sound.clone();
-            for (int i = text.indexOf(at, 4096 * 2); !at.isEmpty() && i >= 0; i = text.indexOf(at, i + 300)) {
-                flipped[i + at.length() - 1] ^= 4;
+        for (String target : new String[] {"b".repeat(200), "basket-checkcheckk7", "r33", ""}) {
+            byte[] flipped = intact.clone();
+            for (int i = text.indexOf(target, 4096 * 2);
+                    !target.isEmpty() && i >= 0;
+                    i = text.indexOf(target, i + 300)) {
+                flipped[i + target.length() - 1] ^= 4;
             }
-            flipped[4096 * 3 + 3] ^= at.isEmpty() ? 4 : 0;
+            flipped[4096 * 3 + 3] ^= target.isEmpty() ? 4 : 0;
             Files.write(file, flipped);
             List<String> damage = new ArrayList<>();
             try (Store store = open()) {
                 store.verify(damage::add);
-                assertFalse(damage.isEmpty(), "flipped: " + at);
-                StoreException e = assertThrows(StoreException.class, () -> all(store));
+                assertFalse(damage.isEmpty(), "flipped: " + target);
+                StoreException e = assertThrows(StoreException.class, () -> readAll(store));
                 assertEquals(StoreException.Kind.DAMAGED, e.kind, e.getMessage());
-                noticed++;
+                detected++;
             } catch (StoreException e) {
                 assertEquals(StoreException.Kind.DAMAGED, e.kind, e.getMessage());
-                noticed++;
+                detected++;
             }
         }
-        assertEquals(4, noticed);
-        Files.write(file, sound);
+        assertEquals(4, detected);
+        Files.write(file, intact);
         try (Store store = open()) {
-            assertEquals(50, all(store).size());
+            assertEquals(50, readAll(store).size());
         }
     }
 
     @Test
     void fullStoreRejectsWritesUntilSpaceIsFreed() throws Exception {
         try (Store store = Store.open(folder, 200 * 4096)) {
-            int taken = 0;
+            int accepted = 0;
             StoreException full = null;
-            while (full == null && taken < 1000) {
+            while (full == null && accepted < 1000) {
                 try {
-                    store.write(List.of(Op.accept(row(++taken, 3000))));
+                    store.write(List.of(Op.accept(row(++accepted, 3000))));
                 } catch (StoreException e) {
                     full = e;
                 }
             }
             assertEquals(StoreException.Kind.FULL, full.kind, full.getMessage());
-            assertEquals(taken - 1, all(store).size());
+            assertEquals(accepted - 1, readAll(store).size());
             List<Op> drops = new ArrayList<>();
             for (int i = 1; i < 20; i++) {
                 drops.add(Op.drop(i, 5));
@@ -233,7 +235,7 @@
             long used = store.usedBytes();
             store.compact();
             assertTrue(store.usedBytes() <= used && Files.size(folder.resolve("jobs.db")) <= 200 * 4096);
-            assertEquals(taken - 20 + 1, all(store).size());
+            assertEquals(accepted - 20 + 1, readAll(store).size());
         }
     }
 
@@ -242,15 +244,15 @@
     /** A storage that fails on demand. */
     private static final class FaultyStorage implements Journal.Storage {
         private final List<Op> written = new ArrayList<>();
-        private volatile StoreException.Kind fails;
+        private volatile StoreException.Kind failureKind;
         private int writeCalls;
 
         @Override
         public void write(List<Op> ops) throws StoreException {
             writeCalls++;
             boolean hasAcceptance = ops.stream().anyMatch(op -> op.kind() == Op.Kind.ACCEPT);
-            if (fails == StoreException.Kind.BROKEN || fails == StoreException.Kind.FULL && hasAcceptance) {
-                throw new StoreException(fails, "injected failure");
+            if (failureKind == StoreException.Kind.BROKEN || failureKind == StoreException.Kind.FULL && hasAcceptance) {
+                throw new StoreException(failureKind, "injected failure");
             }
             written.addAll(ops);
         }
@@ -283,11 +285,11 @@
         try (Journal journal = new Journal(storage, Runnable::run, 16)) {
             journal.write(Op.accept(row(1, 1)), failure -> outcomes.add("1 " + (failure == null)));
             assertEquals("1 true", nextOutcome(outcomes));
-            storage.fails = StoreException.Kind.BROKEN;
+            storage.failureKind = StoreException.Kind.BROKEN;
             journal.write(Op.accept(row(2, 1)), failure -> outcomes.add("2 " + failure.kind));
             assertEquals("2 BROKEN", nextOutcome(outcomes));
             // The write would succeed now, but after a failed sync the disk can't be trusted.
-            storage.fails = null;
+            storage.failureKind = null;
             journal.write(Op.accept(row(3, 1)), failure -> outcomes.add("3 " + failure.kind));
             assertEquals("3 BROKEN", nextOutcome(outcomes));
             assertEquals(StoreException.Kind.BROKEN, journal.broken().kind);
@@ -300,14 +302,14 @@
     void fullDiskRejectsAcceptancesAndStillRecordsEnds() throws Exception {
         FaultyStorage storage = new FaultyStorage();
         BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
-        storage.fails = StoreException.Kind.FULL;
+        storage.failureKind = StoreException.Kind.FULL;
         try (Journal journal = new Journal(storage, Runnable::run, 16)) {
             journal.write(Op.accept(row(1, 1)), failure -> outcomes.add("1 " + failure.kind));
             journal.write(
                     Op.end(7, State.DONE, List.of(), "", new byte[0], 5), failure -> outcomes.add("7 " + failure));
             assertEquals("1 FULL", nextOutcome(outcomes));
             assertEquals("7 null", nextOutcome(outcomes));
-            storage.fails = null;
+            storage.failureKind = null;
             journal.write(Op.accept(row(1, 1)), failure -> outcomes.add("1 " + failure));
             assertEquals("1 null", nextOutcome(outcomes));
             assertNull(journal.broken());
@@ -317,28 +319,28 @@
     @Test
     void fullQueueIsReportedAtOnce() throws Exception {
         FaultyStorage storage = new FaultyStorage();
-        BlockingQueue<Runnable> held = new LinkedBlockingQueue<>();
-        java.util.concurrent.CountDownLatch stuck = new java.util.concurrent.CountDownLatch(1);
+        BlockingQueue<Runnable> interrupted = new LinkedBlockingQueue<>();
+        java.util.concurrent.CountDownLatch released = new java.util.concurrent.CountDownLatch(1);
         Journal journal = new Journal(
                 storage,
                 callbacks -> {
                     try {
-                        stuck.await();
+                        released.await();
                     } catch (InterruptedException e) {
-                        held.add(callbacks);
+                        interrupted.add(callbacks);
                     }
                 },
                 16);
-        int taken = 0;
-        while (taken < 100 && journal.write(Op.accept(row(taken + 1, 1)), failure -> {})) {
-            taken++;
+        int accepted = 0;
+        while (accepted < 100 && journal.write(Op.accept(row(accepted + 1, 1)), failure -> {})) {
+            accepted++;
         }
-        assertTrue(taken >= 8 && taken < 20, taken + " taken");
-        // Records of running jobs still find room.
+        assertTrue(accepted >= 8 && accepted < 20, accepted + " accepted");
+        // Records of running jobs are still accepted.
         assertTrue(journal.write(Op.update(1, State.QUEUED, List.of(), 1), failure -> {}));
-        stuck.countDown();
+        released.countDown();
         journal.close();
-        assertEquals(taken + 1, storage.written.size());
+        assertEquals(accepted + 1, storage.written.size());
     }
 
     /** Kills processes that write and compact at random moments; acknowledged jobs must survive. */
@@ -347,7 +349,7 @@
         java.util.Random random = new java.util.Random(7);
         long acknowledged = 0;
         for (int i = 0; i < 6; i++) {
-            Path outputFile = folder.resolve("said");
+            Path outputFile = folder.resolve("output");
             long outputBytes = 100 + random.nextInt(4000);
             KilledProcess.run(outputFile, outputBytes, Writer.class, folder.toString(), String.valueOf(acknowledged));
             List<String> lines = Files.readAllLines(outputFile);
@@ -355,7 +357,7 @@
                 acknowledged = Math.max(acknowledged, Long.parseLong(line));
             }
             try (Store store = open()) {
-                List<JobRow> rows = all(store);
+                List<JobRow> rows = readAll(store);
                 long last = rows.isEmpty() ? 0 : rows.get(rows.size() - 1).id();
                 assertTrue(last >= acknowledged, last + " of " + acknowledged);
                 acknowledged = last;
--- a/src/test/java/laneflow/gearman/GearmanStoryTest.java
+++ b/src/test/java/laneflow/gearman/GearmanStoryTest.java
@@ -85,12 +85,12 @@
             assertEquals(handle, expect(client, Packet.WORK_FAIL)[0]);
             assertEquals(1, stand.counter("call.sent"));
             // A job that is safe to retry goes to the next worker.
-            String again = submit(client, Packet.SUBMIT_JOB, "check", "", "");
-            assertEquals(again, grab(second)[0]);
+            String secondHandle = submit(client, Packet.SUBMIT_JOB, "check", "", "");
+            assertEquals(secondHandle, grab(second)[0]);
             Peer third = worker(stand, "check");
             second.reset();
-            assertEquals(again, grab(third)[0]);
-            send(third, Packet.WORK_COMPLETE, again, "ok");
+            assertEquals(secondHandle, grab(third)[0]);
+            send(third, Packet.WORK_COMPLETE, secondHandle, "ok");
             expect(client, Packet.WORK_COMPLETE);
         }
     }
@@ -248,7 +248,7 @@
         }
     }
 
-    /** The packet order of libgearman's worker: it grabs before it sleeps, with GRAB_JOB_ALL only. */
+    /** The packet order of libgearman's worker: GRAB_JOB_ALL comes before each PRE_SLEEP. */
     @Test
     void libgearmanWorkerIsServed() throws Exception {
         try (Stand stand = new Stand(null);
@@ -264,7 +264,7 @@
                 String unique = i == 0 ? "u1" : "";
                 String handle = submit(client, Packet.SUBMIT_JOB, i == 0 ? "check" : "post", unique, "a\0b");
                 expect(worker, Packet.NOOP);
-                // PRE_SLEEP again before it grabs: it is woken again, not left asleep with a job queued.
+                // PRE_SLEEP again before it grabs: the worker gets another NOOP, since a job is queued for it.
                 send(worker, Packet.PRE_SLEEP);
                 expect(worker, Packet.NOOP);
                 send(worker, Packet.GRAB_JOB_ALL);
@@ -285,8 +285,8 @@
         for (boolean gearman : new boolean[] {true, false}) {
             String front = gearman ? "gearman" : "http";
             try (Stand stand = new Stand(null)) {
-                Peer one = submitOver(stand, gearman, "check", "basket-check");
-                one.close();
+                Peer abandoned = submitOver(stand, gearman, "check", "basket-check");
+                abandoned.close();
                 Peer worker = worker(stand, "check", "capture", "post");
                 Peer served = submitOver(stand, gearman, "capture", "card-capture");
                 send(worker, Packet.WORK_COMPLETE, grab(worker)[0], "");
@@ -296,9 +296,9 @@
                 send(worker, Packet.WORK_FAIL, grab(worker)[0]);
                 stand.await("call.error", 1);
                 Peer other = worker(stand, "capture");
-                Peer left = submitOver(stand, gearman, "capture", "card-capture");
+                Peer withdrawn = submitOver(stand, gearman, "capture", "card-capture");
                 expect(other, Packet.NOOP);
-                left.close();
+                withdrawn.close();
                 stand.await(front + ".withdrawn", 1);
                 Peer lost = submitOver(stand, gearman, "capture", "card-capture");
                 send(other, Packet.GRAB_JOB);
@@ -391,11 +391,11 @@
     void connectionWithoutACompletePacketIsClosedAndASilentWorkerIsNot() throws Exception {
         try (Stand stand = new Stand(null);
                 Peer silent = stand.gearman();
-                Peer half = stand.gearman()) {
+                Peer incomplete = stand.gearman()) {
             Peer worker = worker(stand, "check");
-            half.write(new byte[] {0, 'R', 'E', 'Q', 0});
+            incomplete.write(new byte[] {0, 'R', 'E', 'Q', 0});
             assertTrue(silent.ended());
-            assertTrue(half.ended());
+            assertTrue(incomplete.ended());
             assertEquals(2, stand.counter("gearman.slow_packet"));
             String handle = submit(stand.gearman(), Packet.SUBMIT_JOB, "check", "", "");
             assertEquals(handle, grab(worker)[0]);
--- a/src/test/java/laneflow/gearman/ReaderFuzzTest.java
+++ b/src/test/java/laneflow/gearman/ReaderFuzzTest.java
@@ -39,13 +39,13 @@
             }
             sent.add(packet);
         }
-        int read = 0;
+        int packetsRead = 0;
         try {
             for (byte[] packet : sent) {
-                for (int at = 0; at < packet.length; ) {
-                    int piece = Math.min(packet.length - at, 1 + random.nextInt(64));
-                    assertTrue(ring.put(packet, at, piece));
-                    at += piece;
+                for (int offset = 0; offset < packet.length; ) {
+                    int length = Math.min(packet.length - offset, 1 + random.nextInt(64));
+                    assertTrue(ring.put(packet, offset, length));
+                    offset += length;
                     for (Packet packetRead = Packet.read(ring, MAX_DATA_BYTES);
                             packetRead != null;
                             packetRead = Packet.read(ring, MAX_DATA_BYTES)) {
@@ -54,10 +54,11 @@
                         }
                         if (!damaged) {
                             assertArrayEquals(
-                                    Arrays.copyOfRange(sent.get(read), Packet.HEADER_BYTES, sent.get(read).length),
+                                    Arrays.copyOfRange(
+                                            sent.get(packetsRead), Packet.HEADER_BYTES, sent.get(packetsRead).length),
                                     packetRead.data());
                         }
-                        read++;
+                        packetsRead++;
                     }
                 }
             }
@@ -65,7 +66,7 @@
             assertTrue(damaged, e.getMessage());
             return;
         }
-        assertTrue(damaged || read == sent.size(), read + " of " + sent.size());
+        assertTrue(damaged || packetsRead == sent.size(), packetsRead + " of " + sent.size());
     }
 
     private static void checkArguments(Packet packet, int count) {
@@ -73,8 +74,8 @@
             byte[][] arguments = packet.arguments(count);
             assertEquals(count, arguments.length);
             int sum = count - 1;
-            for (byte[] one : arguments) {
-                sum += one.length;
+            for (byte[] argument : arguments) {
+                sum += argument.length;
             }
             assertEquals(packet.data().length, sum);
         } catch (Packet.MalformedPacket e) {
@@ -137,7 +138,7 @@
             if (action < 2) {
                 int priority = random.nextInt(3);
                 long waiting = jobs.stream()
-                        .filter(one -> one[0] == priority && one[1] == 0)
+                        .filter(other -> other[0] == priority && other[1] == 0)
                         .count();
                 assertEquals(waiting < 5, queues.admits("f", priority));
                 if (waiting < 5) {
@@ -152,10 +153,10 @@
                 jobs.remove(job);
             }
             assertEquals(
-                    jobs.stream().filter(one -> one[1] == 0).count(),
+                    jobs.stream().filter(other -> other[1] == 0).count(),
                     queues.counts("f").queued());
             assertEquals(
-                    jobs.stream().filter(one -> one[1] == 1).count(),
+                    jobs.stream().filter(other -> other[1] == 1).count(),
                     queues.counts("f").running());
             assertEquals(jobs.isEmpty(), queues.counts("f").isIdle());
         }
--- a/src/test/java/laneflow/gearman/ScheduledJobsTest.java
+++ b/src/test/java/laneflow/gearman/ScheduledJobsTest.java
@@ -42,7 +42,7 @@
         assertEquals("2026-12-07T00:00:00Z", next("0", "0", "", "", "0", now));
         assertEquals("2028-02-29T12:00:00Z", next("0", "12", "29", "2", "", now));
         assertEquals("2026-12-02T00:05:00Z", next("5", "", "", "", "", "2026-12-01T23:58:00Z"));
-        for (String[] bad : new String[][] {
+        for (String[] invalid : new String[][] {
             {"60", "", "", "", ""},
             {"", "24", "", "", ""},
             {"", "", "0", "", ""},
@@ -52,7 +52,9 @@
             {"x", "", "", "", ""},
             {"", "", "31", "2", ""}
         }) {
-            assertThrows(IllegalArgumentException.class, () -> next(bad[0], bad[1], bad[2], bad[3], bad[4], now));
+            assertThrows(
+                    IllegalArgumentException.class,
+                    () -> next(invalid[0], invalid[1], invalid[2], invalid[3], invalid[4], now));
         }
         assertThrows(IllegalArgumentException.class, () -> Schedule.parseEpochSeconds("1e9"));
         assertEquals(1_764_600_000_000L, Schedule.parseEpochSeconds("1764600000"));
--- a/src/test/java/laneflow/maintenance/MaintenanceFaultStoryTest.java
+++ b/src/test/java/laneflow/maintenance/MaintenanceFaultStoryTest.java
@@ -73,7 +73,7 @@
         await("power-d", "down");
         assertEquals(200, command("power-d", "begin").statusCode());
         long startNs = System.nanoTime();
-        // A window whose crew never begins is turned back, since nobody is at work there.
+        // A window whose crew never begins is cancelled: its rack returns, since no work has started.
         await("late-b", "down");
         await("late-b", "returning", "postponed", "refused", "planned");
         assertEquals(409, command("late-b", "begin").statusCode());
--- a/src/test/java/laneflow/maintenance/RequestFileTest.java
+++ b/src/test/java/laneflow/maintenance/RequestFileTest.java
@@ -79,13 +79,14 @@
 
     @Test
     void monthlyOccurrencesKeepTheirLocalTime() {
-        List<Request> all = read("2026-09-01T02:30", "2026-09-01T06:00", "rule = \"FREQ=MONTHLY;BYDAY=-1SU;COUNT=3\"");
+        List<Request> requests =
+                read("2026-09-01T02:30", "2026-09-01T06:00", "rule = \"FREQ=MONTHLY;BYDAY=-1SU;COUNT=3\"");
         assertEquals(
                 List.of("fw-20260927", "fw-20261025", "fw-20261129"),
-                all.stream().map(Request::name).toList());
+                requests.stream().map(Request::name).toList());
         assertEquals(
                 List.of(ms("2026-09-27T00:30:00Z"), ms("2026-10-25T00:30:00Z"), ms("2026-11-29T01:30:00Z")),
-                all.stream().map(Request::earliestMs).toList());
+                requests.stream().map(Request::earliestMs).toList());
     }
 
     @Test
@@ -130,7 +131,7 @@
 
     @Test
     void freezesRecurToo() {
-        List<Freeze> all = RequestFile.freezes(
+        List<Freeze> freezes = RequestFile.freezes(
                 "time_zone = \"Europe/Ljubljana\"\n[freezes.payday]\n"
                         + "from = \"2026-12-28T00:00\"\nto = \"2026-12-30T00:00\"\nrule = \"FREQ=MONTHLY;COUNT=2\"\n",
                 "calendar.toml",
@@ -139,7 +140,7 @@
                 List.of(
                         new Freeze("payday", ms("2026-12-27T23:00:00Z"), ms("2026-12-29T23:00:00Z")),
                         new Freeze("payday", ms("2027-01-27T23:00:00Z"), ms("2027-01-29T23:00:00Z"))),
-                all);
+                freezes);
         assertTrue(assertThrows(
                         ConfigException.class,
                         () -> RequestFile.freezes(
--- a/src/test/java/laneflow/maintenance/decision/PlannerTest.java
+++ b/src/test/java/laneflow/maintenance/decision/PlannerTest.java
@@ -102,20 +102,20 @@
         Window middle = free.get(free.size() / 2);
         List<Freeze> calendar = List.of(new Freeze("audit", middle.startMs() - 6 * HOUR, middle.endMs() + 6 * HOUR));
         List<Request> requests = new ArrayList<>();
-        random.requests.forEach(one -> requests.add(
-                requests.size() % 2 == 0 || one.name().equals(middle.request().name())
-                        ? one.withFreezes(calendar)
-                        : one));
+        random.requests.forEach(item -> requests.add(
+                requests.size() % 2 == 0 || item.name().equals(middle.request().name())
+                        ? item.withFreezes(calendar)
+                        : item));
         Plan plan = Planner.plan(random.fairness, random.input(requests, null, List.of(), List.of()));
         Freeze audit = calendar.get(0);
         assertEquals(List.of(), violations(random, plan, List.of()));
         List<Window> within = plan.windows().stream()
-                .filter(one -> one.overlaps(audit.fromMs(), audit.toMs()))
+                .filter(item -> item.overlaps(audit.fromMs(), audit.toMs()))
                 .toList();
-        assertTrue(within.stream().allMatch(one -> one.request().freezes().isEmpty()), within.toString());
+        assertTrue(within.stream().allMatch(item -> item.request().freezes().isEmpty()), within.toString());
         assertFalse(within.isEmpty());
         Request bound = requests.stream()
-                .filter(one -> one.name().equals(middle.request().name()))
+                .filter(item -> item.name().equals(middle.request().name()))
                 .findFirst()
                 .orElseThrow();
         assertEquals(calendar, bound.freezes());
@@ -128,12 +128,12 @@
     @Test
     void theCheckerFindsEveryKindOfViolation() {
         RandomPlanInput random = random(1);
-        List<Window> all = new ArrayList<>();
-        random.requests.forEach(
-                one -> all.add(new Window(one, FROM + 60 * HOUR, FROM + 60 * HOUR + one.workMs(), false)));
+        List<Window> windows = new ArrayList<>();
+        random.requests.forEach(request ->
+                windows.add(new Window(request, FROM + 60 * HOUR, FROM + 60 * HOUR + request.workMs(), false)));
         List<String> violations = violations(
                 random,
-                new Plan(all, new java.util.TreeMap<>(), 0, 0, 0),
+                new Plan(windows, new java.util.TreeMap<>(), 0, 0, 0),
                 List.of(new Freeze("one", FROM + 60 * HOUR, FROM + 61 * HOUR)));
         for (String fault : List.of(
                 "unfair at", "is away twice", "is outside its permitted period", "is in a freeze", "overlaps")) {
@@ -179,9 +179,9 @@
 
     @Test
     void theSameInputHasTheSamePlan() {
-        Plan one = Planner.plan(random(2).fairness, random(2).input());
-        Plan other = Planner.plan(random(2).fairness, random(2).input());
-        assertEquals(one, other);
+        Plan first = Planner.plan(random(2).fairness, random(2).input());
+        Plan second = Planner.plan(random(2).fairness, random(2).input());
+        assertEquals(first, second);
     }
 
     @Test
@@ -272,7 +272,7 @@
                         .toString());
     }
 
-    /** A refused request is told the smallest change that would have given it a time. */
+    /** The reasons of a refusal end with the smallest change that would have given the request a time. */
     @Test
     void aRefusalNamesTheSmallestChange() {
         Freeze morning = new Freeze("morning", FROM, FROM + 5 * HOUR);
--- a/src/test/java/laneflow/maintenance/decision/RandomInventory.java
+++ b/src/test/java/laneflow/maintenance/decision/RandomInventory.java
@@ -43,11 +43,11 @@
     double[][] demand(double load) {
         double[][] demand = new double[inventory.tenants().size()][2];
         for (int t = 0; t < demand.length; t++) {
-            double all = inventory.entitlement(t) * load * (0.5 + random.nextDouble());
-            all *= random.nextInt(8) == 0 ? 3 : 1;
+            double slots = inventory.entitlement(t) * load * (0.5 + random.nextDouble());
+            slots *= random.nextInt(8) == 0 ? 3 : 1;
             double quick = random.nextDouble();
-            demand[t][0] = all * quick / inventory.slotFactor(0);
-            demand[t][1] = all * (1 - quick) / inventory.slotFactor(1);
+            demand[t][0] = slots * quick / inventory.slotFactor(0);
+            demand[t][1] = slots * (1 - quick) / inventory.slotFactor(1);
         }
         return demand;
     }
--- a/src/test/java/laneflow/transcripts/FleetTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/FleetTranscriptsTest.java
@@ -21,19 +21,19 @@
     private Path folder;
 
     /** Repeats the command until its output is settled and contains the expected text, then records it. */
-    private static void recordFleetShow(Transcript transcript, Rig rig, int code, String expected, int... at)
+    private static void recordFleetShow(Transcript transcript, Rig rig, int exitCode, String expected, int... targets)
             throws Exception {
         StringBuilder addresses = new StringBuilder();
-        for (int i : at) {
+        for (int i : targets) {
             addresses.append(addresses.isEmpty() ? "" : ",").append(rig.fleetAddress(i));
         }
         CliRun[] run = new CliRun[1];
         Await.until(
-                "fleet show says " + expected,
+                "fleet show prints " + expected,
                 () -> {
                     run[0] = CliRun.of("fleet", "show", "--at", addresses.toString());
                     String text = stableText(run[0]);
-                    return run[0].code() == code
+                    return run[0].code() == exitCode
                             && text.contains(expected)
                             && !text.contains("not settled")
                             && !text.contains("draining")
@@ -57,8 +57,8 @@
         Transcript.of(
                 "Three schedulers see each other; one is killed, is seen as dead by both others, and comes back.",
                 transcript -> {
-                    Path own = Files.createTempDirectory(folder, "fleet");
-                    try (Rig rig = new Rig(own, 3, 1, 5, CONFIG)) {
+                    Path fleetFolder = Files.createTempDirectory(folder, "fleet");
+                    try (Rig rig = new Rig(fleetFolder, 3, 1, 5, CONFIG)) {
                         rig.members(5, 250, 0, 1);
                         rig.startAll();
                         recordFleetShow(transcript, rig, 0, "n2 sees 3 live", 0, 1, 2);
--- a/src/test/java/laneflow/transcripts/GearmanTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/GearmanTranscriptsTest.java
@@ -198,7 +198,7 @@
                 client.send("OPTION_REQ", "exceptions").receive();
                 client.send("OPTION_REQ", "colours").receive();
                 client.send("JOB_CREATED", "H:x:1").receive();
-                transcript.message("client", "scheduler", "(twelve bytes that are no head)");
+                transcript.message("client", "scheduler", "(twelve bytes that are not a packet header)");
                 client.peer.write("\0XYZ12345678");
                 client.receive();
                 if (!client.peer.ended()) {
--- a/src/test/java/laneflow/transcripts/GossipTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/GossipTranscriptsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Capacity gossip between two schedulers, as an operator sees it who queries both. */
+/** Capacity gossip between two schedulers, as seen by an operator who queries both. */
 @Timeout(600)
 class GossipTranscriptsTest {
     private static final Pattern AGE = Pattern.compile("(?<=\"age_ms\":)\\d+");
@@ -36,7 +36,7 @@
     private static final class Session {
         private final Transcript transcript;
         private final Rig rig;
-        private final List<Socket> open = new ArrayList<>();
+        private final List<Socket> openRequests = new ArrayList<>();
         private int requests;
 
         private Session(Transcript transcript, Rig rig) {
@@ -70,24 +70,24 @@
         }
 
         /**
-         * Sends short requests, not recorded since their number varies, until the other scheduler reports the
-         * text.
+         * Sends short requests until a scheduler's report contains the text. They are not recorded, since their
+         * number varies.
          */
-        private void awaitStatus(int at, int reporter, String what) throws IOException, InterruptedException {
-            rig.await(Rig.name(reporter) + " reports " + what, () -> {
-                completeShortRequest(at);
-                return capacityStatus(reporter).contains(what);
+        private void awaitStatus(int target, int reporter, String expected) throws IOException, InterruptedException {
+            rig.await(Rig.name(reporter) + " reports " + expected, () -> {
+                completeShortRequest(target);
+                return capacityStatus(reporter).contains(expected);
             });
         }
 
         private void recordStatus() throws IOException, InterruptedException {
             for (int i : rig.all()) {
                 transcript.message("operator", Rig.name(i), "GET /capacity");
-                String plain = AGE.matcher(capacityStatus(i)).replaceAll("<ms>");
+                String stable = AGE.matcher(capacityStatus(i)).replaceAll("<ms>");
                 transcript.message(
                         Rig.name(i),
                         "operator",
-                        SUM.matcher(plain)
+                        SUM.matcher(stable)
                                 .replaceAll("<slots>")
                                 .replace("},\"", "},\n \"")
                                 .strip());
@@ -122,15 +122,15 @@
                         transcript.note(
                                 "n1 and n2 are partitioned; two long requests go to n1, and short ones beside them");
                         rig.partAll(List.of(0));
-                        session.open.add(session.openRequest(0, ENDLESS_MICROS));
-                        session.open.add(session.openRequest(0, ENDLESS_MICROS));
+                        session.openRequests.add(session.openRequest(0, ENDLESS_MICROS));
+                        session.openRequests.add(session.openRequest(0, ENDLESS_MICROS));
                         session.awaitStatus(0, 0, "\"free\":2,");
                         session.recordStatus();
                         transcript.note("the partition is healed; a short request goes to n1");
                         rig.heal();
                         session.awaitStatus(0, 1, "\"free\":2,");
                         session.recordStatus();
-                        for (Socket socket : session.open) {
+                        for (Socket socket : session.openRequests) {
                             socket.close();
                         }
                     }
--- a/src/test/java/laneflow/transcripts/PolicyTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/PolicyTranscriptsTest.java
@@ -26,28 +26,28 @@
     }
 
     private void withDecidingScheduler(Transcript transcript, Scenario scenario) throws Exception {
-        Path own = Files.createTempDirectory(folder, "n1");
+        Path nodeFolder = Files.createTempDirectory(folder, "n1");
         Endpoint endpoint = new Endpoint("e1");
-        int fleet = Crew.port();
+        int fleetPort = Crew.port();
         Path file = Files.writeString(
-                own.resolve("n1.toml"),
+                nodeFolder.resolve("n1.toml"),
                 "name = 'n1'\nlisten = '127.0.0.1:0'\nzones = ['z']\n"
                         + "[classes.check]\nrepeat = 'safe'\n[classes.capture]\n[endpoints.e1]\ndial = '"
                         + endpoint.dial()
-                        + "'\n[policy]\nvoters = ['n1']\ndir = '" + own
+                        + "'\n[policy]\nvoters = ['n1']\ndir = '" + nodeFolder
                         + "'\ntell_policy = true\n[fleet]\nlisten = '127.0.0.1:"
-                        + fleet + "'\n[fleet.peers]\nn1 = '127.0.0.1:" + fleet + "'\n");
+                        + fleetPort + "'\n[fleet.peers]\nn1 = '127.0.0.1:" + fleetPort + "'\n");
         Serve serve = new Serve(Setup.operators(file, null, null));
         try {
             Await.until(
-                    "it decides",
-                    () -> raw(fleet, "/policy").contains("\"state\":\"deciding\""),
-                    () -> raw(fleet, "/policy"));
+                    "n1 decides",
+                    () -> getUnrecorded(fleetPort, "/policy").contains("\"state\":\"deciding\""),
+                    () -> getUnrecorded(fleetPort, "/policy"));
             try (RecordedPeer client = new RecordedPeer(
                     transcript,
                     "client",
                     Stand.peer("127.0.0.1", serve.front().address().getPort()))) {
-                scenario.run(new Operator(transcript, fleet), client, endpoint);
+                scenario.run(new Operator(transcript, fleetPort), client, endpoint);
             }
         } finally {
             serve.halt();
@@ -55,40 +55,40 @@
         }
     }
 
-    private static String raw(int port, String path) throws IOException {
+    private static String getUnrecorded(int port, String path) throws IOException {
         try (Peer peer = Stand.peer("127.0.0.1", port)) {
             return peer.write("GET " + path + " HTTP/1.1\r\nHost: f\r\n\r\n").message();
         }
     }
 
     /** Sends requests to the fleet address, one per connection. */
-    private record Operator(Transcript transcript, int fleet) {
+    private record Operator(Transcript transcript, int fleetPort) {
         void propose(String body) throws IOException {
             send("POST /policy/changes HTTP/1.1\r\nHost: f\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
         }
 
         /**
-         * Waits until the change is decided, then asks once more. The polling isn't recorded, as its number
-         * of requests varies.
+         * Polls until the change is in that state, without recording, since the number of polls varies; then records
+         * one report.
          */
         void awaitState(String name, String state) throws Exception {
             String path = "/policy/changes/" + name;
             Await.until(
                     name + " is " + state,
-                    () -> raw(fleet, path).contains("\"" + state + "\""),
-                    () -> raw(fleet, path));
+                    () -> getUnrecorded(fleetPort, path).contains("\"" + state + "\""),
+                    () -> getUnrecorded(fleetPort, path));
             get(path);
         }
 
         /**
-         * Waits until the scheduler uses the policy: that is later than its being applied, when the lease
-         * permits it.
+         * Waits until the scheduler decides by the policy. That is later than the change being applied, since the
+         * lease delays it.
          */
         void awaitPolicy(int policy) throws Exception {
             Await.until(
-                    "it decides by " + policy,
-                    () -> raw(fleet, "/policy").contains("\"policy\":" + policy + ","),
-                    () -> raw(fleet, "/policy"));
+                    "n1 decides by " + policy,
+                    () -> getUnrecorded(fleetPort, "/policy").contains("\"policy\":" + policy + ","),
+                    () -> getUnrecorded(fleetPort, "/policy"));
         }
 
         void get(String path) throws IOException {
@@ -96,7 +96,7 @@
         }
 
         private void send(String request) throws IOException {
-            try (RecordedPeer operator = new RecordedPeer(transcript, "operator", Stand.peer("127.0.0.1", fleet))) {
+            try (RecordedPeer operator = new RecordedPeer(transcript, "operator", Stand.peer("127.0.0.1", fleetPort))) {
                 operator.write(request).message();
             }
         }
--- a/src/test/java/laneflow/transcripts/RecordedPeer.java
+++ b/src/test/java/laneflow/transcripts/RecordedPeer.java
@@ -16,7 +16,7 @@
         this.transcript = transcript;
         this.name = name;
         this.other = other;
-        this.peer = peer.noted(said -> transcript.message(name, other, readable(said)));
+        this.peer = peer.noted(text -> transcript.message(name, other, readable(text)));
     }
 
     RecordedPeer(Transcript transcript, String name, Peer peer) {
@@ -92,37 +92,37 @@
         return message;
     }
 
-    private static String readable(String said) {
-        int head = said.startsWith("HTTP/") || said.contains(" HTTP/1.1\r\n") ? said.indexOf(HEAD_END) : -1;
-        String body = head < 0 ? said : said.substring(head + HEAD_END.length());
-        String headText = head < 0 ? "" : said.substring(0, head) + "\n\n";
+    private static String readable(String text) {
+        int headEnd = text.startsWith("HTTP/") || text.contains(" HTTP/1.1\r\n") ? text.indexOf(HEAD_END) : -1;
+        String body = headEnd < 0 ? text : text.substring(headEnd + HEAD_END.length());
+        String headText = headEnd < 0 ? "" : text.substring(0, headEnd) + "\n\n";
         return visible((headText + chunks(body)).replace("\r\n", "\n"));
     }
 
     /** The lines of complete chunks, or the text unchanged if it is not chunked. */
     private static String chunks(String body) {
         StringBuilder lines = new StringBuilder();
-        String rest = body;
-        while (!rest.isEmpty()) {
-            int at = rest.indexOf("\r\n");
-            String size = at < 0 ? "" : rest.substring(0, at);
-            if (!size.matches("[0-9a-f]{1,6}") || rest.length() < at + 4 + Integer.parseInt(size, 16)) {
+        String remaining = body;
+        while (!remaining.isEmpty()) {
+            int sizeEnd = remaining.indexOf("\r\n");
+            String size = sizeEnd < 0 ? "" : remaining.substring(0, sizeEnd);
+            if (!size.matches("[0-9a-f]{1,6}") || remaining.length() < sizeEnd + 4 + Integer.parseInt(size, 16)) {
                 return body;
             }
             int length = Integer.parseInt(size, 16);
-            String data = rest.substring(at + 2, at + 2 + length);
+            String data = remaining.substring(sizeEnd + 2, sizeEnd + 2 + length);
             lines.append(length == 0 ? "(last chunk)" : data.strip()).append('\n');
-            rest = rest.substring(at + 4 + length);
+            remaining = remaining.substring(sizeEnd + 4 + length);
         }
         return lines.toString();
     }
 
     private static String visible(String text) {
-        StringBuilder shown = new StringBuilder();
+        StringBuilder escaped = new StringBuilder();
         text.chars()
-                .forEach(c -> shown.append(
+                .forEach(c -> escaped.append(
                         c == '\n' || c >= ' ' && c < 127 ? String.valueOf((char) c) : String.format("\\x%02x", c)));
-        return shown.toString();
+        return escaped.toString();
     }
 
     @Override
--- a/src/test/java/laneflow/transcripts/SchedulerTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/SchedulerTranscriptsTest.java
@@ -32,19 +32,20 @@
                 "Discovery lists an endpoint as terminating: its attempt goes on, new ones go elsewhere.",
                 transcript -> {
                     Endpoint discovery = new Endpoint("discovery");
-                    Endpoint one = new Endpoint("e1");
-                    Endpoint two = new Endpoint("e2");
-                    try (Stand stand = new Stand(discovery, one);
+                    Endpoint first = new Endpoint("e1");
+                    Endpoint second = new Endpoint("e2");
+                    try (Stand stand = new Stand(discovery, first);
                             RecordedPeer client = client(transcript, stand);
                             RecordedPeer other = new RecordedPeer(transcript, "another client", stand.http())) {
                         RecordedPeer watch = watch(transcript, "discovery", discovery);
                         client.post("card-capture", "1", "", "pay");
-                        RecordedPeer command = new RecordedPeer(transcript, "e1", one.accept());
+                        RecordedPeer command = new RecordedPeer(transcript, "e1", first.accept());
                         command.message();
-                        watch.write(Stand.watching(Stand.list(2, false, one.host("Terminating"), two.host("Ready"))));
+                        watch.write(
+                                Stand.watching(Stand.list(2, false, first.host("Terminating"), second.host("Ready"))));
                         stand.await("discovery.lists", 1);
                         other.post("card-capture", "2", "", "pay");
-                        RecordedPeer next = new RecordedPeer(transcript, "e2", two.accept());
+                        RecordedPeer next = new RecordedPeer(transcript, "e2", second.accept());
                         next.message();
                         command.reply("{'id':'1','state':'done','result':'paid'}");
                         client.message();
@@ -60,14 +61,14 @@
                 "A watch that ends resumes at the last version; after a malformed one the full list is asked for.",
                 transcript -> {
                     Endpoint discovery = new Endpoint("discovery");
-                    Endpoint one = new Endpoint("e1");
-                    try (Stand stand = new Stand(discovery, one)) {
+                    Endpoint endpoint = new Endpoint("e1");
+                    try (Stand stand = new Stand(discovery, endpoint)) {
                         RecordedPeer first = watch(transcript, "discovery", discovery);
-                        first.reply(Stand.list(2, false, one.host("Ready")).replace('"', '\''));
+                        first.reply(Stand.list(2, false, endpoint.host("Ready")).replace('"', '\''));
                         RecordedPeer second = watch(transcript, "discovery, 2nd watch", discovery);
                         second.reply("no list at all");
                         RecordedPeer third = watch(transcript, "discovery, 3rd watch", discovery);
-                        third.write(Stand.watching(Stand.list(9, true, one.host("Ready"))));
+                        third.write(Stand.watching(Stand.list(9, true, endpoint.host("Ready"))));
                         stand.await("discovery.lists", 2);
                     }
                 });
@@ -79,15 +80,15 @@
                 "No heartbeat for 2.5 s: the watch resumes at the last version, and the list stays in use.",
                 transcript -> {
                     Endpoint discovery = new Endpoint("discovery");
-                    Endpoint one = new Endpoint("e1");
-                    try (Stand stand = new Stand(discovery, one)) {
+                    Endpoint endpoint = new Endpoint("e1");
+                    try (Stand stand = new Stand(discovery, endpoint)) {
                         RecordedPeer first = watch(transcript, "discovery", discovery);
-                        first.write(Stand.watching(Stand.list(2, true, one.host("Ready"))));
+                        first.write(Stand.watching(Stand.list(2, true, endpoint.host("Ready"))));
                         stand.await("discovery.lists", 1);
                         watch(transcript, "discovery, 2nd watch", discovery);
                         RecordedPeer client = client(transcript, stand);
                         client.post("card-capture", "1", "", "pay");
-                        RecordedPeer command = new RecordedPeer(transcript, "e1", one.accept());
+                        RecordedPeer command = new RecordedPeer(transcript, "e1", endpoint.accept());
                         command.message();
                         command.reply("{'id':'1','state':'done','result':'paid'}");
                         client.message();
@@ -120,8 +121,8 @@
                 transcript -> {
                     Endpoint first = new Endpoint("d1");
                     Endpoint second = new Endpoint("d2");
-                    Endpoint one = new Endpoint("e1");
-                    try (Stand stand = new Stand(first, one)) {
+                    Endpoint endpoint = new Endpoint("e1");
+                    try (Stand stand = new Stand(first, endpoint)) {
                         RecordedPeer old = watch(transcript, "discovery", first);
                         for (String bad : new String[] {"{\"disco", Stand.config("discovery.svc")}) {
                             transcript.note("SIGHUP with an invalid file: malformed, or without a usable address");
@@ -130,9 +131,9 @@
                         transcript.note("SIGHUP with another address");
                         reload(stand, Stand.config(second.dial()));
                         RecordedPeer next = watch(transcript, "discovery, moved", second);
-                        old.write(Stand.watching(Stand.list(8, false, one.host("Terminating"))));
+                        old.write(Stand.watching(Stand.list(8, false, endpoint.host("Terminating"))));
                         stand.await("discovery.lists", 1);
-                        next.write(Stand.watching(Stand.list(3, true, one.host("Ready"))));
+                        next.write(Stand.watching(Stand.list(3, true, endpoint.host("Ready"))));
                         stand.await("discovery.lists", 2);
                         old.expectEnd();
                         transcript.note("moves: " + stand.counter("discovery.moves"));
@@ -170,17 +171,17 @@
                 "Operator commands: a worker is set down and up again, and invalid commands are rejected.",
                 transcript -> {
                     Endpoint endpoint = new Endpoint("e1");
-                    Path own = Files.createTempDirectory(folder, "stand");
-                    try (Stand stand = Stand.operated(own, endpoint)) {
+                    Path ownFolder = Files.createTempDirectory(folder, "stand");
+                    try (Stand stand = Stand.operated(ownFolder, endpoint)) {
                         for (String command : new String[] {
                             "check", "", "checks", "check now", "set-down", "set-down e9", "drain-on 3", "set-down e1"
                         }) {
-                            operator(transcript, stand, command);
+                            sendOperatorCommand(transcript, stand, command);
                         }
                         try (RecordedPeer client = client(transcript, stand)) {
                             client.post("card-capture", "1", "", "pay");
                             client.message();
-                            operator(transcript, stand, "set-up e1");
+                            sendOperatorCommand(transcript, stand, "set-up e1");
                             client.post("card-capture", "2", "", "pay");
                             RecordedPeer command = new RecordedPeer(transcript, "e1", endpoint.accept());
                             command.message();
@@ -197,7 +198,7 @@
         stand.serve.reload(() -> Setup.platform(file, null, null));
     }
 
-    private static void operator(Transcript transcript, Stand stand, String command) throws IOException {
+    private static void sendOperatorCommand(Transcript transcript, Stand stand, String command) throws IOException {
         try (RecordedPeer operator = new RecordedPeer(transcript, "operator", stand.operator())) {
             operator.write(command + "\n");
             operator.line();
--- a/src/test/java/laneflow/transcripts/TaskTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/TaskTranscriptsTest.java
@@ -65,8 +65,8 @@
                             + "\nmost_ms = " + LEASE_MS / 2 + "\nlate_calls = 'checked'\n");
         }
 
-        void answerCall(String by, String answer) throws IOException {
-            try (RecordedPeer call = new RecordedPeer(transcript, "receiver", by, receiver.accept())) {
+        void answerCall(String caller, String answer) throws IOException {
+            try (RecordedPeer call = new RecordedPeer(transcript, "receiver", caller, receiver.accept())) {
                 call.message();
                 call.write(answer);
             }
@@ -74,7 +74,7 @@
 
         /** Polls without recording until the report contains the part, then records one report. */
         void showTasks(String part) throws Exception {
-            Await.until("the report contains " + part, () -> raw().contains(part), this::raw);
+            Await.until("the report contains " + part, () -> tasksReport().contains(part), this::tasksReport);
             String text =
                     CliRun.of("task", "show", "--at", "127.0.0.1:" + leaderPort).text();
             transcript.message(
@@ -83,7 +83,7 @@
                     text.replaceAll("(?m)( \\d+) +\\d+  ", "$1 <ms left>  "));
         }
 
-        private String raw() throws IOException {
+        private String tasksReport() throws IOException {
             try (Peer peer = Stand.peer("127.0.0.1", leaderPort)) {
                 return peer.write("GET /tasks HTTP/1.1\r\nHost: f\r\n\r\n").message();
             }
--- a/src/test/java/laneflow/transcripts/Transcript.java
+++ b/src/test/java/laneflow/transcripts/Transcript.java
@@ -86,8 +86,8 @@
         result = INSTANT.matcher(result).replaceAll("<instant>");
         result = REMAINING_MS.matcher(result).replaceAll("$1: <ms left>");
         result = RETRY_AFTER.matcher(result).replaceAll("$1: <s>");
-        for (Map.Entry<String, String> each : aliases.entrySet()) {
-            result = result.replace(each.getKey(), each.getValue());
+        for (Map.Entry<String, String> alias : aliases.entrySet()) {
+            result = result.replace(alias.getKey(), alias.getValue());
         }
         return result;
     }
@@ -96,7 +96,7 @@
         String alias = aliases.get(value);
         if (alias == null) {
             long used = aliases.values().stream()
-                    .filter(each -> each.startsWith("<" + kind + " "))
+                    .filter(name -> name.startsWith("<" + kind + " "))
                     .count();
             alias = "<" + kind + " " + (used + 1) + ">";
             aliases.put(value, alias);
