--- a/src/main/java/laneflow/control/ControlClient.java
+++ b/src/main/java/laneflow/control/ControlClient.java
@@ -383,10 +383,10 @@
     private void runSteps(BooleanSupplier step, Runnable then) {
         long startNs = System.nanoTime();
         long startCpuNs = CPU.getCurrentThreadCpuTime();
-        boolean more = step.getAsBoolean();
+        boolean hasMore = step.getAsBoolean();
         recordMax("config.step_most_us", (System.nanoTime() - startNs) / 1000);
         recordMax("config.step_cpu_most_us", (CPU.getCurrentThreadCpuTime() - startCpuNs) / 1000);
-        loop.deadlines().at(loop.micros() + STEP_INTERVAL_US, more ? () -> runSteps(step, then) : then);
+        loop.deadlines().at(loop.micros() + STEP_INTERVAL_US, hasMore ? () -> runSteps(step, then) : then);
     }
 
     private void recordMax(String name, long value) {
--- a/src/main/java/laneflow/policy/Leadership.java
+++ b/src/main/java/laneflow/policy/Leadership.java
@@ -149,8 +149,8 @@
         stopped = true;
         state = null;
         extensions.onLeadershipLost();
-        // It learns of no more elections: like a scheduler that does not vote, it knows the leader from its
-        // grants.
+        // This process no longer learns of elections: like a scheduler that does not vote, it knows the leader
+        // from its grants.
         leader = "";
         voters = Set.of();
         return first;
@@ -380,7 +380,7 @@
         LeaderState requester = state;
         voter.replicate(operation, answer -> {
             if (state == requester && answer == null) {
-                // Its fate is unknown: the next confirmation shows it, and repeating the request does no
+                // The operation's fate is unknown: the next confirmation shows it, and repeating the request does no
                 // harm.
                 requester.onDecisionFailed();
             }
--- a/src/main/java/laneflow/policy/LeaseGate.java
+++ b/src/main/java/laneflow/policy/LeaseGate.java
@@ -112,14 +112,14 @@
 
     @Override
     public boolean mayDecide() {
-        boolean may = currentPolicy() >= 0;
-        if (!may && servesWithoutLease) {
+        boolean hasPolicy = currentPolicy() >= 0;
+        if (!hasPolicy && servesWithoutLease) {
             counters.add("policy.decided_without_lease");
         }
-        if (may || servesWithoutLease) {
+        if (hasPolicy || servesWithoutLease) {
             lastDecidedNs = System.nanoTime();
         }
-        return may || servesWithoutLease;
+        return hasPolicy || servesWithoutLease;
     }
 
     /** Readiness: whether this scheduler should get clients. */
--- a/src/main/java/laneflow/policy/VoterId.java
+++ b/src/main/java/laneflow/policy/VoterId.java
@@ -17,11 +17,11 @@
     }
 
     static VoterId parse(String text) {
-        int at = text.lastIndexOf('@');
-        if (at < 1 || at == text.length() - 1) {
+        int separator = text.lastIndexOf('@');
+        if (separator < 1 || separator == text.length() - 1) {
             throw new IllegalArgumentException("'" + text + "' is not a voter id: expected NAME@STORE");
         }
-        return new VoterId(text.substring(0, at), text.substring(at + 1));
+        return new VoterId(text.substring(0, separator), text.substring(separator + 1));
     }
 
     @Override
--- a/src/main/java/laneflow/policy/decision/LeaderState.java
+++ b/src/main/java/laneflow/policy/decision/LeaderState.java
@@ -241,7 +241,7 @@
     private Step startPolicyInForce(long now) {
         long number = view.inForce();
         if (previousPolicy < 0) {
-            // It was applied under a former leader. A scheduler that already uses it shows that it has
+            // The policy was applied under a former leader. A scheduler that already uses it shows that it has
             // started.
             boolean alreadyActive = holders.values().stream().anyMatch(holder -> holder.activePolicy >= number);
             if (!alreadyActive && now < formerGrantsEnd) {
@@ -270,9 +270,9 @@
         return new Step(Operation.NOTHING, null, List.of(), false);
     }
 
-    private Step started(long at) {
+    private Step started(long startAt) {
         policyStarted = true;
-        policyStartAt = at;
+        policyStartAt = startAt;
         return new Step(Operation.NOTHING, null, List.of(), true);
     }
 
--- a/src/main/java/laneflow/wire/WireHost.java
+++ b/src/main/java/laneflow/wire/WireHost.java
@@ -70,8 +70,8 @@
             throw new WireException("frame of " + (size & 0xffffffffL) + " bytes is shorter than its header");
         }
         bytes = record.ensureCapacity(size);
-        int rest = size - Codes.BATCH_HEADER_BYTES;
-        if (in.readNBytes(bytes, Codes.BATCH_HEADER_BYTES, rest) < rest) {
+        int bodyLength = size - Codes.BATCH_HEADER_BYTES;
+        if (in.readNBytes(bytes, Codes.BATCH_HEADER_BYTES, bodyLength) < bodyLength) {
             throw new WireException("input ends inside a frame");
         }
         record.open(size);
--- a/src/test/java/laneflow/control/ControlStoryTest.java
+++ b/src/test/java/laneflow/control/ControlStoryTest.java
@@ -29,9 +29,9 @@
     @TempDir
     private Path folder;
 
-    private String control(Endpoint service, String more) {
+    private String control(Endpoint service, String extraSettings) {
         return "addresses = ['" + service.dial() + "']\nlongest_backoff_ms = 50\nfigures_ms = 0\nlast_good_dir = '"
-                + folder + "'\n" + more;
+                + folder + "'\n" + extraSettings;
     }
 
     private static void assertServes(Stand stand, Endpoint endpoint, String id) throws Exception {
@@ -67,7 +67,7 @@
             assertEquals("x1", ack.get("response_nonce").getAsString());
             assertFalse(ack.has("error_detail"));
             assertServes(stand, first, "1");
-            // Errors of schema and of meaning are each reported with their path, and traffic goes on.
+            // Schema errors and semantic errors are each reported with their path, and traffic goes on.
             String schemaErrors = errorDetail(exchange(
                     peer,
                     version(
@@ -199,8 +199,8 @@
                 try (Peer call = good.accept()) {
                     for (int i = 0; i < 120; i++) {
                         String sent = call.message();
-                        int at = sent.indexOf("Req-Id: ") + 8;
-                        call.says("{'id':'" + sent.substring(at, sent.indexOf('\r', at))
+                        int start = sent.indexOf("Req-Id: ") + 8;
+                        call.says("{'id':'" + sent.substring(start, sent.indexOf('\r', start))
                                 + "','state':'done','result':'r'}");
                     }
                 } catch (IOException e) {
--- a/src/test/java/laneflow/control/ControlTypesStoryTest.java
+++ b/src/test/java/laneflow/control/ControlTypesStoryTest.java
@@ -45,14 +45,14 @@
     @TempDir
     private Path folder;
 
-    private String control(Endpoint service, String more) {
-        return "addresses = ['" + service.dial() + "']\nlongest_backoff_ms = 50\nfigures_ms = 0\n" + more;
+    private String control(Endpoint service, String extraSettings) {
+        return "addresses = ['" + service.dial() + "']\nlongest_backoff_ms = 50\nfigures_ms = 0\n" + extraSettings;
     }
 
     private static String receiveCall(Peer endpoint) throws IOException {
         String sent = endpoint.message();
-        int at = sent.indexOf("Req-Id: ") + 8;
-        return sent.substring(at, sent.indexOf('\r', at));
+        int start = sent.indexOf("Req-Id: ") + 8;
+        return sent.substring(start, sent.indexOf('\r', start));
     }
 
     private static String report(Stand stand) throws Exception {
@@ -74,7 +74,7 @@
             Peer beforeCall = till.accept();
             assertEquals("old", receiveCall(beforeCall));
             exchange(peer, version("2-aa", "x2", resource(till), resource(other)));
-            // From here on the deadline of a capture is 300 ms; the open request keeps its 6 s.
+            // Under this version the deadline of a capture is 300 ms; the open request keeps its 6 s.
             JsonObject ack = exchange(
                     peer,
                     state(
@@ -383,12 +383,12 @@
             for (int i = 0; i < 5; i++) {
                 try (Peer call = till.accept()) {
                     String sent = call.message();
-                    int at = sent.indexOf("Req-Id: ") + 8;
+                    int start = sent.indexOf("Req-Id: ") + 8;
                     assertTrue(ran.add(sent.substring(sent.length() - 5)), sent);
                     // Another version arrives during recovery, with the same endpoint.
                     exchange(peer, version((i + 2) + "-aa", "x", resource(till)));
-                    call.says(
-                            "{'id':'" + sent.substring(at, sent.indexOf('\r', at)) + "','state':'done','result':'r'}");
+                    call.says("{'id':'" + sent.substring(start, sent.indexOf('\r', start))
+                            + "','state':'done','result':'r'}");
                     stand.await("durable.done", i + 1);
                 }
             }
@@ -471,17 +471,17 @@
     void operatorsQueryASeparatePort() throws Exception {
         Endpoint service = new Endpoint("control");
         Endpoint till = new Endpoint("e1");
-        Path kept = folder.resolve("kept");
-        try (Stand stand = Stand.streaming(
-                control(service, "probation_ms = 0\nlisten = '127.0.0.1:0'\nlast_good_dir = '" + kept + "'\n"))) {
+        Path lastGoodFolder = folder.resolve("kept");
+        try (Stand stand = Stand.streaming(control(
+                service, "probation_ms = 0\nlisten = '127.0.0.1:0'\nlast_good_dir = '" + lastGoodFolder + "'\n"))) {
             Peer peer = acceptStream(service);
             receiveSubscriptions(peer);
             exchange(peer, version("1-aa", "x", resource(till)));
             exchange(peer, version("2-aa", "x", "7"));
             assertTrue(report(stand).startsWith("HTTP/1.1 404 "));
-            var at = stand.serve.operators().address();
-            String address = "127.0.0.1:" + at.getPort();
-            try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
+            var operatorAddress = stand.serve.operators().address();
+            String address = "127.0.0.1:" + operatorAddress.getPort();
+            try (Socket socket = new Socket(operatorAddress.getAddress(), operatorAddress.getPort())) {
                 socket.getOutputStream()
                         .write("POST /config HTTP/1.1\r\nContent-Length: 0\r\n\r\n"
                                 .getBytes(StandardCharsets.US_ASCII));
@@ -499,23 +499,26 @@
                             && history.text().contains("refused       2-aa"),
                     history.text());
             assertEquals(1, CliRun.of("config", "show", "127.0.0.1:1").code());
-            for (int i = 0; i < 2000 && !Files.exists(kept.resolve("destinations.last-good")); i++) {
+            for (int i = 0; i < 2000 && !Files.exists(lastGoodFolder.resolve("destinations.last-good")); i++) {
                 Thread.sleep(2);
             }
-            Path other = folder.resolve("other.json");
+            Path otherSet = folder.resolve("other.json");
             Files.writeString(
-                    other,
+                    otherSet,
                     "[" + resource(till).replace('\'', '"').replace("}", ",\"weight\":2}")
                             + ",{\"name\":\"e9\",\"dial\":\"127.0.0.1:9\"}]");
             CliRun diff = CliRun.of(
-                    "config", "diff", kept.resolve("destinations.last-good").toString(), other.toString());
+                    "config",
+                    "diff",
+                    lastGoodFolder.resolve("destinations.last-good").toString(),
+                    otherSet.toString());
             assertEquals(1, diff.code());
             assertTrue(
                     diff.text().contains("~ e1.weight: null -> 2")
                             && diff.text().contains("+ {\"name\":\"e9\""),
                     diff.text());
         }
-        CliRun folderHistory = CliRun.of("config", "history", kept.toString());
+        CliRun folderHistory = CliRun.of("config", "history", lastGoodFolder.toString());
         assertTrue(folderHistory.text().contains("adopted       1-aa"), folderHistory.text());
     }
 }
--- a/src/test/java/laneflow/durable/DecisionTest.java
+++ b/src/test/java/laneflow/durable/DecisionTest.java
@@ -23,10 +23,10 @@
 class DecisionTest {
     private static final long WINDOW = 10_000;
 
-    private static List<AttemptRecord> attempts(long at, Known... known) {
+    private static List<AttemptRecord> attempts(long leasedMs, Known... known) {
         List<AttemptRecord> attempts = new ArrayList<>();
         for (Known outcome : known) {
-            attempts.add(new AttemptRecord(attempts.size() + 1, "e", at, at + 500, outcome));
+            attempts.add(new AttemptRecord(attempts.size() + 1, "e", leasedMs, leasedMs + 500, outcome));
         }
         return attempts;
     }
--- a/src/test/java/laneflow/durable/DurableStoryTest.java
+++ b/src/test/java/laneflow/durable/DurableStoryTest.java
@@ -61,8 +61,8 @@
 
     private static String jobId(String answer) {
         assertTrue(answer.startsWith("HTTP/1.1 202 "), answer);
-        int at = answer.indexOf("Location: /jobs/") + 16;
-        return answer.substring(at, at + 16);
+        int start = answer.indexOf("Location: /jobs/") + 16;
+        return answer.substring(start, start + 16);
     }
 
     @Test
@@ -163,8 +163,9 @@
             Peer call = endpoint.accept();
             String sent = call.message();
             awaitState(http, id, "unknown");
-            int at = sent.indexOf("Req-Id: ") + 8;
-            call.says("{'id':'" + sent.substring(at, sent.indexOf('\r', at)) + "','state':'done','result':'paid'}");
+            int start = sent.indexOf("Req-Id: ") + 8;
+            call.says(
+                    "{'id':'" + sent.substring(start, sent.indexOf('\r', start)) + "','state':'done','result':'paid'}");
             assertTrue(awaitState(http, id, "done").contains("\"result\":\"paid\""));
             // If it stayed open, the connection would be reused for the next call.
             call.close();
--- a/src/test/java/laneflow/gearman/ReaderFuzzTest.java
+++ b/src/test/java/laneflow/gearman/ReaderFuzzTest.java
@@ -96,8 +96,8 @@
                         random.nextBytes(data);
                         if (random.nextInt(4) > 0) {
                             // Mostly well-formed packets of every type, some with a valid number of arguments.
-                            for (int at = 0; at < data.length; at++) {
-                                data[at] = (byte) (random.nextInt(5) == 0 ? 0 : 'a' + random.nextInt(3));
+                            for (int j = 0; j < data.length; j++) {
+                                data[j] = (byte) (random.nextInt(5) == 0 ? 0 : 'a' + random.nextInt(3));
                             }
                             data = Packet.encode(Packet.REQUEST_MAGIC, random.nextInt(45), (Object) data);
                         }
--- a/src/test/java/laneflow/maintenance/MaintenanceStoryTest.java
+++ b/src/test/java/laneflow/maintenance/MaintenanceStoryTest.java
@@ -13,7 +13,7 @@
 @Timeout(120)
 class MaintenanceStoryTest extends MaintenanceStorySupport {
     @Test
-    void aWindowGoesFromRequestToDoneUnderTrafficAndNobodyCallsWhatIsDown() throws Exception {
+    void aWindowGoesFromRequestToDoneUnderTrafficAndNoCallReachesARackThatIsDown() throws Exception {
         startClients();
         awaitCalls("a");
         HttpResponse<String> dry = ask(
--- a/src/test/java/laneflow/maintenance/RequestFileTest.java
+++ b/src/test/java/laneflow/maintenance/RequestFileTest.java
@@ -21,12 +21,12 @@
         return Instant.parse(instant).toEpochMilli();
     }
 
-    private static List<Request> read(String earliest, String latest, String more) {
+    private static List<Request> read(String earliest, String latest, String extraFields) {
         return RequestFile.read(
                 "name = \"fw\"\nowner = \"crew\"\nracks = [\"a1\"]\nwork_minutes = 60\n"
                         + "time_zone = \"Europe/Ljubljana\"\nearliest = \"" + earliest + "\"\nlatest = \"" + latest
                         + "\"\n"
-                        + more,
+                        + extraFields,
                 "fw.toml",
                 RACKS,
                 UNTIL);
--- a/src/test/java/laneflow/maintenance/decision/FairnessTest.java
+++ b/src/test/java/laneflow/maintenance/decision/FairnessTest.java
@@ -142,7 +142,7 @@
         assertTrue(Math.abs(program - 1) < 0.03 || fair == evaluation.fair(), program + " " + evaluation);
     }
 
-    /** Max-min: no tenant with a smaller loss can relieve one with a larger loss without losing as much itself. */
+    /** Losses are max-min fair: reducing one tenant's loss would raise another's to the same relative loss. */
     @Property(tries = 60, seed = "7")
     void noLossCanBeReducedByATenantThatLosesLess(
             @ForAll @LongRange(min = 0, max = 100_000) long seed, @ForAll @IntRange(min = 1, max = 8) int down) {
@@ -220,7 +220,7 @@
         assertArrayEquals(honest.loss(), greedy.loss(), 0.1);
     }
 
-    /** Memory is converted to slots: a placement that fits by these also fits by slots and by memory separately. */
+    /** Memory is converted to slots: a placement that fits the converted slots fits the slots and the memory, too. */
     @Property(tries = 60, seed = "7")
     void memoryIsNeverOverbooked(
             @ForAll @LongRange(min = 0, max = 100_000) long seed, @ForAll @IntRange(min = 0, max = 4) int down) {
--- a/src/test/java/laneflow/maintenance/decision/MaintenanceSimulation.java
+++ b/src/test/java/laneflow/maintenance/decision/MaintenanceSimulation.java
@@ -166,8 +166,8 @@
     }
 
     private double[] due(long at) {
-        double each = demand.floorEntry(at).getValue() / 2;
-        return fairness.due(new double[][] {{each}, {each}});
+        double perTenant = demand.floorEntry(at).getValue() / 2;
+        return fairness.due(new double[][] {{perTenant}, {perTenant}});
     }
 
     /** The log applies an operation in flight: the oldest or the newest. */
--- a/src/test/java/laneflow/maintenance/decision/PlannerTest.java
+++ b/src/test/java/laneflow/maintenance/decision/PlannerTest.java
@@ -142,8 +142,8 @@
     }
 
     /**
-     * Of the requests that are possible alone and that first come, first served turns away, at least a third
-     * gets a time.
+     * At least a third of the requests that are feasible alone, but that first come, first served rejects, get
+     * a time.
      */
     @Test
     void moreRequestsArePlannedThanFirstComeFirstServed() {
@@ -163,8 +163,8 @@
             Timeline timeline = new Timeline(
                     random.input().parameters(), random.fairness, random.forecast, null, List.of(), List.of(), 0);
             for (Request request : random.requests) {
-                int at = timeline.feasibleStarts(request).nextSetBit(timeline.firstStep(request));
-                possible += at >= 0 && at <= timeline.lastStep(request) ? 1 : 0;
+                int start = timeline.feasibleStarts(request).nextSetBit(timeline.firstStep(request));
+                possible += start >= 0 && start <= timeline.lastStep(request) ? 1 : 0;
             }
             firstCome += firstComeHere;
             oneAtATime += Planner.firstComeFirstServed(random.fairness, random.input(), true)
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void littleIsMovedWhenLittleChanges() {
+    void fewWindowsMoveAfterASmallChange() {
         RandomPlanInput random = random(4);
         List<Request> first = random.requests.subList(0, 45);
         Plan before = Planner.plan(random.fairness, random.input(first, null, List.of(), List.of()));
@@ -263,12 +263,12 @@
                 List.of(),
                 0,
                 null);
-        long at = planned.previous().window("one").startMs();
+        long startMs = planned.previous().window("one").startMs();
         assertTrue(
-                Planner.objections(threeRacks(), planned, request("two", "r2"), at)
+                Planner.objections(threeRacks(), planned, request("two", "r2"), startMs)
                         .toString()
                         .contains("with r1 down"),
-                Planner.objections(threeRacks(), planned, request("two", "r2"), at)
+                Planner.objections(threeRacks(), planned, request("two", "r2"), startMs)
                         .toString());
     }
 
--- a/src/test/java/laneflow/maintenance/decision/SendingTest.java
+++ b/src/test/java/laneflow/maintenance/decision/SendingTest.java
@@ -13,7 +13,7 @@
 class SendingTest {
     private static final long LEASE = 1_000_000;
     private static final long LONGEST = 5_000_000;
-    /** After the time in which calls of schedulers that only a former leader knew may still be open. */
+    /** Later than calls of schedulers that only a former leader knew can still be open. */
     private static final long LATER = 10_000_000;
 
     private final Sending sending = new Sending(0, LEASE, LONGEST);
--- a/src/test/java/laneflow/maintenance/decision/WindowLedgerTest.java
+++ b/src/test/java/laneflow/maintenance/decision/WindowLedgerTest.java
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void leaveIsGivenOnlyWhileThePolicyInForceBansAllOfTheRack() {
+    void leaveIsGrantedOnlyWhileThePolicyInForceBansTheWholeRack() {
         assertOk(ledger.run(WindowLedger.requestsOp(List.of(request("w", "a")))));
         startDrain("w");
         assertTrue(step("w", State.DOWN).get("error").getAsString().contains("does not ban"));
--- a/src/test/java/laneflow/policy/PolicyDisruptionStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyDisruptionStoryTest.java
@@ -112,7 +112,7 @@
             assertTrue(next < 500, "the disk did not fill up");
         }
         assertTrue(rig.log(1).contains("this process has stopped voting"), rig.log(1));
-        // It continues to serve, the others continue to decide, and it learns their decisions.
+        // Without its vote the process continues to serve, and it learns what the others decide.
         long last = changes + 1;
         rig.proposeUntilTaken(0, "after-failure", bans("z"));
         rig.awaitDeciding(last, rig.all());
@@ -126,8 +126,8 @@
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         int leader = rig.leader();
-        // A stand-in for a build that knows neither the resource type nor newer messages, and sends fields
-        // unknown here.
+        // A stand-in for a build that knows neither the resource type nor newer messages, and sends fields that
+        // this build does not know.
         try (Peer earlierBuild = Stand.peer(
                 "127.0.0.1", Integer.parseInt(rig.fleetAddress(leader).split(":")[1]))) {
             earlierBuild.write("POST /fleet/link HTTP/1.1\r\nHost: f\r\nTransfer-Encoding: chunked\r\n\r\n");
--- a/src/test/java/laneflow/policy/PolicyStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyStoryTest.java
@@ -18,7 +18,7 @@
     @Test
     void changeIsAppliedEverywhereOrNowhere() throws Exception {
         createFleet(4);
-        // Its own file does not declare posts safe to repeat, and no policy can declare that there.
+        // The file of n4 does not declare posts safe to repeat, and no policy can change that at n4.
         rig.file(3, configText(CLASSES + "[classes.post]\ndeadline_ms = 5000\n"));
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
@@ -33,7 +33,7 @@
         assertTrue(rig.ask(1, "/policy/changes", "{\"name\":\"ban-9\",\"types\":" + bans("till") + "}")
                 .body()
                 .contains("different content"));
-        // A rejection by one scheduler abandons the change for all and tells the reason.
+        // If one scheduler rejects a change, it is abandoned for all, and the change shows the reason.
         rig.proposeUntilTaken(
                 0,
                 "post-safe",
@@ -43,7 +43,7 @@
         String reasons = rig.change(1, "post-safe").get("reasons").toString();
         assertTrue(reasons.contains("n4#") && reasons.contains("'post' must not run twice here"), reasons);
         rig.awaitDeciding(1, rig.all());
-        // A banned endpoint gets nothing anywhere until the ban is lifted; an open call continues.
+        // No scheduler sends to a banned endpoint until the ban is lifted; an open call continues.
         try (Peer client = Stand.peer("127.0.0.1", rig.clientPort(0))) {
             client.write("POST /check HTTP/1.1\r\nHost: c\r\nReq-Id: o\r\nContent-Length: 0\r\n\r\n");
             try (Peer call = endpoint.accept()) {
@@ -100,7 +100,7 @@
                     rig.awaitDeciding(round - 1, i);
                 }
             }
-            // These two are a majority; electing a leader takes at most a lease and an election.
+            // The restarted voters are a majority; electing a leader takes at most a lease and an election.
             leader = rig.leader();
             rig.kill(leader);
             int other = awaitNewLeader(leader);
@@ -124,8 +124,8 @@
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         int leader = rig.leader();
-        // One side has the leader and a scheduler that does not vote, the other two voters and another
-        // scheduler.
+        // One side has the leader and a scheduler that does not vote; the other side has the other two voters
+        // and another scheduler.
         rig.partAll(List.of(leader, 4));
         int other = awaitNewLeader(leader);
         rig.proposeUntilTaken(other, "during-partition", bans("x"));
@@ -160,7 +160,7 @@
         rig.proposeUntilTaken(0, "meanwhile", bans("x"));
         rig.awaitDeciding(1, 0, 1, 2);
         Thread.sleep(20);
-        // It serves its clients by the previous policy, as configured, and counts these decisions.
+        // The cut-off scheduler serves clients by the previous policy, as configured, and counts these decisions.
         String answer = request(3, "r");
         assertTrue(answer.contains("200 OK") && answer.contains("policy=0"), answer);
         assertTrue(rig.ask(3, "/counters", null).body().contains("policy.decided_without_lease 1"));
@@ -227,7 +227,7 @@
         rig.await(
                 "n2 reports that its store is lost",
                 () -> rig.policy(1).getAsJsonObject("voter").get("lost").getAsBoolean());
-        // Replaced as a voter, it votes: it and one other are a majority.
+        // Replaced as a voter, n2 votes again: without n3 it is needed for a majority.
         assertEquals(409, rig.ask(0, "/policy/voters", "{\"replace\":\"n4\"}").statusCode());
         rig.await(
                 "n2 is added",
--- a/src/test/java/laneflow/policy/PolicyVotersStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyVotersStoryTest.java
@@ -129,7 +129,7 @@
         assertEquals(
                 term,
                 rig.policy(rig.leader()).getAsJsonObject("voter").get("term").getAsInt());
-        // Its old store can't be added again, a new one can.
+        // The removed voter can't be added again with its old store, but with a new one.
         assertEquals(409, changeVoter("add", removed));
         rig.kill(removed);
         rig.wipe(removed);
--- a/src/test/java/laneflow/policy/decision/LeaseSimulation.java
+++ b/src/test/java/laneflow/policy/decision/LeaseSimulation.java
@@ -42,7 +42,7 @@
         Lease lease = new Lease();
         Set<Long> ready = new HashSet<>(Set.of(0L));
         boolean up = true;
-        /** It has stopped gracefully; it can only start again as a new process. */
+        /** The scheduler has stopped gracefully; it can only start again as a new process. */
         boolean hasLeft;
 
         long refusedChange;
--- a/src/test/java/laneflow/policy/decision/LedgerTest.java
+++ b/src/test/java/laneflow/policy/decision/LedgerTest.java
@@ -50,7 +50,7 @@
                 ledger.run(Ledger.abandon("a", List.of("no"), 6)).get("state").getAsString());
         assertEquals("abandoned", ledger.run(Ledger.apply("a", 7)).get("state").getAsString());
         assertEquals(0, ledger.view().inForce());
-        // Proposed again it is the same change, with the same outcome.
+        // A change that is proposed again is the same change, with the same outcome.
         assertEquals("abandoned", propose("a", "{bans:[]}").get("state").getAsString());
         assertTrue(propose("a", "{limits:[]}").get("error").getAsString().contains("different content"));
         assertTrue(ledger.run(Ledger.apply("z", 7)).has("error"));
--- a/src/test/java/laneflow/transcripts/RecordedPeer.java
+++ b/src/test/java/laneflow/transcripts/RecordedPeer.java
@@ -10,13 +10,13 @@
     final Peer peer;
     private final Transcript transcript;
     private final String name;
-    private final String other;
+    private final String otherName;
 
-    RecordedPeer(Transcript transcript, String name, String other, Peer peer) {
+    RecordedPeer(Transcript transcript, String name, String otherName, Peer peer) {
         this.transcript = transcript;
         this.name = name;
-        this.other = other;
-        this.peer = peer.noted(text -> transcript.message(name, other, readable(text)));
+        this.otherName = otherName;
+        this.peer = peer.noted(text -> transcript.message(name, otherName, readable(text)));
     }
 
     RecordedPeer(Transcript transcript, String name, Peer peer) {
@@ -24,8 +24,8 @@
     }
 
     /** Submits a job. */
-    RecordedPeer post(String jobClass, String id, String more, String body) throws IOException {
-        peer.post(jobClass, id, more, body);
+    RecordedPeer post(String jobClass, String id, String extraHeaders, String body) throws IOException {
+        peer.post(jobClass, id, extraHeaders, body);
         return this;
     }
 
@@ -54,7 +54,7 @@
     String chunk() throws IOException {
         int size = Integer.parseInt(peer.readTo("\r\n").strip(), 16);
         String line = new String(peer.read(size + 2), java.nio.charset.StandardCharsets.ISO_8859_1);
-        transcript.message(other, name, line.strip());
+        transcript.message(otherName, name, line.strip());
         return line;
     }
 
@@ -71,24 +71,24 @@
     /** Expects the other side to end the connection without sending anything more. */
     void expectEnd() throws IOException {
         if (!peer.ended()) {
-            throw new AssertionError(other + " sends more to " + name);
+            throw new AssertionError(otherName + " sends more to " + name);
         }
-        transcript.note(other + " ends the connection with " + name);
+        transcript.note(otherName + " ends the connection with " + name);
     }
 
     /** Breaks the connection: the other side sees a reset. */
     void reset() throws IOException {
-        transcript.note(name + " resets the connection with " + other);
+        transcript.note(name + " resets the connection with " + otherName);
         peer.reset();
     }
 
     void disconnect() throws IOException {
-        transcript.note(name + " ends the connection with " + other);
+        transcript.note(name + " ends the connection with " + otherName);
         peer.close();
     }
 
     private String recorded(String message) {
-        transcript.message(other, name, readable(message));
+        transcript.message(otherName, name, readable(message));
         return message;
     }
 
--- a/src/test/java/laneflow/transcripts/Transcript.java
+++ b/src/test/java/laneflow/transcripts/Transcript.java
@@ -11,7 +11,7 @@
 import org.approvaltests.reporters.QuietReporter;
 
 /**
- * A readable record of the messages of a scenario, compared with an approved text. Messages stand in the order in
+ * A readable record of the messages of a scenario, compared with an approved text. Messages appear in the order in
  * which the scenario reads them; the protocol fixes that order, since a scenario reads each message before it goes
  * on. Values that differ between runs are replaced: ports, handles and ids by numbers in order of appearance,
  * times by one and the same word, since two times may be equal by chance. {@code docs/transcripts.md} says how to
