--- a/src/main/java/laneflow/control/ControlClient.java
+++ b/src/main/java/laneflow/control/ControlClient.java
@@ -313,7 +313,7 @@
             finishLine();
             return;
         }
-        Reply reply = from == null ? state.track.classifyFull(offered) : state.track.classifyDelta(from, offered);
+        Reply reply = from == null ? state.tracker.classifyFull(offered) : state.tracker.classifyDelta(from, offered);
         String heldBack = reply.kind() == Kind.CHECK ? heldBack(message.json) : null;
         if (reply.isAck()) {
             ack(state, offered);
@@ -403,7 +403,7 @@
         // The stream may have ended, or the running version been rolled back, in the meantime.
         if (streamGeneration == generation
                 && isUp
-                && state.track.classifyFull(offered).kind() == Kind.CHECK) {
+                && state.tracker.classifyFull(offered).kind() == Kind.CHECK) {
             if (findings.isEmpty()) {
                 adopt(state, offered, resources, read);
                 ack(state, offered);
@@ -412,12 +412,12 @@
                 return;
             } else {
                 String reason = String.join("\n", findings);
-                state.track.refuse(offered, reason);
+                state.tracker.refuse(offered, reason);
                 history.add(state.type.url(), offered.toString(), "refused", streamAddress, reason);
                 nack(state, INVALID_ARGUMENT, reason);
             }
         } else if (streamGeneration == generation && isUp) {
-            nack(state, FAILED_PRECONDITION, state.track.classifyFull(offered).reason());
+            nack(state, FAILED_PRECONDITION, state.tracker.classifyFull(offered).reason());
         }
         finishLine();
     }
@@ -453,10 +453,14 @@
         if (running && finding.verdict() == Verdict.TAKE_BACK) {
             takeBack(finding.figures());
         } else if (running && finding.verdict() == Verdict.KEEP) {
-            types.values().stream().filter(state -> state.track.isOnTrial()).forEach(state -> {
+            types.values().stream().filter(state -> state.tracker.isOnTrial()).forEach(state -> {
                 state.settle();
                 history.add(
-                        state.type.url(), state.track.running().toString(), "settled", state.source, finding.figures());
+                        state.type.url(),
+                        state.tracker.running().toString(),
+                        "settled",
+                        state.source,
+                        finding.figures());
             });
         }
         loop.deadlines().set(trialTimer, trial.nextEvaluation(now));
@@ -465,10 +469,10 @@
     /** Rolls back every version on trial, since it is unknown which of them degraded service. */
     private void takeBack(String figures) {
         for (TypeState state : types.values()) {
-            if (!state.track.isOnTrial()) {
+            if (!state.tracker.isOnTrial()) {
                 continue;
             }
-            Version broken = state.track.running();
+            Version broken = state.tracker.running();
             state.takeBack(figures);
             counters.add("config.taken_back");
             history.add(state.type.url(), broken.toString(), "taken_back", state.source, figures);
@@ -525,7 +529,7 @@
 
     private JsonObject request(TypeState state) {
         JsonObject request = node();
-        Version runs = state.track.running();
+        Version runs = state.tracker.running();
         request.addProperty("type_url", state.type.url());
         request.addProperty("version_info", runs.equals(Version.NONE) ? "" : runs.toString());
         request.addProperty("response_nonce", state.nonce);
@@ -590,11 +594,11 @@
         }
         StringBuilder header = new StringBuilder();
         types.values().forEach(state -> {
-            if (!state.track.running().equals(Version.NONE)) {
+            if (!state.tracker.running().equals(Version.NONE)) {
                 header.append(header.isEmpty() ? "" : " ")
                         .append(state.type.name())
                         .append('=')
-                        .append(state.track.running());
+                        .append(state.tracker.running());
             }
         });
         versionHeaders.put(epoch, header.toString());
--- a/src/main/java/laneflow/control/TypeState.java
+++ b/src/main/java/laneflow/control/TypeState.java
@@ -19,7 +19,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(TypeState.class);
 
     final ResourceType type;
-    final VersionTracker track = new VersionTracker();
+    final VersionTracker tracker = new VersionTracker();
     /** The running resources; null before the first version. Never modified. */
     JsonArray running;
 
@@ -56,7 +56,7 @@
     void startAt(LastGood.SavedVersion saved, ResourceType.ParsedResources parsed) {
         runningParsed = parsed;
         goodParsed = parsed;
-        track.startAt(saved.version());
+        tracker.startAt(saved.version());
         running = saved.resources().getAsJsonArray("resources");
         source = "last-good";
         adoptedMs = saved.adoptedMs();
@@ -70,7 +70,7 @@
     void adopt(Version version, JsonArray resources, ResourceType.ParsedResources parsed, String address, long nowMs) {
         needRestart = parsed.adopt();
         runningParsed = parsed;
-        track.accept(version);
+        tracker.accept(version);
         running = resources;
         source = address;
         adoptedMs = nowMs;
@@ -78,7 +78,7 @@
 
     /** Marks the running version as good and saves it for the next start. */
     void settle() {
-        track.settle();
+        tracker.settle();
         goodResources = running;
         goodParsed = runningParsed;
         goodSource = source;
@@ -88,7 +88,7 @@
         }
         JsonObject json = new JsonObject();
         json.add("resources", running);
-        LastGood.SavedVersion saved = new LastGood.SavedVersion(type.url(), track.running(), adoptedMs, json);
+        LastGood.SavedVersion saved = new LastGood.SavedVersion(type.url(), tracker.running(), adoptedMs, json);
         disk.execute(() -> {
             try {
                 lastGood.write(saved);
@@ -100,7 +100,7 @@
 
     /** Rolls back to the last good version, or to the state before the first version. */
     void takeBack(String reason) {
-        track.takeBack(reason);
+        tracker.takeBack(reason);
         running = goodResources;
         runningParsed = goodParsed;
         needRestart = goodParsed.adopt();
@@ -110,15 +110,15 @@
 
     JsonObject report() {
         JsonObject report = new JsonObject();
-        report.addProperty("version", track.running().toString());
+        report.addProperty("version", tracker.running().toString());
         report.addProperty("since_ms", adoptedMs);
         report.addProperty("from", source);
-        report.addProperty("on_trial", track.isOnTrial());
-        report.addProperty("gaps", track.gaps());
+        report.addProperty("on_trial", tracker.isOnTrial());
+        report.addProperty("gaps", tracker.gaps());
         if (!needRestart.isEmpty()) {
             report.add("restart_needed", toJson(needRestart));
         }
-        Map.Entry<Version, String> last = track.lastRefused();
+        Map.Entry<Version, String> last = tracker.lastRefused();
         if (last != null) {
             JsonObject refused = new JsonObject();
             refused.addProperty("version", last.getKey().toString());
--- a/src/main/java/laneflow/gearman/GearmanFront.java
+++ b/src/main/java/laneflow/gearman/GearmanFront.java
@@ -130,8 +130,8 @@
 
     void remove(Peer peer, long slot) {
         peers.remove(slot);
-        List<Job> awaited = new ArrayList<>(peer.waiting);
-        peer.waiting.clear();
+        List<Job> awaited = new ArrayList<>(peer.awaitedJobs);
+        peer.awaitedJobs.clear();
         awaited.forEach(job -> removeClient(job, peer));
     }
 
@@ -184,7 +184,7 @@
         Job job = new Job("H:laneflow:" + ++handleCount, function, unique, key, reducer, priority, background);
         if (!background) {
             job.clients.add(client);
-            client.waiting.add(job);
+            client.awaitedJobs.add(job);
         }
         job.slot = jobs.add(job);
         byHandle.put(job.handle, job);
@@ -240,7 +240,7 @@
         client.send(Packet.JOB_CREATED, existing.handle);
         if (background) {
             existing.background = true;
-        } else if (client.waiting.add(existing)) {
+        } else if (client.awaitedJobs.add(existing)) {
             existing.clients.add(client);
         }
     }
@@ -485,7 +485,7 @@
     }
 
     private void removeJob(Job job) {
-        job.clients.forEach(client -> client.waiting.remove(job));
+        job.clients.forEach(client -> client.awaitedJobs.remove(job));
         job.clients.clear();
         jobs.remove(job.slot);
         byHandle.remove(job.handle);
--- a/src/main/java/laneflow/gearman/Peer.java
+++ b/src/main/java/laneflow/gearman/Peer.java
@@ -31,7 +31,7 @@
     private Link link;
     private long slot;
     private String clientId = "-";
-    private final Deadline timer;
+    private final Deadline packetTimer;
     private boolean packetIncomplete = true;
     private boolean timeoutExtended;
     private long packetStartMicros;
@@ -42,14 +42,14 @@
 
     Worker worker;
     /** Foreground jobs whose results this client waits for. */
-    final Set<Job> waiting = new LinkedHashSet<>();
+    final Set<Job> awaitedJobs = new LinkedHashSet<>();
 
     boolean wantsExceptions;
 
     Peer(GearmanFront front, long sequence) {
         this.front = front;
         this.sequence = sequence;
-        timer = front.loop.deadlines().create(this::packetTimedOut);
+        packetTimer = front.loop.deadlines().create(this::packetTimedOut);
     }
 
     @Override
@@ -63,7 +63,7 @@
     private void startPacketTimer() {
         packetIncomplete = true;
         packetStartMicros = front.loop.micros();
-        front.loop.deadlines().set(timer, packetStartMicros + PACKET_TIMEOUT_MICROS);
+        front.loop.deadlines().set(packetTimer, packetStartMicros + PACKET_TIMEOUT_MICROS);
     }
 
     /** Extends the timeout of a large packet by the time its size takes at the minimum rate. */
@@ -72,14 +72,16 @@
             timeoutExtended = true;
             front.loop
                     .deadlines()
-                    .set(timer, packetStartMicros + PACKET_TIMEOUT_MICROS + bytes * 1_000_000 / MIN_BYTES_PER_SECOND);
+                    .set(
+                            packetTimer,
+                            packetStartMicros + PACKET_TIMEOUT_MICROS + bytes * 1_000_000 / MIN_BYTES_PER_SECOND);
         }
     }
 
     private void packetComplete() {
         timeoutExtended = false;
         packetIncomplete = false;
-        front.loop.deadlines().cancel(timer);
+        front.loop.deadlines().cancel(packetTimer);
     }
 
     private void packetTimedOut() {
--- a/src/main/java/laneflow/gearman/Worker.java
+++ b/src/main/java/laneflow/gearman/Worker.java
@@ -30,10 +30,10 @@
     /** Attempts that wait to be grabbed. */
     private final List<Attempt> queue = new ArrayList<>();
 
-    private final ByteArrayOutputStream data = new ByteArrayOutputStream();
-    private final Deadline timeLimit;
+    private final ByteArrayOutputStream resultData = new ByteArrayOutputStream();
+    private final Deadline timeLimitTimer;
     private final Deadline drainTimer;
-    private final Deadline grabTimeout;
+    private final Deadline grabTimer;
     private boolean registered;
     private boolean asleep;
     /** The handle of the assigned job, kept even after its attempt was abandoned; null if there is none. */
@@ -51,9 +51,9 @@
         this.scheduler = front.scheduler;
         this.peer = peer;
         this.name = name;
-        timeLimit = front.loop.deadlines().create(this::timeLimitExceeded);
+        timeLimitTimer = front.loop.deadlines().create(this::timeLimitExceeded);
         drainTimer = front.loop.deadlines().create(() -> returnQueued(Outcome.MOOT, true));
-        grabTimeout = front.loop.deadlines().create(() -> returnQueued(Outcome.CONNECT_FAILED, true));
+        grabTimer = front.loop.deadlines().create(() -> returnQueued(Outcome.CONNECT_FAILED, true));
     }
 
     boolean hasFunction(String function) {
@@ -120,7 +120,7 @@
      * so queued attempts are returned only after the grace period; until then only announced functions are assigned.
      */
     private void startDrain() {
-        front.loop.deadlines().cancel(grabTimeout);
+        front.loop.deadlines().cancel(grabTimer);
         long delayMicros = (long) (scheduler.settings().drainGrace * 1e6);
         front.loop.deadlines().set(drainTimer, front.loop.micros() + delayMicros);
     }
@@ -206,9 +206,9 @@
      * connection to a crashed machine need not break, and attempts queued there would wait for their deadline.
      */
     private void awaitGrab() {
-        if (handle == null && !queue.isEmpty() && !grabTimeout.isSet()) {
+        if (handle == null && !queue.isEmpty() && !grabTimer.isSet()) {
             long delayMicros = (long) (scheduler.settings().connectTimeout * 1e6);
-            front.loop.deadlines().set(grabTimeout, front.loop.micros() + delayMicros);
+            front.loop.deadlines().set(grabTimer, front.loop.micros() + delayMicros);
         }
     }
 
@@ -222,7 +222,7 @@
             // Under a lease a late outcome still counts.
             abandonedAttempt = attempt.lease > 0 ? attempt : null;
             assigned = null;
-            front.loop.deadlines().cancel(timeLimit);
+            front.loop.deadlines().cancel(timeLimitTimer);
         }
         return wasQueued;
     }
@@ -231,7 +231,7 @@
     boolean removeQueued(Attempt attempt) {
         boolean wasQueued = queue.remove(attempt);
         if (queue.isEmpty()) {
-            front.loop.deadlines().cancel(grabTimeout);
+            front.loop.deadlines().cancel(grabTimer);
         }
         return wasQueued;
     }
@@ -246,7 +246,7 @@
     /** Assigns the next attempt with this JOB_ASSIGN packet type: _UNIQ adds the unique id, _ALL also the reducer. */
     void grab(int assignType) {
         asleep = false;
-        front.loop.deadlines().cancel(grabTimeout);
+        front.loop.deadlines().cancel(grabTimer);
         Attempt next = handle == null ? pollRunnable() : null;
         if (next == null) {
             peer.send(Packet.NO_JOB);
@@ -261,10 +261,10 @@
                 : next.lease > 0
                         ? String.format("%s%016x.%d", GearmanFront.DURABLE_HANDLE_PREFIX, next.request.tag, next.lease)
                         : "H:laneflow:c" + Long.toHexString(next.handle());
-        data.reset();
+        resultData.reset();
         int seconds = abilities.get(function);
         if (seconds > 0) {
-            front.loop.deadlines().set(timeLimit, front.loop.micros() + seconds * 1_000_000L);
+            front.loop.deadlines().set(timeLimitTimer, front.loop.micros() + seconds * 1_000_000L);
         }
         byte[] body = next.request.payload.body();
         String unique = job != null
@@ -360,11 +360,11 @@
     }
 
     private void appendResult(byte[] workData) {
-        if (assigned != null && data.size() + workData.length > front.config.maxBodyBytes) {
+        if (assigned != null && resultData.size() + workData.length > front.config.maxBodyBytes) {
             finish(Outcome.ERROR, null);
         } else if (assigned != null
-                || abandonedAttempt != null && data.size() + workData.length <= front.config.maxBodyBytes) {
-            data.writeBytes(workData);
+                || abandonedAttempt != null && resultData.size() + workData.length <= front.config.maxBodyBytes) {
+            resultData.writeBytes(workData);
         }
         if (assigned != null) {
             scheduler.stillRunning(assigned);
@@ -374,7 +374,7 @@
     private void complete(Outcome outcome) {
         previousHandle = handle;
         handle = null;
-        finish(outcome, outcome == Outcome.OK ? data.toByteArray() : null);
+        finish(outcome, outcome == Outcome.OK ? resultData.toByteArray() : null);
         awaitGrab();
     }
 
@@ -387,7 +387,7 @@
 
     /** Reports how the attempt ended; the worker may still be running the job. */
     private void finish(Outcome outcome, byte[] result) {
-        front.loop.deadlines().cancel(timeLimit);
+        front.loop.deadlines().cancel(timeLimitTimer);
         Attempt finished = assigned != null ? assigned : abandonedAttempt;
         assigned = null;
         abandonedAttempt = null;
@@ -407,7 +407,7 @@
     /** The connection has ended: the assigned job may have run, queued attempts never ran. */
     void disconnected() {
         front.loop.deadlines().cancel(drainTimer);
-        front.loop.deadlines().cancel(grabTimeout);
+        front.loop.deadlines().cancel(grabTimer);
         forgetAbilities();
         if (!registered) {
             return;
