--- a/src/main/java/laneflow/gearman/Peer.java
+++ b/src/main/java/laneflow/gearman/Peer.java
@@ -31,7 +31,7 @@
     private Link link;
     private long slot;
     private String clientId = "-";
-    private final Deadline timer;
+    private final Deadline packetTimer;
     private boolean packetIncomplete = true;
     private boolean timeoutExtended;
     private long packetStartMicros;
@@ -41,20 +41,20 @@
     private final ArrayDeque<PendingReply> pendingReplies = new ArrayDeque<>();
 
     Worker worker;
-    /** Foreground jobs whose results it waits for. */
-    final Set<Job> waiting = new LinkedHashSet<>();
+    /** Foreground jobs whose results this client waits for. */
+    final Set<Job> awaitedJobs = new LinkedHashSet<>();
 
     boolean wantsExceptions;
 
     Peer(GearmanFront front, long sequence) {
         this.front = front;
         this.sequence = sequence;
-        timer = front.loop.deadlines().create(this::packetTimedOut);
+        packetTimer = front.loop.deadlines().create(this::packetTimedOut);
     }
 
     @Override
-    public void opened(Link up) {
-        link = up;
+    public void opened(Link opened) {
+        link = opened;
         slot = front.add(this);
         worker = new Worker(front, this, "gearman-" + Long.toHexString(slot));
         startPacketTimer();
@@ -63,7 +63,7 @@
     private void startPacketTimer() {
         packetIncomplete = true;
         packetStartMicros = front.loop.micros();
-        front.loop.deadlines().set(timer, packetStartMicros + PACKET_TIMEOUT_MICROS);
+        front.loop.deadlines().set(packetTimer, packetStartMicros + PACKET_TIMEOUT_MICROS);
     }
 
     /** Extends the timeout of a large packet by the time its size takes at the minimum rate. */
@@ -72,14 +72,16 @@
             timeoutExtended = true;
             front.loop
                     .deadlines()
-                    .set(timer, packetStartMicros + PACKET_TIMEOUT_MICROS + bytes * 1_000_000 / MIN_BYTES_PER_SECOND);
+                    .set(
+                            packetTimer,
+                            packetStartMicros + PACKET_TIMEOUT_MICROS + bytes * 1_000_000 / MIN_BYTES_PER_SECOND);
         }
     }
 
     private void packetComplete() {
         timeoutExtended = false;
         packetIncomplete = false;
-        front.loop.deadlines().cancel(timer);
+        front.loop.deadlines().cancel(packetTimer);
     }
 
     private void packetTimedOut() {
@@ -167,7 +169,7 @@
         send(Packet.ERROR, code, text);
     }
 
-    /** Its line in the reply to 'workers', which lists every connection as gearmand does. */
+    /** The connection's line in the reply to 'workers', which lists every connection as gearmand does. */
     String describe() {
         return link.handle() + " " + link.peerHost() + " " + clientId + " :" + worker.describeFunctions() + "\n";
     }
@@ -307,7 +309,7 @@
             case Packet.CAN_DO_TIMEOUT:
                 args = packet.arguments(2);
                 if (!Packet.text(args[1]).matches("[0-9]{1,6}")) {
-                    throw new Packet.MalformedPacket("a time-out that is no number of seconds");
+                    throw new Packet.MalformedPacket("the timeout is not a number of seconds");
                 }
                 worker.canDo(Packet.text(args[0]), Integer.parseInt(Packet.text(args[1])));
                 break;
@@ -363,7 +365,7 @@
     }
 
     @Override
-    public void disconnected(Link gone) {
+    public void disconnected(Link closed) {
         packetComplete();
         worker.disconnected();
         front.remove(this, slot);
--- a/src/main/java/laneflow/policy/Leadership.java
+++ b/src/main/java/laneflow/policy/Leadership.java
@@ -149,8 +149,8 @@
         stopped = true;
         state = null;
         extensions.onLeadershipLost();
-        // It learns of no more elections: like a scheduler that does not vote, it knows the leader from its
-        // grants.
+        // This process no longer learns of elections: like a scheduler that does not vote, it knows the leader
+        // from its grants.
         leader = "";
         voters = Set.of();
         return first;
@@ -177,8 +177,8 @@
         if (state == null || stopped) {
             return;
         }
-        long every = config.leaseMicros / CONFIRMATIONS_PER_LEASE;
-        loop.deadlines().set(confirmTimer, loop.micros() + every * 9 / 10, loop.micros() + every);
+        long intervalMicros = config.leaseMicros / CONFIRMATIONS_PER_LEASE;
+        loop.deadlines().set(confirmTimer, loop.micros() + intervalMicros * 9 / 10, loop.micros() + intervalMicros);
         if (confirming) {
             confirmAgain = true;
             return;
@@ -189,7 +189,7 @@
         voter.query(
                 confirmed.term(), ledger -> new ConfirmedState(ledger.view(), extensions.partViews(ledger)), result -> {
                     confirming = false;
-                    boolean again = confirmAgain;
+                    boolean repeat = confirmAgain;
                     confirmAgain = false;
                     if (state == confirmed && result instanceof ConfirmedState seen) {
                         onConfirmed(submittedAt, seen.view());
@@ -197,7 +197,7 @@
                             extensions.onConfirmed(submittedAt, seen.parts());
                         }
                     }
-                    if (again) {
+                    if (repeat) {
                         confirm();
                     }
                 });
@@ -380,7 +380,7 @@
         LeaderState requester = state;
         voter.replicate(operation, answer -> {
             if (state == requester && answer == null) {
-                // Its fate is unknown: the next confirmation shows it, and repeating the request does no
+                // The operation's fate is unknown: the next confirmation shows it, and repeating the request does no
                 // harm.
                 requester.onDecisionFailed();
             }
--- a/src/test/java/laneflow/maintenance/decision/SendingTest.java
+++ b/src/test/java/laneflow/maintenance/decision/SendingTest.java
@@ -13,7 +13,7 @@
 class SendingTest {
     private static final long LEASE = 1_000_000;
     private static final long LONGEST = 5_000_000;
-    /** After the time in which calls of schedulers that only a former leader knew may still be open. */
+    /** Later than calls of schedulers that only a former leader knew can still be open. */
     private static final long LATER = 10_000_000;
 
     private final Sending sending = new Sending(0, LEASE, LONGEST);
@@ -30,7 +30,9 @@
         sending.onReport(LATER + 1, "n1", report(3));
         assertEquals(List.of(), sending.possibleSenders(LATER + 1, 3, "till-0"));
         assertEquals(
-                List.of("n1"), sending.possibleSenders(LATER + 1, 4, "till-0"), "of another policy it says nothing");
+                List.of("n1"),
+                sending.possibleSenders(LATER + 1, 4, "till-0"),
+                "a report covers only the policy that it names");
     }
 
     @Test
