--- a/src/main/java/laneflow/lab/measure/ControlStorm.java
+++ b/src/main/java/laneflow/lab/measure/ControlStorm.java
@@ -17,7 +17,7 @@
 import laneflow.membership.decision.Seal;
 import laneflow.membership.decision.State;
 import laneflow.membership.decision.Swim;
-import laneflow.membership.decision.Times;
+import laneflow.membership.decision.SwimTimings;
 import laneflow.membership.decision.Update;
 import laneflow.membership.decision.Update.MemberRecord;
 
@@ -56,7 +56,7 @@
                 "storm",
                 System.currentTimeMillis(),
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), socket.getLocalPort()));
-        swim = new Swim(life, facts(), List.of(to), new Times(periodUs), wire, seed, now(), this);
+        swim = new Swim(life, facts(), List.of(to), new SwimTimings(periodUs), wire, seed, now(), this);
         thread = new Thread(this::run, "storm");
         thread.setDaemon(true);
     }
--- a/src/main/java/laneflow/lab/measure/FleetMeasure.java
+++ b/src/main/java/laneflow/lab/measure/FleetMeasure.java
@@ -19,7 +19,7 @@
 import laneflow.lab.world.MemberWorld;
 import laneflow.membership.decision.Seal;
 import laneflow.membership.decision.State;
-import laneflow.membership.decision.Times;
+import laneflow.membership.decision.SwimTimings;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -359,7 +359,7 @@
         int[] sizes = large ? new int[] {200, 1000, 5000} : new int[] {200, 1000};
         Histogram seen = new Histogram(3);
         for (int size : sizes) {
-            MemberWorld world = new MemberWorld(size, new Times(PERIOD_US), seed);
+            MemberWorld world = new MemberWorld(size, new SwimTimings(PERIOD_US), seed);
             for (int i = 0; i < size; i++) {
                 world.start(i, 0, 1, 2);
             }
--- a/src/main/java/laneflow/lab/world/MemberWorld.java
+++ b/src/main/java/laneflow/lab/world/MemberWorld.java
@@ -19,7 +19,7 @@
 import laneflow.membership.decision.Seal;
 import laneflow.membership.decision.State;
 import laneflow.membership.decision.Swim;
-import laneflow.membership.decision.Times;
+import laneflow.membership.decision.SwimTimings;
 import laneflow.membership.decision.Update;
 
 /**
@@ -84,7 +84,7 @@
         void changed(int by, Update.MemberRecord before, Update.MemberRecord now);
     }
 
-    private final Times times;
+    private final SwimTimings times;
     private final MessageCodec wire = new MessageCodec(Seal.MAX_DATAGRAM_BYTES - Seal.OVERHEAD_BYTES);
     private final SplittableRandom random;
     private final PriorityQueue<Event> events =
@@ -112,7 +112,7 @@
     }
 
     /** A world of so many places, at none of which anybody lives yet. */
-    public MemberWorld(int places, Times times, long seed) {
+    public MemberWorld(int places, SwimTimings times, long seed) {
         this.times = times;
         random = new SplittableRandom(seed);
         nodes = new Node[places];
--- a/src/main/java/laneflow/membership/Members.java
+++ b/src/main/java/laneflow/membership/Members.java
@@ -30,7 +30,7 @@
 import laneflow.membership.decision.ReplayFilter;
 import laneflow.membership.decision.Seal;
 import laneflow.membership.decision.Swim;
-import laneflow.membership.decision.Times;
+import laneflow.membership.decision.SwimTimings;
 import laneflow.membership.decision.Update;
 import laneflow.membership.decision.Update.MemberRecord;
 import laneflow.net.Datagrams;
@@ -64,7 +64,7 @@
     private final Deadline tickDeadline;
     private final Deadline metadataDeadline;
     private final Deadline keyCheckDeadline;
-    private final Times times;
+    private final SwimTimings timings;
     private final String zone;
     private final String build;
     /** Address for fleet links and operators, or null if the listen address is a wildcard. */
@@ -168,7 +168,7 @@
         loop = dependencies.controlLoop();
         config = dependencies.config();
         counters = dependencies.counters();
-        times = new Times(config.period);
+        timings = new SwimTimings(config.period);
         zone = truncate(dependencies.zone(), MemberMetadata.MAX_ZONE_BYTES);
         build = truncate(dependencies.fleet().self().build(), MemberMetadata.MAX_BUILD_BYTES);
         InetSocketAddress listenAddress = Loop.address(
@@ -213,7 +213,7 @@
                     instance,
                     toMetadata(initialStatus[0]),
                     config.seeds,
-                    times,
+                    timings,
                     codec,
                     dependencies.seed(),
                     loop.micros(),
@@ -571,7 +571,7 @@
             scheduleTick();
             loop.deadlines().cancel(metadataDeadline);
             loop.deadlines().cancel(keyCheckDeadline);
-            loop.deadlines().at(loop.micros() + LEAVE_ROUNDS * times.gossipInterval(), () -> {
+            loop.deadlines().at(loop.micros() + LEAVE_ROUNDS * timings.gossipInterval(), () -> {
                 closed = true;
                 loop.deadlines().cancel(tickDeadline);
                 datagrams.close();
--- a/src/main/java/laneflow/membership/decision/Comparison.java
+++ b/src/main/java/laneflow/membership/decision/AntiEntropy.java
@@ -13,13 +13,13 @@
  * Anti-entropy between views. Every datagram carries the digest of its sender's view. A receiver with another
  * digest sends a SYNC with its digest of each bucket, and gets the records of the buckets that differ.
  */
-final class Comparison {
+final class AntiEntropy {
     private static final int BASE_DATAGRAMS = 8;
     private static final int MAX_DATAGRAMS = 64;
     private static final long NEWCOMER_PERIODS = 60;
 
     private final View view;
-    private final Times times;
+    private final SwimTimings timings;
     private final MessageSizes sizes;
     private final LocalMember self;
     private final Environment environment;
@@ -30,14 +30,15 @@
 
     private int matchingDigests;
 
-    Comparison(View view, Times times, MessageSizes sizes, LocalMember self, Environment environment, long now) {
+    AntiEntropy(
+            View view, SwimTimings timings, MessageSizes sizes, LocalMember self, Environment environment, long now) {
         this.view = view;
-        this.times = times;
+        this.timings = timings;
         this.sizes = sizes;
         this.self = self;
         this.environment = environment;
         startedAt = now;
-        syncSentAt = now - times.syncInterval();
+        syncSentAt = now - timings.syncInterval();
     }
 
     /** Number of digests received in a row that equalled this member's own. */
@@ -66,11 +67,11 @@
             return;
         }
         matchingDigests = 0;
-        if (now - syncSentAt >= times.syncInterval()) {
+        if (now - syncSentAt >= timings.syncInterval()) {
             syncSentAt = now;
             environment.count("syncs");
             // 0 marks a newcomer, which knows few members and is sent many records at once.
-            int known = now - startedAt < NEWCOMER_PERIODS * times.period() ? 0 : self.size();
+            int known = now - startedAt < NEWCOMER_PERIODS * timings.period() ? 0 : self.size();
             environment.send(
                     sender.address(),
                     new Message(
--- a/src/main/java/laneflow/membership/decision/FailureDetector.java
+++ b/src/main/java/laneflow/membership/decision/FailureDetector.java
@@ -46,7 +46,7 @@
     private record IndirectProbe(InetSocketAddress requester, int requesterSeq, long targetId, long deadline) {}
 
     private final View view;
-    private final Times times;
+    private final SwimTimings timings;
     private final SplittableRandom random;
     private final LocalMember self;
     private final UnresponsiveListener listener;
@@ -69,18 +69,18 @@
 
     FailureDetector(
             View view,
-            Times times,
+            SwimTimings timings,
             SplittableRandom random,
             LocalMember self,
             UnresponsiveListener listener,
             long now) {
         this.view = view;
-        this.times = times;
+        this.timings = timings;
         this.random = random;
         this.self = self;
         this.listener = listener;
         // Members of a fleet that start together must not probe in step.
-        nextPeriod = now + 1 + random.nextLong(times.period());
+        nextPeriod = now + 1 + random.nextLong(timings.period());
     }
 
     /** Lifeguard's local health score: 0 is healthy, 8 the slowest. */
@@ -89,7 +89,7 @@
     }
 
     void adjustHealthScore(int by) {
-        score = Math.max(0, Math.min(Times.MAX_HEALTH_SCORE, score + by));
+        score = Math.max(0, Math.min(SwimTimings.MAX_HEALTH_SCORE, score + by));
     }
 
     /** Smoothed round trip in microseconds. */
@@ -99,7 +99,7 @@
 
     /** The time from which a period may start if the member is awake anyway. */
     long earliestTick() {
-        return allAnswered() && indirectProbes.isEmpty() ? nextPeriod - times.wakeTolerance() : nextTick();
+        return allAnswered() && indirectProbes.isEmpty() ? nextPeriod - timings.wakeTolerance() : nextTick();
     }
 
     private boolean allAnswered() {
@@ -107,7 +107,7 @@
     }
 
     long nextTick() {
-        long next = allAnswered() ? nextPeriod + times.wakeTolerance() : nextPeriod;
+        long next = allAnswered() ? nextPeriod + timings.wakeTolerance() : nextPeriod;
         if (awaitsDirectAck()) {
             next = Math.min(next, retried ? indirectProbesAt : retryAt);
         }
@@ -141,7 +141,7 @@
                 }
             }
         }
-        if (now < (allAnswered() ? nextPeriod - times.wakeTolerance() : nextPeriod)) {
+        if (now < (allAnswered() ? nextPeriod - timings.wakeTolerance() : nextPeriod)) {
             return false;
         }
         startPeriod(now);
@@ -152,16 +152,16 @@
     void handleStall(long now) {
         adjustHealthScore(1);
         probes.clear();
-        nextPeriod = now + times.period();
+        nextPeriod = now + timings.period();
     }
 
     private void startPeriod(long now) {
         finishPeriod(now);
-        nextPeriod = now + times.probeTimeout(score, roundTrip);
+        nextPeriod = now + timings.probeTimeout(score, roundTrip);
         retried = false;
         indirectProbesRequested = false;
-        indirectProbesAt = now + times.directProbeTimeout(score, roundTrip);
-        retryAt = now + times.directProbeTimeout(score, roundTrip) / 2;
+        indirectProbesAt = now + timings.directProbeTimeout(score, roundTrip);
+        retryAt = now + timings.directProbeTimeout(score, roundTrip) / 2;
         // A member cut off with few others takes longer per probe, and would need minutes to probe all.
         for (int i = 0; i < 1 + EXTRA_PROBES_PER_SCORE * score; i++) {
             Entry target = nextProbeTarget();
@@ -198,7 +198,7 @@
 
     private void requestIndirectProbes(Probe probe) {
         List<Entry> helpers = new ArrayList<>();
-        for (int i = 0; i < Times.INDIRECT_PROBE_HELPERS; i++) {
+        for (int i = 0; i < SwimTimings.INDIRECT_PROBE_HELPERS; i++) {
             Entry helper = view.pickRandom(
                     random, each -> each != probe.target && each.state == State.ALIVE && !helpers.contains(each));
             if (helper != null) {
@@ -274,7 +274,7 @@
                         requester.address(),
                         message.seq(),
                         message.target(),
-                        now + times.directProbeTimeout(0, roundTrip)));
+                        now + timings.directProbeTimeout(0, roundTrip)));
         self.sendWithGossip(target, Kind.PING, sequence, message.target(), List.of());
         expireIndirectProbes(now);
     }
--- a/src/main/java/laneflow/membership/decision/Judgement.java
+++ b/src/main/java/laneflow/membership/decision/SuspicionTracker.java
@@ -15,7 +15,7 @@
  * Applies gossip about other members to the view: which instance holds a name, which members are suspected and
  * for how long, and when one is declared dead. Only this member's own suspicion timer declares a member dead.
  */
-final class Judgement {
+final class SuspicionTracker {
     private static final int MAX_MEMBERS = 10_000;
     private static final int MAX_ENDED = 1024;
     private static final int MAX_PENDING_FINAL_PROBES = 64;
@@ -35,7 +35,7 @@
     private record SuspicionTimer(long fireAt, Entry entry, long deadline, boolean finalProbe) {}
 
     private final View view;
-    private final Times times;
+    private final SwimTimings timings;
     private final SplittableRandom random;
     private final LocalMember self;
     private final FailureDetector failureDetector;
@@ -45,15 +45,15 @@
     /** Members that helpers were asked to probe before they are declared dead, by sequence number. */
     private final Map<Integer, Entry> pendingFinalProbes = new RecentPings<>(MAX_PENDING_FINAL_PROBES);
 
-    Judgement(
+    SuspicionTracker(
             View view,
-            Times times,
+            SwimTimings timings,
             SplittableRandom random,
             LocalMember self,
             FailureDetector failureDetector,
             Environment environment) {
         this.view = view;
-        this.times = times;
+        this.timings = timings;
         this.random = random;
         this.self = self;
         this.failureDetector = failureDetector;
@@ -139,7 +139,9 @@
 
     private void applySameInstance(Entry entry, MemberRecord update, Entry sender, long now) {
         if (!entry.state.isLive()) {
-            if (update.state().isLive() && entry.state == State.DEAD && now - entry.deathNotifiedAt >= times.period()) {
+            if (update.state().isLive()
+                    && entry.state == State.DEAD
+                    && now - entry.deathNotifiedAt >= timings.period()) {
                 // The sender takes it for live: tell it that it was declared dead, so that it restarts.
                 entry.deathNotifiedAt = now;
                 Claim claim = new Claim(
@@ -198,14 +200,14 @@
             environment.memberChanged(before, entry.toRecord());
             environment.count("suspected");
         } else if (!entry.leaveReported
-                && (entry.accusers.size() > Times.CONFIRMATIONS || entry.accusers.contains(accuserId))) {
+                && (entry.accusers.size() > SwimTimings.CONFIRMATIONS || entry.accusers.contains(accuserId))) {
             return;
         }
         entry.suspectedIncarnation = Math.max(entry.suspectedIncarnation, incarnation);
-        boolean added = entry.accusers.size() <= Times.CONFIRMATIONS && entry.addAccuser(accuserId);
+        boolean added = entry.accusers.size() <= SwimTimings.CONFIRMATIONS && entry.addAccuser(accuserId);
         long timeout = entry.leaveReported
-                ? LEAVE_PROBE_TIMEOUTS * times.probeTimeout(0, failureDetector.roundTrip())
-                : times.suspicionTimeout(self.size(), entry.accusers.size() - 1, failureDetector.roundTrip());
+                ? LEAVE_PROBE_TIMEOUTS * timings.probeTimeout(0, failureDetector.roundTrip())
+                : timings.suspicionTimeout(self.size(), entry.accusers.size() - 1, failureDetector.roundTrip());
         // While this member is slow its own accusation alone takes longer to end (Lifeguard).
         boolean onlyOwnAccusation = entry.accusers.size() == 1
                 && entry.accusers.contains(self.self().instance().id());
@@ -233,7 +235,7 @@
         for (int i = 1; i <= FINAL_PROBES; i++) {
             long at = deadline
                     - i
-                            * times.probeTimeout(0, failureDetector.roundTrip())
+                            * timings.probeTimeout(0, failureDetector.roundTrip())
                             * FINAL_PROBE_SPACING_NUMERATOR
                             / FINAL_PROBE_SPACING_DENOMINATOR;
             timers.add(new SuspicionTimer(Math.max(now, at), entry, deadline, true));
@@ -252,7 +254,7 @@
         // Probe directly too: this member may have missed a refutation of the others' accusations.
         self.sendWithGossip(
                 entry, Kind.PING, self.nextSequence(), entry.instance().id(), List.of());
-        for (int i = 0; i < Times.INDIRECT_PROBE_HELPERS; i++) {
+        for (int i = 0; i < SwimTimings.INDIRECT_PROBE_HELPERS; i++) {
             Entry helper = view.pickRandom(random, each -> each != entry && each.state == State.ALIVE);
             if (helper != null) {
                 int sequence = self.nextSequence();
@@ -266,7 +268,7 @@
     /** Prolongs the suspicion of a member that a helper has reached, so that it can refute it. */
     void ackReceived(Message message, long now) {
         Entry probed = pendingFinalProbes.remove(message.seq());
-        long minTimeout = times.minSuspicionTimeout(self.size(), failureDetector.roundTrip());
+        long minTimeout = timings.minSuspicionTimeout(self.size(), failureDetector.roundTrip());
         if (probed != null
                 && probed.instance().id() == message.target()
                 && probed.state == State.SUSPECT
--- a/src/main/java/laneflow/membership/decision/Swim.java
+++ b/src/main/java/laneflow/membership/decision/Swim.java
@@ -61,14 +61,14 @@
 
     private final Environment environment;
     private final MessageSizes sizes;
-    private final Times times;
+    private final SwimTimings timings;
     private final List<InetSocketAddress> seeds;
     private final SplittableRandom random;
     private final View view = new View();
     private final GossipQueue gossipQueue = new GossipQueue();
     private final FailureDetector failureDetector;
-    private final Judgement judgement;
-    private final Comparison comparison;
+    private final SuspicionTracker suspicionTracker;
+    private final AntiEntropy antiEntropy;
     private MemberRecord self;
     private boolean nameTaken;
     private boolean left;
@@ -98,14 +98,14 @@
             MemberInstance instance,
             MemberMetadata metadata,
             List<InetSocketAddress> seeds,
-            Times times,
+            SwimTimings timings,
             MessageSizes sizes,
             long seed,
             long now,
             Environment environment) {
         this.environment = environment;
         this.sizes = sizes;
-        this.times = times;
+        this.timings = timings;
         this.seeds = new ArrayList<>(seeds);
         this.seeds.remove(instance.address());
         random = new SplittableRandom(seed);
@@ -118,9 +118,9 @@
         instanceStartedAt = now;
         gossipQueue.add(instance.name(), self);
         LocalMember local = new LocalMemberAdapter();
-        failureDetector = new FailureDetector(view, times, random, local, this::unresponsive, now);
-        judgement = new Judgement(view, times, random, local, failureDetector, environment);
-        comparison = new Comparison(view, times, sizes, local, environment, now);
+        failureDetector = new FailureDetector(view, timings, random, local, this::unresponsive, now);
+        suspicionTracker = new SuspicionTracker(view, timings, random, local, failureDetector, environment);
+        antiEntropy = new AntiEntropy(view, timings, sizes, local, environment, now);
     }
 
     /** Gives the parts access to this member. */
@@ -157,7 +157,7 @@
     }
 
     private void unresponsive(Entry entry, long now) {
-        judgement.unresponsive(entry, now);
+        suspicionTracker.unresponsive(entry, now);
     }
 
     // ---- queries ----
@@ -220,7 +220,7 @@
 
     /** Whether nothing changed for a while, no member is suspected, and the others have the same digest. */
     public boolean isSettled(long now) {
-        boolean quiet = gossipQueue.isEmpty() && now - lastChangeAt > SETTLED_QUIET_PERIODS * times.period();
+        boolean quiet = gossipQueue.isEmpty() && now - lastChangeAt > SETTLED_QUIET_PERIODS * timings.period();
         if (!quiet || left || nameTaken) {
             return false;
         }
@@ -229,7 +229,7 @@
                 return false;
             }
         }
-        return comparison.matchingDigests()
+        return antiEntropy.matchingDigests()
                 >= Math.min(SETTLED_MATCHING_DIGESTS, 2 * view.live().size());
     }
 
@@ -240,7 +240,7 @@
         return left
                 ? nextGossip
                 : Math.min(
-                        Math.min(failureDetector.nextTick(), judgement.nextTick()),
+                        Math.min(failureDetector.nextTick(), suspicionTracker.nextTick()),
                         Math.min(nextGossip, nextReconnect));
     }
 
@@ -249,18 +249,18 @@
         return left
                 ? nextGossip
                 : Math.min(
-                        Math.min(failureDetector.earliestTick(), judgement.nextTick()),
+                        Math.min(failureDetector.earliestTick(), suspicionTracker.nextTick()),
                         Math.min(nextGossip, nextReconnect));
     }
 
     /** Does what is due. */
     public void tick(long now) {
         long overdue = now - nextTick();
-        if (overdue > times.stallThreshold() && !left) {
+        if (overdue > timings.stallThreshold() && !left) {
             handleStall(now, overdue);
         }
         if (!left) {
-            judgement.tick(now);
+            suspicionTracker.tick(now);
             if (failureDetector.tick(now)) {
                 publishMetadata(now);
             }
@@ -276,17 +276,17 @@
     /** Handles a stall. Acks may be waiting unread, so no member is accused for that time. */
     private void handleStall(long now, long stalledFor) {
         environment.count("late");
-        reportLateUntil = now + LATE_REPORT_PERIODS * times.period();
+        reportLateUntil = now + LATE_REPORT_PERIODS * timings.period();
         failureDetector.handleStall(now);
-        judgement.handleStall(stalledFor);
+        suspicionTracker.handleStall(stalledFor);
         publishMetadata(now);
     }
 
     /** Contacts a random missing seed or dead member. */
     private void reconnect(long now) {
         boolean alone = view.live().isEmpty();
-        nextReconnect = now + (alone ? times.period() : times.reconnectInterval());
-        identifySentAt.values().removeIf(at -> now - at > times.reconnectInterval());
+        nextReconnect = now + (alone ? timings.period() : timings.reconnectInterval());
+        identifySentAt.values().removeIf(at -> now - at > timings.reconnectInterval());
         List<InetSocketAddress> missing = new ArrayList<>(seeds);
         for (Entry entry : view.live()) {
             missing.remove(entry.address());
@@ -309,21 +309,21 @@
     /** Asks the process at an address for its record. */
     private void identify(InetSocketAddress address, long now) {
         Long previouslySentAt = identifySentAt.get(address);
-        if (previouslySentAt != null && now - previouslySentAt < times.period() / 2
+        if (previouslySentAt != null && now - previouslySentAt < timings.period() / 2
                 || address.equals(self.instance().address())) {
             return;
         }
         identifySentAt.put(address, now);
         if (nextReconnect == Long.MAX_VALUE) {
             // That run also removes old entries of identifySentAt.
-            nextReconnect = now + times.reconnectInterval();
+            nextReconnect = now + timings.reconnectInterval();
         }
         pendingIdentify.put(++seq, address);
         sendTo(address, Kind.IDENTIFY, seq, 0, List.of(self));
     }
 
     private void notifyDead(Entry entry, long now, boolean identify) {
-        if (now - entry.deathNotifiedAt < times.period()) {
+        if (now - entry.deathNotifiedAt < timings.period()) {
             return;
         }
         entry.deathNotifiedAt = now;
@@ -341,9 +341,9 @@
     }
 
     private void sendGossip(long now) {
-        nextGossip = gossipQueue.isEmpty() ? Long.MAX_VALUE : now + times.gossipInterval();
+        nextGossip = gossipQueue.isEmpty() ? Long.MAX_VALUE : now + timings.gossipInterval();
         List<Entry> targets = new ArrayList<>();
-        for (int i = Times.fanout(gossipQueue.size()); i > 0 && !gossipQueue.isEmpty(); i--) {
+        for (int i = SwimTimings.fanout(gossipQueue.size()); i > 0 && !gossipQueue.isEmpty(); i--) {
             Entry target = view.pickRandom(random, each -> !targets.contains(each));
             if (target == null) {
                 break;
@@ -374,7 +374,7 @@
         boolean urgent = metadata.condition() != published.condition()
                 || metadata.policy() != published.policy()
                 || metadata.late() != published.late();
-        if (urgent || now - metadataPublishedAt >= METADATA_INTERVAL_PERIODS * times.period()) {
+        if (urgent || now - metadataPublishedAt >= METADATA_INTERVAL_PERIODS * timings.period()) {
             metadataPublishedAt = now;
             publishSelf(self.instance(), self.incarnation() + 1, metadata, now);
         }
@@ -409,12 +409,12 @@
     private void enqueueGossip(String name, Update update, long now) {
         gossipQueue.add(name, update);
         lastChangeAt = now;
-        comparison.viewChanged();
+        antiEntropy.viewChanged();
         if (nextReconnect == Long.MAX_VALUE) {
-            nextReconnect = now + times.reconnectInterval();
+            nextReconnect = now + timings.reconnectInterval();
         }
         if (nextGossip == Long.MAX_VALUE) {
-            nextGossip = now + times.gossipInterval();
+            nextGossip = now + timings.gossipInterval();
         }
     }
 
@@ -439,9 +439,9 @@
         for (Update update : message.updates()) {
             applyUpdate(update, sender, now);
         }
-        comparison.advanceNextBucket(message);
+        antiEntropy.advanceNextBucket(message);
         respond(now, sender, message);
-        comparison.compareDigest(now, sender, message.digest());
+        antiEntropy.compareDigest(now, sender, message.digest());
     }
 
     /**
@@ -514,12 +514,12 @@
             case ACK -> {
                 pendingIdentify.remove(message.seq());
                 if (!failureDetector.ackReceived(message, sender, now)) {
-                    judgement.ackReceived(message, now);
+                    suspicionTracker.ackReceived(message, now);
                 }
             }
             case NACK -> failureDetector.nackReceived(message.seq());
             case PING_REQ -> failureDetector.startIndirectProbe(sender, message, now);
-            case SYNC -> comparison.sendDifferences(sender, message);
+            case SYNC -> antiEntropy.sendDifferences(sender, message);
             default -> {
                 if (resendSelfRecord) {
                     sendWithGossip(sender, Kind.GOSSIP, 0, 0, List.of(self));
@@ -573,7 +573,7 @@
                     handleNameConflict(memberRecord, now);
                 }
             } else {
-                judgement.applyRecord(memberRecord, sender, now);
+                suspicionTracker.applyRecord(memberRecord, sender, now);
             }
             return;
         }
@@ -581,7 +581,7 @@
         if (claim.instanceId() == self.instance().id()) {
             handleClaimAboutSelf(claim.state(), claim.incarnation(), now);
         } else {
-            judgement.applyClaim(claim, sender, now);
+            suspicionTracker.applyClaim(claim, sender, now);
         }
     }
 
@@ -607,7 +607,7 @@
     }
 
     private void startNewInstance(long minGeneration, long now) {
-        if (now - instanceStartedAt < times.period()) {
+        if (now - instanceStartedAt < timings.period()) {
             return;
         }
         instanceStartedAt = now;
@@ -649,7 +649,7 @@
             room -= sizes.applyAsInt(update);
         }
         int fixedCount = updates.size();
-        gossipQueue.fill(updates, room, Times.gossipRepeats(size()), sizes);
+        gossipQueue.fill(updates, room, SwimTimings.gossipRepeats(size()), sizes);
         for (Update update : updates.subList(fixedCount, updates.size())) {
             room -= sizes.applyAsInt(update);
         }
--- a/src/main/java/laneflow/membership/decision/Times.java
+++ b/src/main/java/laneflow/membership/decision/SwimTimings.java
@@ -6,7 +6,7 @@
  *
  * @param period microseconds between two probes of a healthy member
  */
-public record Times(long period) {
+public record SwimTimings(long period) {
     /** Limit of the local health score. */
     static final int MAX_HEALTH_SCORE = 8;
     /** Members asked for an indirect probe. */
--- a/src/test/java/laneflow/lab/world/SettlePlotTest.java
+++ b/src/test/java/laneflow/lab/world/SettlePlotTest.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import laneflow.membership.decision.Times;
+import laneflow.membership.decision.SwimTimings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 import org.knowm.xchart.BitmapEncoder;
@@ -30,7 +30,7 @@
     }
 
     private static double[] day(int members, long seed) {
-        MemberWorld world = new MemberWorld(members, new Times(PERIOD), seed);
+        MemberWorld world = new MemberWorld(members, new SwimTimings(PERIOD), seed);
         for (int i = 0; i < members; i++) {
             world.start(i, 0, 1, 2);
         }
--- a/src/test/java/laneflow/membership/decision/SwimDaysTest.java
+++ b/src/test/java/laneflow/membership/decision/SwimDaysTest.java
@@ -21,7 +21,7 @@
     private final List<String> violations = new ArrayList<>();
 
     private MemberWorld newWorld(int members, long seed) {
-        MemberWorld world = new MemberWorld(members, new Times(PERIOD), seed);
+        MemberWorld world = new MemberWorld(members, new SwimTimings(PERIOD), seed);
         world.watch((by, before, now) -> {
             if (before != null && before.instance().id() == now.instance().id()) {
                 if (now.incarnation() < before.incarnation()) {
--- a/src/test/java/laneflow/membership/decision/SwimOrdersTest.java
+++ b/src/test/java/laneflow/membership/decision/SwimOrdersTest.java
@@ -57,7 +57,7 @@
     private final List<String> violations = new ArrayList<>();
 
     private void runOrder(List<Integer> order, long gap) {
-        MemberWorld world = new MemberWorld(3, new Times(PERIOD), 17 + runs);
+        MemberWorld world = new MemberWorld(3, new SwimTimings(PERIOD), 17 + runs);
         world.watch((by, before, now) -> {
             if (before != null
                     && before.instance().id() == now.instance().id()
