--- a/src/main/java/laneflow/durable/ClassQueue.java
+++ b/src/main/java/laneflow/durable/ClassQueue.java
@@ -2,16 +2,16 @@
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
-import laneflow.durable.decision.Pacer;
+import laneflow.durable.decision.ConcurrencyLimiter;
 
-/** The queued durable jobs of one class, and the pacer of its running ones. */
+/** The queued durable jobs of one class, and the concurrency limiter of its running ones. */
 final class ClassQueue {
     /** Earliest end of the deduplication window first, then highest urgency, then oldest. */
     private static final Comparator<DurableJob> ORDER = Comparator.<DurableJob>comparingLong(job -> job.untilMs)
             .thenComparingInt(job -> -job.row.urgency())
             .thenComparingLong(DurableJob::id);
 
-    final Pacer pacer;
+    final ConcurrencyLimiter limiter;
     int running;
     private final PriorityQueue<DurableJob> ready = new PriorityQueue<>(ORDER);
     /** Jobs that may not begin yet, by the time from which they may. */
@@ -19,7 +19,7 @@
             Comparator.<DurableJob>comparingLong(job -> job.notBefore).thenComparingLong(DurableJob::id));
 
     ClassQueue(int maxRunning) {
-        pacer = new Pacer(maxRunning);
+        limiter = new ConcurrencyLimiter(maxRunning);
     }
 
     void add(DurableJob job, long now) {
@@ -46,9 +46,9 @@
         return ready.isEmpty() && delayed.isEmpty();
     }
 
-    /** When the next job may begin, considering only delays and the pacer's pause. */
+    /** When the next job may begin, considering only delays and the limiter's pause. */
     long nextAt(long now) {
         long at = !ready.isEmpty() ? now : delayed.isEmpty() ? Long.MAX_VALUE : delayed.peek().notBefore;
-        return at == Long.MAX_VALUE ? at : Math.max(at, pacer.pausedUntil());
+        return at == Long.MAX_VALUE ? at : Math.max(at, limiter.pausedUntil());
     }
 }
--- a/src/main/java/laneflow/durable/DurableJobs.java
+++ b/src/main/java/laneflow/durable/DurableJobs.java
@@ -212,7 +212,7 @@
     public List<String> updateConfig(DurableConfig other) {
         List<String> restartNeeded = config.update(other);
         for (ClassQueue classQueue : classQueues) {
-            classQueue.pacer.setLimit(config.maxRunning);
+            classQueue.limiter.setLimit(config.maxRunning);
         }
         startReady();
         return restartNeeded;
@@ -318,7 +318,7 @@
         counters.add(failure.kind == StoreException.Kind.FULL ? "durable.store_full" : "durable.store_broken");
         storePausedUntil = clock.micros() + STORE_RETRY_DELAY;
         for (ClassQueue classQueue : classQueues) {
-            classQueue.pacer.pauseUntil(storePausedUntil);
+            classQueue.limiter.pauseUntil(storePausedUntil);
         }
     }
 
@@ -346,7 +346,7 @@
         }
     }
 
-    /** Starts as many queued jobs as the pacers allow. */
+    /** Starts as many queued jobs as the concurrency limiters allow. */
     private void startReady() {
         // Starting a job may end it at once and call this method again.
         if (starting || draining || journal.broken() != null) {
@@ -357,7 +357,7 @@
         checkLiveRefusals(now);
         long nextStartAt = Long.MAX_VALUE;
         for (ClassQueue classQueue : classQueues) {
-            while (classQueue.pacer.mayStart(now, classQueue.running)) {
+            while (classQueue.limiter.mayStart(now, classQueue.running)) {
                 DurableJob job = classQueue.next(now);
                 if (job == null) {
                     break;
@@ -383,7 +383,7 @@
             long refused = counters.get("http.refused") + counters.get("gearman.refused");
             if (refused > lastLiveRefusals) {
                 for (ClassQueue classQueue : classQueues) {
-                    classQueue.pacer.onLiveRefused(now);
+                    classQueue.limiter.onLiveRefused(now);
                 }
             }
             lastLiveRefusals = refused;
@@ -501,7 +501,7 @@
         long now = clock.micros();
         if (!job.heartbeatSeen) {
             job.heartbeatSeen = true;
-            classQueues[job.jobClass].pacer.onStarted(now, now - job.sentAt);
+            classQueues[job.jobClass].limiter.onStarted(now, now - job.sentAt);
         }
         DurableConfig.ClassConfig classConfig = config.classes[job.jobClass];
         long until = Math.min(now + classConfig.leaseMs * 1000, job.leasedAt + classConfig.maxLeaseMs * 1000);
@@ -621,7 +621,7 @@
     public void served(long tag, byte[] result) {
         DurableJob job = finishRequest(tag);
         if (job != null) {
-            classQueues[job.jobClass].pacer.onServed();
+            classQueues[job.jobClass].limiter.onServed();
             end(job, State.DONE, "served", result);
             startReady();
         }
@@ -631,8 +631,8 @@
     public void refused(long tag, double retryAfter) {
         DurableJob job = finishRequest(tag);
         if (job != null) {
-            // The retry time is meant for clients, which wait anyway; here the pacer's doubling pauses apply.
-            classQueues[job.jobClass].pacer.onRefused(clock.micros());
+            // The retry time is meant for clients, which wait anyway; here the limiter's doubling pauses apply.
+            classQueues[job.jobClass].limiter.onRefused(clock.micros());
             settle(job, true);
             startReady();
         }
--- a/src/main/java/laneflow/durable/decision/Pacer.java
+++ b/src/main/java/laneflow/durable/decision/ConcurrencyLimiter.java
@@ -7,7 +7,7 @@
  * 1989), with the delay before a job starts as the signal of queueing, as in TCP Vegas. Until the first such
  * signal or refusal the window grows exponentially. Times are in microseconds. No I/O, no clock of its own.
  */
-public final class Pacer {
+public final class ConcurrencyLimiter {
     /** A longer delay between sending a call and the start of its job means that the endpoint queues. */
     public static final long QUEUE_DELAY_THRESHOLD = 50_000;
     /** Signals within this time after a decrease stem from calls sent before it, and are ignored. */
@@ -25,7 +25,7 @@
     private long nextPause = MIN_PAUSE;
 
     /** @param limit the upper bound of the window */
-    public Pacer(int limit) {
+    public ConcurrencyLimiter(int limit) {
         this.limit = limit;
     }
 
--- a/src/main/java/laneflow/maintenance/MaintenanceApi.java
+++ b/src/main/java/laneflow/maintenance/MaintenanceApi.java
@@ -136,7 +136,7 @@
             one.add(
                     "sending",
                     CoordinatorSnapshot.texts(
-                            extension.possibleSenders(window.request().racks())));
+                            extension.possibleCallers(window.request().racks())));
         }
         return one;
     }
--- a/src/main/java/laneflow/maintenance/MaintenanceExtension.java
+++ b/src/main/java/laneflow/maintenance/MaintenanceExtension.java
@@ -13,7 +13,7 @@
 import laneflow.core.Counters;
 import laneflow.core.Deadlines.Deadline;
 import laneflow.core.Scheduler;
-import laneflow.maintenance.decision.Sending;
+import laneflow.maintenance.decision.DrainTracker;
 import laneflow.maintenance.decision.WindowLedger;
 import laneflow.net.Loop;
 import laneflow.policy.RenewalExtension;
@@ -58,7 +58,7 @@
     // ---- while this process leads ----
 
     /** Null if this process does not lead. */
-    private Sending sending;
+    private DrainTracker drainTracker;
 
     private int term;
     private WindowLedger.View view;
@@ -136,8 +136,8 @@
         sample = now;
         updatePeakDemand(now.demand());
         longestDeadlineMillis = Math.max(longestDeadlineMillis, now.longest());
-        if (sending != null) {
-            sending.raiseMaxCallDuration(maxCallMicros());
+        if (drainTracker != null) {
+            drainTracker.raiseMaxCallDuration(maxCallMicros());
         }
         if (!now.busy().isEmpty()) {
             loop.deadlines().set(resample, loop.micros() + RESAMPLE_MICROS);
@@ -201,7 +201,7 @@
         term = now;
         view = null;
         schedulers.clear();
-        sending = new Sending(context.now(), context.leaseMicros(), maxCallMicros());
+        drainTracker = new DrainTracker(context.now(), context.leaseMicros(), maxCallMicros());
         sampler.request();
     }
 
@@ -212,14 +212,14 @@
 
     @Override
     public void onLeadershipLost() {
-        sending = null;
+        drainTracker = null;
         view = null;
         schedulers.clear();
     }
 
     @Override
     public void onConfirmed(long submittedAt, Object part) {
-        if (sending == null) {
+        if (drainTracker == null) {
             return;
         }
         view = (WindowLedger.View) part;
@@ -234,15 +234,15 @@
 
     @Override
     public void onRenewal(String who, JsonElement word) {
-        if (sending == null || !word.isJsonObject()) {
+        if (drainTracker == null || !word.isJsonObject()) {
             return;
         }
         JsonObject said = word.getAsJsonObject();
         long now = context.now();
-        sending.onReport(
+        drainTracker.onReport(
                 now,
                 who,
-                new Sending.Report(
+                new DrainTracker.Report(
                         said.get("policy").getAsLong(),
                         CoordinatorSnapshot.texts(said, "busy"),
                         CoordinatorSnapshot.texts(said, "lost")));
@@ -282,10 +282,10 @@
 
     @Override
     public JsonElement grantData(String who, boolean unasked) {
-        if (sending == null) {
+        if (drainTracker == null) {
             return null;
         }
-        sending.onGrant(context.now(), who);
+        drainTracker.onGrant(context.now(), who);
         SchedulerState state = schedulers.get(who);
         if (state == null || state.token < 0 || view == null) {
             return null;
@@ -296,8 +296,8 @@
 
     @Override
     public void onSchedulerLeft(String who) {
-        if (sending != null) {
-            sending.onLeft(who);
+        if (drainTracker != null) {
+            drainTracker.onLeft(who);
             schedulers.remove(who);
         }
     }
@@ -306,7 +306,7 @@
 
     /** Null if this process does not lead or no majority has confirmed it yet. */
     CoordinatorSnapshot snapshot(long done) {
-        if (sending == null || view == null) {
+        if (drainTracker == null || view == null) {
             return null;
         }
         long now = context.now();
@@ -315,7 +315,8 @@
                 .values()
                 .forEach(names -> names.forEach(name -> {
                     if (view.bans().contains(name)
-                            && sending.possibleSenders(now, view.inForce(), name)
+                            && drainTracker
+                                    .possibleCallers(now, view.inForce(), name)
                                     .isEmpty()) {
                         drained.add(name);
                     }
@@ -333,8 +334,8 @@
                 term,
                 view,
                 drained,
-                sending.haveAllApplied(now, view.inForce()),
-                sending.unreachable(now),
+                drainTracker.haveAllApplied(now, view.inForce()),
+                drainTracker.unreachable(now),
                 demand,
                 done);
     }
@@ -349,11 +350,11 @@
     }
 
     /** Schedulers that send, or may send, to these racks; at the leader. */
-    List<String> possibleSenders(List<String> racks) {
+    List<String> possibleCallers(List<String> racks) {
         Set<String> all = new TreeSet<>();
         for (String rack : view == null ? List.<String>of() : racks) {
             for (String name : view.racks().getOrDefault(rack, List.of())) {
-                all.addAll(sending.possibleSenders(context.now(), view.inForce(), name));
+                all.addAll(drainTracker.possibleCallers(context.now(), view.inForce(), name));
             }
         }
         return new ArrayList<>(all);
--- a/src/main/java/laneflow/maintenance/decision/Sending.java
+++ b/src/main/java/laneflow/maintenance/decision/DrainTracker.java
@@ -15,7 +15,7 @@
  * until its lease ends, and may then have a call open for the longest deadline; this includes schedulers that
  * only a former leader knew. No I/O, no clock of its own; times in microseconds.
  */
-public final class Sending {
+public final class DrainTracker {
     private static final long SLACK_MICROS = 5_000;
 
     /**
@@ -44,7 +44,7 @@
      * @param lease duration of a grant
      * @param longestCall longest duration of a call
      */
-    public Sending(long electedAt, long lease, long longestCall) {
+    public DrainTracker(long electedAt, long lease, long longestCall) {
         this.electedAt = electedAt;
         grantMicros = (long) (lease * (1 + 2 * Lease.MAX_DRIFT)) + SLACK_MICROS;
         maxSilence = grantMicros + longestCall;
@@ -80,7 +80,7 @@
     }
 
     /** Schedulers that may have a call open at an endpoint that this policy, in force, bans; empty if none may. */
-    public List<String> possibleSenders(long now, long policy, String endpoint) {
+    public List<String> possibleCallers(long now, long policy, String endpoint) {
         List<String> all = new ArrayList<>();
         if (now < electedAt + maxSilence) {
             // There may be schedulers that this leader has not heard of.
--- a/src/test/java/laneflow/durable/DecisionTest.java
+++ b/src/test/java/laneflow/durable/DecisionTest.java
@@ -9,7 +9,7 @@
 import laneflow.decision.Dispatch.Effect;
 import laneflow.durable.decision.AttemptRecord;
 import laneflow.durable.decision.AttemptRecord.Known;
-import laneflow.durable.decision.Pacer;
+import laneflow.durable.decision.ConcurrencyLimiter;
 import laneflow.durable.decision.Settlement;
 import laneflow.durable.decision.Settlement.Kind;
 import laneflow.durable.decision.Settlement.Verdict;
@@ -119,33 +119,33 @@
 
     @Test
     void windowGrowsWithServedJobsAndShrinksOnCongestion() {
-        Pacer pacer = new Pacer(64);
-        assertTrue(pacer.mayStart(0, 0));
-        assertFalse(pacer.mayStart(0, 1));
+        ConcurrencyLimiter limiter = new ConcurrencyLimiter(64);
+        assertTrue(limiter.mayStart(0, 0));
+        assertFalse(limiter.mayStart(0, 1));
         for (int i = 0; i < 40; i++) {
-            pacer.onServed();
+            limiter.onServed();
         }
-        assertEquals(41, pacer.window());
+        assertEquals(41, limiter.window());
         // Queueing at an endpoint shrinks the window by a fifth, once for all calls sent before the decrease.
-        pacer.onStarted(1_000_000, 60_000);
-        pacer.onStarted(1_000_001, 900_000);
-        assertEquals(32, pacer.window());
-        pacer.onLiveRefused(1_300_000);
-        assertEquals(16, pacer.window());
+        limiter.onStarted(1_000_000, 60_000);
+        limiter.onStarted(1_000_001, 900_000);
+        assertEquals(32, limiter.window());
+        limiter.onLiveRefused(1_300_000);
+        assertEquals(16, limiter.window());
         // From now on the window grows by one per window of served jobs.
         for (int i = 0; i < 16; i++) {
-            pacer.onServed();
+            limiter.onServed();
         }
-        assertEquals(16, pacer.window(), 1);
-        pacer.onRefused(2_000_000);
-        assertFalse(pacer.mayStart(2_000_001, 0));
-        assertTrue(pacer.mayStart(2_020_000, 0));
-        pacer.onRefused(2_020_000);
-        assertFalse(pacer.mayStart(2_059_999, 0));
+        assertEquals(16, limiter.window(), 1);
+        limiter.onRefused(2_000_000);
+        assertFalse(limiter.mayStart(2_000_001, 0));
+        assertTrue(limiter.mayStart(2_020_000, 0));
+        limiter.onRefused(2_020_000);
+        assertFalse(limiter.mayStart(2_059_999, 0));
         for (int i = 0; i < 100; i++) {
-            pacer.onRefused(3_000_000 + i * 10_000_000L);
+            limiter.onRefused(3_000_000 + i * 10_000_000L);
         }
-        assertEquals(1, pacer.window());
-        assertEquals(2_000_000, pacer.pausedUntil() - 993_000_000L);
+        assertEquals(1, limiter.window());
+        assertEquals(2_000_000, limiter.pausedUntil() - 993_000_000L);
     }
 }
