--- a/src/test/java/laneflow/decision/ColdCase.java
+++ b/src/test/java/laneflow/decision/ColdStartScenario.java
@@ -2,8 +2,8 @@
 
 import java.util.SplittableRandom;
 
-/** A random fleet that faces cold workers: its size, zones, traffic, jobs, settings and faults, drawn from a seed. */
-final class ColdCase {
+/** Parameters of a {@link ColdStartSimulation}, drawn from a seed: fleet, traffic, jobs, settings and faults. */
+final class ColdStartScenario {
     /** How schedulers are distributed over the zones; the first cold worker is in zone 0. */
     enum Spread {
         EVENLY,
@@ -29,15 +29,15 @@
     private static final double ROUGH_SIGMA = 0.5;
 
     private static final double PARETO_ALPHA = 2.1;
-    /** Longest job of the heavy-tailed distribution, as a multiple of the shortest. */
-    private static final double PARETO_LONGEST = 200;
-    /** Maximum of mean jobs allowed within {@code fallWithin}, to keep the tests fast. */
-    private static final double MOST_ALLOWED = 600;
+    /** The heavy-tailed distribution's longest job as a multiple of its shortest. */
+    private static final double PARETO_MAX_RATIO = 200;
+    /** Limit on the mean jobs that a cold worker may take within {@code fallWithin}; it keeps the tests fast. */
+    private static final double MAX_ALLOWED_JOBS = 600;
     /** Number of schedulers that receive all traffic, for {@link Traffic#FEW}. */
-    private static final int FEW = 5;
+    private static final int FEW_SCHEDULERS = 5;
 
-    private static final double BUSIEST = 50;
-    private static final double SEVERAL = 4;
+    private static final double MAX_WEIGHT = 50;
+    private static final double BUSY_WEIGHT = 4;
 
     final long seed;
     final int schedulers;
@@ -71,22 +71,22 @@
     private final double[] weight;
     private final int[] zone;
 
-    ColdCase(long seed) {
+    ColdStartScenario(long seed) {
         this(seed, null, null);
     }
 
     /** Uses the given traffic and hints instead of random ones where they are not null. */
-    ColdCase(long seed, Traffic withTraffic, Hints withHints) {
+    ColdStartScenario(long seed, Traffic fixedTraffic, Hints fixedHints) {
         this.seed = seed;
         SplittableRandom random = new SplittableRandom(seed);
         int[] sizes = {1, 2, 3, 4 + random.nextInt(6), 10 + random.nextInt(40), 50 + random.nextInt(151), 200};
         schedulers = sizes[random.nextInt(sizes.length)];
         zones = 1 + random.nextInt(4);
         spread = Spread.values()[random.nextInt(3)];
-        Traffic anyTraffic = random.nextBoolean() ? Traffic.EVEN : Traffic.UNEVEN;
-        traffic = withTraffic != null ? withTraffic : anyTraffic;
-        Hints anyHints = random.nextInt(2) == 0 ? Hints.EXACT : Hints.values()[1 + random.nextInt(2)];
-        hints = withHints != null ? withHints : anyHints;
+        Traffic randomTraffic = random.nextBoolean() ? Traffic.EVEN : Traffic.UNEVEN;
+        traffic = fixedTraffic != null ? fixedTraffic : randomTraffic;
+        Hints randomHints = random.nextInt(2) == 0 ? Hints.EXACT : Hints.values()[1 + random.nextInt(2)];
+        hints = fixedHints != null ? fixedHints : randomHints;
         workers = random.nextInt(3) > 0 ? 1 : 2 + random.nextInt(3);
         cores = 1 + random.nextInt(random.nextBoolean() ? 4 : 16);
         speed = random.nextInt(3) == 0 ? 1 : 0.5 * Math.pow(4, random.nextDouble());
@@ -95,7 +95,7 @@
         fallMultiple = random.nextDouble(2, 4);
         fallWithin = random.nextDouble(0.8, 2);
         double work = 0.03 * Math.pow(50, random.nextDouble());
-        meanWork = Math.max(work, fallMultiple * cores * speed * fallWithin / MOST_ALLOWED);
+        meanWork = Math.max(work, fallMultiple * cores * speed * fallWithin / MAX_ALLOWED_JOBS);
         variation = new double[] {0, 0.5, 1, 2.5}[random.nextInt(4)];
         heavyTail = random.nextInt(4) == 0;
         manySlots = random.nextInt(3) == 0;
@@ -115,27 +115,27 @@
     }
 
     private double[] weights(SplittableRandom random) {
-        double[] drawn = new double[schedulers];
+        double[] values = new double[schedulers];
         for (int i = 0; i < schedulers; i++) {
             boolean isBusy = traffic == Traffic.UNEVEN && random.nextInt(10) == 0;
-            drawn[i] = traffic == Traffic.FEW ? 0 : isBusy ? SEVERAL : traffic == Traffic.UNEVEN ? 0.5 : 1;
+            values[i] = traffic == Traffic.FEW ? 0 : isBusy ? BUSY_WEIGHT : traffic == Traffic.UNEVEN ? 0.5 : 1;
         }
         if (traffic == Traffic.UNEVEN) {
-            drawn[random.nextInt(schedulers)] = Math.min(BUSIEST, schedulers);
+            values[random.nextInt(schedulers)] = Math.min(MAX_WEIGHT, schedulers);
         }
-        for (int i = 0; traffic == Traffic.FEW && i < FEW; i++) {
-            drawn[random.nextInt(schedulers)] = Math.max(1, schedulers / (double) FEW);
+        for (int i = 0; traffic == Traffic.FEW && i < FEW_SCHEDULERS; i++) {
+            values[random.nextInt(schedulers)] = Math.max(1, schedulers / (double) FEW_SCHEDULERS);
         }
-        return drawn;
+        return values;
     }
 
     private int[] zoneNumbers(SplittableRandom random) {
-        int[] drawn = new int[schedulers];
+        int[] values = new int[schedulers];
         for (int i = 0; i < schedulers; i++) {
             int uneven = Math.min(random.nextInt(zones), random.nextInt(zones));
-            drawn[i] = spread == Spread.EVENLY ? i % zones : spread == Spread.ONE_ZONE ? 0 : uneven;
+            values[i] = spread == Spread.EVENLY ? i % zones : spread == Spread.ONE_ZONE ? 0 : uneven;
         }
-        return drawn;
+        return values;
     }
 
     int zoneOf(int scheduler) {
@@ -157,19 +157,19 @@
 
     /** Random work of a job, in seconds on a standard core. */
     double drawWork(SplittableRandom random) {
-        double even = 1 - random.nextDouble();
+        double uniform = 1 - random.nextDouble();
         if (heavyTail) {
-            double least = meanWork / boundedParetoMean();
-            double cut = 1 - Math.pow(PARETO_LONGEST, -PARETO_ALPHA);
-            return least * Math.pow(1 - (1 - even) * cut, -1 / PARETO_ALPHA);
+            double minWork = meanWork / boundedParetoMean();
+            double truncation = 1 - Math.pow(PARETO_MAX_RATIO, -PARETO_ALPHA);
+            return minWork * Math.pow(1 - (1 - uniform) * truncation, -1 / PARETO_ALPHA);
         }
         double sigma = Math.sqrt(Math.log(1 + variation * variation));
         return meanWork * Math.exp(sigma * normal(random) - sigma * sigma / 2);
     }
 
     private static double boundedParetoMean() {
-        double cut = 1 - Math.pow(PARETO_LONGEST, -PARETO_ALPHA);
-        return PARETO_ALPHA / (PARETO_ALPHA - 1) * (1 - Math.pow(PARETO_LONGEST, 1 - PARETO_ALPHA)) / cut;
+        double truncation = 1 - Math.pow(PARETO_MAX_RATIO, -PARETO_ALPHA);
+        return PARETO_ALPHA / (PARETO_ALPHA - 1) * (1 - Math.pow(PARETO_MAX_RATIO, 1 - PARETO_ALPHA)) / truncation;
     }
 
     int drawSlots(SplittableRandom random) {
--- a/src/test/java/laneflow/decision/ColdFleet.java
+++ b/src/test/java/laneflow/decision/ColdStartSimulation.java
@@ -17,41 +17,41 @@
 
 /**
  * Simulates all schedulers of a fleet, each with its own {@link Logic}. Some workers start cold at the same time, and
- * demand exceeds what they may take. Records the load of cold workers relative to their overload limit.
+ * demand exceeds their cold budgets. Records the load of cold workers relative to their overload limit.
  */
-final class ColdFleet {
+final class ColdStartSimulation {
     /** Time in seconds at which the cold workers start; schedulers learn from warm ones before it. */
     private static final double START = 1000;
-    /** Aim in seconds of the jobs, so long that only the cold budget limits what is sent. */
-    private static final double LONG_AIM = 1000;
+    /** Aim of the jobs in seconds, so long that only the cold budget limits what is sent. */
+    private static final double AIM = 1000;
     /** Seconds from a send to an answer 'full'. */
     private static final double FULL_AFTER = 0.005;
 
     private static final long WARM_WORKER = 1;
     private static final long FIRST_COLD = 2;
 
-    private record Event(double at, long order, Runnable what) {}
+    private record Event(double at, long order, Runnable action) {}
 
     private record Send(double at, double work) {}
 
     /** One cold worker: the sends within the last {@code fallWithin} seconds, and until when it is busy. */
     private static final class ColdWorker {
-        final Worker entry;
+        final Worker listEntry;
         final ArrayDeque<Send> sends = new ArrayDeque<>();
         double sum;
         double busyUntil = START;
-        double slotsOut;
+        double slotsInUse;
 
-        ColdWorker(Worker entry) {
-            this.entry = entry;
+        ColdWorker(Worker listEntry) {
+            this.listEntry = listEntry;
         }
     }
 
-    private final ColdCase drawn;
+    private final ColdStartScenario scenario;
     private final SplittableRandom random;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
-    private final List<ColdWorker> cold = new ArrayList<>();
+    private final List<ColdWorker> coldWorkers = new ArrayList<>();
     private long order;
     private long lastRequest;
     private double now = START;
@@ -63,49 +63,55 @@
 
     double largestJobShare;
 
-    ColdFleet(ColdCase drawn) {
-        this.drawn = drawn;
-        random = new SplittableRandom(drawn.seed ^ 0x5DEECE66DL);
-        for (int i = 0; i < drawn.workers; i++) {
-            int zone = i == 0 || drawn.spread == ColdCase.Spread.ONE_ZONE ? 0 : random.nextInt(drawn.zones);
-            cold.add(new ColdWorker(Rig.worker(FIRST_COLD + i, zone, Dispatch.State.READY, START)));
+    ColdStartSimulation(ColdStartScenario scenario) {
+        this.scenario = scenario;
+        random = new SplittableRandom(scenario.seed ^ 0x5DEECE66DL);
+        for (int i = 0; i < scenario.workers; i++) {
+            int zone =
+                    i == 0 || scenario.spread == ColdStartScenario.Spread.ONE_ZONE ? 0 : random.nextInt(scenario.zones);
+            coldWorkers.add(new ColdWorker(LogicHarness.worker(FIRST_COLD + i, zone, Dispatch.State.READY, START)));
         }
     }
 
-    ColdFleet simulate() {
-        for (int index = 0; index < drawn.schedulers; index++) {
-            new Scheduler(index).open();
+    ColdStartSimulation simulate() {
+        for (int index = 0; index < scenario.schedulers; index++) {
+            new Scheduler(index).initialize();
         }
-        double end = START + drawn.seconds;
+        double end = START + scenario.seconds;
         while (!events.isEmpty() && events.peek().at <= end) {
             Event event = events.poll();
             now = event.at;
-            event.what.run();
+            event.action.run();
         }
         return this;
     }
 
-    private void at(double time, Runnable what) {
-        events.add(new Event(time, order++, what));
+    private void schedule(double time, Runnable action) {
+        events.add(new Event(time, order++, action));
     }
 
     /** Mean jobs that the settings allow a cold worker of that age. */
     private double allowed(double age) {
-        double share = Math.min(1, drawn.coldShare + (1 - drawn.coldShare) * age / drawn.coldFor);
-        return drawn.fallMultiple * drawn.cores * drawn.speed * share * drawn.fallWithin / drawn.meanWork;
+        double share = Math.min(1, scenario.coldShare + (1 - scenario.coldShare) * age / scenario.coldFor);
+        return scenario.fallMultiple
+                * scenario.cores
+                * scenario.speed
+                * share
+                * scenario.fallWithin
+                / scenario.meanWork;
     }
 
-    private void arrived(ColdWorker worker, double work) {
+    private void recordSend(ColdWorker worker, double work) {
         sends++;
         worker.sends.add(new Send(now, work));
         worker.sum += work;
-        while (worker.sends.peek().at < now - drawn.fallWithin) {
+        while (worker.sends.peek().at < now - scenario.fallWithin) {
             worker.sum -= worker.sends.poll().work;
         }
         double allowed = allowed(now - START);
-        double part = worker.sum / drawn.meanWork / (allowed + 2 * Math.sqrt(allowed) + 2);
-        if (part > maxLoadRatio) {
-            maxLoadRatio = part;
+        double loadRatio = worker.sum / scenario.meanWork / (allowed + 2 * Math.sqrt(allowed) + 2);
+        if (loadRatio > maxLoadRatio) {
+            maxLoadRatio = loadRatio;
             maxLoadAt = now - START;
             largestJobShare =
                     worker.sends.stream().mapToDouble(Send::work).max().getAsDouble() / worker.sum;
@@ -120,30 +126,30 @@
 
         Scheduler(int index) {
             this.index = index;
-            rate = drawn.requestRate(index);
+            rate = scenario.requestRate(index);
         }
 
-        void open() {
-            boolean isNew = random.nextDouble() < drawn.newShare;
+        void initialize() {
+            boolean isNew = random.nextDouble() < scenario.newShare;
             if (isNew) {
-                double at = START + drawn.seconds * random.nextDouble() * 0.7;
-                at(at, () -> begin(new Process(this, now), true));
+                double startAt = START + scenario.seconds * random.nextDouble() * 0.7;
+                schedule(startAt, () -> replaceProcess(new Process(this, now), true));
             } else {
                 process = new Process(this, START - 500);
-                process.learn(drawn.warmJobs);
-                double listedAt = START + drawn.listDelay * random.nextDouble();
-                at(listedAt, () -> begin(process, false));
+                process.learn(scenario.warmJobs);
+                double listedAt = START + scenario.listDelay * random.nextDouble();
+                schedule(listedAt, () -> replaceProcess(process, false));
             }
-            if (!isNew && random.nextDouble() < drawn.restartedShare) {
-                double at = START + drawn.restartAt + drawn.restartWithin * random.nextDouble();
-                at(at, () -> begin(new Process(this, now), true));
+            if (!isNew && random.nextDouble() < scenario.restartedShare) {
+                double startAt = START + scenario.restartAt + scenario.restartWithin * random.nextDouble();
+                schedule(startAt, () -> replaceProcess(new Process(this, now), true));
             }
         }
 
-        private void begin(Process next, boolean isFresh) {
+        private void replaceProcess(Process next, boolean isNewProcess) {
             boolean wasRequesting = process != null && process.isRequesting;
             process = next;
-            next.listColdWorkers(isFresh);
+            next.listColdWorkers(isNewProcess);
             next.isRequesting = true;
             if (!wasRequesting) {
                 submit();
@@ -153,12 +159,12 @@
         private void submit() {
             if (rate > 0) {
                 process.submit();
-                at(now - Math.log(1 - random.nextDouble()) / rate, this::submit);
+                schedule(now - Math.log(1 - random.nextDouble()) / rate, this::submit);
             }
         }
     }
 
-    /** One process with its own module; answers to a replaced process are lost. */
+    /** One process of a scheduler, with its own {@link Logic}; answers to a replaced process are lost. */
     private final class Process implements Dispatch.Actions {
         private final Scheduler scheduler;
         private final Settings settings;
@@ -167,7 +173,7 @@
         private final Map<Long, double[]> requests = new HashMap<>();
 
         private boolean isRequesting;
-        private boolean sent;
+        private boolean wasSent;
 
         Process(Scheduler scheduler, double startsAt) {
             this.scheduler = scheduler;
@@ -178,105 +184,112 @@
         }
 
         private Settings settings(int index) {
-            Settings s = Rig.settings(Effect.SAFE);
-            s.classes[0].aim = LONG_AIM;
-            s.classes[0].deadline = 2 * LONG_AIM;
-            s.zones = drawn.zones;
-            s.zone = drawn.zoneOf(index);
-            s.dispatcherIndex = index;
-            s.dispatchers = drawn.schedulers;
-            s.coldFor = drawn.coldFor;
-            s.coldShare = drawn.coldShare;
-            s.fallMultiple = drawn.fallMultiple;
-            s.fallWithin = drawn.fallWithin;
-            s.tellsStart = drawn.tellsStart;
-            return s;
+            Settings settings = LogicHarness.settings(Effect.SAFE);
+            settings.classes[0].aim = AIM;
+            settings.classes[0].deadline = 2 * AIM;
+            settings.zones = scenario.zones;
+            settings.zone = scenario.zoneOf(index);
+            settings.dispatcherIndex = index;
+            settings.dispatchers = scenario.schedulers;
+            settings.coldFor = scenario.coldFor;
+            settings.coldShare = scenario.coldShare;
+            settings.fallMultiple = scenario.fallMultiple;
+            settings.fallWithin = scenario.fallWithin;
+            settings.tellsStart = scenario.tellsStart;
+            return settings;
         }
 
         /** Runs jobs one after another on a warm worker of the same kind, which is then removed. */
         void learn(int jobs) {
             double time = START - 400;
-            logic.list(time, ListKind.CHANGES, List.of(Rig.worker(WARM_WORKER, settings.zone)));
+            logic.list(time, ListKind.CHANGES, List.of(LogicHarness.worker(WARM_WORKER, settings.zone)));
             for (int i = 0; i < jobs; i++) {
-                double work = drawn.drawWork(random);
+                double work = scenario.drawWork(random);
                 long id = ++lastRequest;
-                sent = false;
+                wasSent = false;
                 logic.request(time, request(id, work, 1, time));
-                if (!sent) {
+                if (!wasSent) {
                     continue;
                 }
-                if (drawn.tellsStart) {
+                if (scenario.tellsStart) {
                     logic.note(time, id, 0, WARM_WORKER, Note.STARTED, 0);
                 }
-                time += work / drawn.speed;
-                logic.outcome(time, id, 0, WARM_WORKER, Outcome.OK, true, Rig.free(drawn.cores));
+                time += work / scenario.speed;
+                logic.outcome(time, id, 0, WARM_WORKER, Outcome.OK, true, LogicHarness.free(scenario.cores));
             }
             logic.list(
                     Math.max(time, START - 1),
                     ListKind.CHANGES,
-                    List.of(Rig.worker(WARM_WORKER, settings.zone, Dispatch.State.GONE, 0)));
+                    List.of(LogicHarness.worker(WARM_WORKER, settings.zone, Dispatch.State.GONE, 0)));
         }
 
         private Request request(long id, double work, int slots, double at) {
-            Request r = new Request();
-            r.id = id;
-            r.deadline = at + 2 * LONG_AIM;
-            r.hint = drawn.hint(work, random);
-            r.slots = slots;
-            return r;
+            Request request = new Request();
+            request.id = id;
+            request.deadline = at + 2 * AIM;
+            request.hint = scenario.hint(work, random);
+            request.slots = slots;
+            return request;
         }
 
-        void listColdWorkers(boolean isWhole) {
+        void listColdWorkers(boolean isFullList) {
             List<Worker> entries = new ArrayList<>();
-            cold.forEach(worker -> entries.add(worker.entry));
-            logic.list(now, isWhole ? ListKind.WHOLE : ListKind.CHANGES, entries);
+            coldWorkers.forEach(worker -> entries.add(worker.listEntry));
+            logic.list(now, isFullList ? ListKind.WHOLE : ListKind.CHANGES, entries);
         }
 
         void submit() {
             long id = ++lastRequest;
-            double work = drawn.drawWork(random);
-            int slots = drawn.drawSlots(random);
+            double work = scenario.drawWork(random);
+            int slots = scenario.drawSlots(random);
             requests.put(id, new double[] {work, slots});
-            sent = false;
+            wasSent = false;
             logic.request(now, request(id, work, slots, now));
-            if (!sent) {
+            if (!wasSent) {
                 requests.remove(id);
             }
         }
 
         @Override
         public void send(long request, int attempt, long to) {
-            sent = true;
+            wasSent = true;
             if (to == WARM_WORKER) {
                 return;
             }
-            ColdWorker worker = cold.get((int) (to - FIRST_COLD));
+            ColdWorker worker = coldWorkers.get((int) (to - FIRST_COLD));
             double[] job = requests.get(request);
             double slots = job[1];
-            arrived(worker, job[0] * slots);
-            double fate = random.nextDouble();
-            if (fate < drawn.silentShare) {
+            recordSend(worker, job[0] * slots);
+            double draw = random.nextDouble();
+            if (draw < scenario.silentShare) {
                 return;
             }
-            if (fate < drawn.silentShare + drawn.fullShare) {
-                at(now + FULL_AFTER, () -> ends(request, attempt, worker, Outcome.FULL));
+            if (draw < scenario.silentShare + scenario.fullShare) {
+                schedule(now + FULL_AFTER, () -> endAttempt(request, attempt, worker, Outcome.FULL));
                 return;
             }
-            worker.slotsOut += slots;
-            double present = drawn.cores
-                    * drawn.speed
-                    * Math.min(1, drawn.coldShare + (1 - drawn.coldShare) * (now - START) / drawn.coldFor);
-            worker.busyUntil = Math.max(now, worker.busyUntil) + job[0] * slots / present;
-            at(Math.max(worker.busyUntil, now + job[0] / drawn.speed), () -> {
-                worker.slotsOut -= slots;
-                ends(request, attempt, worker, Outcome.OK);
+            worker.slotsInUse += slots;
+            double currentCapacity = scenario.cores
+                    * scenario.speed
+                    * Math.min(1, scenario.coldShare + (1 - scenario.coldShare) * (now - START) / scenario.coldFor);
+            worker.busyUntil = Math.max(now, worker.busyUntil) + job[0] * slots / currentCapacity;
+            schedule(Math.max(worker.busyUntil, now + job[0] / scenario.speed), () -> {
+                worker.slotsInUse -= slots;
+                endAttempt(request, attempt, worker, Outcome.OK);
             });
         }
 
-        private void ends(long request, int attempt, ColdWorker worker, Outcome outcome) {
+        private void endAttempt(long request, int attempt, ColdWorker worker, Outcome outcome) {
             if (scheduler.process == this) {
-                double free = Math.max(0, drawn.cores - worker.slotsOut);
-                logic.outcome(now, request, attempt, worker.entry.id, outcome, outcome == Outcome.OK, Rig.free(free));
+                double free = Math.max(0, scenario.cores - worker.slotsInUse);
+                logic.outcome(
+                        now,
+                        request,
+                        attempt,
+                        worker.listEntry.id,
+                        outcome,
+                        outcome == Outcome.OK,
+                        LogicHarness.free(free));
             }
         }
 
--- a/src/test/java/laneflow/decision/RuleChecker.java
+++ b/src/test/java/laneflow/decision/DispatchRuleChecker.java
@@ -14,29 +14,29 @@
  * Checks one dispatcher's actions against the rules on draining, repeated effects, final answers and cold workers,
  * and against the retry budget. It is independent of {@link Logic}.
  */
-final class RuleChecker {
+final class DispatchRuleChecker {
     /** Assumed work in seconds of a request before any request had a hint. */
     private static final double UNHINTED_WORK = 0.5;
 
-    private static final class Sent {
+    private static final class Send {
         Worker worker;
-        double at;
-        boolean out = true;
+        double sentAt;
+        boolean outstanding = true;
         boolean mayHaveRun = true;
     }
 
-    private static final class Open {
+    private static final class RequestState {
         JobClass type;
         double deadline;
         double slots;
         double hint;
-        boolean over;
-        boolean streams;
-        List<Sent> sends = new ArrayList<>();
+        boolean finished;
+        boolean streaming;
+        List<Send> sends = new ArrayList<>();
     }
 
     private final Settings settings;
-    private final Map<Long, Open> requests = new HashMap<>();
+    private final Map<Long, RequestState> requests = new HashMap<>();
     private final Map<Long, Double> stoppedAt = new HashMap<>();
     private final Map<Long, Worker> known = new HashMap<>();
     private final Map<Long, List<double[]>> coldSends = new HashMap<>();
@@ -45,26 +45,26 @@
     private double hintSum;
     private final List<Double> arrivals = new ArrayList<>();
     private final List<Double> retries = new ArrayList<>();
-    /** Workers set down by operators, with the time. */
-    private final Map<Long, Double> down = new HashMap<>();
+    /** When each worker that is set down was set down. */
+    private final Map<Long, Double> setDownSince = new HashMap<>();
     /** When each worker was last set down and set up again. */
     private final Map<Long, double[]> setDownAndUpAt = new HashMap<>();
 
-    private final Map<Long, Double> toClose = new HashMap<>();
+    private final Map<Long, Double> closeDueSince = new HashMap<>();
     long sends;
     long closes;
 
-    RuleChecker(Settings settings, double[] capacityByKind) {
+    DispatchRuleChecker(Settings settings, double[] capacityByKind) {
         this.settings = settings;
         this.capacity = capacityByKind;
     }
 
-    private static void fail(String what, double now, long id) {
-        throw new AssertionError(what + ": request or worker " + id + " at " + now);
+    private static void fail(String violation, double now, long id) {
+        throw new AssertionError(violation + ": request or worker " + id + " at " + now);
     }
 
-    void listed(double now, Worker entry) {
-        Worker copy = Rig.worker(entry.id, entry.zone, entry.state, entry.startedAt);
+    void onListEntry(double now, Worker entry) {
+        Worker copy = LogicHarness.worker(entry.id, entry.zone, entry.state, entry.startedAt);
         copy.kind = entry.kind;
         copy.cell = entry.cell;
         known.put(entry.id, copy);
@@ -78,108 +78,108 @@
     }
 
     void setDown(double now, long worker) {
-        down.putIfAbsent(worker, now);
+        setDownSince.putIfAbsent(worker, now);
     }
 
     void setUp(double now, long worker) {
-        Double since = down.remove(worker);
+        Double since = setDownSince.remove(worker);
         if (since != null) {
             setDownAndUpAt.put(worker, new double[] {since, now});
         }
     }
 
-    void requested(double now, Dispatch.Request request) {
+    void onRequest(double now, Dispatch.Request request) {
         arrivals.add(now);
-        Open open = new Open();
-        open.type = settings.classes[request.jobClass];
-        open.deadline = request.deadline;
+        RequestState state = new RequestState();
+        state.type = settings.classes[request.jobClass];
+        state.deadline = request.deadline;
         if (!Double.isNaN(request.hint)) {
             hinted++;
             hintSum += request.hint;
         }
-        open.slots = request.slots;
-        open.hint = request.hint;
-        requests.put(request.id, open);
+        state.slots = request.slots;
+        state.hint = request.hint;
+        requests.put(request.id, state);
     }
 
-    void sent(double now, long id, long workerId) {
+    void onSend(double now, long id, long workerId) {
         sends++;
-        Open open = requests.get(id);
+        RequestState state = requests.get(id);
         Worker worker = known.get(workerId);
-        if (open == null || open.over) {
+        if (state == null || state.finished) {
             fail("sent after the final answer, or unknown", now, id);
         }
         if (worker == null || stoppedAt.containsKey(workerId) && now > stoppedAt.get(workerId) + settings.drainGrace) {
             fail("sent to a draining, gone or unknown worker", now, workerId);
         }
-        if (down.containsKey(workerId)) {
+        if (setDownSince.containsKey(workerId)) {
             fail("sent to a worker that is set down", now, workerId);
         }
-        if (open.type.kind >= 0 && worker.kind != open.type.kind) {
+        if (state.type.kind >= 0 && worker.kind != state.type.kind) {
             fail("sent to a kind that can't run it", now, id);
         }
-        if (open.sends.size() >= settings.maxAttempts) {
+        if (state.sends.size() >= settings.maxAttempts) {
             fail("too many attempts", now, id);
         }
-        if (!open.sends.isEmpty()) {
+        if (!state.sends.isEmpty()) {
             checkRetryBudget(now, id);
         }
-        for (Sent earlier : open.sends) {
-            if (earlier.out && !settings.secondCopies) {
+        for (Send earlier : state.sends) {
+            if (earlier.outstanding && !settings.secondCopies) {
                 fail("a second copy", now, id);
             }
-            if (earlier.mayHaveRun && !mayFollow(open.type, earlier, worker, now)) {
+            if (earlier.mayHaveRun && !mayFollow(state.type, earlier, worker, now)) {
                 fail("a second effect", now, id);
             }
         }
-        Sent sent = new Sent();
-        sent.worker = worker;
-        sent.at = now;
-        open.sends.add(sent);
-        checkColdBudget(now, worker, open);
+        Send send = new Send();
+        send.worker = worker;
+        send.sentAt = now;
+        state.sends.add(send);
+        checkColdBudget(now, worker, state);
     }
 
-    /** If the budget holds at every retry, it holds in every window. */
+    /** Checks the budget in the window that ends at this retry; no other window can use more of it. */
     private void checkRetryBudget(double now, long id) {
         double since = now - settings.retryWindow;
         retries.add(now);
-        long made = retries.stream().filter(at -> at > since).count();
-        long requested = arrivals.stream().filter(at -> at > since).count();
-        if (settings.retryWindow > 0 && made > settings.retryFree + settings.retryShare * requested) {
+        long retryCount = retries.stream().filter(at -> at > since).count();
+        long requestCount = arrivals.stream().filter(at -> at > since).count();
+        if (settings.retryWindow > 0 && retryCount > settings.retryFree + settings.retryShare * requestCount) {
             fail("a retry beyond the retry budget", now, id);
         }
     }
 
     /** The worker's idle connections were closed; those that become idle later need another close. */
-    void closed(double now, long worker) {
-        if (settings.closeOnDrainWithin == 0 && !down.containsKey(worker) || !known.containsKey(worker)) {
+    void onClose(double now, long worker) {
+        if (settings.closeOnDrainWithin == 0 && !setDownSince.containsKey(worker) || !known.containsKey(worker)) {
             fail("connections of a worker closed without a reason", now, worker);
         }
-        toClose.remove(worker);
+        closeDueSince.remove(worker);
         closes++;
     }
 
     private void expectClose(double now, long worker) {
         if (settings.closeOnDrainWithin > 0 && stoppedAt.containsKey(worker)) {
-            toClose.put(worker, now);
+            closeDueSince.put(worker, now);
         }
     }
 
     /** Fails if idle connections to a stopped worker stayed open for longer than the settings allow. */
-    void closedInTime(double now) {
-        toClose.forEach((worker, at) -> {
+    void checkClosedInTime(double now) {
+        closeDueSince.forEach((worker, at) -> {
             if (now > at + settings.closeOnDrainWithin) {
                 fail("idle connections left open", now, worker);
             }
         });
     }
 
-    private static boolean mayFollow(JobClass type, Sent earlier, Worker worker, double now) {
+    private static boolean mayFollow(JobClass type, Send earlier, Worker worker, double now) {
         if (type.effect == Effect.SAFE) {
             return true;
         }
         return type.effect == Effect.KEYED
-                && now <= earlier.at + type.dedupWindow
+                && now <= earlier.sentAt + type.dedupWindow
                 && (type.group == Group.ALL
                         || (type.group == Group.ZONE
                                 ? earlier.worker.zone == worker.zone
@@ -190,7 +190,7 @@
      * The operators' limit by the true capacity: if the settings allow n requests of mean work, more than
      * n + 2 x sqrt(n) + 2 overload a cold worker. A request without a hint counts as a mean one.
      */
-    private void checkColdBudget(double now, Worker worker, Open request) {
+    private void checkColdBudget(double now, Worker worker, RequestState request) {
         double[] downAndUp = setDownAndUpAt.get(worker.id);
         double since = downAndUp == null || worker.startedAt > downAndUp[0]
                 ? worker.startedAt
@@ -203,8 +203,8 @@
         List<double[]> log = coldSends.computeIfAbsent(worker.id, k -> new ArrayList<>());
         log.add(new double[] {now, request.slots * (Double.isNaN(request.hint) ? mean : request.hint)});
         double sum = 0;
-        for (double[] one : log) {
-            sum += one[0] > now - settings.fallWithin ? one[1] : 0;
+        for (double[] logged : log) {
+            sum += logged[0] > now - settings.fallWithin ? logged[1] : 0;
         }
         double share = settings.coldShare + (1 - settings.coldShare) * Math.max(0, age) / settings.coldFor;
         double allowed = settings.fallMultiple * share * capacity[worker.kind] * settings.fallWithin / mean;
@@ -213,23 +213,23 @@
         }
     }
 
-    void ended(double now, long id, int attempt, Dispatch.Outcome outcome, boolean over) {
-        Open open = requests.get(id);
-        Sent sent = open.sends.get(attempt);
-        sent.out = false;
+    void onOutcome(double now, long id, int attempt, Dispatch.Outcome outcome, boolean finished) {
+        RequestState state = requests.get(id);
+        Send send = state.sends.get(attempt);
+        send.outstanding = false;
         switch (outcome) {
             case FULL:
-                sent.mayHaveRun = settings.fullMayHaveRun;
+                send.mayHaveRun = settings.fullMayHaveRun;
                 break;
             case CONNECT_FAILED:
             case MOOT:
-                sent.mayHaveRun = false;
+                send.mayHaveRun = false;
                 break;
             default:
                 break;
         }
-        open.over |= over;
-        expectClose(now, sent.worker.id);
+        state.finished |= finished;
+        expectClose(now, send.worker.id);
     }
 
     JobClass typeOf(long id) {
@@ -238,43 +238,43 @@
 
     /** Whether a streamed answer has begun: the end of its attempt, whatever the outcome, ends the request. */
     boolean isStream(long id) {
-        return requests.get(id).streams;
+        return requests.get(id).streaming;
     }
 
-    void streams(long id) {
-        requests.get(id).streams = true;
+    void onStreaming(long id) {
+        requests.get(id).streaming = true;
     }
 
-    void left(long id) {
-        requests.get(id).over = true;
+    void onAbandoned(long id) {
+        requests.get(id).finished = true;
     }
 
-    void answered(double now, long id, boolean refusal) {
-        Open open = requests.get(id);
-        if (open == null || open.over) {
+    void onAnswer(double now, long id, boolean isRefusal) {
+        RequestState state = requests.get(id);
+        if (state == null || state.finished) {
             fail("a second answer", now, id);
         }
-        if (open.streams && open.sends.stream().anyMatch(sent -> sent.out)) {
+        if (state.streaming && state.sends.stream().anyMatch(send -> send.outstanding)) {
             fail("an answer while a stream is running", now, id);
         }
-        if (now > open.deadline) {
+        if (now > state.deadline) {
             fail("an answer after the client gave up", now, id);
         }
-        for (Sent earlier : open.sends) {
-            boolean harmless =
-                    open.type.effect == Effect.SAFE || open.type.effect == Effect.KEYED && open.type.group == Group.ALL;
-            if (refusal && earlier.mayHaveRun && !harmless) {
+        for (Send earlier : state.sends) {
+            boolean harmless = state.type.effect == Effect.SAFE
+                    || state.type.effect == Effect.KEYED && state.type.group == Group.ALL;
+            if (isRefusal && earlier.mayHaveRun && !harmless) {
                 fail("a refusal of a request that may have run", now, id);
             }
         }
-        open.over = true;
+        state.finished = true;
     }
 
-    boolean isOver(long id) {
-        return requests.get(id).over;
+    boolean isFinished(long id) {
+        return requests.get(id).finished;
     }
 
     long openRequests() {
-        return requests.values().stream().filter(open -> !open.over).count();
+        return requests.values().stream().filter(state -> !state.finished).count();
     }
 }
--- a/src/test/java/laneflow/decision/EffectTest.java
+++ b/src/test/java/laneflow/decision/EffectTest.java
@@ -37,12 +37,14 @@
     @ParameterizedTest
     @MethodSource("table")
     void retriesAndAnswersAsTheEffectAllows(Outcome outcome, Effect effect, boolean retries, String answerWhenAlone) {
-        Rig two = new Rig(Rig.settings(effect)).workers(0, 1, 2).submit(5);
+        LogicHarness two =
+                new LogicHarness(LogicHarness.settings(effect)).workers(0, 1, 2).submit(5);
         two.advance(0.1).ends(5, 0, outcome);
         assertEquals(retries ? 2 : 1, two.sends(5).size());
         assertEquals(retries ? "" : "fail", two.answers(5));
 
-        Rig one = new Rig(Rig.settings(effect)).workers(0, 1).submit(5);
+        LogicHarness one =
+                new LogicHarness(LogicHarness.settings(effect)).workers(0, 1).submit(5);
         one.advance(0.1).ends(5, 0, outcome);
         assertEquals(1, one.sends(5).size());
         assertEquals(answerWhenAlone, one.answers(5));
@@ -51,72 +53,81 @@
     @ParameterizedTest
     @MethodSource("table")
     void answersAtTheLastAttemptAsTheEffectAllows(Outcome outcome, Effect effect, boolean retries, String answer) {
-        Settings settings = Rig.settings(effect);
+        Settings settings = LogicHarness.settings(effect);
         settings.maxAttempts = 1;
-        Rig rig = new Rig(settings).workers(0, 1, 2).submit(5).advance(0.1).ends(5, 0, outcome);
-        assertEquals(1, rig.sends(5).size());
-        assertEquals(answer, rig.answers(5));
+        LogicHarness harness = new LogicHarness(settings)
+                .workers(0, 1, 2)
+                .submit(5)
+                .advance(0.1)
+                .ends(5, 0, outcome);
+        assertEquals(1, harness.sends(5).size());
+        assertEquals(answer, harness.answers(5));
     }
 
     @Test
     void earlierAttemptThatMayHaveRunOutweighsLaterOnes() {
-        Rig rig = new Rig(Rig.settings(Effect.UNSAFE)).workers(0, 1, 2).submit(5);
-        rig.advance(0.1).ends(5, 0, Outcome.FULL).advance(0.1).ends(5, 1, Outcome.RESET);
-        assertEquals("fail", rig.answers(5));
+        LogicHarness harness = new LogicHarness(LogicHarness.settings(Effect.UNSAFE))
+                .workers(0, 1, 2)
+                .submit(5);
+        harness.advance(0.1).ends(5, 0, Outcome.FULL).advance(0.1).ends(5, 1, Outcome.RESET);
+        assertEquals("fail", harness.answers(5));
     }
 
     @Test
     void keyedWindowCountsFromTheEarliestAttemptThatMayHaveRun() {
-        Rig rig = new Rig(Rig.settings(Effect.KEYED)).workers(0, 1, 2, 3).submit(5);
-        rig.advance(2).ends(5, 0, Outcome.ERROR);
-        assertEquals(2, rig.sends(5).size());
-        rig.advance(1.5).ends(5, 1, Outcome.FULL);
-        assertEquals(2, rig.sends(5).size());
-        assertEquals("fail", rig.answers(5));
+        LogicHarness harness = new LogicHarness(LogicHarness.settings(Effect.KEYED))
+                .workers(0, 1, 2, 3)
+                .submit(5);
+        harness.advance(2).ends(5, 0, Outcome.ERROR);
+        assertEquals(2, harness.sends(5).size());
+        harness.advance(1.5).ends(5, 1, Outcome.FULL);
+        assertEquals(2, harness.sends(5).size());
+        assertEquals("fail", harness.answers(5));
     }
 
     @Test
     void attemptsThatNeverRanDoNotOpenTheWindow() {
-        Settings settings = Rig.settings(Effect.KEYED);
+        Settings settings = LogicHarness.settings(Effect.KEYED);
         settings.classes[0].aim = 8;
-        Rig rig = new Rig(settings).workers(0, 1, 2, 3).submit(5);
-        rig.advance(3.5).ends(5, 0, Outcome.FULL);
-        assertEquals(2, rig.sends(5).size());
+        LogicHarness harness = new LogicHarness(settings).workers(0, 1, 2, 3).submit(5);
+        harness.advance(3.5).ends(5, 0, Outcome.FULL);
+        assertEquals(2, harness.sends(5).size());
     }
 
     @Test
     void keyedStaysInItsZone() {
-        Settings settings = Rig.settings(Effect.KEYED);
+        Settings settings = LogicHarness.settings(Effect.KEYED);
         settings.zones = 2;
         settings.classes[0].group = Group.ZONE;
-        Rig rig = new Rig(settings).workers(0, 1).workers(1, 2).submit(5);
-        rig.advance(0.1).ends(5, 0, Outcome.ERROR);
-        assertEquals(1, rig.sends(5).size());
-        assertEquals("fail", rig.answers(5));
-        rig.submit(6).advance(0.1);
-        assertEquals(2, rig.sentTo(6));
-        rig.ends(6, 0, Outcome.FULL);
-        assertEquals("refuse", rig.answers(6));
+        LogicHarness harness =
+                new LogicHarness(settings).workers(0, 1).workers(1, 2).submit(5);
+        harness.advance(0.1).ends(5, 0, Outcome.ERROR);
+        assertEquals(1, harness.sends(5).size());
+        assertEquals("fail", harness.answers(5));
+        harness.submit(6).advance(0.1);
+        assertEquals(2, harness.sentTo(6));
+        harness.ends(6, 0, Outcome.FULL);
+        assertEquals("refuse", harness.answers(6));
     }
 
     @Test
     void keyedStaysInItsCell() {
-        Settings settings = Rig.settings(Effect.KEYED);
+        Settings settings = LogicHarness.settings(Effect.KEYED);
         settings.classes[0].group = Group.CELL;
-        Rig rig = new Rig(settings);
+        LogicHarness harness = new LogicHarness(settings);
         List<Worker> entries = new ArrayList<>();
         for (int id = 1; id <= 4; id++) {
-            Worker worker = Rig.worker(id, 0);
+            Worker worker = LogicHarness.worker(id, 0);
             worker.cell = id % 2;
             entries.add(worker);
         }
-        rig.logic.list(rig.now, ListKind.CHANGES, entries);
-        rig.submit(5);
-        long first = rig.sentTo(5);
-        rig.advance(0.1).ends(5, 0, Outcome.TIMEOUT);
-        assertEquals(2, rig.sends(5).size());
-        assertEquals(first % 2, rig.sentTo(5) % 2);
-        rig.advance(0.1).ends(5, 1, Outcome.FULL);
-        assertEquals("fail", rig.answers(5));
+        harness.logic.list(harness.now, ListKind.CHANGES, entries);
+        harness.submit(5);
+        long first = harness.sentTo(5);
+        harness.advance(0.1).ends(5, 0, Outcome.TIMEOUT);
+        assertEquals(2, harness.sends(5).size());
+        assertEquals(first % 2, harness.sentTo(5) % 2);
+        harness.advance(0.1).ends(5, 1, Outcome.FULL);
+        assertEquals("fail", harness.answers(5));
     }
 }
--- a/src/test/java/laneflow/decision/Rig.java
+++ b/src/test/java/laneflow/decision/LogicHarness.java
@@ -15,10 +15,10 @@
 import laneflow.decision.Dispatch.State;
 import laneflow.decision.Dispatch.Worker;
 
-/** A test harness around the module that records its actions and offers shorthand methods for events. */
-final class Rig implements Dispatch.Actions {
+/** Drives one {@link Logic} on a simulated clock, with shorthand methods for events, and records its actions. */
+final class LogicHarness implements Dispatch.Actions {
     /** One recorded action. */
-    record Action(String what, double at, long request, long worker, double value) {}
+    record Action(String kind, double at, long request, long worker, double value) {}
 
     private record Timer(double at, long order, long token) {}
 
@@ -31,11 +31,11 @@
     private long order;
     double now;
 
-    Rig(Settings settings) {
+    LogicHarness(Settings settings) {
         this(settings, 100);
     }
 
-    Rig(Settings settings, double now) {
+    LogicHarness(Settings settings, double now) {
         this.settings = settings;
         this.now = now;
         logic = new Logic(settings, 7, this);
@@ -86,7 +86,7 @@
         return w;
     }
 
-    Rig workers(int zone, long... ids) {
+    LogicHarness workers(int zone, long... ids) {
         List<Worker> entries = new ArrayList<>();
         for (long id : ids) {
             entries.add(worker(id, zone));
@@ -103,13 +103,13 @@
         return r;
     }
 
-    Rig submit(long id) {
+    LogicHarness submit(long id) {
         logic.request(now, request(id));
         return this;
     }
 
     /** Submits a job with that cost hint. */
-    Rig submitHinted(long id, double hint) {
+    LogicHarness submitHinted(long id, double hint) {
         Request r = request(id);
         r.hint = hint;
         logic.request(now, r);
@@ -125,28 +125,28 @@
         return sent;
     }
 
-    Rig submit(long id, int jobClass) {
+    LogicHarness submit(long id, int jobClass) {
         Request r = request(id);
         r.jobClass = jobClass;
         logic.request(now, r);
         return this;
     }
 
-    Rig ends(long id, int attempt, Outcome outcome) {
+    LogicHarness ends(long id, int attempt, Outcome outcome) {
         return ends(id, attempt, outcome, null);
     }
 
-    Rig ends(long id, int attempt, Outcome outcome, LoadReport report) {
+    LogicHarness ends(long id, int attempt, Outcome outcome, LoadReport report) {
         logic.outcome(now, id, attempt, sends(id).get(attempt).worker, outcome, outcome == Outcome.OK, report);
         return this;
     }
 
-    Rig starts(long id, int attempt) {
+    LogicHarness starts(long id, int attempt) {
         logic.note(now, id, attempt, sends(id).get(attempt).worker, Dispatch.Note.STARTED, 0);
         return this;
     }
 
-    Rig progress(long id, int attempt, double share) {
+    LogicHarness progress(long id, int attempt, double share) {
         logic.note(now, id, attempt, sends(id).get(attempt).worker, Dispatch.Note.PROGRESS, share);
         return this;
     }
@@ -158,7 +158,7 @@
     }
 
     /** Advances the clock and fires the timers that expire on the way. */
-    Rig advance(double seconds) {
+    LogicHarness advance(double seconds) {
         double until = now + seconds;
         while (!timers.isEmpty() && timers.peek().at <= until) {
             Timer timer = timers.poll();
@@ -169,18 +169,18 @@
         return this;
     }
 
-    List<Action> all(String what, long request) {
-        List<Action> found = new ArrayList<>();
-        for (Action a : actions) {
-            if (a.what.equals(what) && a.request == request) {
-                found.add(a);
+    List<Action> actions(String kind, long request) {
+        List<Action> matching = new ArrayList<>();
+        for (Action action : actions) {
+            if (action.kind.equals(kind) && action.request == request) {
+                matching.add(action);
             }
         }
-        return found;
+        return matching;
     }
 
     List<Action> sends(long request) {
-        return all("send", request);
+        return actions("send", request);
     }
 
     long sentTo(long request) {
@@ -190,27 +190,27 @@
 
     /** The final answers given to a request, in order. */
     String answers(long request) {
-        StringBuilder found = new StringBuilder();
-        for (Action a : actions) {
-            if (a.request == request && (a.what.equals("refuse") || a.what.equals("fail"))) {
-                found.append(a.what).append(' ');
+        StringBuilder answers = new StringBuilder();
+        for (Action action : actions) {
+            if (action.request == request && (action.kind.equals("refuse") || action.kind.equals("fail"))) {
+                answers.append(action.kind).append(' ');
             }
         }
-        return found.toString().trim();
+        return answers.toString().trim();
     }
 
-    private void note(String what, long request, long worker, double value) {
-        actions.add(new Action(what, now, request, worker, value));
+    private void recordAction(String kind, long request, long worker, double value) {
+        actions.add(new Action(kind, now, request, worker, value));
     }
 
     @Override
     public void send(long request, int attempt, long worker) {
-        note("send", request, worker, attempt);
+        recordAction("send", request, worker, attempt);
     }
 
     @Override
     public void refuse(long request, double retryAfter) {
-        note("refuse", request, 0, retryAfter);
+        recordAction("refuse", request, 0, retryAfter);
     }
 
     @Override
@@ -220,23 +220,23 @@
 
     @Override
     public void fail(long request) {
-        note("fail", request, 0, 0);
+        recordAction("fail", request, 0, 0);
     }
 
     @Override
     public boolean cancel(long request, int attempt) {
-        note("cancel", request, 0, attempt);
+        recordAction("cancel", request, 0, attempt);
         return false;
     }
 
     @Override
     public void probe(long worker) {
-        note("probe", 0, worker, 0);
+        recordAction("probe", 0, worker, 0);
     }
 
     @Override
     public void closeIdle(long worker) {
-        note("close", 0, worker, 0);
+        recordAction("close", 0, worker, 0);
     }
 
     @Override
@@ -246,6 +246,6 @@
 
     @Override
     public void watchList() {
-        note("watch", 0, 0, 0);
+        recordAction("watch", 0, 0, 0);
     }
 }
--- a/src/test/java/laneflow/decision/RandomDay.java
+++ b/src/test/java/laneflow/decision/RandomEventDriver.java
@@ -17,9 +17,9 @@
 import laneflow.decision.Dispatch.State;
 import laneflow.decision.Dispatch.Worker;
 
-/** Drives the module with random settings and random legal events; it does not model real workers. */
-final class RandomDay implements Dispatch.Actions {
-    private record Event(double at, long order, Runnable what) {}
+/** Drives one {@link Logic} with random settings and random valid events; it does not model real workers. */
+final class RandomEventDriver implements Dispatch.Actions {
+    private record Event(double at, long order, Runnable action) {}
 
     private final Random random;
     private final Settings settings = new Settings();
@@ -29,18 +29,18 @@
     private final Logic logic;
     private final java.util.Map<Long, Integer> attempts = new java.util.HashMap<>();
     private final java.util.Map<Long, Double> hints = new java.util.HashMap<>();
-    private final List<long[]> out = new ArrayList<>();
+    private final List<long[]> outstanding = new ArrayList<>();
     private long order;
-    private long ids = 1;
+    private long nextId = 1;
     private double now = 10;
     private int timers;
     private boolean withoutHints;
-    final RuleChecker checker;
+    final DispatchRuleChecker checker;
     final StringBuilder trace = new StringBuilder();
-    int mostTimers;
+    int maxTimers;
     int streams;
 
-    RandomDay(long seed) {
+    RandomEventDriver(long seed) {
         random = new Random(seed);
         int kinds = 1 + random.nextInt(3);
         settings.zones = 1 + random.nextInt(random.nextBoolean() ? 2 : 6);
@@ -68,10 +68,10 @@
         classes(kinds);
         double[] capacity = new double[kinds];
         java.util.Arrays.fill(capacity, 4);
-        checker = new RuleChecker(settings, capacity);
+        checker = new DispatchRuleChecker(settings, capacity);
         int n = random.nextInt(8) == 0 ? 1 : 2 + random.nextInt(15);
         for (int i = 0; i < n; i++) {
-            Worker w = Rig.worker(1000 + i, random.nextInt(settings.zones));
+            Worker w = LogicHarness.worker(1000 + i, random.nextInt(settings.zones));
             w.kind = random.nextInt(kinds);
             w.cell = i % 3;
             w.weight = 1 + random.nextInt(3);
@@ -108,95 +108,95 @@
         while (!events.isEmpty() && events.peek().at <= end + 15) {
             Event event = events.poll();
             now = Math.max(now, event.at);
-            checker.closedInTime(now);
-            event.what.run();
+            checker.checkClosedInTime(now);
+            event.action.run();
         }
     }
 
-    private void at(double time, Runnable what) {
-        events.add(new Event(time, order++, what));
+    private void schedule(double time, Runnable action) {
+        events.add(new Event(time, order++, action));
     }
 
     private void arrivals(double end) {
         if (now < end) {
-            request();
-            at(now + 0.002 + 0.08 * random.nextDouble(), () -> arrivals(end));
+            submitRandom();
+            schedule(now + 0.002 + 0.08 * random.nextDouble(), () -> arrivals(end));
         }
     }
 
     private void listEvents(double end) {
         if (now < end) {
-            change();
-            at(now + 1.5 * random.nextDouble(), () -> listEvents(end));
+            changeList();
+            schedule(now + 1.5 * random.nextDouble(), () -> listEvents(end));
         }
     }
 
-    private void request() {
+    private void submitRandom() {
         Request r = new Request();
-        r.id = ids++;
+        r.id = nextId++;
         r.jobClass = random.nextInt(settings.classes.length);
         r.deadline = now + settings.classes[r.jobClass].deadline * (0.2 + 0.8 * random.nextDouble());
         r.hint = withoutHints || random.nextInt(5) == 0 ? Double.NaN : 0.05 + random.nextDouble();
         r.slots = 1 + random.nextInt(2);
         r.memory = random.nextDouble();
         hints.put(r.id, r.hint > 0 ? r.hint : 0.5);
-        checker.requested(now, r);
+        checker.onRequest(now, r);
         logic.request(now, r);
-        if (random.nextInt(60) == 0 && !checker.isOver(r.id)) {
-            checker.left(r.id);
+        if (random.nextInt(60) == 0 && !checker.isFinished(r.id)) {
+            checker.onAbandoned(r.id);
             logic.abandoned(now, r.id);
         }
     }
 
-    private void change() {
-        int what = random.nextInt(10);
+    private void changeList() {
+        int choice = random.nextInt(10);
         Worker w = workers.get(random.nextInt(workers.size()));
-        if (what == 8) {
+        if (choice == 8) {
             checker.setDown(now, w.id);
             logic.setDown(now, w.id);
-        } else if (what == 9) {
-            Worker any = workers.get(random.nextInt(workers.size()));
-            checker.setUp(now, any.id);
-            logic.setUp(now, any.id);
-        } else if (what == 0) {
+        } else if (choice == 9) {
+            Worker other = workers.get(random.nextInt(workers.size()));
+            checker.setUp(now, other.id);
+            logic.setUp(now, other.id);
+        } else if (choice == 0) {
             logic.list(now, ListKind.FAILED, List.of());
-        } else if (what == 1) {
+        } else if (choice == 1) {
             fullList(ListKind.WHOLE);
         } else {
-            w.state = what < 4 ? State.values()[random.nextInt(3)] : State.READY;
-            if (what == 4 && w.startedAt < now - 1) {
+            w.state = choice < 4 ? State.values()[random.nextInt(3)] : State.READY;
+            if (choice == 4 && w.startedAt < now - 1) {
                 w.startedAt = now - random.nextInt(3);
             }
-            checker.listed(now, w);
+            checker.onListEntry(now, w);
             logic.list(now, ListKind.CHANGES, List.of(w));
         }
     }
 
     /** Sends a full list, which omits workers that are gone. */
     private void fullList(ListKind kind) {
-        List<Worker> there = new ArrayList<>();
+        List<Worker> present = new ArrayList<>();
         for (Worker w : workers) {
-            checker.listed(now, w);
+            checker.onListEntry(now, w);
             if (w.state != State.GONE) {
-                there.add(w);
+                present.add(w);
             }
         }
-        logic.list(now, kind, there);
+        logic.list(now, kind, present);
     }
 
-    private void stream(long id, int attempt) {
-        if (!checker.isOver(id) && out.stream().anyMatch(o -> o[0] == id && o[1] == attempt)) {
+    private void beginStream(long id, int attempt) {
+        if (!checker.isFinished(id) && outstanding.stream().anyMatch(sent -> sent[0] == id && sent[1] == attempt)) {
             streams++;
-            checker.streams(id);
+            checker.onStreaming(id);
             logic.streaming(now, id, attempt);
         }
     }
 
-    private void end(long id, int attempt, long worker, Outcome outcome) {
-        if (out.removeIf(o -> o[0] == id && o[1] == attempt)) {
-            boolean over = outcome == Outcome.OK || checker.isOver(id) || checker.isStream(id);
-            checker.ended(now, id, attempt, outcome, over);
-            logic.outcome(now, id, attempt, worker, outcome, over, random.nextBoolean() ? report() : null);
+    private void endAttempt(long id, int attempt, long worker, Outcome outcome) {
+        if (outstanding.removeIf(sent -> sent[0] == id && sent[1] == attempt)) {
+            boolean finished = outcome == Outcome.OK || checker.isFinished(id) || checker.isStream(id);
+            checker.onOutcome(now, id, attempt, outcome, finished);
+            logic.outcome(now, id, attempt, worker, outcome, finished, random.nextBoolean() ? report() : null);
         }
     }
 
@@ -217,35 +217,35 @@
                 .append(' ')
                 .append(now)
                 .append('\n');
-        checker.sent(now, id, worker);
+        checker.onSend(now, id, worker);
         int attempt = attempts.merge(id, 1, Integer::sum) - 1;
         if (attempt != number) {
             throw new AssertionError("attempt " + attempt + " is numbered " + number);
         }
-        out.add(new long[] {id, attempt});
-        double took = random.nextInt(6) == 0 ? 30 : 0.01 + hints.get(id) * (0.7 + 0.6 * random.nextDouble());
-        Outcome[] all = Outcome.values();
-        Outcome outcome = random.nextInt(3) > 0 ? Outcome.OK : all[random.nextInt(all.length)];
+        outstanding.add(new long[] {id, attempt});
+        double runTime = random.nextInt(6) == 0 ? 30 : 0.01 + hints.get(id) * (0.7 + 0.6 * random.nextDouble());
+        Outcome[] outcomes = Outcome.values();
+        Outcome outcome = random.nextInt(3) > 0 ? Outcome.OK : outcomes[random.nextInt(outcomes.length)];
         if (settings.tellsStart && random.nextBoolean()) {
-            at(now + 0.01, () -> logic.note(now, id, attempt, worker, Note.STARTED, 0));
-            at(now + took / 2, () -> logic.note(now, id, attempt, worker, Note.PROGRESS, 0.5));
+            schedule(now + 0.01, () -> logic.note(now, id, attempt, worker, Note.STARTED, 0));
+            schedule(now + runTime / 2, () -> logic.note(now, id, attempt, worker, Note.PROGRESS, 0.5));
         }
-        if (checker.typeOf(id).stream && took < 5) {
-            at(now + 0.6 * took, () -> stream(id, attempt));
+        if (checker.typeOf(id).stream && runTime < 5) {
+            schedule(now + 0.6 * runTime, () -> beginStream(id, attempt));
         }
-        at(now + took, () -> end(id, attempt, worker, outcome));
+        schedule(now + runTime, () -> endAttempt(id, attempt, worker, outcome));
     }
 
     @Override
     public void refuse(long id, double retryAfter) {
         trace.append("refuse ").append(id).append(' ').append(now).append('\n');
-        checker.answered(now, id, true);
+        checker.onAnswer(now, id, true);
     }
 
     @Override
     public void fail(long id) {
         trace.append("fail ").append(id).append(' ').append(now).append('\n');
-        checker.answered(now, id, false);
+        checker.onAnswer(now, id, false);
     }
 
     @Override
@@ -254,12 +254,12 @@
         if (!settings.mayCancel || attempt >= attempts.getOrDefault(id, 0)) {
             throw new AssertionError("cancel of " + id + " " + attempt);
         }
-        at(
+        schedule(
                 now + 0.01,
-                () -> out.stream()
-                        .filter(o -> o[0] == id && o[1] == attempt)
+                () -> outstanding.stream()
+                        .filter(sent -> sent[0] == id && sent[1] == attempt)
                         .findFirst()
-                        .ifPresent(o -> end(id, attempt, 0, Outcome.CANCELLED)));
+                        .ifPresent(sent -> endAttempt(id, attempt, 0, Outcome.CANCELLED)));
         return false;
     }
 
@@ -268,18 +268,18 @@
         if (!settings.mayProbe) {
             throw new AssertionError("probe of " + worker);
         }
-        at(now + 0.02, () -> logic.probed(now, worker, 0.02, Outcome.OK, report()));
+        schedule(now + 0.02, () -> logic.probed(now, worker, 0.02, Outcome.OK, report()));
     }
 
     @Override
     public void closeIdle(long worker) {
-        checker.closed(now, worker);
+        checker.onClose(now, worker);
     }
 
     @Override
     public void wake(double delay, long token) {
-        mostTimers = Math.max(mostTimers, ++timers);
-        at(now + delay, () -> {
+        maxTimers = Math.max(maxTimers, ++timers);
+        schedule(now + delay, () -> {
             timers--;
             logic.timer(now, token);
         });
--- a/src/test/java/laneflow/decision/RunTimeTest.java
+++ b/src/test/java/laneflow/decision/RunTimeTest.java
@@ -14,22 +14,22 @@
 class RunTimeTest {
     private static final double HINT = 0.2;
 
-    /** Number of jobs a cold endpoint gets at once after reports of {@code freeSlots} free slots and jobs that took {@code took}. */
-    private static int coldSends(double freeSlots, double took) {
-        Settings settings = Rig.settings(Effect.SAFE);
-        Rig rig = new Rig(settings).workers(0, 1);
-        rig.logic.probed(rig.now, 1, 0, Outcome.OK, Rig.free(2));
+    /** Jobs sent at once to a cold endpoint, after jobs of this run time at one that reported this many free slots. */
+    private static int coldSends(double freeSlots, double runTime) {
+        Settings settings = LogicHarness.settings(Effect.SAFE);
+        LogicHarness harness = new LogicHarness(settings).workers(0, 1);
+        harness.logic.probed(harness.now, 1, 0, Outcome.OK, LogicHarness.free(2));
         for (long id = 10; id < 40; id++) {
-            rig.logic.probed(rig.now, 1, 0, Outcome.OK, Rig.free(freeSlots));
-            rig.submitHinted(id, HINT).advance(took).ends(id, 0, Outcome.OK);
+            harness.logic.probed(harness.now, 1, 0, Outcome.OK, LogicHarness.free(freeSlots));
+            harness.submitHinted(id, HINT).advance(runTime).ends(id, 0, Outcome.OK);
         }
-        rig.logic.list(rig.now, ListKind.WHOLE, List.of(Rig.worker(2, 0, State.READY, rig.now)));
-        return rig.submitBurst(100, 200, HINT);
+        harness.logic.list(harness.now, ListKind.WHOLE, List.of(LogicHarness.worker(2, 0, State.READY, harness.now)));
+        return harness.submitBurst(100, 200, HINT);
     }
 
     @Test
     void jobThatEndedEarlierThanExpectedDidNotRunInNoTime() {
         int sent = coldSends(2, HINT);
-        assertEquals(sent, coldSends(0, HINT), "a wait was expected but did not occur");
+        assertEquals(sent, coldSends(0, HINT), "the same run times after reports of a full worker");
     }
 }
--- a/src/test/java/laneflow/decision/SlowStartFleetTest.java
+++ b/src/test/java/laneflow/decision/SlowStartFleetTest.java
@@ -9,9 +9,9 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 import java.util.stream.IntStream;
-import laneflow.decision.ColdCase.Hints;
-import laneflow.decision.ColdCase.Spread;
-import laneflow.decision.ColdCase.Traffic;
+import laneflow.decision.ColdStartScenario.Hints;
+import laneflow.decision.ColdStartScenario.Spread;
+import laneflow.decision.ColdStartScenario.Traffic;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -21,179 +21,201 @@
  * N + 2 x sqrt(N) + 2 mean jobs within {@code fallWithin}. {@link #main} prints the distribution over many fleets.
  */
 class SlowStartFleetTest {
-    /** Number of seeds; a test runs those whose fleets match its conditions. */
+    /** Number of seeds drawn; a test runs those whose scenarios match its conditions. */
     private static final int SEEDS = 2000;
 
     private static final int CASES = 250;
 
-    private record Result(ColdCase drawn, double maxLoadRatio, double at, double largestJobShare, int sends) {}
+    private record Result(
+            ColdStartScenario scenario, double maxLoadRatio, double at, double largestJobShare, int sends) {}
 
-    private static Result run(ColdCase drawn) {
-        ColdFleet fleet = new ColdFleet(drawn).simulate();
-        return new Result(drawn, fleet.maxLoadRatio, fleet.maxLoadAt, fleet.largestJobShare, fleet.sends);
+    private static Result run(ColdStartScenario scenario) {
+        ColdStartSimulation fleet = new ColdStartSimulation(scenario).simulate();
+        return new Result(scenario, fleet.maxLoadRatio, fleet.maxLoadAt, fleet.largestJobShare, fleet.sends);
     }
 
     private static List<Result> runAll(int count, Traffic traffic, Hints hints) {
         return IntStream.rangeClosed(1, count)
                 .parallel()
-                .mapToObj(seed -> run(new ColdCase(seed, traffic, hints)))
+                .mapToObj(seed -> run(new ColdStartScenario(seed, traffic, hints)))
                 .toList();
     }
 
     @Test
     void exactHintsNeverOverloadAColdWorker() {
-        assertNoneOver(runAll(CASES, null, Hints.EXACT));
+        assertNoneOverloaded(runAll(CASES, null, Hints.EXACT));
     }
 
     /**
-     * Seeds that once exceeded the limit: schedulers spread evenly that know the speed; all in the worker's zone; with few
-     * jobs learned from; new ones with a heavy first hint; and then, with nine tenths of the limit used: a mostly assumed
-     * speed, restarts, few schedulers.
+     * Seeds that once exceeded the limit, with schedulers that are spread evenly and know the speed; are all in the
+     * worker's zone; have learned from few jobs; or are new and get a heavy first hint. The last seeds exceeded it when
+     * the budget was nine tenths of the limit, with a mostly assumed speed, restarts, or few schedulers.
      */
     @ParameterizedTest
     @ValueSource(longs = {6364, 2911, 1071, 1095, 107, 198, 234, 57, 224, 1334})
     void casesThatExceededTheLimitStayWithinIt(long seed) {
-        assertNoneOver(List.of(run(new ColdCase(seed, null, Hints.EXACT))));
+        assertNoneOverloaded(List.of(run(new ColdStartScenario(seed, null, Hints.EXACT))));
     }
 
     /** All schedulers restarted, one with a heavy first hint. */
     @Test
     void restartWithAHeavyFirstHintStaysWithinTheLimit() {
-        assertNoneOver(List.of(run(new ColdCase(1773, Traffic.EVEN, Hints.EXACT))));
+        assertNoneOverloaded(List.of(run(new ColdStartScenario(1773, Traffic.EVEN, Hints.EXACT))));
     }
 
     /**
-     * The conditions that the division of the budget assumes; other fleets are in the tables of {@link #main}. Some
+     * Scenarios that meet the assumptions behind the division of the budget; {@link #main} prints tables of others. Some
      * seeds beyond these 2,000 exceed the limit.
      */
     @Test
     void evenlySpreadSchedulersThatKnowTheSpeedNeverOverloadAColdWorker() {
         List<Result> results = IntStream.rangeClosed(1, SEEDS)
                 .parallel()
-                .mapToObj(seed -> new ColdCase(seed, null, Hints.EXACT))
-                .filter(drawn -> isEvenly(drawn) && isLearned(drawn) && drawn.restartedShare == 0)
+                .mapToObj(seed -> new ColdStartScenario(seed, null, Hints.EXACT))
+                .filter(scenario -> isSpreadEvenly(scenario) && knowsSpeed(scenario) && scenario.restartedShare == 0)
                 .map(SlowStartFleetTest::run)
                 .toList();
-        assertTrue(results.size() > 80, "played " + results.size());
-        assertNoneOver(results);
+        assertTrue(results.size() > 80, "simulated " + results.size());
+        assertNoneOverloaded(results);
     }
 
-    private static void assertNoneOver(List<Result> results) {
-        List<Result> over = results.stream().filter(one -> one.maxLoadRatio > 1).toList();
+    private static void assertNoneOverloaded(List<Result> results) {
+        List<Result> overloaded =
+                results.stream().filter(result -> result.maxLoadRatio > 1).toList();
         StringBuilder message = new StringBuilder();
-        over.forEach(one -> message.append('\n')
-                .append(one.maxLoadRatio)
+        overloaded.forEach(result -> message.append('\n')
+                .append(result.maxLoadRatio)
                 .append(" at ")
-                .append(one.at)
+                .append(result.at)
                 .append(": ")
-                .append(one.drawn));
-        assertTrue(over.isEmpty(), over.size() + " of " + results.size() + " go over:" + message);
+                .append(result.scenario));
+        assertTrue(overloaded.isEmpty(), overloaded.size() + " of " + results.size() + " exceed the limit:" + message);
     }
 
     @Test
     void casesSendToColdWorkersAndFullTrafficUsesTheBudget() {
-        List<Result> all = runAll(CASES, Traffic.EVEN, Hints.EXACT);
+        List<Result> results = runAll(CASES, Traffic.EVEN, Hints.EXACT);
         double[] sorted =
-                all.stream().mapToDouble(Result::maxLoadRatio).sorted().toArray();
-        int sends = all.stream().mapToInt(Result::sends).sum();
+                results.stream().mapToDouble(Result::maxLoadRatio).sorted().toArray();
+        int sends = results.stream().mapToInt(Result::sends).sum();
         assertTrue(sends > 10_000 && sorted[CASES / 2] > 0.25, sends + " sends, median " + sorted[CASES / 2]);
     }
 
-    // ---- the distribution over many cases ----
+    // ---- the distribution over many scenarios ----
 
-    /** Takes the number of cases; prints tables of the highest ratio by type of case, and the worst cases. */
+    /** Takes the number of scenarios; prints tables of the highest load ratio by parameter, and the worst scenarios. */
     public static void main(String[] args) {
         int count = Integer.parseInt(args[0]);
         List<Result> loaded = runAll(count, null, null);
-        printAll("demand beyond the budget", loaded);
+        printTables("demand beyond the budget", loaded);
         for (Hints hints : Hints.values()) {
-            List<Result> some =
-                    loaded.stream().filter(one -> one.drawn.hints == hints).toList();
-            printWorst(hints + " hints", some);
+            List<Result> selected = loaded.stream()
+                    .filter(result -> result.scenario.hints == hints)
+                    .toList();
+            printWorst(hints + " hints", selected);
             printWorst(
                     hints + " hints, spread evenly or in one zone in all",
-                    some.stream().filter(one -> isEvenly(one.drawn)).toList());
+                    selected.stream()
+                            .filter(result -> isSpreadEvenly(result.scenario))
+                            .toList());
             printWorst(
                     hints + " hints, spread evenly, none new or restarted",
-                    some.stream()
-                            .filter(one -> isEvenly(one.drawn) && one.drawn.newShare + one.drawn.restartedShare == 0)
+                    selected.stream()
+                            .filter(result -> isSpreadEvenly(result.scenario)
+                                    && result.scenario.newShare + result.scenario.restartedShare == 0)
                             .toList());
         }
-        printAll("five schedulers have all traffic", runAll(count / 2, Traffic.FEW, null));
+        printTables("five schedulers have all traffic", runAll(count / 2, Traffic.FEW, null));
     }
 
-    private static void printAll(String title, List<Result> all) {
+    private static void printTables(String title, List<Result> results) {
         System.out.println("\n=== " + title);
-        print("hints", all, one -> "" + one.drawn.hints);
+        print("hints", results, result -> "" + result.scenario.hints);
         for (Hints hints : Hints.values()) {
-            List<Result> some =
-                    all.stream().filter(one -> one.drawn.hints == hints).toList();
-            print(hints + " schedulers", some, one -> bucket(one.drawn.schedulers, 1, 4, 9, 49, 199, 200));
+            List<Result> selected = results.stream()
+                    .filter(result -> result.scenario.hints == hints)
+                    .toList();
+            print(hints + " schedulers", selected, result -> bucket(result.scenario.schedulers, 1, 4, 9, 49, 199, 200));
             print(
                     hints + " spread (over one zone)",
-                    some.stream().filter(one -> one.drawn.zones > 1).toList(),
-                    one -> "" + one.drawn.spread);
-            print(hints + " N at start", some, one -> bucket(one.drawn.allowedAt(0), 0.5, 1, 2, 5, 20, 100, 1e9));
+                    selected.stream()
+                            .filter(result -> result.scenario.zones > 1)
+                            .toList(),
+                    result -> "" + result.scenario.spread);
+            print(
+                    hints + " N at start",
+                    selected,
+                    result -> bucket(result.scenario.allowedAt(0), 0.5, 1, 2, 5, 20, 100, 1e9));
         }
         print(
                 "ABSENT, one job makes up half or more",
-                all.stream().filter(one -> one.drawn.hints == Hints.ABSENT).toList(),
-                one -> "" + (one.largestJobShare >= 0.5));
+                results.stream()
+                        .filter(result -> result.scenario.hints == Hints.ABSENT)
+                        .toList(),
+                result -> "" + (result.largestJobShare >= 0.5));
         print(
                 "ROUGH, one job makes up half or more",
-                all.stream().filter(one -> one.drawn.hints == Hints.ROUGH).toList(),
-                one -> "" + (one.largestJobShare >= 0.5));
-        List<Result> exact =
-                all.stream().filter(one -> one.drawn.hints == Hints.EXACT).toList();
-        print("EXACT traffic", exact, one -> "" + one.drawn.traffic);
-        print("EXACT learned from jobs", exact, one -> String.format("%3d", one.drawn.warmJobs));
-        print("EXACT new part", exact, one -> "" + one.drawn.newShare);
-        print("EXACT restarted part", exact, one -> "" + one.drawn.restartedShare);
-        print("EXACT speed", exact, one -> bucket(one.drawn.speed, 0.7, 0.99, 1, 1.4, 2));
-        print("EXACT sizes", exact, one -> one.drawn.heavyTail ? "Pareto" : "cv " + one.drawn.variation);
-        print("EXACT slots", exact, one -> one.drawn.manySlots ? "1/2/4" : "1");
+                results.stream()
+                        .filter(result -> result.scenario.hints == Hints.ROUGH)
+                        .toList(),
+                result -> "" + (result.largestJobShare >= 0.5));
+        List<Result> exact = results.stream()
+                .filter(result -> result.scenario.hints == Hints.EXACT)
+                .toList();
+        print("EXACT traffic", exact, result -> "" + result.scenario.traffic);
+        print("EXACT learned from jobs", exact, result -> String.format("%3d", result.scenario.warmJobs));
+        print("EXACT new part", exact, result -> "" + result.scenario.newShare);
+        print("EXACT restarted part", exact, result -> "" + result.scenario.restartedShare);
+        print("EXACT speed", exact, result -> bucket(result.scenario.speed, 0.7, 0.99, 1, 1.4, 2));
+        print("EXACT sizes", exact, result -> result.scenario.heavyTail ? "Pareto" : "cv " + result.scenario.variation);
+        print("EXACT slots", exact, result -> result.scenario.manySlots ? "1/2/4" : "1");
         print(
                 "EXACT plain (learned 100, no new, no restarted), spread",
-                exact.stream().filter(SlowStartFleetTest::isPlain).toList(),
-                one -> one.drawn.zones == 1 ? "1 zone" : "" + one.drawn.spread);
-        List<Result> evenly = exact.stream().filter(one -> isEvenly(one.drawn)).toList();
-        List<Result> plain = evenly.stream().filter(SlowStartFleetTest::isPlain).toList();
-        print("EXACT plain evenly, schedulers", plain, one -> bucket(one.drawn.schedulers, 1, 4, 9, 49, 199, 200));
+                exact.stream().filter(SlowStartFleetTest::isUndisturbed).toList(),
+                result -> result.scenario.zones == 1 ? "1 zone" : "" + result.scenario.spread);
+        List<Result> evenly =
+                exact.stream().filter(result -> isSpreadEvenly(result.scenario)).toList();
+        List<Result> plain =
+                evenly.stream().filter(SlowStartFleetTest::isUndisturbed).toList();
+        print(
+                "EXACT plain evenly, schedulers",
+                plain,
+                result -> bucket(result.scenario.schedulers, 1, 4, 9, 49, 199, 200));
         print(
                 "EXACT plain evenly, N at start",
                 plain,
-                one -> bucket(one.drawn.allowedAt(0), 0.5, 1, 2, 5, 20, 100, 1e9));
-        print("EXACT plain evenly, speed", plain, one -> bucket(one.drawn.speed, 0.7, 0.99, 1, 1.4, 2));
-        print("EXACT evenly, restarted part", evenly, one -> "" + one.drawn.restartedShare);
-        print("EXACT evenly, learned from jobs", evenly, one -> String.format("%3d", one.drawn.warmJobs));
+                result -> bucket(result.scenario.allowedAt(0), 0.5, 1, 2, 5, 20, 100, 1e9));
+        print("EXACT plain evenly, speed", plain, result -> bucket(result.scenario.speed, 0.7, 0.99, 1, 1.4, 2));
+        print("EXACT evenly, restarted part", evenly, result -> "" + result.scenario.restartedShare);
+        print("EXACT evenly, learned from jobs", evenly, result -> String.format("%3d", result.scenario.warmJobs));
         print(
                 "EXACT evenly, learned not at all, not restarted, speed",
                 evenly.stream()
-                        .filter(one -> one.drawn.warmJobs == 0 && one.drawn.restartedShare == 0)
+                        .filter(result -> result.scenario.warmJobs == 0 && result.scenario.restartedShare == 0)
                         .toList(),
-                one -> bucket(one.drawn.speed, 0.7, 0.99, 1, 1.4, 2));
+                result -> bucket(result.scenario.speed, 0.7, 0.99, 1, 1.4, 2));
     }
 
-    private static void printWorst(String title, List<Result> all) {
+    private static void printWorst(String title, List<Result> results) {
         System.out.println("\nworst, " + title);
-        all.stream()
+        results.stream()
                 .sorted((a, b) -> Double.compare(b.maxLoadRatio, a.maxLoadRatio))
                 .limit(10)
-                .forEach(one -> System.out.printf(
+                .forEach(result -> System.out.printf(
                         "%.3f (%.2f of it one job) at %.2f s: %s%n",
-                        one.maxLoadRatio, one.largestJobShare, one.at, one.drawn));
+                        result.maxLoadRatio, result.largestJobShare, result.at, result.scenario));
     }
 
-    private static boolean isEvenly(ColdCase drawn) {
-        return drawn.zones == 1 || drawn.spread == Spread.EVENLY;
+    private static boolean isSpreadEvenly(ColdStartScenario scenario) {
+        return scenario.zones == 1 || scenario.spread == Spread.EVENLY;
     }
 
-    private static boolean isLearned(ColdCase drawn) {
-        return drawn.warmJobs >= 20 && drawn.newShare == 0;
+    private static boolean knowsSpeed(ColdStartScenario scenario) {
+        return scenario.warmJobs >= 20 && scenario.newShare == 0;
     }
 
-    private static boolean isPlain(Result one) {
-        return one.drawn.warmJobs == 100 && one.drawn.newShare == 0 && one.drawn.restartedShare == 0;
+    private static boolean isUndisturbed(Result result) {
+        return result.scenario.warmJobs == 100 && result.scenario.newShare == 0 && result.scenario.restartedShare == 0;
     }
 
     private static String bucket(double value, double... bounds) {
@@ -204,19 +226,19 @@
         return String.format("%d: up to %s", i, bounds[i]);
     }
 
-    private static void print(String by, List<Result> all, Function<Result, String> key) {
+    private static void print(String by, List<Result> results, Function<Result, String> key) {
         Map<String, List<Double>> groups = new TreeMap<>();
-        all.forEach(one ->
-                groups.computeIfAbsent(key.apply(one), any -> new ArrayList<>()).add(one.maxLoadRatio));
+        results.forEach(result -> groups.computeIfAbsent(key.apply(result), unused -> new ArrayList<>())
+                .add(result.maxLoadRatio));
         System.out.println("-- " + by);
-        groups.forEach((sort, ratios) -> {
+        groups.forEach((value, ratios) -> {
             double[] sorted =
                     ratios.stream().mapToDouble(Double::doubleValue).sorted().toArray();
             int n = sorted.length;
-            long over = Arrays.stream(sorted).filter(ratio -> ratio > 1).count();
+            long overloaded = Arrays.stream(sorted).filter(ratio -> ratio > 1).count();
             System.out.printf(
                     "  %-16s cases %5d  median %.2f  99th %.2f  max %.2f  over 1: %d%n",
-                    sort, n, sorted[n / 2], sorted[Math.min(n - 1, (int) (0.99 * n))], sorted[n - 1], over);
+                    value, n, sorted[n / 2], sorted[Math.min(n - 1, (int) (0.99 * n))], sorted[n - 1], overloaded);
         });
     }
 }
--- a/src/test/java/laneflow/decision/TenantSharesTest.java
+++ b/src/test/java/laneflow/decision/TenantSharesTest.java
@@ -15,15 +15,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which requests one dispatcher counts as beyond a tenant's share, for random arrivals at known rates. */
+/** Which requests a dispatcher counts as within a tenant's share, for random arrivals at known rates. */
 class TenantSharesTest {
-    private static final double OVER = 0.1;
+    private static final double OVER_SHARE_WORTH = 0.1;
     private static final double SECONDS = 120;
 
     private static Settings settings(int dispatchers, double... quotas) {
         Settings settings = new Settings();
         settings.dispatchers = dispatchers;
-        settings.overShareWorth = OVER;
+        settings.overShareWorth = OVER_SHARE_WORTH;
         settings.tenants = new Tenant[quotas.length];
         for (int i = 0; i < quotas.length; i++) {
             settings.tenants[i] = new Tenant();
@@ -38,12 +38,12 @@
         TenantShares shares = new TenantShares(settings);
         Random random = new Random(5);
         double[] within = new double[rates.length];
-        double all = 0;
+        double totalRate = 0;
         for (double rate : rates) {
-            all += rate;
+            totalRate += rate;
         }
-        for (double now = 50; now < 50 + SECONDS; now += -Math.log(1 - random.nextDouble()) / all) {
-            double draw = random.nextDouble() * all;
+        for (double now = 50; now < 50 + SECONDS; now += -Math.log(1 - random.nextDouble()) / totalRate) {
+            double draw = random.nextDouble() * totalRate;
             int tenant = 0;
             while (draw >= rates[tenant]) {
                 draw -= rates[tenant++];
@@ -55,7 +55,7 @@
 
     @ParameterizedTest
     @CsvSource({"1, 20", "10, 20", "100, 200", "100, 40"})
-    void tenantSendingTenTimesItsShareGetsItAndNoOneElses(int dispatchers, double quota) {
+    void tenantSendingTenTimesItsShareIsLimitedToIt(int dispatchers, double quota) {
         double even = quota / dispatchers;
         double[] within = within(settings(dispatchers, quota, quota), 10 * even, 0.9 * even);
         assertEquals(even, within[0], 0.15 * even + 5 / SECONDS);
@@ -91,11 +91,11 @@
 
     @Test
     void nothingExceedsAShareWhereNoneIsConfigured() {
-        Settings free = settings(10, 1, 1);
-        free.overShareWorth = 1;
-        Settings bare = settings(10);
-        Settings quotaless = settings(10, 0, 1);
-        for (Settings settings : new Settings[] {free, bare, quotaless, settings(10, 1)}) {
+        Settings fullWorth = settings(10, 1, 1);
+        fullWorth.overShareWorth = 1;
+        Settings noTenants = settings(10);
+        Settings noQuota = settings(10, 0, 1);
+        for (Settings settings : new Settings[] {fullWorth, noTenants, noQuota, settings(10, 1)}) {
             TenantShares shares = new TenantShares(settings);
             for (int i = 0; i < 1000; i++) {
                 assertEquals(1, shares.worth(0, 1));
@@ -135,10 +135,10 @@
         for (int i = 0; i < 400; i++) {
             now += random.nextInt(3) * 0.01;
             double worth = shares.worth(random.nextInt(tenants), now);
-            assertTrue(worth == 1 || worth == OVER, "worth " + worth);
+            assertTrue(worth == 1 || worth == OVER_SHARE_WORTH, "worth " + worth);
             within += worth == 1 ? 1 : 0;
         }
-        double most = tenants * ((now - 3 + 2) * quota + 3 * Math.sqrt(2 * quota) + 1);
-        assertTrue(within <= most, within + " of " + most);
+        double limit = tenants * ((now - 3 + 2) * quota + 3 * Math.sqrt(2 * quota) + 1);
+        assertTrue(within <= limit, within + " of " + limit);
     }
 }
