--- a/src/test/java/laneflow/core/AdmissionGateTest.java
+++ b/src/test/java/laneflow/core/AdmissionGateTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Requests behind an admission gate, and endpoints banned by a policy. */
+/** Requests that an admission gate refuses or holds, and endpoints banned by a policy. */
 class AdmissionGateTest implements RecordingFront, AdmissionGate {
     private long now = 1_000_000_000L;
     private final Deadlines deadlines = new Deadlines();
@@ -90,8 +90,8 @@
         advance(10_000);
         assertEquals("refused 0.3", answers.get(2));
         // A held request whose client leaves gets no answer and is not decided on.
-        Request left = submit();
-        scheduler.withdraw(left);
+        Request withdrawn = submit();
+        scheduler.withdraw(withdrawn);
         open = true;
         advance(20_000);
         assertEquals(3, answers.size());
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void aBanOutlastsSetUpByOperators() {
+    void settingUpABannedEndpointDoesNotLiftTheBan() {
         scheduler.ban(java.util.Set.of("e1"));
         scheduler.setDown("e1");
         scheduler.setUp("e1");
--- a/src/test/java/laneflow/core/DeadlinesTest.java
+++ b/src/test/java/laneflow/core/DeadlinesTest.java
@@ -8,7 +8,7 @@
 import laneflow.core.Deadlines.Deadline;
 import org.junit.jupiter.api.Test;
 
-/** Deadlines that may run early when the loop is awake: once each, not before their earliest instant, never late. */
+/** Deadlines with an earliest instant run early if the loop wakes after it, and otherwise when they are due. */
 class DeadlinesTest {
     private final Deadlines deadlines = new Deadlines();
     private final List<String> ran = new ArrayList<>();
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void withoutAWakeUpItRunsInTimeAndOnceMovedOrCancelledNotEarly() {
+    void aDeadlineRunsWhenDueAndNotEarlyOnceItIsMovedOrCancelled() {
         Deadline early = deadline("early");
         deadlines.set(early, 80, 100);
         assertEquals(100, deadlines.next());
--- a/src/test/java/laneflow/core/EventOrderTest.java
+++ b/src/test/java/laneflow/core/EventOrderTest.java
@@ -13,34 +13,36 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Exhaustive search: every order of a few events, up to a length, is played on the real core and module. Each order
- * is played from the beginning and run until all deadlines have passed. The number of orders is asserted, so that a
- * search with nothing to play fails, and each invariant's check is shown to detect an injected fault.
+ * Exhaustive search: applies every order of a few events, up to a length, to the real core and decision module. Each
+ * order starts from the initial state and ends after all deadlines have passed. The number of orders is asserted, so
+ * that a search without events fails, and each invariant's check is shown to detect an injected fault.
  */
 class EventOrderTest {
     private static final String END = "end";
+    /** Orders of the current length that were applied. */
     private long orders;
+
     private boolean mayCancel = true;
 
     /** The shortest order that breaks an invariant, with that invariant; null if none up to the length does. */
-    private String search(Fault fault, int longest, List<String> first, String... kinds) {
+    private String search(Fault fault, int maxLength, List<String> first, String... kinds) {
         Set<String> allKinds = new LinkedHashSet<>(List.of(kinds));
-        String found = null;
-        for (int length = first.size() + 1; length <= longest && found == null; length++) {
+        String violation = null;
+        for (int length = first.size() + 1; length <= maxLength && violation == null; length++) {
             orders = 0;
-            found = extend(fault, length, allKinds, new ArrayList<>(first));
+            violation = extend(fault, length, allKinds, new ArrayList<>(first));
         }
-        return found;
+        return violation;
     }
 
     private String extend(Fault fault, int length, Set<String> kinds, List<String> order) {
         SchedulerPairModel model = new SchedulerPairModel(fault, mayCancel);
         try {
-            order.forEach(model::play);
+            order.forEach(model::apply);
             if (order.size() == length) {
                 orders++;
-                model.play(END);
-                model.play(END);
+                model.apply(END);
+                model.apply(END);
                 return null;
             }
         } catch (Violation e) {
@@ -50,28 +52,29 @@
         }
         for (String event : model.possibleEvents(kinds)) {
             order.add(event);
-            String found = extend(fault, length, kinds, order);
+            String violation = extend(fault, length, kinds, order);
             order.remove(order.size() - 1);
-            if (found != null) {
-                return found;
+            if (violation != null) {
+                return violation;
             }
         }
         return null;
     }
 
-    private void assertHolds(int longest, long count, List<String> first, String... kinds) {
-        assertNull(search(Fault.NONE, longest, first, kinds));
-        assertEquals(count, orders, "orders of length " + longest);
+    private void assertHolds(int maxLength, long count, List<String> first, String... kinds) {
+        assertNull(search(Fault.NONE, maxLength, first, kinds));
+        assertEquals(count, orders, "orders of length " + maxLength);
     }
 
-    private void assertDetected(String rule, Fault fault, int longest, String... kinds) {
-        assertDetected(rule, fault, longest, List.of(), kinds);
+    private void assertDetected(String rule, Fault fault, int maxLength, String... kinds) {
+        assertDetected(rule, fault, maxLength, List.of(), kinds);
     }
 
-    private void assertDetected(String rule, Fault fault, int longest, List<String> first, String... kinds) {
-        String found = search(fault, longest, first, kinds);
-        assertNotNull(found, fault + " is not detected");
-        assertEquals(rule, found.substring(found.indexOf(" breaks ") + 8, found.lastIndexOf(": ")), found);
+    private void assertDetected(String rule, Fault fault, int maxLength, List<String> first, String... kinds) {
+        String violation = search(fault, maxLength, first, kinds);
+        assertNotNull(violation, fault + " is not detected");
+        assertEquals(
+                rule, violation.substring(violation.indexOf(" breaks ") + 8, violation.lastIndexOf(": ")), violation);
     }
 
     @Test
@@ -112,20 +115,20 @@
                 "grace");
     }
 
-    /** Searches with one request of each class, with and without cancelling of running attempts. */
-    private void assertHoldsForEachClass(int longest, String counts, String... kinds) {
-        StringBuilder found = new StringBuilder();
-        for (boolean may : new boolean[] {true, false}) {
-            mayCancel = may;
+    /** Searches with one request of each class, where running attempts may and may not be cancelled. */
+    private void assertHoldsForEachClass(int maxLength, String counts, String... kinds) {
+        StringBuilder actualCounts = new StringBuilder();
+        for (boolean cancelAllowed : new boolean[] {true, false}) {
+            mayCancel = cancelAllowed;
             for (String type : new String[] {"safe", "keyed", "capture"}) {
-                assertNull(search(Fault.NONE, longest, List.of(type + " 0"), kinds), "cancel " + may);
-                found.append(type).append(' ').append(orders).append(may ? ", " : "; ");
+                assertNull(search(Fault.NONE, maxLength, List.of(type + " 0"), kinds), "cancel " + cancelAllowed);
+                actualCounts.append(type).append(' ').append(orders).append(cancelAllowed ? ", " : "; ");
             }
         }
-        assertEquals(counts, found.toString(), "orders of length " + longest);
+        assertEquals(counts, actualCounts.toString(), "orders of length " + maxLength);
     }
 
-    /** The steps include a late connection and a last byte that is held back. */
+    /** The events include a connection that opens late and a request whose last byte is held back. */
     @Test
     void clientsMayLeaveAtEveryStep() {
         assertHoldsForEachClass(
@@ -193,7 +196,7 @@
         assertDetected("one answer", Fault.DUPLICATE_ANSWER, 4, ends);
         assertDetected("answered in time", Fault.ANSWER_LOST, 5, ends);
         assertDetected("answered at once", Fault.ANSWER_DELAYED, 5, ends);
-        // The shortest order ends before a second attempt is sent: a job that ran is refused as one that did not.
+        // The shortest order ends before a second attempt is sent: a job that may have run is refused.
         assertDetected("truthful answer", Fault.RUN_REPORTED_AS_UNSENT, 5, "capture", "up", "reset");
         assertDetected(
                 "no repeat", Fault.RUN_REPORTED_AS_UNSENT, 5, List.of("capture 0", "up 0", "reset 0", "up 1"), "up");
--- a/src/test/java/laneflow/core/FleetRules.java
+++ b/src/test/java/laneflow/core/FleetInvariants.java
@@ -7,8 +7,8 @@
 import laneflow.decision.Dispatch.JobClass;
 
 /** The invariants of a {@link FleetSimulation}, checked against what clients and endpoints observe. */
-final class FleetRules {
-    /** The tolerance that the protocol allows on every limit, in microseconds. */
+final class FleetInvariants {
+    /** Tolerance that the wire protocol allows on each time limit. */
     private static final long SLACK_MICROS = 50_000;
 
     private final RandomSettings settings;
@@ -17,10 +17,10 @@
     /** Attempts that reached cold endpoints. */
     int coldSendCount;
 
-    /** The largest part that a cold endpoint got of the work that would overload it. */
+    /** The highest ratio of the work that a cold endpoint got to its overload limit. */
     double maxBudgetUse;
 
-    FleetRules(RandomSettings settings, Fault fault, double meanWork) {
+    FleetInvariants(RandomSettings settings, Fault fault, double meanWork) {
         this.settings = settings;
         this.fault = fault;
         this.meanWork = meanWork;
@@ -30,24 +30,25 @@
      * A cold endpoint is overloaded by more than N + 2 sqrt(N) + 2 mean jobs within {@code fallMs}, where N is
      * the number of jobs allowed at its current speed.
      */
-    void checkColdBudget(FleetEndpoint endpoint, SentAttempt sent, long now) {
+    void checkColdBudget(SimulatedEndpoint endpoint, SentAttempt attempt, long now) {
         coldSendCount++;
         // Work as known to the scheduler: without a hint, the mean of the class; never more than the client's
         // deadline.
-        double longest = sent.client.type.deadlineMs() / 1e3;
-        double expected =
-                settings.hintQuality > 0 ? Math.min(longest, sent.client.request.hint) : sent.client.type.workMs / 1e3;
-        double work = expected * settings.slotsOf(sent.client.type);
+        double longest = attempt.client.type.deadlineMs() / 1e3;
+        double expected = settings.hintQuality > 0
+                ? Math.min(longest, attempt.client.request.hint)
+                : attempt.client.type.workMs / 1e3;
+        double work = expected * settings.slotsOf(attempt.client.type);
         work *= fault == Fault.COLD_TENFOLD ? 10 : 1;
-        endpoint.coldSends.add(new double[] {now, work, sent.knowsStart ? work : 0});
+        endpoint.coldSends.add(new double[] {now, work, attempt.knowsStart ? work : 0});
         while (endpoint.coldSends.peek()[0] < now - settings.fallMs * 1e3) {
             endpoint.coldSends.poll();
         }
-        double sum = endpoint.coldSends.stream().mapToDouble(one -> one[1]).sum();
+        double sum = endpoint.coldSends.stream().mapToDouble(send -> send[1]).sum();
         double capacity = endpoint.warmShare() * endpoint.slots * endpoint.speed;
         double allowed = settings.multipleTenths / 10.0 * capacity * settings.fallMs / 1e3 / meanWork;
         double knownStartSum =
-                endpoint.coldSends.stream().mapToDouble(one -> one[2]).sum();
+                endpoint.coldSends.stream().mapToDouble(send -> send[2]).sum();
         if (knownStartSum * 3 < sum * 2) {
             return;
         }
@@ -58,31 +59,31 @@
     }
 
     /** Checks the invariants of an attempt as it arrives at its endpoint. */
-    void checkSend(SentAttempt sent, long now) {
-        String at = sent.worker.entry.name;
-        Long drainNotifiedAt = sent.client.node.drainNotifiedAt.get(at);
+    void checkSend(SentAttempt attempt, long now) {
+        String name = attempt.endpoint.entry.name;
+        Long drainNotifiedAt = attempt.client.node.drainNotifiedAt.get(name);
         if (drainNotifiedAt != null && now > drainNotifiedAt + settings.graceMs * 1000L + SLACK_MICROS) {
-            fail("drains", "sent to " + at + " " + (now - drainNotifiedAt) + " us after the notice of its drain");
+            fail("drains", "sent to " + name + " " + (now - drainNotifiedAt) + " us after the notice of its drain");
         }
-        int kind = settings.kindOf(sent.client.type);
-        if (kind >= 0 && kind != sent.worker.entry.kind) {
-            fail("kinds", "sent to " + at + ", which cannot run it");
+        int kind = settings.kindOf(attempt.client.type);
+        if (kind >= 0 && kind != attempt.endpoint.entry.kind) {
+            fail("kinds", "sent to " + name + ", which cannot run it");
         }
-        JobClass type = sent.client.node.scheduler.settings().classes[sent.client.request.jobClass];
-        int sentBefore = 0;
-        for (SentAttempt other : sent.client.sentAttempts) {
-            if (other == sent || !other.sent) {
+        JobClass type = attempt.client.node.scheduler.settings().classes[attempt.client.request.jobClass];
+        int earlierSends = 0;
+        for (SentAttempt other : attempt.client.sentAttempts) {
+            if (other == attempt || !other.wasSent) {
                 continue;
             }
-            sentBefore++;
+            earlierSends++;
             if (!other.ended) {
-                fail("one open attempt", "a second one to " + at);
+                fail("one open attempt", "a second one to " + name);
             }
-            if (other.mayHaveRun && !mayRepeat(type, other, sent, now)) {
-                fail("no repeat", "may have run at " + other.worker.entry.name + ", sent again to " + at);
+            if (other.mayHaveRun && !mayRepeat(type, other, attempt, now)) {
+                fail("no repeat", "may have run at " + other.endpoint.entry.name + ", sent again to " + name);
             }
         }
-        if (sentBefore >= settings.maxAttempts) {
+        if (earlierSends >= settings.maxAttempts) {
             fail("attempts", "more than " + settings.maxAttempts);
         }
     }
@@ -93,32 +94,32 @@
                         && now <= earlier.sentAt + (long) (type.dedupWindow * 1e6) + SLACK_MICROS
                         && (type.group == Group.ALL
                                 || (type.group == Group.ZONE
-                                        ? earlier.worker.entry.zone == later.worker.entry.zone
-                                        : earlier.worker.entry.cell == later.worker.entry.cell));
+                                        ? earlier.endpoint.entry.zone == later.endpoint.entry.zone
+                                        : earlier.endpoint.entry.cell == later.endpoint.entry.cell));
     }
 
-    static void fail(String rule, String what) {
-        throw new SchedulerPairModel.Violation(rule, what);
+    static void fail(String rule, String details) {
+        throw new SchedulerPairModel.Violation(rule, details);
     }
 
     /** Checks the invariants of an answer. */
-    void checkAnswer(FleetSimulation.Client client, String what, long now) {
+    void checkAnswer(FleetSimulation.Client client, String answer, long now) {
         if (client.answered || client.left) {
-            fail("one answer", "a second one, " + what);
+            fail("one answer", "a second one, " + answer);
         }
         if (now > client.request.deadline + SLACK_MICROS) {
-            fail("answered in time", what + " " + (now - client.request.deadline) + " us late");
+            fail("answered in time", answer + " " + (now - client.request.deadline) + " us late");
         }
         JobClass type = client.node.scheduler.settings().classes[client.request.jobClass];
-        boolean ran = client.sentAttempts.stream().anyMatch(sent -> sent.mayHaveRun);
-        if (what.equals("refused")
-                && ran
+        boolean mayHaveRun = client.sentAttempts.stream().anyMatch(attempt -> attempt.mayHaveRun);
+        if (answer.equals("refused")
+                && mayHaveRun
                 && type.effect != Effect.SAFE
                 && !(type.effect == Effect.KEYED && type.group == Group.ALL)) {
             fail("truthful answer", client.type + " was refused and may have run");
         }
-        if (client.atRest && what.equals("refused")) {
-            fail("at rest", client.type + " was refused while all endpoints were warm and idle");
+        if (client.isIdle && answer.equals("refused")) {
+            fail("idle fleet", client.type + " was refused while all endpoints were warm and idle");
         }
     }
 }
--- a/src/test/java/laneflow/core/FleetSimulation.java
+++ b/src/test/java/laneflow/core/FleetSimulation.java
@@ -30,35 +30,35 @@
         IDLE_REFUSED
     }
 
-    /** Idle time in microseconds after which earlier load reports no longer matter. */
-    static final long REST_AFTER_MICROS = 2_000_000;
+    /** Idle time after which earlier load reports no longer affect decisions. */
+    static final long IDLE_AFTER_MICROS = 2_000_000;
 
     private static final long START = 1_000_000_000L;
-    /** Largest delay, in microseconds, of the connections that open late on rough days. */
+    /** Longest delay of a connection in simulations with faults. */
     private static final int MAX_CONNECT_DELAY_MICROS = 1_500_000;
-    /** The lowest speed that a scheduler may assume, as a part of the endpoint's real speed. */
+    /** The lowest speed that a scheduler may assume, as a fraction of the endpoint's real speed. */
     private static final double MIN_ASSUMED_SPEED = 0.6;
-    /** Largest load of a zone on calm days, as a part of its capacity. */
-    private static final double CALM_LOAD = 0.6;
+    /** Highest load of a zone in simulations without faults, as a fraction of its capacity. */
+    private static final double FAULT_FREE_LOAD = 0.6;
 
-    final RandomSettings drawn;
+    final RandomSettings settings;
     private final Fault fault;
-    final boolean rough;
+    final boolean withFaults;
     final Random random;
     private final Deadlines deadlines = new Deadlines();
-    private final List<FleetEndpoint> workers = new ArrayList<>();
+    private final List<SimulatedEndpoint> endpoints = new ArrayList<>();
     final Node[] nodes;
     private final List<Client> clients = new ArrayList<>();
     private final int[] requested;
     private final int[] served;
     final int[] tenantRequested;
     final int[] tenantServed;
-    final FleetRules rules;
+    final FleetInvariants invariants;
     long now = START;
-    private long busySince = Long.MIN_VALUE;
-    private int busy;
+    private long idleChangedAt = Long.MIN_VALUE;
+    private int heldAttempts;
     /** Answered requests that arrived while every endpoint was warm and idle. */
-    int answeredAtRest;
+    int answeredWhileIdle;
 
     static final class Client {
         Node node;
@@ -69,21 +69,21 @@
         final List<SentAttempt> sentAttempts = new ArrayList<>();
         boolean left;
         boolean answered;
-        boolean atRest;
+        boolean isIdle;
     }
 
     static final class SentAttempt {
         Client client;
         Attempt attempt;
-        FleetEndpoint worker;
-        boolean sent;
+        SimulatedEndpoint endpoint;
+        boolean wasSent;
         boolean ended;
         boolean mayHaveRun;
         long sentAt;
         /** Its scheduler knew of the endpoint's last start. */
         boolean knowsStart;
-        /** The endpoint still holds it, whether or not somebody waits for it. */
-        boolean heldByWorker;
+        /** The endpoint has it running or queued, whether or not a client still waits for it. */
+        boolean heldByEndpoint;
 
         boolean running;
     }
@@ -93,20 +93,21 @@
         final int number;
         final Scheduler scheduler;
         final Map<String, Long> drainNotifiedAt = new HashMap<>();
-        private final Map<String, Entry> listed = new TreeMap<>();
+        private final Map<String, Entry> listedEntries = new TreeMap<>();
         private boolean killed;
 
         private Node(int number, long seed, Node previous) {
             this.number = number;
-            scheduler = new Scheduler(drawn.settingsOf(number), seed, () -> now, deadlines, new Counters());
+            scheduler = new Scheduler(settings.settingsOf(number), seed, () -> now, deadlines, new Counters());
             if (previous == null) {
-                workers.forEach(worker -> listed.put(worker.entry.name, worker.entry.withState(State.READY)));
+                endpoints.forEach(
+                        endpoint -> listedEntries.put(endpoint.entry.name, endpoint.entry.withState(State.READY)));
             } else {
-                listed.putAll(previous.listed);
+                listedEntries.putAll(previous.listedEntries);
                 drainNotifiedAt.putAll(previous.drainNotifiedAt);
             }
             List<Entry> known = new ArrayList<>();
-            listed.values().forEach(entry -> {
+            listedEntries.values().forEach(entry -> {
                 if (entry.state != State.GONE) {
                     known.add(entry);
                 }
@@ -114,13 +115,13 @@
             scheduler.start(this, known);
         }
 
-        private boolean knowsStartOf(FleetEndpoint worker) {
-            return listed.get(worker.entry.name).startedAt == worker.entry.startedAt;
+        private boolean knowsStartOf(SimulatedEndpoint endpoint) {
+            return listedEntries.get(endpoint.entry.name).startedAt == endpoint.entry.startedAt;
         }
 
         void receive(Entry entry) {
             Node current = nodes[number];
-            current.listed.put(entry.name, entry);
+            current.listedEntries.put(entry.name, entry);
             if (entry.state == State.READY) {
                 current.drainNotifiedAt.remove(entry.name);
             } else {
@@ -149,93 +150,93 @@
             answer(tag, "failed");
         }
 
-        private void answer(long tag, String what) {
-            if (!killed && !(fault == Fault.ANSWER_LOST && what.equals("refused"))) {
-                answered(clients.get((int) tag), what);
+        private void answer(long tag, String answer) {
+            if (!killed && !(fault == Fault.ANSWER_LOST && answer.equals("refused"))) {
+                onAnswer(clients.get((int) tag), answer);
             }
         }
 
         @Override
         public void open(Attempt attempt) {
-            SentAttempt sent = new SentAttempt();
-            sent.client = clients.get((int) attempt.request.tag);
-            sent.attempt = attempt;
-            attempt.attachment = sent;
-            for (FleetEndpoint worker : workers) {
-                if (worker.entry.name.equals(attempt.endpoint.name)) {
-                    sent.worker = worker;
+            SentAttempt sentAttempt = new SentAttempt();
+            sentAttempt.client = clients.get((int) attempt.request.tag);
+            sentAttempt.attempt = attempt;
+            attempt.attachment = sentAttempt;
+            for (SimulatedEndpoint endpoint : endpoints) {
+                if (endpoint.entry.name.equals(attempt.endpoint.name)) {
+                    sentAttempt.endpoint = endpoint;
                 }
             }
-            sent.knowsStart = knowsStartOf(sent.worker);
-            sent.client.sentAttempts.add(sent);
-            boolean late = rough && random.nextInt(20) == 0;
-            schedule(500 + random.nextInt(late ? MAX_CONNECT_DELAY_MICROS : 1500), () -> connect(sent));
+            sentAttempt.knowsStart = knowsStartOf(sentAttempt.endpoint);
+            sentAttempt.client.sentAttempts.add(sentAttempt);
+            boolean opensLate = withFaults && random.nextInt(20) == 0;
+            schedule(500 + random.nextInt(opensLate ? MAX_CONNECT_DELAY_MICROS : 1500), () -> connect(sentAttempt));
         }
 
         @Override
         public boolean close(Attempt attempt) {
-            SentAttempt sent = (SentAttempt) attempt.attachment;
-            sent.ended = true;
-            if (sent.heldByWorker && !sent.running && drawn.mayCancel) {
-                sent.worker.queue.remove(sent);
-                sent.worker.release(sent);
+            SentAttempt sentAttempt = (SentAttempt) attempt.attachment;
+            sentAttempt.ended = true;
+            if (sentAttempt.heldByEndpoint && !sentAttempt.running && settings.mayCancel) {
+                sentAttempt.endpoint.queue.remove(sentAttempt);
+                sentAttempt.endpoint.release(sentAttempt);
             }
-            return !sent.sent;
+            return !sentAttempt.wasSent;
         }
 
         @Override
         public void probe(Endpoint endpoint) {
-            if (!drawn.probes) {
-                FleetRules.fail("probes", "these settings have none");
+            if (!settings.probes) {
+                FleetInvariants.fail("probes", "these settings have none");
             }
-            for (FleetEndpoint worker : workers) {
-                if (worker.entry.name.equals(endpoint.name)) {
-                    schedule(2000, () -> probed(endpoint, worker));
+            for (SimulatedEndpoint target : endpoints) {
+                if (target.entry.name.equals(endpoint.name)) {
+                    schedule(2000, () -> answerProbe(endpoint, target));
                 }
             }
         }
 
-        private void probed(Endpoint endpoint, FleetEndpoint worker) {
+        private void answerProbe(Endpoint endpoint, SimulatedEndpoint target) {
             if (killed) {
                 return;
             }
-            boolean healthy = worker.up && !worker.silent;
+            boolean healthy = target.up && !target.silent;
             scheduler.probed(
                     endpoint,
                     0.002,
                     healthy ? Outcome.OK : Outcome.CONNECT_FAILED,
-                    healthy && !drawn.source().equals("none") ? worker.report() : null);
+                    healthy && !settings.source().equals("none") ? target.report() : null);
         }
 
         @Override
         public void closeIdle(Endpoint endpoint) {}
     }
 
-    FleetSimulation(RandomSettings drawn, Fault fault, boolean rough) {
-        this.drawn = drawn;
+    FleetSimulation(RandomSettings settings, Fault fault, boolean withFaults) {
+        this.settings = settings;
         this.fault = fault;
-        this.rough = rough;
-        random = new Random(drawn.seed);
-        requested = new int[drawn.classes.size()];
+        this.withFaults = withFaults;
+        random = new Random(settings.seed);
+        requested = new int[settings.classes.size()];
         served = new int[requested.length];
-        tenantRequested = new int[Math.max(1, drawn.tenants)];
+        tenantRequested = new int[Math.max(1, settings.tenants)];
         tenantServed = new int[tenantRequested.length];
-        for (int i = 0; i < drawn.workersPerKind * drawn.zones; i++) {
-            for (int kind = 0; kind < drawn.kinds; kind++) {
+        for (int i = 0; i < settings.workersPerKind * settings.zones; i++) {
+            for (int kind = 0; kind < settings.kinds; kind++) {
                 // Every zone has the same number of each kind, so it can always serve a class tied to a kind.
-                FleetEndpoint worker = new FleetEndpoint(this, workers.size(), kind);
-                worker.entry.zone = i % drawn.zones;
-                workers.add(worker);
+                SimulatedEndpoint endpoint = new SimulatedEndpoint(this, endpoints.size(), kind);
+                endpoint.entry.zone = i % settings.zones;
+                endpoints.add(endpoint);
             }
         }
         double meanWork = 0;
-        for (RandomClass type : drawn.classes) {
-            meanWork += type.workMs / 1e3 * drawn.slotsOf(type) / drawn.classes.size();
+        for (RandomClass type : settings.classes) {
+            meanWork += type.workMs / 1e3 * settings.slotsOf(type) / settings.classes.size();
         }
-        rules = new FleetRules(drawn, fault, meanWork);
-        nodes = new Node[drawn.siblings];
+        invariants = new FleetInvariants(settings, fault, meanWork);
+        nodes = new Node[settings.siblings];
         for (int i = 0; i < nodes.length; i++) {
-            nodes[i] = new Node(i, drawn.seed + i, null);
+            nodes[i] = new Node(i, settings.seed + i, null);
         }
     }
 
@@ -243,30 +244,30 @@
         deadlines.at(now + micros, action);
     }
 
-    void changeBusy(int change) {
-        if (busy == 0 || busy + change == 0) {
-            busySince = now;
+    void changeHeldAttempts(int change) {
+        if (heldAttempts == 0 || heldAttempts + change == 0) {
+            idleChangedAt = now;
         }
-        busy += change;
+        heldAttempts += change;
     }
 
-    private boolean atRest() {
-        return busy == 0
-                && now - busySince >= REST_AFTER_MICROS
-                && workers.stream().allMatch(FleetEndpoint::isWarm);
+    private boolean isIdle() {
+        return heldAttempts == 0
+                && now - idleChangedAt >= IDLE_AFTER_MICROS
+                && endpoints.stream().allMatch(SimulatedEndpoint::isWarm);
     }
 
-    /** Submits requests for so many seconds and runs until all have ended. */
-    FleetSimulation play(double seconds) {
+    /** Submits requests during the given time, then runs until all have ended. */
+    FleetSimulation run(double seconds) {
         long end = now + (long) (seconds * 1e6);
-        arrivals(end, 1e6 / rate());
-        if (rough) {
+        scheduleArrivals(end, 1e6 / rate());
+        if (withFaults) {
             injectFaults(end);
         }
         runUntil(end + 30_000_000);
         for (Client client : clients) {
             if (!client.answered && !client.left) {
-                FleetRules.fail("answered in time", client.type + " has no answer");
+                FleetInvariants.fail("answered in time", client.type + " has no answer");
             }
         }
         return this;
@@ -283,63 +284,73 @@
     /** Requests per second, equal for all classes, that load each kind of endpoint in each zone as the settings say. */
     private double rate() {
         double maxRate = Double.POSITIVE_INFINITY;
-        for (int kind = -1; kind < drawn.kinds; kind++) {
+        for (int kind = -1; kind < settings.kinds; kind++) {
             double needed = 0;
-            for (RandomClass type : drawn.classes) {
-                if (kind < 0 || drawn.kindOf(type) == kind) {
-                    needed += type.workMs / 1e3 * drawn.slotsOf(type) / drawn.classes.size();
+            for (RandomClass type : settings.classes) {
+                if (kind < 0 || settings.kindOf(type) == kind) {
+                    needed += type.workMs / 1e3 * settings.slotsOf(type) / settings.classes.size();
                 }
             }
             double available = 0;
-            for (FleetEndpoint worker : workers) {
-                available += kind < 0 || worker.entry.kind == kind ? worker.slots * worker.speed : 0;
+            for (SimulatedEndpoint endpoint : endpoints) {
+                available += kind < 0 || endpoint.entry.kind == kind ? endpoint.slots * endpoint.speed : 0;
             }
             maxRate = Math.min(maxRate, available / needed);
         }
         // A zone has an equal part of the endpoints, but may have one scheduler more than the others.
-        int crowded = drawn.allInFirstZone ? drawn.siblings : (drawn.siblings + drawn.zones - 1) / drawn.zones;
-        return maxRate * drawn.load() * (rough ? 1 : CALM_LOAD) * drawn.siblings / (crowded * drawn.zones);
+        int maxPerZone =
+                settings.allInFirstZone ? settings.siblings : (settings.siblings + settings.zones - 1) / settings.zones;
+        return maxRate
+                * settings.load()
+                * (withFaults ? 1 : FAULT_FREE_LOAD)
+                * settings.siblings
+                / (maxPerZone * settings.zones);
     }
 
-    private void arrivals(long end, double gap) {
+    private void scheduleArrivals(long end, double meanGapMicros) {
         if (now < end) {
-            request();
-            schedule((long) (-gap * Math.log(1 - random.nextDouble())), () -> arrivals(end, gap));
+            submitRandomRequest();
+            schedule(
+                    (long) (-meanGapMicros * Math.log(1 - random.nextDouble())),
+                    () -> scheduleArrivals(end, meanGapMicros));
         }
     }
 
-    private void request() {
+    private void submitRandomRequest() {
         Client client = new Client();
-        int jobClass = random.nextInt(drawn.classes.size());
+        int jobClass = random.nextInt(settings.classes.size());
         client.node = nodes[random.nextInt(nodes.length)];
-        client.type = drawn.classes.get(jobClass);
+        client.type = settings.classes.get(jobClass);
         client.tenant = Math.max(
-                0, random.nextInt(tenantRequested.length + drawn.firstTenantFactor - 1) - drawn.firstTenantFactor + 1);
-        client.work = client.type.workMs / 1e3 * lognormal(drawn.workSpread / 10.0);
+                0,
+                random.nextInt(tenantRequested.length + settings.firstTenantFactor - 1)
+                        - settings.firstTenantFactor
+                        + 1);
+        client.work = client.type.workMs / 1e3 * lognormal(settings.workSpread / 10.0);
         client.request = new Request(
                 client.node,
                 clients.size(),
                 new Payload("", "", "r", null, new byte[0]),
                 jobClass,
                 now + (long) (1000 * client.type.deadlineMs() * (0.7 + 0.3 * random.nextDouble())));
-        client.request.tenant = drawn.tenants > 0 ? client.tenant : -1;
-        client.request.slots = drawn.slotsOf(client.type);
-        client.request.memory = drawn.memory * random.nextDouble() * drawn.slotsOf(client.type);
-        if (drawn.hintQuality > 0) {
-            client.request.hint = client.work * lognormal((drawn.hintQuality - 1) * 0.5);
+        client.request.tenant = settings.tenants > 0 ? client.tenant : -1;
+        client.request.slots = settings.slotsOf(client.type);
+        client.request.memory = settings.memory * random.nextDouble() * settings.slotsOf(client.type);
+        if (settings.hintQuality > 0) {
+            client.request.hint = client.work * lognormal((settings.hintQuality - 1) * 0.5);
         }
-        client.atRest = !rough && atRest() && canBeInTime(client);
+        client.isIdle = !withFaults && isIdle() && canBeInTime(client);
         clients.add(client);
         requested[jobClass]++;
         tenantRequested[client.tenant]++;
         boolean refused = fault == Fault.CLASS_REFUSED && jobClass == 0
                 || fault == Fault.TENANT_REFUSED && client.tenant == 0
-                || fault == Fault.IDLE_REFUSED && client.atRest;
+                || fault == Fault.IDLE_REFUSED && client.isIdle;
         if (refused) {
-            answered(client, "refused");
+            onAnswer(client, "refused");
         } else {
             client.node.scheduler.submit(client.request);
-            if (rough && random.nextInt(50) == 0) {
+            if (withFaults && random.nextInt(50) == 0) {
                 schedule(random.nextInt(1_000_000), () -> withdraw(client));
             }
         }
@@ -349,12 +360,12 @@
     private boolean canBeInTime(Client client) {
         JobClass type = client.node.scheduler.settings().classes[client.request.jobClass];
         double slowest = Double.POSITIVE_INFINITY;
-        for (int kind = 0; kind < drawn.kinds; kind++) {
-            if (drawn.kindOf(client.type) < 0 || drawn.kindOf(client.type) == kind) {
-                slowest = Math.min(slowest, drawn.speedOf(kind));
+        for (int kind = 0; kind < settings.kinds; kind++) {
+            if (settings.kindOf(client.type) < 0 || settings.kindOf(client.type) == kind) {
+                slowest = Math.min(slowest, settings.speedOf(kind));
             }
         }
-        double expected = drawn.hintQuality > 0 ? client.request.hint : client.type.workMs / 1e3;
+        double expected = settings.hintQuality > 0 ? client.request.hint : client.type.workMs / 1e3;
         double runTime = expected / (MIN_ASSUMED_SPEED * slowest);
         return runTime < type.aim + type.stretch * expected && runTime < (client.request.deadline - now) / 1e6;
     }
@@ -375,20 +386,20 @@
         if (now >= end) {
             return;
         }
-        FleetEndpoint worker = workers.get(random.nextInt(workers.size()));
+        SimulatedEndpoint endpoint = endpoints.get(random.nextInt(endpoints.size()));
         switch (random.nextInt(8)) {
             case 0, 1 -> {
-                if (worker.up) {
-                    worker.announce(State.DRAINING);
-                    schedule(1_500_000, () -> worker.crash(true, 500_000));
+                if (endpoint.up) {
+                    endpoint.announce(State.DRAINING);
+                    schedule(1_500_000, () -> endpoint.crash(true, 500_000));
                 }
             }
-            case 2 -> worker.crash(false, 1_000_000);
+            case 2 -> endpoint.crash(false, 1_000_000);
             case 3 -> {
-                worker.silent = true;
+                endpoint.silent = true;
                 schedule(2_000_000, () -> {
-                    worker.silent = false;
-                    worker.startNext();
+                    endpoint.silent = false;
+                    endpoint.startNext();
                 });
             }
             case 4 -> restart(random.nextInt(nodes.length));
@@ -399,16 +410,18 @@
             }
             case 6 -> {
                 // A whole zone crashes and restarts cold.
-                workers.forEach(one -> {
-                    if (one.entry.zone == worker.entry.zone) {
-                        one.crash(true, 1_500_000);
+                endpoints.forEach(candidate -> {
+                    if (candidate.entry.zone == endpoint.entry.zone) {
+                        candidate.crash(true, 1_500_000);
                     }
                 });
             }
             default -> {
-                SentAttempt[] sent = worker.held().filter(one -> !one.ended).toArray(SentAttempt[]::new);
-                if (sent.length > 0) {
-                    end(sent[random.nextInt(sent.length)], Outcome.RESET);
+                SentAttempt[] attempts = endpoint.heldAttempts()
+                        .filter(candidate -> !candidate.ended)
+                        .toArray(SentAttempt[]::new);
+                if (attempts.length > 0) {
+                    end(attempts[random.nextInt(attempts.length)], Outcome.RESET);
                 }
             }
         }
@@ -422,61 +435,62 @@
         for (Client client : clients) {
             if (client.node == previous) {
                 client.left |= !client.answered;
-                client.sentAttempts.forEach(sent -> sent.ended = true);
+                client.sentAttempts.forEach(sentAttempt -> sentAttempt.ended = true);
             }
         }
         nodes[number] = new Node(number, random.nextLong(), previous);
     }
 
-    private void connect(SentAttempt sent) {
-        if (sent.ended || sent.client.node.killed) {
+    private void connect(SentAttempt sentAttempt) {
+        if (sentAttempt.ended || sentAttempt.client.node.killed) {
             return;
         }
-        if (!sent.worker.up) {
-            end(sent, Outcome.CONNECT_FAILED);
+        if (!sentAttempt.endpoint.up) {
+            end(sentAttempt, Outcome.CONNECT_FAILED);
             return;
         }
-        if (fault != Fault.SEND_CHECK_SKIPPED && !sent.client.node.scheduler.maySend(sent.attempt)) {
-            end(sent, Outcome.CONNECT_FAILED);
+        if (fault != Fault.SEND_CHECK_SKIPPED && !sentAttempt.client.node.scheduler.maySend(sentAttempt.attempt)) {
+            end(sentAttempt, Outcome.CONNECT_FAILED);
             return;
         }
-        rules.checkSend(sent, now);
-        sent.sent = true;
-        sent.sentAt = now;
-        sent.mayHaveRun = true;
-        sent.worker.receive(sent);
+        invariants.checkSend(sentAttempt, now);
+        sentAttempt.wasSent = true;
+        sentAttempt.sentAt = now;
+        sentAttempt.mayHaveRun = true;
+        sentAttempt.endpoint.receive(sentAttempt);
     }
 
-    void end(SentAttempt sent, Outcome outcome) {
-        if (sent.ended) {
+    void end(SentAttempt sentAttempt, Outcome outcome) {
+        if (sentAttempt.ended) {
             return;
         }
-        sent.ended = true;
-        sent.mayHaveRun &= !outcome.neverRan;
+        sentAttempt.ended = true;
+        sentAttempt.mayHaveRun &= !outcome.neverRan;
         Outcome reported = outcome == Outcome.RESET && fault == Fault.RUN_REPORTED_AS_UNSENT ? Outcome.FULL : outcome;
-        boolean reports = drawn.source().equals("answers") && (outcome == Outcome.OK || outcome == Outcome.FULL);
-        sent.client.node.scheduler.ended(sent.attempt, reported, new byte[0], reports ? sent.worker.report() : null);
+        boolean reports = settings.source().equals("answers") && (outcome == Outcome.OK || outcome == Outcome.FULL);
+        sentAttempt.client.node.scheduler.ended(
+                sentAttempt.attempt, reported, new byte[0], reports ? sentAttempt.endpoint.report() : null);
     }
 
-    private void answered(Client client, String what) {
-        rules.checkAnswer(client, what, now);
+    private void onAnswer(Client client, String answer) {
+        invariants.checkAnswer(client, answer, now);
         client.answered = true;
-        if (what.equals("served")) {
+        if (answer.equals("served")) {
             served[client.request.jobClass]++;
             tenantServed[client.tenant]++;
         }
-        answeredAtRest += client.atRest ? 1 : 0;
+        answeredWhileIdle += client.isIdle ? 1 : 0;
         if (fault == Fault.DUPLICATE_ANSWER) {
-            answered(client, what);
+            onAnswer(client, answer);
         }
     }
 
     /** Requests per second that all endpoints can serve together. */
     double capacity() {
-        return workers.stream()
-                        .mapToDouble(worker -> worker.slots * worker.speed)
+        return endpoints.stream()
+                        .mapToDouble(endpoint -> endpoint.slots * endpoint.speed)
                         .sum()
-                / rules.meanWork;
+                / invariants.meanWork;
     }
 
     int requests() {
@@ -493,10 +507,10 @@
         return minShare(tenantServed, tenantRequested);
     }
 
-    private static double minShare(int[] part, int[] total) {
+    private static double minShare(int[] served, int[] total) {
         double min = 1;
         for (int i = 0; i < total.length; i++) {
-            min = total[i] < 10 ? min : Math.min(min, (double) part[i] / total[i]);
+            min = total[i] < 10 ? min : Math.min(min, (double) served[i] / total[i]);
         }
         return min;
     }
--- a/src/test/java/laneflow/core/RandomSettings.java
+++ b/src/test/java/laneflow/core/RandomSettings.java
@@ -13,8 +13,7 @@
 
 /**
  * Random settings of a scheduler, in the format and over the whole range of the wire protocol, with a fleet that
- * matches them. Deployments differ, so the invariants must hold for any draw. Each value is drawn separately, so
- * that a failure shrinks to the values it needs.
+ * matches them. Each value is drawn separately, so that a failing case shrinks to the values that cause it.
  */
 final class RandomSettings {
     /** A job class. Its mean work describes the traffic and is not part of the settings. */
@@ -31,7 +30,7 @@
         int workMs;
         int slots;
 
-        /** At least a multiple of the mean work: an aim that no endpoint could meet would test nothing. */
+        /** The aim, at least a multiple of the mean work: with one that no endpoint can meet, all are refused. */
         int aimMs() {
             return stretchTenths > 0 ? aimMs : Math.max(aimMs, MIN_TIME_FACTOR * workMs);
         }
@@ -93,7 +92,7 @@
     int memory;
     /** 0 for no hints, 1 for exact hints, larger for more error. */
     int hintQuality;
-    /** How far the load is below the fleet's capacity, in sixths of a halving. */
+    /** How far the load is below the fleet's capacity: every 6 halve it. */
     int loadReduction;
 
     int reportEveryMs;
@@ -229,11 +228,11 @@
 
     /** The slots of a job, limited to those of the smallest endpoint. */
     int slotsOf(RandomClass jobClass) {
-        int least = Integer.MAX_VALUE;
+        int minSlots = Integer.MAX_VALUE;
         for (int kind = 0; kind < kinds; kind++) {
-            least = Math.min(least, slotsOf(kind));
+            minSlots = Math.min(minSlots, slotsOf(kind));
         }
-        return Math.min(jobClass.slots, least);
+        return Math.min(jobClass.slots, minSlots);
     }
 
     /** The zone of a scheduler: they are spread over the zones, or all in the first one. */
@@ -241,7 +240,7 @@
         return allInFirstZone ? 0 : number % zones;
     }
 
-    /** The requested load as a part of the fleet's capacity. */
+    /** The requested load as a fraction of the fleet's capacity. */
     double load() {
         return Math.pow(2, -loadReduction / 6.0);
     }
@@ -287,38 +286,38 @@
         return root.toString();
     }
 
-    private static JsonArray names(String stem, int count) {
+    private static JsonArray names(String prefix, int count) {
         JsonArray names = new JsonArray();
         for (int i = 0; i < count; i++) {
-            names.add(stem + i);
+            names.add(prefix + i);
         }
         return names;
     }
 
     private JsonArray classes() {
-        JsonArray all = new JsonArray();
-        for (RandomClass from : classes) {
-            JsonObject to = new JsonObject();
-            to.addProperty("name", "class" + all.size());
-            to.addProperty("aim", from.aimMs() / 1e3);
-            to.addProperty("hardLimit", from.deadlineMs() / 1e3);
-            to.addProperty("semantics", SEMANTICS[from.semantics]);
-            to.addProperty("group", GROUPS[from.group]);
-            to.addProperty("dedupWindow", from.windowMs / 1e3);
-            to.addProperty("worth", from.worth);
-            to.addProperty("lateWorth", from.lateTenths / 10.0);
-            all.add(to);
+        JsonArray array = new JsonArray();
+        for (RandomClass jobClass : classes) {
+            JsonObject json = new JsonObject();
+            json.addProperty("name", "class" + array.size());
+            json.addProperty("aim", jobClass.aimMs() / 1e3);
+            json.addProperty("hardLimit", jobClass.deadlineMs() / 1e3);
+            json.addProperty("semantics", SEMANTICS[jobClass.semantics]);
+            json.addProperty("group", GROUPS[jobClass.group]);
+            json.addProperty("dedupWindow", jobClass.windowMs / 1e3);
+            json.addProperty("worth", jobClass.worth);
+            json.addProperty("lateWorth", jobClass.lateTenths / 10.0);
+            array.add(json);
         }
-        return all;
+        return array;
     }
 
     private JsonObject familyInfo() {
         JsonObject info = new JsonObject();
         JsonArray kind = new JsonArray();
         JsonArray stretch = new JsonArray();
-        for (RandomClass from : classes) {
-            kind.add(kindOf(from));
-            stretch.add(from.stretchTenths / 10.0);
+        for (RandomClass jobClass : classes) {
+            kind.add(kindOf(jobClass));
+            stretch.add(jobClass.stretchTenths / 10.0);
         }
         info.add("classKind", kind);
         info.add("classStretch", stretch);
@@ -349,15 +348,15 @@
     }
 
     private JsonArray customers() {
-        JsonArray all = new JsonArray();
+        JsonArray array = new JsonArray();
         for (int i = 0; i < tenants; i++) {
-            JsonObject one = new JsonObject();
-            one.addProperty("name", "tenant" + i);
-            one.addProperty("quotaPerS", quota > 0 ? quota : 5.0 + 10 * i);
-            one.addProperty("portion", 1.0 / tenants);
-            all.add(one);
+            JsonObject tenant = new JsonObject();
+            tenant.addProperty("name", "tenant" + i);
+            tenant.addProperty("quotaPerS", quota > 0 ? quota : 5.0 + 10 * i);
+            tenant.addProperty("portion", 1.0 / tenants);
+            array.add(tenant);
         }
-        return all;
+        return array;
     }
 
     @Override
--- a/src/test/java/laneflow/core/RandomSettingsTest.java
+++ b/src/test/java/laneflow/core/RandomSettingsTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.RandomGenerator;
 
-/** Short simulations under random settings: a fault may show only under some deployments' settings. */
+/** Checks invariants in short simulations under random settings, as some faults show only under some settings. */
 class RandomSettingsTest {
     private static final double SECONDS = 12;
     /** Lowest served share of a class or tenant when there is capacity for all requests. */
@@ -25,34 +25,34 @@
         return RandomSettings.any();
     }
 
-    /** With crashes, drains, hangs, errors, scheduler restarts and leaving clients. */
+    /** The faults are crashes, drains, hangs, errors, scheduler restarts and clients that leave. */
     @Property(tries = 100, seed = "7", edgeCases = EdgeCasesMode.NONE)
     void invariantsHoldUnderFaults(@ForAll("settings") RandomSettings settings) {
-        new FleetSimulation(settings, Fault.NONE, true).play(SECONDS);
+        new FleetSimulation(settings, Fault.NONE, true).run(SECONDS);
     }
 
     /** Within capacity, each class and tenant is served, and nothing is refused while the fleet is idle. */
     @Property(tries = 100, seed = "7", edgeCases = EdgeCasesMode.NONE)
     void everyClassAndTenantIsServedWithoutFaults(@ForAll("settings") RandomSettings settings) {
-        FleetSimulation simulation = new FleetSimulation(settings, Fault.NONE, false).play(SECONDS);
+        FleetSimulation simulation = new FleetSimulation(settings, Fault.NONE, false).run(SECONDS);
         assertTrue(simulation.minServedShare() >= MIN_SERVED, "a class has " + simulation.minServedShare());
         assertTrue(
                 simulation.minServedTenantShare() >= MIN_SERVED, "a tenant has " + simulation.minServedTenantShare());
     }
 
     private static RandomSettings draw(long seed) {
-        RandomGenerator<RandomSettings> any = RandomSettings.any().generator(1000, false);
-        return any.next(new Random(seed)).value();
+        RandomGenerator<RandomSettings> generator = RandomSettings.any().generator(1000, false);
+        return generator.next(new Random(seed)).value();
     }
 
     /** The first violation found in a number of simulations with the fault. */
-    private static String firstViolation(Fault fault, boolean rough) {
+    private static String firstViolation(Fault fault, boolean withFaults) {
         for (long seed = 1; seed < 60; seed++) {
             try {
-                FleetSimulation simulation = new FleetSimulation(draw(seed), fault, rough).play(SECONDS);
-                if (!rough && simulation.minServedShare() < MIN_SERVED) {
+                FleetSimulation simulation = new FleetSimulation(draw(seed), fault, withFaults).run(SECONDS);
+                if (!withFaults && simulation.minServedShare() < MIN_SERVED) {
                     return "class starved";
-                } else if (!rough && simulation.minServedTenantShare() < MIN_SERVED) {
+                } else if (!withFaults && simulation.minServedTenantShare() < MIN_SERVED) {
                     return "tenant starved";
                 }
             } catch (Violation e) {
@@ -71,28 +71,28 @@
         assertEquals("cold budget", firstViolation(Fault.COLD_TENFOLD, true));
         assertEquals("class starved", firstViolation(Fault.CLASS_REFUSED, false));
         assertEquals("tenant starved", firstViolation(Fault.TENANT_REFUSED, false));
-        assertEquals("at rest", firstViolation(Fault.IDLE_REFUSED, false));
+        assertEquals("idle fleet", firstViolation(Fault.IDLE_REFUSED, false));
     }
 
     /** Guards against simulations in which the invariants have nothing to check. */
     @Example
-    void simulationsExerciseColdEndpointsAndRest() {
+    void simulationsIncludeColdEndpointsAndIdleFleets() {
         int requests = 0;
-        int cold = 0;
-        int atRest = 0;
-        double budget = 0;
+        int coldSends = 0;
+        int whileIdle = 0;
+        double maxBudgetUse = 0;
         for (long seed = 1; seed <= 60; seed++) {
-            FleetSimulation rough = new FleetSimulation(draw(seed), Fault.NONE, true).play(SECONDS);
-            FleetSimulation calm = new FleetSimulation(draw(seed), Fault.NONE, false).play(SECONDS);
-            requests += rough.requests() + calm.requests();
-            cold += rough.rules.coldSendCount;
-            atRest += calm.answeredAtRest;
-            budget = Math.max(budget, rough.rules.maxBudgetUse);
+            FleetSimulation withFaults = new FleetSimulation(draw(seed), Fault.NONE, true).run(SECONDS);
+            FleetSimulation faultFree = new FleetSimulation(draw(seed), Fault.NONE, false).run(SECONDS);
+            requests += withFaults.requests() + faultFree.requests();
+            coldSends += withFaults.invariants.coldSendCount;
+            whileIdle += faultFree.answeredWhileIdle;
+            maxBudgetUse = Math.max(maxBudgetUse, withFaults.invariants.maxBudgetUse);
         }
-        String seen =
-                requests + " requests, " + cold + " cold sends, " + budget + " of the budget, " + atRest + " at rest";
-        assertTrue(requests > 20_000 && cold > 500 && atRest > 10, seen);
-        // The schedulers together use most of the budget: the reserve covers only errors of hints and estimates.
-        assertTrue(budget > 0.25 && budget < 0.6, seen);
+        String summary = requests + " requests, " + coldSends + " cold sends, " + maxBudgetUse + " of the budget, "
+                + whileIdle + " while idle";
+        assertTrue(requests > 20_000 && coldSends > 500 && whileIdle > 10, summary);
+        // The cold budget is the limit less a reserve for errors of hints and estimates; the schedulers use most of it.
+        assertTrue(maxBudgetUse > 0.25 && maxBudgetUse < 0.6, summary);
     }
 }
--- a/src/test/java/laneflow/core/SchedulerPairModel.java
+++ b/src/test/java/laneflow/core/SchedulerPairModel.java
@@ -15,8 +15,8 @@
 
 /**
  * Two schedulers in two zones and three endpoints, of which e2 is cold, on a simulated clock and an in-memory
- * connector. Events are played one at a time; after each, the invariants are checked against what the connector
- * and the fronts observed. {@link EventOrderTest} plays every order of events.
+ * connector. Events are applied one at a time; after each, the invariants are checked against what the connector
+ * and the fronts observed. {@link EventOrderTest} applies every order of events.
  */
 final class SchedulerPairModel {
     /** A fault injected to verify that the check of an invariant detects it. */
@@ -38,8 +38,8 @@
     static final class Violation extends RuntimeException {
         final String rule;
 
-        Violation(String rule, String what) {
-            super(rule + ": " + what, null, false, false);
+        Violation(String rule, String details) {
+            super(rule + ": " + details, null, false, false);
             this.rule = rule;
         }
     }
@@ -51,6 +51,7 @@
     private static final long WINDOW_MICROS = 500_000;
 
     private static final long START = 1_000_000_000L;
+    /** Classes by number; "capture" is the unsafe one. */
     private static final String[] CLASS_LABELS = {"safe ", "keyed ", "capture "};
 
     private final Fault fault;
@@ -130,38 +131,38 @@
             answer(tag, fault == Fault.FAILURE_REPORTED_AS_REFUSAL ? "refused" : "failed");
         }
 
-        private void answer(long tag, String what) {
-            if (fault == Fault.ANSWER_LOST && !what.equals("served")) {
+        private void answer(long tag, String answer) {
+            if (fault == Fault.ANSWER_LOST && !answer.equals("served")) {
                 return;
             }
-            if (fault == Fault.ANSWER_DELAYED && !what.equals("served")) {
-                // Like a front that answers only just before the deadline.
+            if (fault == Fault.ANSWER_DELAYED && !answer.equals("served")) {
+                // As a front would that answers only just before the deadline.
                 Client client = clients.get((int) tag);
-                deadlines.at(client.request.deadline - 1, () -> client.answers.add(what));
+                deadlines.at(client.request.deadline - 1, () -> client.answers.add(answer));
                 return;
             }
-            clients.get((int) tag).answers.add(what);
+            clients.get((int) tag).answers.add(answer);
             clients.get((int) tag).answeredAt = now;
             if (fault == Fault.DUPLICATE_ANSWER) {
-                clients.get((int) tag).answers.add(what);
+                clients.get((int) tag).answers.add(answer);
             }
         }
 
         @Override
         public void open(Attempt attempt) {
-            SentAttempt sent = new SentAttempt();
-            sent.client = clients.get((int) attempt.request.tag);
-            sent.attempt = attempt;
-            sentAttempts.add(sent);
+            SentAttempt sentAttempt = new SentAttempt();
+            sentAttempt.client = clients.get((int) attempt.request.tag);
+            sentAttempt.attempt = attempt;
+            sentAttempts.add(sentAttempt);
         }
 
         @Override
         public boolean close(Attempt attempt) {
             boolean unsent = false;
-            for (SentAttempt sent : sentAttempts) {
-                if (sent.attempt == attempt && fault != Fault.CLOSE_IGNORED) {
-                    sent.ended = true;
-                    unsent = !sent.mayHaveRun;
+            for (SentAttempt sentAttempt : sentAttempts) {
+                if (sentAttempt.attempt == attempt && fault != Fault.CLOSE_IGNORED) {
+                    sentAttempt.ended = true;
+                    unsent = !sentAttempt.mayHaveRun;
                 }
             }
             return unsent;
@@ -169,8 +170,8 @@
 
         @Override
         public boolean closeUnsent(Attempt attempt) {
-            for (SentAttempt sent : sentAttempts) {
-                if (sent.attempt == attempt && !sent.fullySent && fault != Fault.ALWAYS_SENDS) {
+            for (SentAttempt sentAttempt : sentAttempts) {
+                if (sentAttempt.attempt == attempt && !sentAttempt.fullySent && fault != Fault.ALWAYS_SENDS) {
                     return close(attempt);
                 }
             }
@@ -285,8 +286,8 @@
         }
     }
 
-    /** Plays an event and checks the invariants. */
-    void play(String event) {
+    /** Applies an event and checks the invariants. */
+    void apply(String event) {
         eventCount++;
         String[] words = event.split(" ");
         int index = words.length > 1 ? Integer.parseInt(words[1]) : 0;
@@ -358,70 +359,74 @@
         node.scheduler.submit(client.request);
     }
 
-    /** The connection is open: sends all but the last byte, if the scheduler allows it. */
-    private void sendPartly(SentAttempt sent) {
-        if (maySend(sent)) {
-            checkGrace(sent);
-            sent.partlySent = true;
+    /** Handles the opening of a connection: sends all but the last byte, if the scheduler allows it. */
+    private void sendPartly(SentAttempt sentAttempt) {
+        if (maySend(sentAttempt)) {
+            checkGrace(sentAttempt);
+            sentAttempt.partlySent = true;
         }
     }
 
     /** Asks the scheduler, as a connector does before it sends, and ends the attempt if that is not allowed. */
-    private boolean maySend(SentAttempt sent) {
-        boolean may = fault == Fault.SEND_CHECK_SKIPPED
+    private boolean maySend(SentAttempt sentAttempt) {
+        boolean allowed = fault == Fault.SEND_CHECK_SKIPPED
                 || fault == Fault.ALWAYS_SENDS
-                || sent.client.node.scheduler.maySend(sent.attempt);
-        if (!may) {
-            end(sent, Outcome.MOOT, null);
+                || sentAttempt.client.node.scheduler.maySend(sentAttempt.attempt);
+        if (!allowed) {
+            end(sentAttempt, Outcome.MOOT, null);
         }
-        return may;
+        return allowed;
     }
 
-    private void checkGrace(SentAttempt sent) {
-        String at = sent.attempt.endpoint.name;
-        Long stop = sent.client.node.drainNotifiedAt.get(at);
-        if (stop != null && now > stop + 550_000) {
-            throw new Violation("drains", "sent to " + at + " " + (now - stop) + " us after the notice of its drain");
+    private void checkGrace(SentAttempt sentAttempt) {
+        String endpoint = sentAttempt.attempt.endpoint.name;
+        Long drainNotifiedAt = sentAttempt.client.node.drainNotifiedAt.get(endpoint);
+        if (drainNotifiedAt != null && now > drainNotifiedAt + 550_000) {
+            throw new Violation(
+                    "drains",
+                    "sent to " + endpoint + " " + (now - drainNotifiedAt) + " us after the notice of its drain");
         }
     }
 
-    /** The connection is open: sends everything up to the last byte, if the scheduler allows it. */
-    private void sendFully(SentAttempt sent) {
-        if (!maySend(sent)) {
+    /** Sends a request over its open connection up to the last byte, if the scheduler allows it. */
+    private void sendFully(SentAttempt sentAttempt) {
+        if (!maySend(sentAttempt)) {
             return;
         }
-        if (sent.client.left || !sent.client.answers.isEmpty()) {
+        if (sentAttempt.client.left || !sentAttempt.client.answers.isEmpty()) {
             throw new Violation("client left", "sent for a client that has left or been answered");
         }
-        checkGrace(sent);
-        String at = sent.attempt.endpoint.name;
-        if (sent.client.node.setDownAt.containsKey(at)) {
-            throw new Violation("bans", "sent to " + at + ", which is set down");
+        checkGrace(sentAttempt);
+        String endpoint = sentAttempt.attempt.endpoint.name;
+        if (sentAttempt.client.node.setDownAt.containsKey(endpoint)) {
+            throw new Violation("bans", "sent to " + endpoint + ", which is set down");
         }
         for (SentAttempt other : sentAttempts) {
-            if (other != sent && other.client == sent.client && other.fullySent) {
+            if (other != sentAttempt && other.client == sentAttempt.client && other.fullySent) {
                 if (!other.ended) {
-                    throw new Violation("one open attempt", "a second one to " + at);
+                    throw new Violation("one open attempt", "a second one to " + endpoint);
                 }
                 if (other.mayHaveRun
-                        && (sent.client.jobClass == SchedulerTest.UNSAFE
-                                || sent.client.jobClass == SchedulerTest.KEYED
+                        && (sentAttempt.client.jobClass == SchedulerTest.UNSAFE
+                                || sentAttempt.client.jobClass == SchedulerTest.KEYED
                                         && now >= other.sentAt + WINDOW_MICROS)) {
                     throw new Violation(
-                            "no repeat", "may have run at " + other.attempt.endpoint + ", sent again to " + at);
+                            "no repeat", "may have run at " + other.attempt.endpoint + ", sent again to " + endpoint);
                 }
             }
         }
-        sent.fullySent = true;
-        sent.sentAt = now;
-        sent.mayHaveRun = true;
+        sentAttempt.fullySent = true;
+        sentAttempt.sentAt = now;
+        sentAttempt.mayHaveRun = true;
         checkColdBudget();
     }
 
     private void checkColdBudget() {
         double sum = 0;
-        for (SentAttempt sent : sentAttempts) {
-            if (sent.fullySent && sent.attempt.endpoint.name.equals("e2") && sent.sentAt > now - 1_500_000) {
+        for (SentAttempt sentAttempt : sentAttempts) {
+            if (sentAttempt.fullySent
+                    && sentAttempt.attempt.endpoint.name.equals("e2")
+                    && sentAttempt.sentAt > now - 1_500_000) {
                 sum += fault == Fault.COLD_TENFOLD ? 10 * HINT : HINT;
             }
         }
@@ -431,11 +436,11 @@
         }
     }
 
-    private void end(SentAttempt sent, Outcome outcome, LoadReport report) {
-        sent.ended = true;
-        sent.mayHaveRun &= outcome != Outcome.FULL;
-        sent.client.completed |= outcome == Outcome.OK;
-        sent.client.node.scheduler.ended(sent.attempt, outcome, new byte[0], report);
+    private void end(SentAttempt sentAttempt, Outcome outcome, LoadReport report) {
+        sentAttempt.ended = true;
+        sentAttempt.mayHaveRun &= outcome != Outcome.FULL;
+        sentAttempt.client.completed |= outcome == Outcome.OK;
+        sentAttempt.client.node.scheduler.ended(sentAttempt.attempt, outcome, new byte[0], report);
     }
 
     /** The first scheduler receives a list with e1 in this state. */
@@ -454,8 +459,8 @@
         for (Client client : clients) {
             client.left |= client.node == nodes[index] && client.answers.isEmpty();
         }
-        for (SentAttempt sent : sentAttempts) {
-            sent.ended |= sent.client.node == nodes[index];
+        for (SentAttempt sentAttempt : sentAttempts) {
+            sentAttempt.ended |= sentAttempt.client.node == nodes[index];
         }
         nodes[index] = new Node(index, 70 + eventCount);
     }
@@ -463,7 +468,7 @@
     private void advance(long micros) {
         long until = now + micros;
         for (Node node : nodes) {
-            // Deadlines at different instants run in turns of their own, as in the loop.
+            // As in the event loop, deadlines at different instants run in separate turns.
             for (long next = node.deadlines.next(); next <= until; next = node.deadlines.next()) {
                 now = Math.max(now, next);
                 node.deadlines.runDue(now);
@@ -482,12 +487,12 @@
             boolean mayHaveRun = false;
             boolean keyExpired = false;
             int attemptCount = 0;
-            for (SentAttempt each : sentAttempts) {
-                if (each.client == client) {
+            for (SentAttempt sentAttempt : sentAttempts) {
+                if (sentAttempt.client == client) {
                     attemptCount++;
-                    hasOpenAttempt |= !each.ended;
-                    mayHaveRun |= each.mayHaveRun;
-                    keyExpired |= each.mayHaveRun && client.answeredAt >= each.sentAt + WINDOW_MICROS;
+                    hasOpenAttempt |= !sentAttempt.ended;
+                    mayHaveRun |= sentAttempt.mayHaveRun;
+                    keyExpired |= sentAttempt.mayHaveRun && client.answeredAt >= sentAttempt.sentAt + WINDOW_MICROS;
                 }
             }
             if (client.answers.size() > 1 || client.left && !client.answers.isEmpty()) {
--- a/src/test/java/laneflow/core/SchedulerTest.java
+++ b/src/test/java/laneflow/core/SchedulerTest.java
@@ -19,7 +19,7 @@
 import laneflow.decision.Dispatch.State;
 import org.junit.jupiter.api.Test;
 
-/** The scheduler's own rules, with a clock set by the test and a front and a connector that record their calls. */
+/** Unit tests of {@link Scheduler}, on a simulated clock, with a front and a connector that record their calls. */
 class SchedulerTest implements RecordingFront, Connector {
     static final int SAFE = 0;
     static final int KEYED = 1;
@@ -161,7 +161,7 @@
         assertEquals(1, counters.get("core.kept.left"));
     }
 
-    /** Operators rate such a failure like a refusal, so it has a counter of its own. */
+    /** To operators such a failure is like a refusal, so it has its own counter. */
     @Test
     void aFailureWithoutAnyAttemptIsCounted() {
         endpoints("a");
@@ -252,7 +252,7 @@
         assertEquals(0, scheduler.openRequests());
     }
 
-    /** A silent endpoint must not hold a connection, and its entry in the decision module, for ever. */
+    /** An attempt at a silent endpoint must not keep its connection and its state in the decision module forever. */
     @Test
     void noAttemptOutlivesItsDeadlineThoughCancellingIsOff() {
         scheduler.settings().mayCancel = false;
@@ -293,12 +293,12 @@
     }
 
     @Test
-    void aSurgeIsDetectedAndSteadyOrFewRequestsAreNot() {
+    void aSurgeIsDetectedAndASteadyOrLowRateIsNot() {
         Arrivals arrivals = new Arrivals();
         long at = now;
         for (; at < now + 9_000_000; at += 50_000) {
             arrivals.add(at);
-            // Nor at the start, when there is nothing to compare with.
+            // At the start there is no earlier rate to compare with.
             assertFalse(arrivals.isSurge(at));
         }
         for (; at < now + 11_500_000; at += 25_000) {
@@ -314,11 +314,11 @@
     @Test
     void anUnsafeRequestThatWasNeverSentIsRefusedAtItsDeadline() {
         endpoints("a");
-        neverSent = true;
+        closesUnsent = true;
         submit(UNSAFE);
         advance(5_000_000);
         assertEquals(List.of("refused"), answers);
-        neverSent = false;
+        closesUnsent = false;
         submit(UNSAFE);
         advance(5_000_000);
         assertEquals(List.of("refused", "failed"), answers);
@@ -360,12 +360,12 @@
                 () -> counters.add("x"),
                 () -> scheduler.probed(null, 0, Outcome.OK, null));
         for (Runnable use : uses) {
-            Throwable[] seen = new Throwable[1];
+            Throwable[] thrownError = new Throwable[1];
             Thread other = new Thread(use);
-            other.setUncaughtExceptionHandler((thread, thrown) -> seen[0] = thrown);
+            other.setUncaughtExceptionHandler((thread, thrown) -> thrownError[0] = thrown);
             other.start();
             other.join();
-            assertEquals(AssertionError.class, seen[0] == null ? null : seen[0].getClass());
+            assertEquals(AssertionError.class, thrownError[0] == null ? null : thrownError[0].getClass());
         }
     }
 
@@ -385,17 +385,17 @@
     @Test
     void deadlinesRunInOrderAfterCancellations() {
         List<Integer> ran = new ArrayList<>();
-        List<Deadlines.Deadline> all = new ArrayList<>();
+        List<Deadlines.Deadline> created = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             int number = i;
-            all.add(deadlines.at(i * 37 % 200, () -> ran.add(number * 37 % 200)));
+            created.add(deadlines.at(i * 37 % 200, () -> ran.add(number * 37 % 200)));
         }
         List<Integer> expected = new ArrayList<>();
         for (int at = 0; at < 200; at++) {
             expected.add(at);
         }
         for (int i = 0; i < 200; i += 3) {
-            deadlines.cancel(all.get(i));
+            deadlines.cancel(created.get(i));
             expected.remove(Integer.valueOf(i * 37 % 200));
         }
         assertEquals((long) expected.get(0), deadlines.next());
@@ -415,29 +415,29 @@
     }
 
     /** Whether this connector reports closed attempts as not sent to their last byte. */
-    private boolean neverSent;
+    private boolean closesUnsent;
 
     @Override
     public void open(Attempt attempt) {
         attempts.add(attempt);
-        Runnable then = onOpen;
+        Runnable action = onOpen;
         onOpen = () -> {};
-        then.run();
+        action.run();
     }
 
     @Override
     public boolean close(Attempt attempt) {
         closed.add(attempt);
         onClose.run();
-        return neverSent;
+        return closesUnsent;
     }
 
     @Override
     public boolean closeUnsent(Attempt attempt) {
-        if (neverSent) {
+        if (closesUnsent) {
             closed.add(attempt);
         }
-        return neverSent;
+        return closesUnsent;
     }
 
     @Override
@@ -450,7 +450,7 @@
         throw new AssertionError("no such rule in these settings");
     }
 
-    /** This connector does not close the attempt, so its connection opens when nobody waits any more. */
+    /** Without cancelling, the connector keeps the attempt, so its connection may open after the client has left. */
     @Test
     void noAttemptIsSentOnceItsClientHasLeftThoughCancellingIsOff() {
         scheduler.settings().mayCancel = false;
@@ -466,14 +466,14 @@
     void anUnsentAttemptIsClosedWhenItsClientLeavesThoughCancellingIsOff() {
         scheduler.settings().mayCancel = false;
         endpoints("a", "b");
-        neverSent = true;
+        closesUnsent = true;
         for (int jobClass : new int[] {SAFE, KEYED, UNSAFE}) {
             scheduler.withdraw(submit(jobClass));
         }
         assertEquals(attempts, closed);
         assertEquals(3, counters.get("call.moot"));
         assertEquals(0, scheduler.openRequests());
-        neverSent = false;
+        closesUnsent = false;
         // An attempt that may be running goes on until the client's deadline.
         scheduler.withdraw(submit(SAFE));
         assertEquals(3, closed.size());
@@ -487,7 +487,7 @@
     void anUnsentAttemptIsClosedWithTheAnswerThoughCancellingIsOff() {
         scheduler.settings().mayCancel = false;
         endpoints("a");
-        neverSent = true;
+        closesUnsent = true;
         submit(SAFE);
         advance(4_999_000);
         assertEquals(List.of("refused"), answers);
@@ -498,11 +498,11 @@
     @Test
     void aHeldRequestIsNotDecidedOnOnceItsClientHasLeft() {
         endpoints("a");
-        boolean[] may = new boolean[1];
+        boolean[] mayDecide = new boolean[1];
         scheduler.setAdmissionGate(new AdmissionGate() {
             @Override
             public boolean mayDecide() {
-                return may[0];
+                return mayDecide[0];
             }
 
             @Override
@@ -519,7 +519,7 @@
         submit(SAFE);
         advance(1_000);
         scheduler.withdraw(leaving);
-        may[0] = true;
+        mayDecide[0] = true;
         advance(9_000);
         assertEquals(1, attempts.size());
         assertTrue(attempts.get(0).request != leaving);
@@ -565,9 +565,9 @@
     /** If endpoints may have started a shed attempt, the key's window runs from that attempt on. */
     @Test
     void aShedAttemptMayHaveRunIfTheSettingsSaySo() {
-        for (boolean may : new boolean[] {false, true}) {
+        for (boolean fullMayHaveRun : new boolean[] {false, true}) {
             SchedulerTest other = new SchedulerTest();
-            other.scheduler.settings().fullMayHaveRun = may;
+            other.scheduler.settings().fullMayHaveRun = fullMayHaveRun;
             // Endpoints of two kinds: load shed by one says nothing about the other.
             Entry second = entry("b", State.READY);
             second.kind = 1;
@@ -578,7 +578,7 @@
             other.advance(999_000);
             assertTrue(other.scheduler.maySend(other.attempts.get(1)));
             other.advance(1_000);
-            assertEquals(!may, other.scheduler.maySend(other.attempts.get(1)));
+            assertEquals(!fullMayHaveRun, other.scheduler.maySend(other.attempts.get(1)));
         }
     }
 
--- a/src/test/java/laneflow/core/FleetEndpoint.java
+++ b/src/test/java/laneflow/core/SimulatedEndpoint.java
@@ -11,7 +11,7 @@
 import laneflow.decision.Dispatch.State;
 
 /** An endpoint of a {@link FleetSimulation}: it queues and runs jobs, hangs, crashes and restarts cold. */
-final class FleetEndpoint {
+final class SimulatedEndpoint {
     private static final int QUEUE_PER_SLOT = 6;
 
     private final FleetSimulation simulation;
@@ -29,11 +29,11 @@
     private int incarnation;
     private LoadReport report;
     private long reportedAt;
-    private int served; // Since the last report.
+    private int servedSinceReport;
 
-    FleetEndpoint(FleetSimulation simulation, int number, int kind) {
+    SimulatedEndpoint(FleetSimulation simulation, int number, int kind) {
         this.simulation = simulation;
-        settings = simulation.drawn;
+        settings = simulation.settings;
         entry.name = "e" + number;
         entry.kind = kind;
         entry.zone = number % settings.zones;
@@ -45,93 +45,93 @@
 
     double warmShare() {
         double age = (simulation.now - entry.startedAt) / 1e3 / settings.coldMs;
-        double from = settings.coldFromPercent / 100.0;
-        return entry.startedAt == 0 ? 1 : Math.min(1, from + (1 - from) * age);
+        double coldShare = settings.coldFromPercent / 100.0;
+        return entry.startedAt == 0 ? 1 : Math.min(1, coldShare + (1 - coldShare) * age);
     }
 
     boolean isWarm() {
         return up && !silent && warmShare() == 1;
     }
 
-    void receive(SentAttempt sent) {
+    void receive(SentAttempt sentAttempt) {
         if (warmShare() < 1) {
-            simulation.rules.checkColdBudget(this, sent, simulation.now);
+            simulation.invariants.checkColdBudget(this, sentAttempt, simulation.now);
         }
         if (!up) {
             return;
         }
         if (queue.size() >= QUEUE_PER_SLOT * slots) {
-            simulation.schedule(500, () -> simulation.end(sent, Outcome.FULL));
+            simulation.schedule(500, () -> simulation.end(sentAttempt, Outcome.FULL));
             return;
         }
-        simulation.changeBusy(1);
-        sent.heldByWorker = true;
-        queue.add(sent);
+        simulation.changeHeldAttempts(1);
+        sentAttempt.heldByEndpoint = true;
+        queue.add(sentAttempt);
         startNext();
     }
 
-    /** The attempts it holds, running or queued. */
-    Stream<SentAttempt> held() {
+    /** Its running and queued attempts. */
+    Stream<SentAttempt> heldAttempts() {
         return Stream.concat(running.stream(), queue.stream());
     }
 
     void startNext() {
         while (!queue.isEmpty() && !silent && usedSlots + settings.slotsOf(queue.peek().client.type) <= slots) {
-            SentAttempt sent = queue.poll();
-            usedSlots += settings.slotsOf(sent.client.type);
-            usedMemory += sent.client.request.memory;
-            running.add(sent);
-            sent.running = true;
-            int startedIn = incarnation;
-            long runMicros = (long) (1e6 * sent.client.work / (speed * warmShare()));
-            if (settings.tellsStart && !sent.ended) {
-                simulation.schedule(200, () -> reportProgress(sent, startedIn, 0, 1));
+            SentAttempt sentAttempt = queue.poll();
+            usedSlots += settings.slotsOf(sentAttempt.client.type);
+            usedMemory += sentAttempt.client.request.memory;
+            running.add(sentAttempt);
+            sentAttempt.running = true;
+            int startIncarnation = incarnation;
+            long runMicros = (long) (1e6 * sentAttempt.client.work / (speed * warmShare()));
+            if (settings.tellsStart && !sentAttempt.ended) {
+                simulation.schedule(200, () -> reportProgress(sentAttempt, startIncarnation, 0, 1));
             }
             for (long at = settings.progressMs * 1000L; at > 0 && at < runMicros; at += settings.progressMs * 1000L) {
                 long done = at;
-                simulation.schedule(at, () -> reportProgress(sent, startedIn, done, runMicros));
+                simulation.schedule(at, () -> reportProgress(sentAttempt, startIncarnation, done, runMicros));
             }
-            simulation.schedule(runMicros, () -> complete(sent, startedIn));
+            simulation.schedule(runMicros, () -> complete(sentAttempt, startIncarnation));
         }
     }
 
-    private void reportProgress(SentAttempt sent, int startedIn, long done, long total) {
-        if (sent.ended || incarnation != startedIn || silent) {
+    private void reportProgress(SentAttempt sentAttempt, int startIncarnation, long done, long total) {
+        if (sentAttempt.ended || incarnation != startIncarnation || silent) {
             return;
         }
         if (done == 0) {
-            sent.client.node.scheduler.started(sent.attempt);
+            sentAttempt.client.node.scheduler.started(sentAttempt.attempt);
         } else {
-            sent.client.node.scheduler.progress(sent.attempt, done, total);
+            sentAttempt.client.node.scheduler.progress(sentAttempt.attempt, done, total);
         }
     }
 
-    private void complete(SentAttempt sent, int startedIn) {
-        if (incarnation != startedIn) {
+    private void complete(SentAttempt sentAttempt, int startIncarnation) {
+        if (incarnation != startIncarnation) {
             return;
         }
         if (silent) {
-            simulation.schedule(500_000, () -> complete(sent, startedIn));
+            simulation.schedule(500_000, () -> complete(sentAttempt, startIncarnation));
             return;
         }
-        running.remove(sent);
-        release(sent);
-        boolean fails = simulation.rough && simulation.random.nextInt(40) == 0;
-        served++;
-        simulation.end(sent, fails ? Outcome.ERROR : Outcome.OK);
+        running.remove(sentAttempt);
+        release(sentAttempt);
+        boolean fails = simulation.withFaults && simulation.random.nextInt(40) == 0;
+        servedSinceReport++;
+        simulation.end(sentAttempt, fails ? Outcome.ERROR : Outcome.OK);
         startNext();
     }
 
-    void release(SentAttempt sent) {
-        simulation.changeBusy(-1);
-        sent.heldByWorker = false;
-        if (sent.running) {
-            usedSlots -= settings.slotsOf(sent.client.type);
-            usedMemory -= sent.client.request.memory;
+    void release(SentAttempt sentAttempt) {
+        simulation.changeHeldAttempts(-1);
+        sentAttempt.heldByEndpoint = false;
+        if (sentAttempt.running) {
+            usedSlots -= settings.slotsOf(sentAttempt.client.type);
+            usedMemory -= sentAttempt.client.request.memory;
         }
     }
 
-    /** Loses all attempts and restarts cold after the given time; until then it is listed as gone if so asked. */
+    /** Loses all attempts and restarts cold after the given time; if {@code isListed}, it is listed as gone until then. */
     void crash(boolean isListed, long downMicros) {
         if (!up) {
             return;
@@ -142,9 +142,9 @@
         lost.addAll(queue);
         running.clear();
         queue.clear();
-        lost.forEach(sent -> {
-            release(sent);
-            simulation.schedule(300, () -> simulation.end(sent, Outcome.RESET));
+        lost.forEach(sentAttempt -> {
+            release(sentAttempt);
+            simulation.schedule(300, () -> simulation.end(sentAttempt, Outcome.RESET));
         });
         if (isListed) {
             announce(State.GONE);
@@ -171,7 +171,7 @@
         if (report == null || simulation.now >= reportedAt + settings.reportEveryMs * 1000L) {
             report = measure();
             reportedAt = simulation.now;
-            served = 0;
+            servedSinceReport = 0;
         }
         return report;
     }
@@ -181,7 +181,7 @@
         report.freeSlots = settings.reports(0) ? Math.max(0, slots - usedSlots) : Double.NaN;
         report.queue = settings.reports(1) ? queue.size() : Double.NaN;
         report.rate = settings.reports(3) && simulation.now > reportedAt
-                ? served * 1e6 / (simulation.now - reportedAt)
+                ? servedSinceReport * 1e6 / (simulation.now - reportedAt)
                 : Double.NaN;
         report.freeMemory = settings.reports(2) && settings.memory > 0 ? slots - usedMemory : Double.NaN;
         return report;
--- a/src/test/java/laneflow/core/StagedUpdateTest.java
+++ b/src/test/java/laneflow/core/StagedUpdateTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Updates prepared in steps: nothing is visible before the adoption, everything after it. */
+/** Updates of the endpoint list, prepared in steps: nothing is visible before the adoption, everything after it. */
 class StagedUpdateTest {
     private static final int NAMES = 300;
 
@@ -52,12 +52,12 @@
     }
 
     /** The addresses of the ready endpoints of a source, by name. */
-    private static Map<String, String> live(Scheduler scheduler, Connector connector) {
-        Map<String, String> live = new TreeMap<>();
+    private static Map<String, String> readyAddresses(Scheduler scheduler, Connector connector) {
+        Map<String, String> readyAddresses = new TreeMap<>();
         scheduler.endpoints().ofSource(connector).stream()
-                .filter(one -> one.state() == State.READY)
-                .forEach(one -> live.put(one.name, one.dial));
-        return live;
+                .filter(endpoint -> endpoint.state() == State.READY)
+                .forEach(endpoint -> readyAddresses.put(endpoint.name, endpoint.dial));
+        return readyAddresses;
     }
 
     @Property(tries = 150, seed = "7")
@@ -68,7 +68,7 @@
         Scheduler scheduler = new Scheduler(settings, 1, () -> 5, new Deadlines(), new Counters());
         Connector connector = new NoOpConnector();
         Connector other = new NoOpConnector();
-        // An endpoint of another source that this source lists too stays with the other source.
+        // An endpoint that two sources list belongs to the one that listed it first.
         Entry foreign = new Entry();
         foreign.name = "e7";
         foreign.dial = "127.0.0.1:77";
@@ -77,31 +77,31 @@
         for (int version = 0; version < 5; version++) {
             List<Entry> entries = randomEntries(random);
             Set<String> names = new HashSet<>();
-            Map<String, State> all = new TreeMap<>();
+            Map<String, State> expectedStates = new TreeMap<>();
             Map<String, String> next = new TreeMap<>();
             for (Entry entry : entries) {
                 names.add(entry.name);
                 if (!entry.name.equals("e7")) {
-                    all.put(entry.name, entry.state);
+                    expectedStates.put(entry.name, entry.state);
                     if (entry.state == State.READY) {
                         next.put(entry.name, entry.dial);
                     }
                 }
             }
             StagedUpdate update = scheduler.stageUpdate(connector, entries, names);
-            // All steps or only some of them: the rest is done by the adoption.
+            // All steps or only some: adopt() does the remaining ones.
             int maxSteps = random.nextInt(3) == 0 ? random.nextInt(5) : Integer.MAX_VALUE;
             for (int step = 0; step < maxSteps && update.step(); step++) {
-                assertEquals(current, live(scheduler, connector));
+                assertEquals(current, readyAddresses(scheduler, connector));
             }
             update.adopt();
-            assertEquals(next, live(scheduler, connector));
+            assertEquals(next, readyAddresses(scheduler, connector));
             while (update.removeDrained()) {
-                assertEquals(next, live(scheduler, connector));
+                assertEquals(next, readyAddresses(scheduler, connector));
             }
-            Map<String, State> known = new TreeMap<>();
-            scheduler.endpoints().ofSource(connector).forEach(one -> known.put(one.name, one.state()));
-            assertEquals(all, known);
+            Map<String, State> states = new TreeMap<>();
+            scheduler.endpoints().ofSource(connector).forEach(endpoint -> states.put(endpoint.name, endpoint.state()));
+            assertEquals(expectedStates, states);
             assertEquals("127.0.0.1:77", scheduler.endpoints().get("e7").dial);
             current = next;
         }
--- a/src/test/java/laneflow/core/TenantFairnessTest.java
+++ b/src/test/java/laneflow/core/TenantFairnessTest.java
@@ -27,44 +27,44 @@
     }
 
     private static RandomSettings settings(int siblings, int overShareTenths) {
-        RandomSettings drawn = new RandomSettings();
-        drawn.classes = List.of(jobClass(0, 2, 100), jobClass(2, 8, 200));
-        drawn.zones = 2;
-        drawn.siblings = siblings;
-        drawn.kinds = 2;
-        drawn.workersPerKind = 3;
-        drawn.cells = 2;
-        drawn.slots = 4;
-        drawn.speedTenths = 10;
-        drawn.fields = 7;
-        drawn.mayCancel = true;
-        drawn.tellsStart = true;
-        drawn.maxAttempts = 5;
-        drawn.graceMs = 500;
-        drawn.coldFromPercent = 20;
-        drawn.coldMs = 10_000;
-        drawn.multipleTenths = 30;
-        drawn.fallMs = 1500;
-        drawn.tickMs = 5;
-        drawn.tenants = 2;
-        drawn.overShareTenths = overShareTenths;
-        drawn.firstTenantFactor = 10;
-        drawn.hintQuality = 2;
-        drawn.reportEveryMs = 300;
-        drawn.workSpread = 6;
-        // Calm simulations request 0.6 of the load: 4.5 times the capacity.
-        drawn.loadReduction = -17;
-        drawn.seed = 11;
-        drawn.quota = QUOTA_SHARE * new FleetSimulation(drawn, Fault.NONE, false).capacity();
-        return drawn;
+        RandomSettings settings = new RandomSettings();
+        settings.classes = List.of(jobClass(0, 2, 100), jobClass(2, 8, 200));
+        settings.zones = 2;
+        settings.siblings = siblings;
+        settings.kinds = 2;
+        settings.workersPerKind = 3;
+        settings.cells = 2;
+        settings.slots = 4;
+        settings.speedTenths = 10;
+        settings.fields = 7;
+        settings.mayCancel = true;
+        settings.tellsStart = true;
+        settings.maxAttempts = 5;
+        settings.graceMs = 500;
+        settings.coldFromPercent = 20;
+        settings.coldMs = 10_000;
+        settings.multipleTenths = 30;
+        settings.fallMs = 1500;
+        settings.tickMs = 5;
+        settings.tenants = 2;
+        settings.overShareTenths = overShareTenths;
+        settings.firstTenantFactor = 10;
+        settings.hintQuality = 2;
+        settings.reportEveryMs = 300;
+        settings.workSpread = 6;
+        // Simulations without faults request 0.6 of the load that this gives: 4.5 times the capacity.
+        settings.loadReduction = -17;
+        settings.seed = 11;
+        settings.quota = QUOTA_SHARE * new FleetSimulation(settings, Fault.NONE, false).capacity();
+        return settings;
     }
 
-    /** Each tenant's served requests, as a part of those it requested within its share. */
-    private static double[] servedShares(RandomSettings drawn) {
-        FleetSimulation simulation = new FleetSimulation(drawn, Fault.NONE, false).play(SECONDS);
+    /** Each tenant's served requests, as a fraction of those it requested within its quota. */
+    private static double[] servedShares(RandomSettings settings) {
+        FleetSimulation simulation = new FleetSimulation(settings, Fault.NONE, false).run(SECONDS);
         double[] shares = new double[2];
         for (int i = 0; i < 2; i++) {
-            shares[i] = simulation.tenantServed[i] / Math.min(simulation.tenantRequested[i], drawn.quota * SECONDS);
+            shares[i] = simulation.tenantServed[i] / Math.min(simulation.tenantRequested[i], settings.quota * SECONDS);
         }
         return shares;
     }
@@ -75,6 +75,6 @@
         double[] priced = servedShares(settings(siblings, 1));
         assertTrue(priced[0] >= 1.0 / 3 && priced[1] >= 1.0 / 3, priced[0] + " and " + priced[1]);
         double unpriced = servedShares(settings(siblings, 10))[1];
-        assertTrue(unpriced < 1.0 / 3, "without a price the tenant within its share had " + unpriced);
+        assertTrue(unpriced < 1.0 / 3, "with full worth beyond the share, the other tenant got " + unpriced);
     }
 }
