--- a/src/test/java/laneflow/capacity/CapacityFaultsStoryTest.java
+++ b/src/test/java/laneflow/capacity/CapacityFaultsStoryTest.java
@@ -109,23 +109,23 @@
      * Sends requests to the targets in rotation, all at once; returns how many were answered 200 and 503.
      */
     private int[] burst(int count, int micros, int... targets) throws IOException, InterruptedException {
-        List<Callable<Integer>> all = new ArrayList<>();
+        List<Callable<Integer>> tasks = new ArrayList<>();
         for (int k = 0; k < count; k++) {
-            int at = targets[k % targets.length];
-            all.add(() -> postRequest(at, micros));
+            int target = targets[k % targets.length];
+            tasks.add(() -> postRequest(target, micros));
         }
         int[] answers = new int[2];
-        for (Future<Integer> one : clients.invokeAll(all)) {
-            int status = status(one);
+        for (Future<Integer> answer : clients.invokeAll(tasks)) {
+            int status = status(answer);
             assertTrue(status == 200 || status == 503, "answered " + status);
             answers[status == 200 ? 0 : 1]++;
         }
         return answers;
     }
 
-    private static int status(Future<Integer> one) throws IOException, InterruptedException {
+    private static int status(Future<Integer> answer) throws IOException, InterruptedException {
         try {
-            return one.get();
+            return answer.get();
         } catch (ExecutionException e) {
             throw new IOException("a request was not answered", e);
         }
@@ -141,8 +141,8 @@
 
     /** Returns the load that the scheduler has stored for the endpoint, without age and source; null: none. */
     private String storedLoad(int i, String endpoint) throws IOException, InterruptedException {
-        JsonObject one = capacityStatus(i).getAsJsonObject("endpoints").getAsJsonObject(endpoint);
-        return one == null ? null : one.get("free") + " free, " + one.get("queue") + " wait";
+        JsonObject load = capacityStatus(i).getAsJsonObject("endpoints").getAsJsonObject(endpoint);
+        return load == null ? null : load.get("free") + " free, " + load.get("queue") + " wait";
     }
 
     private boolean allStore(String endpoint, String load) throws IOException, InterruptedException {
@@ -159,13 +159,13 @@
         setUpFleet(4, 1);
         startFleet();
         rig.partAll(List.of(0, 1));
-        // One side sees the endpoint idle; the slot count is learned from reports that include a request, so
-        // it is 3.
+        // One side sees the endpoint idle. It learns 3 slots and not 4, as each report counts the request that it
+        // came with.
         rig.await("one side has a report of 3 free slots", () -> {
             postRequest(2, SHORT_MICROS);
             return "3 free, 0 wait".equals(storedLoad(3, "e0"));
         });
-        // Later the other side fills two slots and learns of it by a further request.
+        // Later two requests of the other side occupy slots, and the report of a third one shows it.
         for (int i = 0; i < 2; i++) {
             clients.submit(() -> postRequest(0, ENDLESS_MICROS));
         }
@@ -198,8 +198,7 @@
         for (Node node : rack) {
             node.die();
         }
-        // The lists still have the rack as ready and reports have it as idle: failed attempts must go
-        // elsewhere.
+        // The rack is still listed as ready and reported as idle: failed attempts must be retried elsewhere.
         for (int i : rig.all()) {
             for (int k = 0; k < 6; k++) {
                 assertEquals(200, postRequest(i, SHORT_MICROS), Rig.name(i));
@@ -231,7 +230,7 @@
     @Test
     void schedulersRestartDuringABurstWhileOneSendsFalseReports() throws Exception {
         setUpFleet(5, 5);
-        // The endpoints report 64 free slots each to one scheduler, which passes that on.
+        // At the ports that only one scheduler uses, the endpoints report 64 free slots; that scheduler gossips it.
         StringBuilder endpointTables = new StringBuilder();
         for (Node node : pool.nodes) {
             int faultyPort = Crew.port();
@@ -252,7 +251,7 @@
         for (int i = 2; i < 5; i++) {
             rig.kill(i);
         }
-        Future<int[]> busy = clients.submit(() -> {
+        Future<int[]> burstAnswers = clients.submit(() -> {
             int[] sum = new int[2];
             for (int k = 0; k < 6; k++) {
                 int[] answers = burst(20, LONG_MICROS, 0);
@@ -265,16 +264,18 @@
             rig.start(i);
         }
         for (int i = 2; i < 5; i++) {
-            int one = i;
+            int scheduler = i;
             rig.awaitClients(i);
             rig.await(
                     Rig.name(i) + " has reports of all endpoints",
-                    () -> capacityStatus(one).get("known_share").getAsDouble() == 1);
+                    () -> capacityStatus(scheduler).get("known_share").getAsDouble() == 1);
         }
-        assertEquals(120, busy.get()[0] + busy.get()[1]);
-        assertTrue(busy.get()[0] >= 60, "served during the burst: " + busy.get()[0]);
-        int[] late = burst(30, SHORT_MICROS, 2, 3, 4);
-        assertTrue(late[0] >= 25, "served by the restarted schedulers: " + late[0]);
+        assertEquals(120, burstAnswers.get()[0] + burstAnswers.get()[1]);
+        assertTrue(
+                burstAnswers.get()[0] >= 60,
+                "served during the burst: " + burstAnswers.get()[0]);
+        int[] laterAnswers = burst(30, SHORT_MICROS, 2, 3, 4);
+        assertTrue(laterAnswers[0] >= 25, "served by the restarted schedulers: " + laterAnswers[0]);
     }
 
     @Test
@@ -298,8 +299,8 @@
             discovery.down();
             rig.await("the last scheduler has lost its watch", () -> rig.counter(2, "discovery.watches") > 1);
             long from = System.nanoTime();
-            // More than two endpoints can take at once, so that reports of the other two would be used if
-            // they were accepted.
+            // More requests than two endpoints have slots, so that the other two would be used if their reports
+            // were accepted.
             int[] answers = burst(24, LONG_MICROS, 2);
             assertTrue(answers[0] >= 2 * SLOTS, "requests are still served: " + answers[0]);
             long to = System.nanoTime();
--- a/src/test/java/laneflow/capacity/CapacityStoryTest.java
+++ b/src/test/java/laneflow/capacity/CapacityStoryTest.java
@@ -37,8 +37,8 @@
     }
 
     private static int port() throws IOException {
-        try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return any.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return socket.getLocalPort();
         }
     }
 
@@ -60,8 +60,8 @@
                     .write(("POST /check HTTP/1.1\r\nHost: l\r\nConnection: close\r\nReq-Id: " + id
                                     + "\r\nContent-Length: " + id.length() + "\r\n\r\n" + id)
                             .getBytes(StandardCharsets.US_ASCII));
-            InputStream in = socket.getInputStream();
-            String answer = new String(in.readAllBytes(), StandardCharsets.US_ASCII);
+            InputStream input = socket.getInputStream();
+            String answer = new String(input.readAllBytes(), StandardCharsets.US_ASCII);
             return Integer.parseInt(answer.split(" ", 3)[1]);
         }
     }
@@ -73,10 +73,10 @@
     /** Returns the number of endpoints with a peer report that is at most that old. */
     private int peerReports(int i, long ageMs) throws IOException, InterruptedException {
         int count = 0;
-        JsonObject all = capacityStatus(i).getAsJsonObject("endpoints");
-        for (String name : all.keySet()) {
-            JsonObject one = all.getAsJsonObject(name);
-            count += !one.get("own").getAsBoolean() && one.get("age_ms").getAsLong() <= ageMs ? 1 : 0;
+        JsonObject endpoints = capacityStatus(i).getAsJsonObject("endpoints");
+        for (String name : endpoints.keySet()) {
+            JsonObject report = endpoints.getAsJsonObject(name);
+            count += !report.get("own").getAsBoolean() && report.get("age_ms").getAsLong() <= ageMs ? 1 : 0;
         }
         return count;
     }
@@ -90,7 +90,7 @@
         assertTrue(rig.counter(3, "capacity.received") > 0);
         assertTrue(rig.counter(3, "members.datagram_most") <= 256, "longest datagram");
         assertEquals(0, rig.counter(3, "members.spoilt") + rig.counter(3, "capacity.spoilt"));
-        // The three configured endpoints and no other.
+        // The gossip has added no endpoints to the three configured ones.
         assertEquals(
                 3,
                 capacityStatus(3)
--- a/src/test/java/laneflow/capacity/decision/CapacityGossipTest.java
+++ b/src/test/java/laneflow/capacity/decision/CapacityGossipTest.java
@@ -48,8 +48,8 @@
         }
 
         @Override
-        public void count(String what) {
-            counts.merge(what, 1, Integer::sum);
+        public void count(String event) {
+            counts.merge(event, 1, Integer::sum);
         }
 
         /** Completes a request to the endpoint, whose answer reports the given load. */
@@ -71,7 +71,7 @@
     private final TestScheduler second = new TestScheduler(2, 40);
 
     private void learnSlotCount() {
-        // An own report shows how many slots endpoints of this kind have.
+        // A report to this scheduler itself shows how many slots endpoints of this kind have.
         second.completeRequest(0, 40, SLOTS, 0);
     }
 
@@ -117,7 +117,7 @@
             sender.sendTo(1_100_000, 1000, second);
             assertEquals(source == 3, second.occupied.containsKey(7L), source + " sources have reported");
         }
-        assertTrue(second.occupied.get(7L) >= 0, "by the size that three sources have reached, not by 192");
+        assertTrue(second.occupied.get(7L) >= 0, "by a slot count that three sources confirm, not by 192");
     }
 
     @Test
--- a/src/test/java/laneflow/capacity/decision/CapacityReportTest.java
+++ b/src/test/java/laneflow/capacity/decision/CapacityReportTest.java
@@ -82,8 +82,8 @@
         CapacityMessage message = new CapacityMessage(stamp, demand, requestedPart, entries);
         byte[] bytes = message.write();
         assertEquals(message, CapacityMessage.read(bytes));
-        for (int kept = 0; kept < Math.min(bytes.length, CapacityMessage.HEADER_BYTES); kept++) {
-            byte[] truncated = java.util.Arrays.copyOf(bytes, kept);
+        for (int length = 0; length < Math.min(bytes.length, CapacityMessage.HEADER_BYTES); length++) {
+            byte[] truncated = java.util.Arrays.copyOf(bytes, length);
             assertThrows(IOException.class, () -> CapacityMessage.read(truncated));
         }
     }
--- a/src/test/java/laneflow/fleet/FleetTest.java
+++ b/src/test/java/laneflow/fleet/FleetTest.java
@@ -20,10 +20,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Links between schedulers, and peers that violate the protocol. */
+/** Links between schedulers, with valid peers and with peers that violate the protocol. */
 @Timeout(120)
 class FleetTest {
-    private static final String STREAM = "POST /fleet/link HTTP/1.1\r\nHost: f\r\nTransfer-Encoding: chunked\r\n";
+    private static final String LINK_REQUEST = "POST /fleet/link HTTP/1.1\r\nHost: f\r\nTransfer-Encoding: chunked\r\n";
 
     private final List<Loop> loops = new ArrayList<>();
 
@@ -44,17 +44,17 @@
                             findings),
                     "");
             findings.throwIfAny();
-            Fleet[] made = new Fleet[1];
+            Fleet[] created = new Fleet[1];
             loop.call(() -> {
-                made[0] = new Fleet(loop, config, new Fleet.Self(name, "life-" + name, "b"), token, counters, 5);
-                made[0].onLinkChange(peer -> events.add("up " + peer.id()), peer -> events.add("down " + peer.id()));
-                made[0].handle("test", (from, message) -> {
+                created[0] = new Fleet(loop, config, new Fleet.Self(name, "life-" + name, "b"), token, counters, 5);
+                created[0].onLinkChange(peer -> events.add("up " + peer.id()), peer -> events.add("down " + peer.id()));
+                created[0].handle("test", (from, message) -> {
                     events.add(from.name() + " " + message.get("n").getAsInt());
                     if (message.get("n").getAsInt() == 1) {
                         from.send(message(2));
                     }
                 });
-                made[0].serve(
+                created[0].serve(
                         "/echo",
                         (verb, path, body, answer) -> answer.say(
                                 200,
@@ -62,7 +62,7 @@
                                 "",
                                 verb + " " + new String(body, java.nio.charset.StandardCharsets.US_ASCII)));
             });
-            fleet = made[0];
+            fleet = created[0];
             fleet.listen();
         }
 
@@ -76,8 +76,8 @@
             return value[0];
         }
 
-        void await(String name, long least) throws InterruptedException {
-            while (count(name) < least) {
+        void await(String name, long minValue) throws InterruptedException {
+            while (count(name) < minValue) {
                 Thread.sleep(2);
             }
         }
@@ -88,10 +88,10 @@
     }
 
     private static JsonObject message(int n) {
-        JsonObject all = new JsonObject();
-        all.addProperty("t", "test");
-        all.addProperty("n", n);
-        return all;
+        JsonObject json = new JsonObject();
+        json.addProperty("t", "test");
+        json.addProperty("n", n);
+        return json;
     }
 
     private static String chunk(String line) {
@@ -99,7 +99,7 @@
     }
 
     @AfterEach
-    void end() throws InterruptedException {
+    void stopLoops() throws InterruptedException {
         for (Loop loop : loops) {
             loop.stop();
         }
@@ -125,20 +125,20 @@
     }
 
     @Test
-    void aPeerWithAWrongTokenOrNameIsRejected() throws Exception {
+    void aPeerWithAWrongTokenOrUnexpectedNameIsRejected() throws Exception {
         Scheduler b = new Scheduler("b", "key", "");
         int port = b.fleet.port().address().getPort();
-        Scheduler stranger = new Scheduler("s", "other", "b = '127.0.0.1:" + port + "'\n");
-        stranger.loop.call(() -> stranger.fleet.dial("b"));
-        stranger.await("fleet.dials", 3);
-        Scheduler mistaken = new Scheduler("m", "key", "c = '127.0.0.1:" + port + "'\n");
-        mistaken.loop.call(() -> mistaken.fleet.dial("c"));
+        Scheduler withWrongToken = new Scheduler("s", "other", "b = '127.0.0.1:" + port + "'\n");
+        withWrongToken.loop.call(() -> withWrongToken.fleet.dial("b"));
+        withWrongToken.await("fleet.dials", 3);
+        Scheduler withWrongAddress = new Scheduler("m", "key", "c = '127.0.0.1:" + port + "'\n");
+        withWrongAddress.loop.call(() -> withWrongAddress.fleet.dial("c"));
         // It reaches b at the address that is configured for c.
-        mistaken.await("fleet.links_lost", 1);
-        mistaken.loop.call(() -> assertEquals(null, mistaken.fleet.peer("c")));
-        assertEquals(null, stranger.events.poll());
-        try (Peer caller = b.connect()) {
-            assertTrue(caller.write("GET /echo HTTP/1.1\r\nHost: f\r\n\r\n")
+        withWrongAddress.await("fleet.links_lost", 1);
+        withWrongAddress.loop.call(() -> assertEquals(null, withWrongAddress.fleet.peer("c")));
+        assertEquals(null, withWrongToken.events.poll());
+        try (Peer client = b.connect()) {
+            assertTrue(client.write("GET /echo HTTP/1.1\r\nHost: f\r\n\r\n")
                     .readTo("\r\n\r\n")
                     .startsWith("HTTP/1.1 401 "));
         }
@@ -148,55 +148,55 @@
     void aProtocolViolationEndsOnlyItsOwnLink() throws Exception {
         Scheduler b = new Scheduler("b", null, "");
         // No hello.
-        try (Peer caller = b.connect()) {
-            caller.write(STREAM + "\r\n" + chunk("{\"t\":\"test\",\"n\":1}"));
-            assertTrue(ends(caller));
+        try (Peer client = b.connect()) {
+            client.write(LINK_REQUEST + "\r\n" + chunk("{\"t\":\"test\",\"n\":1}"));
+            assertTrue(isClosed(client));
         }
         // Unsupported versions.
-        try (Peer caller = b.connect()) {
-            caller.write(
-                    STREAM + "\r\n" + chunk("{\"t\":\"hello\",\"name\":\"x\",\"life\":\"l\",\"from\":7,\"to\":9}"));
-            assertTrue(ends(caller));
+        try (Peer client = b.connect()) {
+            client.write(LINK_REQUEST + "\r\n"
+                    + chunk("{\"t\":\"hello\",\"name\":\"x\",\"life\":\"l\",\"from\":7,\"to\":9}"));
+            assertTrue(isClosed(client));
         }
         assertEquals(1, b.count("fleet.other_version"));
-        try (Peer caller = b.connect()) {
-            caller.write(STREAM + "\r\n"
+        try (Peer client = b.connect()) {
+            client.write(LINK_REQUEST + "\r\n"
                     + chunk("{\"t\":\"hello\",\"name\":\"x\",\"life\":\"l\",\"from\":1,\"to\":9,\"more\":{}}"));
             assertEquals("up x#l", b.next());
             // An unknown type, a missing field, a malformed field, and an unknown additional field.
-            caller.write(chunk("{\"t\":\"later\"}")
+            client.write(chunk("{\"t\":\"later\"}")
                     + chunk("{\"t\":\"test\"}")
                     + chunk("{\"t\":\"test\",\"n\":[]}")
                     + chunk("{\"t\":\"test\",\"n\":7,\"more\":[1]}"));
             assertEquals("x 7", b.next());
             assertEquals(1, b.count("fleet.unknown"));
             assertEquals(2, b.count("fleet.garbled"));
-            caller.write(chunk("no json"));
+            client.write(chunk("no json"));
             assertEquals("down x#l", b.next());
         }
         // A silent peer loses its link.
-        try (Peer caller = b.connect()) {
-            caller.write(
-                    STREAM + "\r\n" + chunk("{\"t\":\"hello\",\"name\":\"y\",\"life\":\"l\",\"from\":1,\"to\":1}"));
+        try (Peer client = b.connect()) {
+            client.write(LINK_REQUEST + "\r\n"
+                    + chunk("{\"t\":\"hello\",\"name\":\"y\",\"life\":\"l\",\"from\":1,\"to\":1}"));
             assertEquals("up y#l", b.next());
             assertEquals("down y#l", b.next());
         }
-        try (Peer caller = b.connect()) {
-            assertTrue(caller.write("POST /echo HTTP/1.1\r\nHost: f\r\nContent-Length: 2\r\n\r\nhi")
+        try (Peer client = b.connect()) {
+            assertTrue(client.write("POST /echo HTTP/1.1\r\nHost: f\r\nContent-Length: 2\r\n\r\nhi")
                     .readTo("POST hi")
                     .startsWith("HTTP/1.1 200 "));
         }
-        try (Peer caller = b.connect()) {
-            assertTrue(caller.write("GET /none HTTP/1.1\r\nHost: f\r\n\r\n")
+        try (Peer client = b.connect()) {
+            assertTrue(client.write("GET /none HTTP/1.1\r\nHost: f\r\n\r\n")
                     .readTo("\r\n\r\n")
                     .startsWith("HTTP/1.1 404 "));
         }
         assertFalse(b.events.contains("up z#l"));
     }
 
-    private static boolean ends(Peer caller) throws Exception {
+    private static boolean isClosed(Peer client) throws Exception {
         try {
-            caller.readTo("never sent");
+            client.readTo("never sent");
             return false;
         } catch (java.io.IOException e) {
             return e.getMessage().startsWith("ended after");
--- a/src/test/java/laneflow/membership/MembersConfigTest.java
+++ b/src/test/java/laneflow/membership/MembersConfigTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void settingsAreReadAndOffWithoutTheirTable() throws Exception {
+    void settingsAreReadAndMembershipIsOffWithoutItsTable() throws Exception {
         MembersConfig read = read(FLEET + "[members]\nlisten = \"0.0.0.0:9501\"\nadvertise = \"10.1.0.5:9501\"\n"
                 + "seeds = [\"10.1.0.6:9501\", \"[::1]:9501\"]\nallowed = [\"10.1.0.0/16\"]\nkey_file = \"k\"\n");
         assertEquals(new InetSocketAddress("10.1.0.5", 9501), read.advertise);
--- a/src/test/java/laneflow/membership/MembersStoryTest.java
+++ b/src/test/java/laneflow/membership/MembersStoryTest.java
@@ -77,22 +77,22 @@
         createFleet(10, 1, CONFIG, 0);
         startAll();
         rig.awaitSettled(10, rig.all());
-        String[] at = new String[10];
-        Arrays.setAll(at, rig::fleetAddress);
+        String[] addresses = new String[10];
+        Arrays.setAll(addresses, rig::fleetAddress);
         assertEquals(
                 0,
-                CliRun.of("fleet", "wait", "--members", "10", "--settled", "--at", String.join(",", at))
+                CliRun.of("fleet", "wait", "--members", "10", "--settled", "--at", String.join(",", addresses))
                         .code());
         // A briefly late loop changes the metadata, which unsettles the view until that has spread.
         rig.await("both schedulers report a settled view", () -> {
-            CliRun shown = CliRun.of("fleet", "show", "--at", at[3] + "," + at[4]);
+            CliRun shown = CliRun.of("fleet", "show", "--at", addresses[3] + "," + addresses[4]);
             return shown.code() == 0
                     && shown.text().contains("n4 sees 10 live, settled")
                     && shown.text().contains("n10 ");
         });
         assertEquals(
                 3,
-                CliRun.of("fleet", "wait", "--members", "11", "--wait-ms", "200", "--at", at[0])
+                CliRun.of("fleet", "wait", "--members", "11", "--wait-ms", "200", "--at", addresses[0])
                         .code());
         // Half of the members crash at once, including the seed.
         for (int i = 0; i < 5; i++) {
@@ -102,12 +102,12 @@
         // A member that starts while its seed is down stays alone until the seed is back.
         rig.start(1);
         rig.await("the member runs alone", () -> rig.fleet(1).get("live").getAsInt() == 1);
-        long former = generation(5, 0);
+        long generationBefore = generation(5, 0);
         for (int i : new int[] {0, 2, 3, 4}) {
             rig.start(i);
         }
         rig.awaitSettled(10, rig.all());
-        assertNotEquals(former, generation(5, 0), "the seed has a new instance");
+        assertNotEquals(generationBefore, generation(5, 0), "the seed has a new instance");
         // Graceful stops one after the other: each announces that it leaves and is seen as LEFT.
         for (int i = 6; i < 9; i++) {
             assertEquals(143, rig.end(i));
@@ -165,7 +165,7 @@
         createFleet(250, 6, 1, CONFIG, new int[] {0, 1});
         startAll();
         rig.awaitSettled(6, rig.all());
-        // A single path cut in one direction: indirect probes succeed, so nobody is declared dead.
+        // One path is cut in one direction: indirect probes succeed, so no member is declared dead.
         rig.cut(2, 3);
         rig.disturb(0.3, 0.1, 300);
         rig.cut(2, 3);
@@ -195,7 +195,7 @@
     }
 
     @Test
-    void aStalledMemberIsSuspectedAndAccusesNobodyAfterwards() throws Exception {
+    void aStalledMemberIsSuspectedAndDeclaresNoOtherDead() throws Exception {
         createFleet(5, 1, CONFIG, 0, 1);
         startAll();
         rig.awaitSettled(5, rig.all());
@@ -206,7 +206,7 @@
         rig.awaitSettled(5, rig.all());
         assertEquals(generation, generation(0, 3));
         long deathsBefore = sumCounters("members.buried", 3);
-        // A flapping member that stalls repeatedly for longer than the suspicion timeout.
+        // The member stalls repeatedly, each time for longer than the suspicion timeout.
         for (int round = 0; round < 3; round++) {
             rig.stall(3);
             awaitState(0, 3, "dead");
@@ -228,7 +228,7 @@
         rig.awaitSettled(3, 0, 1, 2);
         rig.await("datagrams with a foreign key are counted", () -> rig.counter(0, "members.unsealed") > 0);
         assertEquals(1, rig.fleet(3).get("live").getAsInt());
-        int known = rig.fleet(0).getAsJsonArray("members").size();
+        int knownMembers = rig.fleet(0).getAsJsonArray("members").size();
         Random random = new Random(3);
         try (DatagramSocket foreign = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             // Random bytes, oversized datagrams, and an authentic one from an unknown address.
@@ -247,10 +247,10 @@
             // An authentic datagram replayed from its true source, and the same with one bit flipped.
             long replayed = rig.counter(0, "members.replayed");
             long unsealed = rig.counter(0, "members.unsealed");
-            byte[] again = rig.lastDatagram(1, 0);
-            rig.inject(1, 0, again);
-            rig.inject(1, 0, again);
-            byte[] corrupted = again.clone();
+            byte[] datagram = rig.lastDatagram(1, 0);
+            rig.inject(1, 0, datagram);
+            rig.inject(1, 0, datagram);
+            byte[] corrupted = datagram.clone();
             corrupted[corrupted.length - 1] ^= 1;
             rig.inject(1, 0, corrupted);
             rig.await(
@@ -260,7 +260,7 @@
         }
         assertEquals(0, sumCounters("members.buried", 0, 1, 2));
         rig.awaitSettled(3, 0, 1, 2);
-        assertEquals(known, rig.fleet(0).getAsJsonArray("members").size());
+        assertEquals(knownMembers, rig.fleet(0).getAsJsonArray("members").size());
         // Key rotation: add the new key, sign with it, remove the old key. No member is lost.
         rig.kill(3);
         String first = "the-key-of-this-fleet-1\n";
@@ -268,12 +268,12 @@
         for (String keys : new String[] {first + second, second + first, second}) {
             Files.writeString(rig.keyFile(), keys);
             for (int i = 0; i < 3; i++) {
-                int one = i;
+                int member = i;
                 rig.await(
                         "the scheduler has read the new keys",
-                        () -> rig.log(one).endsWith("keys were read again\n")
-                                || rig.log(one).lastIndexOf("keys were read again") > 0
-                                        && rig.log(one).split("keys were read again", -1).length - 1
+                        () -> rig.log(member).endsWith("keys were read again\n")
+                                || rig.log(member).lastIndexOf("keys were read again") > 0
+                                        && rig.log(member).split("keys were read again", -1).length - 1
                                                 >= java.util.List.of(first + second, second + first, second)
                                                                 .indexOf(keys)
                                                         + 1);
@@ -295,8 +295,8 @@
         rig.proposeUntilTaken(0, "one", "{\"bans\":[{\"name\":\"x\"}]}");
         rig.awaitDeciding(1, rig.all());
         rig.await("the view shows the new policy and a ready condition for all members", () -> {
-            for (var one : rig.fleet(4).getAsJsonArray("members")) {
-                JsonObject member = one.getAsJsonObject();
+            for (var element : rig.fleet(4).getAsJsonArray("members")) {
+                JsonObject member = element.getAsJsonObject();
                 if (member.get("policy").getAsLong() != 1
                         || !member.get("condition").getAsString().equals("ready")) {
                     return false;
@@ -304,7 +304,7 @@
             }
             return true;
         });
-        // A stalled member delays a change by its lease, and is named with its state in the view.
+        // A stalled member delays a change until its lease ends; the leader reports it with its state in the view.
         int leader = rig.leader();
         int stalled = 4;
         rig.stall(stalled);
@@ -319,7 +319,7 @@
                     && leads.get("waits_for").toString().contains("(suspect)");
             return rig.decides(leader, 2);
         });
-        // A member that loses its links to the voters, but not its datagrams, is seen as fenced.
+        // A member that loses its links to the voters but still exchanges datagrams is seen as fenced.
         rig.wake(stalled);
         rig.awaitDeciding(2, rig.all());
         rig.cutLinks(4);
--- a/src/test/java/laneflow/membership/decision/MessageCodecTest.java
+++ b/src/test/java/laneflow/membership/decision/MessageCodecTest.java
@@ -68,8 +68,8 @@
         Message read = CODEC.read(bytes, 0, bytes.length);
         org.junit.jupiter.api.Assertions.assertArrayEquals(buckets, read.bucketDigests());
         // The datagram size limit does not apply to records sent over a link.
-        Message all = new Message(Kind.GOSSIP, 1, 2, 3, 4, null, updates);
-        assertEquals(all, CODEC.read(CODEC.write(all), 0, CODEC.write(all).length));
+        Message message = new Message(Kind.GOSSIP, 1, 2, 3, 4, null, updates);
+        assertEquals(message, CODEC.read(CODEC.write(message), 0, CODEC.write(message).length));
     }
 
     @Test
@@ -100,27 +100,27 @@
 
     @Test
     void onlyTheSigningKeyVerifiesADatagram() {
-        Seal one = new Seal(FIRST_KEY, 41);
-        byte[] datagram = one.wrap(new byte[] {1, 2, 3});
-        assertTrue(one.isAuthentic(datagram, datagram.length));
+        Seal seal = new Seal(FIRST_KEY, 41);
+        byte[] datagram = seal.wrap(new byte[] {1, 2, 3});
+        assertTrue(seal.isAuthentic(datagram, datagram.length));
         assertEquals(42, Seal.sequenceNumber(datagram));
         assertFalse(new Seal(SECOND_KEY, 0).isAuthentic(datagram, datagram.length));
         for (int bit = 0; bit < datagram.length * 8; bit++) {
             byte[] corrupted = datagram.clone();
             corrupted[bit / 8] ^= 1 << bit % 8;
-            assertFalse(one.isAuthentic(corrupted, corrupted.length), "bit " + bit);
+            assertFalse(seal.isAuthentic(corrupted, corrupted.length), "bit " + bit);
         }
-        assertFalse(one.isAuthentic(datagram, datagram.length - 1));
-        assertFalse(one.isAuthentic(new byte[Seal.MAX_DATAGRAM_BYTES + 1], Seal.MAX_DATAGRAM_BYTES + 1));
+        assertFalse(seal.isAuthentic(datagram, datagram.length - 1));
+        assertFalse(seal.isAuthentic(new byte[Seal.MAX_DATAGRAM_BYTES + 1], Seal.MAX_DATAGRAM_BYTES + 1));
         // Key rotation: either order of two keys verifies what the other signed.
-        Seal both = new Seal(List.of(FIRST_KEY.get(0), SECOND_KEY.get(0)), 0);
+        Seal twoKeys = new Seal(List.of(FIRST_KEY.get(0), SECOND_KEY.get(0)), 0);
         Seal reversed = new Seal(List.of(SECOND_KEY.get(0), FIRST_KEY.get(0)), 0);
         byte[] sealedByReversed = reversed.wrap(new byte[] {9});
-        assertTrue(both.isAuthentic(sealedByReversed, sealedByReversed.length));
+        assertTrue(twoKeys.isAuthentic(sealedByReversed, sealedByReversed.length));
         assertTrue(reversed.isAuthentic(datagram, datagram.length));
-        assertFalse(one.isAuthentic(sealedByReversed, sealedByReversed.length));
-        for (List<String> wrong : List.of(List.<String>of(), List.of("short"), List.of("has a space in its midst"))) {
-            assertThrows(IllegalArgumentException.class, () -> new Seal(wrong, 0));
+        assertFalse(seal.isAuthentic(sealedByReversed, sealedByReversed.length));
+        for (List<String> invalid : List.of(List.<String>of(), List.of("short"), List.of("has a space in its midst"))) {
+            assertThrows(IllegalArgumentException.class, () -> new Seal(invalid, 0));
         }
     }
 
--- a/src/test/java/laneflow/membership/decision/SwimDaysTest.java
+++ b/src/test/java/laneflow/membership/decision/SwimDaysTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Fleets in virtual time: bounds on convergence, false deaths and traffic, and random sequences of faults. */
+/** Long simulations of {@link Swim} fleets: bounds on convergence, false deaths and traffic, and random faults. */
 @Timeout(300)
 class SwimDaysTest {
     private static final long PERIOD = 250_000;
@@ -22,7 +22,7 @@
 
     private MemberWorld newWorld(int members, long seed) {
         MemberWorld world = new MemberWorld(members, new SwimTimings(PERIOD), seed);
-        world.watch((by, before, now) -> {
+        world.watch((observer, before, now) -> {
             if (before != null && before.instance().id() == now.instance().id()) {
                 if (now.incarnation() < before.incarnation()) {
                     violations.add("incarnation decreased: " + before + " to " + now);
@@ -50,9 +50,9 @@
     }
 
     private static long awaitSettled(MemberWorld world, int withinS, String step) {
-        long took = world.runUntil(world::isSettled, withinS * SECOND, PERIOD / 5);
-        assertTrue(took >= 0, step + ": not settled in " + withinS + " s");
-        return took;
+        long settledAfter = world.runUntil(world::isSettled, withinS * SECOND, PERIOD / 5);
+        assertTrue(settledAfter >= 0, step + ": not settled in " + withinS + " s");
+        return settledAfter;
     }
 
     @ParameterizedTest
@@ -61,38 +61,38 @@
         MemberWorld world = started(newWorld(members, seed));
         long bytes = world.bytes();
         world.pass(10 * SECOND);
-        double idle = (world.bytes() - bytes) / 10.0 / members;
-        assertTrue(idle < 1000, idle + " bytes per second when idle");
+        double idleBytesPerSecond = (world.bytes() - bytes) / 10.0 / members;
+        assertTrue(idleBytesPerSecond < 1000, idleBytesPerSecond + " bytes per second when idle");
         for (int round = 0; round < 5; round++) {
-            int one = 1 + round % (members - 1);
-            world.crash(one);
-            long seen = world.runUntil(() -> world.agree(i -> true), 10 * SECOND, PERIOD / 10);
-            assertTrue(seen >= 0 && seen < 4 * SECOND, "crash detected after " + seen);
-            world.start(one, 0, 1, 2);
+            int member = 1 + round % (members - 1);
+            world.crash(member);
+            long detectedAfter = world.runUntil(() -> world.agree(i -> true), 10 * SECOND, PERIOD / 10);
+            assertTrue(detectedAfter >= 0 && detectedAfter < 4 * SECOND, "crash detected after " + detectedAfter);
+            world.start(member, 0, 1, 2);
             awaitSettled(world, 12, "member restarted");
             world.pass(SECOND);
         }
         world.leave(members - 1);
-        long left = world.runUntil(() -> world.agree(i -> true), 10 * SECOND, PERIOD / 10);
-        assertTrue(left >= 0 && left < 3 * SECOND / 2, "a leave takes " + left);
+        long detectedAfter = world.runUntil(() -> world.agree(i -> true), 10 * SECOND, PERIOD / 10);
+        assertTrue(detectedAfter >= 0 && detectedAfter < 3 * SECOND / 2, "a leave takes " + detectedAfter);
         assertTrue(world.most() <= Seal.MAX_DATAGRAM_BYTES, world.most() + " bytes");
         assertEquals(List.of(), violations);
     }
 
     @Test
     void idleTrafficPerMemberIsIndependentOfTheFleetSize() {
-        double[] cost = new double[2];
+        double[] bytesPerSecond = new double[2];
         for (int k = 0; k < 2; k++) {
             MemberWorld world = started(newWorld(k == 0 ? 12 : 400, 5));
             world.pass(20 * SECOND);
             long bytes = world.bytes();
             int digest = world.swim(0).digest();
             world.pass(10 * SECOND);
-            cost[k] = (world.bytes() - bytes) / 10.0 / world.size();
+            bytesPerSecond[k] = (world.bytes() - bytes) / 10.0 / world.size();
             assertTrue(world.isSettled());
             assertEquals(digest, world.swim(0).digest(), "the digest is stable while nothing changes");
         }
-        assertTrue(cost[1] < cost[0] * 1.05, cost[0] + " and " + cost[1]);
+        assertTrue(bytesPerSecond[1] < bytesPerSecond[0] * 1.05, bytesPerSecond[0] + " and " + bytesPerSecond[1]);
     }
 
     @ParameterizedTest
@@ -115,12 +115,12 @@
         assertEquals(List.of(), violations);
     }
 
-    /** A member cut off with few others probes many that cannot answer, which must not take minutes. */
+    /** In a small partition most members that are probed cannot answer; finding that out must not take minutes. */
     @ParameterizedTest
     @CsvSource({"6, 1, 20", "32, 1, 35", "32, 3, 20", "200, 3, 40"})
-    void aSmallPartitionSettles(int members, int part, int withinS) {
+    void aSmallPartitionSettles(int members, int partSize, int withinS) {
         MemberWorld world = started(newWorld(members, 3));
-        int first = members - part;
+        int first = members - partSize;
         world.cut((from, to) -> from < first != to < first);
         long splitAfter = world.runUntil(
                 () -> world.agree(i -> i < first) && world.agree(i -> i >= first), withinS * SECOND, PERIOD / 5);
@@ -138,8 +138,10 @@
         for (int i = members / 2; i < members; i++) {
             world.crash(i);
         }
-        long seen = world.runUntil(() -> world.agree(i -> true), 20 * SECOND, PERIOD / 5);
-        assertTrue(seen >= 0 && seen < 10 * SECOND, "crash of half the members detected after " + seen);
+        long detectedAfter = world.runUntil(() -> world.agree(i -> true), 20 * SECOND, PERIOD / 5);
+        assertTrue(
+                detectedAfter >= 0 && detectedAfter < 10 * SECOND,
+                "crash of half the members detected after " + detectedAfter);
         for (int i = 0; i < members; i++) {
             world.crash(i);
         }
@@ -156,7 +158,7 @@
     void packetLossAndShortStallsCauseNoFalseDeaths() {
         MemberWorld world = started(newWorld(200, 8));
         int[] deaths = {0};
-        world.watch((by, before, now) -> deaths[0] += now.state() == State.DEAD ? 1 : 0);
+        world.watch((observer, before, now) -> deaths[0] += now.state() == State.DEAD ? 1 : 0);
         world.network(0.2, 0.05, 200, 1000);
         SplittableRandom random = new SplittableRandom(8);
         for (int round = 0; round < 15; round++) {
@@ -180,7 +182,7 @@
     void delaysOfThreeHundredMsWithLossCauseNoFalseDeaths() {
         MemberWorld world = started(newWorld(20, 9));
         int[] deaths = {0};
-        world.watch((by, before, now) -> deaths[0] += now.state() == State.DEAD ? 1 : 0);
+        world.watch((observer, before, now) -> deaths[0] += now.state() == State.DEAD ? 1 : 0);
         world.network(0.3, 0.1, 0, 300_000);
         world.pass(30 * SECOND);
         assertEquals(0, deaths[0]);
@@ -205,7 +207,7 @@
     void aSingleOneWayCutCausesNoDeath() {
         MemberWorld world = started(newWorld(6, 4));
         int[] deaths = {0};
-        world.watch((by, before, now) -> deaths[0] += now.state() == State.DEAD ? 1 : 0);
+        world.watch((observer, before, now) -> deaths[0] += now.state() == State.DEAD ? 1 : 0);
         world.cut((from, to) -> from == 1 && to == 2);
         world.pass(30 * SECOND);
         assertEquals(0, deaths[0]);
@@ -248,7 +250,7 @@
     }
 
     @Test
-    void anAddressMayChangeItsNameAndAClockMayGoBack() {
+    void anAddressMayGetAnotherNameAndAClockMayGoBack() {
         MemberWorld world = started(newWorld(6, 3));
         world.crash(4);
         world.startAs(4, "other", 0, 1);
@@ -266,11 +268,11 @@
     }
 
     @Test
-    void aSingleMessageCausesNoDeathAndHighNumbersAreHarmless() {
+    void aSingleFalseMessageCausesNoDeathWhateverItsIncarnation() {
         MemberWorld world = started(newWorld(8, 7));
         Update.MemberRecord victim = world.swim(0).other("n5");
         int[] deaths = {0};
-        world.watch((by, before, now) -> deaths[0] += now.state().isLive() ? 0 : 1);
+        world.watch((observer, before, now) -> deaths[0] += now.state().isLive() ? 0 : 1);
         for (State claimed : new State[] {State.SUSPECT, State.DEAD, State.LEFT}) {
             for (int incarnation : new int[] {0, victim.incarnation() + 1, Integer.MAX_VALUE}) {
                 List<Update> claims = new ArrayList<>();
@@ -299,31 +301,31 @@
         MemberWorld world = started(newWorld(members, seed));
         SplittableRandom random = new SplittableRandom(seed);
         for (int n = 0; n < events; n++) {
-            int one = 3 + random.nextInt(members - 3);
+            int member = 3 + random.nextInt(members - 3);
             switch (random.nextInt(6)) {
-                case 0 -> world.crash(one);
+                case 0 -> world.crash(member);
                 case 1 -> {
-                    if (!world.isUp(one)) {
-                        world.start(one, 0, 1, 2);
+                    if (!world.isUp(member)) {
+                        world.start(member, 0, 1, 2);
                     }
                 }
                 case 2 -> {
-                    if (world.isRunning(one)) {
-                        world.stall(one);
+                    if (world.isRunning(member)) {
+                        world.stall(member);
                         world.pass(random.nextLong(8 * SECOND));
-                        world.resume(one);
+                        world.resume(member);
                     }
                 }
                 case 3 -> {
-                    int part = 1 + random.nextInt(members - 1);
-                    world.cut((from, to) -> from < part != to < part);
+                    int partSize = 1 + random.nextInt(members - 1);
+                    world.cut((from, to) -> from < partSize != to < partSize);
                     world.pass(random.nextLong(12 * SECOND));
                     world.cut((from, to) -> false);
                 }
                 case 4 -> world.network(0.3 * random.nextDouble(), 0.1, 200, random.nextInt(100_000));
                 default -> {
-                    if (world.isRunning(one)) {
-                        world.leave(one);
+                    if (world.isRunning(member)) {
+                        world.leave(member);
                     }
                 }
             }
--- a/src/test/java/laneflow/membership/decision/SwimOrdersTest.java
+++ b/src/test/java/laneflow/membership/decision/SwimOrdersTest.java
@@ -58,7 +58,7 @@
 
     private void runOrder(List<Integer> order, long gap) {
         MemberWorld world = new MemberWorld(3, new SwimTimings(PERIOD), 17 + runs);
-        world.watch((by, before, now) -> {
+        world.watch((observer, before, now) -> {
             if (before != null
                     && before.instance().id() == now.instance().id()
                     && (now.incarnation() < before.incarnation()
@@ -78,9 +78,9 @@
         world.cut((from, to) -> false);
         world.network(0, 0, 200, 300);
         start(world, 2);
-        long took = world.runUntil(world::isSettled, 30 * SECOND, PERIOD);
-        assertTrue(took >= 0, order + " apart by " + gap + " does not settle");
-        assertEquals(3, world.swim(0).size(), order + " apart by " + gap);
+        long settledAfter = world.runUntil(world::isSettled, 30 * SECOND, PERIOD);
+        assertTrue(settledAfter >= 0, order + " with gaps of " + gap + " us does not settle");
+        assertEquals(3, world.swim(0).size(), order + " with gaps in us of " + gap);
         runs++;
     }
 
--- a/src/test/java/laneflow/task/RecoveryStoryTest.java
+++ b/src/test/java/laneflow/task/RecoveryStoryTest.java
@@ -24,9 +24,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Durable jobs of dead schedulers are taken over by others: each runs, and none twice. All endpoints are banned
- * by policy until the faults are over, so that no attempt is made before: an attempt whose lease is on disk when
- * its scheduler dies may have run, and a job that must not be repeated would then end as unknown.
+ * Durable jobs of dead schedulers are adopted by others, and each runs exactly once. All endpoints are banned by
+ * policy until the faults are over, so that no attempt is made before: an attempt whose lease is on disk when its
+ * scheduler dies may have run, and a job that must not be repeated would then end as unknown.
  */
 class RecoveryStoryTest {
     private static final int JOBS = 40;
@@ -43,7 +43,7 @@
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
     @BeforeEach
-    void begin() throws Exception {
+    void startFleetWithBannedEndpoints() throws Exception {
         stores = Files.createDirectory(folder.resolve("stores"));
         for (int i = 0; i < nodes.length; i++) {
             nodes[i] = Crew.port();
@@ -67,13 +67,13 @@
     }
 
     @AfterEach
-    void end() throws Exception {
+    void closeRig() throws Exception {
         rig.close();
     }
 
-    private void submit(int at, int job) throws IOException, InterruptedException {
+    private void submit(int scheduler, int job) throws IOException, InterruptedException {
         HttpResponse<String> answer = client.send(
-                HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + rig.clientPort(at) + "/post"))
+                HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + rig.clientPort(scheduler) + "/post"))
                         .header("Req-Id", "j" + job)
                         .header("Prefer", "respond-async")
                         .header("Idempotency-Key", "k" + job)
@@ -88,12 +88,12 @@
     }
 
     /** The scheduler that has adopted the store of that name, or -1. */
-    private int adopter(String name) throws IOException {
+    private int findAdopter(String name) throws IOException {
         for (int i = 0; i < rig.size(); i++) {
             Path adopted = stores.resolve(Rig.name(i)).resolve("adopted");
             if (Files.isDirectory(adopted)) {
-                try (Stream<Path> all = Files.list(adopted)) {
-                    if (all.anyMatch(path -> path.getFileName().toString().startsWith(name + "."))) {
+                try (Stream<Path> paths = Files.list(adopted)) {
+                    if (paths.anyMatch(path -> path.getFileName().toString().startsWith(name + "."))) {
                         return i;
                     }
                 }
@@ -102,18 +102,19 @@
         return -1;
     }
 
-    private void allRanOnce(int... schedulers) throws IOException, InterruptedException {
+    private void assertAllRunOnce(int... schedulers) throws IOException, InterruptedException {
         rig.nodes(nodes, 60);
         rig.proposeUntilTaken(schedulers[0], "attempts", "{\"bans\":[]}");
         rig.awaitDeciding(2, schedulers);
-        Path ran = folder.resolve("ran");
+        Path ledgerFile = folder.resolve("ran");
         try {
-            rig.await("all jobs have run", () -> new HashSet<>(runs(ran)).size() >= JOBS);
+            rig.await("all jobs have run", () -> new HashSet<>(runs(ledgerFile)).size() >= JOBS);
         } catch (IOException e) {
             throw new IOException(
-                    new HashSet<>(runs(ran)).size() + " of " + JOBS + " jobs have run; " + counters(schedulers), e);
+                    new HashSet<>(runs(ledgerFile)).size() + " of " + JOBS + " jobs have run; " + counters(schedulers),
+                    e);
         }
-        List<String> runs = runs(ran);
+        List<String> runs = runs(ledgerFile);
         assertEquals(JOBS, runs.size(), "not each job ran once: " + runs);
         assertTrue(
                 runs.containsAll(IntStream.range(0, JOBS).mapToObj(i -> "j" + i).toList()), runs.toString());
@@ -138,18 +139,18 @@
         return text.toString();
     }
 
-    private static List<String> runs(Path ran) throws IOException {
-        return Ledger.read(ran).stream()
+    private static List<String> runs(Path ledgerFile) throws IOException {
+        return Ledger.read(ledgerFile).stream()
                 .filter(line -> line.event().equals("start"))
                 .map(Ledger.Line::job)
                 .toList();
     }
 
     @Test
-    void jobsOfADeadSchedulerAreTakenOverAndRunOnce() throws Exception {
+    void jobsOfADeadSchedulerAreAdoptedAndRunOnce() throws Exception {
         rig.kill(3);
         rig.await("its store is adopted", () -> isAdopted(Rig.name(3)));
-        allRanOnce(rig.without(Set.of(3)));
+        assertAllRunOnce(rig.without(Set.of(3)));
     }
 
     @Test
@@ -157,13 +158,13 @@
         rig.kill(3);
         int[] adopter = {-1};
         rig.await("a scheduler has adopted its store", () -> {
-            adopter[0] = adopter(Rig.name(3));
+            adopter[0] = findAdopter(Rig.name(3));
             return adopter[0] >= 0 || isAdopted(Rig.name(3));
         });
-        int killed = adopter[0] >= 0 ? adopter[0] : 0;
-        rig.kill(killed);
-        rig.await("the adopter's store is adopted", () -> isAdopted(Rig.name(killed)));
-        allRanOnce(rig.without(Set.of(3, killed)));
+        int killedAdopter = adopter[0] >= 0 ? adopter[0] : 0;
+        rig.kill(killedAdopter);
+        rig.await("the adopter's store is adopted", () -> isAdopted(Rig.name(killedAdopter)));
+        assertAllRunOnce(rig.without(Set.of(3, killedAdopter)));
     }
 
     @Test
@@ -175,14 +176,14 @@
                 () -> rig.ask(leader, "/tasks", null)
                         .body()
                         .contains("\"task\":\"recover/n4\",\"kind\":\"placed\",\"holder\"" + ":\"n"));
-        Set<String> before = new HashSet<>();
-        try (Stream<Path> all = Files.list(stores)) {
-            all.forEach(path -> before.add(path.getFileName().toString()));
+        Set<String> storesBefore = new HashSet<>();
+        try (Stream<Path> paths = Files.list(stores)) {
+            paths.forEach(path -> storesBefore.add(path.getFileName().toString()));
         }
-        assertTrue(before.contains(Rig.name(3)), before.toString());
+        assertTrue(storesBefore.contains(Rig.name(3)), storesBefore.toString());
         rig.wake(3);
         rig.awaitDeciding(1, 3);
-        allRanOnce(rig.all());
+        assertAllRunOnce(rig.all());
         assertTrue(Files.exists(stores.resolve(Rig.name(3))));
     }
 }
--- a/src/test/java/laneflow/task/TaskFaultsStoryTest.java
+++ b/src/test/java/laneflow/task/TaskFaultsStoryTest.java
@@ -29,21 +29,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Calls that hang, arrive late or are made under a wrong clock, as seen by their receiver. */
+/** Hook calls that hang, arrive late or come from a scheduler with a wrong clock, checked at their receiver. */
 class TaskFaultsStoryTest {
     private static final int TASKS = 6;
-    private static final long CUT_OFF_NS = 500_000_000;
+    private static final long MAX_CALL_NS = 500_000_000;
 
     @TempDir
     Path folder;
 
     /** Configures hooks whose receiver at that port checks tokens. */
-    private static String checked(int port) {
-        StringBuilder all = new StringBuilder(TaskMeasure.file(port, 0));
+    private static String hooksWithTokenCheck(int port) {
+        StringBuilder config = new StringBuilder(TaskMeasure.file(port, 0));
         for (int i = 0; i < TASKS; i++) {
-            all.append(TaskMeasure.hook("h" + i, port, "/checked", 200, true));
+            config.append(TaskMeasure.hook("h" + i, port, "/checked", 200, true));
         }
-        return all.toString();
+        return config.toString();
     }
 
     private static String name(Call call) {
@@ -53,13 +53,13 @@
     /** Waits until all hooks have been called again, by at least this many processes. */
     private static void awaitCalls(Rig rig, StandInReceiver receiver, int callers)
             throws IOException, InterruptedException {
-        long from = System.nanoTime();
+        long startNs = System.nanoTime();
         rig.await("all hooks are called, by " + callers, () -> {
-            List<Call> since = receiver.calls().stream()
-                    .filter(call -> call.beganNs() > from && call.accepted())
+            List<Call> recentCalls = receiver.calls().stream()
+                    .filter(call -> call.beganNs() > startNs && call.accepted())
                     .toList();
-            return since.stream().map(Call::task).distinct().count() >= TASKS
-                    && since.stream().map(Call::holder).distinct().count() >= callers;
+            return recentCalls.stream().map(Call::task).distinct().count() >= TASKS
+                    && recentCalls.stream().map(Call::holder).distinct().count() >= callers;
         });
     }
 
@@ -71,25 +71,28 @@
                         3,
                         3,
                         7,
-                        checked(receiver.port()) + TaskMeasure.hook("hang", receiver.port(), "/hang", 200, true))) {
+                        hooksWithTokenCheck(receiver.port())
+                                + TaskMeasure.hook("hang", receiver.port(), "/hang", 200, true))) {
             rig.startAll();
             rig.awaitDeciding(0, rig.all());
             awaitCalls(rig, receiver, 3);
-            long from = System.nanoTime();
+            long startNs = System.nanoTime();
             String[] holder = {""};
-            rig.await("it hangs three times at one holder while all other hooks are called", () -> {
-                List<Call> since = receiver.calls().stream()
-                        .filter(call -> call.beganNs() > from)
+            rig.await("one holder's call hangs three times while all other hooks are called", () -> {
+                List<Call> recentCalls = receiver.calls().stream()
+                        .filter(call -> call.beganNs() > startNs)
                         .toList();
-                List<Call> hung = since.stream()
+                List<Call> hangingCalls = recentCalls.stream()
                         .filter(call -> call.task().equals("hook/hang"))
                         .toList();
-                holder[0] = hung.isEmpty() ? "" : hung.get(hung.size() - 1).holder();
-                return hung.stream()
+                holder[0] = hangingCalls.isEmpty()
+                        ? ""
+                        : hangingCalls.get(hangingCalls.size() - 1).holder();
+                return hangingCalls.stream()
                                         .filter(call -> call.holder().equals(holder[0]))
                                         .count()
                                 >= 3
-                        && since.stream()
+                        && recentCalls.stream()
                                         .filter(call -> !call.task().equals("hook/hang"))
                                         .map(Call::task)
                                         .distinct()
@@ -99,22 +102,23 @@
             for (Call call : receiver.calls()) {
                 if (call.task().equals("hook/hang")) {
                     assertTrue(call.cutOff(), call.toString());
-                    assertTrue(call.endedNs() - call.beganNs() < CUT_OFF_NS, call.toString());
+                    assertTrue(call.endedNs() - call.beganNs() < MAX_CALL_NS, call.toString());
                 }
             }
-            int at = Integer.parseInt(holder[0].substring(1, holder[0].indexOf('#'))) - 1;
-            JsonObject all =
-                    JsonParser.parseString(rig.ask(at, "/tasks", null).body()).getAsJsonObject();
-            Set<String> others = new HashSet<>(all.getAsJsonObject("holds").keySet());
+            int holderIndex = Integer.parseInt(holder[0].substring(1, holder[0].indexOf('#'))) - 1;
+            JsonObject status = JsonParser.parseString(
+                            rig.ask(holderIndex, "/tasks", null).body())
+                    .getAsJsonObject();
+            Set<String> others = new HashSet<>(status.getAsJsonObject("holds").keySet());
             others.remove("hook/hang");
-            assertTrue(!others.isEmpty(), all.toString());
+            assertTrue(!others.isEmpty(), status.toString());
             rig.await(
                     "its holder calls its other hooks too",
                     () -> others.stream()
                             .allMatch(task -> receiver.calls().stream()
                                     .anyMatch(call -> call.task().equals(task)
                                             && call.holder().equals(holder[0])
-                                            && call.beganNs() > from)));
+                                            && call.beganNs() > startNs)));
             assertEquals(List.of(), new TaskHistory(receiver.calls()).check());
         }
     }
@@ -126,7 +130,7 @@
     @Test
     void lateCallsOfAClockBeyondItsBoundAreRejectedByTheReceiver() throws Exception {
         try (StandInReceiver receiver = new StandInReceiver(Crew.port(), 0);
-                Rig rig = new Rig(folder, 4, 3, 7, checked(receiver.port()))) {
+                Rig rig = new Rig(folder, 4, 3, 7, hooksWithTokenCheck(receiver.port()))) {
             rig.option(3, "-Dlaneflow.lab.clock_rate=0.4");
             rig.startAll();
             rig.awaitDeciding(0, rig.all());
@@ -146,28 +150,28 @@
     @Test
     void oldAndNewProcessOfAnUpgradeAreSeparateHolders() throws Exception {
         try (StandInReceiver receiver = new StandInReceiver(Crew.port(), 5);
-                Rig rig = new Rig(folder, 3, 1, 7, checked(receiver.port()))) {
+                Rig rig = new Rig(folder, 3, 1, 7, hooksWithTokenCheck(receiver.port()))) {
             rig.start(0);
             rig.start(1);
             Path file = rig.write(2);
             try (Platform platform =
                     new Platform(folder, folder.resolve("n3.log"), Map.of(), "serve", "--config", file.toString())) {
-                Started former = platform.launch();
+                Started oldProcess = platform.launch();
                 awaitCalls(rig, receiver, 3);
-                Set<String> formerIds = new HashSet<>();
+                Set<String> oldHolders = new HashSet<>();
                 receiver.calls().stream()
                         .filter(call -> name(call).equals("n3"))
-                        .forEach(call -> formerIds.add(call.holder()));
-                Started next = platform.launch();
+                        .forEach(call -> oldHolders.add(call.holder()));
+                Started newProcess = platform.launch();
                 awaitCalls(rig, receiver, 4);
-                assertEquals(1, formerIds.size());
-                former.handle().destroy();
-                former.ended();
-                long ended = System.nanoTime();
+                assertEquals(1, oldHolders.size());
+                oldProcess.handle().destroy();
+                oldProcess.ended();
+                long endedNs = System.nanoTime();
                 awaitCalls(rig, receiver, 3);
                 assertTrue(receiver.calls().stream()
-                        .noneMatch(call -> formerIds.contains(call.holder()) && call.beganNs() > ended));
-                assertTrue(next.handle().isAlive());
+                        .noneMatch(call -> oldHolders.contains(call.holder()) && call.beganNs() > endedNs));
+                assertTrue(newProcess.handle().isAlive());
             }
             assertEquals(List.of(), new TaskHistory(receiver.calls()).check());
         }
@@ -189,28 +193,28 @@
         private void accept() {
             while (!server.isClosed()) {
                 try {
-                    Socket from = server.accept();
-                    Threads.daemon(() -> forward(from), "delaying-proxy").start();
+                    Socket caller = server.accept();
+                    Threads.daemon(() -> forward(caller), "delaying-proxy").start();
                 } catch (IOException e) {
                     return;
                 }
             }
         }
 
-        private void forward(Socket from) {
-            try (from;
-                    Socket to = new Socket(InetAddress.getLoopbackAddress(), target)) {
-                StringBuilder text = new StringBuilder();
-                InputStream in = from.getInputStream();
-                while (text.indexOf("\r\n\r\n") < 0) {
-                    text.append((char) in.read());
+        private void forward(Socket caller) {
+            try (caller;
+                    Socket receiver = new Socket(InetAddress.getLoopbackAddress(), target)) {
+                StringBuilder request = new StringBuilder();
+                InputStream input = caller.getInputStream();
+                while (request.indexOf("\r\n\r\n") < 0) {
+                    request.append((char) input.read());
                 }
-                if (text.indexOf("Task-Holder: " + delayedName) >= 0) {
-                    delayedHead = text.toString();
+                if (request.indexOf("Task-Holder: " + delayedName) >= 0) {
+                    delayedHead = request.toString();
                     released.await();
                 }
-                to.getOutputStream().write(text.toString().getBytes(StandardCharsets.US_ASCII));
-                from.getOutputStream().write(to.getInputStream().readAllBytes());
+                receiver.getOutputStream().write(request.toString().getBytes(StandardCharsets.US_ASCII));
+                caller.getOutputStream().write(receiver.getInputStream().readAllBytes());
             } catch (IOException e) {
                 // The caller has closed the connection.
                 return;
@@ -230,7 +234,7 @@
     void aDelayedCallOfAnEarlierInstanceIsRejected() throws Exception {
         try (StandInReceiver receiver = new StandInReceiver(Crew.port(), 5);
                 DelayingProxy proxy = new DelayingProxy(receiver.port());
-                Rig rig = new Rig(folder, 3, 3, 7, checked(proxy.server.getLocalPort()))) {
+                Rig rig = new Rig(folder, 3, 3, 7, hooksWithTokenCheck(proxy.server.getLocalPort()))) {
             rig.startAll();
             rig.awaitDeciding(0, rig.all());
             awaitCalls(rig, receiver, 3);
@@ -258,7 +262,7 @@
     }
 
     private static String field(String head, String name) {
-        int from = head.indexOf("\r\n" + name + ": ") + name.length() + 4;
-        return head.substring(from, head.indexOf("\r\n", from));
+        int valueStart = head.indexOf("\r\n" + name + ": ") + name.length() + 4;
+        return head.substring(valueStart, head.indexOf("\r\n", valueStart));
     }
 }
--- a/src/test/java/laneflow/task/TaskStoryTest.java
+++ b/src/test/java/laneflow/task/TaskStoryTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Scheduler processes that call hooks, with faults injected; each test ends with a check of all calls. */
+/** Scheduler processes that call hooks, with faults; after each test the history of all calls is checked. */
 class TaskStoryTest {
     private static final int TASKS = 6;
 
@@ -32,7 +32,7 @@
     private Rig rig;
 
     @BeforeEach
-    void begin() throws Exception {
+    void startFleet() throws Exception {
         receiver = new StandInReceiver(Crew.port(), 10);
         rig = new Rig(folder, 3, 3, 7, TaskMeasure.file(receiver.port(), TASKS));
         rig.startAll();
@@ -41,7 +41,7 @@
     }
 
     @AfterEach
-    void end() throws Exception {
+    void checkHistoryAndClose() throws Exception {
         try {
             TaskHistory history = new TaskHistory(receiver.calls());
             assertEquals(List.of(), history.check());
@@ -52,14 +52,19 @@
     }
 
     /** Waits until all hooks have been called again, by at least this many schedulers apart from the excluded ones. */
-    private void awaitCalls(String what, int callers, Set<String> excluded) throws IOException, InterruptedException {
-        long from = System.nanoTime();
-        rig.await(what, () -> {
-            List<StandInReceiver.Call> since = receiver.calls().stream()
-                    .filter(call -> call.beganNs() > from && call.accepted() && !excluded.contains(name(call)))
+    private void awaitCalls(String description, int callers, Set<String> excluded)
+            throws IOException, InterruptedException {
+        long startNs = System.nanoTime();
+        rig.await(description, () -> {
+            List<StandInReceiver.Call> recentCalls = receiver.calls().stream()
+                    .filter(call -> call.beganNs() > startNs && call.accepted() && !excluded.contains(name(call)))
                     .toList();
-            return since.stream().map(StandInReceiver.Call::task).distinct().count() == TASKS
-                    && since.stream().map(TaskStoryTest::name).distinct().count() >= callers;
+            return recentCalls.stream()
+                                    .map(StandInReceiver.Call::task)
+                                    .distinct()
+                                    .count()
+                            == TASKS
+                    && recentCalls.stream().map(TaskStoryTest::name).distinct().count() >= callers;
         });
     }
 
@@ -97,16 +102,16 @@
     void othersKeepTheirTasksWhenTheLeaderIsKilled() throws Exception {
         int leader = rig.leader();
         int follower = other(leader);
-        JsonObject held = tasks(follower).getAsJsonObject("holds");
-        assertTrue(held.size() > 0);
+        JsonObject heldBefore = tasks(follower).getAsJsonObject("holds");
+        assertTrue(heldBefore.size() > 0);
         rig.kill(leader);
         awaitCalls("others make its calls", 2, Set.of(Rig.name(leader)));
-        JsonObject now = tasks(follower).getAsJsonObject("holds");
+        JsonObject heldAfter = tasks(follower).getAsJsonObject("holds");
         int kept = 0;
-        for (String task : held.keySet()) {
-            kept += held.get(task).equals(now.get(task)) ? 1 : 0;
+        for (String task : heldBefore.keySet()) {
+            kept += heldBefore.get(task).equals(heldAfter.get(task)) ? 1 : 0;
         }
-        assertEquals(held.size(), kept, held + ", then " + now);
+        assertEquals(heldBefore.size(), kept, heldBefore + ", then " + heldAfter);
     }
 
     @Test
@@ -117,11 +122,11 @@
         rig.await(
                 "the leader's lease has ended",
                 () -> tasks(leader).get("lease_ms").getAsLong() == 0);
-        long from = System.nanoTime();
+        long startNs = System.nanoTime();
         rig.wake(other(leader));
         rig.wake(other(other(leader)));
         awaitCalls("all hooks are called again", 1, Set.of());
-        assertTrue(receiver.calls().stream().anyMatch(call -> call.beganNs() > from));
+        assertTrue(receiver.calls().stream().anyMatch(call -> call.beganNs() > startNs));
     }
 
     @Test
@@ -150,8 +155,8 @@
         assertEquals(0, run.code(), run.text());
         assertTrue(run.text().contains("hook/h0") && run.text().contains("placed"), run.text());
         String follower = rig.fleetAddress(other(rig.leader()));
-        CliRun none = CliRun.of("task", "show", "--at", follower);
-        assertEquals(3, none.code());
-        assertTrue(none.text().contains("none of these leads"), none.text());
+        CliRun atFollower = CliRun.of("task", "show", "--at", follower);
+        assertEquals(3, atFollower.code());
+        assertTrue(atFollower.text().contains("none of these leads"), atFollower.text());
     }
 }
--- a/src/test/java/laneflow/task/decision/TaskInterleavingsTest.java
+++ b/src/test/java/laneflow/task/decision/TaskInterleavingsTest.java
@@ -16,7 +16,7 @@
 
 /** Simulates leased tasks on three schedulers in every order of three events, and in long random runs. */
 class TaskInterleavingsTest {
-    private record Event(String name, Consumer<TaskSimulation> act) {
+    private record Event(String name, Consumer<TaskSimulation> action) {
         @Override
         public String toString() {
             return name;
@@ -85,27 +85,27 @@
         assertEquals(
                 "s0#0",
                 simulation.table.view().tasks().get(TaskSimulation.ROTATING).holder());
-        assertEquals(1, simulation.begun);
+        assertEquals(1, simulation.begunActions);
         return simulation;
     }
 
-    private int executed;
+    private int runs;
 
-    private void runOrders(StartState start, int depth, List<Event> before) {
+    private void runOrders(StartState start, int depth, List<Event> prefix) {
         if (depth == 0) {
-            executed++;
+            runs++;
             TaskSimulation simulation = simulation(start);
             try {
-                before.forEach(event -> event.act.accept(simulation));
+                prefix.forEach(event -> event.action.accept(simulation));
             } catch (Violation e) {
-                throw new AssertionError(start + " " + before + ": " + e.getMessage(), e);
+                throw new AssertionError(start + " " + prefix + ": " + e.getMessage(), e);
             }
             return;
         }
         for (Event event : EVENTS) {
-            before.add(event);
-            runOrders(start, depth - 1, before);
-            before.remove(before.size() - 1);
+            prefix.add(event);
+            runOrders(start, depth - 1, prefix);
+            prefix.remove(prefix.size() - 1);
         }
     }
 
@@ -113,7 +113,7 @@
     @EnumSource(StartState.class)
     void noOrderOfThreeEventsViolatesAnInvariant(StartState start) {
         runOrders(start, 3, new ArrayList<>());
-        assertEquals(2_197, executed);
+        assertEquals(2_197, runs);
     }
 
     /** Runs of random events, each followed by a recovery that checks holders, turns and load. */
@@ -189,9 +189,9 @@
                 }
             }
             simulation.recoverAndCheck();
-            counts[0] += simulation.begun;
-            counts[1] += simulation.rejected;
-            counts[2] += simulation.reassigned;
+            counts[0] += simulation.begunActions;
+            counts[1] += simulation.rejectedActions;
+            counts[2] += simulation.reassignments;
         }
         return counts;
     }
@@ -204,12 +204,12 @@
                 counts[0] + " actions, " + counts[1] + " rejected by their token, " + counts[2] + " reassignments");
     }
 
-    /** A third of two hundred schedulers is killed at once: the others take their tasks over, one each. */
+    /** A third of two hundred schedulers is killed at once: their tasks are reassigned to others, one each. */
     @Test
     void tasksOfAKilledThirdOfTwoHundredAreTakenOverEvenly() {
         TaskSimulation simulation = new TaskSimulation(Mutation.NOTHING, 200, 120);
         simulation.runRounds(8);
-        int before = simulation.reassigned;
+        int reassignmentsBefore = simulation.reassignments;
         for (int i = 0; i < 66; i++) {
             simulation.crash(i);
         }
@@ -229,13 +229,14 @@
         assertEquals(120, loads.values().stream().mapToInt(load -> load).sum());
         assertTrue(loads.values().stream().allMatch(load -> load == 1), loads.toString());
         assertTrue(
-                simulation.reassigned - before > 20 && simulation.reassigned - before < 66 + 3,
-                simulation.reassigned - before + " reassignments");
+                simulation.reassignments - reassignmentsBefore > 20
+                        && simulation.reassignments - reassignmentsBefore < 66 + 3,
+                simulation.reassignments - reassignmentsBefore + " reassignments");
     }
 
     /**
-     * Grants that are lost on the way don't prolong a lease: a process whose renewals arrive but that receives
-     * no grants loses its tasks as soon as a dead one.
+     * A lost grant does not prolong a lease: a process whose renewals arrive but that receives no grants loses its
+     * tasks as soon as a dead one.
      */
     @Test
     void aProcessThatReceivesNoGrantsIsReplacedLikeADeadOne() {
@@ -253,13 +254,13 @@
                         .toList());
     }
 
-    /** The process is suspended between its lease check and its action, the case that tokens exist for. */
+    /** The process is suspended between its lease check and its action: only the token can reject that action. */
     @Test
     void anActionResumedThreeLeasesAfterItsCheckIsRejectedByItsToken() {
         TaskSimulation simulation = new TaskSimulation(Mutation.NOTHING, 3, 0);
         simulation.runRounds(7);
         simulation.suspendHolder(3);
-        assertEquals(1, simulation.rejected);
+        assertEquals(1, simulation.rejectedActions);
         simulation.recoverAndCheck();
     }
 
--- a/src/test/java/laneflow/task/decision/TaskSimulation.java
+++ b/src/test/java/laneflow/task/decision/TaskSimulation.java
@@ -12,7 +12,7 @@
 import laneflow.task.decision.TaskTable.Task;
 
 /**
- * Simulates schedulers that hold tasks and act on them, with successive leaders that don't know of each other,
+ * Simulates schedulers that hold tasks and act on them, with successive leaders that do not know of each other,
  * a log whose last entries may be lost with their leader, clocks that drift, processes suspended during an
  * action, and messages that are delayed, lost, duplicated or reordered. Actions are observed where they take
  * effect: at receivers that know nothing of leases, and at a store that checks tokens.
@@ -44,14 +44,14 @@
     static final class Violation extends AssertionError {
         private static final long serialVersionUID = 1L;
 
-        Violation(String what) {
-            super(what);
+        Violation(String description) {
+            super(description);
         }
     }
 
     final class Node {
         final int number;
-        final double rate;
+        final double clockRate;
         TaskHolder taskHolder = new TaskHolder();
         boolean up = true;
         boolean left;
@@ -65,16 +65,16 @@
         /** An action that was begun before the process was suspended and takes effect once it resumes. */
         Action suspendedAction;
 
-        final List<Running> running = new ArrayList<>();
+        final List<RunningAction> running = new ArrayList<>();
 
-        private Node(int number, double rate, Candidacy candidacy) {
+        private Node(int number, double clockRate, Candidacy candidacy) {
             this.number = number;
-            this.rate = rate;
+            this.clockRate = clockRate;
             this.candidacy = candidacy;
         }
 
         long clock() {
-            return (long) (now * rate) + number * 1_000_003L;
+            return (long) (now * clockRate) + number * 1_000_003L;
         }
 
         String id() {
@@ -83,24 +83,24 @@
     }
 
     /** An external action in progress: it ends by itself, whatever happens to the process that began it. */
-    private record Running(Node by, int instance, Action act, long endsAt) {}
+    private record RunningAction(Node node, int instance, Action action, long endsAt) {}
 
     private final class Leader {
         private final int term;
-        private final double rate;
-        private final TaskLeader lead;
+        private final double clockRate;
+        private final TaskLeader taskLeader;
 
-        private Leader(int term, double rate) {
+        private Leader(int term, double clockRate) {
             this.term = term;
-            this.rate = rate;
-            lead = new TaskLeader(
+            this.clockRate = clockRate;
+            taskLeader = new TaskLeader(
                     term,
                     mutation == Mutation.ELECTED_TOO_EARLY ? clock() - 3 * LEASE : clock(),
                     mutation == Mutation.NO_TURNS ? new TaskLeader.Times(LEASE, LEASE / 2, Long.MAX_VALUE) : TIMES);
         }
 
         private long clock() {
-            return (long) (now * rate) + term * 7_000_007L;
+            return (long) (now * clockRate) + term * 7_000_007L;
         }
     }
 
@@ -112,25 +112,25 @@
     private final List<Message> inFlight = new ArrayList<>();
     private final List<JsonObject> uncommitted = new ArrayList<>();
     final TaskTable table = new TaskTable();
-    private final List<Running> actions = new ArrayList<>();
+    private final List<RunningAction> actions = new ArrayList<>();
     private final FencingTokenCheck tokenCheck = new FencingTokenCheck();
     private final Map<String, Long> accepted = new HashMap<>();
     private final Map<String, Long> tokens = new HashMap<>();
-    private final Map<String, Set<Integer>> heldBy = new HashMap<>();
+    private final Map<String, Set<Integer>> holdersByTask = new HashMap<>();
     long now = 10_000_000;
-    int begun;
-    int rejected;
-    int reassigned;
+    int begunActions;
+    int rejectedActions;
+    int reassignments;
 
     TaskSimulation(Mutation mutation, int schedulers, int placed) {
         this.mutation = mutation;
         double drift = mutation == Mutation.CLOCK_DRIFT_BEYOND_BOUND ? 0.4 : 0.0004;
-        Set<String> all = new HashSet<>();
+        Set<String> placedTasks = new HashSet<>();
         for (int i = 0; i < placed; i++) {
-            all.add("t" + i);
+            placedTasks.add("t" + i);
         }
         for (int i = 0; i < schedulers; i++) {
-            nodes.add(new Node(i, 1 + (i % 2 == 0 ? -drift : drift), new Candidacy(Set.of(ROTATING), all)));
+            nodes.add(new Node(i, 1 + (i % 2 == 0 ? -drift : drift), new Candidacy(Set.of(ROTATING), placedTasks)));
         }
         elect(false);
     }
@@ -138,8 +138,8 @@
     // ---- events ----
 
     /** Elects another leader. Its predecessor's uncommitted operations are kept or lost. */
-    void elect(boolean kept) {
-        if (kept) {
+    void elect(boolean keepLog) {
+        if (keepLog) {
             uncommitted.forEach(table::run);
         }
         uncommitted.clear();
@@ -147,11 +147,11 @@
         stepAndCheck();
     }
 
-    void confirm(int back) {
-        if (back < leaders.size()) {
-            Leader leader = leaders.get(leaders.size() - 1 - back);
-            if (back == 0 || mutation == Mutation.DEPOSED_LEADER_CONFIRMED) {
-                leader.lead.confirmed(leader.clock(), table.view());
+    void confirm(int leadersBack) {
+        if (leadersBack < leaders.size()) {
+            Leader leader = leaders.get(leaders.size() - 1 - leadersBack);
+            if (leadersBack == 0 || mutation == Mutation.DEPOSED_LEADER_CONFIRMED) {
+                leader.taskLeader.confirmed(leader.clock(), table.view());
             }
         }
         stepAndCheck();
@@ -165,17 +165,17 @@
         uncommitted.forEach(table::run);
         uncommitted.clear();
         Leader leader = leaders.get(leaders.size() - 1);
-        leader.lead.opsAnswered(leader.clock());
-        leader.lead.confirmed(leader.clock(), table.view());
+        leader.taskLeader.opsAnswered(leader.clock());
+        leader.taskLeader.confirmed(leader.clock(), table.view());
         stepAndCheck();
     }
 
-    void renew(int number, int back) {
-        Node from = nodes.get(number);
-        if (!from.up || from.suspended || back >= leaders.size()) {
+    void renew(int number, int leadersBack) {
+        Node node = nodes.get(number);
+        if (!node.up || node.suspended || leadersBack >= leaders.size()) {
             return;
         }
-        TaskRenewal renewal = from.taskHolder.renewal(from.candidacy, from.candidacy.digest(), from.draining);
+        TaskRenewal renewal = node.taskHolder.renewal(node.candidacy, node.candidacy.digest(), node.draining);
         if (mutation == Mutation.ACKNOWLEDGED_DURING_ACTION) {
             renewal = new TaskRenewal(
                     leaders.size(),
@@ -189,7 +189,7 @@
         }
         if (mutation == Mutation.GIVEN_UP_DURING_ACTION) {
             Map<String, Long> givenUp = new HashMap<>(renewal.givenUp());
-            from.running.forEach(action -> givenUp.put(action.act.task(), action.act.token()));
+            node.running.forEach(running -> givenUp.put(running.action.task(), running.action.token()));
             renewal = new TaskRenewal(
                     renewal.heardTerm(),
                     renewal.heardSeq(),
@@ -200,8 +200,8 @@
                     renewal.draining(),
                     givenUp);
         }
-        inFlight.add(
-                new Message(renewal, from, from.instance, leaders.get(leaders.size() - 1 - back), from.clock(), null));
+        inFlight.add(new Message(
+                renewal, node, node.instance, leaders.get(leaders.size() - 1 - leadersBack), node.clock(), null));
     }
 
     void deliver(boolean newest) {
@@ -235,9 +235,9 @@
         Leader leader = message.leader;
         String process = "s" + node.number + "#" + message.instance;
         if (message.renewal != null) {
-            leader.lead.receive(leader.clock(), process, message.renewal);
+            leader.taskLeader.receive(leader.clock(), process, message.renewal);
             step(leader);
-            TaskGrant grant = leader.lead.grant(leader.clock(), process, false);
+            TaskGrant grant = leader.taskLeader.grant(leader.clock(), process, false);
             if (grant != null) {
                 inFlight.add(new Message(null, node, message.instance, leader, message.sentAt, grant));
             }
@@ -246,26 +246,26 @@
         }
     }
 
-    /** Begins an action that takes this long externally, but no longer than allowed. */
-    void act(int number, String task, long takes, boolean thenSuspends) {
+    /** Begins an action of this duration, or of the longest that is allowed. */
+    void act(int number, String task, long durationMicros, boolean thenSuspends) {
         Node node = nodes.get(number);
         if (!node.up && mutation != Mutation.ACTS_AFTER_LEAVING || node.suspended || node.suspendedAction != null) {
             return;
         }
-        Action act = node.taskHolder.begin(
+        Action action = node.taskHolder.begin(
                 task, node.clock(), MAX_ACTION, thenSuspends ? LateSafety.TOKEN_CHECKED : LateSafety.IDEMPOTENT);
-        if (act == null) {
+        if (action == null) {
             return;
         }
-        begun++;
+        begunActions++;
         if (thenSuspends) {
             node.suspended = true;
-            node.suspendedAction = act;
+            node.suspendedAction = action;
         } else {
             long max = mutation == Mutation.ACTION_NOT_CUT_OFF
                     ? 6 * LEASE
-                    : Math.min(takes, (long) (MAX_ACTION / node.rate));
-            Running running = new Running(node, node.instance, act, now + max);
+                    : Math.min(durationMicros, (long) (MAX_ACTION / node.clockRate));
+            RunningAction running = new RunningAction(node, node.instance, action, now + max);
             actions.add(running);
             node.running.add(running);
         }
@@ -304,17 +304,18 @@
         node.draining = false;
         if (node.suspendedAction != null) {
             // Its lease check is over, and it does not notice the time that has passed since.
-            Action act = node.suspendedAction;
+            Action action = node.suspendedAction;
             node.suspendedAction = null;
-            if (mutation == Mutation.NO_TOKEN_CHECK || tokenCheck.admits(act.task(), act.token())) {
-                if (act.token() < accepted.getOrDefault(act.task(), 0L)) {
-                    throw new Violation("stale: token " + act.token() + " accepted after " + accepted.get(act.task()));
+            if (mutation == Mutation.NO_TOKEN_CHECK || tokenCheck.admits(action.task(), action.token())) {
+                if (action.token() < accepted.getOrDefault(action.task(), 0L)) {
+                    throw new Violation(
+                            "stale: token " + action.token() + " accepted after " + accepted.get(action.task()));
                 }
-                accepted.put(act.task(), act.token());
+                accepted.put(action.task(), action.token());
             } else {
-                rejected++;
+                rejectedActions++;
             }
-            node.taskHolder.end(act);
+            node.taskHolder.end(action);
         }
         stepAndCheck();
     }
@@ -354,13 +355,13 @@
         node.running.clear();
     }
 
-    /** Shuts the process down if no action of it runs, and tells the leader. */
+    /** Shuts the process down and notifies the leader, if none of its actions is in progress. */
     void leave(int number) {
         Node node = nodes.get(number);
         if (node.up && !node.suspended && (node.running.isEmpty() || mutation == Mutation.ACTS_AFTER_LEAVING)) {
             node.up = false;
             node.left = true;
-            leaders.get(leaders.size() - 1).lead.leave(node.id());
+            leaders.get(leaders.size() - 1).taskLeader.leave(node.id());
             stepAndCheck();
         }
     }
@@ -368,9 +369,9 @@
     // ---- reactions to events, and invariants ----
 
     private void step(Leader leader) {
-        TaskLeader.Step step = leader.lead.step(leader.clock());
-        boolean leads = leader == leaders.get(leaders.size() - 1);
-        if (leads) {
+        TaskLeader.Step step = leader.taskLeader.step(leader.clock());
+        boolean isCurrent = leader == leaders.get(leaders.size() - 1);
+        if (isCurrent) {
             if (mutation != Mutation.OPERATIONS_IGNORED || table.view().tasks().isEmpty()) {
                 uncommitted.addAll(step.ops());
             }
@@ -378,10 +379,10 @@
             if (mutation == Mutation.DEPOSED_LEADER_CONFIRMED) {
                 step.ops().forEach(table::run);
             }
-            leader.lead.opsAnswered(leader.clock());
+            leader.taskLeader.opsAnswered(leader.clock());
         }
         for (String process : step.tell()) {
-            TaskGrant grant = leader.lead.grant(leader.clock(), process, true);
+            TaskGrant grant = leader.taskLeader.grant(leader.clock(), process, true);
             Node node = nodes.get(Integer.parseInt(process.substring(1, process.indexOf('#'))));
             if (grant != null) {
                 inFlight.add(new Message(
@@ -392,21 +393,22 @@
 
     private void stepAndCheck() {
         for (Node node : nodes) {
-            for (Running action : List.copyOf(node.running)) {
-                if (action.endsAt <= now && !node.suspended && node.up) {
-                    node.running.remove(action);
-                    node.taskHolder.end(action.act);
+            for (RunningAction running : List.copyOf(node.running)) {
+                if (running.endsAt <= now && !node.suspended && node.up) {
+                    node.running.remove(running);
+                    node.taskHolder.end(running.action);
                 }
             }
         }
         leaders.forEach(this::step);
-        actions.removeIf(action -> action.endsAt <= now);
+        actions.removeIf(running -> running.endsAt <= now);
         Map<String, String> activeProcesses = new HashMap<>();
-        for (Running action : actions) {
-            String process = "s" + action.by.number + "#" + action.instance;
-            String other = activeProcesses.putIfAbsent(action.act.task(), process);
+        for (RunningAction running : actions) {
+            String process = "s" + running.node.number + "#" + running.instance;
+            String other = activeProcesses.putIfAbsent(running.action.task(), process);
             if (other != null && !other.equals(process)) {
-                throw new Violation("concurrent actions on " + action.act.task() + ": " + process + " and " + other);
+                throw new Violation(
+                        "concurrent actions on " + running.action.task() + ": " + process + " and " + other);
             }
         }
         for (Task task : table.view().tasks().values()) {
@@ -414,10 +416,11 @@
             if (task.token() < before) {
                 throw new Violation("the token of " + task.name() + " fell from " + before + " to " + task.token());
             }
-            reassigned += task.token() > before && before > 0 ? 1 : 0;
+            reassignments += task.token() > before && before > 0 ? 1 : 0;
             tokens.put(task.name(), task.token());
             if (!task.holder().isEmpty()) {
-                heldBy.computeIfAbsent(task.name(), name -> new HashSet<>())
+                holdersByTask
+                        .computeIfAbsent(task.name(), name -> new HashSet<>())
                         .add(Integer.parseInt(
                                 task.holder().substring(1, task.holder().indexOf('#'))));
             }
@@ -438,7 +441,7 @@
             node.draining = false;
         }
         runRounds(nodes.size() > 5 ? 16 : 30);
-        heldBy.clear();
+        holdersByTask.clear();
         // Time for a turn of each process; skipped where there are too many.
         runRounds(nodes.size() > 5 ? 0 : nodes.size() * 4 * 4 + 4);
         Map<String, Integer> loads = new HashMap<>();
@@ -461,12 +464,12 @@
         if (table.view().tasks().isEmpty()) {
             throw new Violation("stuck: no task is known");
         }
-        if (nodes.size() <= 5 && heldBy.getOrDefault(ROTATING, Set.of()).size() < nodes.size()) {
-            throw new Violation("starved: only " + heldBy.get(ROTATING) + " had a turn");
+        if (nodes.size() <= 5 && holdersByTask.getOrDefault(ROTATING, Set.of()).size() < nodes.size()) {
+            throw new Violation("starved: only " + holdersByTask.get(ROTATING) + " had a turn");
         }
-        double even = (double) placed / nodes.size();
+        double meanLoad = (double) placed / nodes.size();
         int max = loads.values().stream().mapToInt(load -> load).max().orElse(0);
-        if (max > Math.max(Math.ceil(even), TaskPlacement.MAX_LOAD_FACTOR * even)) {
+        if (max > Math.max(Math.ceil(meanLoad), TaskPlacement.MAX_LOAD_FACTOR * meanLoad)) {
             throw new Violation("unfair: " + loads);
         }
     }
