--- a/src/main/java/laneflow/durable/DurableConfig.java
+++ b/src/main/java/laneflow/durable/DurableConfig.java
@@ -46,8 +46,8 @@
 
     private DurableConfig(Table from, Settings settings, List<String> names) {
         classNames = names;
-        String folder = from.text("dir");
-        dir = Path.of(folder.isEmpty() ? "." : folder);
+        String path = from.text("dir");
+        dir = Path.of(path.isEmpty() ? "." : path);
         maxStoreBytes = from.integer("store_mib", 1024, 1, 1 << 20) * MIB;
         maxJobs = from.integer("most_jobs", 250_000, 1, 10_000_000);
         maxBytes = from.integer("most_mib", 64, 1, 1 << 16) * MIB;
@@ -61,19 +61,20 @@
             classes[i].maxJobs = maxJobs;
             classes[i].maxBytes = maxBytes;
         }
-        from.tables("classes").forEach((name, one) -> {
-            int at = names.indexOf(name);
-            if (at < 0) {
-                one.addFinding("", "'" + name + "' is none of the classes " + names);
+        from.tables("classes").forEach((name, table) -> {
+            int index = names.indexOf(name);
+            if (index < 0) {
+                table.addFinding("", "'" + name + "' is none of the classes " + names);
                 return;
             }
-            ClassConfig to = classes[at];
-            to.leaseMs = (long) one.number("lease_ms", to.leaseMs, 50, DAY_MS);
-            to.maxLeaseMs = (long) one.number("longest_ms", 10 * to.leaseMs, to.leaseMs, 30 * DAY_MS);
-            to.maxJobs = one.integer("most_jobs", maxJobs, 0, maxJobs);
-            to.maxBytes = one.integer("most_mib", maxBytes / MIB, 0, maxBytes / MIB) * MIB;
-            to.respondAsync = one.flag("respond_async", true);
-            one.close();
+            ClassConfig classConfig = classes[index];
+            classConfig.leaseMs = (long) table.number("lease_ms", classConfig.leaseMs, 50, DAY_MS);
+            classConfig.maxLeaseMs =
+                    (long) table.number("longest_ms", 10 * classConfig.leaseMs, classConfig.leaseMs, 30 * DAY_MS);
+            classConfig.maxJobs = table.integer("most_jobs", maxJobs, 0, maxJobs);
+            classConfig.maxBytes = table.integer("most_mib", maxBytes / MIB, 0, maxBytes / MIB) * MIB;
+            classConfig.respondAsync = table.flag("respond_async", true);
+            table.close();
         });
         from.close();
     }
--- a/src/main/java/laneflow/durable/RowCodec.java
+++ b/src/main/java/laneflow/durable/RowCodec.java
@@ -26,17 +26,17 @@
         if (attempts.isEmpty()) {
             return "";
         }
-        JsonArray all = new JsonArray();
+        JsonArray array = new JsonArray();
         for (AttemptRecord attempt : attempts) {
-            JsonObject one = new JsonObject();
-            one.addProperty("n", attempt.number());
-            one.addProperty("to", attempt.endpoint());
-            one.addProperty("at", attempt.leasedMs());
-            one.addProperty("end", attempt.endMs());
-            one.addProperty("known", KNOWN_NAMES[attempt.known().ordinal()]);
-            all.add(one);
+            JsonObject json = new JsonObject();
+            json.addProperty("n", attempt.number());
+            json.addProperty("to", attempt.endpoint());
+            json.addProperty("at", attempt.leasedMs());
+            json.addProperty("end", attempt.endMs());
+            json.addProperty("known", KNOWN_NAMES[attempt.known().ordinal()]);
+            array.add(json);
         }
-        return all.toString();
+        return array.toString();
     }
 
     static List<AttemptRecord> attempts(String text) {
@@ -44,13 +44,13 @@
         if (!text.isEmpty()) {
             try {
                 for (JsonElement element : JsonParser.parseString(text).getAsJsonArray()) {
-                    JsonObject one = element.getAsJsonObject();
+                    JsonObject json = element.getAsJsonObject();
                     attempts.add(new AttemptRecord(
-                            one.get("n").getAsInt(),
-                            one.get("to").getAsString(),
-                            one.get("at").getAsLong(),
-                            one.get("end").getAsLong(),
-                            known(one.get("known").getAsString())));
+                            json.get("n").getAsInt(),
+                            json.get("to").getAsString(),
+                            json.get("at").getAsLong(),
+                            json.get("end").getAsLong(),
+                            known(json.get("known").getAsString())));
                 }
             } catch (JsonParseException | IllegalStateException | NullPointerException e) {
                 throw new IllegalArgumentException("malformed attempts: " + e.getMessage(), e);
--- a/src/main/java/laneflow/durable/Store.java
+++ b/src/main/java/laneflow/durable/Store.java
@@ -140,12 +140,12 @@
         latestMs = queryLong("SELECT value FROM meta WHERE key='latest_ms'");
         witness = FileChannel.open(
                 dir.resolve("witness"), StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
-        long seen = readWitness();
-        if (seen > commits) {
+        long acknowledged = readWitness();
+        if (acknowledged > commits) {
             throw new StoreException(
                     StoreException.Kind.DAMAGED,
-                    dir + ": " + (seen - commits)
-                            + " acknowledged commits are missing (commit " + seen
+                    dir + ": " + (acknowledged - commits)
+                            + " acknowledged commits are missing (commit " + acknowledged
                             + " was acknowledged, the last one here is "
                             + commits
                             + "): jobs.db or its log was damaged or replaced by an older copy. 'laneflow jobs verify"
@@ -184,23 +184,23 @@
         if (broken != null) {
             throw broken;
         }
-        long latest = latestMs;
+        long newLatestMs = latestMs;
         try {
             // Explicit BEGIN and COMMIT: the driver loses track of the transaction when SQLite rolls back by itself.
             execute("BEGIN IMMEDIATE");
             for (Op op : ops) {
                 apply(op);
-                latest = Math.max(latest, op.atMs());
+                newLatestMs = Math.max(newLatestMs, op.atMs());
             }
             updateMeta.setLong(1, commits + 1);
-            updateMeta.setLong(2, latest);
+            updateMeta.setLong(2, newLatestMs);
             updateMeta.executeUpdate();
             execute("COMMIT");
         } catch (SQLException e) {
             throw rollback(e);
         }
         commits++;
-        latestMs = latest;
+        latestMs = newLatestMs;
         writeWitness();
     }
 
@@ -271,16 +271,16 @@
         StoreException failure = toStoreException(e);
         try {
             execute("ROLLBACK");
-        } catch (SQLException again) {
+        } catch (SQLException rollbackFailure) {
             // No transaction was open: on some failures SQLite rolls back by itself.
-            e.addSuppressed(again);
+            e.addSuppressed(rollbackFailure);
         }
         try {
             // The driver closes a statement that fails, so all are prepared again.
             closeStatements();
             prepare();
-        } catch (SQLException again) {
-            failure = toStoreException(again);
+        } catch (SQLException prepareFailure) {
+            failure = toStoreException(prepareFailure);
         }
         if (failure.kind != StoreException.Kind.FULL) {
             broken = failure;
@@ -305,11 +305,11 @@
         if (witness.read(buffer, 0) < WITNESS_BYTES) {
             return 0;
         }
-        long seen = buffer.flip().getLong();
+        long acknowledged = buffer.flip().getLong();
         return buffer.getInt()
                         == RowCodec.checksum(
-                                ByteBuffer.allocate(8).putLong(seen).array())
-                ? seen
+                                ByteBuffer.allocate(8).putLong(acknowledged).array())
+                ? acknowledged
                 : 0;
     }
 
@@ -320,24 +320,24 @@
      *
      * @param bodies whether to read the bodies of ended jobs too
      */
-    public void read(boolean bodies, Consumer<JobRow> to) throws StoreException {
-        read(bodies, to, damage -> {
+    public void read(boolean bodies, Consumer<JobRow> consumer) throws StoreException {
+        read(bodies, consumer, damage -> {
             throw new IllegalArgumentException(damage);
         });
     }
 
-    private void read(boolean bodies, Consumer<JobRow> to, Consumer<String> damaged) throws StoreException {
-        String what = "SELECT job.id, class, function, key, target, request_id, repeat_key, hint, slots,"
+    private void read(boolean bodies, Consumer<JobRow> consumer, Consumer<String> damaged) throws StoreException {
+        String sql = "SELECT job.id, class, function, key, target, request_id, repeat_key, hint, slots,"
                 + " memory, subject, urgency, accepted_ms, body_sum, job.sum, length(body),"
                 + " CASE WHEN ? OR coalesce(state, 0) < " + State.DONE.number + " THEN body END,"
                 + " state, attempts, reason, changed_ms, state.sum, not_before_ms"
                 + " FROM job LEFT JOIN state ON state.id = job.id ORDER BY job.id";
-        try (PreparedStatement query = db.prepareStatement(what)) {
+        try (PreparedStatement query = db.prepareStatement(sql)) {
             query.setBoolean(1, bodies);
             try (ResultSet from = query.executeQuery()) {
                 while (from.next()) {
                     try {
-                        to.accept(row(from));
+                        consumer.accept(row(from));
                     } catch (IllegalArgumentException e) {
                         damaged.accept("job " + hex(from.getLong(1)) + ": " + e.getMessage());
                     }
@@ -490,14 +490,14 @@
     /** Accepts the loss of acknowledged commits and keeps the remaining data; returns how many were lost. */
     public static long acceptLoss(Path dir) throws IOException {
         Path file = dir.resolve("witness");
-        Path aside = dir.resolve("witness.lost");
+        Path lostWitness = dir.resolve("witness.lost");
         if (!Files.exists(file)) {
             return 0;
         }
-        Files.move(file, aside, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+        Files.move(file, lostWitness, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
         try (Store store = open(dir, Long.MAX_VALUE / 2)) {
             store.writeWitness();
-            return Math.max(0, ByteBuffer.wrap(Files.readAllBytes(aside)).getLong() - store.commits);
+            return Math.max(0, ByteBuffer.wrap(Files.readAllBytes(lostWitness)).getLong() - store.commits);
         }
     }
 
--- a/src/main/java/laneflow/durable/StoreMaintenance.java
+++ b/src/main/java/laneflow/durable/StoreMaintenance.java
@@ -32,9 +32,9 @@
 
     /** One job with its body, or null. */
     public static JobRow find(Store store, long id) throws StoreException {
-        JobRow[] found = new JobRow[1];
-        store.read(true, row -> found[0] = row.id() == id ? row : found[0]);
-        return found[0];
+        JobRow[] match = new JobRow[1];
+        store.read(true, row -> match[0] = row.id() == id ? row : match[0]);
+        return match[0];
     }
 
     /** Cancels a job that has not begun; throws if it may have. */
--- a/src/main/java/laneflow/maintenance/CoordinatorSnapshot.java
+++ b/src/main/java/laneflow/maintenance/CoordinatorSnapshot.java
@@ -27,25 +27,25 @@
         double[][] demand,
         long done) {
 
-    /** @param known true if the receiver has that view already */
-    JsonObject toJson(boolean known) {
-        JsonObject all = new JsonObject();
-        all.addProperty("term", term);
-        if (!known) {
-            all.add("view", view.toJson());
+    /** @param viewIsKnown true if the receiver has that view already */
+    JsonObject toJson(boolean viewIsKnown) {
+        JsonObject json = new JsonObject();
+        json.addProperty("term", term);
+        if (!viewIsKnown) {
+            json.add("view", view.toJson());
         }
-        all.add("clear", texts(drained));
-        all.addProperty("begun", policyApplied);
-        all.add("lost", texts(unreachable));
-        all.add("demand", rows(demand));
-        all.addProperty("done", done);
-        return all;
+        json.add("clear", texts(drained));
+        json.addProperty("begun", policyApplied);
+        json.add("lost", texts(unreachable));
+        json.add("demand", rows(demand));
+        json.addProperty("done", done);
+        return json;
     }
 
-    /** @param before the previous snapshot, for its view, or null */
-    static CoordinatorSnapshot fromJson(JsonObject from, CoordinatorSnapshot before) {
+    /** @param previous the previous snapshot, for its view, or null */
+    static CoordinatorSnapshot fromJson(JsonObject from, CoordinatorSnapshot previous) {
         WindowLedger.View view =
-                from.has("view") ? WindowLedger.View.fromJson(from.getAsJsonObject("view")) : before.view();
+                from.has("view") ? WindowLedger.View.fromJson(from.getAsJsonObject("view")) : previous.view();
         return new CoordinatorSnapshot(
                 from.get("term").getAsInt(),
                 view,
@@ -57,25 +57,25 @@
     }
 
     static JsonArray texts(Iterable<String> texts) {
-        JsonArray all = new JsonArray();
-        texts.forEach(all::add);
-        return all;
+        JsonArray array = new JsonArray();
+        texts.forEach(array::add);
+        return array;
     }
 
     static Set<String> texts(JsonObject from, String key) {
-        Set<String> all = new TreeSet<>();
-        for (JsonElement one : from.getAsJsonArray(key)) {
-            all.add(one.getAsString());
+        Set<String> strings = new TreeSet<>();
+        for (JsonElement element : from.getAsJsonArray(key)) {
+            strings.add(element.getAsString());
         }
-        return all;
+        return strings;
     }
 
     static JsonArray rows(double[][] table) {
         JsonArray rows = new JsonArray();
         for (double[] row : table) {
             JsonArray list = new JsonArray();
-            for (double one : row) {
-                list.add(Math.round(one * 1000) / 1000.0);
+            for (double element : row) {
+                list.add(Math.round(element * 1000) / 1000.0);
             }
             rows.add(list);
         }
@@ -95,10 +95,10 @@
     }
 
     /** Adds another table as far as the shapes agree: configuration files may differ during an upgrade. */
-    static void add(double[][] to, double[][] more) {
-        for (int i = 0; i < Math.min(to.length, more.length); i++) {
-            for (int k = 0; k < Math.min(to[i].length, more[i].length); k++) {
-                to[i][k] += more[i][k];
+    static void add(double[][] to, double[][] other) {
+        for (int i = 0; i < Math.min(to.length, other.length); i++) {
+            for (int k = 0; k < Math.min(to[i].length, other[i].length); k++) {
+                to[i][k] += other[i][k];
             }
         }
     }
--- a/src/main/java/laneflow/maintenance/CoordinatorTask.java
+++ b/src/main/java/laneflow/maintenance/CoordinatorTask.java
@@ -36,7 +36,7 @@
     private final Deadline pollDeadline;
     private Renewals renewals;
     private CoordinatorSnapshot snapshot;
-    private long heardAt;
+    private long snapshotReceivedAt;
     private long token = -1;
     private boolean isPlanning;
     /** Operations for the leader to replicate; null if there are none. */
@@ -70,8 +70,8 @@
     }
 
     /** Starts taking part in coordination. */
-    void start(Renewals by) {
-        renewals = by;
+    void start(Renewals policyRenewals) {
+        renewals = policyRenewals;
         tasks.addCandidacy(TASK, true);
         poll();
     }
@@ -82,17 +82,17 @@
     }
 
     /** Adds the coordinator's data to a renewal. */
-    void addRenewalData(JsonObject all) {
+    void addRenewalData(JsonObject json) {
         if (token < 0) {
             return;
         }
-        all.addProperty("token", token);
-        all.addProperty(
+        json.addProperty("token", token);
+        json.addProperty(
                 "known",
                 snapshot == null ? "" : snapshot.term() + "/" + snapshot.view().version());
         if (ops != null) {
-            all.addProperty("id", opsId);
-            all.add("ops", ops);
+            json.addProperty("id", opsId);
+            json.add("ops", ops);
         }
     }
 
@@ -101,14 +101,14 @@
         if (snapshot == null && !data.has("view")) {
             return;
         }
-        boolean first = snapshot == null;
+        boolean pollNow = snapshot == null;
         snapshot = CoordinatorSnapshot.fromJson(data, snapshot);
-        heardAt = loop.micros();
+        snapshotReceivedAt = loop.micros();
         if (ops != null && snapshot.done() >= opsId) {
             ops = null;
-            first = true;
+            pollNow = true;
         }
-        if (first) {
+        if (pollNow) {
             loop.deadlines().set(pollDeadline, loop.micros());
         }
     }
@@ -134,7 +134,7 @@
             // No leader has confirmed the operations in time: they are computed again.
             ops = null;
         }
-        if (token < 0 || snapshot == null || ops != null || loop.micros() - heardAt > renewals.lease()) {
+        if (token < 0 || snapshot == null || ops != null || loop.micros() - snapshotReceivedAt > renewals.lease()) {
             return;
         }
         startPlanning();
@@ -145,12 +145,12 @@
      * enough.
      */
     private long token() {
-        Action act = tasks.begin(TASK, tasks.lease() / MIN_LEASE_DIVISOR, LateSafety.TOKEN_CHECKED);
-        if (act == null) {
+        Action action = tasks.begin(TASK, tasks.lease() / MIN_LEASE_DIVISOR, LateSafety.TOKEN_CHECKED);
+        if (action == null) {
             return tasks.holds(TASK) ? token : -1;
         }
-        tasks.end(act);
-        return act.token();
+        tasks.end(action);
+        return action.token();
     }
 
     private void startPlanning() {
@@ -159,23 +159,23 @@
         isPlanning = true;
         try {
             executor.execute(() -> {
-                List<JsonObject> found = List.of();
+                List<JsonObject> result = List.of();
                 try {
-                    found = planning.orders(basis, planToken, System.currentTimeMillis());
+                    result = planning.orders(basis, planToken, System.currentTimeMillis());
                 } catch (RuntimeException e) {
                     LOG.error("maintenance: planning failed, no steps are taken", e);
                 }
-                List<JsonObject> all = found;
-                loop.later(() -> onPlanned(all, planToken));
+                List<JsonObject> planned = result;
+                loop.later(() -> onPlanned(planned, planToken));
             });
         } catch (RejectedExecutionException e) {
             LOG.debug("maintenance: planner is shut down");
         }
     }
 
-    private void onPlanned(List<JsonObject> all, long planToken) {
+    private void onPlanned(List<JsonObject> planned, long planToken) {
         isPlanning = false;
-        if (all.isEmpty()) {
+        if (planned.isEmpty()) {
             return;
         }
         // Sending the result under a newer token would defeat the fencing.
@@ -184,7 +184,7 @@
             return;
         }
         ops = new JsonArray();
-        all.forEach(ops::add);
+        planned.forEach(ops::add);
         opsSince = loop.micros();
         opsId++;
         renewals.renewNow();
--- a/src/main/java/laneflow/maintenance/InventoryReader.java
+++ b/src/main/java/laneflow/maintenance/InventoryReader.java
@@ -41,9 +41,9 @@
      */
     public static Inventory read(JsonObject settings, JsonArray hosts, Findings findings) {
         InventoryReader reader = new InventoryReader(findings);
-        each(settings, "classes", one -> reader.classes.add(text(one, "name", "")));
+        forEachObject(settings, "classes", json -> reader.classes.add(text(json, "name", "")));
         if (settings.has("areas")) {
-            settings.getAsJsonArray("areas").forEach(one -> reader.zones.add(one.getAsString()));
+            settings.getAsJsonArray("areas").forEach(json -> reader.zones.add(json.getAsString()));
         }
         List<Rack> racks = reader.racks(hosts);
         List<Tenant> tenants = reader.tenants(settings);
@@ -56,18 +56,18 @@
         return new Inventory(reader.classes, new double[reader.classes.size()], racks, tenants);
     }
 
-    private static void each(JsonObject from, String key, java.util.function.Consumer<JsonObject> action) {
+    private static void forEachObject(JsonObject from, String key, java.util.function.Consumer<JsonObject> action) {
         if (from.has(key) && from.get(key).isJsonArray()) {
-            from.getAsJsonArray(key).forEach(one -> action.accept(one.getAsJsonObject()));
+            from.getAsJsonArray(key).forEach(json -> action.accept(json.getAsJsonObject()));
         }
     }
 
-    private static String text(JsonObject from, String key, String absent) {
-        return from.has(key) && !from.get(key).isJsonNull() ? from.get(key).getAsString() : absent;
+    private static String text(JsonObject from, String key, String defaultValue) {
+        return from.has(key) && !from.get(key).isJsonNull() ? from.get(key).getAsString() : defaultValue;
     }
 
-    private static double number(JsonObject from, String key, double absent) {
-        return from.has(key) && !from.get(key).isJsonNull() ? from.get(key).getAsDouble() : absent;
+    private static double number(JsonObject from, String key, double defaultValue) {
+        return from.has(key) && !from.get(key).isJsonNull() ? from.get(key).getAsDouble() : defaultValue;
     }
 
     /** The rack of an endpoint; without one, the endpoint is its own rack. */
@@ -78,17 +78,18 @@
     private List<Rack> racks(JsonArray hosts) {
         Map<String, Map<Long, Double>> slots = new LinkedHashMap<>();
         Map<String, String> zoneOf = new LinkedHashMap<>();
-        for (JsonElement each : hosts) {
-            JsonObject host = each.getAsJsonObject();
+        for (JsonElement element : hosts) {
+            JsonObject host = element.getAsJsonObject();
             String name = text(host, "host", "");
             String rack = rackOf(host);
             String zone = text(host, "site", "");
-            String known = zoneOf.putIfAbsent(rack, zone);
-            if (known != null && !known.equals(zone)) {
+            String zoneBefore = zoneOf.putIfAbsent(rack, zone);
+            if (zoneBefore != null && !zoneBefore.equals(zone)) {
                 findings.add(
                         "endpoints." + name,
                         "rack",
-                        "'" + rack + "' is in zone " + known + " by another endpoint, but by this one in zone " + zone);
+                        "'" + rack + "' is in zone " + zoneBefore + " by another endpoint, but by this one in zone "
+                                + zone);
                 continue;
             }
             long classMask = host.has("classes") ? classMask(host, "endpoints." + name) : allClasses();
@@ -96,9 +97,9 @@
                     .merge(classMask, number(host, "slots", 1), Double::sum);
         }
         List<Rack> racks = new ArrayList<>();
-        slots.forEach((name, by) -> {
+        slots.forEach((name, slotsByMask) -> {
             List<EndpointGroup> groups = new ArrayList<>();
-            by.forEach((classMask, sum) -> groups.add(new EndpointGroup(classMask, sum, 0)));
+            slotsByMask.forEach((classMask, total) -> groups.add(new EndpointGroup(classMask, total, 0)));
             racks.add(new Rack(name, zoneOf.get(name), groups));
         });
         return racks;
@@ -111,11 +112,11 @@
     private long classMask(JsonObject from, String path) {
         long mask = 0;
         for (JsonElement name : from.getAsJsonArray("classes")) {
-            int at = classes.indexOf(name.getAsString());
-            if (at < 0) {
+            int index = classes.indexOf(name.getAsString());
+            if (index < 0) {
                 findings.add(path, "classes", "'" + name.getAsString() + "' is none of " + classes);
             } else {
-                mask |= 1L << at;
+                mask |= 1L << index;
             }
         }
         return mask;
@@ -124,10 +125,10 @@
     private List<Tenant> tenants(JsonObject settings) {
         List<Tenant> tenants = new ArrayList<>();
         Set<String> seen = new HashSet<>();
-        each(settings, "customers", one -> {
-            String name = text(one, "name", "");
+        forEachObject(settings, "customers", json -> {
+            String name = text(json, "name", "");
             String path = "tenants." + name;
-            double share = number(one, "portion", 1);
+            double share = number(json, "portion", 1);
             if (!seen.add(name)) {
                 findings.add(path, "", "is a duplicate");
             }
@@ -135,8 +136,8 @@
                 findings.add(path, "share", "has to be over 0");
             }
             Set<String> allowedZones = new HashSet<>();
-            if (one.has("zones")) {
-                one.getAsJsonArray("zones").forEach(zone -> allowedZones.add(zone.getAsString()));
+            if (json.has("zones")) {
+                json.getAsJsonArray("zones").forEach(zone -> allowedZones.add(zone.getAsString()));
             }
             for (String zone : allowedZones) {
                 if (!zones.contains(zone)) {
@@ -144,7 +145,7 @@
                 }
             }
             tenants.add(
-                    new Tenant(name, share, allowedZones, one.has("classes") ? classMask(one, path) : allClasses()));
+                    new Tenant(name, share, allowedZones, json.has("classes") ? classMask(json, path) : allClasses()));
         });
         if (!seen.contains(OTHERS)) {
             // Unnamed tenants together have a share of 1.
--- a/src/main/java/laneflow/maintenance/MaintenanceApi.java
+++ b/src/main/java/laneflow/maintenance/MaintenanceApi.java
@@ -32,7 +32,7 @@
     private static final String PATH = "/maintenance";
     private static final String REQUESTS = PATH + "/requests";
     private static final String WINDOWS = PATH + "/windows/";
-    private static final String ASK_AGAIN = "asking again does no harm";
+    private static final String RETRY_NOTE = "asking again does no harm";
     private static final String JSON = "application/json";
     private static final String TEXT = "text/plain";
 
@@ -62,83 +62,83 @@
     }
 
     private void handle(String method, String path, byte[] body, Answer answer) {
-        boolean post = method.equals("POST");
+        boolean isPost = method.equals("POST");
         if (path.equals(PATH) && method.equals("GET")) {
-            atLeader(path, answer, () -> show(answer));
-        } else if (path.equals(REQUESTS) && post) {
+            atLeader(path, answer, () -> sendStatus(answer));
+        } else if (path.equals(REQUESTS) && isPost) {
             atLeader(path, answer, () -> request(body, answer));
-        } else if (path.startsWith(WINDOWS) && post) {
+        } else if (path.startsWith(WINDOWS) && isPost) {
             String name = path.substring(WINDOWS.length());
-            atLeader(path, answer, () -> order(name, body, answer));
+            atLeader(path, answer, () -> applyAction(name, body, answer));
         } else {
             answer.say(
-                    method.equals("GET") || post ? 404 : 405,
+                    method.equals("GET") || isPost ? 404 : 405,
                     TEXT,
                     "",
                     "known are GET " + PATH + " and POST " + REQUESTS + ", " + WINDOWS + "NAME\n");
         }
     }
 
-    private void atLeader(String path, Answer answer, Runnable then) {
+    private void atLeader(String path, Answer answer, Runnable onSuccess) {
         Context context = extension.context();
         if (context.isLeader()) {
-            then.run();
+            onSuccess.run();
             return;
         }
-        LeaderRedirect.answer(fleet, context.leader(), path, answer, ASK_AGAIN);
+        LeaderRedirect.answer(fleet, context.leader(), path, answer, RETRY_NOTE);
     }
 
     private void answerUnavailable(Answer answer) {
-        LeaderRedirect.unavailable(answer, ASK_AGAIN);
+        LeaderRedirect.unavailable(answer, RETRY_NOTE);
     }
 
-    private void read(Answer answer, Consumer<WindowLedger.View> then) {
-        extension.context().read(WindowLedger.NAME, found -> {
-            if (found == null) {
+    private void read(Answer answer, Consumer<WindowLedger.View> onSuccess) {
+        extension.context().read(WindowLedger.NAME, result -> {
+            if (result == null) {
                 answerUnavailable(answer);
             } else {
-                then.accept((WindowLedger.View) found);
+                onSuccess.accept((WindowLedger.View) result);
             }
         });
     }
 
     // ---- showing ----
 
-    private void show(Answer answer) {
+    private void sendStatus(Answer answer) {
         read(answer, view -> {
-            JsonObject all = new JsonObject();
-            all.addProperty("scheduler", fleet.self().name());
-            all.addProperty("leader", extension.context().leader());
+            JsonObject status = new JsonObject();
+            status.addProperty("scheduler", fleet.self().name());
+            status.addProperty("leader", extension.context().leader());
             Map.Entry<String, Long> coordinator = extension.coordinator();
-            all.addProperty("coordinator", coordinator == null ? "" : coordinator.getKey());
-            all.addProperty("token", coordinator == null ? -1 : coordinator.getValue());
-            all.addProperty("policy", view.inForce());
-            all.addProperty("away", view.windows().awayChanges());
+            status.addProperty("coordinator", coordinator == null ? "" : coordinator.getKey());
+            status.addProperty("token", coordinator == null ? -1 : coordinator.getValue());
+            status.addProperty("policy", view.inForce());
+            status.addProperty("away", view.windows().awayChanges());
             if (config != null) {
-                all.add("racks", CoordinatorSnapshot.texts(config.rackNames()));
+                status.add("racks", CoordinatorSnapshot.texts(config.rackNames()));
             }
             JsonArray windows = new JsonArray();
             view.windows().all().forEach(one -> windows.add(describe(one)));
-            all.add("windows", windows);
-            answer.say(200, JSON, "", all + "\n");
+            status.add("windows", windows);
+            answer.say(200, JSON, "", status + "\n");
         });
     }
 
     private JsonObject describe(Window window) {
-        JsonObject all = MaintenanceJson.write(window);
-        all.remove("request");
-        JsonObject one = new JsonObject();
-        one.addProperty("name", window.name());
-        one.addProperty("owner", window.request().owner());
-        one.add("racks", CoordinatorSnapshot.texts(window.request().racks()));
-        all.entrySet().forEach(entry -> one.add(entry.getKey(), entry.getValue()));
+        JsonObject json = MaintenanceJson.write(window);
+        json.remove("request");
+        JsonObject ordered = new JsonObject();
+        ordered.addProperty("name", window.name());
+        ordered.addProperty("owner", window.request().owner());
+        ordered.add("racks", CoordinatorSnapshot.texts(window.request().racks()));
+        json.entrySet().forEach(entry -> ordered.add(entry.getKey(), entry.getValue()));
         if (window.state() == Windows.State.DRAINING) {
-            one.add(
+            ordered.add(
                     "sending",
                     CoordinatorSnapshot.texts(
                             extension.possibleCallers(window.request().racks())));
         }
-        return one;
+        return ordered;
     }
 
     // ---- requests ----
@@ -161,15 +161,15 @@
                     "the file of " + fleet.self().name() + ", which leads, has no table" + " [maintenance]\n");
             return;
         }
-        JsonObject asked = object(body);
-        JsonElement list = asked == null ? null : asked.get("requests");
+        JsonObject requestJson = object(body);
+        JsonElement list = requestJson == null ? null : requestJson.get("requests");
         if (list == null || !list.isJsonArray()) {
             answer.say(400, TEXT, "", "an object with 'requests', a list, and perhaps 'dry_run'\n");
             return;
         }
-        boolean dryRun = asked.has("dry_run")
-                && asked.get("dry_run").isJsonPrimitive()
-                && asked.get("dry_run").getAsBoolean();
+        boolean dryRun = requestJson.has("dry_run")
+                && requestJson.get("dry_run").isJsonPrimitive()
+                && requestJson.get("dry_run").getAsBoolean();
         Findings findings = Findings.paths();
         List<Request> requests = RequestReader.read(list.getAsJsonArray(), config.rackNames(), findings);
         if (!findings.isEmpty()) {
@@ -177,10 +177,10 @@
         } else if (dryRun) {
             read(answer, view -> dryRun(view, requests, answer));
         } else {
-            replicate(WindowLedger.requestsOp(requests), answer, found -> {
+            replicate(WindowLedger.requestsOp(requests), answer, result -> {
                 JsonArray described = new JsonArray();
-                found.getAsJsonArray("windows").forEach(one -> {
-                    Window window = MaintenanceJson.window(one.getAsJsonObject());
+                result.getAsJsonArray("windows").forEach(element -> {
+                    Window window = MaintenanceJson.window(element.getAsJsonObject());
                     described.add(PlanningSession.describe(
                             window.name(), window.state(), window.startMs(), window.reasons()));
                 });
@@ -190,15 +190,15 @@
     }
 
     private static void sendWindows(JsonArray windows, Answer answer) {
-        JsonObject all = new JsonObject();
-        all.add("windows", windows);
-        answer.say(200, JSON, "", all + "\n");
+        JsonObject json = new JsonObject();
+        json.add("windows", windows);
+        answer.say(200, JSON, "", json + "\n");
     }
 
     private void dryRun(WindowLedger.View view, List<Request> requests, Answer answer) {
         for (Request request : requests) {
-            Window known = view.windows().window(request.name());
-            if (known != null && !known.request().equals(request)) {
+            Window knownWindow = view.windows().window(request.name());
+            if (knownWindow != null && !knownWindow.request().equals(request)) {
                 answer.say(409, TEXT, "", "the name '" + request.name() + "' is that of another request\n");
                 return;
             }
@@ -210,14 +210,14 @@
         }
         try {
             executor.execute(() -> {
-                JsonArray found;
+                JsonArray result;
                 try {
-                    found = planning.dryRun(snapshot, requests, System.currentTimeMillis());
+                    result = planning.dryRun(snapshot, requests, System.currentTimeMillis());
                 } catch (RuntimeException e) {
                     loop.later(() -> answer.say(500, TEXT, "", "planning failed: " + e + "\n"));
                     return;
                 }
-                loop.later(() -> sendWindows(found, answer));
+                loop.later(() -> sendWindows(result, answer));
             });
         } catch (RejectedExecutionException e) {
             answerUnavailable(answer);
@@ -226,12 +226,14 @@
 
     // ---- crews and owners ----
 
-    private void order(String name, byte[] body, Answer answer) {
-        JsonObject asked = object(body);
-        String what = asked == null || !asked.has("do") || !asked.get("do").isJsonPrimitive()
+    private void applyAction(String name, byte[] body, Answer answer) {
+        JsonObject requestJson = object(body);
+        String action = requestJson == null
+                        || !requestJson.has("do")
+                        || !requestJson.get("do").isJsonPrimitive()
                 ? ""
-                : asked.get("do").getAsString();
-        JsonObject op = switch (what) {
+                : requestJson.get("do").getAsString();
+        JsonObject op = switch (action) {
             case "begin" -> Windows.begin(name);
             case "finish" -> Windows.finish(name);
             case "abort" -> Windows.abort(name, System.currentTimeMillis());
@@ -247,24 +249,24 @@
                 answer.say(404, TEXT, "", "there is no window '" + name + "'\n");
                 return;
             }
-            replicate(WindowLedger.partOp(op), answer, found -> {
+            replicate(WindowLedger.partOp(op), answer, result -> {
                 JsonObject described = new JsonObject();
                 described.addProperty("name", name);
-                described.add("state", found.get("state"));
-                described.add("steps", found.get("steps"));
+                described.add("state", result.get("state"));
+                described.add("steps", result.get("steps"));
                 answer.say(200, JSON, "", described + "\n");
             });
         });
     }
 
-    private void replicate(JsonObject op, Answer answer, Consumer<JsonObject> then) {
-        extension.context().replicate(op, found -> {
-            if (found == null) {
+    private void replicate(JsonObject op, Answer answer, Consumer<JsonObject> onSuccess) {
+        extension.context().replicate(op, result -> {
+            if (result == null) {
                 answerUnavailable(answer);
-            } else if (found.has("error")) {
-                answer.say(409, TEXT, "", found.get("error").getAsString() + "\n");
+            } else if (result.has("error")) {
+                answer.say(409, TEXT, "", result.get("error").getAsString() + "\n");
             } else {
-                then.accept(found);
+                onSuccess.accept(result);
             }
         });
     }
--- a/src/main/java/laneflow/maintenance/MaintenanceConfig.java
+++ b/src/main/java/laneflow/maintenance/MaintenanceConfig.java
@@ -107,14 +107,14 @@
         from.close();
     }
 
-    private static long millis(Table from, String key, long absent, long least, long most) {
-        return from.integer(key, absent, least, most);
+    private static long millis(Table from, String key, long defaultValue, long min, long max) {
+        return from.integer(key, defaultValue, min, max);
     }
 
     private static SortedMap<String, List<String>> racks(JsonArray hosts) {
         SortedMap<String, List<String>> racks = new TreeMap<>();
-        for (JsonElement each : hosts) {
-            JsonObject host = each.getAsJsonObject();
+        for (JsonElement element : hosts) {
+            JsonObject host = element.getAsJsonObject();
             racks.computeIfAbsent(InventoryReader.rackOf(host), name -> new ArrayList<>())
                     .add(host.get("host").getAsString());
         }
@@ -127,10 +127,10 @@
     }
 
     /** Endpoints of these racks. */
-    public Map<String, List<String>> endpoints(List<String> these) {
-        Map<String, List<String>> all = new TreeMap<>(racks);
-        all.keySet().retainAll(these);
-        return all;
+    public Map<String, List<String>> endpoints(List<String> names) {
+        Map<String, List<String>> endpoints = new TreeMap<>(racks);
+        endpoints.keySet().retainAll(names);
+        return endpoints;
     }
 
     /**
--- a/src/main/java/laneflow/maintenance/MaintenanceExtension.java
+++ b/src/main/java/laneflow/maintenance/MaintenanceExtension.java
@@ -67,7 +67,7 @@
     /** A scheduler as the leader knows it. */
     private static final class SchedulerState {
         private double[][] demand = new double[0][];
-        private long heardAt;
+        private long lastRenewalAt;
         /** The scheduler's coordinator token, or negative. */
         private long token = -1;
 
@@ -128,18 +128,18 @@
         context = renewalContext;
     }
 
-    private void onSample(CallSampler.Sample now) {
+    private void onSample(CallSampler.Sample newSample) {
         boolean isChanged = sample == null
-                || sample.policy() != now.policy()
-                || !sample.busy().equals(now.busy())
-                || !sample.unreachable().equals(now.unreachable());
-        sample = now;
-        updatePeakDemand(now.demand());
-        longestDeadlineMillis = Math.max(longestDeadlineMillis, now.longest());
+                || sample.policy() != newSample.policy()
+                || !sample.busy().equals(newSample.busy())
+                || !sample.unreachable().equals(newSample.unreachable());
+        sample = newSample;
+        updatePeakDemand(newSample.demand());
+        longestDeadlineMillis = Math.max(longestDeadlineMillis, newSample.longest());
         if (drainTracker != null) {
             drainTracker.raiseMaxCallDuration(maxCallMicros());
         }
-        if (!now.busy().isEmpty()) {
+        if (!newSample.busy().isEmpty()) {
             loop.deadlines().set(resample, loop.micros() + RESAMPLE_MICROS);
         }
         if (isChanged) {
@@ -152,14 +152,14 @@
      * open ones do not show what is missing.
      */
     private void updatePeakDemand(double[][] current) {
-        long passed = loop.micros() - demandAt;
+        long elapsedMicros = loop.micros() - demandAt;
         demandAt = loop.micros();
-        double half = 1000 * (config == null ? DEMAND_HALF_LIFE_MS : config.demandHalfLifeMillis);
-        double left = Math.pow(0.5, passed / half);
+        double halfLifeMicros = 1000 * (config == null ? DEMAND_HALF_LIFE_MS : config.demandHalfLifeMillis);
+        double retained = Math.pow(0.5, elapsedMicros / halfLifeMicros);
         for (int t = 0; t < current.length; t++) {
             for (int k = 0; k < current[t].length; k++) {
                 boolean known = t < demand.length && k < demand[t].length;
-                current[t][k] = Math.max(current[t][k], known ? demand[t][k] * left : 0);
+                current[t][k] = Math.max(current[t][k], known ? demand[t][k] * retained : 0);
             }
         }
         demand = current;
@@ -176,29 +176,29 @@
         if (sample == null) {
             return null;
         }
-        JsonObject all = new JsonObject();
-        all.addProperty("policy", sample.policy());
-        all.add("busy", CoordinatorSnapshot.texts(sample.busy()));
-        all.add("lost", CoordinatorSnapshot.texts(sample.unreachable()));
-        all.add("demand", CoordinatorSnapshot.rows(demand));
+        JsonObject json = new JsonObject();
+        json.addProperty("policy", sample.policy());
+        json.add("busy", CoordinatorSnapshot.texts(sample.busy()));
+        json.add("lost", CoordinatorSnapshot.texts(sample.unreachable()));
+        json.add("demand", CoordinatorSnapshot.rows(demand));
         if (coordinatorTask != null) {
-            coordinatorTask.addRenewalData(all);
+            coordinatorTask.addRenewalData(json);
         }
-        return all;
+        return json;
     }
 
     @Override
-    public void onGrant(JsonElement word, long sentAt, long heardAt) {
+    public void onGrant(JsonElement data, long sentAt, long heardAt) {
         if (coordinatorTask != null) {
-            coordinatorTask.onGrant(word.getAsJsonObject());
+            coordinatorTask.onGrant(data.getAsJsonObject());
         }
     }
 
     // ---- at the leader ----
 
     @Override
-    public void onElected(int now) {
-        term = now;
+    public void onElected(int newTerm) {
+        term = newTerm;
         view = null;
         schedulers.clear();
         drainTracker = new DrainTracker(context.now(), context.leaseMicros(), maxCallMicros());
@@ -223,50 +223,50 @@
             return;
         }
         view = (WindowLedger.View) part;
-        for (Map.Entry<String, SchedulerState> one : schedulers.entrySet()) {
-            SchedulerState state = one.getValue();
+        for (Map.Entry<String, SchedulerState> entry : schedulers.entrySet()) {
+            SchedulerState state = entry.getValue();
             if (state.pendingOps == 0 && state.completedId < state.acceptedId && submittedAt >= state.answeredAt) {
                 state.completedId = state.acceptedId;
-                context.sendGrant(one.getKey());
+                context.sendGrant(entry.getKey());
             }
         }
     }
 
     @Override
-    public void onRenewal(String who, JsonElement word) {
-        if (drainTracker == null || !word.isJsonObject()) {
+    public void onRenewal(String schedulerName, JsonElement data) {
+        if (drainTracker == null || !data.isJsonObject()) {
             return;
         }
-        JsonObject said = word.getAsJsonObject();
+        JsonObject report = data.getAsJsonObject();
         long now = context.now();
         drainTracker.onReport(
                 now,
-                who,
+                schedulerName,
                 new DrainTracker.Report(
-                        said.get("policy").getAsLong(),
-                        CoordinatorSnapshot.texts(said, "busy"),
-                        CoordinatorSnapshot.texts(said, "lost")));
-        SchedulerState state = schedulers.computeIfAbsent(who, name -> new SchedulerState());
-        state.heardAt = now;
-        state.demand = CoordinatorSnapshot.rows(said.getAsJsonArray("demand"));
-        state.token = said.has("token") ? said.get("token").getAsLong() : -1;
-        state.knownView = said.has("known") ? said.get("known").getAsString() : "";
-        if (said.has("ops") && said.get("id").getAsLong() > state.acceptedId && state.pendingOps == 0) {
-            state.acceptedId = said.get("id").getAsLong();
-            replicateOps(who, state, said.getAsJsonArray("ops"));
+                        report.get("policy").getAsLong(),
+                        CoordinatorSnapshot.texts(report, "busy"),
+                        CoordinatorSnapshot.texts(report, "lost")));
+        SchedulerState state = schedulers.computeIfAbsent(schedulerName, name -> new SchedulerState());
+        state.lastRenewalAt = now;
+        state.demand = CoordinatorSnapshot.rows(report.getAsJsonArray("demand"));
+        state.token = report.has("token") ? report.get("token").getAsLong() : -1;
+        state.knownView = report.has("known") ? report.get("known").getAsString() : "";
+        if (report.has("ops") && report.get("id").getAsLong() > state.acceptedId && state.pendingOps == 0) {
+            state.acceptedId = report.get("id").getAsLong();
+            replicateOps(schedulerName, state, report.getAsJsonArray("ops"));
         }
     }
 
-    private void replicateOps(String who, SchedulerState state, JsonArray ops) {
+    private void replicateOps(String schedulerName, SchedulerState state, JsonArray ops) {
         state.pendingOps = ops.size();
-        for (JsonElement each : ops) {
-            JsonObject op = each.getAsJsonObject();
+        for (JsonElement element : ops) {
+            JsonObject op = element.getAsJsonObject();
             boolean own =
                     op.has(Ledger.PART) && op.get(Ledger.PART).getAsString().equals(WindowLedger.NAME);
             boolean bans = op.has("by") && op.get("by").getAsString().equals(WindowLedger.NAME);
             if (!own && !bans) {
                 state.pendingOps--;
-                LOG.warn("maintenance: ignored an operation of {} that is not a coordinator's: {}", who, op);
+                LOG.warn("maintenance: ignored an operation of {} that is not a coordinator's: {}", schedulerName, op);
                 continue;
             }
             context.replicate(op, answer -> {
@@ -281,12 +281,12 @@
     }
 
     @Override
-    public JsonElement grantData(String who, boolean unasked) {
+    public JsonElement grantData(String schedulerName, boolean unasked) {
         if (drainTracker == null) {
             return null;
         }
-        drainTracker.onGrant(context.now(), who);
-        SchedulerState state = schedulers.get(who);
+        drainTracker.onGrant(context.now(), schedulerName);
+        SchedulerState state = schedulers.get(schedulerName);
         if (state == null || state.token < 0 || view == null) {
             return null;
         }
@@ -295,10 +295,10 @@
     }
 
     @Override
-    public void onSchedulerLeft(String who) {
+    public void onSchedulerLeft(String schedulerName) {
         if (drainTracker != null) {
-            drainTracker.onLeft(who);
-            schedulers.remove(who);
+            drainTracker.onLeft(schedulerName);
+            schedulers.remove(schedulerName);
         }
     }
 
@@ -322,11 +322,11 @@
                     }
                 }));
         double[][] demand = new double[0][];
-        for (SchedulerState one : schedulers.values()) {
-            if (now - one.heardAt <= context.leaseMicros()) {
-                demand = demand.length < one.demand.length ? withShapeOf(one.demand, demand) : demand;
-                if (demand != one.demand) {
-                    CoordinatorSnapshot.add(demand, one.demand);
+        for (SchedulerState state : schedulers.values()) {
+            if (now - state.lastRenewalAt <= context.leaseMicros()) {
+                demand = demand.length < state.demand.length ? withShapeOf(state.demand, demand) : demand;
+                if (demand != state.demand) {
+                    CoordinatorSnapshot.add(demand, state.demand);
                 }
             }
         }
@@ -340,36 +340,37 @@
                 done);
     }
 
-    private static double[][] withShapeOf(double[][] form, double[][] with) {
-        double[][] all = new double[form.length][];
-        for (int i = 0; i < form.length; i++) {
-            all[i] = new double[form[i].length];
+    private static double[][] withShapeOf(double[][] shape, double[][] values) {
+        double[][] resized = new double[shape.length][];
+        for (int i = 0; i < shape.length; i++) {
+            resized[i] = new double[shape[i].length];
         }
-        CoordinatorSnapshot.add(all, with);
-        return all;
+        CoordinatorSnapshot.add(resized, values);
+        return resized;
     }
 
     /** Schedulers that send, or may send, to these racks; at the leader. */
     List<String> possibleCallers(List<String> racks) {
-        Set<String> all = new TreeSet<>();
+        Set<String> callers = new TreeSet<>();
         for (String rack : view == null ? List.<String>of() : racks) {
             for (String name : view.racks().getOrDefault(rack, List.of())) {
-                all.addAll(drainTracker.possibleCallers(context.now(), view.inForce(), name));
+                callers.addAll(drainTracker.possibleCallers(context.now(), view.inForce(), name));
             }
         }
-        return new ArrayList<>(all);
+        return new ArrayList<>(callers);
     }
 
     /** The process that coordinates, as last reported to the leader, and its token; or null. */
     Map.Entry<String, Long> coordinator() {
-        String who = null;
+        String name = null;
         long token = -1;
-        for (Map.Entry<String, SchedulerState> one : schedulers.entrySet()) {
-            if (one.getValue().token > token && context.now() - one.getValue().heardAt <= context.leaseMicros()) {
-                who = one.getKey();
-                token = one.getValue().token;
+        for (Map.Entry<String, SchedulerState> entry : schedulers.entrySet()) {
+            if (entry.getValue().token > token
+                    && context.now() - entry.getValue().lastRenewalAt <= context.leaseMicros()) {
+                name = entry.getKey();
+                token = entry.getValue().token;
             }
         }
-        return who == null ? null : Map.entry(who, token);
+        return name == null ? null : Map.entry(name, token);
     }
 }
--- a/src/main/java/laneflow/maintenance/PlanningSession.java
+++ b/src/main/java/laneflow/maintenance/PlanningSession.java
@@ -54,14 +54,14 @@
         double[][] demand =
                 new double[inventory.tenants().size()][inventory.classes().size()];
         for (int t = 0; t < demand.length; t++) {
-            int runs = 0;
+            int runnableClasses = 0;
             for (int k = 0; k < demand[t].length; k++) {
-                runs += inventory.eligibleCells(t, k) != 0 ? 1 : 0;
+                runnableClasses += inventory.eligibleCells(t, k) != 0 ? 1 : 0;
             }
             for (int k = 0; k < demand[t].length; k++) {
                 demand[t][k] = inventory.eligibleCells(t, k) == 0
                         ? 0
-                        : inventory.entitlement(t) * config.expectedDemand / runs;
+                        : inventory.entitlement(t) * config.expectedDemand / runnableClasses;
             }
         }
         return new Forecast(0, FOREVER_MS, List.<double[][]>of(demand));
@@ -124,41 +124,41 @@
     // ---- the coordinator ----
 
     /** The operations that the coordinator with that token has to replicate, in order. */
-    List<JsonObject> orders(CoordinatorSnapshot snapshot, long byToken, long nowMs) {
+    List<JsonObject> orders(CoordinatorSnapshot snapshot, long currentToken, long nowMs) {
         WindowLedger.View view = snapshot.view();
-        if (byToken != token) {
-            token = byToken;
+        if (currentToken != token) {
+            token = currentToken;
             accounts = new LossAccounts(config.fairnessLimits.halfLifeMs());
             accounts.restore(view.accounts());
             accountedAtMs = nowMs;
             writtenAtMs = nowMs;
         }
-        List<JsonObject> all = new ArrayList<>();
+        List<JsonObject> ops = new ArrayList<>();
         Coordinator.Observation observed = observe(snapshot, nowMs, accounts.excessLossRates(inventory, nowMs));
-        updateAccounts(view, observed, all);
+        updateAccounts(view, observed, ops);
         Coordinator.Orders orders = coordinator.orders(view.windows().copy(this::isKnown), observed, token);
-        boolean moves = false;
+        boolean changesBans = false;
         for (JsonObject step : orders.steps()) {
             String to = step.get("to").getAsString();
-            moves |= to.equals(State.RETURNING.label()) || to.equals(State.DRAINING.label());
+            changesBans |= to.equals(State.RETURNING.label()) || to.equals(State.DRAINING.label());
             if (to.equals(State.DRAINING.label())) {
                 Window window = view.windows().window(step.get("name").getAsString());
-                all.add(WindowLedger.drainStep(
+                ops.add(WindowLedger.drainStep(
                         step, config.endpoints(window.request().racks())));
             } else {
-                all.add(WindowLedger.partOp(step));
+                ops.add(WindowLedger.partOp(step));
             }
         }
         Set<String> away = new TreeSet<>(orders.banned());
         view.windows().all().stream()
-                .filter(one -> !isKnown(one))
-                .forEach(one -> handleUnknownRacks(view, one, nowMs, away, all));
+                .filter(window -> !isKnown(window))
+                .forEach(window -> handleUnknownRacks(view, window, nowMs, away, ops));
         Set<String> bans = view.bansFor(away);
         // A drain or return among these steps changes the required bans, so the bans wait for the next poll.
-        if (!moves && !bans.equals(view.bans()) && !view.undecided()) {
-            all.add(bans(bans, view.inForce(), nowMs));
+        if (!changesBans && !bans.equals(view.bans()) && !view.undecided()) {
+            ops.add(bans(bans, view.inForce(), nowMs));
         }
-        return all;
+        return ops;
     }
 
     private boolean isKnown(Window window) {
@@ -170,7 +170,7 @@
      * away stay away.
      */
     private void handleUnknownRacks(
-            WindowLedger.View view, Window window, long nowMs, Set<String> away, List<JsonObject> all) {
+            WindowLedger.View view, Window window, long nowMs, Set<String> away, List<JsonObject> ops) {
         State to = switch (window.state()) {
             case REQUESTED, POSTPONED -> State.REFUSED;
             case PLANNED, ANNOUNCED -> State.POSTPONED;
@@ -179,7 +179,7 @@
         if (to != null) {
             List<String> missing = new ArrayList<>(window.request().racks());
             missing.removeAll(config.racks.keySet());
-            all.add(WindowLedger.partOp(Windows.step(
+            ops.add(WindowLedger.partOp(Windows.step(
                     token,
                     window,
                     to,
@@ -196,9 +196,9 @@
     private JsonObject bans(Set<String> names, long inForce, long nowMs) {
         JsonArray resources = new JsonArray();
         for (String name : names) {
-            JsonObject one = new JsonObject();
-            one.addProperty("name", name);
-            resources.add(one);
+            JsonObject json = new JsonObject();
+            json.addProperty("name", name);
+            resources.add(json);
         }
         JsonObject types = new JsonObject();
         types.add("bans", resources);
@@ -207,27 +207,27 @@
     }
 
     /** Adds current losses to the accounts and writes these to the ledger from time to time. */
-    private void updateAccounts(WindowLedger.View view, Coordinator.Observation observed, List<JsonObject> all) {
-        Set<Integer> out = new HashSet<>();
+    private void updateAccounts(WindowLedger.View view, Coordinator.Observation observed, List<JsonObject> ops) {
+        Set<Integer> racksOut = new HashSet<>();
         Set<String> names = new TreeSet<>(observed.lost());
         view.windows().all().stream()
-                .filter(one -> one.state().isAway())
-                .forEach(one -> names.addAll(one.request().racks()));
-        names.forEach(rack -> out.add(inventory.rackIndex(rack)));
-        out.remove(-1);
-        double[] loss = out.isEmpty()
+                .filter(window -> window.state().isAway())
+                .forEach(window -> names.addAll(window.request().racks()));
+        names.forEach(rack -> racksOut.add(inventory.rackIndex(rack)));
+        racksOut.remove(-1);
+        double[] loss = racksOut.isEmpty()
                 ? new double[inventory.tenants().size()]
-                : fairness.evaluate(observed.due(), inventory.slotsWithout(out), observed.accounts())
+                : fairness.evaluate(observed.due(), inventory.slotsWithout(racksOut), observed.accounts())
                         .loss();
-        long passed = observed.nowMs() - accountedAtMs;
+        long elapsedMs = observed.nowMs() - accountedAtMs;
         for (int t = 0; t < loss.length; t++) {
             accounts.addLoss(
-                    inventory.tenants().get(t).name(), loss[t], inventory.entitlement(t), passed, observed.nowMs());
+                    inventory.tenants().get(t).name(), loss[t], inventory.entitlement(t), elapsedMs, observed.nowMs());
         }
         accountedAtMs = observed.nowMs();
-        if (observed.nowMs() - writtenAtMs >= config.accountsMillis && !out.isEmpty()) {
+        if (observed.nowMs() - writtenAtMs >= config.accountsMillis && !racksOut.isEmpty()) {
             writtenAtMs = observed.nowMs();
-            all.add(WindowLedger.accountsOp(token, accounts.state()));
+            ops.add(WindowLedger.accountsOp(token, accounts.state()));
         }
     }
 
@@ -235,33 +235,34 @@
 
     /** Which times these requests would get now, or why they would be refused; nothing is decided. */
     JsonArray dryRun(CoordinatorSnapshot snapshot, List<Request> requests, long nowMs) {
-        Windows copy = snapshot.view().windows().copy(this::isKnown);
-        requests.forEach(one -> copy.apply(Windows.request(one), rack -> false));
-        LossAccounts known = new LossAccounts(config.fairnessLimits.halfLifeMs());
-        known.restore(snapshot.view().accounts());
-        Plan plan = coordinator.plan(copy, observe(snapshot, nowMs, known.excessLossRates(inventory, nowMs)));
-        JsonArray all = new JsonArray();
+        Windows windows = snapshot.view().windows().copy(this::isKnown);
+        requests.forEach(request -> windows.apply(Windows.request(request), rack -> false));
+        LossAccounts storedAccounts = new LossAccounts(config.fairnessLimits.halfLifeMs());
+        storedAccounts.restore(snapshot.view().accounts());
+        Plan plan =
+                coordinator.plan(windows, observe(snapshot, nowMs, storedAccounts.excessLossRates(inventory, nowMs)));
+        JsonArray described = new JsonArray();
         for (Request request : requests) {
-            Window window = copy.window(request.name());
-            Plan.Window found = plan == null ? null : plan.window(request.name());
-            boolean waits = window.state() == State.REQUESTED || window.state() == State.POSTPONED;
-            State state = !waits ? window.state() : found == null ? State.REFUSED : State.PLANNED;
-            all.add(describe(
+            Window window = windows.window(request.name());
+            Plan.Window planned = plan == null ? null : plan.window(request.name());
+            boolean isWaiting = window.state() == State.REQUESTED || window.state() == State.POSTPONED;
+            State state = !isWaiting ? window.state() : planned == null ? State.REFUSED : State.PLANNED;
+            described.add(describe(
                     request.name(),
                     state,
-                    found == null ? window.startMs() : found.startMs(),
-                    waits && found == null ? plan.refused().get(request.name()) : window.reasons()));
+                    planned == null ? window.startMs() : planned.startMs(),
+                    isWaiting && planned == null ? plan.refused().get(request.name()) : window.reasons()));
         }
-        return all;
+        return described;
     }
 
     /** A window in the answer to a request. */
     static JsonObject describe(String name, State state, long startMs, List<String> reasons) {
-        JsonObject one = new JsonObject();
-        one.addProperty("name", name);
-        one.addProperty("state", state.label());
-        one.addProperty("start_ms", startMs);
-        one.add("reasons", CoordinatorSnapshot.texts(reasons));
-        return one;
+        JsonObject json = new JsonObject();
+        json.addProperty("name", name);
+        json.addProperty("state", state.label());
+        json.addProperty("start_ms", startMs);
+        json.add("reasons", CoordinatorSnapshot.texts(reasons));
+        return json;
     }
 }
--- a/src/main/java/laneflow/maintenance/RequestFile.java
+++ b/src/main/java/laneflow/maintenance/RequestFile.java
@@ -45,11 +45,11 @@
      */
     public static List<Request> read(String text, String file, Set<String> racks, long until) {
         Findings findings = new Findings(file);
-        RequestFile one = new RequestFile(Table.parse(text, findings), racks, until);
-        one.request();
-        one.from.close();
+        RequestFile reader = new RequestFile(Table.parse(text, findings), racks, until);
+        reader.request();
+        reader.from.close();
         findings.throwIfAny();
-        return List.copyOf(one.requests);
+        return List.copyOf(reader.requests);
     }
 
     /**
@@ -60,12 +60,12 @@
      */
     public static List<Freeze> freezes(String text, String file, long until) {
         Findings findings = new Findings(file);
-        RequestFile one = new RequestFile(Table.parse(text, findings), Set.of(), until);
-        ZoneId zone = one.zone();
-        one.from.tables("freezes").forEach((name, table) -> one.freeze(name, table, zone));
-        one.from.close();
+        RequestFile reader = new RequestFile(Table.parse(text, findings), Set.of(), until);
+        ZoneId zone = reader.zone();
+        reader.from.tables("freezes").forEach((name, table) -> reader.freeze(name, table, zone));
+        reader.from.close();
         findings.throwIfAny();
-        return List.copyOf(one.freezes);
+        return List.copyOf(reader.freezes);
     }
 
     private ZoneId zone() {
@@ -131,7 +131,7 @@
             from.addFinding("name", "is up to 48 letters, digits, '_', '.' and '-'");
         }
         String owner = from.text("owner");
-        List<String> down = racks();
+        List<String> requestedRacks = racks();
         long work = from.integer("work_minutes", 0, 1, (long) WEEK_MINUTES) * MINUTE_MS;
         if (!from.has("work_minutes")) {
             from.addFinding("work_minutes", "is missing");
@@ -154,11 +154,11 @@
             return;
         }
         List<LocalDateTime> all = occurrences(from, rule, earliest, zone);
-        Duration within = Duration.between(earliest, latest);
-        long before = Long.MIN_VALUE;
+        Duration span = Duration.between(earliest, latest);
+        long previousEnd = Long.MIN_VALUE;
         for (LocalDateTime at : all) {
             long begins = LocalTimes.startMillis(at, zone);
-            long ends = LocalTimes.endMillis(at.plus(within), zone);
+            long ends = LocalTimes.endMillis(at.plus(span), zone);
             if (ends - begins < work) {
                 from.addFinding(
                         "latest",
@@ -166,15 +166,15 @@
                                 + work / MINUTE_MS + " of work");
                 return;
             }
-            if (begins < before) {
+            if (begins < previousEnd) {
                 from.addFinding("rule", "one begins at " + at + ", before the one before it has to end");
                 return;
             }
-            before = ends;
+            previousEnd = ends;
             requests.add(new Request(
                     rule == null ? name : name + "-" + DAY.format(at),
                     owner,
-                    down,
+                    requestedRacks,
                     work,
                     begins,
                     ends,
@@ -186,18 +186,18 @@
     }
 
     private List<String> racks() {
-        List<String> down = from.texts("racks");
-        if (down.isEmpty()) {
+        List<String> requestedRacks = from.texts("racks");
+        if (requestedRacks.isEmpty()) {
             from.addFinding("racks", "names none");
         }
         Set<String> seen = new HashSet<>();
-        for (String rack : down) {
+        for (String rack : requestedRacks) {
             if (racks != null && !racks.contains(rack)) {
                 from.addFinding("racks", "'" + rack + "' is not known");
             } else if (!seen.add(rack)) {
                 from.addFinding("racks", "'" + rack + "' is named twice");
             }
         }
-        return down;
+        return requestedRacks;
     }
 }
--- a/src/main/java/laneflow/maintenance/RequestReader.java
+++ b/src/main/java/laneflow/maintenance/RequestReader.java
@@ -26,26 +26,26 @@
 
     /** @param racks the known racks */
     static List<Request> read(JsonArray from, Set<String> racks, Findings findings) {
-        List<Request> all = new ArrayList<>();
+        List<Request> requests = new ArrayList<>();
         Set<String> names = new HashSet<>();
         if (from.isEmpty() || from.size() > MAX_REQUESTS) {
             findings.add("requests", "", "are " + from.size() + ", and have to be 1 to " + MAX_REQUESTS);
-            return all;
+            return requests;
         }
         for (int i = 0; i < from.size(); i++) {
-            JsonElement one = from.get(i);
+            JsonElement element = from.get(i);
             String path = "requests[" + i + "]";
-            if (!one.isJsonObject()) {
+            if (!element.isJsonObject()) {
                 findings.add(path, "", "is no object");
                 continue;
             }
-            Request request = read(one.getAsJsonObject(), path, racks, findings);
+            Request request = read(element.getAsJsonObject(), path, racks, findings);
             if (!names.add(request.name())) {
                 findings.add(path, "name", "'" + request.name() + "' is a duplicate");
             }
-            all.add(request);
+            requests.add(request);
         }
-        return all;
+        return requests;
     }
 
     private static Request read(JsonObject from, String path, Set<String> racks, Findings findings) {
@@ -58,21 +58,21 @@
         if (owner.length() > MAX_TEXT_LENGTH) {
             table.addFinding("owner", "is longer than " + MAX_TEXT_LENGTH + " characters");
         }
-        List<String> down = names(table, "racks");
-        if (down.isEmpty()) {
+        List<String> requestedRacks = names(table, "racks");
+        if (requestedRacks.isEmpty()) {
             table.addFinding("racks", "names none");
         }
         Set<String> seen = new HashSet<>();
-        for (String rack : down) {
+        for (String rack : requestedRacks) {
             if (!racks.contains(rack)) {
                 table.addFinding("racks", "'" + rack + "' is not known");
             } else if (!seen.add(rack)) {
                 table.addFinding("racks", "'" + rack + "' is named twice");
             }
         }
-        long work = whole(table, "work_ms", 1, EIGHT_WEEKS_MS);
-        long earliest = whole(table, "earliest_ms", 0, Long.MAX_VALUE / 4);
-        long latest = whole(table, "latest_ms", 0, Long.MAX_VALUE / 4);
+        long work = requiredInteger(table, "work_ms", 1, EIGHT_WEEKS_MS);
+        long earliest = requiredInteger(table, "earliest_ms", 0, Long.MAX_VALUE / 4);
+        long latest = requiredInteger(table, "latest_ms", 0, Long.MAX_VALUE / 4);
         long notice = table.integer("notice_ms", 0, 0, EIGHT_WEEKS_MS);
         long abort = table.integer("abort_ms", 0, 0, EIGHT_WEEKS_MS);
         List<String> apart = names(table, "apart");
@@ -88,49 +88,50 @@
         }
         List<Plan.Freeze> freezes = table.has("freezes") ? freezes(from.get("freezes"), path, findings) : List.of();
         table.close();
-        return new Request(name, owner, down, work, earliest, latest, notice, abort, Set.copyOf(apart), after, freezes);
+        return new Request(
+                name, owner, requestedRacks, work, earliest, latest, notice, abort, Set.copyOf(apart), after, freezes);
     }
 
     private static List<Plan.Freeze> freezes(JsonElement from, String path, Findings findings) {
-        List<Plan.Freeze> all = new ArrayList<>();
+        List<Plan.Freeze> freezes = new ArrayList<>();
         if (!from.isJsonArray() || from.getAsJsonArray().size() > MAX_NAMES) {
             findings.add(path, "freezes", "must be a list of at most " + MAX_NAMES);
-            return all;
+            return freezes;
         }
         for (int i = 0; i < from.getAsJsonArray().size(); i++) {
-            String at = path + ".freezes[" + i + "]";
-            JsonElement one = from.getAsJsonArray().get(i);
-            if (!one.isJsonObject()) {
-                findings.add(at, "", "is no object");
+            String freezePath = path + ".freezes[" + i + "]";
+            JsonElement element = from.getAsJsonArray().get(i);
+            if (!element.isJsonObject()) {
+                findings.add(freezePath, "", "is no object");
                 continue;
             }
-            Table table = Table.of(one.getAsJsonObject(), at, findings);
+            Table table = Table.of(element.getAsJsonObject(), freezePath, findings);
             String name = table.text("name");
-            long begins = whole(table, "from_ms", 0, Long.MAX_VALUE / 4);
-            long ends = whole(table, "to_ms", 0, Long.MAX_VALUE / 4);
-            if (ends <= begins) {
+            long startMs = requiredInteger(table, "from_ms", 0, Long.MAX_VALUE / 4);
+            long endMs = requiredInteger(table, "to_ms", 0, Long.MAX_VALUE / 4);
+            if (endMs <= startMs) {
                 table.addFinding("to_ms", "is not after from_ms");
             }
             table.close();
-            all.add(new Plan.Freeze(name, begins, ends));
+            freezes.add(new Plan.Freeze(name, startMs, endMs));
         }
-        return all;
+        return freezes;
     }
 
-    private static long whole(Table table, String key, long least, long most) {
+    private static long requiredInteger(Table table, String key, long min, long max) {
         if (!table.has(key)) {
             table.addFinding(key, "is missing");
         }
-        return table.integer(key, 0, least, most);
+        return table.integer(key, 0, min, max);
     }
 
     private static List<String> names(Table table, String key) {
-        List<String> all = table.texts(key);
-        if (all.size() > MAX_NAMES || all.stream().anyMatch(one -> one.length() > MAX_TEXT_LENGTH)) {
+        List<String> names = table.texts(key);
+        if (names.size() > MAX_NAMES || names.stream().anyMatch(name -> name.length() > MAX_TEXT_LENGTH)) {
             table.addFinding(
                     key,
                     "holds more than " + MAX_NAMES + " names, or one of more than " + MAX_TEXT_LENGTH + " characters");
         }
-        return all;
+        return names;
     }
 }
--- a/src/main/java/laneflow/maintenance/decision/Coordinator.java
+++ b/src/main/java/laneflow/maintenance/decision/Coordinator.java
@@ -76,14 +76,14 @@
     }
 
     /** State of one decision. */
-    private final class Round {
+    private final class Decision {
         private final Windows windows;
         private final Observation observed;
         private final long token;
         private final long now;
         private final List<JsonObject> steps = new ArrayList<>();
 
-        private Round(Windows windows, Observation observed, long token) {
+        private Decision(Windows windows, Observation observed, long token) {
             this.windows = windows;
             this.observed = observed;
             this.token = token;
@@ -96,25 +96,26 @@
         }
 
         /** Indexes of the racks that are away or lost, except those of one window. */
-        private Set<Integer> racksOut(Window without) {
-            Set<Integer> out = new HashSet<>();
-            observed.lost().forEach(rack -> out.add(fairness.inventory().rackIndex(rack)));
+        private Set<Integer> racksOut(Window excluded) {
+            Set<Integer> racksOut = new HashSet<>();
+            observed.lost().forEach(rack -> racksOut.add(fairness.inventory().rackIndex(rack)));
             for (Window one : windows.all()) {
-                if (one != without && one.state().isAway()) {
+                if (one != excluded && one.state().isAway()) {
                     one.request()
                             .racks()
-                            .forEach(rack -> out.add(fairness.inventory().rackIndex(rack)));
+                            .forEach(rack -> racksOut.add(fairness.inventory().rackIndex(rack)));
                 }
             }
-            out.remove(-1);
-            return out;
+            racksOut.remove(-1);
+            return racksOut;
         }
 
-        private List<String> violations(Set<Integer> out, double[] due) {
-            double[] left = fairness.inventory().slotsWithout(out);
-            return fairness.isFair(due, left, observed.accounts())
+        private List<String> violations(Set<Integer> racksOut, double[] due) {
+            double[] remainingSlots = fairness.inventory().slotsWithout(racksOut);
+            return fairness.isFair(due, remainingSlots, observed.accounts())
                     ? List.of()
-                    : fairness.evaluate(due, left, observed.accounts()).violations();
+                    : fairness.evaluate(due, remainingSlots, observed.accounts())
+                            .violations();
         }
 
         /**
@@ -122,32 +123,34 @@
          * the forecast.
          */
         private List<String> violations(Window window) {
-            Set<Integer> out = racksOut(window);
+            Set<Integer> racksOut = racksOut(window);
             window.request()
                     .racks()
-                    .forEach(rack -> out.add(fairness.inventory().rackIndex(rack)));
-            List<String> violations = violations(out, observed.due());
+                    .forEach(rack -> racksOut.add(fairness.inventory().rackIndex(rack)));
+            List<String> violations = violations(racksOut, observed.due());
             long end = now + length(window.request());
             for (long ms = now; violations.isEmpty() && ms < end; ms += parameters.stepMs()) {
-                violations = violations(out, dues.get(forecast.spanAt(ms)));
+                violations = violations(racksOut, dues.get(forecast.spanAt(ms)));
             }
             return violations;
         }
 
         /** True if the current state is unfair and would be less so without that window. */
         private boolean improvesFairness(Window window) {
-            Set<Integer> with = racksOut(null);
-            if (violations(with, observed.due()).isEmpty()) {
+            Set<Integer> current = racksOut(null);
+            if (violations(current, observed.due()).isEmpty()) {
                 return false;
             }
-            Set<Integer> without = racksOut(window);
-            double[] left = fairness.inventory().slotsWithout(without);
-            return fairness.isFair(observed.due(), left, observed.accounts())
-                    || totalLoss(left) < totalLoss(fairness.inventory().slotsWithout(with)) - Fairness.LOSS_EPSILON;
+            Set<Integer> withoutWindow = racksOut(window);
+            double[] remainingSlots = fairness.inventory().slotsWithout(withoutWindow);
+            return fairness.isFair(observed.due(), remainingSlots, observed.accounts())
+                    || totalLoss(remainingSlots)
+                            < totalLoss(fairness.inventory().slotsWithout(current)) - Fairness.LOSS_EPSILON;
         }
 
-        private double totalLoss(double[] left) {
-            return fairness.evaluate(observed.due(), left, observed.accounts()).totalLoss();
+        private double totalLoss(double[] remainingSlots) {
+            return fairness.evaluate(observed.due(), remainingSlots, observed.accounts())
+                    .totalLoss();
         }
 
         private void advance(Window window) {
@@ -201,9 +204,10 @@
                 if (window.request().after().contains(one.name()) && other.state() != State.DONE) {
                     return "has to come after " + one.name() + ", which is not done";
                 }
-                boolean apart = one.apart().stream().anyMatch(window.request().apart()::contains)
+                boolean mustNotOverlap = one.apart().stream()
+                                .anyMatch(window.request().apart()::contains)
                         || one.racks().stream().anyMatch(window.request().racks()::contains);
-                if (other != window && other.state().isAway() && apart) {
+                if (other != window && other.state().isAway() && mustNotOverlap) {
                     return "not together with " + one.name();
                 }
             }
@@ -250,8 +254,8 @@
             boolean recovered =
                     observed.recovered().containsAll(window.request().racks());
             // A rack that does not come back in time is treated as lost from here on.
-            boolean over = now > window.startMs() + length(window.request()) + timeouts.giveBack();
-            if (!banned && (recovered || over)) {
+            boolean overdue = now > window.startMs() + length(window.request()) + timeouts.giveBack();
+            if (!banned && (recovered || overdue)) {
                 // The reasons for the return stay visible in the final state.
                 State end = window.outcome();
                 step(
@@ -266,13 +270,13 @@
         private Plan plan() {
             List<Request> open = new ArrayList<>();
             List<Plan.Window> fixed = new ArrayList<>();
-            List<Plan.Window> before = new ArrayList<>();
+            List<Plan.Window> previous = new ArrayList<>();
             boolean isAnyWaiting = false;
             for (Window window : windows.all()) {
                 State state = window.state();
                 Request request = window.request();
                 if (state == State.PLANNED) {
-                    before.add(new Plan.Window(request, window.startMs(), window.startMs() + length(request), false));
+                    previous.add(new Plan.Window(request, window.startMs(), window.startMs() + length(request), false));
                 }
                 if (state == State.REQUESTED || state == State.POSTPONED || state == State.PLANNED) {
                     open.add(request);
@@ -304,7 +308,7 @@
                             forecast,
                             open,
                             fixed,
-                            new Plan(before, Collections.emptySortedMap(), 0, 0, 0),
+                            new Plan(previous, Collections.emptySortedMap(), 0, 0, 0),
                             List.of(),
                             List.copyOf(new TreeSet<>(observed.lost())),
                             now + timeouts.lost(),
@@ -345,12 +349,12 @@
 
     /** Plans the windows that are waiting for a time, without changing anything; null if none is waiting. */
     public Plan plan(Windows windows, Observation observed) {
-        return new Round(windows, observed, 0).plan();
+        return new Decision(windows, observed, 0).plan();
     }
 
     /** The steps and bans for the coordinator with that token. */
     public Orders orders(Windows windows, Observation observed, long token) {
-        Round round = new Round(windows, observed, token);
+        Decision round = new Decision(windows, observed, token);
         boolean isDraining = false;
         for (Window window : windows.all()) {
             if (window.state() == State.ANNOUNCED) {
--- a/src/main/java/laneflow/maintenance/decision/DrainTracker.java
+++ b/src/main/java/laneflow/maintenance/decision/DrainTracker.java
@@ -29,8 +29,8 @@
 
     private static final class SchedulerState {
         private Report report;
-        private long at;
-        private long heardAt;
+        private long lastContactAt;
+        private long reportedAt;
     }
 
     private final long electedAt;
@@ -56,45 +56,45 @@
         maxSilence = Math.max(maxSilence, grantMicros + duration);
     }
 
-    private SchedulerState scheduler(String who) {
-        return schedulers.computeIfAbsent(who, name -> new SchedulerState());
+    private SchedulerState scheduler(String schedulerName) {
+        return schedulers.computeIfAbsent(schedulerName, name -> new SchedulerState());
     }
 
     /** Records a scheduler's report on its calls. */
-    public void onReport(long now, String who, Report report) {
-        SchedulerState scheduler = scheduler(who);
+    public void onReport(long now, String schedulerName, Report report) {
+        SchedulerState scheduler = scheduler(schedulerName);
         scheduler.report = report;
-        scheduler.heardAt = now;
-        scheduler.at = now;
+        scheduler.reportedAt = now;
+        scheduler.lastContactAt = now;
     }
 
     /** Records a message to a scheduler that may have granted it a lease. */
-    public void onGrant(long now, String who) {
-        scheduler(who).at = now;
-        schedulers.values().removeIf(one -> now > one.at + 2 * maxSilence);
+    public void onGrant(long now, String schedulerName) {
+        scheduler(schedulerName).lastContactAt = now;
+        schedulers.values().removeIf(scheduler -> now > scheduler.lastContactAt + 2 * maxSilence);
     }
 
     /** Removes a scheduler that shut down cleanly, with all its calls over. */
-    public void onLeft(String who) {
-        schedulers.remove(who);
+    public void onLeft(String schedulerName) {
+        schedulers.remove(schedulerName);
     }
 
     /** Schedulers that may have a call open at an endpoint that this policy, in force, bans; empty if none may. */
     public List<String> possibleCallers(long now, long policy, String endpoint) {
-        List<String> all = new ArrayList<>();
+        List<String> callers = new ArrayList<>();
         if (now < electedAt + maxSilence) {
             // There may be schedulers that this leader has not heard of.
-            all.add("those that a former leader knew");
+            callers.add("those that a former leader knew");
         }
-        schedulers.forEach((who, scheduler) -> {
+        schedulers.forEach((schedulerName, scheduler) -> {
             boolean ended = scheduler.report != null
                     && scheduler.report.policy() == policy
                     && !scheduler.report.busy().contains(endpoint);
-            if (!ended && now < scheduler.at + maxSilence) {
-                all.add(who);
+            if (!ended && now < scheduler.lastContactAt + maxSilence) {
+                callers.add(schedulerName);
             }
         });
-        return all;
+        return callers;
     }
 
     /** True if all live schedulers have applied that policy. */
@@ -102,7 +102,7 @@
         // A newly elected leader has not heard of all schedulers yet.
         return now > electedAt + leaseMicros
                 && schedulers.values().stream()
-                        .allMatch(scheduler -> now - scheduler.at > leaseMicros
+                        .allMatch(scheduler -> now - scheduler.lastContactAt > leaseMicros
                                 || scheduler.report != null && scheduler.report.policy() == policy);
     }
 
@@ -111,15 +111,15 @@
         Map<String, Integer> counts = new TreeMap<>();
         int reporting = 0;
         for (SchedulerState scheduler : schedulers.values()) {
-            if (scheduler.report != null && now - scheduler.heardAt <= leaseMicros) {
+            if (scheduler.report != null && now - scheduler.reportedAt <= leaseMicros) {
                 reporting++;
                 scheduler.report.unreachable().forEach(name -> counts.merge(name, 1, Integer::sum));
             }
         }
-        int all = reporting;
+        int reportingCount = reporting;
         Set<String> unreachable = new TreeSet<>();
         counts.forEach((name, count) -> {
-            if (2 * count >= all) {
+            if (2 * count >= reportingCount) {
                 unreachable.add(name);
             }
         });
--- a/src/main/java/laneflow/maintenance/decision/Fairness.java
+++ b/src/main/java/laneflow/maintenance/decision/Fairness.java
@@ -90,11 +90,11 @@
             int owner = t;
             byCellMask.keySet().forEach(cellMask -> kinds.add(new Placement.WorkKind(owner, cellMask)));
             kindsByTenant[t] = byCellMask.values().stream().mapToInt(i -> i).toArray();
-            long seen = 0;
+            long cellsSeen = 0;
             isDisjoint[t] = true;
             for (long cellMask : byCellMask.keySet()) {
-                isDisjoint[t] &= (seen & cellMask) == 0;
-                seen |= cellMask;
+                isDisjoint[t] &= (cellsSeen & cellMask) == 0;
+                cellsSeen |= cellMask;
             }
             weight[t] = Math.max(inventory.entitlement(t), 1e-9);
         }
@@ -131,19 +131,19 @@
     public double[] due(double[][] demand) {
         double[] due = new double[kinds.size()];
         for (int t = 0; t < kindsByTenant.length; t++) {
-            double[] asked = new double[kinds.size()];
+            double[] requested = new double[kinds.size()];
             for (int k = 0; k < kindByClass[t].length; k++) {
                 if (kindByClass[t][k] >= 0) {
-                    asked[kindByClass[t][k]] += Math.max(0, demand[t][k]) * inventory.slotFactor(k);
+                    requested[kindByClass[t][k]] += Math.max(0, demand[t][k]) * inventory.slotFactor(k);
                 }
             }
             if (isDisjoint[t]) {
                 for (int kind : kindsByTenant[t]) {
                     due[kind] = Math.min(
-                            asked[kind], entitlementIn(t, kinds.get(kind).cellMask()));
+                            requested[kind], entitlementIn(t, kinds.get(kind).cellMask()));
                 }
             } else {
-                addDue(t, asked, due);
+                addDue(t, requested, due);
             }
         }
         return due;
@@ -158,13 +158,13 @@
     }
 
     /** Shares the tenant's own cell entitlements max-min fairly among its classes, weighted by demand. */
-    private void addDue(int tenant, double[] asked, double[] due) {
+    private void addDue(int tenant, double[] requested, double[] due) {
         int n = kindsByTenant[tenant].length;
         if (n <= MAX_UNION_KINDS) {
-            dueByUnions(tenant, asked, due);
+            dueByUnions(tenant, requested, due);
             return;
         }
-        dueByFlow(tenant, asked, due);
+        dueByFlow(tenant, requested, due);
     }
 
     /**
@@ -172,7 +172,7 @@
      * and the rest continues with the remaining capacity. A tenant usually has two or three kinds, and this
      * runs for each span of the forecast.
      */
-    private void dueByUnions(int tenant, double[] asked, double[] due) {
+    private void dueByUnions(int tenant, double[] requested, double[] due) {
         int n = kindsByTenant[tenant].length;
         double[] work = new double[1 << n];
         double[] capacity = new double[1 << n];
@@ -180,7 +180,7 @@
             long cellMask = 0;
             for (int i = 0; i < n; i++) {
                 if ((subset & 1 << i) != 0) {
-                    work[subset] += asked[kindsByTenant[tenant][i]];
+                    work[subset] += requested[kindsByTenant[tenant][i]];
                     cellMask |= kinds.get(kindsByTenant[tenant][i]).cellMask();
                 }
             }
@@ -192,17 +192,18 @@
             int worst = (1 << n) - 1;
             double level = 0;
             for (int subset = 1; subset < 1 << n; subset++) {
-                double more = work[subset & ~boundMask];
-                double lost =
-                        (subset & boundMask) != boundMask || more <= 0 ? 0 : (more - capacity[subset] + placed) / more;
-                if (lost > level) {
-                    level = Math.min(1, lost);
+                double remaining = work[subset & ~boundMask];
+                double lossFraction = (subset & boundMask) != boundMask || remaining <= 0
+                        ? 0
+                        : (remaining - capacity[subset] + placed) / remaining;
+                if (lossFraction > level) {
+                    level = Math.min(1, lossFraction);
                     worst = subset;
                 }
             }
             for (int i = 0; i < n; i++) {
                 if ((worst & ~boundMask & 1 << i) != 0) {
-                    due[kindsByTenant[tenant][i]] = asked[kindsByTenant[tenant][i]] * (1 - level);
+                    due[kindsByTenant[tenant][i]] = requested[kindsByTenant[tenant][i]] * (1 - level);
                     placed += due[kindsByTenant[tenant][i]];
                 }
             }
@@ -210,7 +211,7 @@
         }
     }
 
-    private void dueByFlow(int tenant, double[] asked, double[] due) {
+    private void dueByFlow(int tenant, double[] requested, double[] due) {
         int n = kindsByTenant[tenant].length;
         Placement.WorkKind[] workKinds = new Placement.WorkKind[n];
         double[] work = new double[n];
@@ -218,7 +219,7 @@
         for (int i = 0; i < n; i++) {
             workKinds[i] = new Placement.WorkKind(
                     i, kinds.get(kindsByTenant[tenant][i]).cellMask());
-            work[i] = asked[kindsByTenant[tenant][i]];
+            work[i] = requested[kindsByTenant[tenant][i]];
             scale[i] = Math.max(work[i], 1e-9);
         }
         double[] capacity = new double[inventory.cells()];
--- a/src/main/java/laneflow/maintenance/decision/LossAccounts.java
+++ b/src/main/java/laneflow/maintenance/decision/LossAccounts.java
@@ -64,8 +64,8 @@
      * The part of the requested demand that counts: at most a margin above the recent peak that was served to
      * the tenant. Requesting more than it uses gains a tenant nothing, and adds nothing to its losses.
      */
-    public double provenDemand(String tenant, double asked, double margin, long nowMs) {
-        return Math.min(asked, decayed(tenant, nowMs).served * (1 + margin));
+    public double provenDemand(String tenant, double requested, double margin, long nowMs) {
+        return Math.min(requested, decayed(tenant, nowMs).served * (1 + margin));
     }
 
     /** Fraction of its entitlement that a tenant has lost recently; 0 for an unknown tenant. */
@@ -102,7 +102,7 @@
     /** State for snapshots, by tenant name: lost, entitled, served, time in ms. */
     public Map<String, double[]> state() {
         Map<String, double[]> all = new TreeMap<>();
-        byName.forEach((name, one) -> all.put(name, new double[] {one.lost, one.entitled, one.served, one.atMs}));
+        byName.forEach((name, sums) -> all.put(name, new double[] {sums.lost, sums.entitled, sums.served, sums.atMs}));
         return all;
     }
 
--- a/src/main/java/laneflow/maintenance/decision/Planner.java
+++ b/src/main/java/laneflow/maintenance/decision/Planner.java
@@ -131,17 +131,17 @@
         for (int round = 0; changed && round < unplaced.size(); round++) {
             changed = false;
             for (Request request : unplaced.values()) {
-                int[] mine = bounds.get(request.name());
+                int[] ownBounds = bounds.get(request.name());
                 for (String name : request.after()) {
                     int[] before = bounds.get(name);
                     if (before == null) {
                         continue;
                     }
                     int length = timeline.stepCount(unplaced.get(name));
-                    changed |= before[0] + length > mine[0] || mine[1] - length < before[1];
-                    mine[0] = Math.max(mine[0], before[0] + length);
+                    changed |= before[0] + length > ownBounds[0] || ownBounds[1] - length < before[1];
+                    ownBounds[0] = Math.max(ownBounds[0], before[0] + length);
                     // An infeasible request does not restrict its predecessor.
-                    before[1] = mine[1] < mine[0] ? before[1] : Math.min(before[1], mine[1] - length);
+                    before[1] = ownBounds[1] < ownBounds[0] ? before[1] : Math.min(before[1], ownBounds[1] - length);
                 }
             }
         }
@@ -204,16 +204,16 @@
         }
         List<Request> order = new ArrayList<>(unplaced.values());
         order.sort(Comparator.comparingDouble(this::slack).thenComparing(Request::name));
-        List<Request> left = new ArrayList<>();
+        List<Request> remaining = new ArrayList<>();
         // Predecessors go before their successors, however much slack they have.
         Set<String> seen = new HashSet<>();
         for (Request request : order) {
-            appendWithPredecessors(request, seen, left);
+            appendWithPredecessors(request, seen, remaining);
         }
-        left.removeIf(this::placeBest);
+        remaining.removeIf(this::placeBest);
         boolean changed = true;
-        while (changed && !left.isEmpty()) {
-            changed = left.removeIf(request -> placeBest(request) || makeRoom(request));
+        while (changed && !remaining.isEmpty()) {
+            changed = remaining.removeIf(request -> placeBest(request) || makeRoom(request));
         }
     }
 
@@ -249,22 +249,22 @@
      */
     private void addContention(Request request, int sign) {
         int times = startCounts.get(request.name());
-        double running = 0;
+        double coveringStarts = 0;
         int length = timeline.stepCount(request);
         BitSet starts = timeline.feasibleStarts(request);
         for (int i = firstStart(request); times > 0 && i < lastStart(request) + length; i++) {
-            running += i <= lastStart(request) && starts.get(i) ? 1 : 0;
+            coveringStarts += i <= lastStart(request) && starts.get(i) ? 1 : 0;
             boolean ended =
                     i - length >= firstStart(request) && i - length <= lastStart(request) && starts.get(i - length);
-            running -= ended ? 1 : 0;
-            contention[i] += sign * slots(request) / times * running;
+            coveringStarts -= ended ? 1 : 0;
+            contention[i] += sign * slots(request) / times * coveringStarts;
         }
     }
 
     /** Places a request at the time with the lowest cost, then the least contention, then the earliest. */
     private boolean placeBest(Request request) {
-        int at = -1;
-        double least = Double.MAX_VALUE;
+        int bestStep = -1;
+        double minScore = Double.MAX_VALUE;
         int length = timeline.stepCount(request);
         BitSet starts = timeline.feasibleStarts(request);
         List<Window> related = timeline.related(request);
@@ -282,15 +282,15 @@
                 contended += Math.max(0, contention[i] - timeline.headroom(i) / 4);
             }
             double score = cost * 4.0 + contended + 0.002 * step;
-            if (score < least - 1e-9) {
-                least = score;
-                at = step;
+            if (score < minScore - 1e-9) {
+                minScore = score;
+                bestStep = step;
             }
         }
-        if (at < 0) {
+        if (bestStep < 0) {
             return false;
         }
-        timeline.add(timeline.windowAt(request, at));
+        timeline.add(timeline.windowAt(request, bestStep));
         unplaced.remove(request.name());
         addContention(request, -1);
         return true;
@@ -298,30 +298,32 @@
 
     /** Removes windows that block a request, if all of them find another time. */
     private boolean makeRoom(Request request) {
-        record Candidate(int step, List<Window> out, double weight) {}
+        record Candidate(int step, List<Window> removed, double weight) {}
         List<Candidate> candidates = new ArrayList<>();
         int stride = Math.max(1, (lastStart(request) - firstStart(request)) / (2 * MAX_CANDIDATES));
         for (int step = firstStart(request); step <= lastStart(request); step += stride) {
             if (!timeline.feasibleStarts(request).get(step)) {
                 continue;
             }
-            Window at = timeline.windowAt(request, step);
-            List<Window> out = new ArrayList<>();
+            Window placement = timeline.windowAt(request, step);
+            List<Window> removed = new ArrayList<>();
             for (Window other : timeline.windows().values()) {
-                boolean early = request.after().contains(other.request().name()) && at.startMs() < other.endMs();
+                boolean early = request.after().contains(other.request().name()) && placement.startMs() < other.endMs();
                 if (!other.isFixed()
-                        && (early || other.overlaps(at.startMs(), at.endMs()) && conflicts(other, request))) {
-                    out.add(other);
+                        && (early
+                                || other.overlaps(placement.startMs(), placement.endMs())
+                                        && conflicts(other, request))) {
+                    removed.add(other);
                 }
             }
             // Windows with the most alternatives are removed first.
-            out.sort(Comparator.comparingInt((Window one) ->
+            removed.sort(Comparator.comparingInt((Window one) ->
                             -startCounts.getOrDefault(one.request().name(), 0))
                     .thenComparing(one -> one.request().name()));
             candidates.add(new Candidate(
                     step,
-                    out,
-                    out.stream()
+                    removed,
+                    removed.stream()
                             .limit(MAX_REMOVED)
                             .mapToDouble(one -> slots(one.request())
                                     / (1
@@ -331,7 +333,7 @@
         }
         candidates.sort(Comparator.comparingDouble(Candidate::weight).thenComparingInt(Candidate::step));
         for (Candidate one : candidates.subList(0, Math.min(MAX_CANDIDATES, candidates.size()))) {
-            if (tryReplacing(request, one.step(), one.out())) {
+            if (tryReplacing(request, one.step(), one.removed())) {
                 return true;
             }
         }
@@ -340,9 +342,9 @@
 
     /** True if they use the same zone or may not overlap. */
     private boolean conflicts(Window window, Request request) {
-        for (String mine : request.racks()) {
+        for (String ownRack : request.racks()) {
             for (String other : window.request().racks()) {
-                int a = fairness.inventory().rackIndex(mine);
+                int a = fairness.inventory().rackIndex(ownRack);
                 int b = fairness.inventory().rackIndex(other);
                 if (fairness.inventory()
                         .racks()
@@ -357,30 +359,30 @@
     }
 
     private boolean tryReplacing(Request request, int step, List<Window> others) {
-        List<Window> out = new ArrayList<>();
+        List<Window> removed = new ArrayList<>();
         for (int i = 0; i < Math.min(MAX_REMOVED, others.size()); i++) {
-            out.add(timeline.remove(others.get(i).request().name()));
+            removed.add(timeline.remove(others.get(i).request().name()));
             if (timeline.conflict(request, step) == null && timeline.cost(request, step) >= 0) {
                 timeline.add(timeline.windowAt(request, step));
-                List<Window> back = new ArrayList<>();
-                boolean all = true;
-                for (Window window : out) {
-                    all = all && placeAtFirstFairStep(window.request());
-                    if (all) {
-                        back.add(window);
+                List<Window> placedAgain = new ArrayList<>();
+                boolean allPlaced = true;
+                for (Window window : removed) {
+                    allPlaced = allPlaced && placeAtFirstFairStep(window.request());
+                    if (allPlaced) {
+                        placedAgain.add(window);
                     }
                 }
-                if (all) {
+                if (allPlaced) {
                     unplaced.remove(request.name());
                     addContention(request, -1);
                     return true;
                 }
-                back.forEach(window -> timeline.remove(window.request().name()));
+                placedAgain.forEach(window -> timeline.remove(window.request().name()));
                 timeline.remove(request.name());
                 break;
             }
         }
-        out.forEach(timeline::add);
+        removed.forEach(timeline::add);
         return false;
     }
 
@@ -431,18 +433,18 @@
         }
         int step = (int) -Math.floorDiv(
                 input.parameters().fromMs() - startMs, input.parameters().stepMs());
-        List<String> all = new ArrayList<>();
+        List<String> objections = new ArrayList<>();
         if (step < planner.timeline.firstStep(request)) {
-            all.add("is before its earliest beginning or its notice");
+            objections.add("is before its earliest beginning or its notice");
         }
         if (step > planner.timeline.lastStep(request)) {
-            all.add("ends after its latest end, or after what is planned");
+            objections.add("ends after its latest end, or after what is planned");
         }
         if (step >= 0
                 && step + planner.timeline.stepCount(request)
                         <= input.parameters().steps()) {
-            all.addAll(planner.timeline.objections(request, step));
+            objections.addAll(planner.timeline.objections(request, step));
         }
-        return all;
+        return objections;
     }
 }
--- a/src/main/java/laneflow/maintenance/decision/Timeline.java
+++ b/src/main/java/laneflow/maintenance/decision/Timeline.java
@@ -26,8 +26,8 @@
     private final Cuts cuts;
     private final double[] accounts;
     private final List<Freeze> freezes;
-    private final double[] allUp;
-    private final double[][] left;
+    private final double[] totalSlots;
+    private final double[][] slotsLeft;
     private final int[] windowCounts;
     private final int[] spans;
     private final boolean[] frozen;
@@ -55,19 +55,19 @@
         this.freezes = freezes;
         dues = Cuts.dueBySpan(fairness, forecast);
         cuts = new Cuts(fairness, dues, accounts);
-        allUp = fairness.inventory().totalSlots();
-        left = new double[parameters.steps()][];
+        totalSlots = fairness.inventory().totalSlots();
+        slotsLeft = new double[parameters.steps()][];
         windowCounts = new int[parameters.steps()];
         spans = new int[parameters.steps()];
         frozen = new boolean[parameters.steps()];
-        double[] without = fairness.inventory().slotsWithout(lost);
-        for (int i = 0; i < left.length; i++) {
+        double[] remaining = fairness.inventory().slotsWithout(lost);
+        for (int i = 0; i < slotsLeft.length; i++) {
             long ms = ms(i);
             boolean isLost = ms < lostUntilMs && !lost.isEmpty();
-            left[i] = (isLost ? without : allUp).clone();
+            slotsLeft[i] = (isLost ? remaining : totalSlots).clone();
             // The reserve is subtracted in advance, so that a failure during a window still finds its slots.
-            for (int c = 0; c < left[i].length; c++) {
-                left[i][c] -= parameters.reserve() * allUp[c];
+            for (int c = 0; c < slotsLeft[i].length; c++) {
+                slotsLeft[i][c] -= parameters.reserve() * totalSlots[c];
             }
             windowCounts[i] = isLost ? 1 : 0;
             spans[i] = forecast.spanAt(ms);
@@ -82,13 +82,13 @@
     }
 
     int steps() {
-        return left.length;
+        return slotsLeft.length;
     }
 
     /** Number of steps that a request takes. */
     int stepCount(Request request) {
-        long whole = parameters.drainMs() + request.workMs() + parameters.returnMs();
-        return (int) ((whole + parameters.stepMs() - 1) / parameters.stepMs());
+        long totalMs = parameters.drainMs() + request.workMs() + parameters.returnMs();
+        return (int) ((totalMs + parameters.stepMs() - 1) / parameters.stepMs());
     }
 
     /** The first step at which a request may begin, by its earliest time and its notice. */
@@ -99,7 +99,7 @@
 
     /** The last step at which a request may begin. */
     int lastStep(Request request) {
-        return (int) Math.min(left.length, (request.latestMs() - parameters.fromMs()) / parameters.stepMs())
+        return (int) Math.min(slotsLeft.length, (request.latestMs() - parameters.fromMs()) / parameters.stepMs())
                 - stepCount(request);
     }
 
@@ -121,13 +121,14 @@
     private void adjust(Window window, int sign) {
         int from = (int) Math.max(0, (window.startMs() - parameters.fromMs()) / parameters.stepMs());
         int to = (int) Math.min(
-                left.length, (window.endMs() - parameters.fromMs() + parameters.stepMs() - 1) / parameters.stepMs());
+                slotsLeft.length,
+                (window.endMs() - parameters.fromMs() + parameters.stepMs() - 1) / parameters.stepMs());
         for (int i = from; i < to; i++) {
             windowCounts[i] -= sign;
             for (String rack : window.request().racks()) {
                 int number = fairness.inventory().rackIndex(rack);
-                for (int c = 0; c < left[i].length; c++) {
-                    left[i][c] += sign * fairness.inventory().slots(number, c);
+                for (int c = 0; c < slotsLeft[i].length; c++) {
+                    slotsLeft[i][c] += sign * fairness.inventory().slots(number, c);
                 }
             }
         }
@@ -207,15 +208,17 @@
     int cost(Request request, int step) {
         byte[] answers = answersAlone(request);
         int cost = 0;
-        double[] before = null;
+        double[] previousSlots = null;
         Answer answer = null;
         for (int i = step; i < step + stepCount(request); i++) {
             if (windowCounts[i] == 0) {
                 answer = Answer.values()[answers[spans[i]]];
-                before = null;
-            } else if (before == null || spans[i] != spans[i - 1] || !Arrays.equals(left[i], before)) {
-                answer = classifyStep(i, minusRacks(left[i], request));
-                before = left[i];
+                previousSlots = null;
+            } else if (previousSlots == null
+                    || spans[i] != spans[i - 1]
+                    || !Arrays.equals(slotsLeft[i], previousSlots)) {
+                answer = classifyStep(i, minusRacks(slotsLeft[i], request));
+                previousSlots = slotsLeft[i];
             }
             if (answer == Answer.UNFAIR) {
                 return UNFAIR;
@@ -229,13 +232,13 @@
     private byte[] answersAlone(Request request) {
         return aloneByRacks.computeIfAbsent(List.copyOf(request.racks()), racks -> {
             byte[] answers = new byte[dues.size()];
-            double[] base = allUp.clone();
+            double[] base = totalSlots.clone();
             for (int c = 0; c < base.length; c++) {
                 base[c] *= 1 - parameters.reserve();
             }
-            double[] without = minusRacks(base, request);
+            double[] remaining = minusRacks(base, request);
             for (int span = 0; span < answers.length; span++) {
-                answers[span] = (byte) classify(span, without).ordinal();
+                answers[span] = (byte) classify(span, remaining).ordinal();
             }
             return answers;
         });
@@ -255,28 +258,28 @@
         return remaining;
     }
 
-    private Answer classifyStep(int step, double[] without) {
-        return classify(spans[step], without);
+    private Answer classifyStep(int step, double[] remaining) {
+        return classify(spans[step], remaining);
     }
 
-    private Answer classify(int span, double[] without) {
+    private Answer classify(int span, double[] remaining) {
         evaluations++;
-        Answer bySums = cuts.classify(span, without);
+        Answer bySums = cuts.classify(span, remaining);
         if (bySums != Answer.UNKNOWN) {
             return bySums;
         }
-        List<Object> key = new ArrayList<>(without.length + 1);
+        List<Object> key = new ArrayList<>(remaining.length + 1);
         key.add(span);
-        for (double slots : without) {
+        for (double slots : remaining) {
             key.add(Math.round(slots * 1000));
         }
         Boolean fair = cachedFairness.get(key);
         if (fair == null) {
             // The limit is a count and not a time, so that the same input gives the same plan on every
             // machine.
-            boolean withinBound = flows < parameters.maxFlows();
-            flows += withinBound ? 1 : 0;
-            fair = withinBound && fairness.isFair(dues.get(span), without, accounts);
+            boolean withinLimit = flows < parameters.maxFlows();
+            flows += withinLimit ? 1 : 0;
+            fair = withinLimit && fairness.isFair(dues.get(span), remaining, accounts);
             cachedFairness.put(key, fair);
         }
         return fair ? Answer.FAIR : Answer.UNFAIR;
@@ -290,18 +293,18 @@
             all.add(conflict);
         }
         for (int i = step; i < step + stepCount(request) && all.size() < 8; i++) {
-            double[] without = minusRacks(left[i], request);
-            if (classifyStep(i, without) == Answer.UNFAIR) {
-                List<String> with = new ArrayList<>();
+            double[] remaining = minusRacks(slotsLeft[i], request);
+            if (classifyStep(i, remaining) == Answer.UNFAIR) {
+                List<String> racksDown = new ArrayList<>();
                 for (Window other : windows.values()) {
                     if (other.overlaps(ms(i), ms(i + 1))) {
-                        with.addAll(other.request().racks());
+                        racksDown.addAll(other.request().racks());
                     }
                 }
-                String racks = with.isEmpty()
+                String racks = racksDown.isEmpty()
                         ? ""
-                        : ", with " + String.join(" ", with.subList(0, Math.min(5, with.size()))) + " down";
-                fairness.evaluate(dues.get(spans[i]), without, accounts).violations().stream()
+                        : ", with " + String.join(" ", racksDown.subList(0, Math.min(5, racksDown.size()))) + " down";
+                fairness.evaluate(dues.get(spans[i]), remaining, accounts).violations().stream()
                         .limit(3)
                         .forEach(text -> all.add(text + racks));
                 break;
@@ -314,22 +317,22 @@
     BitSet feasibleStarts(Request request) {
         return starts.computeIfAbsent(request.name(), name -> {
             byte[] answers = answersAlone(request);
-            BitSet found = new BitSet();
-            int run = 0;
-            for (int i = 0; i < left.length; i++) {
+            BitSet feasible = new BitSet();
+            int feasibleSteps = 0;
+            for (int i = 0; i < slotsLeft.length; i++) {
                 boolean excluded = frozen[i] || request.freezeDuring(ms(i), ms(i + 1)) != null;
-                run = excluded || answers[spans[i]] == Answer.UNFAIR.ordinal() ? 0 : run + 1;
-                if (run >= stepCount(request)) {
-                    found.set(i + 1 - stepCount(request));
+                feasibleSteps = excluded || answers[spans[i]] == Answer.UNFAIR.ordinal() ? 0 : feasibleSteps + 1;
+                if (feasibleSteps >= stepCount(request)) {
+                    feasible.set(i + 1 - stepCount(request));
                 }
             }
-            return found;
+            return feasible;
         });
     }
 
     /** Slots left at a step beyond all that is due, in any cell. */
     double headroom(int step) {
-        return Arrays.stream(left[step]).sum() - cuts.totalDue(spans[step]);
+        return Arrays.stream(slotsLeft[step]).sum() - cuts.totalDue(spans[step]);
     }
 
     long evaluations() {
--- a/src/main/java/laneflow/maintenance/decision/WindowLedger.java
+++ b/src/main/java/laneflow/maintenance/decision/WindowLedger.java
@@ -84,12 +84,12 @@
 
         /** JSON for a coordinator, limited to the windows that are not final and their predecessors. */
         public JsonObject toJson() {
-            Set<String> named = new TreeSet<>();
+            Set<String> names = new TreeSet<>();
             windows.all().stream().filter(one -> !one.state().isFinal()).forEach(one -> {
-                named.add(one.name());
-                named.addAll(one.request().after());
+                names.add(one.name());
+                names.addAll(one.request().after());
             });
-            JsonObject all = state(windows.snapshot(one -> named.contains(one.name())), racks, windowBans, accounts);
+            JsonObject all = state(windows.snapshot(one -> names.contains(one.name())), racks, windowBans, accounts);
             all.addProperty("version", version);
             all.addProperty("in_force", inForce);
             all.addProperty("undecided", undecided);
@@ -227,21 +227,21 @@
 
     private JsonObject request(JsonArray all) {
         long open = windows.all().stream().filter(one -> !one.state().isFinal()).count();
-        List<Request> wanted = new ArrayList<>();
+        List<Request> requests = new ArrayList<>();
         for (JsonElement one : all) {
             Request request = MaintenanceJson.request(one.getAsJsonObject());
-            Window known = windows.window(request.name());
-            if (known != null && !known.request().equals(request)) {
+            Window existing = windows.window(request.name());
+            if (existing != null && !existing.request().equals(request)) {
                 return error("the name '" + request.name() + "' is that of another request");
             }
-            open += known == null ? 1 : 0;
-            wanted.add(request);
+            open += existing == null ? 1 : 0;
+            requests.add(request);
         }
         if (open > MAX_OPEN) {
             return error("there would be " + open + " open windows, the limit is " + MAX_OPEN);
         }
         JsonArray accepted = new JsonArray();
-        for (Request request : wanted) {
+        for (Request request : requests) {
             windows.apply(Windows.request(request), this::isBanned);
             accepted.add(MaintenanceJson.write(windows.window(request.name())));
         }
@@ -256,18 +256,18 @@
         if (!drains || window == null) {
             return windows.apply(op, this::isBanned);
         }
-        SortedMap<String, List<String>> named = new TreeMap<>();
+        SortedMap<String, List<String>> endpointsByRack = new TreeMap<>();
         JsonObject endpoints = op.has("endpoints") ? op.getAsJsonObject("endpoints") : new JsonObject();
         for (String rack : window.request().racks()) {
             List<String> names = endpoints.has(rack) ? texts(endpoints.get(rack)) : List.of();
             if (names.isEmpty()) {
                 return error("no endpoints are given for rack '" + rack + "'");
             }
-            named.put(rack, names);
+            endpointsByRack.put(rack, names);
         }
         JsonObject answer = windows.apply(op, this::isBanned);
         if (!answer.has("error")) {
-            racks.putAll(named);
+            racks.putAll(endpointsByRack);
         }
         return answer;
     }
@@ -303,10 +303,10 @@
         if (policy.has(BANS)) {
             policy.getAsJsonArray(BANS).forEach(one -> {
                 // Schedulers reject entries that they cannot read; here these ban nothing.
-                boolean named = one.isJsonObject()
+                boolean hasName = one.isJsonObject()
                         && one.getAsJsonObject().has("name")
                         && one.getAsJsonObject().get("name").isJsonPrimitive();
-                if (named) {
+                if (hasName) {
                     all.add(one.getAsJsonObject().get("name").getAsString());
                 }
             });
@@ -319,10 +319,10 @@
         if (!types.has(BANS)) {
             return null;
         }
-        Set<String> then = names(merged);
+        Set<String> bannedAfter = names(merged);
         Set<String> banned = new TreeSet<>();
         racks.forEach((rack, endpoints) -> {
-            if (then.containsAll(endpoints)) {
+            if (bannedAfter.containsAll(endpoints)) {
                 banned.add(rack);
             }
         });
@@ -332,7 +332,7 @@
         }
         Set<String> names = new TreeSet<>();
         missing.forEach(rack -> names.addAll(racks.getOrDefault(rack, List.of())));
-        names.removeAll(then);
+        names.removeAll(bannedAfter);
         return "rack " + String.join(", ", missing) + " is away for a window: bans have to hold "
                 + String.join(", ", names);
     }
@@ -340,15 +340,15 @@
     /** Drops racks that are no longer away and bans that are neither in force nor undecided. */
     private void prune() {
         Set<String> away = new TreeSet<>();
-        Set<String> kept = new TreeSet<>(bans);
-        kept.addAll(undecidedBans);
+        Set<String> bansInEffect = new TreeSet<>(bans);
+        bansInEffect.addAll(undecidedBans);
         for (Window one : windows.all()) {
             if (one.state().isAway()) {
                 away.addAll(one.request().racks());
             }
         }
         racks.keySet().retainAll(away);
-        windowBans.retainAll(kept);
+        windowBans.retainAll(bansInEffect);
     }
 
     private void publishView() {
--- a/src/main/java/laneflow/maintenance/decision/Windows.java
+++ b/src/main/java/laneflow/maintenance/decision/Windows.java
@@ -214,11 +214,11 @@
     }
 
     private void evictFinished() {
-        var oldest = windows.values().iterator();
-        for (int over = windows.size() + 1 - MAX_WINDOWS; over > 0 && oldest.hasNext(); ) {
-            if (oldest.next().state().isFinal()) {
-                oldest.remove();
-                over--;
+        var iterator = windows.values().iterator();
+        for (int excess = windows.size() + 1 - MAX_WINDOWS; excess > 0 && iterator.hasNext(); ) {
+            if (iterator.next().state().isFinal()) {
+                iterator.remove();
+                excess--;
             }
         }
     }
@@ -281,8 +281,9 @@
 
     private JsonObject finish(Window window) {
         if (!window.state().isWorkedOn()) {
-            boolean over = window.state() == State.RETURNING || window.state().isFinal();
-            return over
+            boolean hasReturned =
+                    window.state() == State.RETURNING || window.state().isFinal();
+            return hasReturned
                     ? answer(window)
                     : error(window.name() + " is " + window.state().label());
         }
@@ -323,8 +324,9 @@
     }
 
     private JsonObject put(Window window) {
-        Window was = windows.put(window.name(), window);
-        awayChanges += was != null && was.state().isAway() != window.state().isAway() ? 1 : 0;
+        Window previous = windows.put(window.name(), window);
+        awayChanges +=
+                previous != null && previous.state().isAway() != window.state().isAway() ? 1 : 0;
         return answer(window);
     }
 
@@ -378,9 +380,9 @@
     }
 
     /** An independent copy with the selected windows only. */
-    public Windows copy(Predicate<Window> which) {
+    public Windows copy(Predicate<Window> filter) {
         Windows copy = new Windows();
-        windows.values().stream().filter(which).forEach(one -> copy.windows.put(one.name(), one));
+        windows.values().stream().filter(filter).forEach(one -> copy.windows.put(one.name(), one));
         copy.token = token;
         copy.awayChanges = awayChanges;
         return copy;
@@ -392,10 +394,10 @@
     }
 
     /** State for a snapshot with the selected windows only. */
-    JsonObject snapshot(Predicate<Window> which) {
+    JsonObject snapshot(Predicate<Window> filter) {
         JsonObject all = new JsonObject();
         JsonArray list = new JsonArray();
-        windows.values().stream().filter(which).forEach(one -> list.add(MaintenanceJson.write(one)));
+        windows.values().stream().filter(filter).forEach(one -> list.add(MaintenanceJson.write(one)));
         all.add("windows", list);
         all.addProperty("token", token);
         all.addProperty("away", awayChanges);
--- a/src/main/java/laneflow/membership/Members.java
+++ b/src/main/java/laneflow/membership/Members.java
@@ -133,9 +133,9 @@
 
     /** Records of the other live members; empty before {@link #join} and after {@link #leave}. */
     public List<MemberRecord> liveMembers() {
-        List<MemberRecord> all = swim == null || closed ? new ArrayList<>() : new ArrayList<>(swim.others());
-        all.removeIf(member -> !member.state().isLive());
-        return all;
+        List<MemberRecord> members = swim == null || closed ? new ArrayList<>() : new ArrayList<>(swim.others());
+        members.removeIf(member -> !member.state().isLive());
+        return members;
     }
 
     /** Sends data to a member; if null, whatever the payload handler supplies. */
@@ -182,17 +182,17 @@
     }
 
     private static List<String> readKeys(Path file) throws IOException {
-        List<String> all = new ArrayList<>();
+        List<String> keys = new ArrayList<>();
         for (String line : Files.readAllLines(file)) {
             if (!line.isBlank()) {
-                all.add(line.strip());
+                keys.add(line.strip());
             }
         }
-        String invalid = Seal.invalidKeys(all);
+        String invalid = Seal.invalidKeys(keys);
         if (invalid != null) {
             throw new IOException(file + ": " + invalid);
         }
-        return all;
+        return keys;
     }
 
     /** Opens the socket and joins the fleet. Must not be called on the control loop. */
@@ -512,45 +512,45 @@
     // ---- reports ----
 
     private JsonObject report() {
-        JsonObject all = new JsonObject();
-        all.add("self", memberReport(swim.self()));
+        JsonObject report = new JsonObject();
+        report.add("self", memberReport(swim.self()));
         JsonArray members = new JsonArray();
         List<MemberRecord> others = new ArrayList<>(swim.others());
-        others.sort(Comparator.comparing(one -> one.instance().name()));
-        others.forEach(one -> members.add(memberReport(one)));
-        all.add("members", members);
-        all.addProperty("live", swim.size());
-        all.addProperty("digest", Integer.toHexString(swim.digest()));
-        all.addProperty("settled", swim.isSettled(loop.micros()));
-        all.addProperty("name_taken", swim.isNameTaken());
-        all.addProperty("slowed", swim.healthScore());
-        all.addProperty("turn_us", turns == 0 ? 0 : totalTurnNs / 1000.0 / turns);
-        all.addProperty("turn_most_us", longestTurnNs / 1000.0);
-        return all;
+        others.sort(Comparator.comparing(member -> member.instance().name()));
+        others.forEach(member -> members.add(memberReport(member)));
+        report.add("members", members);
+        report.addProperty("live", swim.size());
+        report.addProperty("digest", Integer.toHexString(swim.digest()));
+        report.addProperty("settled", swim.isSettled(loop.micros()));
+        report.addProperty("name_taken", swim.isNameTaken());
+        report.addProperty("slowed", swim.healthScore());
+        report.addProperty("turn_us", turns == 0 ? 0 : totalTurnNs / 1000.0 / turns);
+        report.addProperty("turn_most_us", longestTurnNs / 1000.0);
+        return report;
     }
 
     private JsonObject memberReport(MemberRecord member) {
         MemberMetadata metadata = member.metadata();
-        JsonObject all = new JsonObject();
-        all.addProperty("name", member.instance().name());
-        all.addProperty("state", member.state().name().toLowerCase(java.util.Locale.ROOT));
-        all.addProperty("zone", metadata.zone());
-        all.addProperty("generation", member.instance().generation());
-        all.addProperty("incarnation", member.incarnation());
-        all.addProperty("at", formatAddress(member.instance().address()));
-        all.addProperty("link", metadata.link() == null ? "" : formatAddress(metadata.link()));
-        all.addProperty("build", metadata.build());
-        all.addProperty("policy", metadata.policy());
-        all.addProperty("condition", metadata.condition().name().toLowerCase(java.util.Locale.ROOT));
-        all.addProperty("load_sixteenths", metadata.load());
-        all.addProperty("rate_below", metadata.rate() == 0 ? 0 : 1L << metadata.rate());
-        all.addProperty("late", metadata.late());
+        JsonObject report = new JsonObject();
+        report.addProperty("name", member.instance().name());
+        report.addProperty("state", member.state().name().toLowerCase(java.util.Locale.ROOT));
+        report.addProperty("zone", metadata.zone());
+        report.addProperty("generation", member.instance().generation());
+        report.addProperty("incarnation", member.incarnation());
+        report.addProperty("at", formatAddress(member.instance().address()));
+        report.addProperty("link", metadata.link() == null ? "" : formatAddress(metadata.link()));
+        report.addProperty("build", metadata.build());
+        report.addProperty("policy", metadata.policy());
+        report.addProperty("condition", metadata.condition().name().toLowerCase(java.util.Locale.ROOT));
+        report.addProperty("load_sixteenths", metadata.load());
+        report.addProperty("rate_below", metadata.rate() == 0 ? 0 : 1L << metadata.rate());
+        report.addProperty("late", metadata.late());
         long stateChangedAt = swim.stateChangedAt(member.instance().name());
         if (stateChangedAt >= 0) {
             // The loop's clock was set to wall-clock time at its start.
-            all.addProperty("changed_ms", stateChangedAt / MICROS_PER_MS);
+            report.addProperty("changed_ms", stateChangedAt / MICROS_PER_MS);
         }
-        return all;
+        return report;
     }
 
     private static String formatAddress(InetSocketAddress at) {
--- a/src/main/java/laneflow/membership/decision/AntiEntropy.java
+++ b/src/main/java/laneflow/membership/decision/AntiEntropy.java
@@ -71,7 +71,7 @@
             syncSentAt = now;
             environment.count("syncs");
             // 0 marks a newcomer, which knows few members and is sent many records at once.
-            int known = now - startedAt < NEWCOMER_PERIODS * timings.period() ? 0 : self.size();
+            int knownMembers = now - startedAt < NEWCOMER_PERIODS * timings.period() ? 0 : self.size();
             environment.send(
                     sender.address(),
                     new Message(
@@ -79,7 +79,7 @@
                             self.self().instance().id(),
                             view.digest(),
                             nextBucket,
-                            known,
+                            knownMembers,
                             view.bucketDigests(),
                             List.of()));
         }
@@ -91,16 +91,16 @@
      * the time while many members change.
      */
     void sendDifferences(Entry to, Message sync) {
-        int[] theirs = sync.bucketDigests();
-        int[] own = view.bucketDigests();
+        int[] remoteDigests = sync.bucketDigests();
+        int[] localDigests = view.bucketDigests();
         List<MemberRecord> differing = new ArrayList<>();
         int selfBucket = View.bucketOf(self.self().instance().name());
-        if (own[selfBucket] != theirs[selfBucket]) {
+        if (localDigests[selfBucket] != remoteDigests[selfBucket]) {
             differing.add(self.self());
         }
         for (Entry entry : view.live()) {
             int bucket = View.bucketOf(entry.instance().name());
-            if (own[bucket] != theirs[bucket] && entry != to) {
+            if (localDigests[bucket] != remoteDigests[bucket] && entry != to) {
                 differing.add(entry.toRecord());
             }
         }
--- a/src/main/java/laneflow/membership/decision/FailureDetector.java
+++ b/src/main/java/laneflow/membership/decision/FailureDetector.java
@@ -15,7 +15,7 @@
  */
 final class FailureDetector {
     private static final int MAX_INDIRECT_PROBES = 64;
-    private static final int MAX_REMEMBERED_PINGS = 64;
+    private static final int MAX_RECENT_PINGS = 64;
     /** Extra probes per period for each step of the health score. */
     private static final int EXTRA_PROBES_PER_SCORE = 2;
 
@@ -50,12 +50,12 @@
     private final SplittableRandom random;
     private final LocalMember self;
     private final UnresponsiveListener listener;
-    private final List<Entry> order = new ArrayList<>();
+    private final List<Entry> probeOrder = new ArrayList<>();
     private final Map<Integer, IndirectProbe> indirectProbes = new LinkedHashMap<>();
     /** Send times of recent direct probes by sequence number, so that late acks count as round trips too. */
-    private final Map<Integer, Long> sentAt = new RecentPings<>(MAX_REMEMBERED_PINGS);
+    private final Map<Integer, Long> sentAt = new RecentPings<>(MAX_RECENT_PINGS);
 
-    private int turn;
+    private int nextIndex;
     /** Direct probes of this period; more than one while the health score is above 0. */
     private final List<Probe> probes = new ArrayList<>();
 
@@ -88,8 +88,8 @@
         return score;
     }
 
-    void adjustHealthScore(int by) {
-        score = Math.max(0, Math.min(SwimTimings.MAX_HEALTH_SCORE, score + by));
+    void adjustHealthScore(int delta) {
+        score = Math.max(0, Math.min(SwimTimings.MAX_HEALTH_SCORE, score + delta));
     }
 
     /** Smoothed round trip in microseconds. */
@@ -178,20 +178,21 @@
     /** The next member in a random order that is shuffled for each round, as in SWIM. */
     private Entry nextProbeTarget() {
         for (int tries = 0; tries < 2; tries++) {
-            while (turn < order.size()) {
-                Entry one = order.get(turn++);
-                if (one.state.isLive() && view.findByInstanceId(one.instance().id()) == one) {
-                    return one;
+            while (nextIndex < probeOrder.size()) {
+                Entry candidate = probeOrder.get(nextIndex++);
+                if (candidate.state.isLive()
+                        && view.findByInstanceId(candidate.instance().id()) == candidate) {
+                    return candidate;
                 }
             }
-            order.clear();
-            order.addAll(view.live());
-            for (int i = order.size() - 1; i > 0; i--) {
+            probeOrder.clear();
+            probeOrder.addAll(view.live());
+            for (int i = probeOrder.size() - 1; i > 0; i--) {
                 int k = random.nextInt(i + 1);
-                Entry swap = order.set(i, order.get(k));
-                order.set(k, swap);
+                Entry swapped = probeOrder.set(i, probeOrder.get(k));
+                probeOrder.set(k, swapped);
             }
-            turn = 0;
+            nextIndex = 0;
         }
         return null;
     }
@@ -229,10 +230,10 @@
 
     /** Handles an ack. Returns true if it answers a direct probe of this period. */
     boolean ackReceived(Message message, Entry sender, long now) {
-        Long sent = sentAt.remove(message.seq());
-        if (sent != null) {
+        Long pingSentAt = sentAt.remove(message.seq());
+        if (pingSentAt != null) {
             // Longer samples take effect at once, shorter ones are smoothed.
-            long sample = Math.min(now - sent, MAX_ROUND_TRIP_US);
+            long sample = Math.min(now - pingSentAt, MAX_ROUND_TRIP_US);
             roundTrip = sample > roundTrip ? sample : roundTrip + (sample - roundTrip) / ROUND_TRIP_SMOOTHING;
         }
         for (Probe probe : probes) {
--- a/src/main/java/laneflow/membership/decision/GossipQueue.java
+++ b/src/main/java/laneflow/membership/decision/GossipQueue.java
@@ -52,10 +52,10 @@
     }
 
     /** Appends as many updates as fit, none of them twice. */
-    void fill(List<Update> into, int room, int repeats, ToIntFunction<Update> size) {
+    void fill(List<Update> updates, int room, int repeats, ToIntFunction<Update> size) {
         int remaining = room;
         int repeatLimit = Math.min(repeats, MAX_REPEATS);
-        List<Item> taken = null;
+        List<Item> sentItems = null;
         for (int level = 0; level < repeatLimit && remaining > 0; level++) {
             ArrayDeque<Item> items = bySendCount.get(level);
             for (int n = items.size(); n > 0 && remaining > 0; n--) {
@@ -64,7 +64,7 @@
                     continue;
                 }
                 int bytes = size.applyAsInt(item.update);
-                if (bytes > remaining || into.contains(item.update)) {
+                if (bytes > remaining || updates.contains(item.update)) {
                     items.addLast(item);
                     if (bytes > remaining) {
                         // Smaller updates might still fit, but the order has priority.
@@ -73,16 +73,16 @@
                     continue;
                 }
                 remaining -= bytes;
-                into.add(item.update);
+                updates.add(item.update);
                 item.timesSent++;
-                if (taken == null) {
-                    taken = new ArrayList<>();
+                if (sentItems == null) {
+                    sentItems = new ArrayList<>();
                 }
-                taken.add(item);
+                sentItems.add(item);
             }
         }
-        if (taken != null) {
-            for (Item item : taken) {
+        if (sentItems != null) {
+            for (Item item : sentItems) {
                 if (item.timesSent >= repeatLimit) {
                     latestByName.remove(item.name, item);
                 } else {
--- a/src/main/java/laneflow/membership/decision/MessageCodec.java
+++ b/src/main/java/laneflow/membership/decision/MessageCodec.java
@@ -192,10 +192,10 @@
         if (length != View.BUCKET_COUNT * Integer.BYTES) {
             throw new IOException("bucket digests with an invalid length of " + length + " bytes");
         }
-        byte[] all = from.readPayload(length);
+        byte[] bytes = from.readPayload(length);
         int[] buckets = new int[View.BUCKET_COUNT];
-        for (int i = 0; i < all.length; i++) {
-            buckets[i / Integer.BYTES] = buckets[i / Integer.BYTES] << Byte.SIZE | all[i] & 0xff;
+        for (int i = 0; i < bytes.length; i++) {
+            buckets[i / Integer.BYTES] = buckets[i / Integer.BYTES] << Byte.SIZE | bytes[i] & 0xff;
         }
         return buckets;
     }
--- a/src/main/java/laneflow/membership/decision/Swim.java
+++ b/src/main/java/laneflow/membership/decision/Swim.java
@@ -169,10 +169,10 @@
 
     /** Records of all other known members, including those that are dead or have left. */
     public List<MemberRecord> others() {
-        List<MemberRecord> all = new ArrayList<>();
-        view.live().forEach(entry -> all.add(entry.toRecord()));
-        view.ended().forEach(entry -> all.add(entry.toRecord()));
-        return all;
+        List<MemberRecord> records = new ArrayList<>();
+        view.live().forEach(entry -> records.add(entry.toRecord()));
+        view.ended().forEach(entry -> records.add(entry.toRecord()));
+        return records;
     }
 
     /** Number of live members, including this one. */
@@ -287,22 +287,22 @@
         boolean alone = view.live().isEmpty();
         nextReconnect = now + (alone ? timings.period() : timings.reconnectInterval());
         identifySentAt.values().removeIf(at -> now - at > timings.reconnectInterval());
-        List<InetSocketAddress> missing = new ArrayList<>(seeds);
+        List<InetSocketAddress> missingSeeds = new ArrayList<>(seeds);
         for (Entry entry : view.live()) {
-            missing.remove(entry.address());
+            missingSeeds.remove(entry.address());
         }
-        List<Entry> dead = new ArrayList<>(view.ended());
-        dead.removeIf(entry -> entry.state == State.LEFT);
-        if (missing.isEmpty() && dead.isEmpty()) {
+        List<Entry> deadMembers = new ArrayList<>(view.ended());
+        deadMembers.removeIf(entry -> entry.state == State.LEFT);
+        if (missingSeeds.isEmpty() && deadMembers.isEmpty()) {
             // No more attempts until something changes.
             nextReconnect = Long.MAX_VALUE;
             return;
         }
-        int pick = random.nextInt(missing.size() + dead.size());
-        if (pick < missing.size()) {
-            identify(missing.get(pick), now);
+        int pick = random.nextInt(missingSeeds.size() + deadMembers.size());
+        if (pick < missingSeeds.size()) {
+            identify(missingSeeds.get(pick), now);
         } else {
-            notifyDead(dead.get(pick - missing.size()), now, true);
+            notifyDead(deadMembers.get(pick - missingSeeds.size()), now, true);
         }
     }
 
