--- a/src/main/java/laneflow/durable/ClassQueue.java
+++ b/src/main/java/laneflow/durable/ClassQueue.java
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue;
 import laneflow.durable.decision.ConcurrencyLimiter;
 
-/** The queued durable jobs of one class, and the concurrency limiter of its running ones. */
+/** The queued durable jobs of one class, with the limiter of how many of them run concurrently. */
 final class ClassQueue {
     /** Earliest end of the deduplication window first, then highest urgency, then oldest. */
     private static final Comparator<DurableJob> ORDER = Comparator.<DurableJob>comparingLong(job -> job.untilMs)
--- a/src/main/java/laneflow/durable/DurableJob.java
+++ b/src/main/java/laneflow/durable/DurableJob.java
@@ -47,7 +47,7 @@
     boolean heartbeatSeen;
     long progressDone;
     long progressTotal;
-    /** The lease of a success reported late, while a newer attempt was running: used unless that one is served. */
+    /** The lease of a late success, reported while a newer attempt was running; used unless that attempt succeeds. */
     int lateLease;
 
     byte[] lateResult;
--- a/src/main/java/laneflow/durable/DurableJobs.java
+++ b/src/main/java/laneflow/durable/DurableJobs.java
@@ -516,7 +516,7 @@
         }
     }
 
-    /** Completes a write that nothing waits for: if it is lost, the next process knows less but nothing false. */
+    /** Completes a write that nothing waits for: if it is lost, the stored record is incomplete but not wrong. */
     private void onUnawaitedWrite(StoreException failure) {
         if (failure != null) {
             onStoreFailure(failure);
--- a/src/main/java/laneflow/maintenance/MaintenanceApi.java
+++ b/src/main/java/laneflow/maintenance/MaintenanceApi.java
@@ -102,7 +102,7 @@
         });
     }
 
-    // ---- showing ----
+    // ---- status ----
 
     private void sendStatus(Answer answer) {
         read(answer, view -> {
--- a/src/main/java/laneflow/maintenance/MaintenanceExtension.java
+++ b/src/main/java/laneflow/maintenance/MaintenanceExtension.java
@@ -148,8 +148,8 @@
     }
 
     /**
-     * Tracks the recent peak of the demand, which decays: in a shortage requests are refused at once, so the
-     * open ones do not show what is missing.
+     * Tracks the recent peak of the demand, which decays: in a shortage requests are refused at once, so open
+     * requests do not show the unmet demand.
      */
     private void updatePeakDemand(double[][] current) {
         long elapsedMicros = loop.micros() - demandAt;
@@ -302,7 +302,7 @@
         }
     }
 
-    // ---- what the leader knows ----
+    // ---- state of the fleet, at the leader ----
 
     /** Null if this process does not lead or no majority has confirmed it yet. */
     CoordinatorSnapshot snapshot(long done) {
@@ -349,7 +349,7 @@
         return resized;
     }
 
-    /** Schedulers that send, or may send, to these racks; at the leader. */
+    /** Schedulers that may have calls open at these racks; called at the leader. */
     List<String> possibleCallers(List<String> racks) {
         Set<String> callers = new TreeSet<>();
         for (String rack : view == null ? List.<String>of() : racks) {
--- a/src/main/java/laneflow/maintenance/PlanningSession.java
+++ b/src/main/java/laneflow/maintenance/PlanningSession.java
@@ -23,8 +23,8 @@
 import laneflow.policy.decision.Ledger;
 
 /**
- * Computes what follows from a snapshot of the fleet: steps for the ledger, a change of the policy's bans, and
- * the result of a dry run. A plan takes up to seconds, so it runs on its own thread; not thread-safe.
+ * Computes the coordinator's operations from a snapshot (steps for the ledger, a change of the policy's bans) and
+ * the result of a dry run. A plan can take seconds, so it runs on its own thread; not thread-safe.
  */
 final class PlanningSession {
     private static final long FOREVER_MS = 1L << 40;
--- a/src/main/java/laneflow/maintenance/decision/Coordinator.java
+++ b/src/main/java/laneflow/maintenance/decision/Coordinator.java
@@ -19,12 +19,13 @@
     /**
      * Timeouts, in ms.
      *
-     * @param drain from the beginning of a drain to the permission to begin (leave); past it the window is
-     * turned back
-     * @param begin from leave to the crew's report that it begins; past it the window is turned back
+     * @param drain from the beginning of a drain to the permission to begin work (leave); after it the racks are
+     * returned and the window is postponed
+     * @param begin from leave to the crew's report that it begins; after it the racks are returned and the window is
+     * postponed
      * @param overrun time beyond the planned work until the window counts as overrun
      * @param giveBack from the end of the work until the window ends even if its racks have not recovered
-     * @param late how far behind its planned start a window may wait for a fair instant
+     * @param late how long after its planned start a window may wait for a fair instant
      * @param early how much earlier than its notice requires a window is announced
      * @param lost for how long planning assumes that lost racks stay down
      */
@@ -173,8 +174,8 @@
         }
 
         /**
-         * Starts the drain if it would be fair. At most one window per call starts to drain, so that the next
-         * is judged with this one away.
+         * Starts the drain if it would be fair. At most one window per call starts to drain, so that the next one is
+         * evaluated with these racks away.
          */
         private boolean tryDrain(Window window) {
             if (now < window.startMs()) {
@@ -253,7 +254,7 @@
             boolean banned = window.request().racks().stream().anyMatch(observed.banned()::contains);
             boolean recovered =
                     observed.recovered().containsAll(window.request().racks());
-            // A rack that does not come back in time is treated as lost from here on.
+            // A rack that does not come back in time is treated as lost from now on.
             boolean overdue = now > window.startMs() + length(window.request()) + timeouts.giveBack();
             if (!banned && (recovered || overdue)) {
                 // The reasons for the return stay visible in the final state.
@@ -266,7 +267,7 @@
             }
         }
 
-        /** Times for all that have none, and for those planned whose time does not hold any more; or null. */
+        /** Plans all windows without a time and replans those whose time is no longer fair; null if none waits. */
         private Plan plan() {
             List<Request> open = new ArrayList<>();
             List<Plan.Window> fixed = new ArrayList<>();
@@ -285,7 +286,7 @@
                     long end = Math.max(window.startMs(), now) + length(request);
                     fixed.add(new Plan.Window(request, Math.min(window.startMs(), now), end, true));
                 } else if (state == State.DONE) {
-                    // Done, so that windows ordered after it may be planned.
+                    // Included so that windows that have to come after it can be planned.
                     fixed.add(new Plan.Window(
                             request, window.startMs(), Math.min(now, window.startMs() + length(request)), true));
                 }
--- a/src/main/java/laneflow/maintenance/decision/Cuts.java
+++ b/src/main/java/laneflow/maintenance/decision/Cuts.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 
 /**
- * Fast fairness check by sums, for the many instants that a planner looks at. Work fits into cells if and only
+ * Fast fairness check by sums, for the many instants that a planner evaluates. Work fits into cells if and only
  * if, for every union of cell sets in which some of it may run, the work bound to that union fits into it
  * (Gale, 1957). There are few such unions, and the demand per forecast span is known in advance, so most
  * instants are decided by sums and only the undecided ones need a flow.
--- a/src/main/java/laneflow/maintenance/decision/DrainTracker.java
+++ b/src/main/java/laneflow/maintenance/decision/DrainTracker.java
@@ -9,11 +9,11 @@
 import laneflow.policy.decision.Lease;
 
 /**
- * The leader's knowledge, for one term, of which schedulers may still have calls at endpoints that the policy
- * in force bans. A scheduler that has reported that it applied that policy and has no call there will not have
- * one again while the policy bans them. For all others the worst case counts: a silent scheduler may decide
- * until its lease ends, and may then have a call open for the longest deadline; this includes schedulers that
- * only a former leader knew. No I/O, no clock of its own; times in microseconds.
+ * Tracks, for one term of the leader, which schedulers may still have calls at endpoints that the policy in
+ * force bans. A scheduler that has reported that it applied that policy and has no call there will not have one
+ * again while the policy bans them. For all others the worst case is assumed: a silent scheduler may decide until
+ * its lease ends, and may then have a call open for the longest deadline; this includes schedulers that only a
+ * former leader knew. No I/O, no clock of its own; times in microseconds.
  */
 public final class DrainTracker {
     private static final long SLACK_MICROS = 5_000;
@@ -21,7 +21,7 @@
     /**
      * A scheduler's report on its calls.
      *
-     * @param policy the version that it had applied when it looked
+     * @param policy the version that it had applied when the report was made
      * @param busy endpoints that this policy bans and that still have an open call
      * @param unreachable endpoints that it cannot reach
      */
@@ -79,7 +79,7 @@
         schedulers.remove(schedulerName);
     }
 
-    /** Schedulers that may have a call open at an endpoint that this policy, in force, bans; empty if none may. */
+    /** Schedulers that may have a call open at an endpoint, given that this policy is in force and bans it. */
     public List<String> possibleCallers(long now, long policy, String endpoint) {
         List<String> callers = new ArrayList<>();
         if (now < electedAt + maxSilence) {
--- a/src/main/java/laneflow/maintenance/decision/MaxMinLosses.java
+++ b/src/main/java/laneflow/maintenance/decision/MaxMinLosses.java
@@ -16,7 +16,7 @@
     private final double[] weight;
     private final double[] loss;
     private final boolean[] bound;
-    /** The cut that bound the first level, or null if nobody loses anything. */
+    /** The cut that bound the first level, or null if no owner loses anything. */
     private Placement.Cut firstCut;
 
     private MaxMinLosses(Placement placement, double[] due, double[] weight) {
@@ -126,7 +126,7 @@
         return loss.clone();
     }
 
-    /** The first cut that was binding; null if nobody loses anything. */
+    /** The first cut that was binding; null if no owner loses anything. */
     Placement.Cut firstCut() {
         return firstCut;
     }
--- a/src/main/java/laneflow/maintenance/decision/WindowLedger.java
+++ b/src/main/java/laneflow/maintenance/decision/WindowLedger.java
@@ -18,9 +18,10 @@
 
 /**
  * Maintenance windows as a part of the voters' ledger, next to policy changes, so that each is checked against
- * the other: leave is given only while the policy in force bans a window's racks, and no policy change that
- * would give them back comes into force. The step that starts a drain lists the endpoints of each rack, so all
- * voters decide alike whatever their configuration files say. Not thread-safe; no I/O, no clock.
+ * the other: the permission to begin work (leave) is given only while the policy in force bans a window's racks,
+ * and until the window returns no policy change that lifts these bans is accepted. The step that starts a drain
+ * lists the endpoints of each rack, so all voters decide alike whatever their configuration files say. Not
+ * thread-safe; no I/O, no clock.
  */
 public final class WindowLedger implements Ledger.Part {
     /** Name of this part in the ledger. */
--- a/src/main/java/laneflow/maintenance/decision/Windows.java
+++ b/src/main/java/laneflow/maintenance/decision/Windows.java
@@ -240,7 +240,7 @@
         State outcome = State.valueOf(op.get("outcome").getAsString().toUpperCase(Locale.ROOT));
         if (to == State.DRAINING && op.get("away").getAsLong() != awayChanges) {
             // Two drains may each be fair alone but not together, so a drain is refused if the set of racks
-            // away has changed since it was judged.
+            // away has changed since the decision.
             return error("the racks that are away have changed since " + window.name() + " was judged");
         }
         if (to == State.DOWN
--- a/src/main/java/laneflow/membership/Members.java
+++ b/src/main/java/laneflow/membership/Members.java
@@ -145,7 +145,7 @@
         }
     }
 
-    /** Limit on application data in a datagram without other updates. */
+    /** Maximum size of application data, which a datagram without other updates can hold. */
     public int maxPayloadBytes() {
         return codec.maxUpdateBytes(Kind.GOSSIP) - codec.applyAsInt(new Update.Payload(new byte[0]));
     }
--- a/src/main/java/laneflow/membership/decision/AntiEntropy.java
+++ b/src/main/java/laneflow/membership/decision/AntiEntropy.java
@@ -10,8 +10,8 @@
 import laneflow.membership.decision.View.Entry;
 
 /**
- * Anti-entropy between views. Every datagram carries the digest of its sender's view. A receiver with another
- * digest sends a SYNC with its digest of each bucket, and gets the records of the buckets that differ.
+ * Reconciles views by anti-entropy. Every datagram carries the digest of its sender's view. A receiver with
+ * another digest sends a SYNC with its digest of each bucket, and gets the records of the buckets that differ.
  */
 final class AntiEntropy {
     private static final int BASE_DATAGRAMS = 8;
--- a/src/main/java/laneflow/membership/decision/FailureDetector.java
+++ b/src/main/java/laneflow/membership/decision/FailureDetector.java
@@ -162,7 +162,7 @@
         indirectProbesRequested = false;
         indirectProbesAt = now + timings.directProbeTimeout(score, roundTrip);
         retryAt = now + timings.directProbeTimeout(score, roundTrip) / 2;
-        // A member cut off with few others takes longer per probe, and would need minutes to probe all.
+        // In a small partition most probes time out, so without extra probes it would take minutes to probe all.
         for (int i = 0; i < 1 + EXTRA_PROBES_PER_SCORE * score; i++) {
             Entry target = nextProbeTarget();
             if (target == null || probes.stream().anyMatch(probe -> probe.target == target)) {
@@ -216,8 +216,8 @@
         if (unanswered.isEmpty()) {
             return;
         }
-        // Without a nack from any helper this member itself is cut off or slow. A single nack is enough, since
-        // other helpers may be dead too.
+        // If no helper has sent a nack, this member itself is cut off or slow. One nack rules that out; the other
+        // helpers may be dead too.
         adjustHealthScore(unanswered.stream().allMatch(probe -> probe.nacks == 0) ? 1 : 0);
         for (Probe probe : unanswered) {
             if (probe.target.state.isLive() && view.findByInstanceId(probe.id) == probe.target) {
--- a/src/main/java/laneflow/membership/decision/LocalMember.java
+++ b/src/main/java/laneflow/membership/decision/LocalMember.java
@@ -6,14 +6,14 @@
 import laneflow.membership.decision.Update.MemberRecord;
 import laneflow.membership.decision.View.Entry;
 
-/** This member as the parts of {@link Swim} see it: its own record, and its means to send. */
+/** Gives the parts of {@link Swim} access to the local member: its record, sequence numbers and sending. */
 interface LocalMember {
     MemberRecord self();
 
-    /** How many members are live, this one among them. */
+    /** Number of live members, including this one. */
     int size();
 
-    /** The number of the next ping. */
+    /** The sequence number of the next ping. */
     int nextSequence();
 
     /** Sends a message to a member with these updates, followed by as many queued ones as fit. */
--- a/src/main/java/laneflow/membership/decision/MemberMetadata.java
+++ b/src/main/java/laneflow/membership/decision/MemberMetadata.java
@@ -5,14 +5,14 @@
 /**
  * What a member publishes about itself for operators and reports. No decision depends on it.
  *
- * @param zone of the scheduler, cut off behind {@link #MAX_ZONE_BYTES} bytes; empty: none
+ * @param zone of the scheduler, truncated to {@link #MAX_ZONE_BYTES} bytes; empty: none
  * @param build version, truncated to {@link #MAX_BUILD_BYTES} bytes
  * @param link address for fleet links and operators, or null
- * @param policy the number of the policy in force there, -1 where none is decided together
- * @param condition whether clients may come
+ * @param policy number of the policy in force there, -1 if the fleet decides on none
+ * @param condition whether it takes requests of clients
  * @param load open requests as a share of the limit, in sixteenths
- * @param rate requests served a second: n stands for under 2 to the n
- * @param late true while its loop runs late
+ * @param rate the smallest n such that it serves fewer than 2^n requests per second
+ * @param late true for a while after its event loop has stalled
  */
 public record MemberMetadata(
         String zone,
--- a/src/main/java/laneflow/membership/decision/SuspicionTracker.java
+++ b/src/main/java/laneflow/membership/decision/SuspicionTracker.java
@@ -24,11 +24,11 @@
 
     private static final int FINAL_PROBE_SPACING_NUMERATOR = 3;
     private static final int FINAL_PROBE_SPACING_DENOMINATOR = 4;
-    /** Limit on a suspicion that helpers' acks prolong, as a multiple of the minimum timeout. */
+    /** Limit on a suspicion that acks through helpers prolong, as a multiple of the minimum timeout. */
     private static final int MAX_SUSPICION_FACTOR = 8;
 
     private static final long LEAVE_PROBE_TIMEOUTS = 2;
-    /** Limit on how far the health score prolongs suspicions: a slow member may be cut off, and right. */
+    /** Limit on how far a bad health score prolongs suspicions: a member cut off has one too, and suspects rightly. */
     private static final int MAX_HEALTH_EXTENSION = 3;
 
     /** Fires for a final probe or at the end of a suspicion. Void once the entry has another deadline. */
@@ -42,7 +42,7 @@
     private final Environment environment;
     private final PriorityQueue<SuspicionTimer> timers =
             new PriorityQueue<>((a, b) -> Long.compare(a.fireAt, b.fireAt));
-    /** Members that helpers were asked to probe before they are declared dead, by sequence number. */
+    /** Targets of the final probes made through helpers, by sequence number. */
     private final Map<Integer, Entry> pendingFinalProbes = new RecentPings<>(MAX_PENDING_FINAL_PROBES);
 
     SuspicionTracker(
@@ -189,7 +189,7 @@
         suspect(entry, entry.record.incarnation(), self.self().instance().id(), now);
     }
 
-    /** Records an accusation. The more members accuse, the sooner the suspicion ends. */
+    /** Records an accusation. The more members accuse, the sooner the suspicion times out. */
     private void suspect(Entry entry, int incarnation, long accuserId, long now) {
         boolean newlySuspected = entry.state == State.ALIVE;
         if (newlySuspected) {
@@ -212,7 +212,7 @@
         boolean onlyOwnAccusation = entry.accusers.size() == 1
                 && entry.accusers.contains(self.self().instance().id());
         int extension = onlyOwnAccusation ? Math.min(MAX_HEALTH_EXTENSION, failureDetector.score()) : 0;
-        // Not in the past, which would look like a stall of this member.
+        // A deadline in the past would be taken for a stall of this member.
         long deadline = Math.max(now, entry.suspectedAt + timeout * (1 + extension));
         if (newlySuspected || deadline < entry.deadline) {
             scheduleTimers(entry, deadline, now);
--- a/src/main/java/laneflow/membership/decision/Swim.java
+++ b/src/main/java/laneflow/membership/decision/Swim.java
@@ -253,7 +253,7 @@
                         Math.min(nextGossip, nextReconnect));
     }
 
-    /** Does what is due. */
+    /** Runs the timers that are due. */
     public void tick(long now) {
         long overdue = now - nextTick();
         if (overdue > timings.stallThreshold() && !left) {
@@ -315,7 +315,7 @@
         }
         identifySentAt.put(address, now);
         if (nextReconnect == Long.MAX_VALUE) {
-            // That run also removes old entries of identifySentAt.
+            // reconnect() also removes old entries of identifySentAt.
             nextReconnect = now + timings.reconnectInterval();
         }
         pendingIdentify.put(++seq, address);
--- a/src/main/java/laneflow/task/decision/TaskLeader.java
+++ b/src/main/java/laneflow/task/decision/TaskLeader.java
@@ -24,7 +24,7 @@
  * task while a former holder may still act on it: for each process it keeps every grant that may still arrive or
  * be in use, and for processes that may have grants of former leaders, the time for which such a grant can
  * last. A holder keeps its token under a new leader; only tasks that change hands wait. Times and bounds are
- * those of {@link laneflow.policy.decision.Lead}. Performs no I/O and reads no clock.
+ * those of {@link laneflow.policy.decision.LeaderState}. Performs no I/O and reads no clock.
  */
 public final class TaskLeader {
     private static final long SLACK_MICROS = 5_000;
