--- a/src/main/java/laneflow/membership/decision/FailureDetector.java
+++ b/src/main/java/laneflow/membership/decision/FailureDetector.java
@@ -15,7 +15,7 @@
  */
 final class FailureDetector {
     private static final int MAX_INDIRECT_PROBES = 64;
-    private static final int MAX_REMEMBERED_PINGS = 64;
+    private static final int MAX_RECENT_PINGS = 64;
     /** Extra probes per period for each step of the health score. */
     private static final int EXTRA_PROBES_PER_SCORE = 2;
 
@@ -46,16 +46,16 @@
     private record IndirectProbe(InetSocketAddress requester, int requesterSeq, long targetId, long deadline) {}
 
     private final View view;
-    private final Times times;
+    private final SwimTimings timings;
     private final SplittableRandom random;
     private final LocalMember self;
     private final UnresponsiveListener listener;
-    private final List<Entry> order = new ArrayList<>();
+    private final List<Entry> probeOrder = new ArrayList<>();
     private final Map<Integer, IndirectProbe> indirectProbes = new LinkedHashMap<>();
     /** Send times of recent direct probes by sequence number, so that late acks count as round trips too. */
-    private final Map<Integer, Long> sentAt = new RecentPings<>(MAX_REMEMBERED_PINGS);
+    private final Map<Integer, Long> sentAt = new RecentPings<>(MAX_RECENT_PINGS);
 
-    private int turn;
+    private int nextIndex;
     /** Direct probes of this period; more than one while the health score is above 0. */
     private final List<Probe> probes = new ArrayList<>();
 
@@ -69,18 +69,18 @@
 
     FailureDetector(
             View view,
-            Times times,
+            SwimTimings timings,
             SplittableRandom random,
             LocalMember self,
             UnresponsiveListener listener,
             long now) {
         this.view = view;
-        this.times = times;
+        this.timings = timings;
         this.random = random;
         this.self = self;
         this.listener = listener;
         // Members of a fleet that start together must not probe in step.
-        nextPeriod = now + 1 + random.nextLong(times.period());
+        nextPeriod = now + 1 + random.nextLong(timings.period());
     }
 
     /** Lifeguard's local health score: 0 is healthy, 8 the slowest. */
@@ -88,8 +88,8 @@
         return score;
     }
 
-    void adjustHealthScore(int by) {
-        score = Math.max(0, Math.min(Times.MAX_HEALTH_SCORE, score + by));
+    void adjustHealthScore(int delta) {
+        score = Math.max(0, Math.min(SwimTimings.MAX_HEALTH_SCORE, score + delta));
     }
 
     /** Smoothed round trip in microseconds. */
@@ -99,7 +99,7 @@
 
     /** The time from which a period may start if the member is awake anyway. */
     long earliestTick() {
-        return allAnswered() && indirectProbes.isEmpty() ? nextPeriod - times.wakeTolerance() : nextTick();
+        return allAnswered() && indirectProbes.isEmpty() ? nextPeriod - timings.wakeTolerance() : nextTick();
     }
 
     private boolean allAnswered() {
@@ -107,7 +107,7 @@
     }
 
     long nextTick() {
-        long next = allAnswered() ? nextPeriod + times.wakeTolerance() : nextPeriod;
+        long next = allAnswered() ? nextPeriod + timings.wakeTolerance() : nextPeriod;
         if (awaitsDirectAck()) {
             next = Math.min(next, retried ? indirectProbesAt : retryAt);
         }
@@ -141,7 +141,7 @@
                 }
             }
         }
-        if (now < (allAnswered() ? nextPeriod - times.wakeTolerance() : nextPeriod)) {
+        if (now < (allAnswered() ? nextPeriod - timings.wakeTolerance() : nextPeriod)) {
             return false;
         }
         startPeriod(now);
@@ -152,17 +152,17 @@
     void handleStall(long now) {
         adjustHealthScore(1);
         probes.clear();
-        nextPeriod = now + times.period();
+        nextPeriod = now + timings.period();
     }
 
     private void startPeriod(long now) {
         finishPeriod(now);
-        nextPeriod = now + times.probeTimeout(score, roundTrip);
+        nextPeriod = now + timings.probeTimeout(score, roundTrip);
         retried = false;
         indirectProbesRequested = false;
-        indirectProbesAt = now + times.directProbeTimeout(score, roundTrip);
-        retryAt = now + times.directProbeTimeout(score, roundTrip) / 2;
-        // A member cut off with few others takes longer per probe, and would need minutes to probe all.
+        indirectProbesAt = now + timings.directProbeTimeout(score, roundTrip);
+        retryAt = now + timings.directProbeTimeout(score, roundTrip) / 2;
+        // In a small partition most probes time out, so without extra probes it would take minutes to probe all.
         for (int i = 0; i < 1 + EXTRA_PROBES_PER_SCORE * score; i++) {
             Entry target = nextProbeTarget();
             if (target == null || probes.stream().anyMatch(probe -> probe.target == target)) {
@@ -178,27 +178,28 @@
     /** The next member in a random order that is shuffled for each round, as in SWIM. */
     private Entry nextProbeTarget() {
         for (int tries = 0; tries < 2; tries++) {
-            while (turn < order.size()) {
-                Entry one = order.get(turn++);
-                if (one.state.isLive() && view.findByInstanceId(one.instance().id()) == one) {
-                    return one;
+            while (nextIndex < probeOrder.size()) {
+                Entry candidate = probeOrder.get(nextIndex++);
+                if (candidate.state.isLive()
+                        && view.findByInstanceId(candidate.instance().id()) == candidate) {
+                    return candidate;
                 }
             }
-            order.clear();
-            order.addAll(view.live());
-            for (int i = order.size() - 1; i > 0; i--) {
+            probeOrder.clear();
+            probeOrder.addAll(view.live());
+            for (int i = probeOrder.size() - 1; i > 0; i--) {
                 int k = random.nextInt(i + 1);
-                Entry swap = order.set(i, order.get(k));
-                order.set(k, swap);
+                Entry swapped = probeOrder.set(i, probeOrder.get(k));
+                probeOrder.set(k, swapped);
             }
-            turn = 0;
+            nextIndex = 0;
         }
         return null;
     }
 
     private void requestIndirectProbes(Probe probe) {
         List<Entry> helpers = new ArrayList<>();
-        for (int i = 0; i < Times.INDIRECT_PROBE_HELPERS; i++) {
+        for (int i = 0; i < SwimTimings.INDIRECT_PROBE_HELPERS; i++) {
             Entry helper = view.pickRandom(
                     random, each -> each != probe.target && each.state == State.ALIVE && !helpers.contains(each));
             if (helper != null) {
@@ -215,8 +216,8 @@
         if (unanswered.isEmpty()) {
             return;
         }
-        // Without a nack from any helper this member itself is cut off or slow. A single nack is enough, since
-        // other helpers may be dead too.
+        // If no helper has sent a nack, this member itself is cut off or slow. One nack rules that out; the other
+        // helpers may be dead too.
         adjustHealthScore(unanswered.stream().allMatch(probe -> probe.nacks == 0) ? 1 : 0);
         for (Probe probe : unanswered) {
             if (probe.target.state.isLive() && view.findByInstanceId(probe.id) == probe.target) {
@@ -229,10 +230,10 @@
 
     /** Handles an ack. Returns true if it answers a direct probe of this period. */
     boolean ackReceived(Message message, Entry sender, long now) {
-        Long sent = sentAt.remove(message.seq());
-        if (sent != null) {
+        Long pingSentAt = sentAt.remove(message.seq());
+        if (pingSentAt != null) {
             // Longer samples take effect at once, shorter ones are smoothed.
-            long sample = Math.min(now - sent, MAX_ROUND_TRIP_US);
+            long sample = Math.min(now - pingSentAt, MAX_ROUND_TRIP_US);
             roundTrip = sample > roundTrip ? sample : roundTrip + (sample - roundTrip) / ROUND_TRIP_SMOOTHING;
         }
         for (Probe probe : probes) {
@@ -274,7 +275,7 @@
                         requester.address(),
                         message.seq(),
                         message.target(),
-                        now + times.directProbeTimeout(0, roundTrip)));
+                        now + timings.directProbeTimeout(0, roundTrip)));
         self.sendWithGossip(target, Kind.PING, sequence, message.target(), List.of());
         expireIndirectProbes(now);
     }
