--- a/src/test/java/laneflow/transcripts/SchedulerTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/SchedulerTranscriptsTest.java
@@ -69,8 +69,8 @@
                         RecordedPeer second = watch(transcript, "discovery, 2nd watch", discovery);
                         second.reply("no list at all");
                         RecordedPeer third = watch(transcript, "discovery, 3rd watch", discovery);
-                        third.write(
-                                SchedulerHarness.watchResponse(SchedulerHarness.hostList(9, true, endpoint.host("Ready"))));
+                        third.write(SchedulerHarness.watchResponse(
+                                SchedulerHarness.hostList(9, true, endpoint.host("Ready"))));
                         harness.awaitCounter("discovery.lists", 2);
                     }
                 });
@@ -85,8 +85,8 @@
                     Endpoint endpoint = new Endpoint("e1");
                     try (SchedulerHarness harness = new SchedulerHarness(discovery, endpoint)) {
                         RecordedPeer first = watch(transcript, "discovery", discovery);
-                        first.write(
-                                SchedulerHarness.watchResponse(SchedulerHarness.hostList(2, true, endpoint.host("Ready"))));
+                        first.write(SchedulerHarness.watchResponse(
+                                SchedulerHarness.hostList(2, true, endpoint.host("Ready"))));
                         harness.awaitCounter("discovery.lists", 1);
                         watch(transcript, "discovery, 2nd watch", discovery);
                         RecordedPeer client = client(transcript, harness);
@@ -138,8 +138,8 @@
                         old.write(SchedulerHarness.watchResponse(
                                 SchedulerHarness.hostList(8, false, endpoint.host("Terminating"))));
                         harness.awaitCounter("discovery.lists", 1);
-                        next.write(
-                                SchedulerHarness.watchResponse(SchedulerHarness.hostList(3, true, endpoint.host("Ready"))));
+                        next.write(SchedulerHarness.watchResponse(
+                                SchedulerHarness.hostList(3, true, endpoint.host("Ready"))));
                         harness.awaitCounter("discovery.lists", 2);
                         old.expectEnd();
                         transcript.note("moves: " + harness.counter("discovery.moves"));
@@ -204,7 +204,8 @@
         harness.serve.reload(() -> Setup.platform(file, null, null));
     }
 
-    private static void sendOperatorCommand(Transcript transcript, SchedulerHarness harness, String command) throws IOException {
+    private static void sendOperatorCommand(Transcript transcript, SchedulerHarness harness, String command)
+            throws IOException {
         try (RecordedPeer operator = new RecordedPeer(transcript, "operator", harness.opsClient())) {
             operator.write(command + "\n");
             operator.line();
