--- a/src/main/java/laneflow/cli/BenchlinkCommand.java
+++ b/src/main/java/laneflow/cli/BenchlinkCommand.java
@@ -7,7 +7,7 @@
 import laneflow.wire.WireHost;
 import picocli.CommandLine.Command;
 
-/** The same decisions on the simulator's wire; here for its help, Main calls it without options directly. */
+/** {@code benchlink}: serves the simulator. {@code Main} runs it directly where no options are given. */
 @Command(
         name = "benchlink",
         mixinStandardHelpOptions = true,
--- a/src/main/java/laneflow/cli/Cli.java
+++ b/src/main/java/laneflow/cli/Cli.java
@@ -16,8 +16,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The command line. Exit codes: 0 done, 1 the input or the state of things forbids it, 2 a wrong call or
- * a configuration that can't be used. A mistyped word is answered with the nearest one.
+ * The root command. Exit codes: 0 for success, 1 if the input or the current state does not allow the command, 2 for
+ * a usage error or an invalid configuration. For a mistyped command the most similar one is suggested.
  */
 @Command(
         name = "laneflow",
@@ -25,7 +25,7 @@
         versionProvider = Cli.Version.class,
         description = "Job scheduler and protocol translator: old clients reach new servers.")
 public final class Cli implements Runnable {
-    /** In the order in which they are told. */
+    /** In the order in which the help lists them. */
     private static final List<Class<?>> COMMANDS = List.of(
             ServeCommand.class,
             BenchlinkCommand.class,
@@ -41,43 +41,45 @@
     @Spec
     private CommandSpec spec;
 
-    /** Runs the command named there and returns the exit code. */
+    /** Runs the command that the arguments name and returns the exit code. */
     public static int run(String... args) {
-        return line(args).execute(args);
+        return commandLine(args).execute(args);
     }
 
     /**
-     * The command line for these words. Looking through all options of all commands takes longer than most
-     * commands do, so it is done for those alone that are named; of the others there are name and purpose,
-     * which is what the help and the nearest word to a mistyped one need.
+     * Builds the command line for these arguments. Reflecting over the options of every command takes longer than most
+     * commands run, so it is done only for commands that the arguments name. The others are added by name and
+     * description, which is all that the help and the suggestions for mistyped commands need.
      */
-    static CommandLine line(String... args) {
-        CommandLine line = new CommandLine(new Cli());
+    static CommandLine commandLine(String... args) {
+        CommandLine commandLine = new CommandLine(new Cli());
         Set<String> named = Set.copyOf(List.of(args));
-        for (Class<?> one : COMMANDS) {
-            Command told = one.getAnnotation(Command.class);
-            line.addSubcommand(told.name(), named.contains(told.name()) ? made(one) : purpose(told));
+        for (Class<?> commandClass : COMMANDS) {
+            Command annotation = commandClass.getAnnotation(Command.class);
+            commandLine.addSubcommand(
+                    annotation.name(),
+                    named.contains(annotation.name()) ? subcommand(commandClass) : nameAndDescription(annotation));
         }
-        line.setExecutionExceptionHandler((e, at, parsed) -> {
+        commandLine.setExecutionExceptionHandler((e, failedCommand, parseResult) -> {
             if (!(e instanceof IOException || e instanceof WireException || e instanceof IllegalArgumentException)) {
                 throw e;
             }
-            PrintWriter err = at.getErr();
-            boolean config = e instanceof ConfigException;
-            err.println(config ? e.getMessage() : "laneflow: " + e.getMessage());
-            err.flush();
-            return config ? 2 : 1;
+            PrintWriter errorOutput = failedCommand.getErr();
+            boolean configError = e instanceof ConfigException;
+            errorOutput.println(configError ? e.getMessage() : "laneflow: " + e.getMessage());
+            errorOutput.flush();
+            return configError ? 2 : 1;
         });
-        return line;
+        return commandLine;
     }
 
-    private static Object made(Class<?> command) {
+    private static Object subcommand(Class<?> command) {
         return command == Importer.class ? new Importer(System.out, System.err) : command;
     }
 
-    private static CommandSpec purpose(Command told) {
-        CommandSpec spec = CommandSpec.create().name(told.name());
-        spec.usageMessage().description(told.description());
+    private static CommandSpec nameAndDescription(Command annotation) {
+        CommandSpec spec = CommandSpec.create().name(annotation.name());
+        spec.usageMessage().description(annotation.description());
         return spec;
     }
 
@@ -86,7 +88,7 @@
         throw new ParameterException(spec.commandLine(), "a command is missing");
     }
 
-    /** The version that the jar's manifest holds. */
+    /** Reports the version from the jar's manifest. */
     static final class Version implements IVersionProvider {
         @Override
         public String[] getVersion() {
--- a/src/main/java/laneflow/cli/CliTrainingRun.java
+++ b/src/main/java/laneflow/cli/CliTrainingRun.java
@@ -12,57 +12,57 @@
 import java.nio.file.Path;
 
 /**
- * A run of the commands that people use most, for the build: the classes that they load are archived, since
- * reading them anew is most of what such a command does. What the commands print is thrown away.
+ * A training run of the most used commands for the build, which archives the classes that they load (class data
+ * sharing): loading classes takes most of such a command's time. The commands' output is discarded.
  */
 public final class CliTrainingRun {
-    private static final String SAYS = "{\"scheduler\":\"s\",\"life\":\"a\",\"state\":\"deciding\","
+    private static final String RESPONSE_BODY = "{\"scheduler\":\"s\",\"life\":\"a\",\"state\":\"deciding\","
             + "\"policy\":1,\"lease_ms\":1,\"leader\":\"s\",\"term\":1,\"open\":0,\"members\":[],"
             + "\"tasks\":[],\"name\":\"c\",\"number\":1,\"reasons\":[]}";
-    private static final int MOST_QUESTIONS = 64;
+    private static final int BACKLOG = 64;
 
     private CliTrainingRun() {}
 
-    /** Asks a listener of its own. */
+    /** Runs the commands against a local server that gives every request the same response. */
     public static void run() throws IOException {
-        Path change = Files.createTempFile("laneflow-rehearsal", ".toml");
-        try (ServerSocket listener = new ServerSocket(0, MOST_QUESTIONS, InetAddress.getLoopbackAddress())) {
-            Files.writeString(change, "[bans]\nendpoints = [\"e\"]\n");
-            Thread answers = new Thread(() -> answer(listener), "rehearsal");
-            answers.setDaemon(true);
-            answers.start();
+        Path changeFile = Files.createTempFile("laneflow-rehearsal", ".toml");
+        try (ServerSocket listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress())) {
+            Files.writeString(changeFile, "[bans]\nendpoints = [\"e\"]\n");
+            Thread server = new Thread(() -> serveRequests(listener), "rehearsal");
+            server.setDaemon(true);
+            server.start();
             System.setOut(new PrintStream(OutputStream.nullOutputStream()));
             System.setErr(System.out);
-            String at = "127.0.0.1:" + listener.getLocalPort();
-            for (String words : new String[] {
+            String address = "127.0.0.1:" + listener.getLocalPort();
+            for (String commandLine : new String[] {
                 "--help",
                 "--version",
                 "serv",
                 "policy --help",
-                "task show --at " + at,
-                "policy show --at " + at,
-                "policy status c --at " + at,
-                "policy propose " + change + " --at " + at,
-                "fleet show --at " + at,
+                "task show --at " + address,
+                "policy show --at " + address,
+                "policy status c --at " + address,
+                "policy propose " + changeFile + " --at " + address,
+                "fleet show --at " + address,
                 "fleet show --at 127.0.0.1:1"
             }) {
-                Cli.run(words.split(" "));
+                Cli.run(commandLine.split(" "));
             }
         } finally {
-            Files.delete(change);
+            Files.delete(changeFile);
         }
     }
 
-    private static void answer(ServerSocket listener) {
-        byte[] said = ("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n" + "Content-Length: "
-                        + SAYS.length() + "\r\n\r\n" + SAYS)
+    private static void serveRequests(ServerSocket listener) {
+        byte[] response = ("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n"
+                        + "Content-Length: " + RESPONSE_BODY.length() + "\r\n\r\n" + RESPONSE_BODY)
                 .getBytes(StandardCharsets.US_ASCII);
         while (true) {
-            try (Socket asked = listener.accept()) {
-                InputStream in = asked.getInputStream();
-                // Questions are small: the first read has the whole, or what is left of it does no harm here.
+            try (Socket connection = listener.accept()) {
+                InputStream in = connection.getInputStream();
+                // Requests are small: one read gets all of it, and an unread rest does no harm here.
                 if (in.read(new byte[8192]) > 0) {
-                    asked.getOutputStream().write(said);
+                    connection.getOutputStream().write(response);
                 }
             } catch (IOException e) {
                 return;
--- a/src/main/java/laneflow/cli/ConfigCommand.java
+++ b/src/main/java/laneflow/cli/ConfigCommand.java
@@ -32,10 +32,10 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code config}: what runs, what a scheduler would say to a version, and who takes part in one. */
+/** {@code config}: shows, compares and validates versions of the streamed configuration. */
 @Command(name = "config", mixinStandardHelpOptions = true, description = "Looks at streamed configuration.")
 final class ConfigCommand implements Runnable {
-    private static final int WITHIN_MS = 5000;
+    private static final int TIMEOUT_MS = 5000;
 
     @Spec
     private CommandSpec spec;
@@ -64,16 +64,16 @@
         }
         for (String address : addresses) {
             try {
-                String text = ask(address, "/config");
+                String responseBody = fetch(address, "/config");
                 if (json) {
-                    out.println(text.strip());
+                    out.println(responseBody.strip());
                     continue;
                 }
-                JsonObject all = JsonParser.parseString(text).getAsJsonObject();
-                all.getAsJsonObject("types").entrySet().forEach(entry -> {
+                JsonObject report = JsonParser.parseString(responseBody).getAsJsonObject();
+                report.getAsJsonObject("types").entrySet().forEach(entry -> {
                     show(
                             out,
-                            all.get("scheduler").getAsString(),
+                            report.get("scheduler").getAsString(),
                             entry.getKey(),
                             entry.getValue().getAsJsonObject());
                     versions.computeIfAbsent(entry.getKey(), key -> new TreeSet<>())
@@ -87,9 +87,9 @@
                 code = 1;
             }
         }
-        for (Map.Entry<String, TreeSet<String>> one : versions.entrySet()) {
-            if (one.getValue().size() > 1) {
-                out.println("they differ in " + shortName(one.getKey()) + ": " + one.getValue());
+        for (Map.Entry<String, TreeSet<String>> entry : versions.entrySet()) {
+            if (entry.getValue().size() > 1) {
+                out.println("they differ in " + shortName(entry.getKey()) + ": " + entry.getValue());
                 code = 1;
             }
         }
@@ -97,24 +97,24 @@
         return code;
     }
 
-    private static void show(PrintWriter out, String scheduler, String type, JsonObject one) {
-        long since = one.get("since_ms").getAsLong();
+    private static void show(PrintWriter out, String scheduler, String type, JsonObject status) {
+        long since = status.get("since_ms").getAsLong();
         out.printf(
                 "%-14s %-14s %-22s %-20s %s%s%n",
                 scheduler,
                 shortName(type),
-                shortened(one.get("version").getAsString()),
+                abbreviated(status.get("version").getAsString()),
                 since == 0 ? "-" : Instant.ofEpochSecond(since / 1000).toString(),
-                one.get("from").getAsString(),
-                one.get("on_trial").getAsBoolean() ? " (on trial)" : "");
-        if (one.has("restart_needed")) {
-            one.getAsJsonArray("restart_needed")
-                    .forEach(waits -> out.println("    waits for a restart: " + waits.getAsString()));
+                status.get("from").getAsString(),
+                status.get("on_trial").getAsBoolean() ? " (on trial)" : "");
+        if (status.has("restart_needed")) {
+            status.getAsJsonArray("restart_needed")
+                    .forEach(setting -> out.println("    waits for a restart: " + setting.getAsString()));
         }
-        if (one.has("last_refused")) {
-            JsonObject refused = one.getAsJsonObject("last_refused");
-            out.println("    turned down " + shortened(refused.get("version").getAsString()) + ": "
-                    + refused.get("reason").getAsString().replace("\n", "\n        "));
+        if (status.has("last_refused")) {
+            JsonObject rejected = status.getAsJsonObject("last_refused");
+            out.println("    turned down " + abbreviated(rejected.get("version").getAsString()) + ": "
+                    + rejected.get("reason").getAsString().replace("\n", "\n        "));
         }
     }
 
@@ -122,7 +122,7 @@
         return type.startsWith(ResourceType.PREFIX) ? type.substring(ResourceType.PREFIX.length()) : type;
     }
 
-    private static String shortened(String version) {
+    private static String abbreviated(String version) {
         int dash = version.indexOf('-');
         return dash >= 0 && version.length() > dash + 13 ? version.substring(0, dash + 13) : version;
     }
@@ -135,33 +135,34 @@
             @Parameters(
                             paramLabel = "ADDRESS|DIR",
                             description = "Where operators ask a scheduler, or its last_good_dir.")
-                    String where)
+                    String source)
             throws IOException {
         PrintWriter out = spec.commandLine().getOut();
-        JsonArray all = new JsonArray();
-        Path folder = Path.of(where);
+        JsonArray changes = new JsonArray();
+        Path folder = Path.of(source);
         if (Files.isDirectory(folder)) {
             for (String name : new String[] {"history.1.jsonl", "history.jsonl"}) {
                 if (Files.exists(folder.resolve(name))) {
-                    // The last line may be half written: it is told as it stands.
-                    Files.readAllLines(folder.resolve(name)).forEach(line -> all.add(parsed(line)));
+                    // The last line may be incomplete: it is printed as it is.
+                    Files.readAllLines(folder.resolve(name)).forEach(line -> changes.add(parseHistoryLine(line)));
                 }
             }
         } else {
-            all.addAll(JsonParser.parseString(ask(where, "/config/history")).getAsJsonArray());
+            changes.addAll(
+                    JsonParser.parseString(fetch(source, "/config/history")).getAsJsonArray());
         }
-        for (JsonElement one : all) {
-            if (!one.isJsonObject()) {
-                out.println("unreadable: " + one);
+        for (JsonElement element : changes) {
+            if (!element.isJsonObject()) {
+                out.println("unreadable: " + element);
                 continue;
             }
-            JsonObject change = one.getAsJsonObject();
+            JsonObject change = element.getAsJsonObject();
             out.printf(
                     "%-24s %-12s %-13s %s%s%n",
                     Instant.ofEpochMilli(change.get("at_ms").getAsLong()),
                     shortName(change.get("type").getAsString()),
                     change.get("verdict").getAsString(),
-                    shortened(change.get("version").getAsString()),
+                    abbreviated(change.get("version").getAsString()),
                     change.has("reason")
                             ? ": " + change.get("reason").getAsString().replace("\n", "\n    ")
                             : "");
@@ -170,10 +171,10 @@
         return 0;
     }
 
-    private static JsonElement parsed(String line) {
+    private static JsonElement parseHistoryLine(String line) {
         try {
-            JsonElement read = JsonParser.parseString(line);
-            return read.isJsonObject() ? read : new JsonPrimitive(line);
+            JsonElement element = JsonParser.parseString(line);
+            return element.isJsonObject() ? element : new JsonPrimitive(line);
         } catch (JsonParseException e) {
             return new JsonPrimitive(line);
         }
@@ -191,45 +192,45 @@
             @Parameters(paramLabel = "TO") Path to)
             throws IOException {
         PrintWriter out = spec.commandLine().getOut();
-        Map<String, JsonObject> was = byName(from);
-        Map<String, JsonObject> is = byName(to);
-        TreeSet<String> names = new TreeSet<>(was.keySet());
-        names.addAll(is.keySet());
-        int differ = 0;
+        Map<String, JsonObject> fromResources = byName(from);
+        Map<String, JsonObject> toResources = byName(to);
+        TreeSet<String> names = new TreeSet<>(fromResources.keySet());
+        names.addAll(toResources.keySet());
+        int differing = 0;
         for (String name : names) {
-            JsonObject before = was.get(name);
-            JsonObject after = is.get(name);
+            JsonObject before = fromResources.get(name);
+            JsonObject after = toResources.get(name);
             if (before == null || after == null) {
                 out.println((before == null ? "+ " : "- ") + (before == null ? after : before));
-                differ++;
+                differing++;
             } else if (!before.equals(after)) {
                 TreeSet<String> keys = new TreeSet<>(before.keySet());
                 keys.addAll(after.keySet());
                 keys.removeIf(key -> before.has(key) && before.get(key).equals(after.get(key)));
                 keys.forEach(
                         key -> out.println("~ " + name + "." + key + ": " + before.get(key) + " -> " + after.get(key)));
-                differ++;
+                differing++;
             }
         }
-        out.println(differ == 0 ? "no difference" : differ + " of " + names.size() + " resources differ");
+        out.println(differing == 0 ? "no difference" : differing + " of " + names.size() + " resources differ");
         out.flush();
-        return differ == 0 ? 0 : 1;
+        return differing == 0 ? 0 : 1;
     }
 
     private static Map<String, JsonObject> byName(Path file) throws IOException {
-        Map<String, JsonObject> all = new TreeMap<>();
-        for (JsonElement one : resources(file, read(file))) {
-            if (!one.isJsonObject() || !one.getAsJsonObject().has("name")) {
-                throw new IOException(file + ": a resource without a name: " + one);
+        Map<String, JsonObject> resources = new TreeMap<>();
+        for (JsonElement resource : resources(file, read(file))) {
+            if (!resource.isJsonObject() || !resource.getAsJsonObject().has("name")) {
+                throw new IOException(file + ": a resource without a name: " + resource);
             }
-            all.put(one.getAsJsonObject().get("name").getAsString(), one.getAsJsonObject());
+            resources.put(resource.getAsJsonObject().get("name").getAsString(), resource.getAsJsonObject());
         }
-        return all;
+        return resources;
     }
 
     private static JsonElement read(Path file) throws IOException {
         String text = Files.readString(file);
-        // A last good file has a line of its own before its JSON.
+        // A last good file has a header line before its JSON.
         text = text.startsWith("laneflow-config ") ? text.substring(text.indexOf('\n') + 1) : text;
         try {
             return JsonParser.parseString(text);
@@ -238,8 +239,9 @@
         }
     }
 
-    private static JsonArray resources(Path file, JsonElement all) throws IOException {
-        JsonElement resources = all.isJsonObject() ? all.getAsJsonObject().get("resources") : all;
+    private static JsonArray resources(Path file, JsonElement document) throws IOException {
+        JsonElement resources =
+                document.isJsonObject() ? document.getAsJsonObject().get("resources") : document;
         if (resources != null && resources.isJsonObject()) {
             resources = resources.getAsJsonObject().get("resources");
         }
@@ -271,30 +273,31 @@
         if (setup.control() == null) {
             throw new IOException(config + ": there is no [control]: nothing is streamed here");
         }
-        JsonElement all = read(file);
-        String named = type != null
+        JsonElement document = read(file);
+        String typeName = type != null
                 ? type
-                : all.isJsonObject() && all.getAsJsonObject().has("type_url")
-                        ? shortName(all.getAsJsonObject().get("type_url").getAsString())
+                : document.isJsonObject() && document.getAsJsonObject().has("type_url")
+                        ? shortName(document.getAsJsonObject().get("type_url").getAsString())
                         : "destinations";
-        List<ResourceType> types = StreamedTypes.all(setup, StreamedTypes.Adopters.NONE);
-        ResourceType taken = types.stream()
-                .filter(one -> one.name().equals(named))
+        List<ResourceType> acceptedTypes = StreamedTypes.all(setup, StreamedTypes.Adopters.NONE);
+        ResourceType resourceType = acceptedTypes.stream()
+                .filter(candidate -> candidate.name().equals(typeName))
                 .findFirst()
-                .orElseThrow(() -> new IOException("type '" + named + "' is not taken here; taken are "
+                .orElseThrow(() -> new IOException("type '" + typeName + "' is not taken here; taken are "
                         + String.join(
-                                ", ", types.stream().map(ResourceType::name).toList())));
-        ResourceType.ParsedResources read = taken.read(resources(file, all));
+                                ", ",
+                                acceptedTypes.stream().map(ResourceType::name).toList())));
+        ResourceType.ParsedResources parsed = resourceType.read(resources(file, document));
         PrintWriter out = spec.commandLine().getOut();
-        read.findings.forEach(out::println);
-        if (read.findings.isEmpty()) {
-            out.println("sound: " + read.count + " " + named);
-            if (taken.isAppliedAtStart()) {
-                read.adopt().forEach(waits -> out.println("waits for a restart: " + waits));
+        parsed.findings.forEach(out::println);
+        if (parsed.findings.isEmpty()) {
+            out.println("sound: " + parsed.count + " " + typeName);
+            if (resourceType.isAppliedAtStart()) {
+                parsed.adopt().forEach(setting -> out.println("waits for a restart: " + setting));
             }
         }
         out.flush();
-        return read.findings.isEmpty() ? 0 : 1;
+        return parsed.findings.isEmpty() ? 0 : 1;
     }
 
     @Command(
@@ -318,22 +321,22 @@
         return 0;
     }
 
-    /** One GET, whole; what is no 200 is an IOException. */
-    private static String ask(String address, String path) throws IOException {
-        InetSocketAddress at = Loop.address(address);
+    /** Sends a GET request and returns the response body; any status except 200 is an error. */
+    private static String fetch(String address, String path) throws IOException {
+        InetSocketAddress socketAddress = Loop.address(address);
         try (Socket socket = new Socket()) {
-            socket.connect(at, WITHIN_MS);
-            socket.setSoTimeout(WITHIN_MS);
+            socket.connect(socketAddress, TIMEOUT_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
             socket.getOutputStream()
                     .write(("GET " + path + " HTTP/1.1\r\nHost: " + address + "\r\nConnection: close\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
             InputStream in = socket.getInputStream();
-            String answer = new String(in.readAllBytes(), StandardCharsets.UTF_8);
-            int body = answer.indexOf("\r\n\r\n");
-            if (body < 0 || !answer.startsWith("HTTP/1.1 200 ")) {
-                throw new IOException(address + path + ": " + answer.split("\r\n", 2)[0]);
+            String response = new String(in.readAllBytes(), StandardCharsets.UTF_8);
+            int headerEnd = response.indexOf("\r\n\r\n");
+            if (headerEnd < 0 || !response.startsWith("HTTP/1.1 200 ")) {
+                throw new IOException(address + path + ": " + response.split("\r\n", 2)[0]);
             }
-            return answer.substring(body + 4);
+            return response.substring(headerEnd + 4);
         }
     }
 }
--- a/src/main/java/laneflow/cli/FleetCommand.java
+++ b/src/main/java/laneflow/cli/FleetCommand.java
@@ -21,16 +21,16 @@
 import picocli.CommandLine.Spec;
 
 /**
- * {@code fleet}: who is there, as schedulers see it. Each tells its own view; where several are asked, views
- * that differ are told.
+ * {@code fleet}: shows the members of the fleet. Each scheduler reports its own view of the membership; if several
+ * are asked, differences between their views are reported.
  */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
         description = "Shows which schedulers are there, as they see each other.")
 final class FleetCommand implements Runnable {
-    private static final long PAUSE_MS = 100;
-    private static final long MS = 1_000_000;
+    private static final long POLL_INTERVAL_MS = 100;
+    private static final long NANOS_PER_MS = 1_000_000;
 
     @Spec
     private CommandSpec spec;
@@ -40,23 +40,24 @@
         throw new ParameterException(spec.commandLine(), "a command is missing");
     }
 
-    private static JsonObject ask(PolicyCommand.Where where, String address) throws IOException, InterruptedException {
-        PolicyCommand.Said answer = where.send(address, "/fleet", null);
-        if (answer.statusCode() != 200) {
-            throw new IOException(answer.body().strip());
+    private static JsonObject fetchView(PolicyCommand.SchedulerClient client, String address)
+            throws IOException, InterruptedException {
+        PolicyCommand.Response response = client.send(address, "/fleet", null);
+        if (response.statusCode() != 200) {
+            throw new IOException(response.body().strip());
         }
         try {
-            return JsonParser.parseString(answer.body()).getAsJsonObject();
+            return JsonParser.parseString(response.body()).getAsJsonObject();
         } catch (JsonParseException | IllegalStateException e) {
             throw new IOException("the answer is no report: " + e.getMessage(), e);
         }
     }
 
-    private static List<JsonObject> all(JsonObject view) {
-        List<JsonObject> all = new ArrayList<>();
-        all.add(view.getAsJsonObject("self"));
-        view.getAsJsonArray("members").forEach(one -> all.add(one.getAsJsonObject()));
-        return all;
+    private static List<JsonObject> members(JsonObject view) {
+        List<JsonObject> members = new ArrayList<>();
+        members.add(view.getAsJsonObject("self"));
+        view.getAsJsonArray("members").forEach(member -> members.add(member.getAsJsonObject()));
+        return members;
     }
 
     @Command(
@@ -64,22 +65,22 @@
             mixinStandardHelpOptions = true,
             description = "Every member that each of these schedulers knows; exit code 1 if one can't be"
                     + " asked, is not a member, or their views differ.")
-    int show(@Mixin PolicyCommand.Where where) throws InterruptedException {
+    int show(@Mixin PolicyCommand.SchedulerClient client) throws InterruptedException {
         PrintWriter out = spec.commandLine().getOut();
         Map<String, String> digests = new HashMap<>();
         int code = 0;
-        for (String address : where.addresses) {
+        for (String address : client.addresses) {
             try {
-                JsonObject view = ask(where, address);
+                JsonObject view = fetchView(client, address);
                 digests.putIfAbsent(view.get("digest").getAsString(), address);
                 code = view.get("name_taken").getAsBoolean() ? 1 : code;
-                if (where.json) {
+                if (client.json) {
                     out.println(view);
                 } else {
-                    table(out, view);
+                    printTable(out, view);
                 }
             } catch (IOException e) {
-                out.println(PolicyCommand.why(address, e));
+                out.println(PolicyCommand.describeFailure(address, e));
                 code = 1;
             }
         }
@@ -91,7 +92,7 @@
         return code;
     }
 
-    private static void table(PrintWriter out, JsonObject view) {
+    private static void printTable(PrintWriter out, JsonObject view) {
         out.printf(
                 "%s sees %d live, %s%s%n",
                 view.getAsJsonObject("self").get("name").getAsString(),
@@ -101,28 +102,28 @@
         out.printf(
                 "  %-16s %-8s %-9s %-12s %6s %5s %7s  %-21s %s%n",
                 "member", "state", "clients", "zone", "policy", "load", "rate", "at", "since");
-        for (JsonObject one : all(view)) {
-            long policy = one.get("policy").getAsLong();
+        for (JsonObject member : members(view)) {
+            long policy = member.get("policy").getAsLong();
             out.printf(
                     "  %-16s %-8s %-9s %-12s %6s %4d%% %7s  %-21s %s%s%n",
-                    one.get("name").getAsString(),
-                    one.get("state").getAsString(),
-                    one.get("condition").getAsString(),
-                    one.get("zone").getAsString(),
+                    member.get("name").getAsString(),
+                    member.get("state").getAsString(),
+                    member.get("condition").getAsString(),
+                    member.get("zone").getAsString(),
                     policy < 0 ? "-" : String.valueOf(policy),
-                    one.get("load_sixteenths").getAsInt() * 100 / 16,
-                    rate(one.get("rate_below").getAsLong()),
-                    one.get("at").getAsString(),
-                    one.has("changed_ms")
-                            ? Instant.ofEpochMilli(one.get("changed_ms").getAsLong())
+                    member.get("load_sixteenths").getAsInt() * 100 / 16,
+                    rate(member.get("rate_below").getAsLong()),
+                    member.get("at").getAsString(),
+                    member.has("changed_ms")
+                            ? Instant.ofEpochMilli(member.get("changed_ms").getAsLong())
                                     .truncatedTo(ChronoUnit.SECONDS)
                             : "-",
-                    one.get("late").getAsBoolean() ? "  its loop is late" : "");
+                    member.get("late").getAsBoolean() ? "  its loop is late" : "");
         }
     }
 
-    private static String rate(long below) {
-        return below == 0 ? "0" : "<" + below;
+    private static String rate(long upperBound) {
+        return upperBound == 0 ? "0" : "<" + upperBound;
     }
 
     @Command(
@@ -136,46 +137,46 @@
                             defaultValue = "0",
                             description = "End after so long; 0: never.")
                     long forMs,
-            @Mixin PolicyCommand.Where where)
+            @Mixin PolicyCommand.SchedulerClient client)
             throws InterruptedException {
         PrintWriter out = spec.commandLine().getOut();
-        Map<String, String> known = new HashMap<>();
-        long end = System.nanoTime() + forMs * MS;
-        String trouble = "";
-        while (forMs == 0 || System.nanoTime() < end) {
-            String now = "";
-            for (String address : where.addresses) {
+        Map<String, String> lastSeen = new HashMap<>();
+        long endNanos = System.nanoTime() + forMs * NANOS_PER_MS;
+        String reportedFailure = "";
+        while (forMs == 0 || System.nanoTime() < endNanos) {
+            String failure = "";
+            for (String address : client.addresses) {
                 try {
-                    JsonObject view = ask(where, address);
-                    now = "";
-                    tell(out, view, known, where.json);
+                    JsonObject view = fetchView(client, address);
+                    failure = "";
+                    printChanges(out, view, lastSeen, client.json);
                     break;
                 } catch (IOException e) {
-                    now = PolicyCommand.why(address, e);
+                    failure = PolicyCommand.describeFailure(address, e);
                 }
             }
-            if (!now.equals(trouble) && !now.isEmpty()) {
-                out.println(now);
+            if (!failure.equals(reportedFailure) && !failure.isEmpty()) {
+                out.println(failure);
             }
-            trouble = now;
+            reportedFailure = failure;
             out.flush();
-            Thread.sleep(PAUSE_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
-        return trouble.isEmpty() ? 0 : 1;
+        return reportedFailure.isEmpty() ? 0 : 1;
     }
 
-    private static void tell(PrintWriter out, JsonObject view, Map<String, String> known, boolean json) {
-        for (JsonObject one : all(view)) {
-            String name = one.get("name").getAsString();
-            String now =
-                    one.get("state").getAsString() + " " + one.get("condition").getAsString()
-                            + " policy=" + one.get("policy") + " life=" + one.get("generation")
-                            + (one.get("late").getAsBoolean() ? " late" : "");
-            if (!now.equals(known.put(name, now))) {
+    private static void printChanges(PrintWriter out, JsonObject view, Map<String, String> lastSeen, boolean json) {
+        for (JsonObject member : members(view)) {
+            String name = member.get("name").getAsString();
+            String status = member.get("state").getAsString() + " "
+                    + member.get("condition").getAsString()
+                    + " policy=" + member.get("policy") + " life=" + member.get("generation")
+                    + (member.get("late").getAsBoolean() ? " late" : "");
+            if (!status.equals(lastSeen.put(name, status))) {
                 out.println(
                         json
-                                ? one.toString()
-                                : Instant.now().truncatedTo(ChronoUnit.MILLIS) + "  " + name + "  " + now);
+                                ? member.toString()
+                                : Instant.now().truncatedTo(ChronoUnit.MILLIS) + "  " + name + "  " + status);
             }
         }
     }
@@ -200,27 +201,28 @@
                             defaultValue = "30000",
                             description = "How long (default: ${DEFAULT-VALUE}).")
                     long waitMs,
-            @Mixin PolicyCommand.Where where)
+            @Mixin PolicyCommand.SchedulerClient client)
             throws InterruptedException {
-        long end = System.nanoTime() + waitMs * MS;
+        long endNanos = System.nanoTime() + waitMs * NANOS_PER_MS;
         while (true) {
-            String missing = missing(where, members, settled);
-            if (missing.isEmpty()) {
+            String unmet = unmetCondition(client, members, settled);
+            if (unmet.isEmpty()) {
                 return 0;
             }
-            if (System.nanoTime() > end) {
-                spec.commandLine().getErr().println("laneflow: " + missing);
+            if (System.nanoTime() > endNanos) {
+                spec.commandLine().getErr().println("laneflow: " + unmet);
                 return 3;
             }
-            Thread.sleep(PAUSE_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
-    private static String missing(PolicyCommand.Where where, int members, boolean settled) throws InterruptedException {
+    private static String unmetCondition(PolicyCommand.SchedulerClient client, int members, boolean settled)
+            throws InterruptedException {
         TreeSet<String> digests = new TreeSet<>();
-        for (String address : where.addresses) {
+        for (String address : client.addresses) {
             try {
-                JsonObject view = ask(where, address);
+                JsonObject view = fetchView(client, address);
                 JsonElement live = view.get("live");
                 digests.add(view.get("digest").getAsString());
                 if (live.getAsInt() != members) {
@@ -230,7 +232,7 @@
                     return address + " is not settled";
                 }
             } catch (IOException e) {
-                return PolicyCommand.why(address, e);
+                return PolicyCommand.describeFailure(address, e);
             }
         }
         return settled && digests.size() > 1 ? "their views differ" : "";
--- a/src/main/java/laneflow/cli/JobsCommand.java
+++ b/src/main/java/laneflow/cli/JobsCommand.java
@@ -28,9 +28,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * {@code jobs}: a store of durable jobs, looked at and cared for while no scheduler has it open; one that is
- * held is refused in words. While a scheduler runs, its {@code GET /jobs/ID} and {@code DELETE /jobs/ID} do
- * the same.
+ * {@code jobs}: inspects and maintains a store of durable jobs while no scheduler has it open; a store that is in use
+ * is an error. A running scheduler offers {@code GET /jobs/ID} and {@code DELETE /jobs/ID} instead.
  */
 @Command(
         name = "jobs",
@@ -44,7 +43,7 @@
         },
         description = "Looks at and cares for a store of durable jobs that no scheduler holds.")
 final class JobsCommand implements Runnable {
-    private static final String FORM = "%-16s  %-9s  %-14s  %8s  %-24s  %s%n";
+    private static final String ROW_FORMAT = "%-16s  %-9s  %-14s  %8s  %-24s  %s%n";
 
     @Spec
     private CommandSpec spec;
@@ -54,8 +53,8 @@
         throw new ParameterException(spec.commandLine(), "a command is missing");
     }
 
-    /** What all of them need. */
-    private abstract static class Base implements Callable<Integer> {
+    /** The options and helpers that the commands on a store share. */
+    private abstract static class StoreCommand implements Callable<Integer> {
         @Spec
         protected CommandSpec spec;
 
@@ -66,7 +65,7 @@
             return spec.commandLine().getOut();
         }
 
-        /** Opens a store that is there: none is made by looking. */
+        /** Opens an existing store; never creates one. */
         protected static Store open(Path dir) throws IOException {
             if (!Files.exists(dir.resolve("jobs.db"))) {
                 throw new IOException(dir + ": there is no store");
@@ -74,7 +73,7 @@
             return Store.open(dir, StoreMaintenance.NO_LIMIT);
         }
 
-        protected void say(JsonElement element, String text) {
+        protected void print(JsonElement element, String text) {
             out().println(
                             json
                                     ? new GsonBuilder()
@@ -86,41 +85,40 @@
             out().flush();
         }
 
-        protected long id(String text) {
+        protected long parseId(String text) {
             try {
                 if (text.length() == 16) {
                     return Long.parseUnsignedLong(text, 16);
                 }
             } catch (NumberFormatException e) {
-                // Said below, as for any other length.
                 throw new ParameterException(spec.commandLine(), "'" + text + "' is no job's id", e);
             }
             throw new ParameterException(spec.commandLine(), "'" + text + "' is no job's id: 16 hex digits");
         }
 
-        protected static JsonObject json(JobRow row) {
-            JsonObject to = new JsonObject();
-            to.addProperty("id", StoreMaintenance.hex(row.id()));
-            to.addProperty("state", row.state().name().toLowerCase(Locale.ROOT));
-            to.addProperty("reason", row.reason());
-            to.addProperty("class", row.jobClass());
-            to.addProperty("function", row.function());
-            to.addProperty("key", row.key());
-            to.addProperty("body_bytes", row.bodyBytes());
-            to.addProperty("accepted_ms", row.acceptedMs());
-            to.addProperty("changed_ms", row.changedMs());
+        protected static JsonObject toJson(JobRow row) {
+            JsonObject job = new JsonObject();
+            job.addProperty("id", StoreMaintenance.hex(row.id()));
+            job.addProperty("state", row.state().name().toLowerCase(Locale.ROOT));
+            job.addProperty("reason", row.reason());
+            job.addProperty("class", row.jobClass());
+            job.addProperty("function", row.function());
+            job.addProperty("key", row.key());
+            job.addProperty("body_bytes", row.bodyBytes());
+            job.addProperty("accepted_ms", row.acceptedMs());
+            job.addProperty("changed_ms", row.changedMs());
             JsonArray attempts = new JsonArray();
             for (AttemptRecord attempt : row.attempts()) {
-                JsonObject one = new JsonObject();
-                one.addProperty("lease", attempt.number());
-                one.addProperty("endpoint", attempt.endpoint());
-                one.addProperty("leased_ms", attempt.leasedMs());
-                one.addProperty("end_ms", attempt.endMs());
-                one.addProperty("known", attempt.known().name().toLowerCase(Locale.ROOT));
-                attempts.add(one);
+                JsonObject attemptJson = new JsonObject();
+                attemptJson.addProperty("lease", attempt.number());
+                attemptJson.addProperty("endpoint", attempt.endpoint());
+                attemptJson.addProperty("leased_ms", attempt.leasedMs());
+                attemptJson.addProperty("end_ms", attempt.endMs());
+                attemptJson.addProperty("known", attempt.known().name().toLowerCase(Locale.ROOT));
+                attempts.add(attemptJson);
             }
-            to.add("attempts", attempts);
-            return to;
+            job.add("attempts", attempts);
+            return job;
         }
     }
 
@@ -135,28 +133,28 @@
                             paramLabel = "N",
                             defaultValue = "1000",
                             description = "No more than so many (default: 1000).")
-                    int most,
+                    int limit,
             @Option(names = "--json", description = "Answer in JSON.") boolean json)
             throws IOException {
-        JsonArray all = new JsonArray();
+        JsonArray jobs = new JsonArray();
         PrintWriter out = spec.commandLine().getOut();
-        long[] count = new long[2];
-        try (Store store = Base.open(dir)) {
+        long[] matchedAndOmitted = new long[2];
+        try (Store store = StoreCommand.open(dir)) {
             if (!json) {
-                out.printf(FORM, "id", "state", "class", "bytes", "accepted", "why");
+                out.printf(ROW_FORMAT, "id", "state", "class", "bytes", "accepted", "why");
             }
             store.read(false, row -> {
                 if (state != null && row.state() != state
                         || jobClass != null && !row.jobClass().equals(jobClass)) {
                     return;
                 }
-                if (count[0]++ >= most) {
-                    count[1]++;
+                if (matchedAndOmitted[0]++ >= limit) {
+                    matchedAndOmitted[1]++;
                 } else if (json) {
-                    all.add(Base.json(row));
+                    jobs.add(StoreCommand.toJson(row));
                 } else {
                     out.printf(
-                            FORM,
+                            ROW_FORMAT,
                             StoreMaintenance.hex(row.id()),
                             row.state().name().toLowerCase(Locale.ROOT),
                             row.jobClass(),
@@ -171,17 +169,17 @@
                     .setPrettyPrinting()
                     .disableHtmlEscaping()
                     .create()
-                    .toJson(all));
-        } else if (count[1] > 0) {
-            out.println("... and " + count[1] + " more: --most");
+                    .toJson(jobs));
+        } else if (matchedAndOmitted[1] > 0) {
+            out.println("... and " + matchedAndOmitted[1] + " more: --most");
         }
         out.flush();
         return 0;
     }
 
-    /** One job, whole. */
+    /** Prints one job with its attempts, body and result. */
     @Command(name = "show", mixinStandardHelpOptions = true, description = "Shows one job with its attempts.")
-    static final class Show extends Base {
+    static final class Show extends StoreCommand {
         @Parameters(index = "0", paramLabel = "DIR")
         private Path dir;
 
@@ -190,22 +188,22 @@
 
         @Override
         public Integer call() throws IOException {
-            long wanted = id(id);
+            long jobId = parseId(id);
             try (Store store = open(dir)) {
-                JobRow row = StoreMaintenance.find(store, wanted);
+                JobRow row = StoreMaintenance.find(store, jobId);
                 if (row == null) {
                     throw new IOException(dir + ": no job " + id);
                 }
-                JsonObject all = json(row);
-                all.addProperty("body_base64", Base64.getEncoder().encodeToString(row.body()));
-                byte[] result = store.result(wanted);
+                JsonObject job = toJson(row);
+                job.addProperty("body_base64", Base64.getEncoder().encodeToString(row.body()));
+                byte[] result = store.result(jobId);
                 if (result != null) {
-                    all.addProperty("result_base64", Base64.getEncoder().encodeToString(result));
+                    job.addProperty("result_base64", Base64.getEncoder().encodeToString(result));
                 }
                 StringBuilder text = new StringBuilder();
                 text.append(id)
                         .append(' ')
-                        .append(all.get("state").getAsString())
+                        .append(job.get("state").getAsString())
                         .append(' ')
                         .append(row.jobClass())
                         .append(row.reason().isEmpty() ? "" : ": " + row.reason())
@@ -231,15 +229,15 @@
                 if (result != null) {
                     text.append("  result: ").append(new String(result, StandardCharsets.UTF_8));
                 }
-                say(all, text.toString().stripTrailing());
+                print(job, text.toString().stripTrailing());
             }
             return 0;
         }
     }
 
-    /** Cancels. */
+    /** Cancels a job that has not begun. */
     @Command(name = "cancel", mixinStandardHelpOptions = true, description = "Cancels a job that has not begun.")
-    static final class Cancel extends Base {
+    static final class Cancel extends StoreCommand {
         @Parameters(index = "0", paramLabel = "DIR")
         private Path dir;
 
@@ -248,23 +246,23 @@
 
         @Override
         public Integer call() throws IOException {
-            long wanted = id(id);
+            long jobId = parseId(id);
             try (Store store = open(dir)) {
-                StoreMaintenance.cancel(store, wanted, System.currentTimeMillis());
+                StoreMaintenance.cancel(store, jobId, System.currentTimeMillis());
             }
-            JsonObject said = new JsonObject();
-            said.addProperty("cancelled", id);
-            say(said, id + " cancelled");
+            JsonObject result = new JsonObject();
+            result.addProperty("cancelled", id);
+            print(result, id + " cancelled");
             return 0;
         }
     }
 
-    /** Looks for damage. */
+    /** Checks a store for damage. */
     @Command(
             name = "verify",
             mixinStandardHelpOptions = true,
             description = "Reads all of it and names whatever is damaged; exit code 1 if anything is.")
-    static final class Verify extends Base {
+    static final class Verify extends StoreCommand {
         @Parameters(index = "0", paramLabel = "DIR")
         private Path dir;
 
@@ -273,54 +271,54 @@
 
         @Override
         public Integer call() throws IOException {
-            long lost = acceptLoss ? Store.acceptLoss(dir) : 0;
+            long commitsLost = acceptLoss ? Store.acceptLoss(dir) : 0;
             List<String> damage = new ArrayList<>();
             long commits;
             try (Store store = open(dir)) {
                 store.verify(damage::add);
                 commits = store.commits();
             }
-            JsonObject said = new JsonObject();
-            JsonArray all = new JsonArray();
-            damage.forEach(all::add);
-            said.addProperty("commits", commits);
-            said.addProperty("commits_lost", lost);
-            said.add("damage", all);
-            say(
-                    said,
-                    (lost > 0 ? lost + " commits given up\n" : "")
+            JsonObject result = new JsonObject();
+            JsonArray findings = new JsonArray();
+            damage.forEach(findings::add);
+            result.addProperty("commits", commits);
+            result.addProperty("commits_lost", commitsLost);
+            result.add("damage", findings);
+            print(
+                    result,
+                    (commitsLost > 0 ? commitsLost + " commits given up\n" : "")
                             + (damage.isEmpty() ? "sound, " + commits + " commits" : String.join("\n", damage)));
             return damage.isEmpty() ? 0 : 1;
         }
     }
 
-    /** Gives back free room. */
+    /** Returns the free space of a store to the file system. */
     @Command(name = "compact", mixinStandardHelpOptions = true, description = "Gives all free room back to the disk.")
-    static final class Compact extends Base {
+    static final class Compact extends StoreCommand {
         @Parameters(index = "0", paramLabel = "DIR")
         private Path dir;
 
         @Override
         public Integer call() throws IOException {
-            long before = Files.size(dir.resolve("jobs.db"));
+            long bytesBefore = Files.size(dir.resolve("jobs.db"));
             try (Store store = open(dir)) {
                 store.compact();
             }
-            long after = Files.size(dir.resolve("jobs.db"));
-            JsonObject said = new JsonObject();
-            said.addProperty("bytes_before", before);
-            said.addProperty("bytes_after", after);
-            say(said, before + " bytes before, " + after + " after");
+            long bytesAfter = Files.size(dir.resolve("jobs.db"));
+            JsonObject result = new JsonObject();
+            result.addProperty("bytes_before", bytesBefore);
+            result.addProperty("bytes_after", bytesAfter);
+            print(result, bytesBefore + " bytes before, " + bytesAfter + " after");
             return 0;
         }
     }
 
-    /** Takes over another's jobs. */
+    /** Moves all jobs of a dead scheduler's store into another store. */
     @Command(
             name = "adopt",
             mixinStandardHelpOptions = true,
             description = "Moves all jobs of a dead scheduler's store into another one.")
-    static final class Adopt extends Base {
+    static final class Adopt extends StoreCommand {
         @Parameters(index = "0", paramLabel = "FROM", description = "The dead scheduler's store.")
         private Path from;
 
@@ -329,25 +327,25 @@
 
         @Override
         public Integer call() throws IOException {
-            StoreMaintenance.AdoptionResult adopted;
-            try (Store dead = open(from);
-                    Store living = Store.open(into, StoreMaintenance.NO_LIMIT)) {
-                adopted = StoreMaintenance.adopt(dead, living);
+            StoreMaintenance.AdoptionResult adoption;
+            try (Store source = open(from);
+                    Store target = Store.open(into, StoreMaintenance.NO_LIMIT)) {
+                adoption = StoreMaintenance.adopt(source, target);
             }
-            JsonObject said = new JsonObject();
-            said.addProperty("moved", adopted.moved());
-            said.addProperty("there_already", adopted.alreadyPresent());
-            JsonArray keys = new JsonArray();
-            adopted.keyConflicts().forEach(keys::add);
-            said.add("keys_taken", keys);
-            String text = adopted.moved() + " jobs moved, " + adopted.alreadyPresent() + " were there already";
-            say(
-                    said,
-                    adopted.keyConflicts().isEmpty()
+            JsonObject result = new JsonObject();
+            result.addProperty("moved", adoption.moved());
+            result.addProperty("there_already", adoption.alreadyPresent());
+            JsonArray conflicts = new JsonArray();
+            adoption.keyConflicts().forEach(conflicts::add);
+            result.add("keys_taken", conflicts);
+            String text = adoption.moved() + " jobs moved, " + adoption.alreadyPresent() + " were there already";
+            print(
+                    result,
+                    adoption.keyConflicts().isEmpty()
                             ? text
                             : text
                                     + "\nkept apart, their keys belong to other jobs: "
-                                    + String.join(", ", adopted.keyConflicts()));
+                                    + String.join(", ", adoption.keyConflicts()));
             return 0;
         }
     }
--- a/src/main/java/laneflow/cli/MaintenanceCommand.java
+++ b/src/main/java/laneflow/cli/MaintenanceCommand.java
@@ -30,22 +30,22 @@
 import picocli.CommandLine.Spec;
 
 /**
- * {@code maintenance}: windows in which racks go down, as their owners and crews ask for them. All that is
- * asked here may be asked again: the same request is the same window, and who has begun has begun.
+ * {@code maintenance}: requests maintenance windows, in which racks are down, and reports the work of crews. Every
+ * command may be repeated safely: the same request names the same window, and a begun window stays begun.
  */
 @Command(
         name = "maintenance",
         mixinStandardHelpOptions = true,
         description = "Asks for maintenance windows, shows them, and tells the fleet of work at racks.")
 final class MaintenanceCommand implements Runnable {
-    private static final long PAUSE_MS = 100;
-    private static final long MS = 1_000_000;
-    /** Occurrences of a rule are asked for so far ahead; the file is handed in again for those behind. */
-    private static final Duration AHEAD = Duration.ofDays(56);
-    /** States from which nobody gets leave any more, or has to ask for it. */
-    private static final Set<String> PAST_LEAVE = Set.of("overrun", "returning", "done", "refused", "aborted");
+    private static final long POLL_INTERVAL_MS = 100;
+    private static final long NANOS_PER_MS = 1_000_000;
+    /** How far ahead occurrences of a recurrence rule are requested; later ones need the file submitted again. */
+    private static final Duration RECURRENCE_HORIZON = Duration.ofDays(56);
+    /** States in which a crew gets no leave to begin any more. */
+    private static final Set<String> STATES_PAST_LEAVE = Set.of("overrun", "returning", "done", "refused", "aborted");
 
-    private static final Set<String> OVER = Set.of("done", "refused");
+    private static final Set<String> FINAL_STATES = Set.of("done", "refused");
 
     @Spec
     private CommandSpec spec;
@@ -81,78 +81,87 @@
                             defaultValue = "10000",
                             description = "How long to wait for their times (default: ${DEFAULT-VALUE}).")
                     long waitMs,
-            @Mixin PolicyCommand.Where where,
+            @Mixin PolicyCommand.SchedulerClient client,
             @Mixin WindowTable table)
             throws IOException, InterruptedException {
         try {
             read(file, calendar, null);
         } catch (ConfigException e) {
-            // All at once: racks that nobody has are told beside the rest, where somebody can say.
-            read(file, calendar, known(where));
+            // Reports all errors at once: checks again with the known racks, if a scheduler can be reached.
+            read(file, calendar, knownRacks(client));
             throw e;
         }
         try {
-            return ask(file, calendar, dryRun, System.nanoTime() + waitMs * MS, where, table);
-        } catch (Unknown e) {
-            return unknown(e);
+            return submit(file, calendar, dryRun, System.nanoTime() + waitMs * NANOS_PER_MS, client, table);
+        } catch (UnknownOutcomeException e) {
+            return reportUnknown(e);
         }
     }
 
-    private int ask(Path file, Path calendar, boolean dryRun, long end, PolicyCommand.Where where, WindowTable table)
+    private int submit(
+            Path file,
+            Path calendar,
+            boolean dryRun,
+            long endNanos,
+            PolicyCommand.SchedulerClient client,
+            WindowTable table)
             throws IOException, InterruptedException {
-        JsonObject body = read(file, calendar, racks(ask(where, end, "/maintenance", null)));
+        JsonObject body = read(file, calendar, racks(sendUntilKnown(client, endNanos, "/maintenance", null)));
         body.addProperty("dry_run", dryRun);
-        JsonArray told =
-                ask(where, end, "/maintenance/requests", body.toString()).getAsJsonArray("windows");
+        JsonArray windows = sendUntilKnown(client, endNanos, "/maintenance/requests", body.toString())
+                .getAsJsonArray("windows");
         Set<String> names = new HashSet<>();
-        told.forEach(one -> names.add(one.getAsJsonObject().get("name").getAsString()));
-        while (!dryRun && hasNoTime(told) && System.nanoTime() < end) {
-            Thread.sleep(PAUSE_MS);
-            told = named(ask(where, end, "/maintenance", null).getAsJsonArray("windows"), names);
+        windows.forEach(window -> names.add(window.getAsJsonObject().get("name").getAsString()));
+        while (!dryRun && anyUnscheduled(windows) && System.nanoTime() < endNanos) {
+            Thread.sleep(POLL_INTERVAL_MS);
+            windows = withNames(
+                    sendUntilKnown(client, endNanos, "/maintenance", null).getAsJsonArray("windows"), names);
         }
         PrintWriter out = spec.commandLine().getOut();
-        if (where.json) {
-            out.println(told);
+        if (client.json) {
+            out.println(windows);
         } else {
-            table.asked(out, told);
+            table.printRequested(out, windows);
         }
         out.flush();
-        if (!dryRun && hasNoTime(told)) {
+        if (!dryRun && anyUnscheduled(windows)) {
             spec.commandLine().getErr().println("laneflow: not all of them have a time yet; see maintenance" + " show");
             return 3;
         }
-        return any(told, "refused", "aborted") ? 1 : 0;
+        return anyInState(windows, "refused", "aborted") ? 1 : 0;
     }
 
-    private static Set<String> known(PolicyCommand.Where where) throws InterruptedException {
+    private static Set<String> knownRacks(PolicyCommand.SchedulerClient client) throws InterruptedException {
         try {
-            return racks(ask(where, 0, "/maintenance", null));
+            return racks(sendUntilKnown(client, 0, "/maintenance", null));
         } catch (IOException e) {
             return null;
         }
     }
 
-    private static Set<String> racks(JsonObject now) {
-        if (!now.has("racks")) {
+    private static Set<String> racks(JsonObject report) {
+        if (!report.has("racks")) {
             return null;
         }
         Set<String> racks = new HashSet<>();
-        now.getAsJsonArray("racks").forEach(one -> racks.add(one.getAsString()));
+        report.getAsJsonArray("racks").forEach(rack -> racks.add(rack.getAsString()));
         return racks;
     }
 
     private static JsonObject read(Path file, Path calendar, Set<String> racks) throws IOException {
-        long until = System.currentTimeMillis() + AHEAD.toMillis();
+        long horizonMs = System.currentTimeMillis() + RECURRENCE_HORIZON.toMillis();
         List<String> findings = new ArrayList<>();
         List<Request> requests = List.of();
         List<Freeze> freezes = List.of();
         try {
-            requests = RequestFile.read(text(file), file.toString(), racks, until);
+            requests = RequestFile.read(readText(file), file.toString(), racks, horizonMs);
         } catch (ConfigException e) {
             findings.add(e.getMessage());
         }
         try {
-            freezes = calendar == null ? freezes : RequestFile.freezes(text(calendar), calendar.toString(), until);
+            freezes = calendar == null
+                    ? freezes
+                    : RequestFile.freezes(readText(calendar), calendar.toString(), horizonMs);
         } catch (ConfigException e) {
             findings.add(e.getMessage());
         }
@@ -160,15 +169,15 @@
             throw new ConfigException(findings);
         }
         JsonObject body = new JsonObject();
-        JsonArray asked = new JsonArray();
-        for (Request one : requests) {
-            asked.add(MaintenanceJson.write(one.withFreezes(freezes)));
+        JsonArray requestArray = new JsonArray();
+        for (Request request : requests) {
+            requestArray.add(MaintenanceJson.write(request.withFreezes(freezes)));
         }
-        body.add("requests", asked);
+        body.add("requests", requestArray);
         return body;
     }
 
-    private static String text(Path file) throws IOException {
+    private static String readText(Path file) throws IOException {
         try {
             return Files.readString(file);
         } catch (NoSuchFileException e) {
@@ -176,26 +185,26 @@
         }
     }
 
-    private static boolean is(JsonElement window, Set<String> states) {
+    private static boolean hasState(JsonElement window, Set<String> states) {
         return states.contains(window.getAsJsonObject().get("state").getAsString());
     }
 
-    private static boolean any(JsonArray windows, String... states) {
-        return StreamSupport.stream(windows.spliterator(), false).anyMatch(one -> is(one, Set.of(states)));
+    private static boolean anyInState(JsonArray windows, String... states) {
+        return StreamSupport.stream(windows.spliterator(), false).anyMatch(window -> hasState(window, Set.of(states)));
     }
 
-    private static boolean hasNoTime(JsonArray windows) {
-        return any(windows, "requested", "postponed");
+    private static boolean anyUnscheduled(JsonArray windows) {
+        return anyInState(windows, "requested", "postponed");
     }
 
-    private static JsonArray named(JsonArray windows, Set<String> names) {
-        JsonArray these = new JsonArray();
-        windows.forEach(one -> {
-            if (names.contains(one.getAsJsonObject().get("name").getAsString())) {
-                these.add(one);
+    private static JsonArray withNames(JsonArray windows, Set<String> names) {
+        JsonArray matching = new JsonArray();
+        windows.forEach(window -> {
+            if (names.contains(window.getAsJsonObject().get("name").getAsString())) {
+                matching.add(window);
             }
         });
-        return these;
+        return matching;
     }
 
     // ---- show ----
@@ -208,39 +217,39 @@
                     + " schedulers knows.")
     int show(
             @Parameters(paramLabel = "NAME", arity = "0..1", description = "The window's name.") String name,
-            @Mixin PolicyCommand.Where where,
+            @Mixin PolicyCommand.SchedulerClient client,
             @Mixin WindowTable table)
             throws IOException, InterruptedException {
-        JsonObject all;
+        JsonObject report;
         try {
-            all = ask(where, 0, "/maintenance", null);
-        } catch (Unknown e) {
-            return unknown(e);
+            report = sendUntilKnown(client, 0, "/maintenance", null);
+        } catch (UnknownOutcomeException e) {
+            return reportUnknown(e);
         }
         PrintWriter out = spec.commandLine().getOut();
-        JsonArray windows = all.getAsJsonArray("windows");
+        JsonArray windows = report.getAsJsonArray("windows");
         if (name != null) {
-            windows = named(windows, Set.of(name));
+            windows = withNames(windows, Set.of(name));
             if (windows.isEmpty()) {
                 throw new IOException("there is no window '" + name + "'");
             }
         }
-        // Behind the name stands the process's life, which tells people nothing.
-        String coordinator = all.get("coordinator").getAsString().split("#")[0];
-        if (where.json) {
-            out.println(name == null ? all : windows.get(0));
+        // The process's generation, which follows the name after '#', is of no use to operators.
+        String coordinator = report.get("coordinator").getAsString().split("#")[0];
+        if (client.json) {
+            out.println(name == null ? report : windows.get(0));
         } else if (name == null) {
             out.println((coordinator.isEmpty() ? "nobody coordinates" : coordinator + " coordinates")
                     + (windows.isEmpty() ? "; no windows" : ""));
-            table.all(out, windows);
+            table.printAll(out, windows);
         } else {
-            table.one(out, windows.get(0).getAsJsonObject());
+            table.printDetails(out, windows.get(0).getAsJsonObject());
         }
         out.flush();
-        return coordinator.isEmpty() || any(windows, "overrun") ? 1 : 0;
+        return coordinator.isEmpty() || anyInState(windows, "overrun") ? 1 : 0;
     }
 
-    // ---- what crews say ----
+    // ---- begin, finish and abort ----
 
     @Command(
             name = "begin",
@@ -256,9 +265,9 @@
                             defaultValue = "0",
                             description = "How long to wait for leave (default: ${DEFAULT-VALUE}).")
                     long waitMs,
-            @Mixin PolicyCommand.Where where)
+            @Mixin PolicyCommand.SchedulerClient client)
             throws IOException, InterruptedException {
-        return tell(where, name, "begin", waitMs);
+        return postAction(client, name, "begin", waitMs);
     }
 
     @Command(
@@ -268,9 +277,9 @@
                     + " 3 if it is not known to be taken.")
     int finish(
             @Parameters(paramLabel = "NAME", description = "The window's name.") String name,
-            @Mixin PolicyCommand.Where where)
+            @Mixin PolicyCommand.SchedulerClient client)
             throws IOException, InterruptedException {
-        return tell(where, name, "finish", 0);
+        return postAction(client, name, "finish", 0);
     }
 
     @Command(
@@ -280,43 +289,43 @@
                     + " point it can't be called off: exit code 1, or 3 if it is not known to be taken.")
     int abort(
             @Parameters(paramLabel = "NAME", description = "The window's name.") String name,
-            @Mixin PolicyCommand.Where where)
+            @Mixin PolicyCommand.SchedulerClient client)
             throws IOException, InterruptedException {
-        return tell(where, name, "abort", 0);
+        return postAction(client, name, "abort", 0);
     }
 
-    private int tell(PolicyCommand.Where where, String name, String what, long waitMs)
+    private int postAction(PolicyCommand.SchedulerClient client, String name, String actionName, long waitMs)
             throws IOException, InterruptedException {
-        JsonObject said = new JsonObject();
-        said.addProperty("do", what);
-        long end = System.nanoTime() + waitMs * MS;
+        JsonObject action = new JsonObject();
+        action.addProperty("do", actionName);
+        long endNanos = System.nanoTime() + waitMs * NANOS_PER_MS;
         PrintWriter out = spec.commandLine().getOut();
         while (true) {
             try {
-                JsonObject now = ask(where, end, "/maintenance/windows/" + name, said.toString());
-                String state = now.get("state").getAsString();
-                out.println(where.json ? now : name + ": " + words(what, state));
+                JsonObject window = sendUntilKnown(client, endNanos, "/maintenance/windows/" + name, action.toString());
+                String state = window.get("state").getAsString();
+                out.println(client.json ? window : name + ": " + describeResult(actionName, state));
                 out.flush();
-                // What is over is told so, and nothing has been called off.
-                return what.equals("abort") && OVER.contains(state) ? 1 : 0;
-            } catch (Unknown e) {
-                return unknown(e);
-            } catch (Refused e) {
-                // Turned down by where it stands: leave may still come.
-                if (!e.later || System.nanoTime() > end || isPast(where, name)) {
+                // Aborting a window that is over succeeds without an effect, which is reported as a failure.
+                return actionName.equals("abort") && FINAL_STATES.contains(state) ? 1 : 0;
+            } catch (UnknownOutcomeException e) {
+                return reportUnknown(e);
+            } catch (RejectedException e) {
+                // Rejected in the window's current state: leave may still be granted later.
+                if (!e.retryable || System.nanoTime() > endNanos || isPastLeave(client, name)) {
                     throw e;
                 }
             }
-            Thread.sleep(PAUSE_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
-    private static String words(String what, String state) {
-        return switch (what) {
+    private static String describeResult(String action, String state) {
+        return switch (action) {
             case "begin" -> "leave given: work may begin";
             case "finish" -> state.equals("returning") ? "finished: its racks are given back" : state;
             default ->
-                OVER.contains(state)
+                FINAL_STATES.contains(state)
                         ? "is " + state + " already: nothing is called off"
                         : state.equals("aborted")
                                 ? "called off"
@@ -324,70 +333,72 @@
         };
     }
 
-    private static boolean isPast(PolicyCommand.Where where, String name) throws InterruptedException {
+    private static boolean isPastLeave(PolicyCommand.SchedulerClient client, String name) throws InterruptedException {
         try {
-            JsonObject all = ask(where, 0, "/maintenance", null);
-            JsonArray one = named(all.getAsJsonArray("windows"), Set.of(name));
-            return one.isEmpty() || is(one.get(0), PAST_LEAVE);
+            JsonObject report = sendUntilKnown(client, 0, "/maintenance", null);
+            JsonArray matching = withNames(report.getAsJsonArray("windows"), Set.of(name));
+            return matching.isEmpty() || hasState(matching.get(0), STATES_PAST_LEAVE);
         } catch (IOException e) {
             return false;
         }
     }
 
-    // ---- asking ----
+    // ---- requests to schedulers ----
 
-    /** Turned down, in the scheduler's own words. */
-    private static final class Refused extends IOException {
+    /** A scheduler rejected the request; the message is its response. */
+    private static final class RejectedException extends IOException {
         private static final long serialVersionUID = 1L;
-        private final boolean later;
+        private final boolean retryable;
 
-        private Refused(String message, boolean later) {
+        private RejectedException(String message, boolean retryable) {
             super(message);
-            this.later = later;
+            this.retryable = retryable;
         }
     }
 
-    /** None of them could say: it may have been taken or not. */
-    private static final class Unknown extends IOException {
+    /** No scheduler gave a definite response: the request may have taken effect or not. */
+    private static final class UnknownOutcomeException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        private Unknown(IOException cause) {
+        private UnknownOutcomeException(IOException cause) {
             super(cause.getMessage(), cause);
         }
     }
 
-    private int unknown(Unknown e) {
+    private int reportUnknown(UnknownOutcomeException e) {
         PrintWriter err = spec.commandLine().getErr();
         err.println("laneflow: not known: " + e.getMessage());
         err.flush();
         return 3;
     }
 
-    /** Asks until one of them can say, at least once, and no longer than to that instant. */
-    private static JsonObject ask(PolicyCommand.Where where, long endNs, String path, String body)
+    /** Repeats the request until a scheduler gives a definite response or the time is over, at least once. */
+    private static JsonObject sendUntilKnown(
+            PolicyCommand.SchedulerClient client, long endNanos, String path, String body)
             throws IOException, InterruptedException {
         while (true) {
             try {
-                PolicyCommand.Said answer = where.ask(path, body);
-                String text = answer.body().strip();
-                if (answer.statusCode() == 200) {
-                    return JsonParser.parseString(text).getAsJsonObject();
+                PolicyCommand.Response response = client.sendToAny(path, body);
+                String responseBody = response.body().strip();
+                if (response.statusCode() == 200) {
+                    return JsonParser.parseString(responseBody).getAsJsonObject();
                 }
-                if (answer.statusCode() == 400) {
-                    throw new ConfigException(List.of(text));
+                if (response.statusCode() == 400) {
+                    throw new ConfigException(List.of(responseBody));
                 }
-                throw new Refused(
-                        text.isEmpty() ? "answered " + answer.statusCode() : text, answer.statusCode() == 409);
-            } catch (Refused e) {
+                throw new RejectedException(
+                        responseBody.isEmpty() ? "answered " + response.statusCode() : responseBody,
+                        response.statusCode() == 409);
+            } catch (RejectedException e) {
                 throw e;
             } catch (JsonParseException | IllegalStateException e) {
                 throw new IOException("the answer is none: " + e.getMessage(), e);
             } catch (IOException e) {
-                if (System.nanoTime() > endNs) {
-                    throw new Unknown(e);
+                if (System.nanoTime() > endNanos) {
+                    throw new UnknownOutcomeException(e);
                 }
             }
-            Thread.sleep(PAUSE_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 }
--- a/src/main/java/laneflow/cli/PolicyCommand.java
+++ b/src/main/java/laneflow/cli/PolicyCommand.java
@@ -37,31 +37,31 @@
 import picocli.CommandLine.Spec;
 
 /**
- * {@code policy}: what the fleet decides by, and changes of it. Addresses are those of {@code [fleet]
- * listen}; any scheduler will do, since those that can't answer point to the one that can.
+ * {@code policy}: shows and changes the fleet's policy. Addresses are those of {@code [fleet] listen}. Any scheduler
+ * will do, since one that can't answer a request redirects to the one that can.
  */
 @Command(
         name = "policy",
         mixinStandardHelpOptions = true,
         description = "Shows and changes what all schedulers decide by.")
 final class PolicyCommand implements Runnable {
-    private static final int ANSWER_WITHIN_MS = 5000;
+    private static final int TIMEOUT_MS = 5000;
     private static final int TEMPORARY_REDIRECT = 307;
-    private static final int MOST_HOPS = 4;
-    private static final long PAUSE_MS = 50;
-    private static final long VOTERS_WAIT_NS = 10_000_000_000L;
-    private static final int MOST_NAME = 64;
+    private static final int MAX_REDIRECTS = 4;
+    private static final long POLL_INTERVAL_MS = 50;
+    private static final long VOTER_CHANGE_TIMEOUT_NS = 10_000_000_000L;
+    private static final int MAX_NAME_LENGTH = 64;
 
     @Spec
     private CommandSpec spec;
 
-    /** An answer. */
-    record Said(int statusCode, String body) {}
+    /** The response of a scheduler. */
+    record Response(int statusCode, String body) {}
 
-    /** Whom to ask. */
-    static final class Where {
+    /** The options that name the schedulers to connect to, and an HTTP client for them. */
+    static final class SchedulerClient {
         static {
-            // What was asked may have been done: whether it is asked again is the operator's decision.
+            // A request that failed may have taken effect: whether to repeat it is the operator's decision.
             System.setProperty("sun.net.http.retryPost", "false");
         }
 
@@ -81,71 +81,73 @@
         boolean json;
 
         /**
-         * Asks there, and goes where the answer points.
+         * Sends a request to a scheduler and follows redirects.
          *
-         * @param body what is sent, by POST; null: GET
+         * @param body the body of a POST request, or null for GET
          */
-        Said send(String address, String path, String body) throws IOException {
+        Response send(String address, String path, String body) throws IOException {
             Loop.address(address);
-            URL to = new URL("http://" + address + path);
-            for (int hop = 0; ; hop++) {
-                HttpURLConnection call = (HttpURLConnection) to.openConnection(Proxy.NO_PROXY);
-                call.setConnectTimeout(ANSWER_WITHIN_MS);
-                call.setReadTimeout(ANSWER_WITHIN_MS);
-                call.setInstanceFollowRedirects(false);
+            URL url = new URL("http://" + address + path);
+            for (int redirects = 0; ; redirects++) {
+                HttpURLConnection connection = (HttpURLConnection) url.openConnection(Proxy.NO_PROXY);
+                connection.setConnectTimeout(TIMEOUT_MS);
+                connection.setReadTimeout(TIMEOUT_MS);
+                connection.setInstanceFollowRedirects(false);
                 if (tokenFile != null) {
-                    call.setRequestProperty(
+                    connection.setRequestProperty(
                             "Authorization",
                             "Bearer " + Files.readString(tokenFile).strip());
                 }
                 if (body != null) {
-                    call.setDoOutput(true);
-                    call.setRequestProperty("Content-Type", "application/json");
-                    try (OutputStream out = call.getOutputStream()) {
+                    connection.setDoOutput(true);
+                    connection.setRequestProperty("Content-Type", "application/json");
+                    try (OutputStream out = connection.getOutputStream()) {
                         out.write(body.getBytes(StandardCharsets.UTF_8));
                     }
                 }
-                int status = call.getResponseCode();
+                int status = connection.getResponseCode();
                 if (status < 0) {
                     throw new IOException("what came is no HTTP");
                 }
-                InputStream in =
-                        status < HttpURLConnection.HTTP_BAD_REQUEST ? call.getInputStream() : call.getErrorStream();
-                String text = in == null ? "" : new String(in.readAllBytes(), StandardCharsets.UTF_8);
-                if (status != TEMPORARY_REDIRECT || hop == MOST_HOPS) {
-                    return new Said(status, text);
+                InputStream in = status < HttpURLConnection.HTTP_BAD_REQUEST
+                        ? connection.getInputStream()
+                        : connection.getErrorStream();
+                String responseBody = in == null ? "" : new String(in.readAllBytes(), StandardCharsets.UTF_8);
+                if (status != TEMPORARY_REDIRECT || redirects == MAX_REDIRECTS) {
+                    return new Response(status, responseBody);
                 }
-                String next = call.getHeaderField("Location");
-                if (next == null) {
+                String location = connection.getHeaderField("Location");
+                if (location == null) {
                     throw new IOException(address + " points nowhere");
                 }
-                to = new URL(next);
+                url = new URL(location);
             }
         }
 
-        /** The first answer that is one: of a scheduler that knows. */
-        Said ask(String path, String body) throws IOException, InterruptedException {
-            IOException last = new IOException("nobody to ask");
+        /** Sends the request to each address in turn until one responds with a status below 500. */
+        Response sendToAny(String path, String body) throws IOException, InterruptedException {
+            IOException lastFailure = new IOException("nobody to ask");
             for (String address : addresses) {
                 try {
-                    Said answer = send(address, path, body);
-                    if (answer.statusCode() < 500) {
-                        return answer;
+                    Response response = send(address, path, body);
+                    if (response.statusCode() < 500) {
+                        return response;
                     }
-                    last = new IOException(address + ": " + answer.body().strip());
+                    lastFailure =
+                            new IOException(address + ": " + response.body().strip());
                 } catch (IOException e) {
-                    last = new IOException(why(address, e), e);
+                    lastFailure = new IOException(describeFailure(address, e), e);
                 }
             }
-            throw last;
+            throw lastFailure;
         }
     }
 
-    /** What went wrong there, in a line. */
-    static String why(String address, Exception e) {
-        boolean away = e instanceof ConnectException;
-        String said = away ? "can't be reached" : e.getMessage();
-        return address + ": " + (said == null ? e.toString() : said);
+    /** Describes a failed request in one line. */
+    static String describeFailure(String address, Exception e) {
+        boolean refused = e instanceof ConnectException;
+        String message = refused ? "can't be reached" : e.getMessage();
+        return address + ": " + (message == null ? e.toString() : message);
     }
 
     @Override
@@ -158,32 +160,32 @@
             mixinStandardHelpOptions = true,
             description = "What each of these schedulers decides by; exit code 1 if one can't be"
                     + " asked, does not decide, or they differ.")
-    int show(@Mixin Where where) throws InterruptedException {
+    int show(@Mixin SchedulerClient client) throws InterruptedException {
         PrintWriter out = spec.commandLine().getOut();
         TreeMap<Long, List<String>> policies = new TreeMap<>();
         int code = 0;
-        if (!where.json) {
+        if (!client.json) {
             out.printf("%-14s %-22s %8s %9s %-14s %s%n", "scheduler", "state", "policy", "lease ms", "leader", "open");
         }
-        for (String address : where.addresses) {
+        for (String address : client.addresses) {
             try {
-                Said answer = where.send(address, "/policy", null);
-                if (answer.statusCode() != 200) {
-                    throw new IOException(answer.body().strip());
+                Response response = client.send(address, "/policy", null);
+                if (response.statusCode() != 200) {
+                    throw new IOException(response.body().strip());
                 }
-                if (where.json) {
-                    out.println(answer.body().strip());
+                if (client.json) {
+                    out.println(response.body().strip());
                 }
-                JsonObject all = JsonParser.parseString(answer.body()).getAsJsonObject();
-                String name = all.get("scheduler").getAsString();
-                policies.computeIfAbsent(all.get("policy").getAsLong(), key -> new ArrayList<>())
-                        .add(name);
-                code = all.get("state").getAsString().equals("deciding") ? code : 1;
-                if (!where.json) {
-                    show(out, all);
+                JsonObject report = JsonParser.parseString(response.body()).getAsJsonObject();
+                String scheduler = report.get("scheduler").getAsString();
+                policies.computeIfAbsent(report.get("policy").getAsLong(), key -> new ArrayList<>())
+                        .add(scheduler);
+                code = report.get("state").getAsString().equals("deciding") ? code : 1;
+                if (!client.json) {
+                    printStatus(out, report);
                 }
             } catch (IOException | JsonParseException | IllegalStateException e) {
-                out.println(why(address, e));
+                out.println(describeFailure(address, e));
                 code = 1;
             }
         }
@@ -195,31 +197,31 @@
         return code;
     }
 
-    private static void show(PrintWriter out, JsonObject all) {
+    private static void printStatus(PrintWriter out, JsonObject report) {
         out.printf(
                 "%-14s %-22s %8d %9d %-14s %s%n",
-                all.get("scheduler").getAsString(),
-                all.get("state").getAsString(),
-                all.get("policy").getAsLong(),
-                all.get("lease_ms").getAsLong(),
-                all.get("leader").getAsString(),
-                all.get("open").getAsLong() == 0 ? "-" : all.get("open"));
-        if (all.has("turned_down")) {
-            all.getAsJsonObject("turned_down")
+                report.get("scheduler").getAsString(),
+                report.get("state").getAsString(),
+                report.get("policy").getAsLong(),
+                report.get("lease_ms").getAsLong(),
+                report.get("leader").getAsString(),
+                report.get("open").getAsLong() == 0 ? "-" : report.get("open"));
+        if (report.has("turned_down")) {
+            report.getAsJsonObject("turned_down")
                     .entrySet()
-                    .forEach(one -> one.getValue()
+                    .forEach(rejected -> rejected.getValue()
                             .getAsJsonArray()
                             .forEach(reason ->
-                                    out.println("    turns down " + one.getKey() + ": " + reason.getAsString())));
+                                    out.println("    turns down " + rejected.getKey() + ": " + reason.getAsString())));
         }
-        if (all.has("restart_needed")) {
-            all.getAsJsonArray("restart_needed")
-                    .forEach(waits -> out.println("    waits for a restart: " + waits.getAsString()));
+        if (report.has("restart_needed")) {
+            report.getAsJsonArray("restart_needed")
+                    .forEach(setting -> out.println("    waits for a restart: " + setting.getAsString()));
         }
-        if (all.has("leads")) {
-            JsonObject leads = all.getAsJsonObject("leads");
-            if (leads.has("waits_for")) {
-                out.println("    waits for " + leads.get("waits_for"));
+        if (report.has("leads")) {
+            JsonObject leaderState = report.getAsJsonObject("leads");
+            if (leaderState.has("waits_for")) {
+                out.println("    waits for " + leaderState.get("waits_for"));
             }
         }
     }
@@ -245,7 +247,7 @@
                             defaultValue = "10000",
                             description = "How long to wait for the outcome (default: ${DEFAULT-VALUE}).")
                     long waitMs,
-            @Mixin Where where)
+            @Mixin SchedulerClient client)
             throws IOException, InterruptedException {
         JsonObject change = read(file);
         if (name != null) {
@@ -255,30 +257,30 @@
             throw new IllegalArgumentException(file + ": the change has no name; give it one with --name");
         }
         change.addProperty("by", System.getProperty("user.name"));
-        long end = System.nanoTime() + waitMs * 1_000_000;
+        long endNanos = System.nanoTime() + waitMs * 1_000_000;
         String path = "/policy/changes";
         String body = change.toString();
-        String wait = "";
+        String lastFailure = "";
         while (true) {
             try {
-                Said answer = where.ask(path, body);
-                if (answer.statusCode() != 200) {
-                    throw new IllegalArgumentException(answer.body().strip());
+                Response response = client.sendToAny(path, body);
+                if (response.statusCode() != 200) {
+                    throw new IllegalArgumentException(response.body().strip());
                 }
-                JsonObject now = JsonParser.parseString(answer.body()).getAsJsonObject();
+                JsonObject current = JsonParser.parseString(response.body()).getAsJsonObject();
                 body = null;
-                path = "/policy/changes/" + now.get("name").getAsString();
-                if (isDecided(now) || System.nanoTime() > end) {
-                    return outcome(now, where.json);
+                path = "/policy/changes/" + current.get("name").getAsString();
+                if (isDecided(current) || System.nanoTime() > endNanos) {
+                    return outcome(current, client.json);
                 }
             } catch (IOException e) {
-                wait = e.getMessage();
-                if (System.nanoTime() > end) {
-                    spec.commandLine().getErr().println("laneflow: the outcome is not known: " + wait);
+                lastFailure = e.getMessage();
+                if (System.nanoTime() > endNanos) {
+                    spec.commandLine().getErr().println("laneflow: the outcome is not known: " + lastFailure);
                     return 3;
                 }
             }
-            Thread.sleep(PAUSE_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
@@ -293,13 +295,13 @@
         if (json) {
             out.println(change);
         } else {
-            line(out, change);
+            printChange(out, change);
         }
         out.flush();
         return state.equals("applied") ? 0 : state.equals("abandoned") ? 1 : 3;
     }
 
-    private static void line(PrintWriter out, JsonObject change) {
+    private static void printChange(PrintWriter out, JsonObject change) {
         out.printf(
                 "%-24s %-10s %8s  %s  by %s%n",
                 change.get("name").getAsString(),
@@ -319,27 +321,29 @@
             mixinStandardHelpOptions = true,
             description = "Where a change stands: exit code 0 if it was applied, 1 if it was abandoned or"
                     + " is not known, 3 if it is undecided.")
-    int status(@Parameters(paramLabel = "NAME", description = "The change's name.") String name, @Mixin Where where)
+    int status(
+            @Parameters(paramLabel = "NAME", description = "The change's name.") String name,
+            @Mixin SchedulerClient client)
             throws IOException, InterruptedException {
-        Said answer = where.ask("/policy/changes/" + name, null);
-        if (answer.statusCode() != 200) {
-            throw new IOException(answer.body().strip());
+        Response response = client.sendToAny("/policy/changes/" + name, null);
+        if (response.statusCode() != 200) {
+            throw new IOException(response.body().strip());
         }
-        return outcome(JsonParser.parseString(answer.body()).getAsJsonObject(), where.json);
+        return outcome(JsonParser.parseString(response.body()).getAsJsonObject(), client.json);
     }
 
     @Command(name = "history", mixinStandardHelpOptions = true, description = "The last changes, the newest first.")
-    int history(@Mixin Where where) throws IOException, InterruptedException {
-        Said answer = where.ask("/policy/history", null);
+    int history(@Mixin SchedulerClient client) throws IOException, InterruptedException {
+        Response response = client.sendToAny("/policy/history", null);
         PrintWriter out = spec.commandLine().getOut();
-        if (answer.statusCode() != 200) {
-            throw new IOException(answer.body().strip());
+        if (response.statusCode() != 200) {
+            throw new IOException(response.body().strip());
         }
-        if (where.json) {
-            out.println(answer.body().strip());
+        if (client.json) {
+            out.println(response.body().strip());
         } else {
-            for (JsonElement one : JsonParser.parseString(answer.body()).getAsJsonArray()) {
-                line(out, one.getAsJsonObject());
+            for (JsonElement change : JsonParser.parseString(response.body()).getAsJsonArray()) {
+                printChange(out, change.getAsJsonObject());
             }
         }
         out.flush();
@@ -364,54 +368,56 @@
                     String add,
             @Option(names = "--remove", paramLabel = "NAME", description = "Let this voter vote no more.")
                     String remove,
-            @Mixin Where where)
+            @Mixin SchedulerClient client)
             throws IOException, InterruptedException {
-        JsonObject asked = new JsonObject();
-        asked.addProperty("replace", replace);
-        asked.addProperty("add", add);
-        asked.addProperty("remove", remove);
-        asked.entrySet().removeIf(one -> one.getValue().isJsonNull());
-        if (asked.size() > 1) {
+        JsonObject voterChange = new JsonObject();
+        voterChange.addProperty("replace", replace);
+        voterChange.addProperty("add", add);
+        voterChange.addProperty("remove", remove);
+        voterChange.entrySet().removeIf(entry -> entry.getValue().isJsonNull());
+        if (voterChange.size() > 1) {
             throw new ParameterException(spec.commandLine(), "one voter at a time: --add, --remove or --replace");
         }
-        if (asked.size() == 1) {
-            Said answer = order(where, asked.toString());
-            if (answer.statusCode() != 200) {
-                throw new IOException(answer.body().strip());
+        if (voterChange.size() == 1) {
+            Response response = changeVoters(client, voterChange.toString());
+            if (response.statusCode() != 200) {
+                throw new IOException(response.body().strip());
             }
         }
         PrintWriter out = spec.commandLine().getOut();
         int code = 0;
-        for (String address : where.addresses) {
+        for (String address : client.addresses) {
             try {
-                Said answer = where.send(address, "/policy", null);
-                JsonObject all = JsonParser.parseString(answer.body()).getAsJsonObject();
-                JsonElement own = all.get("voter");
-                if (where.json) {
-                    out.println(own == null ? "null" : own);
-                } else if (own == null) {
-                    out.printf("%-14s does not vote%n", all.get("scheduler").getAsString());
+                Response response = client.send(address, "/policy", null);
+                JsonObject report = JsonParser.parseString(response.body()).getAsJsonObject();
+                JsonElement voterElement = report.get("voter");
+                if (client.json) {
+                    out.println(voterElement == null ? "null" : voterElement);
+                } else if (voterElement == null) {
+                    out.printf("%-14s does not vote%n", report.get("scheduler").getAsString());
                 } else {
-                    JsonObject voter = own.getAsJsonObject();
+                    JsonObject voter = voterElement.getAsJsonObject();
                     boolean votes = voter.get("votes").getAsBoolean();
-                    boolean waits = is(voter, "candidate") || is(voter, "removed");
-                    code = votes || waits ? code : 1;
+                    boolean expectedNonVoter = hasFlag(voter, "candidate") || hasFlag(voter, "removed");
+                    code = votes || expectedNonVoter ? code : 1;
                     out.printf(
                             "%-14s %s as %s, term %d, with %s%n",
-                            all.get("scheduler").getAsString(),
+                            report.get("scheduler").getAsString(),
                             votes
                                     ? "votes"
-                                    : is(voter, "removed")
+                                    : hasFlag(voter, "removed")
                                             ? "was taken out"
-                                            : is(voter, "candidate")
+                                            : hasFlag(voter, "candidate")
                                                     ? "may be taken in"
-                                                    : is(voter, "lost") ? "has lost its vote" : "does not vote yet",
+                                                    : hasFlag(voter, "lost")
+                                                            ? "has lost its vote"
+                                                            : "does not vote yet",
                             voter.get("store").getAsString(),
                             voter.get("term").getAsInt(),
                             voter.get("voters"));
                 }
             } catch (IOException | JsonParseException | IllegalStateException e) {
-                out.println(why(address, e));
+                out.println(describeFailure(address, e));
                 code = 1;
             }
         }
@@ -419,28 +425,29 @@
         return code;
     }
 
-    /** Asks again while the leader hands over, or a link to a new voter comes up. */
-    private static Said order(Where where, String order) throws IOException, InterruptedException {
-        long end = System.nanoTime() + VOTERS_WAIT_NS;
+    /** Sends the change, with retries while leadership moves or the connection to a new voter is established. */
+    private static Response changeVoters(SchedulerClient client, String change)
+            throws IOException, InterruptedException {
+        long endNanos = System.nanoTime() + VOTER_CHANGE_TIMEOUT_NS;
         while (true) {
             try {
-                return where.ask("/policy/voters", order);
+                return client.sendToAny("/policy/voters", change);
             } catch (IOException e) {
-                if (System.nanoTime() > end) {
+                if (System.nanoTime() > endNanos) {
                     throw e;
                 }
             }
-            Thread.sleep(PAUSE_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
-    private static boolean is(JsonObject voter, String what) {
-        return voter.has(what) && voter.get(what).getAsBoolean();
+    private static boolean hasFlag(JsonObject voter, String flag) {
+        return voter.has(flag) && voter.get(flag).getAsBoolean();
     }
 
-    // ---- the file ----
+    // ---- change files ----
 
-    /** A change as its file has it: in the operators' file's words, or JSON. */
+    /** Reads a change from a file: in TOML with tables of the operators' file, or in JSON. */
     static JsonObject read(Path file) throws IOException {
         String text;
         try {
@@ -450,8 +457,8 @@
         }
         if (text.stripLeading().startsWith("{")) {
             try {
-                JsonObject all = JsonParser.parseString(text).getAsJsonObject();
-                return all.has("type_url") ? streamed(all) : all;
+                JsonObject message = JsonParser.parseString(text).getAsJsonObject();
+                return message.has("type_url") ? fromStreamMessage(message) : message;
             } catch (JsonParseException e) {
                 throw new IllegalArgumentException(file + ": is no JSON: " + e.getMessage());
             }
@@ -463,40 +470,40 @@
             throw new IllegalArgumentException(
                     file + ": is no TOML: " + e.getMessage().split("\n")[0]);
         }
-        JsonObject all = json(toml);
+        JsonObject tables = toJson(toml);
         JsonObject change = new JsonObject();
         JsonObject types = new JsonObject();
-        for (Map.Entry<String, JsonElement> one : all.entrySet()) {
+        for (Map.Entry<String, JsonElement> table : tables.entrySet()) {
             JsonArray resources = new JsonArray();
-            switch (one.getKey()) {
+            switch (table.getKey()) {
                 case "name" -> {
-                    change.add("name", one.getValue());
+                    change.add("name", table.getValue());
                     continue;
                 }
                 case "classes" ->
-                    one.getValue()
+                    table.getValue()
                             .getAsJsonObject()
                             .entrySet()
-                            .forEach(each -> resources.add(
-                                    named(each.getKey(), each.getValue().getAsJsonObject())));
+                            .forEach(entry -> resources.add(
+                                    withName(entry.getKey(), entry.getValue().getAsJsonObject())));
                 case "limits", "module" ->
-                    resources.add(named(one.getKey(), one.getValue().getAsJsonObject()));
+                    resources.add(withName(table.getKey(), table.getValue().getAsJsonObject()));
                 case "bans" ->
-                    one.getValue()
+                    table.getValue()
                             .getAsJsonArray()
-                            .forEach(each -> resources.add(named(each.getAsString(), new JsonObject())));
+                            .forEach(entry -> resources.add(withName(entry.getAsString(), new JsonObject())));
                 default ->
-                    throw new IllegalArgumentException(file + ": " + one.getKey() + ": is no part of a"
+                    throw new IllegalArgumentException(file + ": " + table.getKey() + ": is no part of a"
                             + " policy; known are name, classes, limits, module, bans");
             }
-            types.add(one.getKey(), resources);
+            types.add(table.getKey(), resources);
         }
         change.add("types", types);
         return change;
     }
 
-    /** A control service's message, whole, as a change: named by its version. */
-    private static JsonObject streamed(JsonObject message) {
+    /** Converts a control service's message with a type's complete state to a change, named after its version. */
+    private static JsonObject fromStreamMessage(JsonObject message) {
         String type = message.get("type_url").getAsString();
         String version =
                 message.has("version_info") ? message.get("version_info").getAsString() : "";
@@ -506,8 +513,8 @@
         }
         String name = type.substring(type.lastIndexOf('/') + 1);
         if (!version.isEmpty()) {
-            String full = name + "-" + version;
-            change.addProperty("name", full.substring(0, Math.min(MOST_NAME, full.length())));
+            String fullName = name + "-" + version;
+            change.addProperty("name", fullName.substring(0, Math.min(MAX_NAME_LENGTH, fullName.length())));
         }
         JsonObject types = new JsonObject();
         types.add(name, message.get("resources"));
@@ -515,21 +522,21 @@
         return change;
     }
 
-    private static JsonObject named(String name, JsonObject more) {
-        JsonObject all = new JsonObject();
-        all.addProperty("name", name);
-        more.entrySet().forEach(one -> all.add(one.getKey(), one.getValue()));
-        return all;
+    private static JsonObject withName(String name, JsonObject properties) {
+        JsonObject resource = new JsonObject();
+        resource.addProperty("name", name);
+        properties.entrySet().forEach(property -> resource.add(property.getKey(), property.getValue()));
+        return resource;
     }
 
-    private static JsonObject json(UnmodifiableConfig from) {
-        JsonObject all = new JsonObject();
-        for (UnmodifiableConfig.Entry entry : from.entrySet()) {
+    private static JsonObject toJson(UnmodifiableConfig config) {
+        JsonObject object = new JsonObject();
+        for (UnmodifiableConfig.Entry entry : config.entrySet()) {
             Object value = entry.getValue();
-            all.add(
+            object.add(
                     entry.getKey(),
-                    value instanceof UnmodifiableConfig table ? json(table) : new Gson().toJsonTree(value));
+                    value instanceof UnmodifiableConfig table ? toJson(table) : new Gson().toJsonTree(value));
         }
-        return all;
+        return object;
     }
 }
--- a/src/main/java/laneflow/cli/ServeCommand.java
+++ b/src/main/java/laneflow/cli/ServeCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** One scheduler. */
+/** {@code serve}: runs one scheduler. */
 @Command(
         name = "serve",
         mixinStandardHelpOptions = true,
@@ -35,9 +35,9 @@
 
     @Override
     public Integer call() throws Exception {
-        String named = System.getenv("ROUTER_CONFIG");
-        Path platform = named == null ? null : Path.of(named);
-        if (platform == null && config == null) {
+        String platformPath = System.getenv("ROUTER_CONFIG");
+        Path platformConfig = platformPath == null ? null : Path.of(platformPath);
+        if (platformConfig == null && config == null) {
             throw new ParameterException(
                     spec.commandLine(), "ROUTER_CONFIG names no configuration, and there is no --config");
         }
@@ -45,8 +45,8 @@
             throw new ParameterException(spec.commandLine(), "--gearman's file is a table of --config's");
         }
         Serve.run(() -> config == null
-                ? Setup.platform(platform, gearman, destinations)
-                : Setup.operators(config, platform, destinations));
+                ? Setup.platform(platformConfig, gearman, destinations)
+                : Setup.operators(config, platformConfig, destinations));
         return 0;
     }
 }
--- a/src/main/java/laneflow/cli/TaskCommand.java
+++ b/src/main/java/laneflow/cli/TaskCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** {@code task}: what the fleet does once, and who does it, as the voters' leader sees it. */
+/** {@code task}: shows the fleet's tasks, each run by one scheduler at a time, as the voters' leader reports them. */
 @Command(
         name = "task",
         mixinStandardHelpOptions = true,
@@ -34,29 +34,30 @@
             mixinStandardHelpOptions = true,
             description = "Who holds each task, who waits for it and why, as the leader among these says;"
                     + " exit code 1 if a task is held by nobody, 3 if none of these leads.")
-    int show(@Mixin PolicyCommand.Where where) throws InterruptedException {
+    int show(@Mixin PolicyCommand.SchedulerClient client) throws InterruptedException {
         PrintWriter out = spec.commandLine().getOut();
         PrintWriter err = spec.commandLine().getErr();
-        List<String> silent = new ArrayList<>();
+        List<String> failures = new ArrayList<>();
         String leader = "";
-        for (String address : where.addresses) {
+        for (String address : client.addresses) {
             try {
-                PolicyCommand.Said answer = where.send(address, "/tasks", null);
-                if (answer.statusCode() != 200) {
-                    throw new IOException(answer.body().strip());
+                PolicyCommand.Response response = client.send(address, "/tasks", null);
+                if (response.statusCode() != 200) {
+                    throw new IOException(response.body().strip());
                 }
-                JsonObject all = JsonParser.parseString(answer.body()).getAsJsonObject();
-                if (all.has("tasks")) {
-                    int code = where.json ? json(out, all) : table(out, all.getAsJsonArray("tasks"));
+                JsonObject report = JsonParser.parseString(response.body()).getAsJsonObject();
+                if (report.has("tasks")) {
+                    int exitCode =
+                            client.json ? printJson(out, report) : printTable(out, report.getAsJsonArray("tasks"));
                     out.flush();
-                    return code;
+                    return exitCode;
                 }
-                leader = all.get("leader").getAsString();
+                leader = report.get("leader").getAsString();
             } catch (IOException | JsonParseException | IllegalStateException e) {
-                silent.add(PolicyCommand.why(address, e));
+                failures.add(PolicyCommand.describeFailure(address, e));
             }
         }
-        silent.forEach(err::println);
+        failures.forEach(err::println);
         err.println("laneflow: none of these leads the voters"
                 + (leader.isEmpty() ? "" : "; " + leader + " does, as far as they know")
                 + ": give the addresses of all voters");
@@ -64,43 +65,43 @@
         return 3;
     }
 
-    private static int json(PrintWriter out, JsonObject all) {
-        out.println(all);
-        return code(all.getAsJsonArray("tasks"));
+    private static int printJson(PrintWriter out, JsonObject report) {
+        out.println(report);
+        return exitCode(report.getAsJsonArray("tasks"));
     }
 
-    private static int code(JsonArray tasks) {
-        for (JsonElement one : tasks) {
-            if (one.getAsJsonObject().get("holder").getAsString().isEmpty()) {
+    private static int exitCode(JsonArray tasks) {
+        for (JsonElement task : tasks) {
+            if (task.getAsJsonObject().get("holder").getAsString().isEmpty()) {
                 return 1;
             }
         }
         return 0;
     }
 
-    private static int table(PrintWriter out, JsonArray tasks) {
+    private static int printTable(PrintWriter out, JsonArray tasks) {
         out.printf("%-28s %-9s %-24s %8s %8s  %s%n", "task", "kind", "holder", "token", "lease ms", "waiting");
-        for (JsonElement each : tasks) {
-            JsonObject one = each.getAsJsonObject();
-            String holder = one.get("holder").getAsString();
-            List<String> waits = new ArrayList<>();
-            one.getAsJsonArray("line").forEach(who -> {
-                if (!who.getAsString().equals(holder)) {
-                    waits.add(who.getAsString());
+        for (JsonElement element : tasks) {
+            JsonObject task = element.getAsJsonObject();
+            String holder = task.get("holder").getAsString();
+            List<String> waiting = new ArrayList<>();
+            task.getAsJsonArray("line").forEach(scheduler -> {
+                if (!scheduler.getAsString().equals(holder)) {
+                    waiting.add(scheduler.getAsString());
                 }
             });
             out.printf(
                     "%-28s %-9s %-24s %8d %8d  %s%n",
-                    one.get("task").getAsString(),
-                    one.get("kind").getAsString(),
+                    task.get("task").getAsString(),
+                    task.get("kind").getAsString(),
                     holder.isEmpty() ? "nobody" : holder,
-                    one.get("token").getAsLong(),
-                    one.get("acts_ms").getAsLong(),
-                    String.join(" ", waits));
-            if (one.has("why")) {
-                out.println("    " + one.get("why").getAsString());
+                    task.get("token").getAsLong(),
+                    task.get("acts_ms").getAsLong(),
+                    String.join(" ", waiting));
+            if (task.has("why")) {
+                out.println("    " + task.get("why").getAsString());
             }
         }
-        return code(tasks);
+        return exitCode(tasks);
     }
 }
--- a/src/test/java/laneflow/cli/CliRun.java
+++ b/src/test/java/laneflow/cli/CliRun.java
@@ -8,7 +8,7 @@
 public record CliRun(int code, String text) {
     public static CliRun of(String... args) {
         StringWriter text = new StringWriter();
-        CommandLine line = Cli.line(args);
+        CommandLine line = Cli.commandLine(args);
         line.setOut(new PrintWriter(text));
         line.setErr(new PrintWriter(text));
         int code = line.execute(args);
--- a/src/test/java/laneflow/cli/CliTest.java
+++ b/src/test/java/laneflow/cli/CliTest.java
@@ -14,7 +14,7 @@
     private final StringWriter err = new StringWriter();
 
     private int run(String... args) {
-        CommandLine line = Cli.line(args);
+        CommandLine line = Cli.commandLine(args);
         return line.setOut(new PrintWriter(out)).setErr(new PrintWriter(err)).execute(args);
     }
 
