--- a/src/main/java/laneflow/cli/BenchlinkCommand.java
+++ b/src/main/java/laneflow/cli/BenchlinkCommand.java
@@ -11,7 +11,7 @@
 @Command(
         name = "benchlink",
         mixinStandardHelpOptions = true,
-        description = "Serves the simulator's wire on standard input and output.")
+        description = "Serves the simulator's protocol on standard input and output.")
 final class BenchlinkCommand implements Callable<Integer> {
     @Override
     public Integer call() throws Exception {
--- a/src/main/java/laneflow/cli/ConfigCommand.java
+++ b/src/main/java/laneflow/cli/ConfigCommand.java
@@ -33,7 +33,7 @@
 import picocli.CommandLine.Spec;
 
 /** {@code config}: shows, compares and validates versions of the streamed configuration. */
-@Command(name = "config", mixinStandardHelpOptions = true, description = "Looks at streamed configuration.")
+@Command(name = "config", mixinStandardHelpOptions = true, description = "Inspects streamed configuration.")
 final class ConfigCommand implements Runnable {
     private static final int TIMEOUT_MS = 5000;
 
@@ -48,14 +48,14 @@
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
-            description = "Asks schedulers what they run; exit code 1 if one can't be asked or they differ.")
+            description = "Shows the versions that schedulers run; exit code 1 if one can't be reached or they differ.")
     int show(
             @Parameters(
                             paramLabel = "ADDRESS",
                             arity = "1..*",
-                            description = "Where operators ask a scheduler: ADDRESS:PORT.")
+                            description = "The operators' port of a scheduler: ADDRESS:PORT.")
                     List<String> addresses,
-            @Option(names = "--json", description = "As the schedulers say it, a line each.") boolean json) {
+            @Option(names = "--json", description = "Print the schedulers' responses, one per line.") boolean json) {
         PrintWriter out = spec.commandLine().getOut();
         int code = 0;
         Map<String, TreeSet<String>> versions = new TreeMap<>();
@@ -130,11 +130,11 @@
     @Command(
             name = "history",
             mixinStandardHelpOptions = true,
-            description = "Tells what a scheduler adopted, turned down and took back.")
+            description = "Lists the versions that a scheduler adopted, refused and took back.")
     int history(
             @Parameters(
                             paramLabel = "ADDRESS|DIR",
-                            description = "Where operators ask a scheduler, or its last_good_dir.")
+                            description = "The operators' port of a scheduler, or its last_good_dir.")
                     String source)
             throws IOException {
         PrintWriter out = spec.commandLine().getOut();
@@ -183,11 +183,11 @@
     @Command(
             name = "diff",
             mixinStandardHelpOptions = true,
-            description = "Tells two states of a type apart by resources; exit code 1 if they differ.")
+            description = "Compares two states of a type by resource; exit code 1 if they differ.")
     int diff(
             @Parameters(
                             paramLabel = "FROM",
-                            description = "A message of the stream, its resources, or a file of a last good version.")
+                            description = "A message of the stream, its resources, or a last good file.")
                     Path from,
             @Parameters(paramLabel = "TO") Path to)
             throws IOException {
@@ -235,7 +235,7 @@
         try {
             return JsonParser.parseString(text);
         } catch (JsonParseException e) {
-            throw new IOException(file + ": is no JSON: " + e.getMessage(), e);
+            throw new IOException(file + ": is not valid JSON: " + e.getMessage(), e);
         }
     }
 
@@ -254,7 +254,7 @@
     @Command(
             name = "validate",
             mixinStandardHelpOptions = true,
-            description = "Reads a version as a scheduler would; exit code 1 if it would turn it down.")
+            description = "Checks a version as a scheduler would; exit code 1 if it would be rejected.")
     int validate(
             @Parameters(paramLabel = "FILE", description = "A message of the stream, or its resources.") Path file,
             @Option(
@@ -266,12 +266,12 @@
             @Option(
                             names = "--type",
                             paramLabel = "TYPE",
-                            description = "The type, where the file is no message that names it.")
+                            description = "The type, if the file is not a message that names it.")
                     String type)
             throws Exception {
         Setup setup = Setup.operators(config, null, null);
         if (setup.control() == null) {
-            throw new IOException(config + ": there is no [control]: nothing is streamed here");
+            throw new IOException(config + ": there is no [control] table: streamed configuration is off");
         }
         JsonElement document = read(file);
         String typeName = type != null
@@ -303,7 +303,7 @@
     @Command(
             name = "who",
             mixinStandardHelpOptions = true,
-            description = "Tells which schedulers take part in a version held back to a share.")
+            description = "Shows which schedulers take part in a version rolled out to a share.")
     int who(
             @Parameters(paramLabel = "SEED") long seed,
             @Parameters(paramLabel = "SHARE") double share,
--- a/src/main/java/laneflow/cli/FleetCommand.java
+++ b/src/main/java/laneflow/cli/FleetCommand.java
@@ -27,7 +27,7 @@
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
-        description = "Shows which schedulers are there, as they see each other.")
+        description = "Shows the members of the fleet, as the schedulers see each other.")
 final class FleetCommand implements Runnable {
     private static final long POLL_INTERVAL_MS = 100;
     private static final long NANOS_PER_MS = 1_000_000;
@@ -49,7 +49,7 @@
         try {
             return JsonParser.parseString(response.body()).getAsJsonObject();
         } catch (JsonParseException | IllegalStateException e) {
-            throw new IOException("the answer is no report: " + e.getMessage(), e);
+            throw new IOException("the response is not a report: " + e.getMessage(), e);
         }
     }
 
@@ -63,8 +63,8 @@
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
-            description = "Every member that each of these schedulers knows; exit code 1 if one can't be"
-                    + " asked, is not a member, or their views differ.")
+            description = "Shows the members that each of these schedulers knows; exit code 1 if one can't be"
+                    + " reached, is not a member, or their views differ.")
     int show(@Mixin PolicyCommand.SchedulerClient client) throws InterruptedException {
         PrintWriter out = spec.commandLine().getOut();
         Map<String, String> digests = new HashMap<>();
@@ -129,13 +129,13 @@
     @Command(
             name = "watch",
             mixinStandardHelpOptions = true,
-            description = "Tells each change of the first scheduler's view that answers, until it is ended.")
+            description = "Prints each change in the view of the first scheduler that responds, until interrupted.")
     int watch(
             @Option(
                             names = "--for-ms",
                             paramLabel = "N",
                             defaultValue = "0",
-                            description = "End after so long; 0: never.")
+                            description = "End after this time, in ms; 0: never.")
                     long forMs,
             @Mixin PolicyCommand.SchedulerClient client)
             throws InterruptedException {
@@ -184,22 +184,22 @@
     @Command(
             name = "wait",
             mixinStandardHelpOptions = true,
-            description = "Waits until every one of these schedulers sees so many live members: exit code 0,"
-                    + " or 3 if that takes too long.")
+            description = "Waits until each of these schedulers sees this many live members: exit code 0,"
+                    + " or 3 on a timeout.")
     int await(
             @Option(
                             names = "--members",
                             paramLabel = "N",
                             required = true,
-                            description = "How many, those asked among them.")
+                            description = "The number of members, including the schedulers asked.")
                     int members,
-            @Option(names = "--settled", description = "And until all of them hold the same view, still.")
+            @Option(names = "--settled", description = "Also wait until all of them hold the same settled view.")
                     boolean settled,
             @Option(
                             names = "--wait-ms",
                             paramLabel = "N",
                             defaultValue = "30000",
-                            description = "How long (default: ${DEFAULT-VALUE}).")
+                            description = "How long to wait, in ms (default: ${DEFAULT-VALUE}).")
                     long waitMs,
             @Mixin PolicyCommand.SchedulerClient client)
             throws InterruptedException {
--- a/src/main/java/laneflow/cli/JobsCommand.java
+++ b/src/main/java/laneflow/cli/JobsCommand.java
@@ -41,7 +41,7 @@
             JobsCommand.Compact.class,
             JobsCommand.Adopt.class
         },
-        description = "Looks at and cares for a store of durable jobs that no scheduler holds.")
+        description = "Inspects and maintains a store of durable jobs that no scheduler has open.")
 final class JobsCommand implements Runnable {
     private static final String ROW_FORMAT = "%-16s  %-9s  %-14s  %8s  %-24s  %s%n";
 
@@ -58,7 +58,7 @@
         @Spec
         protected CommandSpec spec;
 
-        @Option(names = "--json", description = "Answer in JSON.")
+        @Option(names = "--json", description = "Print JSON.")
         protected boolean json;
 
         protected PrintWriter out() {
@@ -91,9 +91,9 @@
                     return Long.parseUnsignedLong(text, 16);
                 }
             } catch (NumberFormatException e) {
-                throw new ParameterException(spec.commandLine(), "'" + text + "' is no job's id", e);
+                throw new ParameterException(spec.commandLine(), "'" + text + "' is not a job id", e);
             }
-            throw new ParameterException(spec.commandLine(), "'" + text + "' is no job's id: 16 hex digits");
+            throw new ParameterException(spec.commandLine(), "'" + text + "' is not a job id: 16 hex digits");
         }
 
         protected static JsonObject toJson(JobRow row) {
@@ -125,16 +125,19 @@
     @Command(name = "list", mixinStandardHelpOptions = true, description = "Lists jobs, the oldest first.")
     int list(
             @Parameters(paramLabel = "DIR") Path dir,
-            @Option(names = "--state", paramLabel = "STATE", description = "Only those: ${COMPLETION-CANDIDATES}.")
+            @Option(
+                            names = "--state",
+                            paramLabel = "STATE",
+                            description = "Only jobs in this state: ${COMPLETION-CANDIDATES}.")
                     State state,
-            @Option(names = "--class", paramLabel = "NAME", description = "Only those of it.") String jobClass,
+            @Option(names = "--class", paramLabel = "NAME", description = "Only jobs of this class.") String jobClass,
             @Option(
                             names = "--most",
                             paramLabel = "N",
                             defaultValue = "1000",
-                            description = "No more than so many (default: 1000).")
+                            description = "The most jobs to list (default: 1000).")
                     int limit,
-            @Option(names = "--json", description = "Answer in JSON.") boolean json)
+            @Option(names = "--json", description = "Print JSON.") boolean json)
             throws IOException {
         JsonArray jobs = new JsonArray();
         PrintWriter out = spec.commandLine().getOut();
@@ -261,12 +264,12 @@
     @Command(
             name = "verify",
             mixinStandardHelpOptions = true,
-            description = "Reads all of it and names whatever is damaged; exit code 1 if anything is.")
+            description = "Checks the whole store and reports damage; exit code 1 if there is any.")
     static final class Verify extends StoreCommand {
         @Parameters(index = "0", paramLabel = "DIR")
         private Path dir;
 
-        @Option(names = "--accept-loss", description = "Go on with what is left where commits are missing.")
+        @Option(names = "--accept-loss", description = "Continue without missing commits.")
         private boolean acceptLoss;
 
         @Override
@@ -293,7 +296,10 @@
     }
 
     /** Returns the free space of a store to the file system. */
-    @Command(name = "compact", mixinStandardHelpOptions = true, description = "Gives all free room back to the disk.")
+    @Command(
+            name = "compact",
+            mixinStandardHelpOptions = true,
+            description = "Returns all free space to the file system.")
     static final class Compact extends StoreCommand {
         @Parameters(index = "0", paramLabel = "DIR")
         private Path dir;
@@ -317,7 +323,7 @@
     @Command(
             name = "adopt",
             mixinStandardHelpOptions = true,
-            description = "Moves all jobs of a dead scheduler's store into another one.")
+            description = "Moves all jobs of a dead scheduler's store into another store.")
     static final class Adopt extends StoreCommand {
         @Parameters(index = "0", paramLabel = "FROM", description = "The dead scheduler's store.")
         private Path from;
--- a/src/main/java/laneflow/cli/MaintenanceCommand.java
+++ b/src/main/java/laneflow/cli/MaintenanceCommand.java
@@ -36,7 +36,7 @@
 @Command(
         name = "maintenance",
         mixinStandardHelpOptions = true,
-        description = "Asks for maintenance windows, shows them, and tells the fleet of work at racks.")
+        description = "Requests and shows maintenance windows, and reports work at racks to the fleet.")
 final class MaintenanceCommand implements Runnable {
     private static final long POLL_INTERVAL_MS = 100;
     private static final long NANOS_PER_MS = 1_000_000;
@@ -60,26 +60,26 @@
     @Command(
             name = "request",
             mixinStandardHelpOptions = true,
-            description = "Asks for the windows of a file and waits until each has a time: exit code 0 if all"
-                    + " have, 1 if one is turned down, 2 if the file is wrong, 3 if it is not known yet. Asked again"
-                    + " with the same file it asks for nothing new.")
+            description = "Requests the windows of a file and waits until each has a time: exit code 0 if all"
+                    + " have, 1 if one is rejected, 2 if the file is invalid, 3 if it is not known yet. Repeated"
+                    + " with the same file it requests nothing new.")
     int request(
             @Parameters(paramLabel = "FILE", description = "The request in TOML, see docs/maintenance-windows.md.")
                     Path file,
             @Option(
                             names = "--calendar",
                             paramLabel = "FILE",
-                            description = "Freezes in TOML: nothing of this request is down in them.")
+                            description = "Freezes in TOML: no window of this request is planned in them.")
                     Path calendar,
             @Option(
                             names = "--dry-run",
-                            description = "Only tell which time they would have, or who stands against them.")
+                            description = "Only show which times the windows would have, or why they would have none.")
                     boolean dryRun,
             @Option(
                             names = "--wait-ms",
                             paramLabel = "N",
                             defaultValue = "10000",
-                            description = "How long to wait for their times (default: ${DEFAULT-VALUE}).")
+                            description = "How long to wait, in ms (default: ${DEFAULT-VALUE}).")
                     long waitMs,
             @Mixin PolicyCommand.SchedulerClient client,
             @Mixin WindowTable table)
@@ -125,7 +125,7 @@
         }
         out.flush();
         if (!dryRun && anyUnscheduled(windows)) {
-            spec.commandLine().getErr().println("laneflow: not all of them have a time yet; see maintenance" + " show");
+            spec.commandLine().getErr().println("laneflow: not all windows have a time yet; see maintenance" + " show");
             return 3;
         }
         return anyInState(windows, "refused", "aborted") ? 1 : 0;
@@ -212,9 +212,9 @@
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
-            description = "All windows, or that one, and why it stands where it does: exit code 1 if one has"
-                    + " overrun, if nobody coordinates, or if there is none of that name; 3 if none of these"
-                    + " schedulers knows.")
+            description = "Shows all windows, or the named one, with the reasons for its state: exit code 1 if"
+                    + " one has overrun, if there is no coordinator, or if there is no window of that name; 3 if none"
+                    + " of these schedulers knows.")
     int show(
             @Parameters(paramLabel = "NAME", arity = "0..1", description = "The window's name.") String name,
             @Mixin PolicyCommand.SchedulerClient client,
@@ -254,16 +254,16 @@
     @Command(
             name = "begin",
             mixinStandardHelpOptions = true,
-            description = "A crew asks for leave to begin. Exit code 0: nobody sends to these racks any more,"
-                    + " and work may begin. Any other: keep away from them; 1 if there is no leave, 3 if it is not"
-                    + " known.")
+            description = "Requests leave for a crew to begin. Exit code 0: no scheduler sends to these racks any"
+                    + " more, and work may begin. Any other: keep away from the racks; 1 if there is no leave, 3 if"
+                    + " it is not known.")
     int begin(
             @Parameters(paramLabel = "NAME", description = "The window's name.") String name,
             @Option(
                             names = "--wait-ms",
                             paramLabel = "N",
                             defaultValue = "0",
-                            description = "How long to wait for leave (default: ${DEFAULT-VALUE}).")
+                            description = "How long to wait for leave, in ms (default: ${DEFAULT-VALUE}).")
                     long waitMs,
             @Mixin PolicyCommand.SchedulerClient client)
             throws IOException, InterruptedException {
@@ -273,8 +273,8 @@
     @Command(
             name = "finish",
             mixinStandardHelpOptions = true,
-            description = "A crew has finished: its racks are given back. Exit code 1 if there was no work,"
-                    + " 3 if it is not known to be taken.")
+            description = "Reports that a crew has finished, which returns its racks to service. Exit code 1 if"
+                    + " there was no work, 3 if the outcome is not known.")
     int finish(
             @Parameters(paramLabel = "NAME", description = "The window's name.") String name,
             @Mixin PolicyCommand.SchedulerClient client)
@@ -285,8 +285,8 @@
     @Command(
             name = "abort",
             mixinStandardHelpOptions = true,
-            description = "Calls a window off. One whose crew is at work ends with finish; past its abort"
-                    + " point it can't be called off: exit code 1, or 3 if it is not known to be taken.")
+            description = "Calls off a window. One whose crew is at work ends with finish; past its abort"
+                    + " point it can't be called off: exit code 1, or 3 if the outcome is not known.")
     int abort(
             @Parameters(paramLabel = "NAME", description = "The window's name.") String name,
             @Mixin PolicyCommand.SchedulerClient client)
@@ -392,7 +392,7 @@
             } catch (RejectedException e) {
                 throw e;
             } catch (JsonParseException | IllegalStateException e) {
-                throw new IOException("the answer is none: " + e.getMessage(), e);
+                throw new IOException("the response can't be parsed: " + e.getMessage(), e);
             } catch (IOException e) {
                 if (System.nanoTime() > endNanos) {
                     throw new UnknownOutcomeException(e);
--- a/src/main/java/laneflow/cli/PolicyCommand.java
+++ b/src/main/java/laneflow/cli/PolicyCommand.java
@@ -43,7 +43,7 @@
 @Command(
         name = "policy",
         mixinStandardHelpOptions = true,
-        description = "Shows and changes what all schedulers decide by.")
+        description = "Shows and changes the policy that all schedulers share.")
 final class PolicyCommand implements Runnable {
     private static final int TIMEOUT_MS = 5000;
     private static final int TEMPORARY_REDIRECT = 307;
@@ -71,13 +71,13 @@
                 required = true,
                 arity = "1",
                 split = ",",
-                description = "Where schedulers reach each other: ADDRESS:PORT, several with commas between.")
+                description = "Schedulers' addresses, each ADDRESS:PORT as in [fleet] listen, separated by commas.")
         List<String> addresses;
 
-        @Option(names = "--token-file", paramLabel = "FILE", description = "The fleet's token.")
+        @Option(names = "--token-file", paramLabel = "FILE", description = "The file with the fleet's token.")
         private Path tokenFile;
 
-        @Option(names = "--json", description = "As the scheduler says it.")
+        @Option(names = "--json", description = "Print the schedulers' responses as JSON.")
         boolean json;
 
         /**
@@ -107,7 +107,7 @@
                 }
                 int status = connection.getResponseCode();
                 if (status < 0) {
-                    throw new IOException("what came is no HTTP");
+                    throw new IOException("the response is not HTTP");
                 }
                 InputStream in = status < HttpURLConnection.HTTP_BAD_REQUEST
                         ? connection.getInputStream()
@@ -118,7 +118,7 @@
                 }
                 String location = connection.getHeaderField("Location");
                 if (location == null) {
-                    throw new IOException(address + " points nowhere");
+                    throw new IOException(address + " redirects without a location");
                 }
                 url = new URL(location);
             }
@@ -126,7 +126,7 @@
 
         /** Sends the request to each address in turn until one responds with a status below 500. */
         Response sendToAny(String path, String body) throws IOException, InterruptedException {
-            IOException lastFailure = new IOException("nobody to ask");
+            IOException lastFailure = new IOException("no address given");
             for (String address : addresses) {
                 try {
                     Response response = send(address, path, body);
@@ -158,8 +158,8 @@
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
-            description = "What each of these schedulers decides by; exit code 1 if one can't be"
-                    + " asked, does not decide, or they differ.")
+            description = "Shows the policy of each of these schedulers; exit code 1 if one can't be"
+                    + " reached, is not deciding, or they differ.")
     int show(@Mixin SchedulerClient client) throws InterruptedException {
         PrintWriter out = spec.commandLine().getOut();
         TreeMap<Long, List<String>> policies = new TreeMap<>();
@@ -230,22 +230,22 @@
             name = "propose",
             mixinStandardHelpOptions = true,
             description = "Proposes a change and waits for its outcome: exit code 0 if it was applied,"
-                    + " 1 if it was abandoned, 3 if the outcome is not known yet. Asked again with the same name it"
+                    + " 1 if it was abandoned, 3 if the outcome is not known yet. Repeated with the same name it"
                     + " proposes nothing new.")
     int propose(
             @Parameters(
                             paramLabel = "FILE",
-                            description = "The change: the tables of the operators' file that"
-                                    + " are to hold, [classes.NAME], [limits], [module],"
+                            description = "The change: the tables of the operators' file to"
+                                    + " replace, [classes.NAME], [limits], [module],"
                                     + " and bans = [\"ENDPOINT\"]; or JSON"
                                     + " with 'types', or a control service's whole state of one type.")
                     Path file,
-            @Option(names = "--name", description = "The change's name; else the file's own.") String name,
+            @Option(names = "--name", description = "The change's name; by default the name in the file.") String name,
             @Option(
                             names = "--wait-ms",
                             paramLabel = "N",
                             defaultValue = "10000",
-                            description = "How long to wait for the outcome (default: ${DEFAULT-VALUE}).")
+                            description = "How long to wait for the outcome, in ms (default: ${DEFAULT-VALUE}).")
                     long waitMs,
             @Mixin SchedulerClient client)
             throws IOException, InterruptedException {
@@ -319,7 +319,7 @@
     @Command(
             name = "status",
             mixinStandardHelpOptions = true,
-            description = "Where a change stands: exit code 0 if it was applied, 1 if it was abandoned or"
+            description = "Shows the state of a change: exit code 0 if it was applied, 1 if it was abandoned or"
                     + " is not known, 3 if it is undecided.")
     int status(
             @Parameters(paramLabel = "NAME", description = "The change's name.") String name,
@@ -332,7 +332,10 @@
         return outcome(JsonParser.parseString(response.body()).getAsJsonObject(), client.json);
     }
 
-    @Command(name = "history", mixinStandardHelpOptions = true, description = "The last changes, the newest first.")
+    @Command(
+            name = "history",
+            mixinStandardHelpOptions = true,
+            description = "Lists the latest changes, the newest first.")
     int history(@Mixin SchedulerClient client) throws IOException, InterruptedException {
         Response response = client.sendToAny("/policy/history", null);
         PrintWriter out = spec.commandLine().getOut();
@@ -353,20 +356,20 @@
     @Command(
             name = "voters",
             mixinStandardHelpOptions = true,
-            description = "Who votes, and which of these schedulers' stores have lost their vote; exit"
-                    + " code 1 if one has, or can't be asked.")
+            description = "Shows the voters and which of these schedulers' stores have lost their vote;"
+                    + " exit code 1 if one has, or can't be reached.")
     int voters(
             @Option(
                             names = "--replace",
                             paramLabel = "NAME",
-                            description = "Take this voter's new store in, in the place of the one that it has lost.")
+                            description = "Replace this voter's lost store by its new one.")
                     String replace,
             @Option(
                             names = "--add",
                             paramLabel = "NAME",
-                            description = "Let this scheduler vote from now on; it has an empty store of votes.")
+                            description = "Add this scheduler, whose store of votes is empty, to the voters.")
                     String add,
-            @Option(names = "--remove", paramLabel = "NAME", description = "Let this voter vote no more.")
+            @Option(names = "--remove", paramLabel = "NAME", description = "Remove this scheduler from the voters.")
                     String remove,
             @Mixin SchedulerClient client)
             throws IOException, InterruptedException {
@@ -460,7 +463,7 @@
                 JsonObject message = JsonParser.parseString(text).getAsJsonObject();
                 return message.has("type_url") ? fromStreamMessage(message) : message;
             } catch (JsonParseException e) {
-                throw new IllegalArgumentException(file + ": is no JSON: " + e.getMessage());
+                throw new IllegalArgumentException(file + ": is not valid JSON: " + e.getMessage());
             }
         }
         UnmodifiableConfig toml;
@@ -468,7 +471,7 @@
             toml = new TomlParser().parse(new StringReader(text));
         } catch (ParsingException e) {
             throw new IllegalArgumentException(
-                    file + ": is no TOML: " + e.getMessage().split("\n")[0]);
+                    file + ": is not valid TOML: " + e.getMessage().split("\n")[0]);
         }
         JsonObject tables = toJson(toml);
         JsonObject change = new JsonObject();
@@ -493,7 +496,7 @@
                             .getAsJsonArray()
                             .forEach(entry -> resources.add(withName(entry.getAsString(), new JsonObject())));
                 default ->
-                    throw new IllegalArgumentException(file + ": " + table.getKey() + ": is no part of a"
+                    throw new IllegalArgumentException(file + ": " + table.getKey() + ": is not part of a"
                             + " policy; known are name, classes, limits, module, bans");
             }
             types.add(table.getKey(), resources);
@@ -509,7 +512,7 @@
                 message.has("version_info") ? message.get("version_info").getAsString() : "";
         JsonObject change = new JsonObject();
         if (!message.has("resources") || message.has("from_version")) {
-            throw new IllegalArgumentException("only a type's whole state can be proposed, with 'resources'");
+            throw new IllegalArgumentException("only a type's complete state can be proposed, with 'resources'");
         }
         String name = type.substring(type.lastIndexOf('/') + 1);
         if (!version.isEmpty()) {
--- a/src/main/java/laneflow/cli/ServeCommand.java
+++ b/src/main/java/laneflow/cli/ServeCommand.java
@@ -23,14 +23,17 @@
     @Option(
             names = "--config",
             paramLabel = "FILE",
-            description = "The operators' file, as "
-                    + "deploy/laneflow.toml; what ROUTER_CONFIG's file names too, that decides.")
+            description = "The operators' file, such as "
+                    + "deploy/laneflow.toml; settings in ROUTER_CONFIG's file take precedence.")
     private Path config;
 
-    @Option(names = "--gearman", paramLabel = "FILE", description = "The Gearman front's own file.")
+    @Option(names = "--gearman", paramLabel = "FILE", description = "The Gearman front's configuration file.")
     private Path gearman;
 
-    @Option(names = "--destinations", paramLabel = "FILE", description = "A set in place of discovery.")
+    @Option(
+            names = "--destinations",
+            paramLabel = "FILE",
+            description = "A destination set to use in place of discovery.")
     private Path destinations;
 
     @Override
@@ -38,11 +41,11 @@
         String platformPath = System.getenv("ROUTER_CONFIG");
         Path platformConfig = platformPath == null ? null : Path.of(platformPath);
         if (platformConfig == null && config == null) {
-            throw new ParameterException(
-                    spec.commandLine(), "ROUTER_CONFIG names no configuration, and there is no --config");
+            throw new ParameterException(spec.commandLine(), "no configuration: set ROUTER_CONFIG or give --config");
         }
         if (gearman != null && config != null) {
-            throw new ParameterException(spec.commandLine(), "--gearman's file is a table of --config's");
+            throw new ParameterException(
+                    spec.commandLine(), "--gearman can't be combined with --config: use its [gearman] table");
         }
         Serve.run(() -> config == null
                 ? Setup.platform(platformConfig, gearman, destinations)
--- a/src/main/java/laneflow/cli/TaskCommand.java
+++ b/src/main/java/laneflow/cli/TaskCommand.java
@@ -19,7 +19,7 @@
 @Command(
         name = "task",
         mixinStandardHelpOptions = true,
-        description = "Shows what the fleet does once, and at which scheduler.")
+        description = "Shows the fleet's tasks and the schedulers that hold them.")
 final class TaskCommand implements Runnable {
     @Spec
     private CommandSpec spec;
@@ -32,8 +32,8 @@
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
-            description = "Who holds each task, who waits for it and why, as the leader among these says;"
-                    + " exit code 1 if a task is held by nobody, 3 if none of these leads.")
+            description = "Shows who holds each task, who waits for it and why, as the leader reports;"
+                    + " exit code 1 if a task has no holder, 3 if none of these schedulers leads.")
     int show(@Mixin PolicyCommand.SchedulerClient client) throws InterruptedException {
         PrintWriter out = spec.commandLine().getOut();
         PrintWriter err = spec.commandLine().getErr();
--- a/src/main/java/laneflow/cli/WindowTable.java
+++ b/src/main/java/laneflow/cli/WindowTable.java
@@ -22,7 +22,7 @@
     @Option(
             names = "--time-zone",
             paramLabel = "ZONE",
-            description = "Tell times as they are there, such as Europe/Ljubljana (default: this machine's).")
+            description = "The time zone of the times shown, such as Europe/Ljubljana (default: this machine's).")
     private ZoneId zone = ZoneId.systemDefault();
 
     /** Prints requested windows: the times they have or would have, and the reasons why others have none. */
--- a/src/test/java/laneflow/transcripts/CliTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/CliTranscriptsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a person at the command line is told, word for word, and the exit codes that scripts rely on. */
+/** The exact output of commands, and the exit codes that scripts rely on. */
 class CliTranscriptsTest {
     @TempDir
     private Path folder;
@@ -17,17 +17,17 @@
         transcript.message("laneflow " + String.join(" ", args), "exit code " + run.code(), sorted(run.text()));
     }
 
-    /** The order of commands is free: the library finds some of them by their methods, in no order. */
+    /** Sorts the list of commands, which picocli collects in no fixed order where commands are methods. */
     private static String sorted(String text) {
-        int at = text.indexOf("Commands:\n");
-        if (at < 0) {
+        int headingIndex = text.indexOf("Commands:\n");
+        if (headingIndex < 0) {
             return text;
         }
-        int from = at + "Commands:\n".length();
-        String[] commands = text.substring(from).split("\n(?=  \\S)");
+        int listIndex = headingIndex + "Commands:\n".length();
+        String[] commands = text.substring(listIndex).split("\n(?=  \\S)");
         Arrays.setAll(commands, i -> commands[i].stripTrailing());
         Arrays.sort(commands);
-        return text.substring(0, from) + String.join("\n", commands) + "\n";
+        return text.substring(0, listIndex) + String.join("\n", commands) + "\n";
     }
 
     @Test
@@ -64,7 +64,7 @@
     @Test
     void wrongCalls() throws Exception {
         Transcript.of(
-                "Calls that are wrong: exit code 2 and what would be right; input that is not there: 1. Lists of commands are sorted.",
+                "Usage errors: exit code 2 and the correct usage; missing input: 1. Lists of commands are sorted.",
                 transcript -> {
                     for (String call : new String[] {
                         "serv",
@@ -90,22 +90,24 @@
 
     @Test
     void operatorsFile() throws Exception {
-        Transcript.of("Operators' files that can't be used: every finding at once, and no start.", transcript -> {
-            transcript.alias(folder.toString(), "<folder>");
-            for (String text : new String[] {
-                "listen = ",
-                "zones = ['a']\n",
-                "listen = 'here'\nzones = ['a']\n[limits]\nsockets = '9'\nattempts = 6\n"
-                        + "[classes.c]\naim_ms = 9\ndeadline_ms = 3\nrepeat = 'keyed'\nworht = 1\n"
-                        + "[endpoints.e]\nzone = 'b'\n[gearman]\nlisten = '127.0.0.1:1'\n"
-                        + "[gearman.functions.f]\nclass = 'd'\ndurable = 1\n[durable]\ndir = 'x'\nstore_mib = 0\n",
-                "listen = '127.0.0.1:1'\nzones = ['a']\n[classes.c]\n[policy]\nvoters = ['x']\n",
-                "listen = '127.0.0.1:1'\nzones = ['a']\n[classes.c]\n[members]\nlisten = '127.0.0.1:2'\n"
-            }) {
-                Path file = Files.writeString(folder.resolve("laneflow.toml"), text);
-                transcript.message("laneflow.toml", "serve", text);
-                run(transcript, "serve", "--config", file.toString());
-            }
-        });
+        Transcript.of(
+                "Invalid operators' files: all errors are reported at once and the scheduler does not start.",
+                transcript -> {
+                    transcript.alias(folder.toString(), "<folder>");
+                    for (String text : new String[] {
+                        "listen = ",
+                        "zones = ['a']\n",
+                        "listen = 'here'\nzones = ['a']\n[limits]\nsockets = '9'\nattempts = 6\n"
+                                + "[classes.c]\naim_ms = 9\ndeadline_ms = 3\nrepeat = 'keyed'\nworht = 1\n"
+                                + "[endpoints.e]\nzone = 'b'\n[gearman]\nlisten = '127.0.0.1:1'\n"
+                                + "[gearman.functions.f]\nclass = 'd'\ndurable = 1\n[durable]\ndir = 'x'\nstore_mib = 0\n",
+                        "listen = '127.0.0.1:1'\nzones = ['a']\n[classes.c]\n[policy]\nvoters = ['x']\n",
+                        "listen = '127.0.0.1:1'\nzones = ['a']\n[classes.c]\n[members]\nlisten = '127.0.0.1:2'\n"
+                    }) {
+                        Path file = Files.writeString(folder.resolve("laneflow.toml"), text);
+                        transcript.message("laneflow.toml", "serve", text);
+                        run(transcript, "serve", "--config", file.toString());
+                    }
+                });
     }
 }
