--- a/src/main/java/laneflow/Main.java
+++ b/src/main/java/laneflow/Main.java
@@ -30,7 +30,7 @@
                 FileInputStream in = new FileInputStream(FileDescriptor.in);
                 new WireHost(in, new FileOutputStream(FileDescriptor.out)).run();
             } else if (args.length == 1 && args[0].equals("serve") && config != null) {
-                Serve.run(() -> Setup.platform(Path.of(config), null, null));
+                Serve.run(() -> Setup.fromPlatformFile(Path.of(config), null, null));
             } else if (args.length == 1 && args[0].equals("rehearse")) {
                 ServeTrainingRun.run();
                 System.exit(0);
--- a/src/main/java/laneflow/assembly/Serve.java
+++ b/src/main/java/laneflow/assembly/Serve.java
@@ -242,7 +242,7 @@
     }
 
     /** The operators' port, or null where operators use the clients' port. */
-    public OperatorPort operators() {
+    public OperatorPort operatorPort() {
         return subsystems.port();
     }
 
--- a/src/main/java/laneflow/assembly/Setup.java
+++ b/src/main/java/laneflow/assembly/Setup.java
@@ -60,7 +60,7 @@
     }
 
     /** Reads the platform's file and, unless null, a Gearman file and a destination set. */
-    public static Setup platform(Path file, Path gearman, Path destinations) throws IOException, WireException {
+    public static Setup fromPlatformFile(Path file, Path gearman, Path destinations) throws IOException, WireException {
         Config config = Config.read(file, destinations);
         return new Setup(
                 config,
@@ -75,7 +75,8 @@
      * Reads the operators' file and, unless null, the platform's file, whose settings take precedence. All errors
      * in the operators' file are reported together in one {@link laneflow.config.ConfigException}.
      */
-    public static Setup operators(Path file, Path platform, Path destinations) throws IOException, WireException {
+    public static Setup fromOperatorsFile(Path file, Path platform, Path destinations)
+            throws IOException, WireException {
         OperatorFile withoutSaved = OperatorFile.read(file);
         Map<String, JsonArray> streamed =
                 withoutSaved.control() == null || !withoutSaved.findings().isEmpty()
@@ -87,15 +88,15 @@
         }
         if (!streamed.isEmpty()) {
             Setup withSaved = PersistedSettings.readUnlessConflicting(
-                    () -> operators(OperatorFile.read(file, streamed), platform, destinations));
+                    () -> fromOperatorsFile(OperatorFile.read(file, streamed), platform, destinations));
             if (withSaved != null) {
                 return withSaved;
             }
         }
-        return operators(OperatorFile.read(file), platform, destinations);
+        return fromOperatorsFile(OperatorFile.read(file), platform, destinations);
     }
 
-    private static Setup operators(OperatorFile operators, Path platform, Path destinations)
+    private static Setup fromOperatorsFile(OperatorFile operators, Path platform, Path destinations)
             throws IOException, WireException {
         Findings findings = operators.findings();
         JsonObject platformConfig = operators.platform();
--- a/src/main/java/laneflow/cli/ConfigCommand.java
+++ b/src/main/java/laneflow/cli/ConfigCommand.java
@@ -269,7 +269,7 @@
                             description = "The type, if the file is not a message that names it.")
                     String type)
             throws Exception {
-        Setup setup = Setup.operators(config, null, null);
+        Setup setup = Setup.fromOperatorsFile(config, null, null);
         if (setup.control() == null) {
             throw new IOException(config + ": there is no [control] table: streamed configuration is off");
         }
--- a/src/main/java/laneflow/cli/ServeCommand.java
+++ b/src/main/java/laneflow/cli/ServeCommand.java
@@ -48,8 +48,8 @@
                     spec.commandLine(), "--gearman can't be combined with --config: use its [gearman] table");
         }
         Serve.run(() -> config == null
-                ? Setup.platform(platformConfig, gearman, destinations)
-                : Setup.operators(config, platformConfig, destinations));
+                ? Setup.fromPlatformFile(platformConfig, gearman, destinations)
+                : Setup.fromOperatorsFile(config, platformConfig, destinations));
         return 0;
     }
 }
--- a/src/test/java/laneflow/config/OperatorFileTest.java
+++ b/src/test/java/laneflow/config/OperatorFileTest.java
@@ -25,14 +25,14 @@
 
     private String errorOf(String text) throws IOException {
         Path file = write("x.toml", text);
-        return assertThrows(ConfigException.class, () -> Setup.operators(file, null, null))
+        return assertThrows(ConfigException.class, () -> Setup.fromOperatorsFile(file, null, null))
                 .getMessage()
                 .replace(file + ": ", "");
     }
 
     @Test
     void exampleFileIsRead() throws Exception {
-        Setup setup = Setup.operators(EXAMPLE_FILE, null, null);
+        Setup setup = Setup.fromOperatorsFile(EXAMPLE_FILE, null, null);
         assertEquals("127.0.0.1:8081", setup.config().listen);
         assertEquals(3, setup.config().known.entries.size());
         assertEquals(Effect.UNSAFE, setup.config().settings.classes[1].effect);
@@ -46,8 +46,9 @@
     @Test
     void moduleSettingsAreRead() throws Exception {
         String file = "listen = '127.0.0.1:0'\nzones = ['a']\n[classes.c]\n";
-        assertEquals(0.5, Setup.operators(write("a.toml", file), null, null).config().settings.crossEachWay);
-        Setup setup = Setup.operators(
+        assertEquals(
+                0.5, Setup.fromOperatorsFile(write("a.toml", file), null, null).config().settings.crossEachWay);
+        Setup setup = Setup.fromOperatorsFile(
                 write(
                         "a.toml",
                         file + "[module]\ncross_each_way = 0.25\nretry_free = 3\n"
@@ -60,7 +61,7 @@
         assertEquals(5, setup.config().settings.retryWindow);
         assertTrue(errorOf(file + "[module]\nretry_free = 3\n").contains("[module] retry_window_ms: is missing"));
         Path platform = write("p.json", "{\"settings\":{\"rules\":{\"spareAttempts\":1}}}");
-        Setup merged = Setup.operators(
+        Setup merged = Setup.fromOperatorsFile(
                 write("a.toml", file + "[module]\nretry_free = 3\nretry_window_ms = 1\n"), platform, null);
         assertEquals(1, merged.config().settings.retryFree);
         assertTrue(merged.fixed().containsKey("module"));
@@ -73,7 +74,7 @@
                 "{\"listen\":\"127.0.0.1:7\",\"settings\":{\"classes\":["
                         + "{\"name\":\"card-capture\",\"semantics\":\"side_effect\"},{\"name\":\"points-post\"},"
                         + "{\"name\":\"basket-check\",\"semantics\":\"pure\"}]}}");
-        Setup setup = Setup.operators(EXAMPLE_FILE, platform, null);
+        Setup setup = Setup.fromOperatorsFile(EXAMPLE_FILE, platform, null);
         assertEquals("127.0.0.1:7", setup.config().listen);
         assertEquals("card-capture", setup.config().classNames[0]);
         assertEquals(2, setup.gearman().functions.get("basket_check").jobClass());
--- a/src/test/java/laneflow/control/ControlTypesStoryTest.java
+++ b/src/test/java/laneflow/control/ControlTypesStoryTest.java
@@ -443,7 +443,7 @@
         classes.add("resources", JsonParser.parseString("[{'name':'check','aim_ms':100},{'name':'sweep'}]"));
         new LastGood(folder, "classes")
                 .write(new LastGood.SavedVersion("type.laneflow/classes", new Version(2, "aa"), 1, classes));
-        Setup setup = Setup.operators(file, null, null);
+        Setup setup = Setup.fromOperatorsFile(file, null, null);
         assertEquals(512, setup.config().sockets);
         assertEquals(3, setup.config().settings.maxAttempts);
         assertEquals(List.of("check", "sweep"), List.of(setup.config().classNames));
@@ -452,7 +452,9 @@
         classes.add("resources", JsonParser.parseString("[{'name':'check','colour':1}]"));
         new LastGood(folder, "classes")
                 .write(new LastGood.SavedVersion("type.laneflow/classes", new Version(3, "aa"), 1, classes));
-        assertEquals(List.of("check"), List.of(Setup.operators(file, null, null).config().classNames));
+        assertEquals(
+                List.of("check"),
+                List.of(Setup.fromOperatorsFile(file, null, null).config().classNames));
         // The platform's file takes precedence for the types that it names.
         Path platform = folder.resolve("platform.json");
         Files.writeString(
@@ -461,7 +463,7 @@
                         + "\"discovery\":\"127.0.0.1:1\"}");
         assertEquals(
                 Set.of("classes", "destinations"),
-                Setup.operators(file, platform, null).fixed().keySet());
+                Setup.fromOperatorsFile(file, platform, null).fixed().keySet());
     }
 
     @Test
@@ -476,7 +478,7 @@
             exchange(peer, version("1-aa", "x", resource(till)));
             exchange(peer, version("2-aa", "x", "7"));
             assertTrue(report(stand).startsWith("HTTP/1.1 404 "));
-            var at = stand.serve.operators().address();
+            var at = stand.serve.operatorPort().address();
             String address = "127.0.0.1:" + at.getPort();
             try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
                 socket.getOutputStream()
--- a/src/test/java/laneflow/http/HttpStoryTest.java
+++ b/src/test/java/laneflow/http/HttpStoryTest.java
@@ -24,7 +24,7 @@
     private Path folder;
 
     private static void reload(Stand stand, Path file) {
-        stand.serve.reload(() -> Setup.platform(file, null, null));
+        stand.serve.reload(() -> Setup.fromPlatformFile(file, null, null));
     }
 
     @Test
--- a/src/test/java/laneflow/maintenance/MaintenanceConfigTest.java
+++ b/src/test/java/laneflow/maintenance/MaintenanceConfigTest.java
@@ -28,7 +28,7 @@
                         + "[endpoints.t1]\ndial = \"127.0.0.1:1\"\nrack = \"a\"\nslots = 4\n[endpoints.t2]\n"
                         + "dial = \"127.0.0.1:2\"\nrack = \"a\"\n[endpoints.t3]\ndial = \"127.0.0.1:3\"\n"
                         + "[tenants.shop]\nshare = 2\n" + tables);
-        return Setup.operators(file, null, null);
+        return Setup.fromOperatorsFile(file, null, null);
     }
 
     private String wrong(String tables) {
--- a/src/test/java/laneflow/membership/MembersConfigTest.java
+++ b/src/test/java/laneflow/membership/MembersConfigTest.java
@@ -23,7 +23,7 @@
     private MembersConfig read(String tables) throws Exception {
         Path file = folder.resolve("f.toml");
         Files.writeString(file, "name = \"n1\"\nlisten = \"127.0.0.1:0\"\nzones = [\"z\"]\n[classes.check]\n" + tables);
-        return Setup.operators(file, null, null).members();
+        return Setup.fromOperatorsFile(file, null, null).members();
     }
 
     @Test
--- a/src/test/java/laneflow/policy/LeaseGateTest.java
+++ b/src/test/java/laneflow/policy/LeaseGateTest.java
@@ -47,7 +47,7 @@
                 file,
                 "name = \"n1\"\nlisten = \"127.0.0.1:0\"\n[classes.check]\n[fleet]\n"
                         + "listen = \"127.0.0.1:0\"\n[fleet.peers]\nn2 = \"127.0.0.1:1\"\n[policy]\nvoters = [\"n2\"]\n");
-        return Setup.operators(file, null, null).policy();
+        return Setup.fromOperatorsFile(file, null, null).policy();
     }
 
     @BeforeEach
--- a/src/test/java/laneflow/policy/PolicyConfigTest.java
+++ b/src/test/java/laneflow/policy/PolicyConfigTest.java
@@ -20,7 +20,7 @@
     private Setup read(String tables) throws Exception {
         Path file = folder.resolve("f.toml");
         Files.writeString(file, "name = \"n1\"\nlisten = \"127.0.0.1:0\"\nzones = [\"z\"]\n[classes.check]\n" + tables);
-        return Setup.operators(file, null, null);
+        return Setup.fromOperatorsFile(file, null, null);
     }
 
     private String errorOf(String tables) {
--- a/src/test/java/laneflow/transcripts/MaintenanceTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/MaintenanceTranscriptsTest.java
@@ -60,7 +60,7 @@
                         + "'\n[tasks]\n[maintenance]\nstep_ms = 1000\n"
                         + "ahead_ms = 120000\ndrain_ms = 2000\nreturn_ms = 200\nearly_ms = 5000\nlate_ms = 30000\nlook_ms = 20\n"
                         + "silent_ms = 0\nbegin_ms = " + beginMs + "\noverrun_ms = 100\ndemand = 0.3\n");
-        Serve serve = new Serve(Setup.operators(file, null, null));
+        Serve serve = new Serve(Setup.fromOperatorsFile(file, null, null));
         try {
             Await.until(
                     "it coordinates",
--- a/src/test/java/laneflow/transcripts/PolicyTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/PolicyTranscriptsTest.java
@@ -37,7 +37,7 @@
                         + "'\n[policy]\nvoters = ['n1']\ndir = '" + own
                         + "'\ntell_policy = true\n[fleet]\nlisten = '127.0.0.1:"
                         + fleet + "'\n[fleet.peers]\nn1 = '127.0.0.1:" + fleet + "'\n");
-        Serve serve = new Serve(Setup.operators(file, null, null));
+        Serve serve = new Serve(Setup.fromOperatorsFile(file, null, null));
         try {
             Await.until(
                     "it decides",
--- a/src/test/java/laneflow/transcripts/SchedulerTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/SchedulerTranscriptsTest.java
@@ -194,7 +194,7 @@
     /** Reloads with a file of its own for each call: the files are read later, one after the other. */
     private void reload(Stand stand, String text) throws IOException {
         Path file = Files.writeString(Files.createTempFile(folder, "config", ".json"), text);
-        stand.serve.reload(() -> Setup.platform(file, null, null));
+        stand.serve.reload(() -> Setup.fromPlatformFile(file, null, null));
     }
 
     private static void operator(Transcript transcript, Stand stand, String command) throws IOException {
--- a/src/test/java/laneflow/transcripts/TaskTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/TaskTranscriptsTest.java
@@ -39,7 +39,7 @@
 
         private TestFleet(Transcript transcript) throws Exception {
             this.transcript = transcript;
-            voter = new Serve(Setup.operators(file("n1", leaderPort, ""), null, null));
+            voter = new Serve(Setup.fromOperatorsFile(file("n1", leaderPort, ""), null, null));
         }
 
         private Path file(String name, int port, String hooks) throws IOException {
@@ -54,7 +54,7 @@
         }
 
         Serve startCandidate(String name, int everyMs) throws Exception {
-            return new Serve(Setup.operators(candidateFile(name, everyMs), null, null));
+            return new Serve(Setup.fromOperatorsFile(candidateFile(name, everyMs), null, null));
         }
 
         Path candidateFile(String name, int everyMs) throws IOException {
