--- a/src/main/java/laneflow/assembly/FleetSubsystem.java
+++ b/src/main/java/laneflow/assembly/FleetSubsystem.java
@@ -131,7 +131,7 @@
                         scheduler,
                         counters,
                         setup.policy(),
-                        bans -> types(setup, bans),
+                        bans -> policyTypes(setup, bans),
                         List.of(setup.config().classNames),
                         fileReader,
                         random.nextLong(),
@@ -139,14 +139,14 @@
                         core.upgrade(),
                         Map.of(TaskTable.NAME, new TaskTable(), WindowLedger.NAME, new WindowLedger()),
                         List.of(tasks, maintenanceExtension)));
-        maintenance = maintenanceExtension == null ? null : maintenance(setup, maintenanceExtension);
+        maintenance = maintenanceExtension == null ? null : createMaintenance(setup, maintenanceExtension);
         hooks = setup.tasks() == null
                 ? null
                 : new Hooks(loop, tasks, counters, fleet.self().id(), setup.tasks().hooks);
         recovery = setup.tasks() == null || setup.tasks().stores == null
                 ? null
                 : new Recovery(loop, tasks, scheduler.counters(), durability.jobs(), setup.tasks(), config.name);
-        members = setup.members() == null ? null : members(setup, fileReader, random.nextLong());
+        members = setup.members() == null ? null : createMembers(setup, fileReader, random.nextLong());
         capacity = setup.capacity() == null
                 ? null
                 : new CapacitySubsystem(
@@ -162,7 +162,7 @@
         listen();
     }
 
-    private MaintenanceSubsystem maintenance(Setup setup, MaintenanceExtension maintenanceExtension)
+    private MaintenanceSubsystem createMaintenance(Setup setup, MaintenanceExtension maintenanceExtension)
             throws InterruptedException {
         MaintenanceSubsystem[] created = new MaintenanceSubsystem[1];
         control.call(() -> created[0] =
@@ -175,7 +175,7 @@
         return policy == null ? -1 : policy.policyNumber();
     }
 
-    private Members members(Setup setup, ExecutorService fileReader, long seed)
+    private Members createMembers(Setup setup, ExecutorService fileReader, long seed)
             throws IOException, InterruptedException {
         Config config = setup.config();
         Scheduler scheduler = core.scheduler();
@@ -261,7 +261,7 @@
     }
 
     /** The resource types that a policy may contain on this scheduler. */
-    static PolicyTypes types(Setup setup, ResourceType bans) {
+    static PolicyTypes policyTypes(Setup setup, ResourceType bans) {
         Config config = setup.config();
         Settings settings = config.settings;
         List<ResourceType> types = new ArrayList<>();
--- a/src/main/java/laneflow/assembly/Token.java
+++ b/src/main/java/laneflow/assembly/Token.java
@@ -12,7 +12,7 @@
     static String read(Path file) throws IOException {
         String token = file == null ? null : Files.readString(file).strip();
         if (token != null && !token.matches("[!-~]{1,4096}")) {
-            throw new IOException(file + ": holds no token: one word of visible characters");
+            throw new IOException(file + ": is not a valid token: up to 4096 visible ASCII characters without spaces");
         }
         return token;
     }
--- a/src/main/java/laneflow/cli/MaintenanceCommand.java
+++ b/src/main/java/laneflow/cli/MaintenanceCommand.java
@@ -42,7 +42,7 @@
     private static final long NANOS_PER_MS = 1_000_000;
     /** How far ahead occurrences of a recurrence rule are requested; later ones need the file submitted again. */
     private static final Duration RECURRENCE_HORIZON = Duration.ofDays(56);
-    /** States in which a crew gets no leave to begin any more. */
+    /** States in which a crew can't get leave any more, or has it already. */
     private static final Set<String> STATES_PAST_LEAVE = Set.of("overrun", "returning", "done", "refused", "aborted");
 
     private static final Set<String> FINAL_STATES = Set.of("done", "refused");
--- a/src/main/java/laneflow/cli/PolicyCommand.java
+++ b/src/main/java/laneflow/cli/PolicyCommand.java
@@ -235,8 +235,8 @@
     int propose(
             @Parameters(
                             paramLabel = "FILE",
-                            description = "The change: the tables of the operators' file to"
-                                    + " replace, [classes.NAME], [limits], [module],"
+                            description = "The change: the tables of the operators' file that"
+                                    + " are to apply, [classes.NAME], [limits], [module],"
                                     + " and bans = [\"ENDPOINT\"]; or JSON"
                                     + " with 'types', or a control service's whole state of one type.")
                     Path file,
