--- a/src/test/java/laneflow/http/HttpStoryTest.java
+++ b/src/test/java/laneflow/http/HttpStoryTest.java
@@ -24,7 +24,7 @@
     private Path folder;
 
     private static void reload(SchedulerHarness harness, Path file) {
-        harness.serve.reload(() -> Setup.platform(file, null, null));
+        harness.serve.reload(() -> Setup.fromPlatformFile(file, null, null));
     }
 
     @Test
--- a/src/test/java/laneflow/transcripts/SchedulerTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/SchedulerTranscriptsTest.java
@@ -201,7 +201,7 @@
     /** Reloads with a file of its own for each call: the files are read later, one after the other. */
     private void reload(SchedulerHarness harness, String text) throws IOException {
         Path file = Files.writeString(Files.createTempFile(folder, "config", ".json"), text);
-        harness.serve.reload(() -> Setup.platform(file, null, null));
+        harness.serve.reload(() -> Setup.fromPlatformFile(file, null, null));
     }
 
     private static void sendOperatorCommand(Transcript transcript, SchedulerHarness harness, String command)
