--- a/src/main/java/laneflow/assembly/Streaming.java
+++ b/src/main/java/laneflow/assembly/Streaming.java
@@ -75,7 +75,8 @@
         core.loop().call(() -> {
             ControlClient client = new ControlClient(core.loop(), core.scheduler(), config, context, lastGoodByType);
             setup.notStreamed().forEach(client::rejectType);
-            BiConsumer<String, Supplier<String>> registerReport = port == null ? core.front()::addReport : port::addReport;
+            BiConsumer<String, Supplier<String>> registerReport =
+                    port == null ? core.front()::addReport : port::addReport;
             registerReport.accept("/config", client::report);
             registerReport.accept("/config/history", client::history);
             if (port != null) {
