--- a/src/main/java/laneflow/net/Loop.java
+++ b/src/main/java/laneflow/net/Loop.java
@@ -57,7 +57,7 @@
     private final SlotTable<Link> links = new SlotTable<>();
     private final XnioWorker worker;
     private final XnioIoThread thread;
-    /** Maximum of accepted, and of outgoing connections: clients must not use up the descriptors for calls. */
+    /** Maximum of accepted and of outgoing connections, each: clients can't use up the descriptors for calls. */
     private final int maxPerDirection;
 
     private final ConnectionLimit acceptedLimit;
@@ -284,7 +284,10 @@
             });
         }
 
-        /** Stops accepting, for example while another process accepts from the same socket. */
+        /**
+         * Leaves new connections to other processes that listen on the same socket; connections accepted already are
+         * still admitted.
+         */
         public void pause() {
             paused = true;
             channel.suspendAccepts();
