--- a/src/main/java/laneflow/durable/Journal.java
+++ b/src/main/java/laneflow/durable/Journal.java
@@ -174,8 +174,8 @@
         }
         for (Entry entry : batch) {
             if (entry.read() != null) {
-                byte[] found = read(entry.id());
-                callbacks.add(() -> entry.read().accept(found));
+                byte[] result = read(entry.id());
+                callbacks.add(() -> entry.read().accept(result));
             }
         }
         try {
--- a/src/main/java/laneflow/durable/Store.java
+++ b/src/main/java/laneflow/durable/Store.java
@@ -213,9 +213,9 @@
                 }
                 break;
             case DROP:
-                for (PreparedStatement each : deleteJob) {
-                    each.setLong(1, op.id());
-                    each.executeUpdate();
+                for (PreparedStatement statement : deleteJob) {
+                    statement.setLong(1, op.id());
+                    statement.executeUpdate();
                 }
                 break;
             default:
--- a/src/main/java/laneflow/maintenance/CallSampler.java
+++ b/src/main/java/laneflow/maintenance/CallSampler.java
@@ -87,9 +87,9 @@
         return (long) (longest * 1000);
     }
 
-    private static void post(Loop on, Runnable call) {
+    private static void post(Loop loop, Runnable call) {
         try {
-            on.later(call);
+            loop.later(call);
         } catch (RejectedExecutionException e) {
             // The other thread is shutting down and needs no samples.
             LOG.debug("the event loop is shut down");
--- a/src/main/java/laneflow/maintenance/MaintenanceApi.java
+++ b/src/main/java/laneflow/maintenance/MaintenanceApi.java
@@ -118,7 +118,7 @@
                 status.add("racks", CoordinatorSnapshot.texts(config.rackNames()));
             }
             JsonArray windows = new JsonArray();
-            view.windows().all().forEach(one -> windows.add(describe(one)));
+            view.windows().all().forEach(window -> windows.add(describe(window)));
             status.add("windows", windows);
             answer.say(200, JSON, "", status + "\n");
         });
--- a/src/main/java/laneflow/maintenance/MaintenanceSubsystem.java
+++ b/src/main/java/laneflow/maintenance/MaintenanceSubsystem.java
@@ -38,16 +38,16 @@
             return;
         }
         extension.setCoordinatorTask(coordinatorTask);
-        Context by = extension.context();
+        Context context = extension.context();
         coordinatorTask.start(new CoordinatorTask.Renewals() {
             @Override
             public void renewNow() {
-                by.renewNow();
+                context.renewNow();
             }
 
             @Override
             public long lease() {
-                return by.leaseMicros();
+                return context.leaseMicros();
             }
         });
     }
--- a/src/main/java/laneflow/maintenance/RequestFile.java
+++ b/src/main/java/laneflow/maintenance/RequestFile.java
@@ -111,14 +111,14 @@
             return List.of(first);
         }
         try {
-            List<LocalDateTime> all = LocalTimes.occurrences(rule, first, zone, until);
-            if (all.isEmpty()) {
+            List<LocalDateTime> starts = LocalTimes.occurrences(rule, first, zone, until);
+            if (starts.isEmpty()) {
                 table.addFinding("rule", "never happens within what is planned");
-            } else if (all.size() > LocalTimes.MAX_OCCURRENCES) {
+            } else if (starts.size() > LocalTimes.MAX_OCCURRENCES) {
                 table.addFinding(
                         "rule", "happens more than " + LocalTimes.MAX_OCCURRENCES + " times within what is planned");
             }
-            return all;
+            return starts;
         } catch (IllegalArgumentException e) {
             table.addFinding("rule", "is no rule of RFC 5545: " + e.getMessage());
             return List.of();
@@ -153,10 +153,10 @@
         if (zone == null || earliest == null || latest == null) {
             return;
         }
-        List<LocalDateTime> all = occurrences(from, rule, earliest, zone);
+        List<LocalDateTime> starts = occurrences(from, rule, earliest, zone);
         Duration span = Duration.between(earliest, latest);
         long previousEnd = Long.MIN_VALUE;
-        for (LocalDateTime at : all) {
+        for (LocalDateTime at : starts) {
             long begins = LocalTimes.startMillis(at, zone);
             long ends = LocalTimes.endMillis(at.plus(span), zone);
             if (ends - begins < work) {
--- a/src/main/java/laneflow/maintenance/decision/Coordinator.java
+++ b/src/main/java/laneflow/maintenance/decision/Coordinator.java
@@ -100,9 +100,9 @@
         private Set<Integer> racksOut(Window excluded) {
             Set<Integer> racksOut = new HashSet<>();
             observed.lost().forEach(rack -> racksOut.add(fairness.inventory().rackIndex(rack)));
-            for (Window one : windows.all()) {
-                if (one != excluded && one.state().isAway()) {
-                    one.request()
+            for (Window window : windows.all()) {
+                if (window != excluded && window.state().isAway()) {
+                    window.request()
                             .racks()
                             .forEach(rack -> racksOut.add(fairness.inventory().rackIndex(rack)));
                 }
@@ -201,15 +201,16 @@
                 return "freeze " + freeze.name();
             }
             for (Window other : windows.all()) {
-                Request one = other.request();
-                if (window.request().after().contains(one.name()) && other.state() != State.DONE) {
-                    return "has to come after " + one.name() + ", which is not done";
+                Request otherRequest = other.request();
+                if (window.request().after().contains(otherRequest.name()) && other.state() != State.DONE) {
+                    return "has to come after " + otherRequest.name() + ", which is not done";
                 }
-                boolean mustNotOverlap = one.apart().stream()
-                                .anyMatch(window.request().apart()::contains)
-                        || one.racks().stream().anyMatch(window.request().racks()::contains);
+                boolean mustNotOverlap =
+                        otherRequest.apart().stream().anyMatch(window.request().apart()::contains)
+                                || otherRequest.racks().stream()
+                                        .anyMatch(window.request().racks()::contains);
                 if (other != window && other.state().isAway() && mustNotOverlap) {
-                    return "not together with " + one.name();
+                    return "not together with " + otherRequest.name();
                 }
             }
             return null;
@@ -318,26 +319,28 @@
 
         private void addSteps(Plan plan) {
             for (Window window : windows.all()) {
-                Plan.Window found = plan.window(window.name());
+                Plan.Window planned = plan.window(window.name());
                 boolean isWaiting = window.state() == State.REQUESTED || window.state() == State.POSTPONED;
-                if (isWaiting && found == null) {
+                if (isWaiting && planned == null) {
                     step(
                             window,
                             State.REFUSED,
                             State.DONE,
                             plan.refused().get(window.name()).toArray(String[]::new));
                 } else if (isWaiting
-                        || window.state() == State.PLANNED && found != null && found.startMs() != window.startMs()) {
+                        || window.state() == State.PLANNED
+                                && planned != null
+                                && planned.startMs() != window.startMs()) {
                     steps.add(Windows.step(
                             token,
                             window,
                             State.PLANNED,
                             windows.awayChanges(),
-                            found.startMs(),
+                            planned.startMs(),
                             State.DONE,
                             List.of(),
                             now));
-                } else if (window.state() == State.PLANNED && found == null) {
+                } else if (window.state() == State.PLANNED && planned == null) {
                     step(window, State.POSTPONED, State.DONE, "its time had to go to others");
                 }
             }
--- a/src/main/java/laneflow/maintenance/decision/Cuts.java
+++ b/src/main/java/laneflow/maintenance/decision/Cuts.java
@@ -35,16 +35,16 @@
 
     Cuts(Fairness fairness, List<double[]> dues, double[] accounts) {
         this.fairness = fairness;
-        Set<Long> found = new LinkedHashSet<>();
-        found.add(0L);
-        for (int kind = 0; kind < fairness.kinds() && found.size() <= MAX_UNIONS; kind++) {
-            for (long union : found.toArray(Long[]::new)) {
-                found.add(union | fairness.cellMask(kind));
+        Set<Long> unionMasks = new LinkedHashSet<>();
+        unionMasks.add(0L);
+        for (int kind = 0; kind < fairness.kinds() && unionMasks.size() <= MAX_UNIONS; kind++) {
+            for (long union : unionMasks.toArray(Long[]::new)) {
+                unionMasks.add(union | fairness.cellMask(kind));
             }
         }
-        found.remove(0L);
-        isComplete = found.size() <= MAX_UNIONS;
-        unions = found.stream().mapToLong(Long::longValue).sorted().toArray();
+        unionMasks.remove(0L);
+        isComplete = unionMasks.size() <= MAX_UNIONS;
+        unions = unionMasks.stream().mapToLong(Long::longValue).sorted().toArray();
         due = new double[dues.size()][];
         minimumDue = new double[dues.size()][];
         totalDue = new double[dues.size()];
--- a/src/main/java/laneflow/maintenance/decision/Inventory.java
+++ b/src/main/java/laneflow/maintenance/decision/Inventory.java
@@ -150,10 +150,10 @@
     }
 
     private boolean isEligible(int tenant, int cell) {
-        Tenant one = tenants.get(tenant);
+        Tenant eligibleTenant = tenants.get(tenant);
         CellKey place = cells.get(cell);
-        return (one.classes() & place.classes()) != 0
-                && (one.zones().isEmpty() || one.zones().contains(place.zone()));
+        return (eligibleTenant.classes() & place.classes()) != 0
+                && (eligibleTenant.zones().isEmpty() || eligibleTenant.zones().contains(place.zone()));
     }
 
     /** Bit mask of the cells in which a tenant's jobs of a class may run. */
--- a/src/main/java/laneflow/maintenance/decision/LossAccounts.java
+++ b/src/main/java/laneflow/maintenance/decision/LossAccounts.java
@@ -101,9 +101,10 @@
 
     /** State for snapshots, by tenant name: lost, entitled, served, time in ms. */
     public Map<String, double[]> state() {
-        Map<String, double[]> all = new TreeMap<>();
-        byName.forEach((name, sums) -> all.put(name, new double[] {sums.lost, sums.entitled, sums.served, sums.atMs}));
-        return all;
+        Map<String, double[]> state = new TreeMap<>();
+        byName.forEach(
+                (name, sums) -> state.put(name, new double[] {sums.lost, sums.entitled, sums.served, sums.atMs}));
+        return state;
     }
 
     /** Replaces the state by that of a snapshot. */
--- a/src/main/java/laneflow/maintenance/decision/MaintenanceJson.java
+++ b/src/main/java/laneflow/maintenance/decision/MaintenanceJson.java
@@ -28,12 +28,12 @@
         to.add("after", texts(request.after()));
         if (!request.freezes().isEmpty()) {
             JsonArray freezes = new JsonArray();
-            for (Plan.Freeze one : request.freezes()) {
-                JsonObject freeze = new JsonObject();
-                freeze.addProperty("name", one.name());
-                freeze.addProperty("from_ms", one.fromMs());
-                freeze.addProperty("to_ms", one.toMs());
-                freezes.add(freeze);
+            for (Plan.Freeze freeze : request.freezes()) {
+                JsonObject freezeJson = new JsonObject();
+                freezeJson.addProperty("name", freeze.name());
+                freezeJson.addProperty("from_ms", freeze.fromMs());
+                freezeJson.addProperty("to_ms", freeze.toMs());
+                freezes.add(freezeJson);
             }
             to.add("freezes", freezes);
         }
@@ -41,17 +41,17 @@
     }
 
     private static List<Plan.Freeze> freezes(JsonObject from) {
-        List<Plan.Freeze> all = new ArrayList<>();
+        List<Plan.Freeze> freezes = new ArrayList<>();
         if (from.has("freezes")) {
-            from.getAsJsonArray("freezes").forEach(each -> {
-                JsonObject one = each.getAsJsonObject();
-                all.add(new Plan.Freeze(
-                        one.get("name").getAsString(),
-                        one.get("from_ms").getAsLong(),
-                        one.get("to_ms").getAsLong()));
+            from.getAsJsonArray("freezes").forEach(element -> {
+                JsonObject json = element.getAsJsonObject();
+                freezes.add(new Plan.Freeze(
+                        json.get("name").getAsString(),
+                        json.get("from_ms").getAsLong(),
+                        json.get("to_ms").getAsLong()));
             });
         }
-        return all;
+        return freezes;
     }
 
     /**
@@ -108,17 +108,17 @@
         return Windows.State.valueOf(from.get(key).getAsString().toUpperCase(Locale.ROOT));
     }
 
-    private static JsonArray texts(Collection<String> all) {
+    private static JsonArray texts(Collection<String> values) {
         JsonArray list = new JsonArray();
-        all.forEach(list::add);
+        values.forEach(list::add);
         return list;
     }
 
     private static List<String> texts(JsonObject from, String key) {
-        List<String> all = new ArrayList<>();
-        for (JsonElement one : from.getAsJsonArray(key)) {
-            all.add(one.getAsString());
+        List<String> values = new ArrayList<>();
+        for (JsonElement element : from.getAsJsonArray(key)) {
+            values.add(element.getAsString());
         }
-        return List.copyOf(all);
+        return List.copyOf(values);
     }
 }
--- a/src/main/java/laneflow/maintenance/decision/Plan.java
+++ b/src/main/java/laneflow/maintenance/decision/Plan.java
@@ -40,7 +40,7 @@
     /** The window of a request, or null. */
     public Window window(String request) {
         return windows.stream()
-                .filter(one -> one.request().name().equals(request))
+                .filter(window -> window.request().name().equals(request))
                 .findFirst()
                 .orElse(null);
     }
--- a/src/main/java/laneflow/maintenance/decision/Planner.java
+++ b/src/main/java/laneflow/maintenance/decision/Planner.java
@@ -93,8 +93,8 @@
         contention = new double[input.parameters().steps()];
         input.fixed().forEach(timeline::add);
         input.requests().stream()
-                .filter(one -> !timeline.windows().containsKey(one.name()))
-                .forEach(one -> unplaced.put(one.name(), one));
+                .filter(request -> !timeline.windows().containsKey(request.name()))
+                .forEach(request -> unplaced.put(request.name(), request));
     }
 
     /** Computes a plan. All requests are valid: their racks are known and their times are in order. */
@@ -126,7 +126,8 @@
      */
     private void computeBounds() {
         unplaced.values()
-                .forEach(one -> bounds.put(one.name(), new int[] {timeline.firstStep(one), timeline.lastStep(one)}));
+                .forEach(request -> bounds.put(
+                        request.name(), new int[] {timeline.firstStep(request), timeline.lastStep(request)}));
         boolean changed = true;
         for (int round = 0; changed && round < unplaced.size(); round++) {
             changed = false;
@@ -160,7 +161,7 @@
             Window window = timeline.windowAt(request, step);
             boolean free = !oneAtATime
                     || timeline.windows().values().stream()
-                            .noneMatch(one -> one.overlaps(window.startMs(), window.endMs()));
+                            .noneMatch(placed -> placed.overlaps(window.startMs(), window.endMs()));
             if (free && timeline.conflict(request, step) == null && timeline.cost(request, step) >= 0) {
                 timeline.add(window);
                 unplaced.remove(request.name());
@@ -317,23 +318,23 @@
                 }
             }
             // Windows with the most alternatives are removed first.
-            removed.sort(Comparator.comparingInt((Window one) ->
-                            -startCounts.getOrDefault(one.request().name(), 0))
-                    .thenComparing(one -> one.request().name()));
+            removed.sort(Comparator.comparingInt((Window window) ->
+                            -startCounts.getOrDefault(window.request().name(), 0))
+                    .thenComparing(window -> window.request().name()));
             candidates.add(new Candidate(
                     step,
                     removed,
                     removed.stream()
                             .limit(MAX_REMOVED)
-                            .mapToDouble(one -> slots(one.request())
+                            .mapToDouble(window -> slots(window.request())
                                     / (1
                                             + startCounts.getOrDefault(
-                                                    one.request().name(), 0)))
+                                                    window.request().name(), 0)))
                             .sum()));
         }
         candidates.sort(Comparator.comparingDouble(Candidate::weight).thenComparingInt(Candidate::step));
-        for (Candidate one : candidates.subList(0, Math.min(MAX_CANDIDATES, candidates.size()))) {
-            if (tryReplacing(request, one.step(), one.removed())) {
+        for (Candidate candidate : candidates.subList(0, Math.min(MAX_CANDIDATES, candidates.size()))) {
+            if (tryReplacing(request, candidate.step(), candidate.removed())) {
                 return true;
             }
         }
@@ -404,7 +405,7 @@
     private Plan result() {
         List<Window> windows = new ArrayList<>(timeline.windows().values());
         windows.sort(Comparator.comparingLong(Window::startMs)
-                .thenComparing(one -> one.request().name()));
+                .thenComparing(window -> window.request().name()));
         Map<String, List<String>> refused = new TreeMap<>();
         Reasons reasons = new Reasons(timeline);
         unplaced.values().forEach(request -> refused.put(request.name(), reasons.explain(request)));
--- a/src/main/java/laneflow/maintenance/decision/Reasons.java
+++ b/src/main/java/laneflow/maintenance/decision/Reasons.java
@@ -18,11 +18,11 @@
     List<String> explain(Request request) {
         int first = timeline.firstStep(request);
         int last = timeline.lastStep(request);
-        List<String> all = new ArrayList<>();
+        List<String> reasons = new ArrayList<>();
         if (last < first) {
-            all.add("no whole window lies between its earliest beginning, its notice and its end");
-            addSmallestChange(request, all);
-            return all;
+            reasons.add("no whole window lies between its earliest beginning, its notice and its end");
+            addSmallestChange(request, reasons);
+            return reasons;
         }
         Map<String, Integer> counts = new LinkedHashMap<>();
         int sampled = 0;
@@ -35,9 +35,9 @@
                 .sorted(Map.Entry.<String, Integer>comparingByValue().reversed())
                 .limit(6)
                 .forEach(entry ->
-                        all.add(entry.getKey() + " (" + entry.getValue() + " of " + total + " times looked at)"));
-        addSmallestChange(request, all);
-        return all;
+                        reasons.add(entry.getKey() + " (" + entry.getValue() + " of " + total + " times looked at)"));
+        addSmallestChange(request, reasons);
+        return reasons;
     }
 
     /** Adds the smallest change that would give the request a time: a later end, or fewer racks at once. */
@@ -61,10 +61,10 @@
                     request.apart(),
                     request.after(),
                     request.freezes());
-            int at = firstFairStep(fewer, timeline.firstStep(fewer), timeline.lastStep(fewer));
-            if (at >= 0) {
+            int step = firstFairStep(fewer, timeline.firstStep(fewer), timeline.lastStep(fewer));
+            if (step >= 0) {
                 into.add("would have a time with only " + String.join(" ", fewer.racks()) + ", at "
-                        + Instant.ofEpochMilli(timeline.ms(at)));
+                        + Instant.ofEpochMilli(timeline.ms(step)));
                 return;
             }
         }
--- a/src/main/java/laneflow/maintenance/decision/Request.java
+++ b/src/main/java/laneflow/maintenance/decision/Request.java
@@ -66,14 +66,14 @@
                 apart,
                 after,
                 calendar.stream()
-                        .filter(one -> one.overlaps(earliestMs, latestMs))
+                        .filter(freeze -> freeze.overlaps(earliestMs, latestMs))
                         .toList());
     }
 
     /** The first of its freezes that overlaps this period, or null. */
     Plan.Freeze freezeDuring(long fromMs, long toMs) {
         return freezes.stream()
-                .filter(one -> one.overlaps(fromMs, toMs))
+                .filter(freeze -> freeze.overlaps(fromMs, toMs))
                 .findFirst()
                 .orElse(null);
     }
--- a/src/main/java/laneflow/maintenance/decision/Timeline.java
+++ b/src/main/java/laneflow/maintenance/decision/Timeline.java
@@ -142,10 +142,10 @@
     List<Window> related(Request request) {
         List<Window> related = new ArrayList<>();
         for (Window other : windows.values()) {
-            Request one = other.request();
-            if (request.after().contains(one.name())
-                    || one.after().contains(request.name())
-                    || mustNotOverlap(request, one)) {
+            Request otherRequest = other.request();
+            if (request.after().contains(otherRequest.name())
+                    || otherRequest.after().contains(request.name())
+                    || mustNotOverlap(request, otherRequest)) {
                 related.add(other);
             }
         }
@@ -171,7 +171,7 @@
                 long ms = ms(i);
                 return "freeze "
                         + freezes.stream()
-                                .filter(one -> one.fromMs() < ms + parameters.stepMs() && ms < one.toMs())
+                                .filter(freeze -> freeze.fromMs() < ms + parameters.stepMs() && ms < freeze.toMs())
                                 .findFirst()
                                 .orElseThrow()
                                 .name();
@@ -182,15 +182,15 @@
             return "freeze " + own.name();
         }
         for (Window other : related) {
-            Request one = other.request();
-            if (request.after().contains(one.name()) && from < other.endMs()) {
-                return "has to come after " + one.name();
+            Request otherRequest = other.request();
+            if (request.after().contains(otherRequest.name()) && from < other.endMs()) {
+                return "has to come after " + otherRequest.name();
             }
-            if (one.after().contains(request.name()) && other.startMs() < to) {
-                return "has to come before " + one.name();
+            if (otherRequest.after().contains(request.name()) && other.startMs() < to) {
+                return "has to come before " + otherRequest.name();
             }
-            if (other.overlaps(from, to) && mustNotOverlap(request, one)) {
-                return "not together with " + one.name();
+            if (other.overlaps(from, to) && mustNotOverlap(request, otherRequest)) {
+                return "not together with " + otherRequest.name();
             }
         }
         for (String before : request.after()) {
@@ -287,12 +287,12 @@
 
     /** Why that time is ruled out, as text; empty if it is not. */
     List<String> objections(Request request, int step) {
-        List<String> all = new ArrayList<>();
+        List<String> objections = new ArrayList<>();
         String conflict = conflict(request, step);
         if (conflict != null) {
-            all.add(conflict);
+            objections.add(conflict);
         }
-        for (int i = step; i < step + stepCount(request) && all.size() < 8; i++) {
+        for (int i = step; i < step + stepCount(request) && objections.size() < 8; i++) {
             double[] remaining = minusRacks(slotsLeft[i], request);
             if (classifyStep(i, remaining) == Answer.UNFAIR) {
                 List<String> racksDown = new ArrayList<>();
@@ -306,11 +306,11 @@
                         : ", with " + String.join(" ", racksDown.subList(0, Math.min(5, racksDown.size()))) + " down";
                 fairness.evaluate(dues.get(spans[i]), remaining, accounts).violations().stream()
                         .limit(3)
-                        .forEach(text -> all.add(text + racks));
+                        .forEach(text -> objections.add(text + racks));
                 break;
             }
         }
-        return all;
+        return objections;
     }
 
     /** The steps at which a request could begin if no other window were placed; freezes count. */
--- a/src/main/java/laneflow/maintenance/decision/WindowLedger.java
+++ b/src/main/java/laneflow/maintenance/decision/WindowLedger.java
@@ -77,25 +77,26 @@
          * those that exist for windows only.
          */
         public SortedSet<String> bansFor(Set<String> away) {
-            SortedSet<String> all = new TreeSet<>(bans);
-            all.removeAll(windowBans);
-            away.forEach(rack -> all.addAll(racks.getOrDefault(rack, List.of())));
-            return all;
+            SortedSet<String> required = new TreeSet<>(bans);
+            required.removeAll(windowBans);
+            away.forEach(rack -> required.addAll(racks.getOrDefault(rack, List.of())));
+            return required;
         }
 
         /** JSON for a coordinator, limited to the windows that are not final and their predecessors. */
         public JsonObject toJson() {
             Set<String> names = new TreeSet<>();
-            windows.all().stream().filter(one -> !one.state().isFinal()).forEach(one -> {
-                names.add(one.name());
-                names.addAll(one.request().after());
+            windows.all().stream().filter(window -> !window.state().isFinal()).forEach(window -> {
+                names.add(window.name());
+                names.addAll(window.request().after());
             });
-            JsonObject all = state(windows.snapshot(one -> names.contains(one.name())), racks, windowBans, accounts);
-            all.addProperty("version", version);
-            all.addProperty("in_force", inForce);
-            all.addProperty("undecided", undecided);
-            all.add(BANS, array(bans));
-            return all;
+            JsonObject json =
+                    state(windows.snapshot(window -> names.contains(window.name())), racks, windowBans, accounts);
+            json.addProperty("version", version);
+            json.addProperty("in_force", inForce);
+            json.addProperty("undecided", undecided);
+            json.add(BANS, array(bans));
+            return json;
         }
 
         /** Reads what {@link #toJson} has written. */
@@ -103,7 +104,9 @@
             Windows windows = new Windows();
             windows.restore(from);
             SortedMap<String, List<String>> racks = new TreeMap<>();
-            from.getAsJsonObject("racks").entrySet().forEach(one -> racks.put(one.getKey(), texts(one.getValue())));
+            from.getAsJsonObject("racks")
+                    .entrySet()
+                    .forEach(entry -> racks.put(entry.getKey(), texts(entry.getValue())));
             return new View(
                     from.get("version").getAsLong(),
                     from.get("in_force").getAsLong(),
@@ -117,13 +120,13 @@
     }
 
     private static JsonObject state(
-            JsonObject all, Map<String, List<String>> racks, Set<String> windowBans, Map<String, double[]> accounts) {
+            JsonObject json, Map<String, List<String>> racks, Set<String> windowBans, Map<String, double[]> accounts) {
         JsonObject endpoints = new JsonObject();
         racks.forEach((rack, names) -> endpoints.add(rack, array(names)));
-        all.add("racks", endpoints);
-        all.add("own", array(windowBans));
-        all.add("accounts", accountsJson(accounts));
-        return all;
+        json.add("racks", endpoints);
+        json.add("own", array(windowBans));
+        json.add("accounts", accountsJson(accounts));
+        return json;
     }
 
     public WindowLedger() {
@@ -139,11 +142,11 @@
     }
 
     /** Requests that are accepted all together or not at all. */
-    public static JsonObject requestsOp(List<Request> all) {
+    public static JsonObject requestsOp(List<Request> requests) {
         JsonObject op = partOp(new JsonObject());
         op.addProperty("op", "requests");
         JsonArray list = new JsonArray();
-        all.forEach(one -> list.add(MaintenanceJson.write(one)));
+        requests.forEach(request -> list.add(MaintenanceJson.write(request)));
         op.add("requests", list);
         return op;
     }
@@ -166,15 +169,15 @@
     }
 
     private static JsonArray array(Iterable<String> texts) {
-        JsonArray all = new JsonArray();
-        texts.forEach(all::add);
-        return all;
+        JsonArray values = new JsonArray();
+        texts.forEach(values::add);
+        return values;
     }
 
     private static List<String> texts(JsonElement from) {
-        List<String> all = new ArrayList<>();
-        from.getAsJsonArray().forEach(one -> all.add(one.getAsString()));
-        return List.copyOf(all);
+        List<String> values = new ArrayList<>();
+        from.getAsJsonArray().forEach(element -> values.add(element.getAsString()));
+        return List.copyOf(values);
     }
 
     private static JsonObject accountsJson(Map<String, double[]> state) {
@@ -190,16 +193,16 @@
     }
 
     private static SortedMap<String, double[]> readAccounts(JsonObject from) {
-        SortedMap<String, double[]> all = new TreeMap<>();
-        from.entrySet().forEach(one -> {
-            JsonArray list = one.getValue().getAsJsonArray();
+        SortedMap<String, double[]> sumsByTenant = new TreeMap<>();
+        from.entrySet().forEach(entry -> {
+            JsonArray list = entry.getValue().getAsJsonArray();
             double[] sums = new double[list.size()];
             for (int i = 0; i < sums.length; i++) {
                 sums[i] = list.get(i).getAsDouble();
             }
-            all.put(one.getKey(), sums);
+            sumsByTenant.put(entry.getKey(), sums);
         });
-        return all;
+        return sumsByTenant;
     }
 
     private static JsonObject error(String text) {
@@ -226,11 +229,13 @@
         return racks.containsKey(rack) && bans.containsAll(racks.get(rack));
     }
 
-    private JsonObject request(JsonArray all) {
-        long open = windows.all().stream().filter(one -> !one.state().isFinal()).count();
+    private JsonObject request(JsonArray requestArray) {
+        long open = windows.all().stream()
+                .filter(window -> !window.state().isFinal())
+                .count();
         List<Request> requests = new ArrayList<>();
-        for (JsonElement one : all) {
-            Request request = MaintenanceJson.request(one.getAsJsonObject());
+        for (JsonElement element : requestArray) {
+            Request request = MaintenanceJson.request(element.getAsJsonObject());
             Window existing = windows.window(request.name());
             if (existing != null && !existing.request().equals(request)) {
                 return error("the name '" + request.name() + "' is that of another request");
@@ -300,19 +305,19 @@
     }
 
     private static Set<String> names(JsonObject policy) {
-        Set<String> all = new TreeSet<>();
+        Set<String> names = new TreeSet<>();
         if (policy.has(BANS)) {
-            policy.getAsJsonArray(BANS).forEach(one -> {
+            policy.getAsJsonArray(BANS).forEach(element -> {
                 // Schedulers reject entries that they cannot read; here these ban nothing.
-                boolean hasName = one.isJsonObject()
-                        && one.getAsJsonObject().has("name")
-                        && one.getAsJsonObject().get("name").isJsonPrimitive();
+                boolean hasName = element.isJsonObject()
+                        && element.getAsJsonObject().has("name")
+                        && element.getAsJsonObject().get("name").isJsonPrimitive();
                 if (hasName) {
-                    all.add(one.getAsJsonObject().get("name").getAsString());
+                    names.add(element.getAsJsonObject().get("name").getAsString());
                 }
             });
         }
-        return Collections.unmodifiableSet(all);
+        return Collections.unmodifiableSet(names);
     }
 
     @Override
@@ -343,9 +348,9 @@
         Set<String> away = new TreeSet<>();
         Set<String> bansInEffect = new TreeSet<>(bans);
         bansInEffect.addAll(undecidedBans);
-        for (Window one : windows.all()) {
-            if (one.state().isAway()) {
-                away.addAll(one.request().racks());
+        for (Window window : windows.all()) {
+            if (window.state().isAway()) {
+                away.addAll(window.request().racks());
             }
         }
         racks.keySet().retainAll(away);
@@ -360,7 +365,7 @@
                 bans,
                 Collections.unmodifiableSet(new TreeSet<>(windowBans)),
                 Collections.unmodifiableSortedMap(new TreeMap<>(racks)),
-                windows.copy(one -> true),
+                windows.copy(window -> true),
                 Collections.unmodifiableSortedMap(new TreeMap<>(accounts)));
     }
 
@@ -373,9 +378,9 @@
 
     @Override
     public JsonObject snapshot() {
-        JsonObject all = state(windows.snapshot(), racks, windowBans, accounts);
-        all.addProperty("version", version);
-        return all;
+        JsonObject json = state(windows.snapshot(), racks, windowBans, accounts);
+        json.addProperty("version", version);
+        return json;
     }
 
     @Override
@@ -388,7 +393,9 @@
             windows.restore(new Windows().snapshot());
         } else {
             windows.restore(from);
-            from.getAsJsonObject("racks").entrySet().forEach(one -> racks.put(one.getKey(), texts(one.getValue())));
+            from.getAsJsonObject("racks")
+                    .entrySet()
+                    .forEach(entry -> racks.put(entry.getKey(), texts(entry.getValue())));
             windowBans.addAll(texts(from.get("own")));
             accounts.putAll(readAccounts(from.getAsJsonObject("accounts")));
             version = from.get("version").getAsLong();
--- a/src/main/java/laneflow/maintenance/decision/Windows.java
+++ b/src/main/java/laneflow/maintenance/decision/Windows.java
@@ -256,7 +256,7 @@
             return error(window.name() + " returns as " + window.outcome().label());
         }
         List<String> reasons = new ArrayList<>();
-        op.getAsJsonArray("reasons").forEach(one -> reasons.add(one.getAsString()));
+        op.getAsJsonArray("reasons").forEach(reason -> reasons.add(reason.getAsString()));
         long start = to == State.PLANNED ? op.get("start_ms").getAsLong() : window.startMs();
         long leave = to == State.DOWN ? op.get("ms").getAsLong() : to == State.PLANNED ? 0 : window.leaveMs();
         boolean stillCalledOff = window.calledOff() && to != State.PLANNED;
@@ -363,8 +363,8 @@
      */
     public List<String> missingBans(Set<String> banned) {
         return windows.values().stream()
-                .filter(one -> one.state().isWorkedOn() || one.state() == State.DRAINING)
-                .flatMap(one -> one.request().racks().stream())
+                .filter(window -> window.state().isWorkedOn() || window.state() == State.DRAINING)
+                .flatMap(window -> window.request().racks().stream())
                 .filter(rack -> !banned.contains(rack))
                 .toList();
     }
@@ -382,7 +382,7 @@
     /** An independent copy with the selected windows only. */
     public Windows copy(Predicate<Window> filter) {
         Windows copy = new Windows();
-        windows.values().stream().filter(filter).forEach(one -> copy.windows.put(one.name(), one));
+        windows.values().stream().filter(filter).forEach(window -> copy.windows.put(window.name(), window));
         copy.token = token;
         copy.awayChanges = awayChanges;
         return copy;
@@ -390,25 +390,25 @@
 
     /** Full state for a snapshot of the log. */
     public JsonObject snapshot() {
-        return snapshot(one -> true);
+        return snapshot(window -> true);
     }
 
     /** State for a snapshot with the selected windows only. */
     JsonObject snapshot(Predicate<Window> filter) {
-        JsonObject all = new JsonObject();
+        JsonObject json = new JsonObject();
         JsonArray list = new JsonArray();
-        windows.values().stream().filter(filter).forEach(one -> list.add(MaintenanceJson.write(one)));
-        all.add("windows", list);
-        all.addProperty("token", token);
-        all.addProperty("away", awayChanges);
-        return all;
+        windows.values().stream().filter(filter).forEach(window -> list.add(MaintenanceJson.write(window)));
+        json.add("windows", list);
+        json.addProperty("token", token);
+        json.addProperty("away", awayChanges);
+        return json;
     }
 
     /** Replaces the state by that of a snapshot. */
     public void restore(JsonObject from) {
         windows.clear();
-        for (JsonElement one : from.getAsJsonArray("windows")) {
-            Window window = MaintenanceJson.window(one.getAsJsonObject());
+        for (JsonElement element : from.getAsJsonArray("windows")) {
+            Window window = MaintenanceJson.window(element.getAsJsonObject());
             windows.put(window.name(), window);
         }
         token = from.get("token").getAsLong();
--- a/src/main/java/laneflow/membership/Members.java
+++ b/src/main/java/laneflow/membership/Members.java
@@ -553,9 +553,9 @@
         return report;
     }
 
-    private static String formatAddress(InetSocketAddress at) {
-        String host = at.getAddress().getHostAddress();
-        return (host.contains(":") ? "[" + host + "]" : host) + ":" + at.getPort();
+    private static String formatAddress(InetSocketAddress address) {
+        String host = address.getAddress().getHostAddress();
+        return (host.contains(":") ? "[" + host + "]" : host) + ":" + address.getPort();
     }
 
     // ---- leaving ----
--- a/src/main/java/laneflow/membership/MembersConfig.java
+++ b/src/main/java/laneflow/membership/MembersConfig.java
@@ -35,9 +35,9 @@
         }
         seeds = new ArrayList<>();
         for (String seed : from.texts("seeds")) {
-            InetSocketAddress at = FleetConfig.address(from, "seeds", seed);
-            if (at != null) {
-                seeds.add(at);
+            InetSocketAddress address = FleetConfig.address(from, "seeds", seed);
+            if (address != null) {
+                seeds.add(address);
             }
         }
         allowed = new ArrayList<>();
--- a/src/main/java/laneflow/membership/decision/FailureDetector.java
+++ b/src/main/java/laneflow/membership/decision/FailureDetector.java
@@ -201,7 +201,10 @@
         List<Entry> helpers = new ArrayList<>();
         for (int i = 0; i < SwimTimings.INDIRECT_PROBE_HELPERS; i++) {
             Entry helper = view.pickRandom(
-                    random, each -> each != probe.target && each.state == State.ALIVE && !helpers.contains(each));
+                    random,
+                    candidate -> candidate != probe.target
+                            && candidate.state == State.ALIVE
+                            && !helpers.contains(candidate));
             if (helper != null) {
                 helpers.add(helper);
                 self.sendWithGossip(helper, Kind.PING_REQ, probe.seq, probe.id, List.of());
--- a/src/main/java/laneflow/membership/decision/SuspicionTracker.java
+++ b/src/main/java/laneflow/membership/decision/SuspicionTracker.java
@@ -72,10 +72,10 @@
 
     /** Prolongs all suspicions by the time in which this member could not receive. */
     void handleStall(long stalledFor) {
-        List<SuspicionTimer> all = new ArrayList<>(timers);
+        List<SuspicionTimer> current = new ArrayList<>(timers);
         List<SuspicionTimer> moved = new ArrayList<>();
         timers.clear();
-        for (SuspicionTimer timer : all) {
+        for (SuspicionTimer timer : current) {
             if (timer.entry.deadline == timer.deadline) {
                 moved.add(new SuspicionTimer(
                         timer.fireAt + stalledFor, timer.entry, timer.deadline + stalledFor, timer.finalProbe));
@@ -233,12 +233,12 @@
         entry.deadline = deadline;
         timers.add(new SuspicionTimer(deadline, entry, deadline, false));
         for (int i = 1; i <= FINAL_PROBES; i++) {
-            long at = deadline
+            long probeAt = deadline
                     - i
                             * timings.probeTimeout(0, failureDetector.roundTrip())
                             * FINAL_PROBE_SPACING_NUMERATOR
                             / FINAL_PROBE_SPACING_DENOMINATOR;
-            timers.add(new SuspicionTimer(Math.max(now, at), entry, deadline, true));
+            timers.add(new SuspicionTimer(Math.max(now, probeAt), entry, deadline, true));
         }
     }
 
@@ -255,7 +255,7 @@
         self.sendWithGossip(
                 entry, Kind.PING, self.nextSequence(), entry.instance().id(), List.of());
         for (int i = 0; i < SwimTimings.INDIRECT_PROBE_HELPERS; i++) {
-            Entry helper = view.pickRandom(random, each -> each != entry && each.state == State.ALIVE);
+            Entry helper = view.pickRandom(random, candidate -> candidate != entry && candidate.state == State.ALIVE);
             if (helper != null) {
                 int sequence = self.nextSequence();
                 pendingFinalProbes.put(sequence, entry);
--- a/src/main/java/laneflow/membership/decision/Swim.java
+++ b/src/main/java/laneflow/membership/decision/Swim.java
@@ -344,7 +344,7 @@
         nextGossip = gossipQueue.isEmpty() ? Long.MAX_VALUE : now + timings.gossipInterval();
         List<Entry> targets = new ArrayList<>();
         for (int i = SwimTimings.fanout(gossipQueue.size()); i > 0 && !gossipQueue.isEmpty(); i--) {
-            Entry target = view.pickRandom(random, each -> !targets.contains(each));
+            Entry target = view.pickRandom(random, candidate -> !targets.contains(candidate));
             if (target == null) {
                 break;
             }
