--- a/src/test/java/laneflow/maintenance/decision/DrainTrackerTest.java
+++ b/src/test/java/laneflow/maintenance/decision/DrainTrackerTest.java
@@ -9,7 +9,7 @@
 import laneflow.maintenance.decision.DrainTracker.Report;
 import org.junit.jupiter.api.Test;
 
-/** Which schedulers may still send to banned endpoints; silence does not count as a report. */
+/** Which schedulers may still have calls at banned endpoints; silence does not count as a report. */
 class DrainTrackerTest {
     private static final long LEASE = 1_000_000;
     private static final long LONGEST = 5_000_000;
@@ -32,7 +32,7 @@
         assertEquals(
                 List.of("n1"),
                 drainTracker.possibleCallers(LATER + 1, 4, "till-0"),
-                "of another policy it says nothing");
+                "a report under another policy does not count");
     }
 
     @Test
