--- a/src/main/java/laneflow/lab/measure/ConfigMeasure.java
+++ b/src/main/java/laneflow/lab/measure/ConfigMeasure.java
@@ -25,21 +25,22 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * {@code lab measure config}: four schedulers as processes, a stand-in control service, and a script of
- * versions drawn from the seed: destination sets, classes and limits, whole and as changes, good, bad in form
- * and in sense, with a wrong digest, older, repeated, with 2,000 endpoints, under steady traffic. Each answer
- * is held against what it has to be. Then each scheduler is killed and started again between versions, and a
- * fifth one, with probation, is given a version that breaks service. Exit code 1 for a wrong verdict, an
- * answer that saw two versions, a request without an answer, schedulers that disagree at the end, a damaged
- * file, or a broken version that is not taken back.
+ * {@code lab measure config}: runs four scheduler processes and a stand-in control service under steady
+ * traffic. The service publishes versions drawn from the seed: destination sets, classes and limits, as
+ * snapshots and as deltas; valid, malformed and semantically invalid ones, ones with a wrong digest, older and
+ * repeated ones, and sets of 2,000 endpoints. Each scheduler's reply is compared with the expected one. Then
+ * each scheduler is killed and restarted between versions, and a fifth scheduler, which puts new versions on
+ * probation, gets a version that breaks service. The exit code is 1 for a wrong verdict, a response that
+ * mixes two versions, a request without a response, schedulers that disagree at the end, a damaged
+ * last-good file, or a broken version that is not rolled back.
  */
 public final class ConfigMeasure {
     private static final int SCHEDULERS = 4;
-    private static final int NODES = 3;
-    private static final int PER_SECOND = 60;
-    private static final long PATIENCE = 2_000_000_000L;
-    private static final String CLASSES = "type.laneflow/classes";
-    private static final String LIMITS = "type.laneflow/limits";
+    private static final int NODE_COUNT = 3;
+    private static final int REQUESTS_PER_SECOND = 60;
+    private static final long REPLY_TIMEOUT_NS = 2_000_000_000L;
+    private static final String CLASSES_TYPE = "type.laneflow/classes";
+    private static final String LIMITS_TYPE = "type.laneflow/limits";
 
     private final SplittableRandom random;
     private final boolean large;
@@ -47,26 +48,26 @@
     private final PrintStream out;
     private final Crew crew;
     private final StandInControl control = new StandInControl();
-    private final int[] ports = new int[SCHEDULERS];
-    private final int[] nodes = new int[NODES];
+    private final int[] schedulerPorts = new int[SCHEDULERS];
+    private final int[] nodePorts = new int[NODE_COUNT];
     private final Process[] schedulers = new Process[SCHEDULERS];
-    private final Histogram converge = new Histogram(3);
-    private String running = "";
-    private JsonArray runs = new JsonArray();
-    private String classes = "";
-    private String limits = "";
-    private final HangLoad[] hangs = new HangLoad[SCHEDULERS];
-    private long number;
-    private int acked;
-    private int nacked;
-    private int wrong;
-    private int disagree;
-    private int damaged;
-    private long adoptUs;
-    private long adoptMostUs;
-    private long adoptCpuUs;
-    private long stepCpuUs;
-    private long stepMostUs;
+    private final Histogram convergenceNs = new Histogram(3);
+    private String runningVersion = "";
+    private JsonArray runningResources = new JsonArray();
+    private String classesVersion = "";
+    private String limitsVersion = "";
+    private final HangLoad[] hangLoads = new HangLoad[SCHEDULERS];
+    private long versionNumber;
+    private int acceptedCount;
+    private int rejectedCount;
+    private int wrongVerdicts;
+    private int disagreements;
+    private int damagedFiles;
+    private long adoptP99Us;
+    private long adoptMaxUs;
+    private long adoptCpuMaxUs;
+    private long stepCpuMaxUs;
+    private long stepMaxUs;
 
     private ConfigMeasure(long seed, boolean large, Path folder, PrintStream out, Crew crew) throws IOException {
         random = new SplittableRandom(seed);
@@ -76,98 +77,99 @@
         this.crew = crew;
     }
 
-    /** Runs all of it; 0 if every promise was kept. */
+    /** Runs the measurement and returns the exit code. */
     public static int run(long seed, boolean large, PrintStream out) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("laneflow-config");
         try (Crew crew = new Crew(folder)) {
-            return new ConfigMeasure(seed, large, folder, out, crew).all();
+            return new ConfigMeasure(seed, large, folder, out, crew).measure();
         } finally {
             Trash.remove(folder);
         }
     }
 
     private void startAll() throws IOException, InterruptedException {
-        for (int i = 0; i < NODES; i++) {
-            nodes[i] = Crew.port();
+        for (int i = 0; i < NODE_COUNT; i++) {
+            nodePorts[i] = Crew.port();
         }
         crew.start(
                 "nodes",
                 256,
                 StandInNodes.class,
-                nodes[0] + "," + nodes[1] + "," + nodes[2],
+                nodePorts[0] + "," + nodePorts[1] + "," + nodePorts[2],
                 "",
                 "5",
                 "8",
                 "20",
                 large ? "600" : "60");
         for (int i = 0; i < SCHEDULERS; i++) {
-            ports[i] = Crew.port();
+            schedulerPorts[i] = Crew.port();
             schedulers[i] = start(i);
-            hangs[i] = new HangLoad(ports[i], Map.of());
+            hangLoads[i] = new HangLoad(schedulerPorts[i], Map.of());
         }
         await(() -> control.streams() == SCHEDULERS, "streams");
     }
 
-    /** Publishes versions at an even pace while traffic runs; returns the share of it that was served. */
+    /** Publishes versions at an even pace under traffic and returns the share of requests served in time. */
     private double servedDuring(int versions) throws IOException, InterruptedException {
-        double[] served = new double[1];
-        Thread traffic = new Thread(() -> served[0] = quietLoad(versions * 0.1 + 3));
+        double[] servedShare = new double[1];
+        Thread traffic = new Thread(() -> servedShare[0] = runLoadQuietly(versions * 0.1 + 3));
         traffic.start();
-        long spacing = 100_000_000L;
-        long from = System.nanoTime();
+        long spacingNanos = 100_000_000L;
+        long startNanos = System.nanoTime();
         for (int i = 0; i < versions; i++) {
-            long wait = from + i * spacing - System.nanoTime();
-            if (wait > 0) {
-                Thread.sleep(wait / 1_000_000);
+            long waitNanos = startNanos + i * spacingNanos - System.nanoTime();
+            if (waitNanos > 0) {
+                Thread.sleep(waitNanos / 1_000_000);
             }
-            one(i);
+            publishScripted(i);
         }
         traffic.join();
-        return served[0];
+        return servedShare[0];
     }
 
-    /** Counts the schedulers that run another version than the last good one. */
+    /** Counts the schedulers whose running version is not the last valid one. */
     private void countDisagreements() throws IOException, InterruptedException {
         for (int i = 0; i < SCHEDULERS; i++) {
-            JsonObject report = JsonParser.parseString(body(get(i, "/config"))).getAsJsonObject();
+            JsonObject report =
+                    JsonParser.parseString(responseBody(get(i, "/config"))).getAsJsonObject();
             JsonObject types = report.getAsJsonObject("types");
             String version =
                     types.getAsJsonObject(DestinationType.URL).get("version").getAsString();
-            disagree += version.equals(running) ? 0 : 1;
+            disagreements += version.equals(runningVersion) ? 0 : 1;
         }
     }
 
-    private int all() throws IOException, InterruptedException {
+    private int measure() throws IOException, InterruptedException {
         startAll();
-        publish(good(all(NODES)), true, true);
-        deadlines(true);
-        load(1);
-        List<Thread> hanging = hang();
-        double before = load(3);
+        publish(destinations(nodeIndices(NODE_COUNT)), true, true);
+        publishClasses(true);
+        runLoad(1);
+        List<Thread> hanging = startHangLoads();
+        double shareBefore = runLoad(3);
         int versions = large ? 600 : 100;
-        double during = servedDuring(versions);
-        for (HangLoad load : hangs) {
+        double shareDuring = servedDuring(versions);
+        for (HangLoad load : hangLoads) {
             load.stop();
         }
         for (Thread thread : hanging) {
             thread.join();
         }
-        costs();
-        // Apart, since what a kill costs is not the versions' doing.
+        readAdoptionCosts();
+        // Done after the load, so that the cost of a restart does not count as a cost of the versions.
         for (int i = 0; i < SCHEDULERS; i++) {
-            restart(i);
-            one(versions + i);
+            killAndRestart(i);
+            publishScripted(versions + i);
         }
-        publish(good(all(NODES)), true, true);
+        publish(destinations(nodeIndices(NODE_COUNT)), true, true);
         countDisagreements();
-        double rollback = rollback();
-        long mixed = 0;
-        long checked = 0;
-        long across = 0;
-        for (HangLoad load : hangs) {
-            mixed += load.mixed.get();
-            checked += load.checked.get();
-            across += load.across.get();
+        double rollbackMs = measureRollback();
+        long mixedAnswers = 0;
+        long checkedAnswers = 0;
+        long acrossVersions = 0;
+        for (HangLoad load : hangLoads) {
+            mixedAnswers += load.mixed.get();
+            checkedAnswers += load.checked.get();
+            acrossVersions += load.across.get();
         }
         out.printf(
                 Locale.ROOT,
@@ -177,28 +179,32 @@
                         + " adopt_cpu_ms=%.2f step_cpu_ms=%.2f"
                         + " converge_p99_ms=%.1f"
                         + " rollback_ms=%.0f file_damaged=%d%n",
-                number,
-                acked,
-                nacked,
-                wrong,
-                mixed,
-                checked,
-                across,
-                lost,
-                disagree,
-                before * 100,
-                (before - during) * 100,
-                adoptUs / 1e3,
-                adoptMostUs / 1e3,
-                stepMostUs / 1e3,
-                adoptCpuUs / 1e3,
-                stepCpuUs / 1e3,
-                converge.getValueAtPercentile(99) / 1e6,
-                rollback,
-                damaged);
+                versionNumber,
+                acceptedCount,
+                rejectedCount,
+                wrongVerdicts,
+                mixedAnswers,
+                checkedAnswers,
+                acrossVersions,
+                lostRequests,
+                disagreements,
+                shareBefore * 100,
+                (shareBefore - shareDuring) * 100,
+                adoptP99Us / 1e3,
+                adoptMaxUs / 1e3,
+                stepMaxUs / 1e3,
+                adoptCpuMaxUs / 1e3,
+                stepCpuMaxUs / 1e3,
+                convergenceNs.getValueAtPercentile(99) / 1e6,
+                rollbackMs,
+                damagedFiles);
         control.close();
-        // A measurement in which no answer could have seen two versions has shown nothing of it.
-        return wrong + lost + disagree + damaged + mixed > 0 || rollback < 0 || across == 0 ? 1 : 0;
+        // If no request was open across two versions, the run says nothing about mixed responses.
+        return wrongVerdicts + lostRequests + disagreements + damagedFiles + mixedAnswers > 0
+                        || rollbackMs < 0
+                        || acrossVersions == 0
+                ? 1
+                : 0;
     }
 
     // ---- processes and traffic ----
@@ -206,33 +212,33 @@
     private Process start(int i) throws IOException, InterruptedException {
         String name = "s" + i;
         Path file = folder.resolve(name + ".toml");
-        settings(file, name, ports[i], control, "probation_ms = 0\n");
+        writeConfig(file, name, schedulerPorts[i], control, "probation_ms = 0\n");
         Process process = crew.scheduler(name, 128, file.toString());
-        crew.awaitPort(process, name, ports[i]);
+        crew.awaitPort(process, name, schedulerPorts[i]);
         return process;
     }
 
-    /** What adopting cost each scheduler until now. */
-    private void costs() throws IOException {
+    /** Reads what adopting versions has cost so far, and keeps the maximum over all schedulers. */
+    private void readAdoptionCosts() throws IOException {
         for (int i = 0; i < SCHEDULERS; i++) {
-            for (String line : body(get(i, "/counters")).split("\n")) {
+            for (String line : responseBody(get(i, "/counters")).split("\n")) {
                 String[] pair = line.strip().split(" ");
                 long value = pair.length == 2 ? Long.parseLong(pair[1]) : 0;
                 switch (pair[0]) {
                     case "config.adopt_p99_us":
-                        adoptUs = Math.max(adoptUs, value);
+                        adoptP99Us = Math.max(adoptP99Us, value);
                         break;
                     case "config.adopt_most_us":
-                        adoptMostUs = Math.max(adoptMostUs, value);
+                        adoptMaxUs = Math.max(adoptMaxUs, value);
                         break;
                     case "config.step_most_us":
-                        stepMostUs = Math.max(stepMostUs, value);
+                        stepMaxUs = Math.max(stepMaxUs, value);
                         break;
                     case "config.adopt_cpu_most_us":
-                        adoptCpuUs = Math.max(adoptCpuUs, value);
+                        adoptCpuMaxUs = Math.max(adoptCpuMaxUs, value);
                         break;
                     case "config.step_cpu_most_us":
-                        stepCpuUs = Math.max(stepCpuUs, value);
+                        stepCpuMaxUs = Math.max(stepCpuMaxUs, value);
                         break;
                     default:
                         break;
@@ -241,25 +247,26 @@
         }
     }
 
-    private void settings(Path file, String name, int port, StandInControl service, String more) throws IOException {
+    private void writeConfig(Path file, String name, int port, StandInControl controlService, String extraSettings)
+            throws IOException {
         Files.writeString(
                 file,
                 "name = \"" + name + "\"\nlisten = \"127.0.0.1:" + port
                         + "\"\nzones = [\"a\"]\n"
                         + "[limits]\nsockets = 2048\n[classes.check]\naim_ms = 200\nrepeat = \"safe\"\n"
                         + "[classes.hang]\naim_ms = 100\n"
-                        + "[control]\naddresses = [\"" + service.address() + "\"]\nlast_good_dir = \""
+                        + "[control]\naddresses = [\"" + controlService.address() + "\"]\nlast_good_dir = \""
                         + folder.resolve(name) + "\"\nallowed_endpoints = [\"127.0.0.0/8\"]\n"
                         + "tell_versions = true\nfigures_ms = 200\n"
-                        + "silence_ms = 60000\nlongest_backoff_ms = 200\n" + more);
+                        + "silence_ms = 60000\nlongest_backoff_ms = 200\n" + extraSettings);
     }
 
-    /** Three at a time at each scheduler, all through the script. */
-    private List<Thread> hang() {
+    /** Starts three threads per scheduler that send hanging requests until the load is stopped. */
+    private List<Thread> startHangLoads() {
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < SCHEDULERS; i++) {
             for (int k = 0; k < 3; k++) {
-                HangLoad load = hangs[i];
+                HangLoad load = hangLoads[i];
                 int first = k;
                 Thread thread = new Thread(() -> load.run(first));
                 thread.start();
@@ -270,18 +277,20 @@
     }
 
     /**
-     * Milliseconds from a version that breaks service to the word that it was taken back, at a scheduler of
-     * its own; negative where it was not, or a sound one was, or the broken one is taken again.
+     * Returns the milliseconds between publishing a version that breaks service and the report of its
+     * rollback, at a fifth scheduler. Negative if the version was not rolled back, if a valid version was,
+     * or if the scheduler adopts the broken version when it is published again.
      */
-    private double rollback() throws IOException, InterruptedException {
-        try (StandInControl service = new StandInControl()) {
+    private double measureRollback() throws IOException, InterruptedException {
+        try (StandInControl controlService = new StandInControl()) {
             int port = Crew.port();
             Path file = folder.resolve("r0.toml");
-            settings(file, "r0", port, service, "probation_ms = 2000\n");
+            writeConfig(file, "r0", port, controlService, "probation_ms = 2000\n");
             crew.scheduler("r0", 128, file.toString());
-            await(() -> service.has("r0"), "r0");
-            service.publish(line(DestinationType.URL, "1-aa", "b1", good(all(NODES))), true);
-            await(() -> service.reply("r0", "b1") != null, "r0's first word");
+            await(() -> controlService.has("r0"), "r0");
+            controlService.publish(
+                    snapshotMessage(DestinationType.URL, "1-aa", "b1", destinations(nodeIndices(NODE_COUNT))), true);
+            await(() -> controlService.reply("r0", "b1") != null, "r0's first reply");
             LiveLoad load = new LiveLoad(port, "check", 8, 100, 200);
             Thread traffic = new Thread(() -> {
                 try {
@@ -292,33 +301,40 @@
             });
             traffic.start();
             Thread.sleep(1200);
-            service.publish(line(DestinationType.URL, "2-aa", "b2", good(List.of(0, 1))), true);
+            controlService.publish(
+                    snapshotMessage(DestinationType.URL, "2-aa", "b2", destinations(List.of(0, 1))), true);
             Thread.sleep(2600);
-            boolean kept = !service.takenBack.containsKey("r0");
-            long from = System.nanoTime();
-            // Well formed and sound, and nobody listens there.
-            service.publish(
-                    line(
+            boolean validVersionKept = !controlService.takenBack.containsKey("r0");
+            long publishedNanos = System.nanoTime();
+            // A valid version whose endpoint refuses connections.
+            controlService.publish(
+                    snapshotMessage(
                             DestinationType.URL,
                             "3-aa",
                             "b3",
-                            List.of(endpoint(0, "").replaceFirst("127.0.0.1:[0-9]+", "127.0.0.1:9"), hangNode())),
+                            List.of(
+                                    endpoint(0, "").replaceFirst("127.0.0.1:[0-9]+", "127.0.0.1:9"),
+                                    hangingEndpoint())),
                     true);
-            while (!service.takenBack.containsKey("r0") && System.nanoTime() - from < 2 * PATIENCE) {
+            while (!controlService.takenBack.containsKey("r0")
+                    && System.nanoTime() - publishedNanos < 2 * REPLY_TIMEOUT_NS) {
                 Thread.sleep(1);
             }
-            Long back = service.takenBack.get("r0");
-            service.publish(line(DestinationType.URL, "3-aa", "b4", good(all(NODES))), false);
-            await(() -> service.reply("r0", "b4") != null, "r0's last word");
-            boolean refused = service.reply("r0", "b4").error() != null
-                    && service.reply("r0", "b4").version().equals("2-aa");
+            Long takenBackNanos = controlService.takenBack.get("r0");
+            controlService.publish(
+                    snapshotMessage(DestinationType.URL, "3-aa", "b4", destinations(nodeIndices(NODE_COUNT))), false);
+            await(() -> controlService.reply("r0", "b4") != null, "r0's last reply");
+            boolean rejectedAgain = controlService.reply("r0", "b4").error() != null
+                    && controlService.reply("r0", "b4").version().equals("2-aa");
             traffic.join();
-            lost += load.timedOut();
-            if (!kept || back == null || !refused) {
-                out.println("r0: kept=" + kept + " taken back=" + back + " refused again=" + refused + "\n"
-                        + crew.log("r0"));
+            lostRequests += load.timedOut();
+            if (!validVersionKept || takenBackNanos == null || !rejectedAgain) {
+                out.println("r0: valid version kept=" + validVersionKept + " rolled back at=" + takenBackNanos
+                        + " broken version rejected again=" + rejectedAgain + "\n" + crew.log("r0"));
             }
-            return kept && back != null && refused ? (back - from) / 1e6 : -1;
+            return validVersionKept && takenBackNanos != null && rejectedAgain
+                    ? (takenBackNanos - publishedNanos) / 1e6
+                    : -1;
         }
     }
 
@@ -326,51 +342,51 @@
         boolean holds() throws IOException;
     }
 
-    private static void await(Condition condition, String what) throws IOException, InterruptedException {
-        long end = System.nanoTime() + 10 * PATIENCE;
+    private static void await(Condition condition, String description) throws IOException, InterruptedException {
+        long deadlineNanos = System.nanoTime() + 10 * REPLY_TIMEOUT_NS;
         while (!condition.holds()) {
-            if (System.nanoTime() > end) {
-                throw new IOException("waited in vain for " + what);
+            if (System.nanoTime() > deadlineNanos) {
+                throw new IOException("timed out waiting for " + description);
             }
             Thread.sleep(5);
         }
     }
 
-    /** Killed and started again: it runs the last good version, and the newest as soon as it is told. */
-    private void restart(int i) throws IOException, InterruptedException {
+    /** Kills and restarts a scheduler, and waits until it runs the newest version again. */
+    private void killAndRestart(int i) throws IOException, InterruptedException {
         Crew.kill(schedulers[i]);
         control.forget("s" + i);
         schedulers[i] = start(i);
-        await(() -> control.has("s" + i), "its stream");
-        await(() -> body(get(i, "/config")).contains("\"" + running + "\""), "the newest version at s" + i);
+        await(() -> control.has("s" + i), "the stream of s" + i);
+        await(
+                () -> responseBody(get(i, "/config")).contains("\"" + runningVersion + "\""),
+                "the newest version at s" + i);
         if (crew.log("s" + i).contains("is passed over")) {
-            damaged++;
+            damagedFiles++;
         }
     }
 
-    private double quietLoad(double seconds) {
+    private double runLoadQuietly(double seconds) {
         try {
-            return load(seconds);
+            return runLoad(seconds);
         } catch (InterruptedException e) {
             return 0;
         }
     }
 
-    private int lost;
+    private int lostRequests;
 
-    /**
-     * Steady requests at each scheduler; one that is killed owes the requests of that time to nobody here.
-     */
-    private double load(double seconds) throws InterruptedException {
+    /** Sends steady requests to each scheduler and returns the mean share that was served in time. */
+    private double runLoad(double seconds) throws InterruptedException {
         LiveLoad[] loads = new LiveLoad[SCHEDULERS];
-        double[] shares = new double[SCHEDULERS];
+        double[] servedShares = new double[SCHEDULERS];
         Thread[] threads = new Thread[SCHEDULERS];
         for (int i = 0; i < SCHEDULERS; i++) {
-            int at = i;
-            loads[i] = new LiveLoad(ports[i], "check", 8, PER_SECOND, 200);
+            int index = i;
+            loads[i] = new LiveLoad(schedulerPorts[i], "check", 8, REQUESTS_PER_SECOND, 200);
             threads[i] = new Thread(() -> {
                 try {
-                    shares[at] = loads[at].run(seconds);
+                    servedShares[index] = loads[index].run(seconds);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -380,45 +396,44 @@
         double sum = 0;
         for (int i = 0; i < SCHEDULERS; i++) {
             threads[i].join();
-            sum += shares[i];
-            lost += loads[i].timedOut();
+            sum += servedShares[i];
+            lostRequests += loads[i].timedOut();
         }
         return sum / SCHEDULERS;
     }
 
     // ---- versions ----
 
-    private static List<Integer> all(int count) {
-        List<Integer> all = new ArrayList<>();
+    private static List<Integer> nodeIndices(int count) {
+        List<Integer> indices = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            all.add(i);
+            indices.add(i);
         }
-        return all;
+        return indices;
     }
 
-    private String endpoint(int node, String more) {
-        return "{\"name\":\"till-" + node + "\",\"dial\":\"127.0.0.1:" + nodes[node] + "\",\"zone\":\"a\"" + more + "}";
+    private String endpoint(int node, String extraFields) {
+        return "{\"name\":\"till-" + node + "\",\"dial\":\"127.0.0.1:" + nodePorts[node] + "\",\"zone\":\"a\""
+                + extraFields + "}";
     }
 
-    private List<String> good(List<Integer> live) {
+    private List<String> destinations(List<Integer> live) {
         List<String> resources = new ArrayList<>();
         live.forEach(node -> resources.add(endpoint(node, "")));
-        resources.add(hangNode());
+        resources.add(hangingEndpoint());
         return resources;
     }
 
-    private String hangNode() {
+    private String hangingEndpoint() {
         return endpoint(0, ",\"classes\":[\"hang\"]").replace("till-0", "hang-0");
     }
 
-    /**
-     * Classes whose deadline for hanging requests is another one, or a version of them that makes no sense.
-     */
-    private void deadlines(boolean good) throws InterruptedException {
-        int deadline = 150 + 100 * random.nextInt(4);
+    /** Publishes classes with a new deadline for hanging requests, or an invalid version of the classes. */
+    private void publishClasses(boolean valid) throws InterruptedException {
+        int deadlineMs = 150 + 100 * random.nextInt(4);
         String check = "{\"name\":\"check\",\"aim_ms\":200,\"repeat\":\"safe\"}";
-        String hang = "{\"name\":\"hang\",\"aim_ms\":100,\"deadline_ms\":" + deadline + "}";
-        String[] bad = {
+        String hang = "{\"name\":\"hang\",\"aim_ms\":100,\"deadline_ms\":" + deadlineMs + "}";
+        String[] invalid = {
             check,
             hang,
             check + "," + hang.replace("100,", "100,\"repeat\":\"safe\","),
@@ -427,134 +442,139 @@
             check + "," + hang.replace("deadline_ms", "dead_line"),
             check.replace("200", "\"200\"") + "," + hang
         };
-        number++;
-        String version = number + "-" + Long.toHexString(random.nextLong() >>> 8);
-        if (good) {
-            for (HangLoad load : hangs) {
-                load.version(version, deadline);
+        versionNumber++;
+        String version = versionNumber + "-" + Long.toHexString(random.nextLong() >>> 8);
+        if (valid) {
+            for (HangLoad load : hangLoads) {
+                load.version(version, deadlineMs);
             }
         }
-        String was = classes;
-        classes = good ? version : was;
+        String previous = classesVersion;
+        classesVersion = valid ? version : previous;
         send(
-                CLASSES,
+                CLASSES_TYPE,
                 version,
-                line(
-                        CLASSES,
+                snapshotMessage(
+                        CLASSES_TYPE,
                         version,
                         "n" + version,
-                        List.of(good ? check + "," + hang : bad[random.nextInt(bad.length)])),
+                        List.of(valid ? check + "," + hang : invalid[random.nextInt(invalid.length)])),
                 "n" + version,
-                good,
-                good,
-                was);
+                valid,
+                valid,
+                previous);
     }
 
-    private void limits(boolean good) throws InterruptedException {
-        String sound = "{\"name\":\"limits\",\"sockets\":2048,\"attempts\":" + (2 + random.nextInt(4)) + "}";
-        String[] bad = {
-            sound.replace("2048", "1000000000"),
-            sound.replace("attempts", "attemps"),
-            sound.replaceFirst("\"attempts\":[0-9]", "\"attempts\":0"),
-            sound + "," + sound
+    private void publishLimits(boolean valid) throws InterruptedException {
+        String validText = "{\"name\":\"limits\",\"sockets\":2048,\"attempts\":" + (2 + random.nextInt(4)) + "}";
+        String[] invalid = {
+            validText.replace("2048", "1000000000"),
+            validText.replace("attempts", "attemps"),
+            validText.replaceFirst("\"attempts\":[0-9]", "\"attempts\":0"),
+            validText + "," + validText
         };
-        number++;
-        String version = number + "-" + Long.toHexString(random.nextLong() >>> 8);
-        String was = limits;
-        limits = good ? version : was;
+        versionNumber++;
+        String version = versionNumber + "-" + Long.toHexString(random.nextLong() >>> 8);
+        String previous = limitsVersion;
+        limitsVersion = valid ? version : previous;
         send(
-                LIMITS,
+                LIMITS_TYPE,
                 version,
-                line(LIMITS, version, "n" + version, List.of(good ? sound : bad[random.nextInt(bad.length)])),
+                snapshotMessage(
+                        LIMITS_TYPE,
+                        version,
+                        "n" + version,
+                        List.of(valid ? validText : invalid[random.nextInt(invalid.length)])),
                 "n" + version,
-                good,
-                good,
-                was);
+                valid,
+                valid,
+                previous);
     }
 
-    /** A change of what runs: one endpoint leaves or comes back; or one that does not fit. */
-    private void change(boolean good) throws InterruptedException {
-        int node = random.nextInt(NODES);
-        boolean there = runs.toString().contains("\"till-" + node + "\"");
-        int live = 0;
-        for (int i = 0; i < NODES; i++) {
-            live += runs.toString().contains("\"till-" + i + "\"") ? 1 : 0;
+    /** Publishes a delta that removes or adds an endpoint; an invalid one has a wrong base or digest. */
+    private void publishDelta(boolean valid) throws InterruptedException {
+        int node = random.nextInt(NODE_COUNT);
+        boolean present = runningResources.toString().contains("\"till-" + node + "\"");
+        int presentCount = 0;
+        for (int i = 0; i < NODE_COUNT; i++) {
+            presentCount += runningResources.toString().contains("\"till-" + i + "\"") ? 1 : 0;
         }
-        boolean remove = there && live > 1;
-        JsonArray whole = new JsonArray();
-        runs.forEach(one -> {
-            if (!one.getAsJsonObject().get("name").getAsString().equals("till-" + node)) {
-                whole.add(one);
+        boolean remove = present && presentCount > 1;
+        JsonArray newResources = new JsonArray();
+        runningResources.forEach(resource -> {
+            if (!resource.getAsJsonObject().get("name").getAsString().equals("till-" + node)) {
+                newResources.add(resource);
             }
         });
         if (!remove) {
-            whole.add(JsonParser.parseString(endpoint(node, "")));
+            newResources.add(JsonParser.parseString(endpoint(node, "")));
         }
-        number++;
-        String digest = Message.digest(whole);
-        boolean wrongBase = !good && random.nextBoolean();
-        String version = number + "-" + (good || wrongBase ? digest : "0".repeat(64));
+        versionNumber++;
+        String digest = Message.digest(newResources);
+        boolean wrongBase = !valid && random.nextBoolean();
+        String version = versionNumber + "-" + (valid || wrongBase ? digest : "0".repeat(64));
         String nonce = "n" + version;
         String text = "{\"type_url\":\"" + DestinationType.URL + "\",\"system_version_info\":\"" + version
-                + "\",\"from_version\":\"" + (wrongBase ? "1-00" : running) + "\",\"nonce\":\"" + nonce
+                + "\",\"from_version\":\"" + (wrongBase ? "1-00" : runningVersion) + "\",\"nonce\":\"" + nonce
                 + "\","
                 + (remove
                         ? "\"removed_resources\":[\"till-" + node + "\"]"
                         : "\"resources\":[{\"name\":\"till-" + node + "\",\"resource\":" + endpoint(node, "") + "}]")
                 + "}";
-        String was = running;
-        if (good) {
-            running = version;
-            runs = whole;
-            // One that comes later is sent the whole.
-            control.newest(line(DestinationType.URL, version, nonce, List.of(strip(whole))));
+        String previous = runningVersion;
+        if (valid) {
+            runningVersion = version;
+            runningResources = newResources;
+            // A scheduler that connects later gets the snapshot.
+            control.newest(
+                    snapshotMessage(DestinationType.URL, version, nonce, List.of(withoutBrackets(newResources))));
         }
-        send(DestinationType.URL, version, text, nonce, good, false, was);
+        send(DestinationType.URL, version, text, nonce, valid, false, previous);
     }
 
-    private static String strip(JsonArray all) {
-        String text = all.toString();
+    private static String withoutBrackets(JsonArray array) {
+        String text = array.toString();
         return text.substring(1, text.length() - 1);
     }
 
-    private static String line(String type, String version, String nonce, List<String> resources) {
+    private static String snapshotMessage(String type, String version, String nonce, List<String> resources) {
         return "{\"type_url\":\"" + type + "\",\"version_info\":\"" + version + "\",\"nonce\":\"" + nonce
                 + "\",\"resources\":[" + String.join(",", resources) + "]}";
     }
 
-    /** One message of the script. */
-    private void one(int i) throws InterruptedException {
-        double draw = random.nextDouble();
-        List<String> resources = good(all(NODES));
-        if (i % 3 == 1) {
-            double kind = random.nextDouble();
-            boolean sound = draw < 0.7;
-            if (kind < 0.5) {
-                deadlines(sound);
-            } else if (kind < 0.7) {
-                limits(sound);
+    /** Publishes the next message: each third one concerns classes, limits or a delta. */
+    private void publishScripted(int index) throws InterruptedException {
+        double messageKind = random.nextDouble();
+        List<String> resources = destinations(nodeIndices(NODE_COUNT));
+        if (index % 3 == 1) {
+            double updateKind = random.nextDouble();
+            boolean valid = messageKind < 0.7;
+            if (updateKind < 0.5) {
+                publishClasses(valid);
+            } else if (updateKind < 0.7) {
+                publishLimits(valid);
             } else {
-                change(sound);
+                publishDelta(valid);
             }
-        } else if (draw < 0.45) {
-            // Two of three stay: the third drains, and comes back with a later version.
-            resources.remove(random.nextInt(NODES));
+        } else if (messageKind < 0.45) {
+            // Removes one of the three endpoints: it drains and returns with a later version.
+            resources.remove(random.nextInt(NODE_COUNT));
             publish(resources, true, true);
-        } else if (draw < 0.55) {
-            // A large set: two thousand that drain beside those that serve.
-            for (int n = 0; n < 2000; n++) {
-                resources.add("{\"name\":\"spare-" + n
+        } else if (messageKind < 0.55) {
+            // A large set: 2,000 draining endpoints besides the serving ones.
+            for (int spare = 0; spare < 2000; spare++) {
+                resources.add("{\"name\":\"spare-" + spare
                         + "\",\"dial\":\"127.1.0.1:9\",\"zone\":\"a\",\"state\":"
                         + "\"draining\"}");
             }
             publish(resources, true, true);
-        } else if (draw < 0.65) {
-            send(running, resources, true, false);
-        } else if (draw < 0.75) {
-            long runs = Long.parseLong(running.substring(0, running.indexOf('-')));
-            send(Math.max(0, runs - 1 - random.nextInt(5)) + "-00", resources, false, false);
+        } else if (messageKind < 0.65) {
+            send(runningVersion, resources, true, false);
+        } else if (messageKind < 0.75) {
+            long runningNumber = Long.parseLong(runningVersion.substring(0, runningVersion.indexOf('-')));
+            send(Math.max(0, runningNumber - 1 - random.nextInt(5)) + "-00", resources, false, false);
         } else {
-            String[] bad = {
+            String[] invalid = {
                 endpoint(0, ",\"state\":\"draining\""),
                 endpoint(0, ",\"weight\":0"),
                 endpoint(0, ",\"colour\":1"),
@@ -563,58 +583,66 @@
                 endpoint(0, "").replace("\"a\"", "\"b\""),
                 "7"
             };
-            publish(List.of(bad[random.nextInt(bad.length)]), false, false);
+            publish(List.of(invalid[random.nextInt(invalid.length)]), false, false);
         }
     }
 
-    private void publish(List<String> resources, boolean good, boolean keep) throws InterruptedException {
-        number++;
-        send(number + "-" + Long.toHexString(random.nextLong() >>> 8), resources, good, keep);
+    private void publish(List<String> resources, boolean valid, boolean keepForNewStreams) throws InterruptedException {
+        versionNumber++;
+        send(versionNumber + "-" + Long.toHexString(random.nextLong() >>> 8), resources, valid, keepForNewStreams);
     }
 
-    private void send(String version, List<String> resources, boolean good, boolean keep) throws InterruptedException {
+    private void send(String version, List<String> resources, boolean valid, boolean keepForNewStreams)
+            throws InterruptedException {
         String nonce = "n" + random.nextInt(1 << 30);
-        String was = running;
-        if (keep) {
-            running = version;
-            runs = JsonParser.parseString("[" + String.join(",", resources) + "]")
+        String previous = runningVersion;
+        if (keepForNewStreams) {
+            runningVersion = version;
+            runningResources = JsonParser.parseString("[" + String.join(",", resources) + "]")
                     .getAsJsonArray();
         }
         send(
                 DestinationType.URL,
                 version,
-                line(DestinationType.URL, version, nonce, resources),
+                snapshotMessage(DestinationType.URL, version, nonce, resources),
                 nonce,
-                good,
-                keep,
-                was);
+                valid,
+                keepForNewStreams,
+                previous);
     }
 
-    private void send(String type, String version, String text, String nonce, boolean good, boolean keep, String was)
+    private void send(
+            String type,
+            String version,
+            String text,
+            String nonce,
+            boolean valid,
+            boolean keepForNewStreams,
+            String previousVersion)
             throws InterruptedException {
-        long from = System.nanoTime();
-        control.publish(text, keep);
+        long sentNanos = System.nanoTime();
+        control.publish(text, keepForNewStreams);
         for (int i = 0; i < SCHEDULERS; i++) {
             StandInControl.Reply reply = control.reply("s" + i, nonce);
-            while (reply == null && System.nanoTime() - from < PATIENCE) {
+            while (reply == null && System.nanoTime() - sentNanos < REPLY_TIMEOUT_NS) {
                 Thread.sleep(0, 200_000);
                 reply = control.reply("s" + i, nonce);
             }
-            boolean ack = reply != null && reply.error() == null;
-            acked += ack ? 1 : 0;
-            nacked += ack ? 0 : 1;
-            // Turned down, it echoes what runs.
-            if (reply == null || ack != good || !reply.version().equals(good ? version : was)) {
-                wrong++;
+            boolean accepted = reply != null && reply.error() == null;
+            acceptedCount += accepted ? 1 : 0;
+            rejectedCount += accepted ? 0 : 1;
+            // A rejecting reply names the version that still runs.
+            if (reply == null || accepted != valid || !reply.version().equals(valid ? version : previousVersion)) {
+                wrongVerdicts++;
                 out.println("s" + i + " to " + type + " " + version + ": " + reply);
-            } else if (good) {
-                converge.recordValue(reply.nanos() - from);
+            } else if (valid) {
+                convergenceNs.recordValue(reply.nanos() - sentNanos);
             }
         }
     }
 
     private String get(int scheduler, String path) throws IOException {
-        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), ports[scheduler])) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), schedulerPorts[scheduler])) {
             socket.setSoTimeout(5000);
             socket.getOutputStream()
                     .write(("GET " + path + " HTTP/1.1\r\nHost: l\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
@@ -622,7 +650,7 @@
         }
     }
 
-    private static String body(String answer) {
+    private static String responseBody(String answer) {
         return answer.substring(answer.indexOf("\r\n\r\n") + 4);
     }
 }
