--- a/src/main/java/laneflow/lab/measure/ConfigMeasure.java
+++ b/src/main/java/laneflow/lab/measure/ConfigMeasure.java
@@ -357,7 +357,7 @@
         Crew.kill(schedulers[i]);
         control.forget("s" + i);
         schedulers[i] = start(i);
-        await(() -> control.has("s" + i), "the stream of s" + i);
+        await(() -> control.has("s" + i), "the stream of the restarted scheduler");
         await(
                 () -> responseBody(get(i, "/config")).contains("\"" + runningVersion + "\""),
                 "the newest version at s" + i);
--- a/src/main/java/laneflow/lab/measure/Conformance.java
+++ b/src/main/java/laneflow/lab/measure/Conformance.java
@@ -26,26 +26,26 @@
 import picocli.CommandLine.Option;
 
 /**
- * {@code lab conformance}: the cases of gearman-cases.txt, played against a scheduler of its own over
- * loopback. Its codec is independent of the front's, as {@link Wire}'s is. The last line counts the cases
- * that passed; exit code 1 where one did not.
+ * {@code lab conformance}: plays the cases of gearman-cases.txt over loopback against a scheduler process that
+ * it starts. Like {@link Wire}, it has a codec of its own, so that it does not repeat a fault in the codec of
+ * the Gearman front. The last line of output counts the cases that passed; the exit code is 1 if one failed.
  */
 @Command(
         name = "conformance",
         mixinStandardHelpOptions = true,
         description = "Plays the cases of the Gearman protocol; exit code 1 if one fails.")
 public final class Conformance implements Callable<Integer> {
-    /** Functions and limits that the cases count on: the table of the Gearman front, its address apart. */
+    /** The Gearman settings that the cases rely on, except the listen address. */
     public static final String FUNCTIONS = "unmapped_class = \"basket-check\"\n"
             + "[gearman.functions.check]\nclass = \"basket-check\"\n"
             + "[gearman.functions.other]\nclass = \"basket-check\"\n"
             + "[gearman.functions.pay]\nclass = \"card-capture\"\n";
 
-    private static final int PATIENCE_MS = 5000;
+    private static final int TIMEOUT_MS = 5000;
     private static final int REQUEST = 0x00524551;
     private static final int RESPONSE = 0x00524553;
-    private static final Pattern TIMES = Pattern.compile("\\{([0-9]+)\\*(.)\\}");
-    private static final String[] TYPES = {
+    private static final Pattern REPETITION = Pattern.compile("\\{([0-9]+)\\*(.)\\}");
+    private static final String[] PACKET_TYPES = {
         "",
         "CAN_DO",
         "CANT_DO",
@@ -91,7 +91,7 @@
         "STATUS_RES_UNIQUE"
     };
 
-    /** One case: its name, and its lines. */
+    /** A case of the protocol: a name and the steps that gearman-cases.txt has for it. */
     public record Case(String name, List<String> lines) {
         @Override
         public String toString() {
@@ -99,26 +99,26 @@
         }
     }
 
-    /** How many were played, and what went wrong in those that failed. */
+    /** The number of cases played, and a message for each that failed. */
     public record Result(int played, List<String> failures) {
         int passed() {
             return played - failures.size();
         }
     }
 
-    /** The cases, in the file's order. */
+    /** Returns all cases in the order of the file. */
     public static List<Case> cases() throws IOException {
-        List<Case> all = new ArrayList<>();
+        List<Case> cases = new ArrayList<>();
         try (InputStream in = Conformance.class.getResourceAsStream("gearman-cases.txt")) {
             for (String line : new String(in.readAllBytes(), StandardCharsets.UTF_8).split("\n")) {
                 if (line.startsWith("case ")) {
-                    all.add(new Case(line.substring(5), new ArrayList<>()));
+                    cases.add(new Case(line.substring(5), new ArrayList<>()));
                 } else if (!line.isBlank() && !line.startsWith("#")) {
-                    all.get(all.size() - 1).lines().add(line);
+                    cases.get(cases.size() - 1).lines().add(line);
                 }
             }
         }
-        return all;
+        return cases;
     }
 
     @Option(names = "--only", paramLabel = "TEXT", description = "Only cases whose names hold it.")
@@ -129,7 +129,7 @@
         return run(System.out, only).failures().isEmpty() ? 0 : 1;
     }
 
-    /** Plays all against a scheduler in a process of its own. */
+    /** Plays the cases whose names contain {@code only} against a scheduler process that it starts. */
     static Result run(PrintStream out, String only) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("laneflow-conformance");
         try (Crew crew = new Crew(folder)) {
@@ -152,60 +152,60 @@
         }
     }
 
-    /** Plays all against a front that listens there. */
+    /** Plays the cases whose names contain {@code only} against a Gearman front on this loopback port. */
     public static Result play(int port, String only) throws IOException {
         List<String> failures = new ArrayList<>();
         List<Case> cases = cases();
-        cases.removeIf(one -> !one.name().contains(only));
-        for (Case one : cases) {
-            String failure = play(one, port);
+        cases.removeIf(testCase -> !testCase.name().contains(only));
+        for (Case testCase : cases) {
+            String failure = play(testCase, port);
             if (failure != null) {
-                failures.add(one.name() + ": " + failure);
+                failures.add(testCase.name() + ": " + failure);
             }
         }
         return new Result(cases.size(), failures);
     }
 
-    /** Plays one; null if all went as written, else what did not. */
-    public static String play(Case one, int port) throws IOException {
+    /** Plays one case; returns null if it passed, else the failing line and the reason. */
+    public static String play(Case testCase, int port) throws IOException {
         Map<String, Connection> connections = new LinkedHashMap<>();
-        Map<String, String> known = new LinkedHashMap<>();
-        String at = "";
+        Map<String, String> variables = new LinkedHashMap<>();
+        String currentLine = "";
         try {
-            for (String line : one.lines()) {
-                at = line;
+            for (String line : testCase.lines()) {
+                currentLine = line;
                 String name = line.substring(0, 1);
                 Connection connection = connections.get(name);
                 if (connection == null) {
                     connection = new Connection(port);
                     connections.put(name, connection);
                 }
-                String rest = line.length() > 3 ? line.substring(3) : "";
-                String wrong = connection.act(line.charAt(1), rest, known);
-                if (wrong != null) {
-                    return "'" + line + "' " + wrong;
+                String arguments = line.length() > 3 ? line.substring(3) : "";
+                String failure = connection.execute(line.charAt(1), arguments, variables);
+                if (failure != null) {
+                    return "'" + line + "' " + failure;
                 }
             }
             return null;
         } catch (IOException | IllegalArgumentException e) {
-            return "'" + at + "' " + e;
+            return "'" + currentLine + "' " + e;
         } finally {
             for (Connection connection : connections.values()) {
                 connection.socket.close();
             }
-            alone(port);
+            awaitOtherConnectionsClosed(port);
         }
     }
 
-    /** Until the front has seen all of a case's connections go: the next case must not meet its workers. */
-    private static void alone(int port) throws IOException {
+    /** Waits until the front has closed all connections of a case, so that the next case starts without workers. */
+    private static void awaitOtherConnectionsClosed(int port) throws IOException {
         try (Connection operator = new Connection(port)) {
-            long end = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+            long deadlineNanos = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
             int others = 1;
-            while (others > 0 && System.nanoTime() < end) {
+            while (others > 0 && System.nanoTime() < deadlineNanos) {
                 operator.socket.getOutputStream().write("workers\n".getBytes(StandardCharsets.US_ASCII));
                 others = -1;
-                while (!operator.line().equals(".")) {
+                while (!operator.readLine().equals(".")) {
                     others++;
                 }
             }
@@ -220,117 +220,121 @@
         Connection(int port) throws IOException {
             socket = new Socket(InetAddress.getLoopbackAddress(), port);
             socket.setTcpNoDelay(true);
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
             in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
         }
 
-        /** Does what a line says; null, or what came instead. */
-        String act(char what, String rest, Map<String, String> known) throws IOException {
-            switch (what) {
+        /** Executes a line of a case; returns null if it succeeded, else the reason. */
+        String execute(char operation, String arguments, Map<String, String> variables) throws IOException {
+            switch (operation) {
                 case '>':
-                    send(rest, known);
+                    send(arguments, variables);
                     return null;
                 case '<':
-                    return expect(rest, known);
+                    return expect(arguments, variables);
                 case ':':
-                    socket.getOutputStream().write((text(rest, known) + "\n").getBytes(StandardCharsets.UTF_8));
+                    socket.getOutputStream()
+                            .write((expand(arguments, variables) + "\n").getBytes(StandardCharsets.UTF_8));
                     return null;
                 case '=':
-                    String line = line();
-                    return matches(text(rest, known), line) ? null : "came as '" + line + "'";
+                    String line = readLine();
+                    return matches(expand(arguments, variables), line) ? null : "received '" + line + "'";
                 case '*':
-                    return find(text(rest, known));
+                    return findInList(expand(arguments, variables));
                 case '?':
-                    return empty(text(rest, known));
+                    return awaitEmptyList(expand(arguments, variables));
                 case '#':
-                    socket.getOutputStream().write(HexFormat.of().parseHex(rest.replace(" ", "")));
+                    socket.getOutputStream().write(HexFormat.of().parseHex(arguments.replace(" ", "")));
                     return null;
                 case '!':
-                    return ended() ? null : "goes on";
+                    return isClosedByPeer() ? null : "the connection is still open";
                 case '^':
                     socket.close();
                     return null;
                 default:
-                    throw new IllegalArgumentException("is no line of a case");
+                    throw new IllegalArgumentException("unknown operation");
             }
         }
 
-        private void send(String rest, Map<String, String> known) throws IOException {
-            int space = rest.indexOf(' ');
-            String type = space < 0 ? rest : rest.substring(0, space);
-            byte[] data = text(space < 0 ? "" : rest.substring(space + 1), known)
+        private void send(String arguments, Map<String, String> variables) throws IOException {
+            int space = arguments.indexOf(' ');
+            String type = space < 0 ? arguments : arguments.substring(0, space);
+            byte[] data = expand(space < 0 ? "" : arguments.substring(space + 1), variables)
                     .replace('|', '\0')
                     .getBytes(StandardCharsets.UTF_8);
             ByteArrayOutputStream bytes = new ByteArrayOutputStream();
             DataOutputStream out = new DataOutputStream(bytes);
             out.writeInt(REQUEST);
-            out.writeInt(number(type));
+            out.writeInt(packetType(type));
             out.writeInt(data.length);
             out.write(data);
             socket.getOutputStream().write(bytes.toByteArray());
         }
 
-        private String expect(String rest, Map<String, String> known) throws IOException {
+        private String expect(String arguments, Map<String, String> variables) throws IOException {
             int magic = in.readInt();
             int type = in.readInt();
             byte[] data = in.readNBytes(in.readInt());
-            String name = type >= 0 && type < TYPES.length ? TYPES[type] : String.valueOf(type);
-            String[] is = new String(data, StandardCharsets.UTF_8).split("\0", -1);
-            int space = rest.indexOf(' ');
-            String[] wanted = (space < 0 ? "" : rest.substring(space + 1)).split("\\|", -1);
-            boolean fits = magic == RESPONSE
-                    && name.equals(space < 0 ? rest : rest.substring(0, space))
-                    && is.length == wanted.length;
-            for (int i = 0; fits && i < is.length; i++) {
-                if (wanted[i].startsWith("=") && wanted[i].length() > 1) {
-                    known.put(wanted[i].substring(1), is[i]);
+            String name = type >= 0 && type < PACKET_TYPES.length ? PACKET_TYPES[type] : String.valueOf(type);
+            String[] actual = new String(data, StandardCharsets.UTF_8).split("\0", -1);
+            int space = arguments.indexOf(' ');
+            String[] expected = (space < 0 ? "" : arguments.substring(space + 1)).split("\\|", -1);
+            boolean matches = magic == RESPONSE
+                    && name.equals(space < 0 ? arguments : arguments.substring(0, space))
+                    && actual.length == expected.length;
+            for (int i = 0; matches && i < actual.length; i++) {
+                if (expected[i].startsWith("=") && expected[i].length() > 1) {
+                    variables.put(expected[i].substring(1), actual[i]);
                 } else {
-                    fits = wanted[i].equals("*") || text(wanted[i], known).equals(is[i]);
+                    matches = expected[i].equals("*")
+                            || expand(expected[i], variables).equals(actual[i]);
                 }
             }
-            String said = String.join("|", is);
-            return fits ? null : "came as " + name + " " + (said.length() > 200 ? said.substring(0, 200) : said);
+            String received = String.join("|", actual);
+            return matches
+                    ? null
+                    : "received " + name + " " + (received.length() > 200 ? received.substring(0, 200) : received);
         }
 
-        String line() throws IOException {
+        String readLine() throws IOException {
             StringBuilder line = new StringBuilder();
             for (int next = in.read(); next != '\n'; next = in.read()) {
                 if (next < 0) {
-                    throw new IOException("ended after '" + line + "'");
+                    throw new IOException("the connection ended after '" + line + "'");
                 }
                 line.append((char) next);
             }
             return line.toString();
         }
 
-        /** Reads on to a line of that form, within the list that it is in. */
-        private String find(String wanted) throws IOException {
-            for (String line = line(); ; line = line()) {
-                if (matches(wanted, line)) {
+        /** Reads the list until a line matches; fails at the dot that ends the list. */
+        private String findInList(String expected) throws IOException {
+            for (String line = readLine(); ; line = readLine()) {
+                if (matches(expected, line)) {
                     return null;
                 }
                 if (line.equals(".")) {
-                    return "is not in the list";
+                    return "no line of the list matches";
                 }
             }
         }
 
-        private String empty(String asked) throws IOException {
-            byte[] bytes = (asked + "\n").getBytes(StandardCharsets.UTF_8);
-            long end = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+        private String awaitEmptyList(String command) throws IOException {
+            byte[] bytes = (command + "\n").getBytes(StandardCharsets.UTF_8);
+            long deadlineNanos = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
             int lines = 1;
-            while (lines > 0 && System.nanoTime() < end) {
+            while (lines > 0 && System.nanoTime() < deadlineNanos) {
                 lines = 0;
                 socket.getOutputStream().write(bytes);
-                while (!line().equals(".")) {
+                while (!readLine().equals(".")) {
                     lines++;
                 }
             }
             socket.getOutputStream().write(bytes);
-            return lines == 0 ? null : "is never empty";
+            return lines == 0 ? null : "the list did not become empty";
         }
 
-        private boolean ended() {
+        private boolean isClosedByPeer() {
             try {
                 return in.read() < 0;
             } catch (java.net.SocketTimeoutException e) {
@@ -346,31 +350,31 @@
         }
     }
 
-    private static int number(String type) {
-        for (int i = 1; i < TYPES.length; i++) {
-            if (TYPES[i].equals(type) && !type.isEmpty()) {
+    private static int packetType(String type) {
+        for (int i = 1; i < PACKET_TYPES.length; i++) {
+            if (PACKET_TYPES[i].equals(type) && !type.isEmpty()) {
                 return i;
             }
         }
-        throw new IllegalArgumentException("names no packet");
+        throw new IllegalArgumentException("unknown packet type");
     }
 
-    private static boolean matches(String wanted, String is) {
+    private static boolean matches(String expected, String actual) {
         StringBuilder pattern = new StringBuilder();
-        for (String part : wanted.split("\\*", -1)) {
+        for (String part : expected.split("\\*", -1)) {
             pattern.append(pattern.isEmpty() ? "" : ".*").append(Pattern.quote(part));
         }
-        return is.matches(pattern.toString());
+        return actual.matches(pattern.toString());
     }
 
-    /** What was remembered in the place of its name, and runs written out. */
-    private static String text(String text, Map<String, String> known) {
-        String all = text;
-        for (Map.Entry<String, String> one : known.entrySet()) {
-            all = all.replace("$" + one.getKey(), one.getValue());
+    /** Replaces {@code $name} by the value captured under that name, and {@code {N*x}} by N times x. */
+    private static String expand(String text, Map<String, String> variables) {
+        String expanded = text;
+        for (Map.Entry<String, String> variable : variables.entrySet()) {
+            expanded = expanded.replace("$" + variable.getKey(), variable.getValue());
         }
-        Matcher times = TIMES.matcher(all);
-        return times.replaceAll(
-                found -> Matcher.quoteReplacement(found.group(2).repeat(Integer.parseInt(found.group(1)))));
+        Matcher repetitions = REPETITION.matcher(expanded);
+        return repetitions.replaceAll(
+                match -> Matcher.quoteReplacement(match.group(2).repeat(Integer.parseInt(match.group(1)))));
     }
 }
--- a/src/main/java/laneflow/lab/measure/FleetMeasure.java
+++ b/src/main/java/laneflow/lab/measure/FleetMeasure.java
@@ -23,18 +23,19 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * {@code lab measure fleet}: schedulers as processes that keep a view of each other, under steady traffic,
- * while members come, crash, leave, stand still, and are cut off both ways and one way; then large fleets in
- * virtual time. What it costs is measured beside the same processes without a view. Exit code 1 where a
- * member that was well was buried, views stay apart, or a part of the fleet is not found again.
+ * {@code lab measure fleet}: runs scheduler processes with membership under steady traffic, while members
+ * join, crash, leave, stall, and are partitioned in both directions or in one; then large fleets in virtual
+ * time. The cost is the difference to the same processes without membership. The exit code is 1 if a
+ * healthy member was declared dead, if the views of the members stay different, or if the two sides of a
+ * healed partition do not merge.
  */
 public final class FleetMeasure {
-    private static final int PER_SECOND = 30;
+    private static final int REQUESTS_PER_SECOND = 30;
     private static final long SECOND = 1_000_000_000L;
     private static final long PERIOD_US = 250_000;
-    private static final int CALM_S = 3;
-    private static final Pattern CHANGE = Pattern.compile("member (n\\d+) life=\\d+ (\\w+) to (\\w+) ns=(\\d+)");
-    private static final String FILE = "zones = [\"z\"]\n[limits]\nsockets = 512\n[classes.check]\n"
+    private static final int STEADY_LOAD_SECONDS = 3;
+    private static final Pattern STATE_CHANGE = Pattern.compile("member (n\\d+) life=\\d+ (\\w+) to (\\w+) ns=(\\d+)");
+    private static final String COMMON_CONFIG = "zones = [\"z\"]\n[limits]\nsockets = 512\n[classes.check]\n"
             + "aim_ms = 200\ndeadline_ms = 5000\nrepeat = \"safe\"\n[classes.capture]\naim_ms = 200\n"
             + "deadline_ms = 5000\n";
 
@@ -44,18 +45,18 @@
     private final PrintStream out;
     private final Rig rig;
     private final PolicyLoad[] loads;
-    private final Histogram settle = new Histogram(3);
-    private final Histogram detect = new Histogram(3);
-    private final Set<String> mayBeBuried = new HashSet<>();
-    private final int[] read;
+    private final Histogram settleMs = new Histogram(3);
+    private final Histogram detectMs = new Histogram(3);
+    private final Set<String> mayBeDeclaredDead = new HashSet<>();
+    private final int[] logOffsets;
     private int joins;
     private int crashes;
-    private int cuts;
+    private int partitions;
     private int stalls;
-    private int events;
-    private int settled;
-    private int found;
-    private int falseBurials;
+    private int expectedEvents;
+    private int settledEvents;
+    private int mergedPartitions;
+    private int falseDeaths;
     private int splitViews;
 
     private FleetMeasure(long seed, boolean large, PrintStream out, Rig rig) {
@@ -65,65 +66,68 @@
         this.rig = rig;
         members = rig.size();
         loads = new PolicyLoad[members];
-        read = new int[members];
+        logOffsets = new int[members];
     }
 
-    /** Runs all of it; 0 if every promise was kept. */
+    /** Runs the measurement and returns the exit code. */
     public static int run(long seed, boolean large, PrintStream out) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("laneflow-fleet");
         int[] nodes = {Crew.port(), Crew.port(), Crew.port()};
-        try (Rig rig = new Rig(folder, large ? 32 : 12, 1, seed, FILE + Rig.endpoints(nodes))) {
+        try (Rig rig = new Rig(folder, large ? 32 : 12, 1, seed, COMMON_CONFIG + Rig.endpoints(nodes))) {
             rig.nodes(nodes, large ? 900 : 300);
-            return new FleetMeasure(seed, large, out, rig).all(seed);
+            return new FleetMeasure(seed, large, out, rig).measure(seed);
         } finally {
             Trash.remove(folder);
         }
     }
 
-    private int all(long seed) throws IOException, InterruptedException {
-        // First as it is without a view, to know what that costs.
+    private int measure(long seed) throws IOException, InterruptedException {
+        // The baseline: the same processes without membership.
         rig.startAll();
-        double without = calm(false);
-        double idleWithout = idle();
+        double shareWithout = servedUnderSteadyLoad(false);
+        double idleCpuWithout = idleCpuMsPerSecond();
         for (int i = 0; i < members; i++) {
             rig.kill(i);
         }
         rig.members(seed, (int) (PERIOD_US / 1000), 0, 1);
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         rig.startAll();
         joins += members;
-        rig.await("all stand", () -> rig.fleet(members - 1).get("live").getAsInt() > 0);
-        event("all join", from, rig.all());
-        double with = calm(true);
-        // Quiet: nothing may move.
+        rig.await(
+                "the last member sees a live member",
+                () -> rig.fleet(members - 1).get("live").getAsInt() > 0);
+        awaitOneView("all members join", startNanos, rig.all());
+        double shareWith = servedUnderSteadyLoad(true);
+        // Without any event, no member may change its state.
         rig.awaitSettled(members, rig.all());
-        long changesBefore = changes();
-        long bytesBefore = bytes();
-        long quietFrom = System.nanoTime();
-        double idle = idle();
-        double bytes = (bytes() - bytesBefore) * 1e9 / (System.nanoTime() - quietFrom) / members;
-        long flaps = changes() - changesBefore;
-        crashes();
-        stalls();
-        cuts();
-        leaves();
-        int most = 0;
-        double turn = 0;
+        long changesBefore = countStateChanges();
+        long bytesBefore = membershipBytes();
+        long idleStartNanos = System.nanoTime();
+        double idleCpuWith = idleCpuMsPerSecond();
+        double bytesPerSecond =
+                (membershipBytes() - bytesBefore) * 1e9 / (System.nanoTime() - idleStartNanos) / members;
+        long changesInIdle = countStateChanges() - changesBefore;
+        runCrashes();
+        runStalls();
+        runPartitions();
+        runLeave();
+        int maxDatagramBytes = 0;
+        double maxTurnUs = 0;
         for (int i : rig.all()) {
-            most = (int) Math.max(most, rig.counter(i, "members.datagram_most"));
-            turn = Math.max(turn, rig.fleet(i).get("turn_us").getAsDouble());
+            maxDatagramBytes = (int) Math.max(maxDatagramBytes, rig.counter(i, "members.datagram_most"));
+            maxTurnUs = Math.max(maxTurnUs, rig.fleet(i).get("turn_us").getAsDouble());
         }
-        out.printf(Locale.ROOT, "a turn takes %.0f us in the mean at the slowest member%n", turn);
-        String virtual = virtual(seed);
-        double loss = (without - with) * 100;
+        out.printf(Locale.ROOT, "mean time of a membership turn at the slowest member: %.0f us%n", maxTurnUs);
+        String virtualFigures = measureVirtualTime(seed);
+        double lossPoints = (shareWithout - shareWith) * 100;
         out.printf(
                 Locale.ROOT,
-                "served in time without a view %.4f, with it %.4f; idle processor time"
+                "served in time without membership %.4f, with it %.4f; idle processor time"
                         + " %.2f and %.2f ms a second%n",
-                without,
-                with,
-                idleWithout,
-                idle);
+                shareWithout,
+                shareWith,
+                idleCpuWithout,
+                idleCpuWith);
         out.printf(
                 Locale.ROOT,
                 "fleet: members=%d joins=%d crashes=%d cuts=%d stalls=%d settled=%d/%d"
@@ -134,280 +138,285 @@
                 members,
                 joins,
                 crashes,
-                cuts,
+                partitions,
                 stalls,
-                settled,
-                events,
-                settle.getValueAtPercentile(99) * 1000.0 / PERIOD_US,
-                settle.getMaxValue() * 1.0,
-                falseBurials,
+                settledEvents,
+                expectedEvents,
+                settleMs.getValueAtPercentile(99) * 1000.0 / PERIOD_US,
+                settleMs.getMaxValue() * 1.0,
+                falseDeaths,
                 splitViews,
-                flaps,
-                found,
-                cuts,
-                bytes,
-                most,
-                Math.max(0, idle - idleWithout),
-                virtual,
-                loss);
-        return falseBurials == 0
+                changesInIdle,
+                mergedPartitions,
+                partitions,
+                bytesPerSecond,
+                maxDatagramBytes,
+                Math.max(0, idleCpuWith - idleCpuWithout),
+                virtualFigures,
+                lossPoints);
+        return falseDeaths == 0
                         && splitViews == 0
-                        && flaps == 0
-                        && settled == events
-                        && found == cuts
-                        && most <= Seal.MAX_DATAGRAM_BYTES
+                        && changesInIdle == 0
+                        && settledEvents == expectedEvents
+                        && mergedPartitions == partitions
+                        && maxDatagramBytes <= Seal.MAX_DATAGRAM_BYTES
                 ? 0
                 : 1;
     }
 
     // ---- service ----
 
-    /** The share served in time under load, with young processes left out. */
-    private double calm(boolean view) throws IOException, InterruptedException {
+    /** Returns the share of requests served in time under steady load, after a warm-up. */
+    private double servedUnderSteadyLoad(boolean withMembership) throws IOException, InterruptedException {
         for (int i = 0; i < members; i++) {
-            int one = i;
-            rig.await("it serves", () -> rig.ask(one, "/counters", null).statusCode() > 0);
-            loads[i] = new PolicyLoad(Rig.name(i), rig.clientPort(i), 4, PER_SECOND);
+            int index = i;
+            rig.await(
+                    "the scheduler answers HTTP requests",
+                    () -> rig.ask(index, "/counters", null).statusCode() > 0);
+            loads[i] = new PolicyLoad(Rig.name(i), rig.clientPort(i), 4, REQUESTS_PER_SECOND);
             loads[i].begin();
         }
         Thread.sleep(large ? 10_000 : 2000);
-        long from = System.nanoTime();
-        Thread.sleep(CALM_S * 1000L);
-        long to = System.nanoTime();
-        double served = PolicyLoad.served(loads, from, to);
+        long startNanos = System.nanoTime();
+        Thread.sleep(STEADY_LOAD_SECONDS * 1000L);
+        long endNanos = System.nanoTime();
+        double servedShare = PolicyLoad.served(loads, startNanos, endNanos);
         for (PolicyLoad load : loads) {
             load.end();
         }
-        out.printf(Locale.ROOT, "%s view: %.4f served in time%n", view ? "with a" : "without a", served);
-        return served;
+        out.printf(
+                Locale.ROOT, "%s membership: %.4f served in time%n", withMembership ? "with" : "without", servedShare);
+        return servedShare;
     }
 
-    /** Milliseconds of processor time a second in the mean of all, while nobody asks. */
-    private double idle() throws IOException, InterruptedException {
+    /** Returns the processor time per second in ms, the mean of all members, without requests. */
+    private double idleCpuMsPerSecond() throws IOException, InterruptedException {
         Thread.sleep(large ? 20_000 : 500);
         return Arrays.stream(rig.cpu(4000)).average().orElse(0);
     }
 
-    private long bytes() throws IOException, InterruptedException {
-        long all = 0;
+    private long membershipBytes() throws IOException, InterruptedException {
+        long total = 0;
         for (int i = 0; i < members; i++) {
-            all += rig.counter(i, "members.bytes");
+            total += rig.counter(i, "members.bytes");
         }
-        return all;
+        return total;
     }
 
     // ---- events ----
 
-    /** Waits until all of these hold one view, of exactly themselves, and notes how long that took. */
-    private void event(String what, long fromNs, int... these) throws IOException, InterruptedException {
-        events++;
+    /** Waits until the view of each of these members is exactly this set, and records how long that took. */
+    private void awaitOneView(String description, long fromNs, int... expectedMembers)
+            throws IOException, InterruptedException {
+        expectedEvents++;
         try {
-            rig.await("all agree: " + what, () -> rig.agree(these.length, these));
-            settled++;
-            long ms = (System.nanoTime() - fromNs) / 1_000_000;
-            settle.recordValue(ms);
-            out.println(what + ": one view of " + these.length + " after " + ms + " ms");
+            rig.await("all members agree: " + description, () -> rig.agree(expectedMembers.length, expectedMembers));
+            settledEvents++;
+            long elapsedMs = (System.nanoTime() - fromNs) / 1_000_000;
+            settleMs.recordValue(elapsedMs);
+            out.println(description + ": one view of " + expectedMembers.length + " after " + elapsedMs + " ms");
         } catch (IOException e) {
             splitViews++;
             out.println(e.getMessage());
         }
-        burials();
+        countFalseDeaths();
     }
 
-    /** Reads on in all logs: who was buried that was well? */
-    private void burials() throws IOException {
+    /** Reads the new part of all logs and counts the members that were declared dead while healthy. */
+    private void countFalseDeaths() throws IOException {
         for (int i = 0; i < members; i++) {
             String log = rig.log(i);
-            Matcher change = CHANGE.matcher(log.substring(read[i]));
-            while (change.find()) {
-                if (change.group(3).equals(State.DEAD.name())
-                        && !mayBeBuried.contains(change.group(1))
-                        && !mayBeBuried.contains(Rig.name(i))) {
-                    falseBurials++;
-                    out.println(Rig.name(i) + " buried " + change.group(1) + ", which was well");
+            Matcher matcher = STATE_CHANGE.matcher(log.substring(logOffsets[i]));
+            while (matcher.find()) {
+                if (matcher.group(3).equals(State.DEAD.name())
+                        && !mayBeDeclaredDead.contains(matcher.group(1))
+                        && !mayBeDeclaredDead.contains(Rig.name(i))) {
+                    falseDeaths++;
+                    out.println(Rig.name(i) + " declared dead " + matcher.group(1) + ", which was healthy");
                 }
             }
-            read[i] = log.length();
+            logOffsets[i] = log.length();
         }
     }
 
-    /** Changes of anybody's view so far. */
-    private long changes() throws IOException {
-        long all = 0;
+    /** Returns the number of state changes in the logs of all members so far. */
+    private long countStateChanges() throws IOException {
+        long total = 0;
         for (int i = 0; i < members; i++) {
-            Matcher change = CHANGE.matcher(rig.log(i));
-            while (change.find()) {
-                all++;
+            Matcher matcher = STATE_CHANGE.matcher(rig.log(i));
+            while (matcher.find()) {
+                total++;
             }
         }
-        return all;
+        return total;
     }
 
-    private void crashes() throws IOException, InterruptedException {
+    private void runCrashes() throws IOException, InterruptedException {
         for (int round = 0; round < (large ? 10 : 3); round++) {
-            // One, then a third of all at one moment.
-            Set<Integer> down = new HashSet<>();
-            while (down.size() < (round == 2 ? members / 3 : 1)) {
-                down.add(2 + random.nextInt(members - 2));
+            // One member crashes in each round but the third, in which a third of all crash at once.
+            Set<Integer> crashed = new HashSet<>();
+            while (crashed.size() < (round == 2 ? members / 3 : 1)) {
+                crashed.add(2 + random.nextInt(members - 2));
             }
-            down.forEach(i -> mayBeBuried.add(Rig.name(i)));
-            int[] logs = new int[members];
+            crashed.forEach(i -> mayBeDeclaredDead.add(Rig.name(i)));
+            int[] logLengths = new int[members];
             for (int i : rig.all()) {
-                logs[i] = rig.log(i).length();
+                logLengths[i] = rig.log(i).length();
             }
-            long from = System.nanoTime();
-            for (int i : down) {
+            long startNanos = System.nanoTime();
+            for (int i : crashed) {
                 rig.kill(i);
                 crashes++;
             }
-            event(down.size() + " crashed", from, rig.without(down));
-            for (int i : rig.without(down)) {
-                Matcher change = CHANGE.matcher(rig.log(i).substring(logs[i]));
-                while (change.find()) {
-                    if (change.group(3).equals(State.DEAD.name())) {
-                        detect.recordValue(Math.max(0, (Long.parseLong(change.group(4)) - from) / 1_000_000));
+            awaitOneView(crashed.size() + " crashed", startNanos, rig.without(crashed));
+            for (int i : rig.without(crashed)) {
+                Matcher matcher = STATE_CHANGE.matcher(rig.log(i).substring(logLengths[i]));
+                while (matcher.find()) {
+                    if (matcher.group(3).equals(State.DEAD.name())) {
+                        detectMs.recordValue(Math.max(0, (Long.parseLong(matcher.group(4)) - startNanos) / 1_000_000));
                     }
                 }
             }
-            from = System.nanoTime();
-            for (int i : down) {
+            startNanos = System.nanoTime();
+            for (int i : crashed) {
                 rig.start(i);
                 joins++;
             }
-            event("they came back", from, rig.all());
-            mayBeBuried.clear();
+            awaitOneView("the crashed members restarted", startNanos, rig.all());
+            mayBeDeclaredDead.clear();
         }
     }
 
-    private void stalls() throws IOException, InterruptedException {
+    private void runStalls() throws IOException, InterruptedException {
         for (int round = 0; round < (large ? 8 : 3); round++) {
-            int still = 2 + random.nextInt(members - 2);
-            boolean burial = round == 1;
-            if (burial) {
-                mayBeBuried.add(Rig.name(still));
+            int stalled = 2 + random.nextInt(members - 2);
+            boolean expectDead = round == 1;
+            if (expectDead) {
+                mayBeDeclaredDead.add(Rig.name(stalled));
             }
-            long from = System.nanoTime();
-            rig.stall(still);
+            long startNanos = System.nanoTime();
+            rig.stall(stalled);
             stalls++;
-            if (burial) {
-                event("one stands still for long", from, rig.without(Set.of(still)));
+            if (expectDead) {
+                awaitOneView("a member stalls until it is declared dead", startNanos, rig.without(Set.of(stalled)));
             } else {
-                // Well under the shortest suspicion.
+                // Well under the shortest suspicion timeout.
                 Thread.sleep(500);
             }
-            from = System.nanoTime();
-            rig.wake(still);
-            event("it is awake", from, rig.all());
-            mayBeBuried.clear();
+            startNanos = System.nanoTime();
+            rig.wake(stalled);
+            awaitOneView("the stalled member resumes", startNanos, rig.all());
+            mayBeDeclaredDead.clear();
         }
     }
 
-    private void cuts() throws IOException, InterruptedException {
+    private void runPartitions() throws IOException, InterruptedException {
         for (int round = 0; round < (large ? 6 : 2); round++) {
-            List<Integer> part = new ArrayList<>();
-            int size = round == 0 ? members / 2 : 1 + random.nextInt(members / 2);
-            while (part.size() < size) {
-                int one = random.nextInt(members);
-                if (!part.contains(one)) {
-                    part.add(one);
+            List<Integer> group = new ArrayList<>();
+            int groupSize = round == 0 ? members / 2 : 1 + random.nextInt(members / 2);
+            while (group.size() < groupSize) {
+                int member = random.nextInt(members);
+                if (!group.contains(member)) {
+                    group.add(member);
                 }
             }
             for (int i : rig.all()) {
-                mayBeBuried.add(Rig.name(i));
+                mayBeDeclaredDead.add(Rig.name(i));
             }
-            long from = System.nanoTime();
-            rig.partAll(part);
-            cuts++;
-            int[] here = part.stream().mapToInt(Integer::intValue).toArray();
-            event("a part of " + size + " is cut off", from, here);
-            event("and the others", from, rig.without(new HashSet<>(part)));
-            from = System.nanoTime();
+            long startNanos = System.nanoTime();
+            rig.partAll(group);
+            partitions++;
+            int[] groupMembers = group.stream().mapToInt(Integer::intValue).toArray();
+            awaitOneView("a group of " + groupSize + " is partitioned off", startNanos, groupMembers);
+            awaitOneView("the other side of the partition", startNanos, rig.without(new HashSet<>(group)));
+            startNanos = System.nanoTime();
             rig.heal();
-            int before = settled;
-            event("healed", from, rig.all());
-            found += settled - before;
-            mayBeBuried.clear();
+            int settledBefore = settledEvents;
+            awaitOneView("the partition healed", startNanos, rig.all());
+            mergedPartitions += settledEvents - settledBefore;
+            mayBeDeclaredDead.clear();
         }
-        // One way between two: others reach both.
+        // Cut from member 1 to member 2 only; the others reach both.
         rig.cut(1, 2);
         Thread.sleep(3000);
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         rig.heal();
-        event("cut one way, and healed", from, rig.all());
+        awaitOneView("a one-way cut between two members healed", startNanos, rig.all());
     }
 
-    private void leaves() throws IOException, InterruptedException {
-        int one = members - 1;
-        mayBeBuried.add(Rig.name(one));
-        long from = System.nanoTime();
-        rig.term(one);
-        event("one leaves", from, rig.without(Set.of(one)));
-        rig.ended(one);
-        rig.start(one);
+    private void runLeave() throws IOException, InterruptedException {
+        int member = members - 1;
+        mayBeDeclaredDead.add(Rig.name(member));
+        long startNanos = System.nanoTime();
+        rig.term(member);
+        awaitOneView("a member leaves", startNanos, rig.without(Set.of(member)));
+        rig.ended(member);
+        rig.start(member);
         joins++;
-        event("and comes back", System.nanoTime(), rig.all());
+        awaitOneView("the member that left restarted", System.nanoTime(), rig.all());
     }
 
     // ---- large fleets ----
 
-    private static String rounds(int size, double rounds) {
+    private static String settleFigure(int size, double rounds) {
         return String.format(Locale.ROOT, " settle_rounds_%d=%.0f", size, rounds);
     }
 
-    private String virtual(long seed) {
-        StringBuilder all = new StringBuilder();
+    private String measureVirtualTime(long seed) {
+        StringBuilder figures = new StringBuilder();
         int[] sizes = large ? new int[] {200, 1000, 5000} : new int[] {200, 1000};
-        Histogram seen = new Histogram(3);
+        Histogram detectionMs = new Histogram(3);
         for (int size : sizes) {
             MemberWorld world = new MemberWorld(size, new Times(PERIOD_US), seed);
             for (int i = 0; i < size; i++) {
                 world.start(i, 0, 1, 2);
             }
-            long took = world.runUntil(world::isSettled, 120_000_000, 50_000);
-            double rounds = took * 1.0 / PERIOD_US;
+            long settleUs = world.runUntil(world::isSettled, 120_000_000, 50_000);
+            double rounds = settleUs * 1.0 / PERIOD_US;
             if (size > 200 && !large) {
                 out.printf(
                         Locale.ROOT,
-                        "%d members in virtual time: begun at once one view after %.0f" + " rounds%n",
+                        "%d members in virtual time: started at once, one view after %.0f" + " rounds%n",
                         size,
                         rounds);
-                all.append(rounds(size, rounds));
+                figures.append(settleFigure(size, rounds));
                 continue;
             }
             world.pass(20_000_000);
-            int crashesThere = size == 200 ? 30 : 2;
-            long longest = 0;
-            for (int k = 0; k < crashesThere; k++) {
-                int one = 3 + random.nextInt(size - 3);
-                long[] at = {world.now()};
+            int crashCount = size == 200 ? 30 : 2;
+            long longestDetectionUs = 0;
+            for (int crash = 0; crash < crashCount; crash++) {
+                int crashed = 3 + random.nextInt(size - 3);
+                long[] crashedAtUs = {world.now()};
                 world.watch((by, before, now) -> {
-                    if (now.state() == State.DEAD && world.place(now.instance()) == one) {
-                        long ms = (world.now() - at[0]) / 1000;
+                    if (now.state() == State.DEAD && world.place(now.instance()) == crashed) {
+                        long elapsedMs = (world.now() - crashedAtUs[0]) / 1000;
                         if (size == 200) {
-                            seen.recordValue(ms);
+                            detectionMs.recordValue(elapsedMs);
                         }
                     }
                 });
-                world.crash(one);
-                longest = Math.max(longest, world.runUntil(() -> world.agree(i -> true), 60_000_000, 20_000));
+                world.crash(crashed);
+                longestDetectionUs =
+                        Math.max(longestDetectionUs, world.runUntil(() -> world.agree(i -> true), 60_000_000, 20_000));
                 world.watch((by, before, now) -> {});
-                world.start(one, 0, 1, 2);
+                world.start(crashed, 0, 1, 2);
                 world.runUntil(world::isSettled, 60_000_000, 50_000);
                 world.pass(2_000_000);
             }
             world.pass(20_000_000);
-            long bytes = world.bytes();
+            long bytesBefore = world.bytes();
             world.pass(10_000_000);
             out.printf(
                     Locale.ROOT,
-                    "%d members in virtual time: begun at once one view after %.0f rounds,"
+                    "%d members in virtual time: started at once, one view after %.0f rounds,"
                             + " a crash seen by all within %d ms, %.0f bytes a second in idle%n",
                     size,
                     rounds,
-                    longest / 1000,
-                    (world.bytes() - bytes) / 10.0 / size);
-            all.append(rounds(size, rounds));
+                    longestDetectionUs / 1000,
+                    (world.bytes() - bytesBefore) / 10.0 / size);
+            figures.append(settleFigure(size, rounds));
         }
-        return all.substring(1) + " detect_p99_ms=" + seen.getValueAtPercentile(99);
+        return figures.substring(1) + " detect_p99_ms=" + detectionMs.getValueAtPercentile(99);
     }
 }
