--- a/src/main/java/laneflow/lab/measure/CapacityMeasure.java
+++ b/src/main/java/laneflow/lab/measure/CapacityMeasure.java
@@ -10,77 +10,79 @@
 import laneflow.lab.world.CapacityWorld.Result;
 
 /**
- * {@code lab measure capacity}: with real processes the same drawn day without news of capacity and with it,
- * in pairs; behind it days in virtual time, with the module itself deciding, without news, with it, with a
- * liar, and with one that sees all at once. Exit code 1 where a promise is broken.
+ * {@code lab measure capacity}: measures what the exchange of capacity news between schedulers gains. It runs
+ * the same workload on real processes with and without news, in pairs; then simulations of the capacity
+ * module in virtual time: without news, with news, with a scheduler that sends false news, and with a central
+ * view of all endpoints. The exit code is 1 if a guarantee is violated.
  */
 public final class CapacityMeasure {
-    private static final int DATAGRAM = 256;
-    private static final int MOST_BYTES = 200;
-    private static final double WIRE_SECONDS = 0.002;
-    /** In which order days are played: what the machine does meanwhile falls on both. */
-    private static final boolean[] PAIRS = {true, false, false, true};
+    private static final int MAX_DATAGRAM_BYTES = 256;
+    private static final int MAX_NEWS_BYTES = 200;
+    private static final double NETWORK_DELAY_SECONDS = 0.002;
+    /** Whether each run has news; the order spreads a drift of the machine's speed evenly over both kinds. */
+    private static final boolean[] NEWS_BY_RUN = {true, false, false, true};
 
     private final long seed;
     private final PrintStream out;
-    private boolean kept = true;
+    private boolean guaranteesHold = true;
 
     private CapacityMeasure(long seed, PrintStream out) {
         this.seed = seed;
         this.out = out;
     }
 
-    /** Runs all of it; 0 if every promise was kept. */
+    /** Runs the measurement and returns the exit code. */
     public static int run(long seed, boolean large, PrintStream out) throws IOException, InterruptedException {
-        CapacityMeasure measure = new CapacityMeasure(seed, out);
+        CapacityMeasure measurement = new CapacityMeasure(seed, out);
         if (large) {
-            measure.sizes();
-            measure.virtual(200, 5000, 9, 4);
+            measurement.printBytesByFleetSize();
+            measurement.runVirtualTime(200, 5000, 9, 4);
         } else {
-            measure.processes(12);
-            measure.virtual(36, 180, 6, 10);
+            measurement.runProcesses(12);
+            measurement.runVirtualTime(36, 180, 6, 10);
         }
-        return measure.kept ? 0 : 1;
+        return measurement.guaranteesHold ? 0 : 1;
     }
 
     // ---- processes ----
 
-    private void processes(double seconds) throws IOException, InterruptedException {
-        CapacityProcesses.Day[] all = new CapacityProcesses.Day[PAIRS.length];
-        double[] points = new double[2];
-        double[] idle = new double[2];
-        double[] bytes = new double[2];
-        long[] overshoot = new long[2];
-        int toDrained = 0;
-        int coldFallen = 0;
-        long most = 0;
-        for (int i = 0; i < all.length; i++) {
-            CapacityProcesses.Day day = CapacityProcesses.play(seed, PAIRS[i], seconds);
-            all[i] = day;
+    private void runProcesses(double seconds) throws IOException, InterruptedException {
+        CapacityProcesses.Result[] results = new CapacityProcesses.Day[NEWS_BY_RUN.length];
+        double[] servedPercent = new double[2];
+        double[] refusedWhileIdlePercent = new double[2];
+        double[] bytesPerSecond = new double[2];
+        long[] queuedAheadP99 = new long[2];
+        int sentToDrained = 0;
+        int coldCollapses = 0;
+        long maxDatagramBytes = 0;
+        for (int i = 0; i < results.length; i++) {
+            CapacityProcesses.Result result = CapacityProcesses.run(seed, NEWS_BY_RUN[i], seconds);
+            results[i] = result;
             out.printf(
                     Locale.ROOT,
                     "%s: asked=%d points=%.2f refused=%d while_room=%d late=%d failed=%d"
                             + " to_drained=%d cold_fallen=%d%n",
-                    PAIRS[i] ? "with news" : "without",
-                    day.outcome.asked,
-                    day.outcome.points(),
-                    day.outcome.refusals.size(),
-                    day.idleRefused,
-                    day.outcome.late,
-                    day.outcome.failed,
-                    day.toDrained,
-                    day.coldFallen);
-            int of = PAIRS[i] ? 1 : 0;
-            points[of] += day.outcome.points() * 2 / all.length;
-            idle[of] += day.idle() * 2 / all.length;
-            bytes[of] += day.bytes * 2 / all.length;
-            overshoot[of] = Math.max(overshoot[of], day.overshoot.getValueAtPercentile(99));
-            // What goes wrong without news is told above; it is not the news'.
-            toDrained += PAIRS[i] ? day.toDrained : 0;
-            coldFallen += PAIRS[i] ? day.coldFallen : 0;
-            most = Math.max(most, day.datagramMost);
+                    NEWS_BY_RUN[i] ? "with news" : "without",
+                    result.outcome.sent,
+                    result.outcome.servedPercent(),
+                    result.outcome.refusals.size(),
+                    result.refusedWhileIdle,
+                    result.outcome.late,
+                    result.outcome.failed,
+                    result.sentToDrained,
+                    result.coldCollapses);
+            int newsIndex = NEWS_BY_RUN[i] ? 1 : 0;
+            servedPercent[newsIndex] += result.outcome.servedPercent() * 2 / results.length;
+            refusedWhileIdlePercent[newsIndex] += result.refusedWhileIdlePercent() * 2 / results.length;
+            bytesPerSecond[newsIndex] += result.bytesPerSecond * 2 / results.length;
+            queuedAheadP99[newsIndex] =
+                    Math.max(queuedAheadP99[newsIndex], result.queuedAhead.getValueAtPercentile(99));
+            // Violations in runs without news are printed above, but not held against the news.
+            sentToDrained += NEWS_BY_RUN[i] ? result.sentToDrained : 0;
+            coldCollapses += NEWS_BY_RUN[i] ? result.coldCollapses : 0;
+            maxDatagramBytes = Math.max(maxDatagramBytes, result.maxDatagramBytes);
         }
-        CapacityProcesses.Day last = all[all.length - 1];
+        CapacityProcesses.Result last = results[results.length - 1];
         out.printf(
                 Locale.ROOT,
                 "capacity: schedulers=%d endpoints=%d served_points=%.2f"
@@ -90,21 +92,21 @@
                         + " whole_after_rounds=%.1f%n",
                 CapacityProcesses.SCHEDULERS,
                 CapacityProcesses.ENDPOINTS,
-                points[1],
-                points[0],
-                idle[1],
-                idle[0],
-                overshoot[1],
-                overshoot[0],
-                last.age.getValueAtPercentile(50),
-                last.age.getValueAtPercentile(99),
-                bytes[1],
-                bytes[0],
-                most,
-                toDrained,
-                coldFallen,
-                last.wholeAfterRounds);
-        kept &= toDrained == 0 && coldFallen == 0 && most <= DATAGRAM;
+                servedPercent[1],
+                servedPercent[0],
+                refusedWhileIdlePercent[1],
+                refusedWhileIdlePercent[0],
+                queuedAheadP99[1],
+                queuedAheadP99[0],
+                last.newsAgeMs.getValueAtPercentile(50),
+                last.newsAgeMs.getValueAtPercentile(99),
+                bytesPerSecond[1],
+                bytesPerSecond[0],
+                maxDatagramBytes,
+                sentToDrained,
+                coldCollapses,
+                last.fullViewAfterRounds);
+        guaranteesHold &= sentToDrained == 0 && coldCollapses == 0 && maxDatagramBytes <= MAX_DATAGRAM_BYTES;
     }
 
     // ---- virtual time ----
@@ -117,33 +119,33 @@
             LoadEstimator news,
             boolean central,
             Fault fault) {
-        return CapacityWorld.play(
-                new Day(schedulers, endpoints, zones, 1, 0.7, seconds, seed, news, central, 0, WIRE_SECONDS, fault));
+        return CapacityWorld.play(new Day(
+                schedulers, endpoints, zones, 1, 0.7, seconds, seed, news, central, 0, NETWORK_DELAY_SECONDS, fault));
     }
 
-    private static double idle(Result result) {
+    private static double refusedWhileIdlePercent(Result result) {
         return 100.0 * result.idleRefused / result.asked;
     }
 
-    /** What a member sends a second, over the size of the fleet. */
-    private void sizes() {
+    /** Prints the bytes per second that a member sends, for fleets of several sizes. */
+    private void printBytesByFleetSize() {
         StringBuilder line = new StringBuilder("capacity, virtual time: bytes_per_s_member");
         for (int members : new int[] {9, 36, 100, 200}) {
             double seconds = 2;
-            Result day = play(members, 25 * members, 9, seconds, LoadEstimator.SELECTIVE, false, Fault.NONE);
-            line.append(String.format(Locale.ROOT, " %d_members=%.0f", members, day.bytes / seconds / members));
+            Result result = play(members, 25 * members, 9, seconds, LoadEstimator.SELECTIVE, false, Fault.NONE);
+            line.append(String.format(Locale.ROOT, " %d_members=%.0f", members, result.bytes / seconds / members));
         }
         out.println(line);
     }
 
-    private void virtual(int schedulers, int endpoints, int zones, double seconds) {
+    private void runVirtualTime(int schedulers, int endpoints, int zones, double seconds) {
         Result without = play(schedulers, endpoints, zones, seconds, null, false, Fault.NONE);
         Result with = play(schedulers, endpoints, zones, seconds, LoadEstimator.SELECTIVE, false, Fault.NONE);
         Result central = play(schedulers, endpoints, zones, seconds, null, true, Fault.NONE);
-        double lost = 0;
-        for (Fault lie : new Fault[] {Fault.LIAR_FREE, Fault.LIAR_FULL}) {
-            Result lied = play(schedulers, endpoints, zones, seconds, LoadEstimator.SELECTIVE, false, lie);
-            lost = Math.max(lost, with.points() - lied.points());
+        double liarLossPoints = 0;
+        for (Fault liarFault : new Fault[] {Fault.LIAR_FREE, Fault.LIAR_FULL}) {
+            Result withLiar = play(schedulers, endpoints, zones, seconds, LoadEstimator.SELECTIVE, false, liarFault);
+            liarLossPoints = Math.max(liarLossPoints, with.points() - withLiar.points());
         }
         out.printf(
                 Locale.ROOT,
@@ -156,15 +158,15 @@
                 with.points(),
                 without.points(),
                 central.points(),
-                idle(with),
-                idle(without),
+                refusedWhileIdlePercent(with),
+                refusedWhileIdlePercent(without),
                 with.overshoot.getValueAtPercentile(99),
                 without.overshoot.getValueAtPercentile(99),
                 with.age.getValueAtPercentile(50),
                 with.age.getValueAtPercentile(99),
                 with.bytes / seconds / schedulers,
                 with.mostBytes,
-                lost);
-        kept &= with.mostBytes <= MOST_BYTES && lost < 1;
+                liarLossPoints);
+        guaranteesHold &= with.mostBytes <= MAX_NEWS_BYTES && liarLossPoints < 1;
     }
 }
--- a/src/main/java/laneflow/lab/measure/CapacityProcesses.java
+++ b/src/main/java/laneflow/lab/measure/CapacityProcesses.java
@@ -18,92 +18,93 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A day of requests with schedulers as processes and stand-in endpoints, with news of capacity or without.
- * Amid it endpoints drain and come back, and die and come back cold at their old addresses, at moments drawn
- * from the seed. Behind a day with news one scheduler begins anew, for how long it takes to know all.
+ * Runs a workload against scheduler processes and stand-in endpoints, with or without exchange of capacity
+ * news between the schedulers. During the run endpoints drain and return, or die and return cold at their old
+ * addresses, at times drawn from the seed. After a run with news one scheduler is restarted, to measure how
+ * long it takes until it has news of every endpoint.
  */
 final class CapacityProcesses {
     static final int SCHEDULERS = 9;
     static final int ENDPOINTS = 27;
     private static final List<String> ZONES = List.of("a", "b", "c");
     private static final int RACKS = 3;
-    private static final StandInPool.Sort SORT = new StandInPool.Sort(4, 4, 0.2, 5, 2, 2);
-    private static final double JOB = 1;
-    private static final double LOAD = 0.7;
-    private static final double WARM = 3;
-    private static final double SHORT = 0.02;
-    private static final double LONGEST_START = 60;
+    private static final StandInPool.Sort NODE_SPEC = new StandInPool.Sort(4, 4, 0.2, 5, 2, 2);
+    private static final double MEAN_RUN_SECONDS = 1;
+    private static final double TARGET_UTILIZATION = 0.7;
+    private static final double WARMUP_SECONDS = 3;
+    private static final double SHORT_RUN_SECONDS = 0.02;
+    private static final double START_TIMEOUT_SECONDS = 60;
     private static final int ROUND_MS = 100;
     private static final int PERIOD_MS = 250;
-    private static final long MS = 1_000_000;
-
-    /** What one day came to. */
-    static final class Day {
-        CapacityDay.Outcome outcome;
-        int idleRefused;
-        double bytes;
-        long datagramMost;
-        int toDrained;
-        int coldFallen;
-        double wholeAfterRounds = Double.NaN;
-        final Histogram overshoot = new Histogram(3);
-        final Histogram age = new Histogram(3);
-
-        double idle() {
-            return 100.0 * idleRefused / outcome.asked;
+    private static final long NANOS_PER_MS = 1_000_000;
+
+    /** The figures of one run. */
+    static final class Result {
+        CapacityWorkload.Outcome outcome;
+        int refusedWhileIdle;
+        double bytesPerSecond;
+        long maxDatagramBytes;
+        int sentToDrained;
+        int coldCollapses;
+        double fullViewAfterRounds = Double.NaN;
+        final Histogram queuedAhead = new Histogram(3);
+        final Histogram newsAgeMs = new Histogram(3);
+
+        double refusedWhileIdlePercent() {
+            return 100.0 * refusedWhileIdle / outcome.sent;
         }
     }
 
     private final long seed;
-    private final boolean news;
+    private final boolean withNews;
     private final double seconds;
     private final Rig rig;
     private final StandInPool pool;
     private final StandInDiscovery discovery;
-    private final Day day = new Day();
-    private volatile boolean over;
+    private final Result result = new Result();
+    private volatile boolean ended;
 
     private CapacityProcesses(
-            long seed, boolean news, double seconds, Rig rig, StandInPool pool, StandInDiscovery discovery) {
+            long seed, boolean withNews, double seconds, Rig rig, StandInPool pool, StandInDiscovery discovery) {
         this.seed = seed;
-        this.news = news;
+        this.withNews = withNews;
         this.seconds = seconds;
         this.rig = rig;
         this.pool = pool;
         this.discovery = discovery;
     }
 
-    /** Plays the day of that seed. */
-    static Day play(long seed, boolean news, double seconds) throws IOException, InterruptedException {
+    /** Runs the workload of this seed. */
+    static Result run(long seed, boolean withNews, double seconds) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("laneflow-capacity");
         List<Integer> ports = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
             ports.add(Crew.port());
         }
         try (StandInDiscovery discovery = new StandInDiscovery(Crew.port());
-                StandInPool pool = new StandInPool(ports, ZONES, RACKS, SORT);
+                StandInPool pool = new StandInPool(ports, ZONES, RACKS, NODE_SPEC);
                 Rig rig = new Rig(folder, SCHEDULERS, 1, seed, "")) {
-            return new CapacityProcesses(seed, news, seconds, rig, pool, discovery).play();
+            return new CapacityProcesses(seed, withNews, seconds, rig, pool, discovery).run();
         } finally {
             Trash.remove(folder);
         }
     }
 
-    private String file(int i) {
+    private String schedulerConfig(int index) {
         String zones = String.join("\", \"", ZONES);
-        return "zones = [\"" + zones + "\"]\nzone = \"" + ZONES.get(i % ZONES.size()) + "\"\ndiscovery = \""
-                + discovery.address() + "\"\n[classes.check]\naim_ms = " + (int) (1000 * CapacityDay.AIM)
-                + "\nstretch = " + CapacityDay.STRETCH + "\ndeadline_ms = 8000\nrepeat = \"safe\"\n"
-                + "[rules]\ncold_share = " + SORT.coldShare() + "\ncold_ms = "
-                + (int) (1000 * SORT.coldSeconds()) + "\nfall_multiple = " + SORT.fallMultiple()
-                + "\nfall_ms = " + (int) (1000 * SORT.fallSeconds()) + "\n"
-                + (news ? "[capacity]\nround_ms = " + ROUND_MS + "\n" : "");
+        return "zones = [\"" + zones + "\"]\nzone = \"" + ZONES.get(index % ZONES.size()) + "\"\ndiscovery = \""
+                + discovery.address() + "\"\n[classes.check]\naim_ms = " + (int) (1000 * CapacityWorkload.AIM_SECONDS)
+                + "\nstretch = " + CapacityWorkload.STRETCH + "\ndeadline_ms = 8000\nrepeat = \"safe\"\n"
+                + "[rules]\ncold_share = " + NODE_SPEC.coldShare() + "\ncold_ms = "
+                + (int) (1000 * NODE_SPEC.coldSeconds()) + "\nfall_multiple = " + NODE_SPEC.fallMultiple()
+                + "\nfall_ms = " + (int) (1000 * NODE_SPEC.fallSeconds()) + "\n"
+                + (withNews ? "[capacity]\nround_ms = " + ROUND_MS + "\n" : "");
     }
 
-    private Day play() throws IOException, InterruptedException {
+    private Result run() throws IOException, InterruptedException {
         for (int i = 0; i < SCHEDULERS; i++) {
-            rig.file(i, file(i));
-            // Parts of cold budgets follow from how many schedulers there are, which no operators' file says.
+            rig.file(i, schedulerConfig(i));
+            // A scheduler's part of a cold budget depends on the number of schedulers; only the platform states it.
             rig.platform(i, "{\"settings\":{\"slotNo\":" + i + ",\"siblings\":" + SCHEDULERS + "}}");
         }
         rig.members(seed, PERIOD_MS, 0, 1);
@@ -111,141 +112,146 @@
         rig.startAll();
         rig.awaitSettled(SCHEDULERS, rig.all());
         for (int i : rig.all()) {
-            rig.await(Rig.name(i) + " has its list", () -> rig.counter(i, "discovery.lists") > 0);
+            rig.await(Rig.name(i) + " has its endpoint list", () -> rig.counter(i, "discovery.lists") > 0);
             rig.awaitClients(i);
         }
-        double perSecond = LOAD * ENDPOINTS * SORT.slots() / JOB;
-        CapacityDay drawn = new CapacityDay(seed, SCHEDULERS, perSecond, JOB, WARM, seconds);
-        long bytes = counted("members.bytes");
-        long began = System.nanoTime();
-        Thread faults = new Thread(this::faults, "faults");
-        Thread ages = new Thread(this::ages, "ages");
-        faults.start();
-        ages.start();
-        day.outcome = drawn.play(rig::clientPort);
-        day.bytes = (counted("members.bytes") - bytes) * 1e9 / (System.nanoTime() - began) / SCHEDULERS;
-        over = true;
-        faults.join();
-        ages.join();
-        judge();
-        if (news) {
-            newcomer();
+        double perSecond = TARGET_UTILIZATION * ENDPOINTS * NODE_SPEC.slots() / MEAN_RUN_SECONDS;
+        CapacityWorkload workload =
+                new CapacityWorkload(seed, SCHEDULERS, perSecond, MEAN_RUN_SECONDS, WARMUP_SECONDS, seconds);
+        long bytesBefore = sumOfCounters("members.bytes");
+        long startNanos = System.nanoTime();
+        Thread faultsThread = new Thread(this::injectFaults, "faults");
+        Thread agesThread = new Thread(this::sampleNewsAges, "ages");
+        faultsThread.start();
+        agesThread.start();
+        result.outcome = workload.run(rig::clientPort);
+        result.bytesPerSecond =
+                (sumOfCounters("members.bytes") - bytesBefore) * 1e9 / (System.nanoTime() - startNanos) / SCHEDULERS;
+        ended = true;
+        faultsThread.join();
+        agesThread.join();
+        evaluate();
+        if (withNews) {
+            measureNewcomer();
         }
         for (int i : rig.all()) {
-            day.datagramMost = Math.max(day.datagramMost, rig.counter(i, "members.datagram_most"));
+            result.maxDatagramBytes = Math.max(result.maxDatagramBytes, rig.counter(i, "members.datagram_most"));
         }
-        return day;
+        return result;
     }
 
-    private long counted(String name) throws IOException, InterruptedException {
-        long all = 0;
+    private long sumOfCounters(String name) throws IOException, InterruptedException {
+        long total = 0;
         for (int i : rig.all()) {
-            all += rig.counter(i, name);
+            total += rig.counter(i, name);
         }
-        return all;
+        return total;
     }
 
-    /** A refusal counts as idle where a ready, warm endpoint in reach had a slot free all the while. */
-    private void judge() {
-        for (CapacityDay.Refusal refusal : day.outcome.refusals) {
-            // All zones are in reach of three on a ring.
-            boolean room = pool.nodes.stream()
-                    .anyMatch(node -> node.freeAt(refusal.askedNs()) > 0 && node.freeAt(refusal.answeredNs()) > 0);
-            day.idleRefused += room ? 1 : 0;
+    /** A refusal counts as idle if a ready, warm endpoint in reach had a free slot when it was due and answered. */
+    private void evaluate() {
+        for (CapacityWorkload.Refusal refusal : result.outcome.refusals) {
+            // With three zones on a ring, every zone is in reach.
+            boolean slotFree = pool.nodes.stream()
+                    .anyMatch(node -> node.freeAt(refusal.dueNanos()) > 0 && node.freeAt(refusal.answeredNanos()) > 0);
+            result.refusedWhileIdle += slotFree ? 1 : 0;
         }
-        pool.waitedBehind(day.outcome.beganNs).forEach(day.overshoot::recordValue);
-        day.toDrained = pool.sentToDrained();
-        day.coldFallen = pool.coldFallen();
+        pool.waitedBehind(result.outcome.measuredFromNanos).forEach(result.queuedAhead::recordValue);
+        result.sentToDrained = pool.sentToDrained();
+        result.coldCollapses = pool.coldFallen();
     }
 
-    // ---- what befalls endpoints ----
+    // ---- faults of endpoints ----
 
-    private void faults() {
+    private void injectFaults() {
         SplittableRandom random = new SplittableRandom(seed + 1);
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         try {
-            double part = seconds / 6;
+            double partSeconds = seconds / 6;
             for (int i = 0; i < 4; i++) {
-                until(from, WARM + part * (i + random.nextDouble() / 2));
+                sleepUntil(startNanos, WARMUP_SECONDS + partSeconds * (i + random.nextDouble() / 2));
                 Node node = pool.nodes.get(random.nextInt(ENDPOINTS));
                 if (i % 2 == 0) {
                     node.drains();
                     discovery.tell(pool.listed());
-                    until(from, WARM + part * (i + 1));
+                    sleepUntil(startNanos, WARMUP_SECONDS + partSeconds * (i + 1));
                     node.drainsNoMore();
                 } else {
                     node.die();
-                    until(from, WARM + part * (i + 0.75));
+                    sleepUntil(startNanos, WARMUP_SECONDS + partSeconds * (i + 0.75));
                     node.restart();
                 }
                 discovery.tell(pool.listed());
             }
         } catch (IOException e) {
-            throw new IllegalStateException("an endpoint's address is gone", e);
+            throw new IllegalStateException("an endpoint could not listen on its address again", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private static void until(long from, double seconds) throws InterruptedException {
-        long left = from + (long) (seconds * 1e9) - System.nanoTime();
-        Thread.sleep(Math.max(0, left / MS));
+    private static void sleepUntil(long startNanos, double seconds) throws InterruptedException {
+        long remainingNanos = startNanos + (long) (seconds * 1e9) - System.nanoTime();
+        Thread.sleep(Math.max(0, remainingNanos / NANOS_PER_MS));
     }
 
-    // ---- what is told ----
+    // ---- capacity news ----
 
     private JsonObject capacity(int i) throws IOException, InterruptedException {
-        HttpResponse<String> answer = rig.ask(i, "/capacity", null);
-        if (answer.statusCode() != 200) {
-            throw new IOException(answer.body());
+        HttpResponse<String> response = rig.ask(i, "/capacity", null);
+        if (response.statusCode() != 200) {
+            throw new IOException(response.body());
         }
-        return JsonParser.parseString(answer.body()).getAsJsonObject();
+        return JsonParser.parseString(response.body()).getAsJsonObject();
     }
 
-    /** Ages of what others told, as the schedulers hold it. */
-    private void ages() {
+    /** Samples the age of the news that each scheduler holds from others, until the run has ended. */
+    private void sampleNewsAges() {
         try {
-            while (news && !over) {
+            while (withNews && !ended) {
                 for (int i : rig.all()) {
                     JsonObject endpoints = capacity(i).getAsJsonObject("endpoints");
                     for (String name : endpoints.keySet()) {
-                        JsonObject one = endpoints.getAsJsonObject(name);
-                        if (!one.get("own").getAsBoolean()) {
-                            day.age.recordValue(one.get("age_ms").getAsLong());
+                        JsonObject report = endpoints.getAsJsonObject(name);
+                        if (!report.get("own").getAsBoolean()) {
+                            result.newsAgeMs.recordValue(report.get("age_ms").getAsLong());
                         }
                     }
                 }
                 Thread.sleep(300);
             }
         } catch (IOException e) {
-            throw new IllegalStateException("a scheduler does not answer", e);
+            throw new IllegalStateException("a scheduler did not answer GET /capacity", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** One begins anew: rounds from when it answers until it has news of every endpoint. */
-    private void newcomer() throws IOException, InterruptedException {
-        int one = SCHEDULERS - 1;
-        rig.kill(one);
-        // What is older than 21 s is not told: some jobs go on at the others.
-        CapacityDay thin = new CapacityDay(seed, one, 3 * ENDPOINTS, SHORT, 0, LONGEST_START);
-        Thread others = new Thread(
+    /** Restarts a scheduler and counts the rounds from its first response until it has news of every endpoint. */
+    private void measureNewcomer() throws IOException, InterruptedException {
+        int newcomer = SCHEDULERS - 1;
+        rig.kill(newcomer);
+        // News older than 21 s is not sent, so the other schedulers need some load to have fresh news.
+        CapacityWorkload lightWorkload =
+                new CapacityWorkload(seed, newcomer, 3 * ENDPOINTS, SHORT_RUN_SECONDS, 0, START_TIMEOUT_SECONDS);
+        Thread otherLoad = new Thread(
                 () -> {
                     try {
-                        thin.play(rig::clientPort);
+                        lightWorkload.run(rig::clientPort);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 },
                 "others");
-        others.setDaemon(true);
-        others.start();
-        rig.start(one);
-        rig.await("it answers", () -> rig.fleet(one).has("live"));
-        long from = System.nanoTime();
-        rig.await("it has news of all", () -> capacity(one).get("known_share").getAsDouble() >= 1);
-        day.wholeAfterRounds = (System.nanoTime() - from) / (double) (ROUND_MS * MS);
-        others.interrupt();
+        otherLoad.setDaemon(true);
+        otherLoad.start();
+        rig.start(newcomer);
+        rig.await("the restarted scheduler answers", () -> rig.fleet(newcomer).has("live"));
+        long startNanos = System.nanoTime();
+        rig.await(
+                "the restarted scheduler has news of every endpoint",
+                () -> capacity(newcomer).get("known_share").getAsDouble() >= 1);
+        result.fullViewAfterRounds = (System.nanoTime() - startNanos) / (double) (ROUND_MS * NANOS_PER_MS);
+        otherLoad.interrupt();
     }
 }
