--- a/src/main/java/laneflow/lab/Lab.java
+++ b/src/main/java/laneflow/lab/Lab.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The commands under {@code lab}: stand-ins and measurements. Nothing of it is loaded by a scheduler. */
+/** The commands under {@code lab}: stand-ins and measurements. A running scheduler loads none of these classes. */
 @Command(
         name = "lab",
         mixinStandardHelpOptions = true,
--- a/src/main/java/laneflow/lab/LocalFleet.java
+++ b/src/main/java/laneflow/lab/LocalFleet.java
@@ -19,9 +19,10 @@
 import picocli.CommandLine.Option;
 
 /**
- * {@code lab fleet}: five schedulers as processes on this machine, racks of stand-in endpoints, tenants that
- * ask them, and files for maintenance windows, to try by hand what {@code docs/operating-maintenance.md} has.
- * A scheduler that is killed is started again, as a supervisor would.
+ * {@code lab fleet}: runs five scheduler processes, racks of stand-in endpoints and tenants that send
+ * requests, and writes request files for maintenance windows, to try by hand what
+ * {@code docs/operating-maintenance.md} describes. A scheduler that is killed is restarted, as a supervisor
+ * would do.
  */
 @Command(
         name = "fleet",
@@ -31,13 +32,13 @@
     private static final int SCHEDULERS = 5;
     private static final int VOTERS = 3;
     private static final int RACKS = 8;
-    private static final int EACH = 2;
-    private static final int RUN_MS = 60;
-    private static final int PAUSE_MS = 60;
+    private static final int ENDPOINTS_PER_RACK = 2;
+    private static final int JOB_RUN_MS = 60;
+    private static final int TENANT_PAUSE_MS = 60;
     private static final int HEAP_MB = 64;
-    private static final int AGAIN_MS = 10_000;
-    private static final int LOOK_MS = 200;
-    private static final String MARK = "made-by-lab-fleet";
+    private static final int RESTART_DELAY_MS = 10_000;
+    private static final int POLL_INTERVAL_MS = 200;
+    private static final String MARKER_FILE = "made-by-lab-fleet";
 
     @Option(
             names = "--folder",
@@ -52,99 +53,105 @@
     private long seconds;
 
     private final PrintStream out = System.out;
-    private final Map<String, Integer> endpoints = new TreeMap<>();
-    private final int[] clients = new int[SCHEDULERS];
-    private final int[] links = new int[SCHEDULERS];
-    private final int[] views = new int[SCHEDULERS];
+    private final Map<String, Integer> endpointPorts = new TreeMap<>();
+    private final int[] clientPorts = new int[SCHEDULERS];
+    private final int[] fleetPorts = new int[SCHEDULERS];
+    private final int[] memberPorts = new int[SCHEDULERS];
 
     @Override
     public Integer call() throws Exception {
-        clear();
+        prepareFolder();
         for (int i = 0; i < SCHEDULERS; i++) {
-            clients[i] = Crew.port();
-            links[i] = Crew.port();
-            views[i] = Crew.port();
+            clientPorts[i] = Crew.port();
+            fleetPorts[i] = Crew.port();
+            memberPorts[i] = Crew.port();
         }
-        for (int i = 0; i < RACKS * EACH; i++) {
-            endpoints.put(rack(i / EACH) + "-" + (i % EACH + 1), Crew.port());
+        for (int i = 0; i < RACKS * ENDPOINTS_PER_RACK; i++) {
+            endpointPorts.put(rackName(i / ENDPOINTS_PER_RACK) + "-" + (i % ENDPOINTS_PER_RACK + 1), Crew.port());
         }
         Files.writeString(folder.resolve("members.key"), "the-key-of-this-fleet-1\n");
-        requests();
-        try (StandInRacks racks = new StandInRacks(endpoints, RUN_MS, false);
+        writeWindowRequests();
+        try (StandInRacks racks = new StandInRacks(endpointPorts, JOB_RUN_MS, false);
                 Crew crew = new Crew(folder);
-                StandInTenants tenants = new StandInTenants(clients, PAUSE_MS, false)) {
-            Process[] all = new Process[SCHEDULERS];
+                StandInTenants tenants = new StandInTenants(clientPorts, TENANT_PAUSE_MS, false)) {
+            Process[] schedulers = new Process[SCHEDULERS];
             for (int i = 0; i < SCHEDULERS; i++) {
-                start(crew, all, i);
+                start(crew, schedulers, i);
             }
             for (int i = 0; i < SCHEDULERS; i++) {
-                crew.awaitPort(all[i], name(i), clients[i]);
+                crew.awaitPort(schedulers[i], schedulerName(i), clientPorts[i]);
             }
             tenants.want("shops", "basket-check", 12);
             tenants.want("web", "basket-check", 6);
-            tell(all);
-            watch(crew, all);
+            printAddresses(schedulers);
+            restartWhenEnded(crew, schedulers);
             return 0;
         }
     }
 
-    /** Only a folder of its own is emptied. */
-    private void clear() throws IOException {
-        if (Files.isDirectory(folder) && !Files.exists(folder.resolve(MARK))) {
-            try (Stream<Path> there = Files.list(folder)) {
-                if (there.findAny().isPresent()) {
-                    throw new IOException(folder + ": is not empty, and no fleet of this command wrote" + " there");
+    /** Creates the folder, or empties it if an earlier run of this command wrote it. */
+    private void prepareFolder() throws IOException {
+        if (Files.isDirectory(folder) && !Files.exists(folder.resolve(MARKER_FILE))) {
+            try (Stream<Path> files = Files.list(folder)) {
+                if (files.findAny().isPresent()) {
+                    throw new IOException(folder + ": the folder is not empty, and was not written by" + " lab fleet");
                 }
             }
         } else if (Files.isDirectory(folder)) {
             Trash.remove(folder);
         }
         Files.createDirectories(folder);
-        Files.writeString(folder.resolve(MARK), "emptied at the next start\n");
+        Files.writeString(folder.resolve(MARKER_FILE), "emptied at the next start\n");
     }
 
-    private static String name(int i) {
+    private static String schedulerName(int i) {
         return "n" + (i + 1);
     }
 
-    /** Four of each zone. */
-    private static String rack(int i) {
+    /** Returns the rack's name: its zone and a number; half of the racks are in each zone. */
+    private static String rackName(int i) {
         return (i < RACKS / 2 ? "a" : "b") + (i % (RACKS / 2) + 1);
     }
 
-    private void start(Crew crew, Process[] all, int i) throws IOException {
-        Path file = folder.resolve(name(i) + ".toml");
-        Files.writeString(file, file(i));
-        all[i] = crew.scheduler(name(i), HEAP_MB, file.toString());
-        Files.writeString(folder.resolve(name(i) + ".pid"), all[i].pid() + "\n");
+    private void start(Crew crew, Process[] schedulers, int index) throws IOException {
+        Path configFile = folder.resolve(schedulerName(index) + ".toml");
+        Files.writeString(configFile, configText(index));
+        schedulers[index] = crew.scheduler(schedulerName(index), HEAP_MB, configFile.toString());
+        Files.writeString(folder.resolve(schedulerName(index) + ".pid"), schedulers[index].pid() + "\n");
     }
 
-    private String file(int i) {
-        StringBuilder all = new StringBuilder("name = \"" + name(i) + "\"\nlisten = \"127.0.0.1:" + clients[i]
-                + "\"\nzones = [\"a\", \"b\"]\nzone = \"" + (i % 2 == 0 ? "a" : "b")
-                + "\"\n\n[classes.basket-check]\naim_ms = 200\ndeadline_ms = 5000\nrepeat = \"safe\"\n\n"
-                + "[tenants.shops]\nshare = 2\n[tenants.web]\nshare = 1\nzones = [\"a\"]\n\n");
-        endpoints.forEach((name, port) -> all.append(String.format(
+    private String configText(int index) {
+        StringBuilder text =
+                new StringBuilder("name = \"" + schedulerName(index) + "\"\nlisten = \"127.0.0.1:" + clientPorts[index]
+                        + "\"\nzones = [\"a\", \"b\"]\nzone = \"" + (index % 2 == 0 ? "a" : "b")
+                        + "\"\n\n[classes.basket-check]\naim_ms = 200\ndeadline_ms = 5000\nrepeat = \"safe\"\n\n"
+                        + "[tenants.shops]\nshare = 2\n[tenants.web]\nshare = 1\nzones = [\"a\"]\n\n");
+        endpointPorts.forEach((name, port) -> text.append(String.format(
                 "[endpoints.%s]\ndial = \"127.0.0.1:%d\"\n" + "zone = \"%s\"\nrack = \"%s\"\nslots = 4\n",
                 name, port, name.charAt(0), name.substring(0, 2))));
-        all.append("\n[fleet]\nlisten = \"127.0.0.1:").append(links[i]).append("\"\n[fleet.peers]\n");
-        for (int k = 0; k < SCHEDULERS; k++) {
-            all.append(name(k)).append(" = \"127.0.0.1:").append(links[k]).append("\"\n");
+        text.append("\n[fleet]\nlisten = \"127.0.0.1:")
+                .append(fleetPorts[index])
+                .append("\"\n[fleet.peers]\n");
+        for (int other = 0; other < SCHEDULERS; other++) {
+            text.append(schedulerName(other))
+                    .append(" = \"127.0.0.1:")
+                    .append(fleetPorts[other])
+                    .append("\"\n");
         }
-        all.append("\n[members]\nlisten = \"127.0.0.1:")
-                .append(views[i])
+        text.append("\n[members]\nlisten = \"127.0.0.1:")
+                .append(memberPorts[index])
                 .append("\"\nseeds = [\"127.0.0.1:")
-                .append(views[(i + 1) % SCHEDULERS])
+                .append(memberPorts[(index + 1) % SCHEDULERS])
                 .append("\", \"127.0.0.1:")
-                .append(views[(i + 2) % SCHEDULERS])
+                .append(memberPorts[(index + 2) % SCHEDULERS])
                 .append("\"]\nallowed = [\"127.0.0.0/8\"]\nkey_file = \"")
                 .append(folder.resolve("members.key"))
                 .append("\"\n\n[policy]\nvoters = [");
-        for (int k = 0; k < VOTERS; k++) {
-            all.append(k == 0 ? "\"" : ", \"").append(name(k)).append('"');
+        for (int other = 0; other < VOTERS; other++) {
+            text.append(other == 0 ? "\"" : ", \"").append(schedulerName(other)).append('"');
         }
-        return all.append("]\ndir = \"")
-                .append(folder.resolve(name(i) + "-votes"))
+        return text.append("]\ndir = \"")
+                .append(folder.resolve(schedulerName(index) + "-votes"))
                 .append("\"\n"
                         + "lease_ms = 1500\ncut_off = \"stop\"\n\n[tasks]\n\n"
                         + "# Times for trying; those left out are for real work.\n"
@@ -153,53 +160,56 @@
                 .toString();
     }
 
-    /** Files that ask for windows within the hour, in this machine's time zone. */
-    private void requests() throws IOException {
+    /** Writes files that request maintenance windows within the next hour, in the local time zone. */
+    private void writeWindowRequests() throws IOException {
         LocalDateTime now = LocalDateTime.now().truncatedTo(ChronoUnit.MINUTES);
-        String form = "name = \"%s\"\nowner = \"power crew\"\nracks = [%s]\nwork_minutes = 1\n"
+        String format = "name = \"%s\"\nowner = \"power crew\"\nracks = [%s]\nwork_minutes = 1\n"
                 + "abort_minutes = 1\ntime_zone = \"" + ZoneId.systemDefault() + "\"\nearliest = \"" + now
                 + "\"\nlatest = \""
                 + now.plusMinutes(50) + "\"\n";
-        Files.writeString(folder.resolve("power-a1.toml"), String.format(form, "power-a1", "\"a1\""));
-        Files.writeString(folder.resolve("power-b2.toml"), String.format(form, "power-b2", "\"b2\""));
+        Files.writeString(folder.resolve("power-a1.toml"), String.format(format, "power-a1", "\"a1\""));
+        Files.writeString(folder.resolve("power-b2.toml"), String.format(format, "power-b2", "\"b2\""));
         Files.writeString(
-                folder.resolve("too-much.toml"), String.format(form, "too-much", "\"a1\", \"a2\", \"a3\", \"a4\""));
+                folder.resolve("too-much.toml"), String.format(format, "too-much", "\"a1\", \"a2\", \"a3\", \"a4\""));
     }
 
-    private void tell(Process[] all) throws IOException {
-        StringBuilder at = new StringBuilder();
+    private void printAddresses(Process[] schedulers) throws IOException {
+        StringBuilder operatorAddresses = new StringBuilder();
         for (int i = 0; i < SCHEDULERS; i++) {
-            at.append(i == 0 ? "" : ",").append("127.0.0.1:").append(links[i]);
+            operatorAddresses.append(i == 0 ? "" : ",").append("127.0.0.1:").append(fleetPorts[i]);
             out.printf(
                     "%s  clients at 127.0.0.1:%d, operators at 127.0.0.1:%d, pid %d%n",
-                    name(i), clients[i], links[i], all[i].pid());
+                    schedulerName(i), clientPorts[i], fleetPorts[i], schedulers[i].pid());
         }
-        Files.writeString(folder.resolve("at"), at + "\n");
-        out.printf("%d racks, %d endpoints; tenants shops and web ask all the time%n", RACKS, RACKS * EACH);
+        Files.writeString(folder.resolve("at"), operatorAddresses + "\n");
+        out.printf(
+                "%d racks, %d endpoints; tenants shops and web send requests continuously%n",
+                RACKS, RACKS * ENDPOINTS_PER_RACK);
         out.printf("files, logs and process ids: %s; operators' addresses: %s%n", folder, folder.resolve("at"));
-        out.println("it runs until " + (seconds == 0 ? "Ctrl-C" : seconds + " s have passed"));
+        out.println("runs until " + (seconds == 0 ? "Ctrl-C" : seconds + " s have passed"));
         out.flush();
     }
 
-    private void watch(Crew crew, Process[] all) throws IOException, InterruptedException {
-        long end = System.nanoTime() + seconds * 1_000_000_000L;
-        long[] since = new long[SCHEDULERS];
-        while (seconds == 0 || System.nanoTime() < end) {
+    private void restartWhenEnded(Crew crew, Process[] schedulers) throws IOException, InterruptedException {
+        long endNanos = System.nanoTime() + seconds * 1_000_000_000L;
+        long[] endedAtNanos = new long[SCHEDULERS];
+        while (seconds == 0 || System.nanoTime() < endNanos) {
             for (int i = 0; i < SCHEDULERS; i++) {
-                if (all[i].isAlive()) {
+                if (schedulers[i].isAlive()) {
                     continue;
                 }
-                if (since[i] == 0) {
-                    since[i] = System.nanoTime();
-                    out.println(name(i) + " has ended; it is started again in " + AGAIN_MS / 1000 + " s");
-                } else if (System.nanoTime() - since[i] > AGAIN_MS * 1_000_000L) {
-                    since[i] = 0;
-                    start(crew, all, i);
-                    out.println(name(i) + " is started again, pid " + all[i].pid());
+                if (endedAtNanos[i] == 0) {
+                    endedAtNanos[i] = System.nanoTime();
+                    out.println(
+                            schedulerName(i) + " has ended; it will be restarted in " + RESTART_DELAY_MS / 1000 + " s");
+                } else if (System.nanoTime() - endedAtNanos[i] > RESTART_DELAY_MS * 1_000_000L) {
+                    endedAtNanos[i] = 0;
+                    start(crew, schedulers, i);
+                    out.println(schedulerName(i) + " was restarted, pid " + schedulers[i].pid());
                 }
                 out.flush();
             }
-            Thread.sleep(LOOK_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 }
--- a/src/main/java/laneflow/lab/Measure.java
+++ b/src/main/java/laneflow/lab/Measure.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code lab measure WHAT}: a measurement with real processes; exit code 1 where a promise is broken. */
+/** {@code lab measure WHAT}: runs a measurement with real processes; exit code 1 if a guarantee is violated. */
 @Command(
         name = "measure",
         mixinStandardHelpOptions = true,
@@ -30,7 +30,7 @@
     @Option(names = "--large", description = "Longer and larger; not for CI.")
     private boolean large;
 
-    /** What can be measured. */
+    /** The measurements; the constants are the words of the command line. */
     enum What {
         durable,
         config,
--- a/src/main/java/laneflow/lab/measure/CapacityMeasure.java
+++ b/src/main/java/laneflow/lab/measure/CapacityMeasure.java
@@ -47,7 +47,7 @@
     // ---- processes ----
 
     private void runProcesses(double seconds) throws IOException, InterruptedException {
-        CapacityProcesses.Result[] results = new CapacityProcesses.Day[NEWS_BY_RUN.length];
+        CapacityProcesses.Result[] results = new CapacityProcesses.Result[NEWS_BY_RUN.length];
         double[] servedPercent = new double[2];
         double[] refusedWhileIdlePercent = new double[2];
         double[] bytesPerSecond = new double[2];
--- a/src/main/java/laneflow/lab/measure/ControlMeasure.java
+++ b/src/main/java/laneflow/lab/measure/ControlMeasure.java
@@ -13,20 +13,21 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What a storm of control state costs requests: three schedulers that vote and keep a view, clients at one of
- * them, and by turns quiet and a member that tells of thousands of others while changes of policy follow one
- * another. First with all of it on the traffic's thread, then with control state on its own, as in service.
+ * Measures what heavy control traffic costs requests. Three schedulers have membership and policy voting, and
+ * clients send requests to one of them. Quiet windows alternate with windows in which a member announces
+ * thousands of others while policy changes are proposed one after the other. The first run handles control
+ * traffic on the thread of the requests, the second on a thread of its own, as in production.
  */
 public final class ControlMeasure {
     private static final int SCHEDULERS = 3;
     private static final int PERIOD_MS = 250;
-    private static final int PER_SECOND = 400;
-    private static final int NEWS_PER_SECOND = 3000;
+    private static final int REQUESTS_PER_SECOND = 400;
+    private static final int MESSAGES_PER_SECOND = 3000;
     private static final int WINDOWS = 4;
     private static final int WINDOW_MS = 3000;
-    private static final double AIM_MS = 1;
-    private static final String TRAFFIC = "loop I/O-1";
-    private static final String FILE = "zones = [\"z\"]\n[limits]\nsockets = 512\n[classes.check]\n"
+    private static final double MAX_ADDED_MS = 1;
+    private static final String TRAFFIC_THREAD = "loop I/O-1";
+    private static final String COMMON_CONFIG = "zones = [\"z\"]\n[limits]\nsockets = 512\n[classes.check]\n"
             + "aim_ms = 200\ndeadline_ms = 5000\nrepeat = \"safe\"\n[classes.capture]\naim_ms = 200\n"
             + "deadline_ms = 5000\n";
 
@@ -36,20 +37,20 @@
     private final Histogram storm = new Histogram(3);
     private ThreadTimes quietTimes = new ThreadTimes(0, 0, 0);
     private ThreadTimes stormTimes = new ThreadTimes(0, 0, 0);
-    private long news;
-    private int changes;
+    private long messagesSent;
+    private int changesProposed;
 
     private ControlMeasure(long seed, PrintStream out) {
         this.seed = seed;
         this.out = out;
     }
 
-    /** Runs both; 0 if the storm adds less to the p99 than it may. */
+    /** Runs both; returns 0 if, with two loops, the storm adds less than {@link #MAX_ADDED_MS} to the p99. */
     public static int run(long seed, boolean large, PrintStream out) throws IOException, InterruptedException {
         ControlMeasure one = new ControlMeasure(seed, out);
-        one.all(true, large);
+        one.measure(true, large);
         ControlMeasure two = new ControlMeasure(seed, out);
-        two.all(false, large);
+        two.measure(false, large);
         out.printf(
                 Locale.ROOT,
                 "control: schedulers=%d requests_per_s=%d news=%d changes=%d"
@@ -57,43 +58,43 @@
                         + " two_loops_quiet_p99_ms=%.2f two_loops_storm_p99_ms=%.2f two_loops_added_ms=%.2f"
                         + " one_loop_added_us_at_work=%.0f two_loops_added_us_at_work=%.0f%n",
                 SCHEDULERS,
-                PER_SECOND,
-                two.news,
-                two.changes,
-                p99(one.quiet),
-                p99(one.storm),
-                one.added(),
-                p99(two.quiet),
-                p99(two.storm),
-                two.added(),
-                one.work(),
-                two.work());
-        return two.added() < AIM_MS ? 0 : 1;
+                REQUESTS_PER_SECOND,
+                two.messagesSent,
+                two.changesProposed,
+                p99Ms(one.quiet),
+                p99Ms(one.storm),
+                one.addedP99Ms(),
+                p99Ms(two.quiet),
+                p99Ms(two.storm),
+                two.addedP99Ms(),
+                one.addedWorkUs(),
+                two.addedWorkUs());
+        return two.addedP99Ms() < MAX_ADDED_MS ? 0 : 1;
     }
 
-    private static double p99(Histogram of) {
-        return of.getValueAtPercentile(99) / 1000.0;
+    private static double p99Ms(Histogram latencyUs) {
+        return latencyUs.getValueAtPercentile(99) / 1000.0;
     }
 
-    /** Microseconds a request. */
-    private static double each(long ns, Histogram of) {
-        return ns / 1000.0 / Math.max(1, of.getTotalCount());
+    /** Returns the mean microseconds per request. */
+    private static double microsPerRequest(long ns, Histogram latencyUs) {
+        return ns / 1000.0 / Math.max(1, latencyUs.getTotalCount());
     }
 
-    private double added() {
-        return p99(storm) - p99(quiet);
+    private double addedP99Ms() {
+        return p99Ms(storm) - p99Ms(quiet);
     }
 
-    /** What the storm adds to what the traffic's thread does itself, in microseconds a request. */
-    private double work() {
-        return each(stormTimes.ns(), storm) - each(quietTimes.ns(), quiet);
+    /** Returns the processor time in microseconds per request that the storm adds on the traffic thread. */
+    private double addedWorkUs() {
+        return microsPerRequest(stormTimes.ns(), storm) - microsPerRequest(quietTimes.ns(), quiet);
     }
 
-    private void all(boolean oneLoop, boolean large) throws IOException, InterruptedException {
+    private void measure(boolean oneLoop, boolean large) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("laneflow-control");
         int[] nodes = {Crew.port(), Crew.port(), Crew.port()};
-        String file = FILE + Rig.endpoints(nodes) + "[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\n";
-        try (Rig rig = new Rig(folder, SCHEDULERS, SCHEDULERS, seed, file)) {
+        String config = COMMON_CONFIG + Rig.endpoints(nodes) + "[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\n";
+        try (Rig rig = new Rig(folder, SCHEDULERS, SCHEDULERS, seed, config)) {
             rig.nodes(nodes, 300);
             rig.members(seed, PERIOD_MS, 0, 1);
             for (int i = 0; i < SCHEDULERS; i++) {
@@ -102,26 +103,28 @@
             rig.startAll();
             rig.awaitDeciding(0, rig.all());
             String key = Files.readAllLines(rig.keyFile()).get(0);
-            InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), rig.memberSocket(0));
-            PolicyLoad load = new PolicyLoad(Rig.name(0), rig.clientPort(0), 8, PER_SECOND);
-            try (ControlStorm source = new ControlStorm(at, key, PERIOD_MS * 1000L, NEWS_PER_SECOND, seed)) {
-                source.begin();
+            InetSocketAddress memberAddress =
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), rig.memberSocket(0));
+            PolicyLoad load = new PolicyLoad(Rig.name(0), rig.clientPort(0), 8, REQUESTS_PER_SECOND);
+            try (ControlStorm announcer =
+                    new ControlStorm(memberAddress, key, PERIOD_MS * 1000L, MESSAGES_PER_SECOND, seed)) {
+                announcer.start();
                 load.begin();
                 Thread.sleep(large ? 10_000 : 4000);
                 for (int i = 0; i < WINDOWS; i++) {
-                    quietTimes = quietTimes.plus(window(rig, load, quiet, () -> {}));
-                    source.blow(true);
-                    stormTimes = stormTimes.plus(window(rig, load, storm, () -> change(rig)));
-                    source.blow(false);
-                    // What was told is suspected and buried meanwhile: neither quiet nor the storm.
+                    quietTimes = quietTimes.plus(measureWindow(rig, load, quiet, () -> {}));
+                    announcer.announce(true);
+                    stormTimes = stormTimes.plus(measureWindow(rig, load, storm, () -> proposeChange(rig)));
+                    announcer.announce(false);
+                    // Not measured: meanwhile the announced members are suspected and declared dead.
                     Thread.sleep(WINDOW_MS);
                 }
-                news = source.sent();
+                messagesSent = announcer.messagesSent();
             }
             load.end();
-            long[] known = new long[1];
-            rig.await("it tells how many it came to know", () -> {
-                known[0] = rig.counter(0, "members.to_alive");
+            long[] knownMembers = new long[1];
+            rig.await("the scheduler answers GET /counters", () -> {
+                knownMembers[0] = rig.counter(0, "members.to_alive");
                 return true;
             });
             out.printf(
@@ -130,58 +133,59 @@
                             + " most %.1f ms of %d; members known %d%n",
                     oneLoop ? "one loop" : "two loops",
                     quiet.getValueAtPercentile(50) / 1000.0,
-                    p99(quiet),
+                    p99Ms(quiet),
                     quiet.getMaxValue() / 1000.0,
                     quiet.getTotalCount(),
                     storm.getValueAtPercentile(50) / 1000.0,
-                    p99(storm),
+                    p99Ms(storm),
                     storm.getMaxValue() / 1000.0,
                     storm.getTotalCount(),
-                    known[0]);
+                    knownMembers[0]);
             out.printf(
                     Locale.ROOT,
-                    "%s: the traffic's thread was at work for %.0f us a request in quiet and"
-                            + " %.0f in the storm, and waited for a processor for %.0f and %.0f us%n",
+                    "%s: the traffic thread used %.0f us of processor time per request when quiet and"
+                            + " %.0f us in the storm, and waited for a processor for %.0f and %.0f us%n",
                     oneLoop ? "one loop" : "two loops",
-                    each(quietTimes.ns(), quiet),
-                    each(stormTimes.ns(), storm),
-                    each(quietTimes.waitedNs(), quiet),
-                    each(stormTimes.waitedNs(), storm));
+                    microsPerRequest(quietTimes.ns(), quiet),
+                    microsPerRequest(stormTimes.ns(), storm),
+                    microsPerRequest(quietTimes.waitedNs(), quiet),
+                    microsPerRequest(stormTimes.waitedNs(), storm));
         } finally {
             Trash.remove(folder);
         }
     }
 
-    /** What is done again and again within a window. */
-    private interface Work {
-        void once() throws IOException, InterruptedException;
+    /** An action that is repeated during a window. */
+    private interface Repeated {
+        void runOnce() throws IOException, InterruptedException;
     }
 
-    /** What the traffic's thread has used meanwhile. */
-    private static ThreadTimes window(Rig rig, PolicyLoad load, Histogram into, Work work)
+    /** Records the latencies of the requests in a window; returns what the traffic thread used in it. */
+    private static ThreadTimes measureWindow(Rig rig, PolicyLoad load, Histogram latencyUs, Repeated repeated)
             throws IOException, InterruptedException {
-        ThreadTimes before = ThreadTimes.of(rig.pid(0)).get(TRAFFIC);
-        long from = System.nanoTime();
-        long to = from + WINDOW_MS * 1_000_000L;
-        while (System.nanoTime() < to) {
-            work.once();
+        ThreadTimes before = ThreadTimes.of(rig.pid(0)).get(TRAFFIC_THREAD);
+        long startNanos = System.nanoTime();
+        long endNanos = startNanos + WINDOW_MS * 1_000_000L;
+        while (System.nanoTime() < endNanos) {
+            repeated.runOnce();
             Thread.sleep(20);
         }
-        to = System.nanoTime();
-        for (PolicyLoad.Said one : load.said) {
-            if (one.sentNs() >= from && one.saidNs() < to && one.status() == 200) {
-                into.recordValue((one.saidNs() - one.sentNs()) / 1000);
+        endNanos = System.nanoTime();
+        for (PolicyLoad.Said response : load.said) {
+            if (response.sentNs() >= startNanos && response.saidNs() < endNanos && response.status() == 200) {
+                latencyUs.recordValue((response.saidNs() - response.sentNs()) / 1000);
             }
         }
-        return ThreadTimes.of(rig.pid(0)).get(TRAFFIC).less(before);
+        return ThreadTimes.of(rig.pid(0)).get(TRAFFIC_THREAD).less(before);
     }
 
-    private void change(Rig rig) throws InterruptedException {
-        changes++;
+    private void proposeChange(Rig rig) throws InterruptedException {
+        changesProposed++;
         try {
-            rig.propose(0, "change-" + changes, "{\"bans\":[{\"name\":\"till-9" + changes % 2 + "\"}]}");
+            rig.propose(
+                    0, "change-" + changesProposed, "{\"bans\":[{\"name\":\"till-9" + changesProposed % 2 + "\"}]}");
         } catch (IOException e) {
-            // Not answered amid the storm; the next one follows at once.
+            // Under the storm a proposal may go unanswered; the next one follows at once.
             return;
         }
     }
--- a/src/main/java/laneflow/lab/measure/ControlStorm.java
+++ b/src/main/java/laneflow/lab/measure/ControlStorm.java
@@ -22,131 +22,138 @@
 import laneflow.membership.decision.Update.MemberRecord;
 
 /**
- * A member, by the same protocol as all, that at times tells of thousands of others that nobody can reach:
- * each is news, is told on, probed, suspected and buried. What that costs whoever hears it is measured.
+ * A member of the fleet, with the ordinary membership protocol, that on request announces thousands of
+ * members that do not exist. Each of them is gossiped on, probed, suspected and declared dead, which loads
+ * the schedulers that receive the announcements.
  */
 final class ControlStorm implements Swim.Environment, AutoCloseable {
-    private static final int OTHERS = 5000;
-    private static final int RECORDS = 2;
-    private static final int WAIT_MS = 1;
-    private static final long TURNS_A_SECOND = 1000;
+    private static final int FICTITIOUS_MEMBERS = 5000;
+    private static final int RECORDS_PER_MESSAGE = 2;
+    private static final int RECEIVE_TIMEOUT_MS = 1;
+    private static final long MICROS_PER_MS = 1000;
 
     private final DatagramSocket socket;
-    private final InetSocketAddress to;
+    private final InetSocketAddress target;
     private final Seal seal;
-    private final MessageCodec wire = new MessageCodec(Seal.MAX_DATAGRAM_BYTES - Seal.OVERHEAD_BYTES);
+    private final MessageCodec codec = new MessageCodec(Seal.MAX_DATAGRAM_BYTES - Seal.OVERHEAD_BYTES);
     private final SplittableRandom random;
     private final Swim swim;
     private final Thread thread;
-    private final int perSecond;
-    private int told;
-    private volatile boolean blows;
-    private volatile boolean over;
-    private volatile long sent;
-
-    /** One that tells the scheduler there of so much a second, while it is told to. */
-    ControlStorm(InetSocketAddress to, String key, long periodUs, int perSecond, long seed) throws IOException {
-        this.to = to;
-        this.perSecond = perSecond;
+    private final int messagesPerSecond;
+    private int incarnation;
+    private volatile boolean announcing;
+    private volatile boolean closed;
+    private volatile long messagesSent;
+
+    /**
+     * Opens the member's socket.
+     *
+     * @param target the scheduler that gets the announcements
+     * @param messagesPerSecond announcements per second while they are enabled
+     */
+    ControlStorm(InetSocketAddress target, String key, long periodUs, int messagesPerSecond, long seed)
+            throws IOException {
+        this.target = target;
+        this.messagesPerSecond = messagesPerSecond;
         socket = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-        socket.setSoTimeout(WAIT_MS);
+        socket.setSoTimeout(RECEIVE_TIMEOUT_MS);
         random = new SplittableRandom(seed);
         seal = new Seal(List.of(key), (int) seed);
-        MemberInstance life = MemberInstance.of(
+        MemberInstance self = MemberInstance.of(
                 "storm",
                 System.currentTimeMillis(),
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), socket.getLocalPort()));
-        swim = new Swim(life, facts(), List.of(to), new Times(periodUs), wire, seed, now(), this);
+        swim = new Swim(self, metadata(), List.of(target), new Times(periodUs), codec, seed, nowMicros(), this);
         thread = new Thread(this::run, "storm");
         thread.setDaemon(true);
     }
 
-    void begin() {
+    void start() {
         thread.start();
     }
 
-    /** Whether it tells of others from now on. */
-    void blow(boolean now) {
-        blows = now;
+    /** Enables or disables the announcements. */
+    void announce(boolean enabled) {
+        announcing = enabled;
     }
 
-    /** News that it has told so far. */
-    long sent() {
-        return sent;
+    /** Returns the number of announcements sent so far. */
+    long messagesSent() {
+        return messagesSent;
     }
 
-    private static MemberMetadata facts() {
+    private static MemberMetadata metadata() {
         return new MemberMetadata("z", "", null, 0, MemberMetadata.Condition.READY, 0, 0, false);
     }
 
-    private static long now() {
+    private static long nowMicros() {
         return System.nanoTime() / 1000;
     }
 
     private void run() {
-        byte[] bytes = new byte[Seal.MAX_DATAGRAM_BYTES];
-        DatagramPacket packet = new DatagramPacket(bytes, bytes.length);
-        double owed = 0;
-        long last = now();
-        while (!over) {
-            packet.setLength(bytes.length);
-            if (comes(packet) && seal.isAuthentic(bytes, packet.getLength())) {
-                heard(packet);
+        byte[] buffer = new byte[Seal.MAX_DATAGRAM_BYTES];
+        DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
+        double dueMessages = 0;
+        long lastMicros = nowMicros();
+        while (!closed) {
+            packet.setLength(buffer.length);
+            if (receiveDatagram(packet) && seal.isAuthentic(buffer, packet.getLength())) {
+                handleDatagram(packet);
             }
-            if (swim.nextTick() <= now()) {
-                swim.tick(now());
+            if (swim.nextTick() <= nowMicros()) {
+                swim.tick(nowMicros());
             }
-            long passed = Math.min(now() - last, WAIT_MS * TURNS_A_SECOND);
-            last = now();
-            owed = blows ? owed + passed * perSecond / 1e6 : 0;
-            for (; owed >= 1; owed--) {
-                send(to, news());
-                sent++;
+            long elapsedMicros = Math.min(nowMicros() - lastMicros, RECEIVE_TIMEOUT_MS * MICROS_PER_MS);
+            lastMicros = nowMicros();
+            dueMessages = announcing ? dueMessages + elapsedMicros * messagesPerSecond / 1e6 : 0;
+            for (; dueMessages >= 1; dueMessages--) {
+                send(target, announcement());
+                messagesSent++;
             }
         }
     }
 
-    private boolean comes(DatagramPacket packet) {
+    private boolean receiveDatagram(DatagramPacket packet) {
         try {
             socket.receive(packet);
             return true;
         } catch (SocketTimeoutException e) {
             return false;
         } catch (IOException e) {
-            over = true;
+            closed = true;
             return false;
         }
     }
 
-    private void heard(DatagramPacket packet) {
+    private void handleDatagram(DatagramPacket packet) {
         try {
             swim.receive(
-                    now(),
+                    nowMicros(),
                     (InetSocketAddress) packet.getSocketAddress(),
-                    wire.read(packet.getData(), Seal.OVERHEAD_BYTES, packet.getLength() - Seal.OVERHEAD_BYTES));
+                    codec.read(packet.getData(), Seal.OVERHEAD_BYTES, packet.getLength() - Seal.OVERHEAD_BYTES));
         } catch (IOException e) {
-            over = true;
+            closed = true;
         }
     }
 
-    private Message news() {
-        List<Update> some = new ArrayList<>();
-        for (int i = 0; i < RECORDS; i++) {
-            int one = random.nextInt(OTHERS);
-            MemberInstance life =
-                    MemberInstance.of("made-up-" + one, one, new InetSocketAddress(to.getAddress(), 1 + one));
-            some.add(new MemberRecord(life, told++, State.ALIVE, facts()));
+    private Message announcement() {
+        List<Update> updates = new ArrayList<>();
+        for (int i = 0; i < RECORDS_PER_MESSAGE; i++) {
+            int index = random.nextInt(FICTITIOUS_MEMBERS);
+            MemberInstance member =
+                    MemberInstance.of("made-up-" + index, index, new InetSocketAddress(target.getAddress(), 1 + index));
+            updates.add(new MemberRecord(member, incarnation++, State.ALIVE, metadata()));
         }
-        return new Message(Kind.GOSSIP, swim.self().instance().id(), 0, 0, 0, null, some);
+        return new Message(Kind.GOSSIP, swim.self().instance().id(), 0, 0, 0, null, updates);
     }
 
     @Override
-    public void send(InetSocketAddress whom, Message message) {
-        byte[] datagram = seal.wrap(wire.write(message));
+    public void send(InetSocketAddress receiver, Message message) {
+        byte[] datagram = seal.wrap(codec.write(message));
         try {
-            socket.send(new DatagramPacket(datagram, datagram.length, whom));
+            socket.send(new DatagramPacket(datagram, datagram.length, receiver));
         } catch (IOException e) {
-            // As where nobody listens there any more: a datagram that is lost.
+            // The same as a lost datagram: the protocol copes with it.
             return;
         }
     }
@@ -158,17 +165,17 @@
 
     @Override
     public void memberChanged(MemberRecord before, MemberRecord now) {
-        // Its own view matters to nobody.
+        // The view of this member is not measured.
     }
 
     @Override
     public void count(String what) {
-        // As before.
+        // The counters of this member are not measured.
     }
 
     @Override
     public void close() throws InterruptedException {
-        over = true;
+        closed = true;
         thread.join();
         socket.close();
     }
--- a/src/main/java/laneflow/lab/package-info.java
+++ b/src/main/java/laneflow/lab/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The laboratory: emulators, loads, faults and measurements. Nothing in it is loaded by a running
- * scheduler.
+ * The laboratory: emulated servers, load generators, fault injection and measurements. A running scheduler
+ * loads none of these classes.
  */
 package laneflow.lab;
