--- a/src/main/java/laneflow/lab/measure/ControlMeasure.java
+++ b/src/main/java/laneflow/lab/measure/ControlMeasure.java
@@ -47,10 +47,10 @@
 
     /** Runs both; returns 0 if, with two loops, the storm adds less than {@link #MAX_ADDED_MS} to the p99. */
     public static int run(long seed, boolean large, PrintStream out) throws IOException, InterruptedException {
-        ControlMeasure one = new ControlMeasure(seed, out);
-        one.measure(true, large);
-        ControlMeasure two = new ControlMeasure(seed, out);
-        two.measure(false, large);
+        ControlMeasure oneLoopRun = new ControlMeasure(seed, out);
+        oneLoopRun.measure(true, large);
+        ControlMeasure twoLoopsRun = new ControlMeasure(seed, out);
+        twoLoopsRun.measure(false, large);
         out.printf(
                 Locale.ROOT,
                 "control: schedulers=%d requests_per_s=%d news=%d changes=%d"
@@ -59,17 +59,17 @@
                         + " one_loop_added_us_at_work=%.0f two_loops_added_us_at_work=%.0f%n",
                 SCHEDULERS,
                 REQUESTS_PER_SECOND,
-                two.messagesSent,
-                two.changesProposed,
-                p99Ms(one.quiet),
-                p99Ms(one.storm),
-                one.addedP99Ms(),
-                p99Ms(two.quiet),
-                p99Ms(two.storm),
-                two.addedP99Ms(),
-                one.addedWorkUs(),
-                two.addedWorkUs());
-        return two.addedP99Ms() < MAX_ADDED_MS ? 0 : 1;
+                twoLoopsRun.messagesSent,
+                twoLoopsRun.changesProposed,
+                p99Ms(oneLoopRun.quiet),
+                p99Ms(oneLoopRun.storm),
+                oneLoopRun.addedP99Ms(),
+                p99Ms(twoLoopsRun.quiet),
+                p99Ms(twoLoopsRun.storm),
+                twoLoopsRun.addedP99Ms(),
+                oneLoopRun.addedWorkUs(),
+                twoLoopsRun.addedWorkUs());
+        return twoLoopsRun.addedP99Ms() < MAX_ADDED_MS ? 0 : 1;
     }
 
     private static double p99Ms(Histogram latencyUs) {
