--- a/src/main/java/laneflow/gearman/GearmanFront.java
+++ b/src/main/java/laneflow/gearman/GearmanFront.java
@@ -158,7 +158,7 @@
             return;
         }
         if (draining) {
-            client.error("SHUTTING_DOWN", "no further jobs are accepted");
+            client.error("SHUTTING_DOWN", "no further jobs are taken");
             return;
         }
         int priority = priority(type);
@@ -178,7 +178,7 @@
         }
         if (!queues.admits(name, priority)) {
             scheduler.counters().add("gearman.queue_full");
-            client.error("QUEUE_FULL", "the queue of this function and priority is full");
+            client.error("QUEUE_FULL", "as many jobs of this function and priority wait as may");
             return;
         }
         Job job = new Job("H:laneflow:" + ++handleCount, function, unique, key, reducer, priority, background);
@@ -215,11 +215,11 @@
             scheduler.counters().add("gearman.bad_request");
             client.error("UNKNOWN_FUNCTION", "no function of that name is mapped here");
         } else if (!function.durable() || durableJobs == null) {
-            client.error("NOT_DURABLE", "scheduled jobs are accepted for durable functions only");
+            client.error("NOT_DURABLE", "jobs for later are taken for functions that are durable");
         } else if (data.length > config.maxBodyBytes) {
             client.error("TOO_LARGE", "a job holds " + config.maxBodyBytes / 1024 + " KiB at most");
         } else if (draining) {
-            client.error("SHUTTING_DOWN", "no further jobs are accepted");
+            client.error("SHUTTING_DOWN", "no further jobs are taken");
         } else {
             storeDurable(client, function, unique, data, 0, notBeforeMs);
         }
@@ -294,9 +294,9 @@
                         reply.complete(
                                 Packet.ERROR,
                                 "QUEUE_FULL",
-                                "retry in " + Math.ceil(result.retryAfter() * 1000) / 1000 + " s");
+                                "come back in " + Math.ceil(result.retryAfter() * 1000) / 1000 + " s");
                     } else {
-                        reply.complete(Packet.ERROR, "STORE_FAILED", "no durable job is accepted until a restart");
+                        reply.complete(Packet.ERROR, "STORE_FAILED", "no durable job is taken on until a restart");
                     }
                 });
     }
--- a/src/main/java/laneflow/gearman/Packet.java
+++ b/src/main/java/laneflow/gearman/Packet.java
@@ -87,7 +87,7 @@
             return null;
         }
         if (readInt(in, 0) != REQUEST_MAGIC) {
-            throw new MalformedPacket("the magic is not that of a request");
+            throw new MalformedPacket("no request's magic");
         }
         int size = readInt(in, 8);
         if (size < 0 || size > maxBytes) {
--- a/src/main/java/laneflow/gearman/Peer.java
+++ b/src/main/java/laneflow/gearman/Peer.java
@@ -309,7 +309,7 @@
             case Packet.CAN_DO_TIMEOUT:
                 args = packet.arguments(2);
                 if (!Packet.text(args[1]).matches("[0-9]{1,6}")) {
-                    throw new Packet.MalformedPacket("the timeout is not a number of seconds");
+                    throw new Packet.MalformedPacket("a time-out that is no number of seconds");
                 }
                 worker.canDo(Packet.text(args[0]), Integer.parseInt(Packet.text(args[1])));
                 break;
--- a/src/main/java/laneflow/gearman/Worker.java
+++ b/src/main/java/laneflow/gearman/Worker.java
@@ -340,7 +340,7 @@
     private void status(byte[] workData) throws Packet.MalformedPacket {
         String[] parts = Packet.text(workData).split("\0", 2);
         if (parts.length < 2 || !parts[0].matches("[0-9]{1,15}") || !parts[1].matches("[0-9]{1,15}")) {
-            throw new Packet.MalformedPacket("the status is not a numerator and a denominator");
+            throw new Packet.MalformedPacket("a status that is no part of a whole");
         }
         if (assigned != null) {
             scheduler.progress(assigned, Long.parseLong(parts[0]), Long.parseLong(parts[1]));
--- a/src/main/java/laneflow/ops/Operations.java
+++ b/src/main/java/laneflow/ops/Operations.java
@@ -70,7 +70,7 @@
                 (words, answer) -> answer.accept(
                         state.canServe().getAsBoolean() && (upgrade == null || upgrade.isInPlace())
                                 ? "done"
-                                : "error it can't serve yet, or no longer"));
+                                : "error it can't serve yet, or not any more"));
         port.add("set-down ID", (words, answer) -> setBan(true, words[1], answer));
         port.add("set-up ID", (words, answer) -> setBan(false, words[1], answer));
         port.add("drain-on", (words, answer) -> orderDrain(true, answer));
@@ -140,7 +140,7 @@
                 }
             } catch (IOException e) {
                 LOG.warn("endpoints set down could not be stored for the next process: {}", e.toString());
-                outcome = "done for this process only: it could not be stored";
+                outcome = "done for this process only: it could not be written down";
             }
             String reply = outcome;
             loop.later(() -> broadcastOrder(order, reply, answer));
@@ -157,14 +157,14 @@
                     isConfirmed -> answer.accept(
                             isConfirmed
                                     ? reply
-                                    : "error it is in force here, but the other process of the upgrade"
+                                    : "error it holds here, but the other process of the upgrade"
                                             + " has not confirmed it"));
         }
     }
 
     private void orderDrain(boolean on, Consumer<String> answer) {
         if (isStopping.getAsBoolean()) {
-            answer.accept("error the process is stopping and sends its clients away already");
+            answer.accept("error the process is about to end, its clients are sent away already");
             return;
         }
         setDrained(on);
--- a/src/main/java/laneflow/ops/OpsPort.java
+++ b/src/main/java/laneflow/ops/OpsPort.java
@@ -135,7 +135,7 @@
         private void run(byte[] line, int length) {
             for (int i = 0; i < length; i++) {
                 if (line[i] < ' ' || line[i] > '~') {
-                    reply("error the line holds other than printable ASCII characters");
+                    reply("error the line holds what is no plain text");
                     return;
                 }
             }
