--- a/src/main/java/laneflow/lab/LocalFleet.java
+++ b/src/main/java/laneflow/lab/LocalFleet.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.Callable;
 import java.util.stream.Stream;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Trash;
 import laneflow.lab.standin.StandInRacks;
 import laneflow.lab.standin.StandInTenants;
@@ -61,17 +61,17 @@
     public Integer call() throws Exception {
         clear();
         for (int i = 0; i < SCHEDULERS; i++) {
-            clients[i] = Crew.port();
-            links[i] = Crew.port();
-            views[i] = Crew.port();
+            clients[i] = ChildProcesses.port();
+            links[i] = ChildProcesses.port();
+            views[i] = ChildProcesses.port();
         }
         for (int i = 0; i < RACKS * EACH; i++) {
-            endpoints.put(rack(i / EACH) + "-" + (i % EACH + 1), Crew.port());
+            endpoints.put(rack(i / EACH) + "-" + (i % EACH + 1), ChildProcesses.port());
         }
         Files.writeString(folder.resolve("members.key"), "the-key-of-this-fleet-1\n");
         requests();
         try (StandInRacks racks = new StandInRacks(endpoints, RUN_MS, false);
-                Crew crew = new Crew(folder);
+                ChildProcesses crew = new ChildProcesses(folder);
                 StandInTenants tenants = new StandInTenants(clients, PAUSE_MS, false)) {
             Process[] all = new Process[SCHEDULERS];
             for (int i = 0; i < SCHEDULERS; i++) {
@@ -112,7 +112,7 @@
         return (i < RACKS / 2 ? "a" : "b") + (i % (RACKS / 2) + 1);
     }
 
-    private void start(Crew crew, Process[] all, int i) throws IOException {
+    private void start(ChildProcesses crew, Process[] all, int i) throws IOException {
         Path file = folder.resolve(name(i) + ".toml");
         Files.writeString(file, file(i));
         all[i] = crew.scheduler(name(i), HEAP_MB, file.toString());
@@ -181,7 +181,7 @@
         out.flush();
     }
 
-    private void watch(Crew crew, Process[] all) throws IOException, InterruptedException {
+    private void watch(ChildProcesses crew, Process[] all) throws IOException, InterruptedException {
         long end = System.nanoTime() + seconds * 1_000_000_000L;
         long[] since = new long[SCHEDULERS];
         while (seconds == 0 || System.nanoTime() < end) {
--- a/src/main/java/laneflow/lab/Quickstart.java
+++ b/src/main/java/laneflow/lab/Quickstart.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import laneflow.lab.measure.LiveLoad;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Trash;
 import laneflow.lab.standin.Ledger;
 import laneflow.lab.standin.StandInNodes;
@@ -41,16 +41,16 @@
     @Override
     public Integer call() throws Exception {
         Path folder = Files.createTempDirectory("laneflow-quickstart");
-        try (Crew crew = new Crew(folder)) {
+        try (ChildProcesses crew = new ChildProcesses(folder)) {
             return show(crew, folder);
         } finally {
             Trash.remove(folder);
         }
     }
 
-    private int show(Crew crew, Path folder) throws IOException, InterruptedException {
-        int http = Crew.port();
-        int gearman = Crew.port();
+    private int show(ChildProcesses crew, Path folder) throws IOException, InterruptedException {
+        int http = ChildProcesses.port();
+        int gearman = ChildProcesses.port();
         // The file as it stands, but for addresses that may be taken here, and a store of its own.
         String text = Files.readString(config)
                 .replace("127.0.0.1:8081", "127.0.0.1:" + http)
@@ -58,7 +58,7 @@
                 .replace("dir = \"durable-jobs\"", "dir = \"" + folder.resolve("store") + "\"");
         List<String> ledgers = new ArrayList<>();
         for (int i = 1; i <= 3; i++) {
-            int port = Crew.port();
+            int port = ChildProcesses.port();
             text = text.replace("127.0.0.1:910" + i, "127.0.0.1:" + port);
             String ledger = folder.resolve("till-" + i).toString();
             ledgers.add(ledger);
--- a/src/main/java/laneflow/lab/measure/CapacityProcesses.java
+++ b/src/main/java/laneflow/lab/measure/CapacityProcesses.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Rig;
 import laneflow.lab.rig.Trash;
 import laneflow.lab.standin.StandInDiscovery;
@@ -78,9 +78,9 @@
         Path folder = Files.createTempDirectory("laneflow-capacity");
         List<Integer> ports = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
-            ports.add(Crew.port());
+            ports.add(ChildProcesses.port());
         }
-        try (StandInDiscovery discovery = new StandInDiscovery(Crew.port());
+        try (StandInDiscovery discovery = new StandInDiscovery(ChildProcesses.port());
                 StandInPool pool = new StandInPool(ports, ZONES, RACKS, SORT);
                 Rig rig = new Rig(folder, SCHEDULERS, 1, seed, "")) {
             return new CapacityProcesses(seed, news, seconds, rig, pool, discovery).play();
--- a/src/main/java/laneflow/lab/measure/ConfigMeasure.java
+++ b/src/main/java/laneflow/lab/measure/ConfigMeasure.java
@@ -18,7 +18,7 @@
 import java.util.SplittableRandom;
 import laneflow.control.DestinationType;
 import laneflow.control.Message;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Trash;
 import laneflow.lab.standin.StandInControl;
 import laneflow.lab.standin.StandInNodes;
@@ -45,7 +45,7 @@
     private final boolean large;
     private final Path folder;
     private final PrintStream out;
-    private final Crew crew;
+    private final ChildProcesses crew;
     private final StandInControl control = new StandInControl();
     private final int[] ports = new int[SCHEDULERS];
     private final int[] nodes = new int[NODES];
@@ -68,7 +68,8 @@
     private long stepCpuUs;
     private long stepMostUs;
 
-    private ConfigMeasure(long seed, boolean large, Path folder, PrintStream out, Crew crew) throws IOException {
+    private ConfigMeasure(long seed, boolean large, Path folder, PrintStream out, ChildProcesses crew)
+            throws IOException {
         random = new SplittableRandom(seed);
         this.large = large;
         this.folder = folder;
@@ -79,7 +80,7 @@
     /** Runs all of it; 0 if every promise was kept. */
     public static int run(long seed, boolean large, PrintStream out) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("laneflow-config");
-        try (Crew crew = new Crew(folder)) {
+        try (ChildProcesses crew = new ChildProcesses(folder)) {
             return new ConfigMeasure(seed, large, folder, out, crew).all();
         } finally {
             Trash.remove(folder);
@@ -88,7 +89,7 @@
 
     private void startAll() throws IOException, InterruptedException {
         for (int i = 0; i < NODES; i++) {
-            nodes[i] = Crew.port();
+            nodes[i] = ChildProcesses.port();
         }
         crew.start(
                 "nodes",
@@ -101,7 +102,7 @@
                 "20",
                 large ? "600" : "60");
         for (int i = 0; i < SCHEDULERS; i++) {
-            ports[i] = Crew.port();
+            ports[i] = ChildProcesses.port();
             schedulers[i] = start(i);
             hangs[i] = new HangLoad(ports[i], Map.of());
         }
@@ -275,7 +276,7 @@
      */
     private double rollback() throws IOException, InterruptedException {
         try (StandInControl service = new StandInControl()) {
-            int port = Crew.port();
+            int port = ChildProcesses.port();
             Path file = folder.resolve("r0.toml");
             settings(file, "r0", port, service, "probation_ms = 2000\n");
             crew.scheduler("r0", 128, file.toString());
@@ -338,7 +339,7 @@
 
     /** Killed and started again: it runs the last good version, and the newest as soon as it is told. */
     private void restart(int i) throws IOException, InterruptedException {
-        Crew.kill(schedulers[i]);
+        ChildProcesses.kill(schedulers[i]);
         control.forget("s" + i);
         schedulers[i] = start(i);
         await(() -> control.has("s" + i), "its stream");
--- a/src/main/java/laneflow/lab/measure/Conformance.java
+++ b/src/main/java/laneflow/lab/measure/Conformance.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.Callable;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Trash;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -132,12 +132,12 @@
     /** Plays all against a scheduler in a process of its own. */
     static Result run(PrintStream out, String only) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("laneflow-conformance");
-        try (Crew crew = new Crew(folder)) {
-            int port = Crew.port();
+        try (ChildProcesses crew = new ChildProcesses(folder)) {
+            int port = ChildProcesses.port();
             Path file = folder.resolve("laneflow.toml");
             Files.writeString(
                     file,
-                    "listen = \"127.0.0.1:" + Crew.port() + "\"\nzones = [\"a\"]\n"
+                    "listen = \"127.0.0.1:" + ChildProcesses.port() + "\"\nzones = [\"a\"]\n"
                             + "[classes.basket-check]\naim_ms = 200\ndeadline_ms = 5000\nrepeat = \"safe\"\n"
                             + "[classes.card-capture]\naim_ms = 150\ndeadline_ms = 6000\n"
                             + "[gearman]\nlisten = \"127.0.0.1:" + port + "\"\n" + FUNCTIONS);
--- a/src/main/java/laneflow/lab/measure/ControlMeasure.java
+++ b/src/main/java/laneflow/lab/measure/ControlMeasure.java
@@ -7,7 +7,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Locale;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Rig;
 import laneflow.lab.rig.Trash;
 import org.HdrHistogram.Histogram;
@@ -91,7 +91,7 @@
 
     private void all(boolean oneLoop, boolean large) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("laneflow-control");
-        int[] nodes = {Crew.port(), Crew.port(), Crew.port()};
+        int[] nodes = {ChildProcesses.port(), ChildProcesses.port(), ChildProcesses.port()};
         String file = FILE + Rig.endpoints(nodes) + "[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\n";
         try (Rig rig = new Rig(folder, SCHEDULERS, SCHEDULERS, seed, file)) {
             rig.nodes(nodes, 300);
--- a/src/main/java/laneflow/lab/measure/DurableMeasure.java
+++ b/src/main/java/laneflow/lab/measure/DurableMeasure.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Trash;
 import laneflow.lab.standin.Ledger;
 import laneflow.lab.standin.StandInNodes;
@@ -51,17 +51,18 @@
     private final boolean large;
     private final Path folder;
     private final PrintStream out;
-    private final Crew crew;
-    private final int http = Crew.port();
-    private final int gearman = Crew.port();
-    private final int[] nodes = {Crew.port(), Crew.port(), Crew.port()};
+    private final ChildProcesses crew;
+    private final int http = ChildProcesses.port();
+    private final int gearman = ChildProcesses.port();
+    private final int[] nodes = {ChildProcesses.port(), ChildProcesses.port(), ChildProcesses.port()};
     /** Acknowledged jobs by name, with their ids. */
     private final Map<String, String> acked = new ConcurrentHashMap<>();
 
     private volatile boolean submitting = true;
     private int kills;
 
-    private DurableMeasure(long seed, boolean large, Path folder, PrintStream out, Crew crew) throws IOException {
+    private DurableMeasure(long seed, boolean large, Path folder, PrintStream out, ChildProcesses crew)
+            throws IOException {
         random = new SplittableRandom(seed);
         this.large = large;
         this.folder = folder;
@@ -72,7 +73,7 @@
     /** Runs all of it; 0 if every promise was kept. */
     public static int run(long seed, boolean large, PrintStream out) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("laneflow-durable");
-        try (Crew crew = new Crew(folder)) {
+        try (ChildProcesses crew = new ChildProcesses(folder)) {
             return new DurableMeasure(seed, large, folder, out, crew).all();
         } finally {
             Trash.remove(folder);
@@ -99,7 +100,7 @@
         say(
                 "%d jobs acknowledged in %.2f s, %.0f a second with %.0f commits a second",
                 jobs, seconds, jobs / seconds, syncs);
-        Crew.kill(scheduler);
+        ChildProcesses.kill(scheduler);
         double during = live("recover", "fast");
         Matcher taken = Pattern.compile("(\\d+) taken over in (\\d+) ms").matcher(crew.log("recover"));
         long recovered = taken.find() ? Long.parseLong(taken.group(1)) : -1;
@@ -107,7 +108,7 @@
         say(
                 "%d jobs taken over in %d ms; live service meanwhile %.2f %%, %d of them served",
                 recovered, recoverMs, during * 100, served);
-        Crew.kill(tills);
+        ChildProcesses.kill(tills);
         Verdict verdict = killing();
         out.printf(
                 Locale.ROOT,
@@ -246,7 +247,7 @@
         new LiveLoad(http, "check", 32, 250, 200).run(1);
         double share = new LiveLoad(http, "check", 32, 250, 200).run(large ? 20 : 4);
         served = counter("durable.done");
-        Crew.kill(scheduler);
+        ChildProcesses.kill(scheduler);
         return share;
     }
 
@@ -397,19 +398,19 @@
             // A whole data centre, once or more; then longer than the key's window.
             boolean everything = ++round % 8 == 5;
             if (everything || draw < 0.5) {
-                Crew.kill(scheduler);
+                ChildProcesses.kill(scheduler);
                 kills++;
             }
             if (everything || draw >= 0.5 && draw < 0.85) {
                 for (int i = 0; i < workers.length; i++) {
                     if (everything || i == random.nextInt(workers.length)) {
-                        Crew.kill(workers[i]);
+                        ChildProcesses.kill(workers[i]);
                         kills++;
                     }
                 }
             }
             if (everything || draw >= 0.85) {
-                Crew.kill(tills);
+                ChildProcesses.kill(tills);
                 kills++;
             }
             Thread.sleep(everything ? WINDOW_MS + 500 : random.nextInt(250));
--- a/src/main/java/laneflow/lab/measure/FleetMeasure.java
+++ b/src/main/java/laneflow/lab/measure/FleetMeasure.java
@@ -13,7 +13,7 @@
 import java.util.SplittableRandom;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Rig;
 import laneflow.lab.rig.Trash;
 import laneflow.lab.world.MemberWorld;
@@ -71,7 +71,7 @@
     /** Runs all of it; 0 if every promise was kept. */
     public static int run(long seed, boolean large, PrintStream out) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("laneflow-fleet");
-        int[] nodes = {Crew.port(), Crew.port(), Crew.port()};
+        int[] nodes = {ChildProcesses.port(), ChildProcesses.port(), ChildProcesses.port()};
         try (Rig rig = new Rig(folder, large ? 32 : 12, 1, seed, FILE + Rig.endpoints(nodes))) {
             rig.nodes(nodes, large ? 900 : 300);
             return new FleetMeasure(seed, large, out, rig).all(seed);
--- a/src/main/java/laneflow/lab/measure/GearmanMeasure.java
+++ b/src/main/java/laneflow/lab/measure/GearmanMeasure.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Trash;
 import laneflow.lab.standin.Ledger;
 import laneflow.lab.standin.StandInCrowd;
@@ -44,7 +44,7 @@
     private final int seconds;
     private final Path folder;
     private final PrintStream out;
-    private final Crew crew;
+    private final ChildProcesses crew;
     private final AtomicInteger names = new AtomicInteger();
     private final AtomicInteger lost = new AtomicInteger();
     /** What clients were told of each job: its function's number, and whether it was served. */
@@ -55,7 +55,7 @@
 
     private record Told(int function, boolean served) {}
 
-    private GearmanMeasure(long seed, boolean large, Path folder, PrintStream out, Crew crew) {
+    private GearmanMeasure(long seed, boolean large, Path folder, PrintStream out, ChildProcesses crew) {
         this.seed = seed;
         workers = large ? 5000 : 1000;
         seconds = large ? 60 : 8;
@@ -68,7 +68,7 @@
     public static int run(long seed, boolean large, PrintStream out) throws IOException, InterruptedException {
         Conformance.Result cases = Conformance.run(out, "");
         Path folder = Files.createTempDirectory("laneflow-gearman");
-        try (Crew crew = new Crew(folder)) {
+        try (ChildProcesses crew = new ChildProcesses(folder)) {
             return new GearmanMeasure(seed, large, folder, out, crew).all(cases);
         } finally {
             Trash.remove(folder);
@@ -76,8 +76,8 @@
     }
 
     private int all(Conformance.Result cases) throws IOException, InterruptedException {
-        port = Crew.port();
-        int http = Crew.port();
+        port = ChildProcesses.port();
+        int http = ChildProcesses.port();
         Process scheduler = crew.scheduler("scheduler", 256, settings(http).toString());
         crew.awaitPort(scheduler, "scheduler", http);
         long before = liveBytes(scheduler);
--- a/src/main/java/laneflow/lab/measure/IdleMeasure.java
+++ b/src/main/java/laneflow/lab/measure/IdleMeasure.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Rig;
 import laneflow.lab.rig.Trash;
 
@@ -44,7 +44,7 @@
         Path folder = Files.createTempDirectory("laneflow-idle");
         List<Rig> rigs = new ArrayList<>();
         String[] kinds = {"alone", "view", "policy and view"};
-        int[] nodes = {Crew.port(), Crew.port(), Crew.port()};
+        int[] nodes = {ChildProcesses.port(), ChildProcesses.port(), ChildProcesses.port()};
         try {
             for (int kind = 0; kind < kinds.length; kind++) {
                 Path here = Files.createDirectory(folder.resolve("kind-" + kind));
--- a/src/main/java/laneflow/lab/measure/MaintenanceMeasure.java
+++ b/src/main/java/laneflow/lab/measure/MaintenanceMeasure.java
@@ -24,7 +24,7 @@
 import laneflow.lab.measure.MaintenanceHistory.Loss;
 import laneflow.lab.measure.MaintenanceHistory.Shown;
 import laneflow.lab.measure.MaintenanceHistory.Work;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Rig;
 import laneflow.lab.rig.Trash;
 import laneflow.lab.standin.StandInRacks;
@@ -98,7 +98,7 @@
         Path folder = Files.createTempDirectory("laneflow-maintenance");
         Map<String, Integer> ports = new TreeMap<>();
         for (int i = 0; i < RACKS * EACH; i++) {
-            ports.put(rack(i / EACH) + "-" + (i % EACH + 1), Crew.port());
+            ports.put(rack(i / EACH) + "-" + (i % EACH + 1), ChildProcesses.port());
         }
         try (StandInRacks racks = new StandInRacks(ports, RUN_MS, true);
                 Rig rig = new Rig(folder, SCHEDULERS, VOTERS, seed, file(ports))) {
--- a/src/main/java/laneflow/lab/measure/PolicyMeasure.java
+++ b/src/main/java/laneflow/lab/measure/PolicyMeasure.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Rig;
 import laneflow.lab.rig.Trash;
 import laneflow.lab.standin.Ledger;
@@ -70,7 +70,7 @@
     public static int run(long seed, boolean large, PrintStream out) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("laneflow-policy");
         int schedulers = large ? 24 : 9;
-        int[] nodes = {Crew.port(), Crew.port(), Crew.port()};
+        int[] nodes = {ChildProcesses.port(), ChildProcesses.port(), ChildProcesses.port()};
         StringBuilder common = new StringBuilder("zones = [\"z\"]\n[limits]\nsockets = 512\n");
         common.append(classes("safe"));
         common.append(Rig.endpoints(nodes));
--- a/src/main/java/laneflow/lab/measure/RecoveryMeasure.java
+++ b/src/main/java/laneflow/lab/measure/RecoveryMeasure.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Stream;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Rig;
 import laneflow.lab.standin.Ledger;
 
@@ -41,7 +41,7 @@
     static RecoveryMeasure run(long seed, Path in) throws IOException, InterruptedException {
         Path folder = Files.createDirectory(in.resolve("recovery"));
         Path stores = Files.createDirectory(folder.resolve("stores"));
-        int[] nodes = {Crew.port(), Crew.port(), Crew.port()};
+        int[] nodes = {ChildProcesses.port(), ChildProcesses.port(), ChildProcesses.port()};
         try (Rig rig = new Rig(folder, SCHEDULERS, VOTERS, seed, "")) {
             for (int i = 0; i < SCHEDULERS; i++) {
                 rig.file(
--- a/src/main/java/laneflow/lab/measure/TaskMeasure.java
+++ b/src/main/java/laneflow/lab/measure/TaskMeasure.java
@@ -10,7 +10,7 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.SplittableRandom;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Rig;
 import laneflow.lab.rig.Trash;
 import laneflow.lab.standin.StandInReceiver;
@@ -66,7 +66,7 @@
         int tasks = large ? 1000 : 45;
         int every = large ? 5000 : EVERY_MS;
         Path folder = Files.createTempDirectory("laneflow-task");
-        try (StandInReceiver receiver = new StandInReceiver(Crew.port(), WORK_MS);
+        try (StandInReceiver receiver = new StandInReceiver(ChildProcesses.port(), WORK_MS);
                 Rig rig = new Rig(folder, SCHEDULERS, VOTERS, seed, file(receiver.port(), tasks, every))) {
             RecoveryMeasure recovery = RecoveryMeasure.run(seed, folder);
             return new TaskMeasure(seed, tasks, every, out, rig, receiver).all(large, recovery);
--- a/src/main/java/laneflow/lab/rig/Crew.java
+++ b/src/main/java/laneflow/lab/rig/ChildProcesses.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** The processes of a measurement: started from this program's own jar, and ended by it, whatever happens. */
-public final class Crew implements AutoCloseable {
+public final class ChildProcesses implements AutoCloseable {
     private static final int FIRST_PORT = 12_000;
     private static final int LAST_PORT = 32_000;
     private static final int PORT_TRIES = 1000;
@@ -35,7 +35,7 @@
     private final String classPath;
     private final List<Process> all = new CopyOnWriteArrayList<>();
 
-    public Crew(Path folder) {
+    public ChildProcesses(Path folder) {
         this.folder = folder;
         classPath = System.getProperty("java.class.path");
         // Also where the measurement itself is ended early.
--- a/src/main/java/laneflow/lab/rig/Rig.java
+++ b/src/main/java/laneflow/lab/rig/Rig.java
@@ -40,7 +40,7 @@
     private final int voters;
 
     private int named;
-    private final Crew crew;
+    private final ChildProcesses crew;
     private final Process[] processes;
     private final long[] limits;
     private final int[] clientPorts;
@@ -70,15 +70,15 @@
         this.folder = folder;
         this.voters = voters;
         named = voters;
-        crew = new Crew(folder);
+        crew = new ChildProcesses(folder);
         processes = new Process[schedulers];
         limits = new long[schedulers];
         clientPorts = new int[schedulers];
         fleetPorts = new int[schedulers];
         relays = new Relay[schedulers][voters];
         for (int i = 0; i < schedulers; i++) {
-            clientPorts[i] = Crew.port();
-            fleetPorts[i] = Crew.port();
+            clientPorts[i] = ChildProcesses.port();
+            fleetPorts[i] = ChildProcesses.port();
             more.add(common);
             options.add("");
         }
@@ -128,7 +128,7 @@
         memberPeriodMs = periodMs;
         memberPorts = new int[processes.length];
         for (int i = 0; i < processes.length; i++) {
-            memberPorts[i] = Crew.port();
+            memberPorts[i] = ChildProcesses.port();
         }
         datagrams = new DatagramRelay(memberPorts, seed);
         memberSeeds = seeds;
@@ -305,7 +305,7 @@
     /** SIGKILL. */
     public void kill(int i) throws InterruptedException, IOException {
         note("kill " + name(i));
-        Crew.kill(processes[i]);
+        ChildProcesses.kill(processes[i]);
     }
 
     /** SIGTERM, and waits for its end. */
--- a/src/test/java/laneflow/capacity/CapacityFaultsStoryTest.java
+++ b/src/test/java/laneflow/capacity/CapacityFaultsStoryTest.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.concurrent.atomic.AtomicInteger;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Rig;
 import laneflow.lab.standin.StandInDiscovery;
 import laneflow.lab.standin.StandInPool;
@@ -63,10 +63,10 @@
     private void setUpFleet(int schedulers, int endpoints) throws Exception {
         List<Integer> ports = new ArrayList<>();
         for (int i = 0; i < endpoints; i++) {
-            ports.add(Crew.port());
+            ports.add(ChildProcesses.port());
         }
         pool = new StandInPool(ports, List.of("z"), 2, NODE_SORT);
-        discovery = new StandInDiscovery(Crew.port());
+        discovery = new StandInDiscovery(ChildProcesses.port());
         discovery.tell(pool.listed());
         rig = new Rig(folder, schedulers, 1, 5, "");
         for (int i = 0; i < schedulers; i++) {
@@ -234,7 +234,7 @@
         // The endpoints report 64 free slots each to one scheduler, which passes that on.
         StringBuilder endpointTables = new StringBuilder();
         for (Node node : pool.nodes) {
-            int faultyPort = Crew.port();
+            int faultyPort = ChildProcesses.port();
             node.lieAt(faultyPort, 64, 0);
             endpointTables
                     .append("[endpoints.")
@@ -281,7 +281,7 @@
     void reportsNeverAddEndpointsWhileDiscoveryIsDown() throws Exception {
         setUpFleet(3, 4);
         // The last scheduler has an older list: one endpoint drains in it, another is missing.
-        try (StandInDiscovery older = new StandInDiscovery(Crew.port())) {
+        try (StandInDiscovery older = new StandInDiscovery(ChildProcesses.port())) {
             pool.nodes.get(0).drains();
             List<String> list = pool.listed();
             pool.nodes.get(0).drainsNoMore();
--- a/src/test/java/laneflow/lab/measure/TakenBackStoryTest.java
+++ b/src/test/java/laneflow/lab/measure/TakenBackStoryTest.java
@@ -5,7 +5,7 @@
 
 import com.google.gson.JsonObject;
 import java.nio.file.Path;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Rig;
 import laneflow.lab.standin.StandInNodes;
 import org.junit.jupiter.api.Test;
@@ -20,7 +20,7 @@
 
     @Test
     void whatMakesServiceWorseIsTakenBackEverywhere() throws Exception {
-        int node = Crew.port();
+        int node = ChildProcesses.port();
         String common = "zones = [\"z\"]\n[classes.check]\nrepeat = \"safe\"\n[classes.capture]\n[endpoints.till]\n"
                 + "dial = \"127.0.0.1:" + node
                 + "\"\n[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\nprobation_ms = 3000\n";
--- a/src/test/java/laneflow/task/RecoveryStoryTest.java
+++ b/src/test/java/laneflow/task/RecoveryStoryTest.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Rig;
 import laneflow.lab.standin.Ledger;
 import org.junit.jupiter.api.AfterEach;
@@ -46,7 +46,7 @@
     void begin() throws Exception {
         stores = Files.createDirectory(folder.resolve("stores"));
         for (int i = 0; i < nodes.length; i++) {
-            nodes[i] = Crew.port();
+            nodes[i] = ChildProcesses.port();
         }
         rig = new Rig(folder, 4, 3, 7, "");
         for (int i = 0; i < 4; i++) {
--- a/src/test/java/laneflow/task/TaskFaultsStoryTest.java
+++ b/src/test/java/laneflow/task/TaskFaultsStoryTest.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.CountDownLatch;
 import laneflow.lab.measure.TaskHistory;
 import laneflow.lab.measure.TaskMeasure;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Rig;
 import laneflow.lab.standin.StandInReceiver;
 import laneflow.lab.standin.StandInReceiver.Call;
@@ -65,7 +65,7 @@
 
     @Test
     void aHangingCallIsCutOffAndDelaysNoOther() throws Exception {
-        try (StandInReceiver receiver = new StandInReceiver(Crew.port(), 5);
+        try (StandInReceiver receiver = new StandInReceiver(ChildProcesses.port(), 5);
                 Rig rig = new Rig(
                         folder,
                         3,
@@ -125,7 +125,7 @@
      */
     @Test
     void lateCallsOfAClockBeyondItsBoundAreRejectedByTheReceiver() throws Exception {
-        try (StandInReceiver receiver = new StandInReceiver(Crew.port(), 0);
+        try (StandInReceiver receiver = new StandInReceiver(ChildProcesses.port(), 0);
                 Rig rig = new Rig(folder, 4, 3, 7, checked(receiver.port()))) {
             rig.option(3, "-Dlaneflow.lab.clock_rate=0.4");
             rig.startAll();
@@ -145,7 +145,7 @@
 
     @Test
     void oldAndNewProcessOfAnUpgradeAreSeparateHolders() throws Exception {
-        try (StandInReceiver receiver = new StandInReceiver(Crew.port(), 5);
+        try (StandInReceiver receiver = new StandInReceiver(ChildProcesses.port(), 5);
                 Rig rig = new Rig(folder, 3, 1, 7, checked(receiver.port()))) {
             rig.start(0);
             rig.start(1);
@@ -175,7 +175,8 @@
 
     /** A proxy to the receiver that can delay the calls of one scheduler, even beyond its death. */
     private static final class DelayingProxy implements AutoCloseable {
-        private final ServerSocket server = new ServerSocket(Crew.port(), 64, InetAddress.getLoopbackAddress());
+        private final ServerSocket server =
+                new ServerSocket(ChildProcesses.port(), 64, InetAddress.getLoopbackAddress());
         private final int target;
         private volatile String delayedName = "#";
         private volatile String delayedHead = "";
@@ -228,7 +229,7 @@
 
     @Test
     void aDelayedCallOfAnEarlierInstanceIsRejected() throws Exception {
-        try (StandInReceiver receiver = new StandInReceiver(Crew.port(), 5);
+        try (StandInReceiver receiver = new StandInReceiver(ChildProcesses.port(), 5);
                 DelayingProxy proxy = new DelayingProxy(receiver.port());
                 Rig rig = new Rig(folder, 3, 3, 7, checked(proxy.server.getLocalPort()))) {
             rig.startAll();
--- a/src/test/java/laneflow/task/TaskStoryTest.java
+++ b/src/test/java/laneflow/task/TaskStoryTest.java
@@ -13,7 +13,7 @@
 import laneflow.cli.CliRun;
 import laneflow.lab.measure.TaskHistory;
 import laneflow.lab.measure.TaskMeasure;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Rig;
 import laneflow.lab.standin.StandInReceiver;
 import org.junit.jupiter.api.AfterEach;
@@ -33,7 +33,7 @@
 
     @BeforeEach
     void begin() throws Exception {
-        receiver = new StandInReceiver(Crew.port(), 10);
+        receiver = new StandInReceiver(ChildProcesses.port(), 10);
         rig = new Rig(folder, 3, 3, 7, TaskMeasure.file(receiver.port(), TASKS));
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
--- a/src/test/java/laneflow/transcripts/GossipTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/GossipTranscriptsTest.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.regex.Pattern;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Rig;
 import laneflow.lab.standin.StandInPool;
 import org.junit.jupiter.api.Test;
@@ -101,7 +101,7 @@
                 "Reports of one endpoint at two schedulers: before, during and after a network partition."
                         + " Requests go to n1 only; the schedulers' own datagrams are sealed, and not shown.",
                 transcript -> {
-                    int port = Crew.port();
+                    int port = ChildProcesses.port();
                     Path directory = Files.createTempDirectory(folder, "fleet");
                     try (StandInPool pool = new StandInPool(
                                     List.of(port), List.of("z"), 1, new StandInPool.Sort(4, 4, 1, 1, 100, 1));
--- a/src/test/java/laneflow/transcripts/MaintenanceTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/MaintenanceTranscriptsTest.java
@@ -12,7 +12,7 @@
 import laneflow.assembly.Serve;
 import laneflow.assembly.Setup;
 import laneflow.lab.rig.Await;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.maintenance.decision.MaintenanceJson;
 import laneflow.maintenance.decision.Request;
 import laneflow.net.SchedulerHarness;
@@ -48,7 +48,7 @@
         Path own = Files.createTempDirectory(folder, "n1");
         Endpoint a = new Endpoint("e1");
         Endpoint b = new Endpoint("e2");
-        int fleet = Crew.port();
+        int fleet = ChildProcesses.port();
         Path file = Files.writeString(
                 own.resolve("n1.toml"),
                 "name = 'n1'\nlisten = '127.0.0.1:0'\nzones = ['z']\n"
--- a/src/test/java/laneflow/transcripts/PolicyTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/PolicyTranscriptsTest.java
@@ -6,7 +6,7 @@
 import laneflow.assembly.Serve;
 import laneflow.assembly.Setup;
 import laneflow.lab.rig.Await;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.net.SchedulerHarness;
 import laneflow.net.SchedulerHarness.Endpoint;
 import laneflow.net.SchedulerHarness.Peer;
@@ -28,7 +28,7 @@
     private void withDecidingScheduler(Transcript transcript, Scenario scenario) throws Exception {
         Path own = Files.createTempDirectory(folder, "n1");
         Endpoint endpoint = new Endpoint("e1");
-        int fleet = Crew.port();
+        int fleet = ChildProcesses.port();
         Path file = Files.writeString(
                 own.resolve("n1.toml"),
                 "name = 'n1'\nlisten = '127.0.0.1:0'\nzones = ['z']\n"
--- a/src/test/java/laneflow/transcripts/TaskTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/TaskTranscriptsTest.java
@@ -7,7 +7,7 @@
 import laneflow.assembly.Setup;
 import laneflow.cli.CliRun;
 import laneflow.lab.rig.Await;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.net.SchedulerHarness;
 import laneflow.net.SchedulerHarness.Endpoint;
 import laneflow.net.SchedulerHarness.Peer;
@@ -33,7 +33,7 @@
     private final class TestFleet implements AutoCloseable {
         private final Transcript transcript;
         private final Endpoint receiver = new Endpoint("receiver");
-        private final int leaderPort = Crew.port();
+        private final int leaderPort = ChildProcesses.port();
         private final Path files = Files.createTempDirectory(folder, "fleet");
         private final Serve voter;
 
@@ -60,7 +60,7 @@
         Path candidateFile(String name, int everyMs) throws IOException {
             return file(
                     name,
-                    Crew.port(),
+                    ChildProcesses.port(),
                     "[tasks.hooks.tidy]\nat = '" + receiver.dial() + "'\npath = '/tidy'\n" + "every_ms = " + everyMs
                             + "\nmost_ms = " + LEASE_MS / 2 + "\nlate_calls = 'checked'\n");
         }
@@ -121,7 +121,7 @@
                 "A holder is killed; once its lease has ended another candidate gets the task with the next token.",
                 transcript -> {
                     try (TestFleet fleet = new TestFleet(transcript);
-                            Crew crew = new Crew(fleet.files)) {
+                            ChildProcesses crew = new ChildProcesses(fleet.files)) {
                         Process holder = crew.scheduler(
                                 "n2", HEAP_MB, fleet.candidateFile("n2", DAY_MS).toString());
                         fleet.answerCall("n2", DONE);
@@ -129,11 +129,11 @@
                                 "n3", HEAP_MB, fleet.candidateFile("n3", DAY_MS).toString());
                         fleet.showTasks("\"n3#");
                         transcript.note("n2 is killed");
-                        Crew.kill(holder);
+                        ChildProcesses.kill(holder);
                         fleet.answerCall("n3", DONE);
                         fleet.showTasks("\"holder\":\"n3#");
                         transcript.note("n3 is killed too");
-                        Crew.kill(next);
+                        ChildProcesses.kill(next);
                         fleet.showTasks("\"holder\":\"\"");
                     }
                 });
