--- a/src/main/java/laneflow/lab/LocalFleet.java
+++ b/src/main/java/laneflow/lab/LocalFleet.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.Callable;
 import java.util.stream.Stream;
 import laneflow.lab.rig.ChildProcesses;
-import laneflow.lab.rig.Trash;
+import laneflow.lab.rig.FileTree;
 import laneflow.lab.standin.StandInRacks;
 import laneflow.lab.standin.StandInTenants;
 import picocli.CommandLine.Command;
@@ -97,7 +97,7 @@
                 }
             }
         } else if (Files.isDirectory(folder)) {
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
         Files.createDirectories(folder);
         Files.writeString(folder.resolve(MARK), "emptied at the next start\n");
--- a/src/main/java/laneflow/lab/Quickstart.java
+++ b/src/main/java/laneflow/lab/Quickstart.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.Callable;
 import laneflow.lab.measure.LiveLoad;
 import laneflow.lab.rig.ChildProcesses;
-import laneflow.lab.rig.Trash;
+import laneflow.lab.rig.FileTree;
 import laneflow.lab.standin.Ledger;
 import laneflow.lab.standin.StandInNodes;
 import laneflow.lab.standin.StandInWorker;
@@ -44,7 +44,7 @@
         try (ChildProcesses crew = new ChildProcesses(folder)) {
             return show(crew, folder);
         } finally {
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
     }
 
--- a/src/main/java/laneflow/lab/measure/CapacityProcesses.java
+++ b/src/main/java/laneflow/lab/measure/CapacityProcesses.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import laneflow.lab.rig.ChildProcesses;
+import laneflow.lab.rig.FileTree;
 import laneflow.lab.rig.Rig;
-import laneflow.lab.rig.Trash;
 import laneflow.lab.standin.StandInDiscovery;
 import laneflow.lab.standin.StandInPool;
 import laneflow.lab.standin.StandInPool.Node;
@@ -85,7 +85,7 @@
                 Rig rig = new Rig(folder, SCHEDULERS, 1, seed, "")) {
             return new CapacityProcesses(seed, news, seconds, rig, pool, discovery).play();
         } finally {
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
     }
 
--- a/src/main/java/laneflow/lab/measure/ConfigMeasure.java
+++ b/src/main/java/laneflow/lab/measure/ConfigMeasure.java
@@ -19,7 +19,7 @@
 import laneflow.control.DestinationType;
 import laneflow.control.Message;
 import laneflow.lab.rig.ChildProcesses;
-import laneflow.lab.rig.Trash;
+import laneflow.lab.rig.FileTree;
 import laneflow.lab.standin.StandInControl;
 import laneflow.lab.standin.StandInNodes;
 import org.HdrHistogram.Histogram;
@@ -83,7 +83,7 @@
         try (ChildProcesses crew = new ChildProcesses(folder)) {
             return new ConfigMeasure(seed, large, folder, out, crew).all();
         } finally {
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
     }
 
--- a/src/main/java/laneflow/lab/measure/Conformance.java
+++ b/src/main/java/laneflow/lab/measure/Conformance.java
@@ -21,7 +21,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import laneflow.lab.rig.ChildProcesses;
-import laneflow.lab.rig.Trash;
+import laneflow.lab.rig.FileTree;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -148,7 +148,7 @@
             out.println("conformance: " + result.passed() + "/" + result.played());
             return result;
         } finally {
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
     }
 
--- a/src/main/java/laneflow/lab/measure/ControlMeasure.java
+++ b/src/main/java/laneflow/lab/measure/ControlMeasure.java
@@ -8,8 +8,8 @@
 import java.nio.file.Path;
 import java.util.Locale;
 import laneflow.lab.rig.ChildProcesses;
+import laneflow.lab.rig.FileTree;
 import laneflow.lab.rig.Rig;
-import laneflow.lab.rig.Trash;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -148,7 +148,7 @@
                     each(quietTimes.waitedNs(), quiet),
                     each(stormTimes.waitedNs(), storm));
         } finally {
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
     }
 
--- a/src/main/java/laneflow/lab/measure/DurableMeasure.java
+++ b/src/main/java/laneflow/lab/measure/DurableMeasure.java
@@ -25,7 +25,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import laneflow.lab.rig.ChildProcesses;
-import laneflow.lab.rig.Trash;
+import laneflow.lab.rig.FileTree;
 import laneflow.lab.standin.Ledger;
 import laneflow.lab.standin.StandInNodes;
 import laneflow.lab.standin.StandInWorker;
@@ -76,7 +76,7 @@
         try (ChildProcesses crew = new ChildProcesses(folder)) {
             return new DurableMeasure(seed, large, folder, out, crew).all();
         } finally {
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
     }
 
--- a/src/main/java/laneflow/lab/measure/FleetMeasure.java
+++ b/src/main/java/laneflow/lab/measure/FleetMeasure.java
@@ -14,8 +14,8 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import laneflow.lab.rig.ChildProcesses;
+import laneflow.lab.rig.FileTree;
 import laneflow.lab.rig.Rig;
-import laneflow.lab.rig.Trash;
 import laneflow.lab.world.MemberWorld;
 import laneflow.membership.decision.Seal;
 import laneflow.membership.decision.State;
@@ -76,7 +76,7 @@
             rig.nodes(nodes, large ? 900 : 300);
             return new FleetMeasure(seed, large, out, rig).all(seed);
         } finally {
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
     }
 
--- a/src/main/java/laneflow/lab/measure/GearmanMeasure.java
+++ b/src/main/java/laneflow/lab/measure/GearmanMeasure.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import laneflow.lab.rig.ChildProcesses;
-import laneflow.lab.rig.Trash;
+import laneflow.lab.rig.FileTree;
 import laneflow.lab.standin.Ledger;
 import laneflow.lab.standin.StandInCrowd;
 import laneflow.lab.standin.Wire;
@@ -71,7 +71,7 @@
         try (ChildProcesses crew = new ChildProcesses(folder)) {
             return new GearmanMeasure(seed, large, folder, out, crew).all(cases);
         } finally {
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
     }
 
--- a/src/main/java/laneflow/lab/measure/IdleMeasure.java
+++ b/src/main/java/laneflow/lab/measure/IdleMeasure.java
@@ -9,8 +9,8 @@
 import java.util.Locale;
 import java.util.Map;
 import laneflow.lab.rig.ChildProcesses;
+import laneflow.lab.rig.FileTree;
 import laneflow.lab.rig.Rig;
-import laneflow.lab.rig.Trash;
 
 /**
  * {@code lab measure idle}: what a scheduler costs that nobody asks, a minute after its start, by itself,
@@ -93,7 +93,7 @@
             for (Rig rig : rigs) {
                 rig.close();
             }
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
     }
 
--- a/src/main/java/laneflow/lab/measure/MaintenanceMeasure.java
+++ b/src/main/java/laneflow/lab/measure/MaintenanceMeasure.java
@@ -25,8 +25,8 @@
 import laneflow.lab.measure.MaintenanceHistory.Shown;
 import laneflow.lab.measure.MaintenanceHistory.Work;
 import laneflow.lab.rig.ChildProcesses;
+import laneflow.lab.rig.FileTree;
 import laneflow.lab.rig.Rig;
-import laneflow.lab.rig.Trash;
 import laneflow.lab.standin.StandInRacks;
 import laneflow.lab.standin.StandInTenants;
 import laneflow.maintenance.decision.Fairness;
@@ -110,7 +110,7 @@
                 return new MaintenanceMeasure(seed, large ? 3 * RACKS : 2 * RACKS, out, rig, racks, tenants).all();
             }
         } finally {
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
     }
 
--- a/src/main/java/laneflow/lab/measure/PolicyMeasure.java
+++ b/src/main/java/laneflow/lab/measure/PolicyMeasure.java
@@ -15,8 +15,8 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import laneflow.lab.rig.ChildProcesses;
+import laneflow.lab.rig.FileTree;
 import laneflow.lab.rig.Rig;
-import laneflow.lab.rig.Trash;
 import laneflow.lab.standin.Ledger;
 import org.HdrHistogram.Histogram;
 
@@ -82,7 +82,7 @@
             rig.nodes(nodes, large ? 900 : 300);
             return new PolicyMeasure(seed, large, folder, out, rig, schedulers).all();
         } finally {
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
     }
 
--- a/src/main/java/laneflow/lab/measure/TaskMeasure.java
+++ b/src/main/java/laneflow/lab/measure/TaskMeasure.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import laneflow.lab.rig.ChildProcesses;
+import laneflow.lab.rig.FileTree;
 import laneflow.lab.rig.Rig;
-import laneflow.lab.rig.Trash;
 import laneflow.lab.standin.StandInReceiver;
 import org.HdrHistogram.Histogram;
 
@@ -71,7 +71,7 @@
             RecoveryMeasure recovery = RecoveryMeasure.run(seed, folder);
             return new TaskMeasure(seed, tasks, every, out, rig, receiver).all(large, recovery);
         } finally {
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
     }
 
--- a/src/main/java/laneflow/lab/rig/Trash.java
+++ b/src/main/java/laneflow/lab/rig/FileTree.java
@@ -7,10 +7,10 @@
 import java.util.stream.Stream;
 
 /** Takes a measurement's folder away. */
-public final class Trash {
-    private Trash() {}
+public final class FileTree {
+    private FileTree() {}
 
-    public static void remove(Path folder) throws IOException {
+    public static void delete(Path folder) throws IOException {
         try (Stream<Path> all = Files.walk(folder)) {
             for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
                 Files.deleteIfExists(path);
--- a/src/main/java/laneflow/lab/rig/Rig.java
+++ b/src/main/java/laneflow/lab/rig/Rig.java
@@ -352,7 +352,7 @@
     /** The disk of a voter that is down is gone. */
     public void wipe(int i) throws IOException {
         note("wipe " + name(i));
-        Trash.remove(votes(i));
+        FileTree.delete(votes(i));
     }
 
     /** Where a voter keeps its votes. */
