--- a/src/main/java/laneflow/lab/Quickstart.java
+++ b/src/main/java/laneflow/lab/Quickstart.java
@@ -14,10 +14,10 @@
 import laneflow.lab.measure.LiveLoad;
 import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.FileTree;
+import laneflow.lab.standin.GearmanConnection;
 import laneflow.lab.standin.Ledger;
 import laneflow.lab.standin.StandInNodes;
 import laneflow.lab.standin.StandInWorker;
-import laneflow.lab.standin.Wire;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -159,7 +159,7 @@
     }
 
     private static String submit(int port, String function, String name) {
-        try (Wire wire = new Wire(port, 10_000)) {
+        try (GearmanConnection wire = new GearmanConnection(port, 10_000)) {
             String answer = submit(wire, function, name);
             for (int i = 0; i < TRIES && answer.equals("WORK_FAIL"); i++) {
                 Thread.sleep(AGAIN_MS);
@@ -173,13 +173,13 @@
         }
     }
 
-    private static String submit(Wire wire, String function, String name) throws IOException {
-        wire.send(Wire.SUBMIT_JOB, function, "", name);
-        for (Wire.Packet said = wire.read(); ; said = wire.read()) {
-            if (said.type() == Wire.WORK_COMPLETE) {
+    private static String submit(GearmanConnection wire, String function, String name) throws IOException {
+        wire.send(GearmanConnection.SUBMIT_JOB, function, "", name);
+        for (GearmanConnection.Packet said = wire.read(); ; said = wire.read()) {
+            if (said.type() == GearmanConnection.WORK_COMPLETE) {
                 return "WORK_COMPLETE " + said.args()[1];
-            } else if (said.type() != Wire.JOB_CREATED && said.type() != Wire.WORK_STATUS) {
-                return said.type() == Wire.WORK_FAIL ? "WORK_FAIL" : "packet " + said.type();
+            } else if (said.type() != GearmanConnection.JOB_CREATED && said.type() != GearmanConnection.WORK_STATUS) {
+                return said.type() == GearmanConnection.WORK_FAIL ? "WORK_FAIL" : "packet " + said.type();
             }
         }
     }
--- a/src/main/java/laneflow/lab/measure/Conformance.java
+++ b/src/main/java/laneflow/lab/measure/Conformance.java
@@ -27,7 +27,7 @@
 
 /**
  * {@code lab conformance}: the cases of gearman-cases.txt, played against a scheduler of its own over
- * loopback. Its codec is independent of the front's, as {@link Wire}'s is. The last line counts the cases
+ * loopback. Its codec is independent of the front's, as {@link GearmanConnection}'s is. The last line counts the cases
  * that passed; exit code 1 where one did not.
  */
 @Command(
--- a/src/main/java/laneflow/lab/measure/DurableMeasure.java
+++ b/src/main/java/laneflow/lab/measure/DurableMeasure.java
@@ -26,10 +26,10 @@
 import java.util.regex.Pattern;
 import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.FileTree;
+import laneflow.lab.standin.GearmanConnection;
 import laneflow.lab.standin.Ledger;
 import laneflow.lab.standin.StandInNodes;
 import laneflow.lab.standin.StandInWorker;
-import laneflow.lab.standin.Wire;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -186,7 +186,7 @@
         Process process = crew.scheduler(name, 1024, config);
         long end = System.nanoTime() + 20_000_000_000L;
         while (process.isAlive() && System.nanoTime() < end) {
-            try (Wire wire = new Wire(gearman, 1000)) {
+            try (GearmanConnection wire = new GearmanConnection(gearman, 1000)) {
                 return process;
             } catch (IOException e) {
                 Thread.sleep(5);
@@ -281,7 +281,7 @@
     }
 
     private void ask(int connection, int round, Histogram took) {
-        try (Wire wire = new Wire(gearman, 10_000)) {
+        try (GearmanConnection wire = new GearmanConnection(gearman, 10_000)) {
             long from = System.nanoTime();
             for (int i = 0; i < 500; i++) {
                 long at = from + i * 4_000_000L + connection * 1_000_000L;
@@ -293,8 +293,12 @@
                         Thread.onSpinWait();
                     }
                 }
-                wire.send(Wire.SUBMIT_JOB_BG, "kcheck", "l" + round + "-" + connection + "-" + i, "x".repeat(200));
-                if (wire.read().type() != Wire.JOB_CREATED) {
+                wire.send(
+                        GearmanConnection.SUBMIT_JOB_BG,
+                        "kcheck",
+                        "l" + round + "-" + connection + "-" + i,
+                        "x".repeat(200));
+                if (wire.read().type() != GearmanConnection.JOB_CREATED) {
                     throw new IOException("turned down");
                 }
                 synchronized (took) {
@@ -312,15 +316,19 @@
         for (int i = 0; i < CONNECTIONS; i++) {
             int connection = i;
             threads[i] = new Thread(() -> {
-                try (Wire wire = new Wire(gearman, 20_000)) {
+                try (GearmanConnection wire = new GearmanConnection(gearman, 20_000)) {
                     int sent = 0;
                     int count = jobs / CONNECTIONS;
                     for (int got = 0; got < count; got++) {
                         while (sent < count && sent - got < OUTSTANDING) {
-                            wire.put(Wire.SUBMIT_JOB_BG, "kcheck", "f" + connection + "-" + sent++, "x".repeat(200));
+                            wire.put(
+                                    GearmanConnection.SUBMIT_JOB_BG,
+                                    "kcheck",
+                                    "f" + connection + "-" + sent++,
+                                    "x".repeat(200));
                         }
                         wire.flush();
-                        if (wire.read().type() != Wire.JOB_CREATED) {
+                        if (wire.read().type() != GearmanConnection.JOB_CREATED) {
                             throw new IOException("turned down after " + got);
                         }
                     }
@@ -429,16 +437,16 @@
 
     /** Hands jobs in, each until it is acknowledged: what lost its connection is handed in again. */
     private void submit(int number) {
-        Wire wire = null;
+        GearmanConnection wire = null;
         for (int i = 0; submitting; i++) {
             String function = FUNCTIONS[i % FUNCTIONS.length];
             String name = function + "-" + number + "-" + i;
             for (boolean taken = false; !taken; ) {
                 try {
-                    wire = wire == null ? new Wire(gearman, 3000) : wire;
-                    wire.send(Wire.SUBMIT_JOB_BG, function, name, name + " body");
-                    Wire.Packet said = wire.read();
-                    taken = said.type() == Wire.JOB_CREATED;
+                    wire = wire == null ? new GearmanConnection(gearman, 3000) : wire;
+                    wire.send(GearmanConnection.SUBMIT_JOB_BG, function, name, name + " body");
+                    GearmanConnection.Packet said = wire.read();
+                    taken = said.type() == GearmanConnection.JOB_CREATED;
                     if (taken) {
                         acked.put(name, said.args()[0].substring("H:laneflow:d".length()));
                     }
@@ -547,11 +555,11 @@
 
     /** A key handed in again, after all those crashes, is the job that it was. */
     private void sameKeys(Verdict verdict) throws IOException {
-        try (Wire wire = new Wire(gearman, 3000)) {
+        try (GearmanConnection wire = new GearmanConnection(gearman, 3000)) {
             for (Map.Entry<String, String> entry :
                     acked.entrySet().stream().limit(200).toList()) {
                 String name = entry.getKey();
-                wire.send(Wire.SUBMIT_JOB_BG, name.substring(0, name.indexOf('-')), name, name + " body");
+                wire.send(GearmanConnection.SUBMIT_JOB_BG, name.substring(0, name.indexOf('-')), name, name + " body");
                 if (!wire.read().args()[0].endsWith(entry.getValue())) {
                     verdict.keyChanged++;
                 }
--- a/src/main/java/laneflow/lab/measure/GearmanMeasure.java
+++ b/src/main/java/laneflow/lab/measure/GearmanMeasure.java
@@ -19,9 +19,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.FileTree;
+import laneflow.lab.standin.GearmanConnection;
 import laneflow.lab.standin.Ledger;
 import laneflow.lab.standin.StandInCrowd;
-import laneflow.lab.standin.Wire;
 import org.HdrHistogram.ConcurrentHistogram;
 
 /**
@@ -255,18 +255,18 @@
     }
 
     private void client(SplittableRandom random, long end) {
-        try (Wire wire = new Wire(port, PATIENCE_MS)) {
+        try (GearmanConnection wire = new GearmanConnection(port, PATIENCE_MS)) {
             while (System.nanoTime() < end) {
                 int function = random.nextInt(FUNCTIONS);
                 String name = "j" + names.incrementAndGet();
                 long at = System.nanoTime();
-                wire.send(Wire.SUBMIT_JOB, "f" + function, "", name);
+                wire.send(GearmanConnection.SUBMIT_JOB, "f" + function, "", name);
                 int type = 0;
-                while (type != Wire.WORK_COMPLETE && type != Wire.WORK_FAIL) {
+                while (type != GearmanConnection.WORK_COMPLETE && type != GearmanConnection.WORK_FAIL) {
                     type = wire.read().type();
                 }
                 latency.recordValue((System.nanoTime() - at) / 1000);
-                told.put(name, new Told(function, type == Wire.WORK_COMPLETE));
+                told.put(name, new Told(function, type == GearmanConnection.WORK_COMPLETE));
             }
         } catch (SocketTimeoutException e) {
             lost.incrementAndGet();
--- a/src/main/java/laneflow/lab/standin/Wire.java
+++ b/src/main/java/laneflow/lab/standin/GearmanConnection.java
@@ -14,7 +14,7 @@
  * One end of a Gearman connection, for stand-ins: blocking, and independent of the front's own codec, so
  * that a mistake there is not made here too. Binary packets as on gearman.org/protocol.
  */
-public final class Wire implements AutoCloseable {
+public final class GearmanConnection implements AutoCloseable {
     static final int CAN_DO = 1;
     static final int PRE_SLEEP = 4;
     static final int NOOP = 6;
@@ -38,7 +38,7 @@
     /** A packet as it came: its arguments, the last of them whole. */
     public record Packet(int type, String[] args) {}
 
-    public Wire(int port, int timeoutMs) throws IOException {
+    public GearmanConnection(int port, int timeoutMs) throws IOException {
         socket = new Socket();
         socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), timeoutMs);
         socket.setTcpNoDelay(true);
--- a/src/main/java/laneflow/lab/standin/StandInCrowd.java
+++ b/src/main/java/laneflow/lab/standin/StandInCrowd.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import laneflow.lab.standin.Wire.Packet;
+import laneflow.lab.standin.GearmanConnection.Packet;
 
 /**
  * Many stand-in Gearman workers on one thread, each with two functions of a set: they sleep, grab when they
@@ -23,7 +23,7 @@
  */
 public final class StandInCrowd {
     private static final int REQUEST = 0x00524551;
-    private static final int JOB_ASSIGN_ALL = Wire.JOB_ASSIGN_ALL;
+    private static final int JOB_ASSIGN_ALL = GearmanConnection.JOB_ASSIGN_ALL;
     private static final int BACK_MS = 300;
     private static final int UNREAD_MS = 100;
 
@@ -123,9 +123,9 @@
                 channel.configureBlocking(false);
                 channel.register(selector, SelectionKey.OP_READ, this);
                 in.clear();
-                send(Wire.CAN_DO, "f" + number % functions);
-                send(Wire.CAN_DO, "f" + (number * 7 + 1) % functions);
-                send(Wire.PRE_SLEEP);
+                send(GearmanConnection.CAN_DO, "f" + number % functions);
+                send(GearmanConnection.CAN_DO, "f" + (number * 7 + 1) % functions);
+                send(GearmanConnection.PRE_SLEEP);
             } catch (IOException e) {
                 vanish();
             }
@@ -177,11 +177,11 @@
         }
 
         private void take(Packet packet) throws IOException {
-            if (packet.type() == Wire.NOOP) {
+            if (packet.type() == GearmanConnection.NOOP) {
                 noops++;
-                send(Wire.GRAB_JOB_ALL);
-            } else if (packet.type() == Wire.NO_JOB) {
-                send(Wire.PRE_SLEEP);
+                send(GearmanConnection.GRAB_JOB_ALL);
+            } else if (packet.type() == GearmanConnection.NO_JOB) {
+                send(GearmanConnection.PRE_SLEEP);
             } else if (packet.type() == JOB_ASSIGN_ALL) {
                 String name = packet.args()[4].split(" ", 2)[0];
                 ledger.write("start", name);
@@ -200,14 +200,14 @@
                     vanish();
                 } else if (draw < vanishing + failing) {
                     ledger.write("failed", name);
-                    send(Wire.WORK_FAIL, job.args()[0]);
-                    send(Wire.GRAB_JOB_ALL);
+                    send(GearmanConnection.WORK_FAIL, job.args()[0]);
+                    send(GearmanConnection.GRAB_JOB_ALL);
                 } else {
                     ledger.write("done", name);
                     lastDone = name;
                     lastDoneAt = now();
-                    send(Wire.WORK_COMPLETE, job.args()[0], "ran " + name);
-                    send(Wire.GRAB_JOB_ALL);
+                    send(GearmanConnection.WORK_COMPLETE, job.args()[0], "ran " + name);
+                    send(GearmanConnection.GRAB_JOB_ALL);
                 }
             } catch (IOException e) {
                 vanish();
--- a/src/main/java/laneflow/lab/standin/StandInWorker.java
+++ b/src/main/java/laneflow/lab/standin/StandInWorker.java
@@ -39,7 +39,7 @@
         StandInWorker worker = new StandInWorker(args);
         long end = System.nanoTime() + Long.parseLong(args[7]) * 1_000_000_000L;
         while (System.nanoTime() < end) {
-            try (Wire wire = new Wire(worker.port, TIMEOUT_MS)) {
+            try (GearmanConnection wire = new GearmanConnection(worker.port, TIMEOUT_MS)) {
                 worker.serve(wire, end);
             } catch (IOException e) {
                 Thread.sleep(RETRY_MS);
@@ -47,28 +47,28 @@
         }
     }
 
-    private void serve(Wire wire, long end) throws IOException, InterruptedException {
+    private void serve(GearmanConnection wire, long end) throws IOException, InterruptedException {
         for (String function : functions) {
-            wire.put(Wire.CAN_DO, function);
+            wire.put(GearmanConnection.CAN_DO, function);
         }
         if (untold != null) {
-            wire.put(Wire.WORK_COMPLETE, untold);
+            wire.put(GearmanConnection.WORK_COMPLETE, untold);
             untold = null;
         }
-        wire.send(Wire.GRAB_JOB_ALL);
+        wire.send(GearmanConnection.GRAB_JOB_ALL);
         while (System.nanoTime() < end) {
-            Wire.Packet packet = wire.read();
-            if (packet.type() == Wire.NO_JOB) {
-                wire.send(Wire.PRE_SLEEP);
-            } else if (packet.type() == Wire.NOOP) {
-                wire.send(Wire.GRAB_JOB_ALL);
-            } else if (packet.type() == Wire.JOB_ASSIGN_ALL) {
+            GearmanConnection.Packet packet = wire.read();
+            if (packet.type() == GearmanConnection.NO_JOB) {
+                wire.send(GearmanConnection.PRE_SLEEP);
+            } else if (packet.type() == GearmanConnection.NOOP) {
+                wire.send(GearmanConnection.GRAB_JOB_ALL);
+            } else if (packet.type() == GearmanConnection.JOB_ASSIGN_ALL) {
                 run(packet.args(), wire);
             }
         }
     }
 
-    private void run(String[] job, Wire wire) throws IOException, InterruptedException {
+    private void run(String[] job, GearmanConnection wire) throws IOException, InterruptedException {
         String name = job[4].split(" ", 2)[0];
         ledger.write("start", name);
         boolean stalled = random.nextDouble() < stalls;
@@ -76,8 +76,8 @@
         ledger.write("done", name);
         String[] word = {job[0], "ran " + name};
         try {
-            wire.put(Wire.WORK_COMPLETE, word);
-            wire.send(Wire.GRAB_JOB_ALL);
+            wire.put(GearmanConnection.WORK_COMPLETE, word);
+            wire.send(GearmanConnection.GRAB_JOB_ALL);
         } catch (IOException e) {
             untold = word;
             throw e;
