--- a/src/main/java/laneflow/lab/Quickstart.java
+++ b/src/main/java/laneflow/lab/Quickstart.java
@@ -15,7 +15,7 @@
 import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.FileTree;
 import laneflow.lab.standin.GearmanConnection;
-import laneflow.lab.standin.Ledger;
+import laneflow.lab.standin.RunLog;
 import laneflow.lab.standin.StandInNodes;
 import laneflow.lab.standin.StandInWorker;
 import picocli.CommandLine.Command;
@@ -188,7 +188,7 @@
             throws IOException {
         String where = "";
         for (String ledger : ledgers) {
-            if (Ledger.read(Path.of(ledger)).stream()
+            if (RunLog.read(Path.of(ledger)).stream()
                     .anyMatch(line -> line.job().equals(name))) {
                 where += " " + Path.of(ledger).getFileName();
             }
--- a/src/main/java/laneflow/lab/measure/GearmanMeasure.java
+++ b/src/main/java/laneflow/lab/measure/GearmanMeasure.java
@@ -20,7 +20,7 @@
 import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.FileTree;
 import laneflow.lab.standin.GearmanConnection;
-import laneflow.lab.standin.Ledger;
+import laneflow.lab.standin.RunLog;
 import laneflow.lab.standin.StandInCrowd;
 import org.HdrHistogram.ConcurrentHistogram;
 
@@ -176,7 +176,7 @@
     }
 
     private double noops(String name) throws IOException {
-        long runs = Ledger.read(folder.resolve(name + ".ledger")).stream()
+        long runs = RunLog.read(folder.resolve(name + ".ledger")).stream()
                 .filter(line -> line.event().equals("start"))
                 .count();
         String log = crew.log(name);
@@ -294,8 +294,8 @@
 
     private Verdict judge(String crowdName) throws IOException {
         Map<String, int[]> ran = new HashMap<>();
-        List<Ledger.Line> lines = Ledger.read(folder.resolve(crowdName + ".ledger"));
-        for (Ledger.Line line : lines) {
+        List<RunLog.Line> lines = RunLog.read(folder.resolve(crowdName + ".ledger"));
+        for (RunLog.Line line : lines) {
             int[] counts = ran.computeIfAbsent(line.job(), name -> new int[3]);
             counts[0] += line.event().equals("start") ? 1 : 0;
             counts[1] += line.event().equals("done") ? 1 : 0;
--- a/src/main/java/laneflow/lab/measure/PolicyMeasure.java
+++ b/src/main/java/laneflow/lab/measure/PolicyMeasure.java
@@ -17,7 +17,7 @@
 import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.FileTree;
 import laneflow.lab.rig.Rig;
-import laneflow.lab.standin.Ledger;
+import laneflow.lab.standin.RunLog;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -478,7 +478,7 @@
     /** Jobs that must not run twice, and did, by the nodes' own book. */
     private long twice() throws IOException {
         Map<String, Integer> runs = new HashMap<>();
-        for (Ledger.Line line : Ledger.read(folder.resolve("ran"))) {
+        for (RunLog.Line line : RunLog.read(folder.resolve("ran"))) {
             if (line.event().equals("start")) {
                 runs.merge(line.job(), 1, Integer::sum);
             }
--- a/src/main/java/laneflow/lab/measure/RecoveryMeasure.java
+++ b/src/main/java/laneflow/lab/measure/RecoveryMeasure.java
@@ -15,7 +15,7 @@
 import java.util.stream.Stream;
 import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Rig;
-import laneflow.lab.standin.Ledger;
+import laneflow.lab.standin.RunLog;
 
 /**
  * Durable jobs that must not run twice, at schedulers that are killed: first with the adopter of one killed
@@ -132,7 +132,7 @@
     /** How often each job has begun, by the nodes' book. */
     private static Map<String, Integer> begun(Path book) throws IOException {
         Map<String, Integer> all = new HashMap<>();
-        Ledger.read(book).stream()
+        RunLog.read(book).stream()
                 .filter(line -> line.event().equals("start"))
                 .forEach(line -> all.merge(line.job(), 1, Integer::sum));
         return all;
--- a/src/main/java/laneflow/lab/standin/Ledger.java
+++ b/src/main/java/laneflow/lab/standin/RunLog.java
@@ -14,13 +14,13 @@
  * A stand-in's own book of what it ran, line by line in one write each: a kill can't take back what is
  * written. What the scheduler says of a job is held against it.
  */
-public final class Ledger {
+public final class RunLog {
     private final FileChannel file;
 
     /** One line: when, what happened, to which job. Unix time in milliseconds. */
     public record Line(long ms, String event, String job) {}
 
-    Ledger(Path path) throws IOException {
+    RunLog(Path path) throws IOException {
         file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
     }
 
--- a/src/main/java/laneflow/lab/standin/StandInCrowd.java
+++ b/src/main/java/laneflow/lab/standin/StandInCrowd.java
@@ -28,7 +28,7 @@
     private static final int UNREAD_MS = 100;
 
     private final SplittableRandom random;
-    private final Ledger ledger;
+    private final RunLog ledger;
     private final int port;
     private final int functions;
     private final int runMs;
@@ -44,7 +44,7 @@
     private StandInCrowd(int port, String ledger, long seed, int functions, int runMs, double failing, double vanishing)
             throws IOException {
         this.port = port;
-        this.ledger = new Ledger(Path.of(ledger));
+        this.ledger = new RunLog(Path.of(ledger));
         random = new SplittableRandom(seed);
         this.functions = functions;
         this.runMs = runMs;
--- a/src/main/java/laneflow/lab/standin/StandInNodes.java
+++ b/src/main/java/laneflow/lab/standin/StandInNodes.java
@@ -20,13 +20,13 @@
     private static final int MOST_QUEUED = 16;
     private static final int HANGS_MS = 2000;
 
-    private final Ledger ledger;
+    private final RunLog ledger;
     private final SplittableRandom seeds;
     private final int slots;
     private final int runMs;
     private final boolean tellsLoad;
 
-    private StandInNodes(Ledger ledger, long seed, int slots, int runMs, boolean tellsLoad) {
+    private StandInNodes(RunLog ledger, long seed, int slots, int runMs, boolean tellsLoad) {
         this.ledger = ledger;
         this.seeds = new SplittableRandom(seed);
         this.slots = slots;
@@ -36,7 +36,7 @@
 
     /** PORT,... LEDGER SEED SLOTS RUN_MS SECONDS [load: each answer tells of it]. */
     public static void main(String[] args) throws IOException, InterruptedException {
-        Ledger ledger = args[1].isEmpty() ? null : new Ledger(Path.of(args[1]));
+        RunLog ledger = args[1].isEmpty() ? null : new RunLog(Path.of(args[1]));
         StandInNodes nodes = new StandInNodes(
                 ledger, Long.parseLong(args[2]), Integer.parseInt(args[3]), Integer.parseInt(args[4]), args.length > 6);
         for (String port : args[0].split(",")) {
--- a/src/main/java/laneflow/lab/standin/StandInWorker.java
+++ b/src/main/java/laneflow/lab/standin/StandInWorker.java
@@ -15,7 +15,7 @@
     private static final long RETRY_MS = 50;
 
     private final int port;
-    private final Ledger ledger;
+    private final RunLog ledger;
     private final SplittableRandom random;
     private final int runMs;
     private final double stalls;
@@ -26,7 +26,7 @@
 
     private StandInWorker(String[] args) throws IOException {
         port = Integer.parseInt(args[0]);
-        ledger = new Ledger(Path.of(args[1]));
+        ledger = new RunLog(Path.of(args[1]));
         random = new SplittableRandom(Long.parseLong(args[2]));
         runMs = Integer.parseInt(args[3]);
         stalls = Double.parseDouble(args[4]);
--- a/src/test/java/laneflow/task/RecoveryStoryTest.java
+++ b/src/test/java/laneflow/task/RecoveryStoryTest.java
@@ -17,7 +17,7 @@
 import java.util.stream.Stream;
 import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Rig;
-import laneflow.lab.standin.Ledger;
+import laneflow.lab.standin.RunLog;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -139,9 +139,9 @@
     }
 
     private static List<String> runs(Path ran) throws IOException {
-        return Ledger.read(ran).stream()
+        return RunLog.read(ran).stream()
                 .filter(line -> line.event().equals("start"))
-                .map(Ledger.Line::job)
+                .map(RunLog.Line::job)
                 .toList();
     }
 
