--- a/src/main/java/laneflow/lab/measure/GearmanMeasure.java
+++ b/src/main/java/laneflow/lab/measure/GearmanMeasure.java
@@ -21,7 +21,7 @@
 import laneflow.lab.rig.FileTree;
 import laneflow.lab.standin.GearmanConnection;
 import laneflow.lab.standin.RunLog;
-import laneflow.lab.standin.StandInCrowd;
+import laneflow.lab.standin.StandInWorkerGroup;
 import org.HdrHistogram.ConcurrentHistogram;
 
 /**
@@ -162,7 +162,7 @@
         return crew.start(
                 name,
                 256,
-                StandInCrowd.class,
+                StandInWorkerGroup.class,
                 "" + port,
                 folder.resolve(name + ".ledger").toString(),
                 "" + seed,
--- a/src/main/java/laneflow/lab/standin/StandInCrowd.java
+++ b/src/main/java/laneflow/lab/standin/StandInWorkerGroup.java
@@ -21,7 +21,7 @@
  * back. Each run is written to the ledger before anything is answered. Now and then a part of them vanishes
  * at once. The codec is the stand-ins' own, over non-blocking channels.
  */
-public final class StandInCrowd {
+public final class StandInWorkerGroup {
     private static final int REQUEST = 0x00524551;
     private static final int JOB_ASSIGN_ALL = GearmanConnection.JOB_ASSIGN_ALL;
     private static final int BACK_MS = 300;
@@ -41,7 +41,8 @@
     /** What a worker does at an instant. */
     private record Due(long at, Runnable what) {}
 
-    private StandInCrowd(int port, String ledger, long seed, int functions, int runMs, double failing, double vanishing)
+    private StandInWorkerGroup(
+            int port, String ledger, long seed, int functions, int runMs, double failing, double vanishing)
             throws IOException {
         this.port = port;
         this.ledger = new RunLog(Path.of(ledger));
@@ -54,7 +55,7 @@
 
     /** PORT LEDGER SEED WORKERS FUNCTIONS RUN_MS FAILING VANISHING SECONDS AT_ONCE_MS. */
     public static void main(String[] args) throws IOException {
-        StandInCrowd crowd = new StandInCrowd(
+        StandInWorkerGroup crowd = new StandInWorkerGroup(
                 Integer.parseInt(args[0]),
                 args[1],
                 Long.parseLong(args[2]),
