--- a/src/main/java/laneflow/lab/LocalFleet.java
+++ b/src/main/java/laneflow/lab/LocalFleet.java
@@ -61,12 +61,12 @@
     public Integer call() throws Exception {
         clear();
         for (int i = 0; i < SCHEDULERS; i++) {
-            clients[i] = ChildProcesses.port();
-            links[i] = ChildProcesses.port();
-            views[i] = ChildProcesses.port();
+            clients[i] = ChildProcesses.freePort();
+            links[i] = ChildProcesses.freePort();
+            views[i] = ChildProcesses.freePort();
         }
         for (int i = 0; i < RACKS * EACH; i++) {
-            endpoints.put(rack(i / EACH) + "-" + (i % EACH + 1), ChildProcesses.port());
+            endpoints.put(rack(i / EACH) + "-" + (i % EACH + 1), ChildProcesses.freePort());
         }
         Files.writeString(folder.resolve("members.key"), "the-key-of-this-fleet-1\n");
         requests();
@@ -80,8 +80,8 @@
             for (int i = 0; i < SCHEDULERS; i++) {
                 crew.awaitPort(all[i], name(i), clients[i]);
             }
-            tenants.want("shops", "basket-check", 12);
-            tenants.want("web", "basket-check", 6);
+            tenants.setClients("shops", "basket-check", 12);
+            tenants.setClients("web", "basket-check", 6);
             tell(all);
             watch(crew, all);
             return 0;
@@ -115,7 +115,7 @@
     private void start(ChildProcesses crew, Process[] all, int i) throws IOException {
         Path file = folder.resolve(name(i) + ".toml");
         Files.writeString(file, file(i));
-        all[i] = crew.scheduler(name(i), HEAP_MB, file.toString());
+        all[i] = crew.startScheduler(name(i), HEAP_MB, file.toString());
         Files.writeString(folder.resolve(name(i) + ".pid"), all[i].pid() + "\n");
     }
 
--- a/src/main/java/laneflow/lab/Quickstart.java
+++ b/src/main/java/laneflow/lab/Quickstart.java
@@ -49,8 +49,8 @@
     }
 
     private int show(ChildProcesses crew, Path folder) throws IOException, InterruptedException {
-        int http = ChildProcesses.port();
-        int gearman = ChildProcesses.port();
+        int http = ChildProcesses.freePort();
+        int gearman = ChildProcesses.freePort();
         // The file as it stands, but for addresses that may be taken here, and a store of its own.
         String text = Files.readString(config)
                 .replace("127.0.0.1:8081", "127.0.0.1:" + http)
@@ -58,14 +58,14 @@
                 .replace("dir = \"durable-jobs\"", "dir = \"" + folder.resolve("store") + "\"");
         List<String> ledgers = new ArrayList<>();
         for (int i = 1; i <= 3; i++) {
-            int port = ChildProcesses.port();
+            int port = ChildProcesses.freePort();
             text = text.replace("127.0.0.1:910" + i, "127.0.0.1:" + port);
             String ledger = folder.resolve("till-" + i).toString();
             ledgers.add(ledger);
             crew.start("node-" + i, 64, StandInNodes.class, "" + port, ledger, "" + i, "2", "30", "30");
         }
         Path file = Files.writeString(folder.resolve("laneflow.toml"), text);
-        Process scheduler = crew.scheduler("scheduler", 128, file.toString());
+        Process scheduler = crew.startScheduler("scheduler", 128, file.toString());
         crew.awaitPort(scheduler, "scheduler", http);
         ledgers.add(folder.resolve("worker").toString());
         crew.start(
@@ -175,7 +175,7 @@
 
     private static String submit(GearmanConnection wire, String function, String name) throws IOException {
         wire.send(GearmanConnection.SUBMIT_JOB, function, "", name);
-        for (GearmanConnection.Packet said = wire.read(); ; said = wire.read()) {
+        for (GearmanConnection.Packet said = wire.readPacket(); ; said = wire.readPacket()) {
             if (said.type() == GearmanConnection.WORK_COMPLETE) {
                 return "WORK_COMPLETE " + said.args()[1];
             } else if (said.type() != GearmanConnection.JOB_CREATED && said.type() != GearmanConnection.WORK_STATUS) {
--- a/src/main/java/laneflow/lab/measure/CapacityProcesses.java
+++ b/src/main/java/laneflow/lab/measure/CapacityProcesses.java
@@ -14,7 +14,7 @@
 import laneflow.lab.rig.Rig;
 import laneflow.lab.standin.StandInDiscovery;
 import laneflow.lab.standin.StandInPool;
-import laneflow.lab.standin.StandInPool.Node;
+import laneflow.lab.standin.StandInPool.Endpoint;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -27,7 +27,7 @@
     static final int ENDPOINTS = 27;
     private static final List<String> ZONES = List.of("a", "b", "c");
     private static final int RACKS = 3;
-    private static final StandInPool.Sort SORT = new StandInPool.Sort(4, 4, 0.2, 5, 2, 2);
+    private static final StandInPool.Profile SORT = new StandInPool.Profile(4, 4, 0.2, 5, 2, 2);
     private static final double JOB = 1;
     private static final double LOAD = 0.7;
     private static final double WARM = 3;
@@ -78,9 +78,9 @@
         Path folder = Files.createTempDirectory("laneflow-capacity");
         List<Integer> ports = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
-            ports.add(ChildProcesses.port());
+            ports.add(ChildProcesses.freePort());
         }
-        try (StandInDiscovery discovery = new StandInDiscovery(ChildProcesses.port());
+        try (StandInDiscovery discovery = new StandInDiscovery(ChildProcesses.freePort());
                 StandInPool pool = new StandInPool(ports, ZONES, RACKS, SORT);
                 Rig rig = new Rig(folder, SCHEDULERS, 1, seed, "")) {
             return new CapacityProcesses(seed, news, seconds, rig, pool, discovery).play();
@@ -102,12 +102,12 @@
 
     private Day play() throws IOException, InterruptedException {
         for (int i = 0; i < SCHEDULERS; i++) {
-            rig.file(i, file(i));
+            rig.setConfig(i, file(i));
             // Parts of cold budgets follow from how many schedulers there are, which no operators' file says.
-            rig.platform(i, "{\"settings\":{\"slotNo\":" + i + ",\"siblings\":" + SCHEDULERS + "}}");
+            rig.setPlatformFile(i, "{\"settings\":{\"slotNo\":" + i + ",\"siblings\":" + SCHEDULERS + "}}");
         }
-        rig.members(seed, PERIOD_MS, 0, 1);
-        discovery.tell(pool.listed());
+        rig.enableGossip(seed, PERIOD_MS, 0, 1);
+        discovery.publish(pool.discoveryEntries());
         rig.startAll();
         rig.awaitSettled(SCHEDULERS, rig.all());
         for (int i : rig.all()) {
@@ -149,13 +149,13 @@
     private void judge() {
         for (CapacityDay.Refusal refusal : day.outcome.refusals) {
             // All zones are in reach of three on a ring.
-            boolean room = pool.nodes.stream()
+            boolean room = pool.endpoints.stream()
                     .anyMatch(node -> node.freeAt(refusal.askedNs()) > 0 && node.freeAt(refusal.answeredNs()) > 0);
             day.idleRefused += room ? 1 : 0;
         }
-        pool.waitedBehind(day.outcome.beganNs).forEach(day.overshoot::recordValue);
+        pool.queuePositions(day.outcome.beganNs).forEach(day.overshoot::recordValue);
         day.toDrained = pool.sentToDrained();
-        day.coldFallen = pool.coldFallen();
+        day.coldFallen = pool.coldOverloads();
     }
 
     // ---- what befalls endpoints ----
@@ -167,18 +167,18 @@
             double part = seconds / 6;
             for (int i = 0; i < 4; i++) {
                 until(from, WARM + part * (i + random.nextDouble() / 2));
-                Node node = pool.nodes.get(random.nextInt(ENDPOINTS));
+                Endpoint node = pool.endpoints.get(random.nextInt(ENDPOINTS));
                 if (i % 2 == 0) {
-                    node.drains();
-                    discovery.tell(pool.listed());
+                    node.startDraining();
+                    discovery.publish(pool.discoveryEntries());
                     until(from, WARM + part * (i + 1));
-                    node.drainsNoMore();
+                    node.stopDraining();
                 } else {
-                    node.die();
+                    node.crash();
                     until(from, WARM + part * (i + 0.75));
                     node.restart();
                 }
-                discovery.tell(pool.listed());
+                discovery.publish(pool.discoveryEntries());
             }
         } catch (IOException e) {
             throw new IllegalStateException("an endpoint's address is gone", e);
@@ -195,7 +195,7 @@
     // ---- what is told ----
 
     private JsonObject capacity(int i) throws IOException, InterruptedException {
-        HttpResponse<String> answer = rig.ask(i, "/capacity", null);
+        HttpResponse<String> answer = rig.request(i, "/capacity", null);
         if (answer.statusCode() != 200) {
             throw new IOException(answer.body());
         }
--- a/src/main/java/laneflow/lab/measure/ConfigMeasure.java
+++ b/src/main/java/laneflow/lab/measure/ConfigMeasure.java
@@ -89,7 +89,7 @@
 
     private void startAll() throws IOException, InterruptedException {
         for (int i = 0; i < NODES; i++) {
-            nodes[i] = ChildProcesses.port();
+            nodes[i] = ChildProcesses.freePort();
         }
         crew.start(
                 "nodes",
@@ -102,7 +102,7 @@
                 "20",
                 large ? "600" : "60");
         for (int i = 0; i < SCHEDULERS; i++) {
-            ports[i] = ChildProcesses.port();
+            ports[i] = ChildProcesses.freePort();
             schedulers[i] = start(i);
             hangs[i] = new HangLoad(ports[i], Map.of());
         }
@@ -208,7 +208,7 @@
         String name = "s" + i;
         Path file = folder.resolve(name + ".toml");
         settings(file, name, ports[i], control, "probation_ms = 0\n");
-        Process process = crew.scheduler(name, 128, file.toString());
+        Process process = crew.startScheduler(name, 128, file.toString());
         crew.awaitPort(process, name, ports[i]);
         return process;
     }
@@ -276,11 +276,11 @@
      */
     private double rollback() throws IOException, InterruptedException {
         try (StandInControl service = new StandInControl()) {
-            int port = ChildProcesses.port();
+            int port = ChildProcesses.freePort();
             Path file = folder.resolve("r0.toml");
             settings(file, "r0", port, service, "probation_ms = 2000\n");
-            crew.scheduler("r0", 128, file.toString());
-            await(() -> service.has("r0"), "r0");
+            crew.startScheduler("r0", 128, file.toString());
+            await(() -> service.hasStream("r0"), "r0");
             service.publish(line(DestinationType.URL, "1-aa", "b1", good(all(NODES))), true);
             await(() -> service.reply("r0", "b1") != null, "r0's first word");
             LiveLoad load = new LiveLoad(port, "check", 8, 100, 200);
@@ -295,7 +295,7 @@
             Thread.sleep(1200);
             service.publish(line(DestinationType.URL, "2-aa", "b2", good(List.of(0, 1))), true);
             Thread.sleep(2600);
-            boolean kept = !service.takenBack.containsKey("r0");
+            boolean kept = !service.rolledBackNanos.containsKey("r0");
             long from = System.nanoTime();
             // Well formed and sound, and nobody listens there.
             service.publish(
@@ -305,10 +305,10 @@
                             "b3",
                             List.of(endpoint(0, "").replaceFirst("127.0.0.1:[0-9]+", "127.0.0.1:9"), hangNode())),
                     true);
-            while (!service.takenBack.containsKey("r0") && System.nanoTime() - from < 2 * PATIENCE) {
+            while (!service.rolledBackNanos.containsKey("r0") && System.nanoTime() - from < 2 * PATIENCE) {
                 Thread.sleep(1);
             }
-            Long back = service.takenBack.get("r0");
+            Long back = service.rolledBackNanos.get("r0");
             service.publish(line(DestinationType.URL, "3-aa", "b4", good(all(NODES))), false);
             await(() -> service.reply("r0", "b4") != null, "r0's last word");
             boolean refused = service.reply("r0", "b4").error() != null
@@ -340,9 +340,9 @@
     /** Killed and started again: it runs the last good version, and the newest as soon as it is told. */
     private void restart(int i) throws IOException, InterruptedException {
         ChildProcesses.kill(schedulers[i]);
-        control.forget("s" + i);
+        control.dropStream("s" + i);
         schedulers[i] = start(i);
-        await(() -> control.has("s" + i), "its stream");
+        await(() -> control.hasStream("s" + i), "its stream");
         await(() -> body(get(i, "/config")).contains("\"" + running + "\""), "the newest version at s" + i);
         if (crew.log("s" + i).contains("is passed over")) {
             damaged++;
@@ -508,7 +508,7 @@
             running = version;
             runs = whole;
             // One that comes later is sent the whole.
-            control.newest(line(DestinationType.URL, version, nonce, List.of(strip(whole))));
+            control.setInitialResponse(line(DestinationType.URL, version, nonce, List.of(strip(whole))));
         }
         send(DestinationType.URL, version, text, nonce, good, false, was);
     }
--- a/src/main/java/laneflow/lab/measure/Conformance.java
+++ b/src/main/java/laneflow/lab/measure/Conformance.java
@@ -133,15 +133,15 @@
     static Result run(PrintStream out, String only) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("laneflow-conformance");
         try (ChildProcesses crew = new ChildProcesses(folder)) {
-            int port = ChildProcesses.port();
+            int port = ChildProcesses.freePort();
             Path file = folder.resolve("laneflow.toml");
             Files.writeString(
                     file,
-                    "listen = \"127.0.0.1:" + ChildProcesses.port() + "\"\nzones = [\"a\"]\n"
+                    "listen = \"127.0.0.1:" + ChildProcesses.freePort() + "\"\nzones = [\"a\"]\n"
                             + "[classes.basket-check]\naim_ms = 200\ndeadline_ms = 5000\nrepeat = \"safe\"\n"
                             + "[classes.card-capture]\naim_ms = 150\ndeadline_ms = 6000\n"
                             + "[gearman]\nlisten = \"127.0.0.1:" + port + "\"\n" + FUNCTIONS);
-            Process scheduler = crew.scheduler("scheduler", 128, file.toString());
+            Process scheduler = crew.startScheduler("scheduler", 128, file.toString());
             crew.awaitPort(scheduler, "scheduler", port);
             Result result = play(port, only);
             result.failures().forEach(out::println);
--- a/src/main/java/laneflow/lab/measure/ControlMeasure.java
+++ b/src/main/java/laneflow/lab/measure/ControlMeasure.java
@@ -91,18 +91,18 @@
 
     private void all(boolean oneLoop, boolean large) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("laneflow-control");
-        int[] nodes = {ChildProcesses.port(), ChildProcesses.port(), ChildProcesses.port()};
-        String file = FILE + Rig.endpoints(nodes) + "[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\n";
+        int[] nodes = {ChildProcesses.freePort(), ChildProcesses.freePort(), ChildProcesses.freePort()};
+        String file = FILE + Rig.endpointTables(nodes) + "[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\n";
         try (Rig rig = new Rig(folder, SCHEDULERS, SCHEDULERS, seed, file)) {
-            rig.nodes(nodes, 300);
-            rig.members(seed, PERIOD_MS, 0, 1);
+            rig.startNodes(nodes, 300);
+            rig.enableGossip(seed, PERIOD_MS, 0, 1);
             for (int i = 0; i < SCHEDULERS; i++) {
-                rig.option(i, "-Dlaneflow.lab.one_loop=" + oneLoop);
+                rig.setJvmOption(i, "-Dlaneflow.lab.one_loop=" + oneLoop);
             }
             rig.startAll();
             rig.awaitDeciding(0, rig.all());
             String key = Files.readAllLines(rig.keyFile()).get(0);
-            InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), rig.memberSocket(0));
+            InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), rig.memberPort(0));
             PolicyLoad load = new PolicyLoad(Rig.name(0), rig.clientPort(0), 8, PER_SECOND);
             try (ControlStorm source = new ControlStorm(at, key, PERIOD_MS * 1000L, NEWS_PER_SECOND, seed)) {
                 source.begin();
--- a/src/main/java/laneflow/lab/measure/DurableMeasure.java
+++ b/src/main/java/laneflow/lab/measure/DurableMeasure.java
@@ -52,9 +52,9 @@
     private final Path folder;
     private final PrintStream out;
     private final ChildProcesses crew;
-    private final int http = ChildProcesses.port();
-    private final int gearman = ChildProcesses.port();
-    private final int[] nodes = {ChildProcesses.port(), ChildProcesses.port(), ChildProcesses.port()};
+    private final int http = ChildProcesses.freePort();
+    private final int gearman = ChildProcesses.freePort();
+    private final int[] nodes = {ChildProcesses.freePort(), ChildProcesses.freePort(), ChildProcesses.freePort()};
     /** Acknowledged jobs by name, with their ids. */
     private final Map<String, String> acked = new ConcurrentHashMap<>();
 
@@ -183,7 +183,7 @@
 
     /** Starts a scheduler and waits until clients are let in. */
     private Process scheduler(String name, String config) throws IOException, InterruptedException {
-        Process process = crew.scheduler(name, 1024, config);
+        Process process = crew.startScheduler(name, 1024, config);
         long end = System.nanoTime() + 20_000_000_000L;
         while (process.isAlive() && System.nanoTime() < end) {
             try (GearmanConnection wire = new GearmanConnection(gearman, 1000)) {
@@ -298,7 +298,7 @@
                         "kcheck",
                         "l" + round + "-" + connection + "-" + i,
                         "x".repeat(200));
-                if (wire.read().type() != GearmanConnection.JOB_CREATED) {
+                if (wire.readPacket().type() != GearmanConnection.JOB_CREATED) {
                     throw new IOException("turned down");
                 }
                 synchronized (took) {
@@ -321,14 +321,14 @@
                     int count = jobs / CONNECTIONS;
                     for (int got = 0; got < count; got++) {
                         while (sent < count && sent - got < OUTSTANDING) {
-                            wire.put(
+                            wire.writePacket(
                                     GearmanConnection.SUBMIT_JOB_BG,
                                     "kcheck",
                                     "f" + connection + "-" + sent++,
                                     "x".repeat(200));
                         }
                         wire.flush();
-                        if (wire.read().type() != GearmanConnection.JOB_CREATED) {
+                        if (wire.readPacket().type() != GearmanConnection.JOB_CREATED) {
                             throw new IOException("turned down after " + got);
                         }
                     }
@@ -445,7 +445,7 @@
                 try {
                     wire = wire == null ? new GearmanConnection(gearman, 3000) : wire;
                     wire.send(GearmanConnection.SUBMIT_JOB_BG, function, name, name + " body");
-                    GearmanConnection.Packet said = wire.read();
+                    GearmanConnection.Packet said = wire.readPacket();
                     taken = said.type() == GearmanConnection.JOB_CREATED;
                     if (taken) {
                         acked.put(name, said.args()[0].substring("H:laneflow:d".length()));
@@ -560,7 +560,7 @@
                     acked.entrySet().stream().limit(200).toList()) {
                 String name = entry.getKey();
                 wire.send(GearmanConnection.SUBMIT_JOB_BG, name.substring(0, name.indexOf('-')), name, name + " body");
-                if (!wire.read().args()[0].endsWith(entry.getValue())) {
+                if (!wire.readPacket().args()[0].endsWith(entry.getValue())) {
                     verdict.keyChanged++;
                 }
             }
--- a/src/main/java/laneflow/lab/measure/FleetMeasure.java
+++ b/src/main/java/laneflow/lab/measure/FleetMeasure.java
@@ -71,9 +71,9 @@
     /** Runs all of it; 0 if every promise was kept. */
     public static int run(long seed, boolean large, PrintStream out) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("laneflow-fleet");
-        int[] nodes = {ChildProcesses.port(), ChildProcesses.port(), ChildProcesses.port()};
-        try (Rig rig = new Rig(folder, large ? 32 : 12, 1, seed, FILE + Rig.endpoints(nodes))) {
-            rig.nodes(nodes, large ? 900 : 300);
+        int[] nodes = {ChildProcesses.freePort(), ChildProcesses.freePort(), ChildProcesses.freePort()};
+        try (Rig rig = new Rig(folder, large ? 32 : 12, 1, seed, FILE + Rig.endpointTables(nodes))) {
+            rig.startNodes(nodes, large ? 900 : 300);
             return new FleetMeasure(seed, large, out, rig).all(seed);
         } finally {
             FileTree.delete(folder);
@@ -88,7 +88,7 @@
         for (int i = 0; i < members; i++) {
             rig.kill(i);
         }
-        rig.members(seed, (int) (PERIOD_US / 1000), 0, 1);
+        rig.enableGossip(seed, (int) (PERIOD_US / 1000), 0, 1);
         long from = System.nanoTime();
         rig.startAll();
         joins += members;
@@ -166,7 +166,7 @@
     private double calm(boolean view) throws IOException, InterruptedException {
         for (int i = 0; i < members; i++) {
             int one = i;
-            rig.await("it serves", () -> rig.ask(one, "/counters", null).statusCode() > 0);
+            rig.await("it serves", () -> rig.request(one, "/counters", null).statusCode() > 0);
             loads[i] = new PolicyLoad(Rig.name(i), rig.clientPort(i), 4, PER_SECOND);
             loads[i].begin();
         }
@@ -185,7 +185,7 @@
     /** Milliseconds of processor time a second in the mean of all, while nobody asks. */
     private double idle() throws IOException, InterruptedException {
         Thread.sleep(large ? 20_000 : 500);
-        return Arrays.stream(rig.cpu(4000)).average().orElse(0);
+        return Arrays.stream(rig.cpuMillisPerSecond(4000)).average().orElse(0);
     }
 
     private long bytes() throws IOException, InterruptedException {
@@ -202,7 +202,7 @@
     private void event(String what, long fromNs, int... these) throws IOException, InterruptedException {
         events++;
         try {
-            rig.await("all agree: " + what, () -> rig.agree(these.length, these));
+            rig.await("all agree: " + what, () -> rig.haveSameView(these.length, these));
             settled++;
             long ms = (System.nanoTime() - fromNs) / 1_000_000;
             settle.recordValue(ms);
@@ -260,8 +260,8 @@
                 rig.kill(i);
                 crashes++;
             }
-            event(down.size() + " crashed", from, rig.without(down));
-            for (int i : rig.without(down)) {
+            event(down.size() + " crashed", from, rig.allExcept(down));
+            for (int i : rig.allExcept(down)) {
                 Matcher change = CHANGE.matcher(rig.log(i).substring(logs[i]));
                 while (change.find()) {
                     if (change.group(3).equals(State.DEAD.name())) {
@@ -287,16 +287,16 @@
                 mayBeBuried.add(Rig.name(still));
             }
             long from = System.nanoTime();
-            rig.stall(still);
+            rig.suspend(still);
             stalls++;
             if (burial) {
-                event("one stands still for long", from, rig.without(Set.of(still)));
+                event("one stands still for long", from, rig.allExcept(Set.of(still)));
             } else {
                 // Well under the shortest suspicion.
                 Thread.sleep(500);
             }
             from = System.nanoTime();
-            rig.wake(still);
+            rig.resume(still);
             event("it is awake", from, rig.all());
             mayBeBuried.clear();
         }
@@ -316,11 +316,11 @@
                 mayBeBuried.add(Rig.name(i));
             }
             long from = System.nanoTime();
-            rig.partAll(part);
+            rig.isolate(part);
             cuts++;
             int[] here = part.stream().mapToInt(Integer::intValue).toArray();
             event("a part of " + size + " is cut off", from, here);
-            event("and the others", from, rig.without(new HashSet<>(part)));
+            event("and the others", from, rig.allExcept(new HashSet<>(part)));
             from = System.nanoTime();
             rig.heal();
             int before = settled;
@@ -340,9 +340,9 @@
         int one = members - 1;
         mayBeBuried.add(Rig.name(one));
         long from = System.nanoTime();
-        rig.term(one);
-        event("one leaves", from, rig.without(Set.of(one)));
-        rig.ended(one);
+        rig.signalTerm(one);
+        event("one leaves", from, rig.allExcept(Set.of(one)));
+        rig.awaitExit(one);
         rig.start(one);
         joins++;
         event("and comes back", System.nanoTime(), rig.all());
--- a/src/main/java/laneflow/lab/measure/GearmanMeasure.java
+++ b/src/main/java/laneflow/lab/measure/GearmanMeasure.java
@@ -76,9 +76,9 @@
     }
 
     private int all(Conformance.Result cases) throws IOException, InterruptedException {
-        port = ChildProcesses.port();
-        int http = ChildProcesses.port();
-        Process scheduler = crew.scheduler("scheduler", 256, settings(http).toString());
+        port = ChildProcesses.freePort();
+        int http = ChildProcesses.freePort();
+        Process scheduler = crew.startScheduler("scheduler", 256, settings(http).toString());
         crew.awaitPort(scheduler, "scheduler", http);
         long before = liveBytes(scheduler);
         // Failures: a share of jobs fail or lose their worker, and once half of the workers vanish.
@@ -263,7 +263,7 @@
                 wire.send(GearmanConnection.SUBMIT_JOB, "f" + function, "", name);
                 int type = 0;
                 while (type != GearmanConnection.WORK_COMPLETE && type != GearmanConnection.WORK_FAIL) {
-                    type = wire.read().type();
+                    type = wire.readPacket().type();
                 }
                 latency.recordValue((System.nanoTime() - at) / 1000);
                 told.put(name, new Told(function, type == GearmanConnection.WORK_COMPLETE));
--- a/src/main/java/laneflow/lab/measure/IdleMeasure.java
+++ b/src/main/java/laneflow/lab/measure/IdleMeasure.java
@@ -44,15 +44,15 @@
         Path folder = Files.createTempDirectory("laneflow-idle");
         List<Rig> rigs = new ArrayList<>();
         String[] kinds = {"alone", "view", "policy and view"};
-        int[] nodes = {ChildProcesses.port(), ChildProcesses.port(), ChildProcesses.port()};
+        int[] nodes = {ChildProcesses.freePort(), ChildProcesses.freePort(), ChildProcesses.freePort()};
         try {
             for (int kind = 0; kind < kinds.length; kind++) {
                 Path here = Files.createDirectory(folder.resolve("kind-" + kind));
                 String policy = kind < 2 ? "" : "[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\n";
-                Rig rig = new Rig(here, SCHEDULERS, VOTERS, seed, FILE + Rig.endpoints(nodes) + policy);
+                Rig rig = new Rig(here, SCHEDULERS, VOTERS, seed, FILE + Rig.endpointTables(nodes) + policy);
                 rigs.add(rig);
                 if (kind > 0) {
-                    rig.members(seed, PERIOD_MS, 0, 1);
+                    rig.enableGossip(seed, PERIOD_MS, 0, 1);
                 }
                 rig.startAll();
             }
--- a/src/main/java/laneflow/lab/measure/MaintenanceMeasure.java
+++ b/src/main/java/laneflow/lab/measure/MaintenanceMeasure.java
@@ -98,7 +98,7 @@
         Path folder = Files.createTempDirectory("laneflow-maintenance");
         Map<String, Integer> ports = new TreeMap<>();
         for (int i = 0; i < RACKS * EACH; i++) {
-            ports.put(rack(i / EACH) + "-" + (i % EACH + 1), ChildProcesses.port());
+            ports.put(rack(i / EACH) + "-" + (i % EACH + 1), ChildProcesses.freePort());
         }
         try (StandInRacks racks = new StandInRacks(ports, RUN_MS, true);
                 Rig rig = new Rig(folder, SCHEDULERS, VOTERS, seed, file(ports))) {
@@ -209,7 +209,7 @@
 
     private HttpResponse<String> asked(int i, String path, String body) throws InterruptedException {
         try {
-            return rig.ask(i, path, body);
+            return rig.request(i, path, body);
         } catch (IOException e) {
             // It is killed, or cut off; another one may know.
             return null;
@@ -283,7 +283,8 @@
         requests.forEach(one -> list.add(MaintenanceJson.write(one)));
         body.add("requests", list);
         rig.await("requests are taken", () -> {
-            HttpResponse<String> answer = rig.ask(random.nextInt(SCHEDULERS), "/maintenance/requests", body.toString());
+            HttpResponse<String> answer =
+                    rig.request(random.nextInt(SCHEDULERS), "/maintenance/requests", body.toString());
             if (answer.statusCode() == 400 || answer.statusCode() == 409) {
                 throw new IllegalStateException(answer.body());
             }
@@ -377,7 +378,7 @@
     /** One hears nobody and is heard by nobody. */
     private void cut(int one) throws IOException, InterruptedException {
         cuts++;
-        rig.partAll(List.of(one));
+        rig.isolate(List.of(one));
         pause(2500);
         rig.heal();
         pause(1500);
@@ -391,7 +392,8 @@
     }
 
     private void ask(int times) {
-        CLIENTS.forEach((tenant, clients) -> tenants.want(tenant, CLASSES.get(CLASS_OF.get(tenant)), times * clients));
+        CLIENTS.forEach(
+                (tenant, clients) -> tenants.setClients(tenant, CLASSES.get(CLASS_OF.get(tenant)), times * clients));
     }
 
     private void lose() throws IOException, InterruptedException {
@@ -399,11 +401,11 @@
         long from = System.nanoTime();
         befell.add(from);
         for (int i = 1; i <= EACH; i++) {
-            racks.lose(rack + "-" + i);
+            racks.stopEndpoint(rack + "-" + i);
         }
         pause(4000);
         for (int i = 1; i <= EACH; i++) {
-            racks.bringBack(rack + "-" + i);
+            racks.startEndpoint(rack + "-" + i);
         }
         losses.add(new Loss(rack, from, System.nanoTime()));
     }
@@ -460,7 +462,7 @@
         racks.calls().forEach(one -> calls.add(new Call(one.endpoint, one.owner, one.job, one.beganNs, one.endedNs())));
         MaintenanceHistory history = new MaintenanceHistory(fairness, CLASS_OF, calls, works);
         history.crews();
-        history.jobs(tenants.served(), Set.of("mail"));
+        history.jobs(tenants.completedJobs(), Set.of("mail"));
         history.steps(shown);
         history.instants(losses, befell);
         history.found().forEach(out::println);
@@ -478,13 +480,13 @@
                 Planner.firstComeFirstServed(fairness, input, true).windows().size();
         long last = works.stream().mapToLong(Work::finishedNs).max().orElse(asked);
         double bound = ended("done") * (double) (DRAIN_MS + WORK_MS + RETURN_MS) / together(fairness, input);
-        int lost = history.lost() + tenants.silent();
+        int lost = history.lost() + tenants.timeouts();
         out.printf(
                 Locale.ROOT,
                 "requests: answered=%d turned_away=%d connections_broken=%d calls=%d%n",
-                tenants.served().size(),
-                tenants.refused(),
-                tenants.broken(),
+                tenants.completedJobs().size(),
+                tenants.errorResponses(),
+                tenants.brokenConnections(),
                 calls.size());
         out.printf(
                 Locale.ROOT,
--- a/src/main/java/laneflow/lab/measure/PolicyMeasure.java
+++ b/src/main/java/laneflow/lab/measure/PolicyMeasure.java
@@ -70,16 +70,16 @@
     public static int run(long seed, boolean large, PrintStream out) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("laneflow-policy");
         int schedulers = large ? 24 : 9;
-        int[] nodes = {ChildProcesses.port(), ChildProcesses.port(), ChildProcesses.port()};
+        int[] nodes = {ChildProcesses.freePort(), ChildProcesses.freePort(), ChildProcesses.freePort()};
         StringBuilder common = new StringBuilder("zones = [\"z\"]\n[limits]\nsockets = 512\n");
         common.append(classes("safe"));
-        common.append(Rig.endpoints(nodes));
+        common.append(Rig.endpointTables(nodes));
         common.append("[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\ntell_policy = true\nlease_ms = ")
                 .append(LEASE_MS)
                 .append("\n");
         try (Rig rig = new Rig(folder, schedulers, VOTERS, seed, common.toString())) {
-            rig.file(schedulers - 1, common.toString().replace(classes("safe"), classes("never")));
-            rig.nodes(nodes, large ? 900 : 300);
+            rig.setConfig(schedulers - 1, common.toString().replace(classes("safe"), classes("never")));
+            rig.startNodes(nodes, large ? 900 : 300);
             return new PolicyMeasure(seed, large, folder, out, rig, schedulers).all();
         } finally {
             FileTree.delete(folder);
@@ -151,7 +151,7 @@
     /** Proposes it wherever it is taken, and again by the same name until it is known to be. */
     private void propose(String name, String types, int... at) throws IOException, InterruptedException {
         proposedNs.put(name, System.nanoTime());
-        rig.note("propose " + name);
+        rig.record("propose " + name);
         rig.await(name + " is taken", () -> {
             for (int i : at) {
                 if (rig.isUp(i) && taken(i, name, types)) {
@@ -259,7 +259,7 @@
             kill(i);
         }
         long from = System.nanoTime();
-        long number = change(rig.without(down));
+        long number = change(rig.allExcept(down));
         thirdDownMs = (System.nanoTime() - from) / 1_000_000;
         for (int i : down) {
             lateStart(i, number);
@@ -278,12 +278,12 @@
             }
             kill(leader);
             long from = System.nanoTime();
-            int[] others = rig.without(Set.of(leader));
+            int[] others = rig.allExcept(Set.of(leader));
             propose(name, "{\"bans\":[{\"name\":\"left-" + i + "\"}]}", others);
             outcome(name, others);
             long number = change(others);
             leaderLostMostMs = Math.max(leaderLostMostMs, (System.nanoTime() - from) / 1_000_000);
-            rig.note("leader lost, asked " + asked);
+            rig.record("leader lost, asked " + asked);
             lateStart(leader, number);
         }
     }
@@ -304,14 +304,14 @@
     private void stalled() throws IOException, InterruptedException {
         int leader = rig.leader();
         int other = VOTERS + random.nextInt(schedulers - VOTERS);
-        rig.stall(leader);
-        rig.stall(other);
+        rig.suspend(leader);
+        rig.suspend(other);
         stalls += 2;
         anotherLeads(leader);
-        long number = change(rig.without(Set.of(leader, other)));
+        long number = change(rig.allExcept(Set.of(leader, other)));
         Thread.sleep(LEASE_MS * 3L / 2);
-        rig.wake(other);
-        rig.wake(leader);
+        rig.resume(other);
+        rig.resume(leader);
         rig.awaitDeciding(number, rig.all());
     }
 
@@ -319,14 +319,14 @@
         int leader = rig.leader();
         int lone = VOTERS + random.nextInt(schedulers - VOTERS);
         Set<Integer> minority = Set.of(leader, lone);
-        rig.partAll(List.copyOf(minority));
+        rig.isolate(List.copyOf(minority));
         cuts++;
         // From both sides at once: the side without a majority can't have it decided.
         String theirs = name();
         String types = types();
         taken(leader, theirs, types);
         anotherLeads(leader);
-        long number = change(rig.without(minority));
+        long number = change(rig.allExcept(minority));
         rig.heal();
         rig.awaitDeciding(number, rig.all());
         // What was asked for behind the cut is proposed again by its name, and is the same change.
@@ -338,7 +338,7 @@
             rig.cut(i, deaf);
         }
         cuts++;
-        number = change(rig.without(Set.of(deaf)));
+        number = change(rig.allExcept(Set.of(deaf)));
         rig.heal();
         rig.awaitDeciding(number, rig.all());
     }
@@ -384,7 +384,7 @@
             load.end();
         }
         Thread.sleep(1000);
-        double[] cpu = rig.cpu(4000);
+        double[] cpu = rig.cpuMillisPerSecond(4000);
         int leader = rig.leader();
         double most = 0;
         double sum = 0;
@@ -402,11 +402,13 @@
         for (int i = 0; i < schedulers; i++) {
             history.log(Rig.name(i), rig.log(i));
             int at = i;
-            rig.await("its history", () -> rig.ask(at, "/policy/history", null).statusCode() == 200);
+            rig.await(
+                    "its history",
+                    () -> rig.request(at, "/policy/history", null).statusCode() == 200);
             applied = 0;
             abandoned = 0;
             for (var one : JsonParser.parseString(
-                            rig.ask(i, "/policy/history", null).body())
+                            rig.request(i, "/policy/history", null).body())
                     .getAsJsonArray()) {
                 JsonObject change = one.getAsJsonObject();
                 String state = change.get("state").getAsString();
--- a/src/main/java/laneflow/lab/measure/RecoveryMeasure.java
+++ b/src/main/java/laneflow/lab/measure/RecoveryMeasure.java
@@ -41,13 +41,13 @@
     static RecoveryMeasure run(long seed, Path in) throws IOException, InterruptedException {
         Path folder = Files.createDirectory(in.resolve("recovery"));
         Path stores = Files.createDirectory(folder.resolve("stores"));
-        int[] nodes = {ChildProcesses.port(), ChildProcesses.port(), ChildProcesses.port()};
+        int[] nodes = {ChildProcesses.freePort(), ChildProcesses.freePort(), ChildProcesses.freePort()};
         try (Rig rig = new Rig(folder, SCHEDULERS, VOTERS, seed, "")) {
             for (int i = 0; i < SCHEDULERS; i++) {
-                rig.file(
+                rig.setConfig(
                         i,
                         "zones = [\"z\"]\n[classes.post]\ndeadline_ms = 3000\nrepeat = \"never\"\n"
-                                + Rig.endpoints(nodes) + "[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\n[durable]\n"
+                                + Rig.endpointTables(nodes) + "[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\n[durable]\n"
                                 + "dir = \"" + stores.resolve(Rig.name(i)) + "\"\n[durable.classes.post]\n[tasks]\n"
                                 + "stores = \"" + stores + "\"\nadopt_after_ms = 500\n");
             }
@@ -72,7 +72,7 @@
         int amid = Math.max(0, by[0]);
         rig.kill(amid);
         rig.await("the adopter's store has another place", () -> !Files.exists(stores.resolve(Rig.name(amid))));
-        rig.nodes(nodes, NODES_S);
+        rig.startNodes(nodes, NODES_S);
         Path book = folder.resolve("ran");
         rig.await("all of both have run", () -> begun(book).keySet().size() >= 2 * EACH);
         rig.start(last);
--- a/src/main/java/laneflow/lab/measure/TaskHistory.java
+++ b/src/main/java/laneflow/lab/measure/TaskHistory.java
@@ -37,7 +37,7 @@
             Call before = latest.get(call.task());
             boolean overlaps =
                     before != null && !before.holder().equals(call.holder()) && call.beganNs() < before.endedNs();
-            if (overlaps && (before.cutOff() || call.cutOff())) {
+            if (overlaps && (before.closedByCaller() || call.closedByCaller())) {
                 // Its receiver worked for one who had closed the connection: no caller can help that.
                 pastCutOff++;
             } else if (overlaps) {
@@ -49,7 +49,7 @@
                 latest.put(call.task(), call);
             }
             long token = highest.getOrDefault(call.task(), 0L);
-            if (call.token() < token && call.cutOff() && !call.checked()) {
+            if (call.token() < token && call.closedByCaller() && !call.checked()) {
                 pastCutOff++;
             } else if (call.token() < token) {
                 staleAccepted++;
--- a/src/main/java/laneflow/lab/measure/TaskMeasure.java
+++ b/src/main/java/laneflow/lab/measure/TaskMeasure.java
@@ -66,7 +66,7 @@
         int tasks = large ? 1000 : 45;
         int every = large ? 5000 : EVERY_MS;
         Path folder = Files.createTempDirectory("laneflow-task");
-        try (StandInReceiver receiver = new StandInReceiver(ChildProcesses.port(), WORK_MS);
+        try (StandInReceiver receiver = new StandInReceiver(ChildProcesses.freePort(), WORK_MS);
                 Rig rig = new Rig(folder, SCHEDULERS, VOTERS, seed, file(receiver.port(), tasks, every))) {
             RecoveryMeasure recovery = RecoveryMeasure.run(seed, folder);
             return new TaskMeasure(seed, tasks, every, out, rig, receiver).all(large, recovery);
@@ -186,7 +186,7 @@
     private void costs() throws IOException, InterruptedException {
         long before = counted("task.logged");
         long words = counted("fleet.sent");
-        double[] used = rig.cpu(4000);
+        double[] used = rig.cpuMillisPerSecond(4000);
         long renewals = counted("fleet.sent") - words;
         syncs = (counted("task.logged") - before) / (double) Math.max(1, renewals);
         for (double one : used) {
@@ -224,9 +224,9 @@
             int one = i == 3 ? leader : another(Set.of(leader));
             fault("stopped for three leases", Set.of(one), i < 3);
             stalls++;
-            rig.stall(one);
+            rig.suspend(one);
             Thread.sleep(3 * LEASE_MS);
-            rig.wake(one);
+            rig.resume(one);
             rig.awaitDeciding(0, rig.all());
             quiet(Set.of());
         }
@@ -237,7 +237,7 @@
         int both = another(Set.of(leader));
         Fault fault = fault("cut off", Set.of(both), true);
         cuts++;
-        rig.partAll(List.of(both));
+        rig.isolate(List.of(both));
         takenUp(fault);
         quiet(Set.of(both));
         rig.heal();
--- a/src/main/java/laneflow/lab/rig/Await.java
+++ b/src/main/java/laneflow/lab/rig/Await.java
@@ -15,12 +15,13 @@
     }
 
     /** What is known of it where one has waited in vain. */
-    public interface Said {
+    public interface Diagnostics {
         String text() throws IOException;
     }
 
     /** Returns once it holds; fails with what is known after a minute. */
-    public static void until(String what, Condition condition, Said said) throws IOException, InterruptedException {
+    public static void until(String what, Condition condition, Diagnostics said)
+            throws IOException, InterruptedException {
         long end = System.nanoTime() + PATIENCE_NS;
         while (true) {
             try {
--- a/src/main/java/laneflow/lab/rig/ChildProcesses.java
+++ b/src/main/java/laneflow/lab/rig/ChildProcesses.java
@@ -46,7 +46,7 @@
      * A port of the loopback interface that is free now, and that the system gives to nobody by itself: a
      * process that is killed must find its own again.
      */
-    public static int port() throws IOException {
+    public static int freePort() throws IOException {
         for (int i = 0; i < PORT_TRIES; i++) {
             int port = ThreadLocalRandom.current().nextInt(FIRST_PORT, LAST_PORT);
             try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
@@ -84,18 +84,18 @@
     }
 
     /** Starts a scheduler by the operators' file of that name. */
-    public Process scheduler(String name, int heapMb, String file) throws IOException {
-        return scheduler(0, name, heapMb, List.of(), file);
+    public Process startScheduler(String name, int heapMb, String file) throws IOException {
+        return startScheduler(0, name, heapMb, List.of(), file);
     }
 
     /** The same for a process none of whose files may grow beyond so many bytes; 0: no limit. */
-    public Process scheduler(long mostBytes, String name, int heapMb, List<String> options, String file)
+    public Process startScheduler(long mostBytes, String name, int heapMb, List<String> options, String file)
             throws IOException {
-        return scheduler(mostBytes, name, heapMb, options, file, "");
+        return startScheduler(mostBytes, name, heapMb, options, file, "");
     }
 
     /** The same with the platform's file beside the operators', unless that is empty. */
-    public Process scheduler(
+    public Process startScheduler(
             long mostBytes, String name, int heapMb, List<String> options, String file, String platform)
             throws IOException {
         return start(mostBytes, name, heapMb, options, PROGRAM, platform, "serve", "--config", file);
--- a/src/main/java/laneflow/lab/rig/Rig.java
+++ b/src/main/java/laneflow/lab/rig/Rig.java
@@ -77,8 +77,8 @@
         fleetPorts = new int[schedulers];
         relays = new Relay[schedulers][voters];
         for (int i = 0; i < schedulers; i++) {
-            clientPorts[i] = ChildProcesses.port();
-            fleetPorts[i] = ChildProcesses.port();
+            clientPorts[i] = ChildProcesses.freePort();
+            fleetPorts[i] = ChildProcesses.freePort();
             more.add(common);
             options.add("");
         }
@@ -98,23 +98,23 @@
     }
 
     /** What the file of this one says in the place of what all say. */
-    public void file(int i, String text) {
+    public void setConfig(int i, String text) {
         more.set(i, text);
     }
 
     /** Files name only the first so many as voters; others that can be dialled may be taken in. */
-    public void votersNamed(int first) {
+    public void limitNamedVoters(int first) {
         named = first;
     }
 
     /** What the platform's file says to this one, a JSON object. */
-    public void platform(int i, String text) throws IOException {
+    public void setPlatformFile(int i, String text) throws IOException {
         platforms.put(
                 i, Files.writeString(folder.resolve(name(i) + ".json"), text).toString());
     }
 
     /** No file of this one grows beyond so many bytes: to the program its disk is full then. */
-    public void fullAt(int i, long bytes) {
+    public void limitFileSize(int i, long bytes) {
         limits[i] = bytes;
     }
 
@@ -124,11 +124,11 @@
      * @param periodMs between two probes
      * @param seeds what the file of each names as others' places
      */
-    public void members(long seed, int periodMs, int... seeds) throws IOException {
+    public void enableGossip(long seed, int periodMs, int... seeds) throws IOException {
         memberPeriodMs = periodMs;
         memberPorts = new int[processes.length];
         for (int i = 0; i < processes.length; i++) {
-            memberPorts[i] = ChildProcesses.port();
+            memberPorts[i] = ChildProcesses.freePort();
         }
         datagrams = new DatagramRelay(memberPorts, seed);
         memberSeeds = seeds;
@@ -156,13 +156,13 @@
     }
 
     /** Where a member's own socket is, behind the relay. */
-    public int memberSocket(int i) {
+    public int memberPort(int i) {
         return memberPorts[i];
     }
 
     /** What one has counted under that name. */
     public long counter(int i, String name) throws IOException, InterruptedException {
-        for (String line : ask(i, "/counters", null).body().split("\n")) {
+        for (String line : request(i, "/counters", null).body().split("\n")) {
             if (line.startsWith(name + " ")) {
                 return Long.parseLong(line.substring(name.length() + 1));
             }
@@ -189,7 +189,7 @@
 
     /** What a scheduler says of all, {@code GET /fleet}. */
     public JsonObject fleet(int i) throws IOException, InterruptedException {
-        HttpResponse<String> answer = ask(i, "/fleet", null);
+        HttpResponse<String> answer = request(i, "/fleet", null);
         if (answer.statusCode() != 200) {
             throw new IOException(answer.body());
         }
@@ -207,13 +207,13 @@
     }
 
     /** Its state, or "unknown". */
-    public String standing(int i, int other) throws IOException, InterruptedException {
+    public String memberState(int i, int other) throws IOException, InterruptedException {
         JsonObject member = member(i, other);
         return member == null ? "unknown" : member.get("state").getAsString();
     }
 
     /** True if all of these hold the same view, of so many. */
-    public boolean agree(int live, int... these) throws IOException, InterruptedException {
+    public boolean haveSameView(int live, int... these) throws IOException, InterruptedException {
         String digest = null;
         for (int i : these) {
             JsonObject view = fleet(i);
@@ -233,7 +233,7 @@
                 return false;
             }
         }
-        return agree(live, these);
+        return haveSameView(live, these);
     }
 
     /** Waits for that. */
@@ -242,7 +242,7 @@
     }
 
     /** An option of the virtual machine of this one, as for a clock that runs otherwise. */
-    public void option(int i, String option) {
+    public void setJvmOption(int i, String option) {
         options.set(i, option);
     }
 
@@ -254,10 +254,10 @@
     // ---- processes ----
 
     public void start(int i) throws IOException {
-        Path file = write(i);
-        note("start " + name(i));
+        Path file = writeConfig(i);
+        record("start " + name(i));
         String option = options.get(i);
-        processes[i] = crew.scheduler(
+        processes[i] = crew.startScheduler(
                 limits[i],
                 name(i),
                 HEAP_MB,
@@ -267,7 +267,7 @@
     }
 
     /** Writes the file that this one starts by, for a start by other means. */
-    public Path write(int i) throws IOException {
+    public Path writeConfig(int i) throws IOException {
         StringBuilder peers = new StringBuilder();
         StringBuilder names = new StringBuilder();
         for (int k = 0; k < voters; k++) {
@@ -304,24 +304,24 @@
 
     /** SIGKILL. */
     public void kill(int i) throws InterruptedException, IOException {
-        note("kill " + name(i));
+        record("kill " + name(i));
         ChildProcesses.kill(processes[i]);
     }
 
     /** SIGTERM, and waits for its end. */
-    public int end(int i) throws InterruptedException, IOException {
-        term(i);
-        return ended(i);
+    public int stop(int i) throws InterruptedException, IOException {
+        signalTerm(i);
+        return awaitExit(i);
     }
 
     /** SIGTERM. */
-    public void term(int i) throws IOException {
-        note("term " + name(i));
+    public void signalTerm(int i) throws IOException {
+        record("term " + name(i));
         processes[i].destroy();
     }
 
     /** Waits for the end of one that was told to; returns its exit code. */
-    public int ended(int i) throws InterruptedException, IOException {
+    public int awaitExit(int i) throws InterruptedException, IOException {
         if (!processes[i].waitFor(Await.PATIENCE_NS, TimeUnit.NANOSECONDS)) {
             throw new IOException(name(i) + " does not end");
         }
@@ -329,17 +329,17 @@
     }
 
     /** SIGSTOP: it stands still, amid whatever it is at. */
-    public void stall(int i) throws InterruptedException, IOException {
+    public void suspend(int i) throws InterruptedException, IOException {
         signal(i, "STOP");
     }
 
     /** SIGCONT. */
-    public void wake(int i) throws InterruptedException, IOException {
+    public void resume(int i) throws InterruptedException, IOException {
         signal(i, "CONT");
     }
 
     private void signal(int i, String signal) throws InterruptedException, IOException {
-        note(signal + " " + name(i));
+        record(signal + " " + name(i));
         new ProcessBuilder("kill", "-" + signal, String.valueOf(processes[i].pid()))
                 .start()
                 .waitFor();
@@ -350,13 +350,13 @@
     }
 
     /** The disk of a voter that is down is gone. */
-    public void wipe(int i) throws IOException {
-        note("wipe " + name(i));
-        FileTree.delete(votes(i));
+    public void deleteVotes(int i) throws IOException {
+        record("wipe " + name(i));
+        FileTree.delete(votesFolder(i));
     }
 
     /** Where a voter keeps its votes. */
-    public Path votes(int i) {
+    public Path votesFolder(int i) {
         return folder.resolve(name(i) + "-votes");
     }
 
@@ -364,22 +364,22 @@
 
     /** Nothing that the one says reaches the other. */
     public void cut(int from, int to) throws IOException {
-        note("cut " + name(from) + " to " + name(to));
+        record("cut " + name(from) + " to " + name(to));
         way(from, to, true);
     }
 
     /** Neither hears the other. */
-    public void part(int one, int other) throws IOException {
+    public void partition(int one, int other) throws IOException {
         cut(one, other);
         cut(other, one);
     }
 
     /** Nobody of these hears anybody of the others. */
-    public void partAll(List<Integer> these) throws IOException {
+    public void isolate(List<Integer> these) throws IOException {
         for (int one : these) {
             for (int other = 0; other < processes.length; other++) {
                 if (!these.contains(other)) {
-                    part(one, other);
+                    partition(one, other);
                 }
             }
         }
@@ -387,7 +387,7 @@
 
     /** No line of the links gets to or from this one; datagrams do. */
     public void cutLinks(int one) throws IOException {
-        note("cut links of " + name(one));
+        record("cut links of " + name(one));
         for (int other = 0; other < processes.length; other++) {
             links(one, other, true);
             links(other, one, true);
@@ -412,13 +412,13 @@
 
     /** All paths pass everything again. */
     public void heal() throws IOException {
-        note("heal");
+        record("heal");
         each(Faults::clear);
     }
 
     /** All paths lose and double such shares of lines, and delay each by up to so much. */
     public void disturb(double lost, double doubled, int jitterMs) throws IOException {
-        note("disturb " + lost + " " + doubled + " " + jitterMs);
+        record("disturb " + lost + " " + doubled + " " + jitterMs);
         each(way -> {
             way.lost = lost;
             way.doubled = doubled;
@@ -441,8 +441,8 @@
     }
 
     /** Breaks all links of this one amid whatever they carry. */
-    public void reset(int i) throws IOException {
-        note("reset " + name(i));
+    public void resetConnections(int i) throws IOException {
+        record("reset " + name(i));
         Arrays.stream(relays[i]).forEach(Relay::reset);
         for (Relay[] row : relays) {
             if (i < voters) {
@@ -471,7 +471,7 @@
     }
 
     /** Asks a scheduler at its fleet address, and follows where it points; by no relay. */
-    public HttpResponse<String> ask(int i, String path, String body) throws IOException, InterruptedException {
+    public HttpResponse<String> request(int i, String path, String body) throws IOException, InterruptedException {
         URI to = URI.create("http://" + fleetAddress(i) + path);
         for (int hop = 0; ; hop++) {
             HttpRequest.Builder request = HttpRequest.newBuilder(to).timeout(ASK_WITHIN);
@@ -500,11 +500,11 @@
 
     /** What a scheduler says of itself, {@code GET /policy}. */
     public JsonObject policy(int i) throws IOException, InterruptedException {
-        return JsonParser.parseString(ask(i, "/policy", null).body()).getAsJsonObject();
+        return JsonParser.parseString(request(i, "/policy", null).body()).getAsJsonObject();
     }
 
     /** True if it decides, by this policy. */
-    public boolean decides(int i, long number) throws IOException, InterruptedException {
+    public boolean isDecidingBy(int i, long number) throws IOException, InterruptedException {
         JsonObject all = policy(i);
         return all.get("state").getAsString().equals("deciding")
                 && all.get("policy").getAsLong() == number;
@@ -537,7 +537,8 @@
 
     /** Proposes a change at this scheduler; null where it is not known to be taken. */
     public JsonObject propose(int i, String name, String types) throws IOException, InterruptedException {
-        HttpResponse<String> answer = ask(i, "/policy/changes", "{\"name\":\"" + name + "\",\"types\":" + types + "}");
+        HttpResponse<String> answer =
+                request(i, "/policy/changes", "{\"name\":\"" + name + "\",\"types\":" + types + "}");
         if (answer.statusCode() >= 500) {
             return null;
         }
@@ -552,13 +553,13 @@
      * Proposes a change until it is known to be taken. While no leader is known, as behind a fault, a
      * proposal is turned away; the same name is the same change, so asking again does no harm.
      */
-    public void proposeUntilTaken(int i, String name, String types) throws IOException, InterruptedException {
+    public void proposeUntilAccepted(int i, String name, String types) throws IOException, InterruptedException {
         await(name + " is taken", () -> propose(i, name, types) != null);
     }
 
     /** What a majority holds of a change, as this scheduler or whom it points to says; null: not known. */
     public JsonObject change(int i, String name) throws IOException, InterruptedException {
-        HttpResponse<String> answer = ask(i, "/policy/changes/" + name, null);
+        HttpResponse<String> answer = request(i, "/policy/changes/" + name, null);
         return answer.statusCode() == 200
                 ? JsonParser.parseString(answer.body()).getAsJsonObject()
                 : null;
@@ -578,12 +579,12 @@
     /** Waits until all of these decide by that policy. */
     public void awaitDeciding(long number, int... these) throws IOException, InterruptedException {
         for (int i : these) {
-            await(name(i) + " decides by " + number, () -> decides(i, number));
+            await(name(i) + " decides by " + number, () -> isDecidingBy(i, number));
         }
     }
 
     /** Stand-in nodes at these ports, until the rig is closed or so many seconds have passed. */
-    public void nodes(int[] ports, int seconds) throws IOException {
+    public void startNodes(int[] ports, int seconds) throws IOException {
         start(
                 "nodes",
                 StandInNodes.class,
@@ -596,7 +597,7 @@
     }
 
     /** Stand-in nodes that tell their load: so many slots each, jobs of so many milliseconds in the mean. */
-    public void nodes(int[] ports, int slots, int runMs, int seconds) throws IOException {
+    public void startNodes(int[] ports, int slots, int runMs, int seconds) throws IOException {
         StringBuilder all = new StringBuilder();
         for (int port : ports) {
             all.append(all.isEmpty() ? "" : ",").append(port);
@@ -614,7 +615,7 @@
     }
 
     /** The operators' file's tables of these. */
-    public static String endpoints(int[] ports) {
+    public static String endpointTables(int[] ports) {
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < ports.length; i++) {
             all.append("[endpoints.till-")
@@ -627,7 +628,7 @@
     }
 
     /** Milliseconds of processor time a second that each needs over such a span. */
-    public double[] cpu(long spanMs) throws IOException, InterruptedException {
+    public double[] cpuMillisPerSecond(long spanMs) throws IOException, InterruptedException {
         double[] all = new double[processes.length];
         for (int i = 0; i < all.length; i++) {
             all[i] = -cpuTicks(pid(i));
@@ -648,7 +649,7 @@
     }
 
     /** The numbers of all schedulers but these. */
-    public int[] without(Set<Integer> these) {
+    public int[] allExcept(Set<Integer> these) {
         return Arrays.stream(all()).filter(i -> !these.contains(i)).toArray();
     }
 
@@ -661,7 +662,7 @@
 
     // ---- history ----
 
-    public void note(String event) throws IOException {
+    public void record(String event) throws IOException {
         Files.writeString(
                 folder.resolve("history"),
                 System.nanoTime() + " " + event + "\n",
--- a/src/main/java/laneflow/lab/standin/GearmanConnection.java
+++ b/src/main/java/laneflow/lab/standin/GearmanConnection.java
@@ -48,7 +48,7 @@
     }
 
     /** Puts a packet into the buffer. */
-    public void put(int type, String... args) throws IOException {
+    public void writePacket(int type, String... args) throws IOException {
         byte[] data = String.join("\0", args).getBytes(StandardCharsets.UTF_8);
         out.writeInt(REQUEST);
         out.writeInt(type);
@@ -61,11 +61,11 @@
     }
 
     public void send(int type, String... args) throws IOException {
-        put(type, args);
+        writePacket(type, args);
         out.flush();
     }
 
-    public Packet read() throws IOException {
+    public Packet readPacket() throws IOException {
         in.readInt();
         int type = in.readInt();
         int length = in.readInt();
--- a/src/main/java/laneflow/lab/standin/StandInControl.java
+++ b/src/main/java/laneflow/lab/standin/StandInControl.java
@@ -23,12 +23,12 @@
     /** By scheduler and nonce. */
     private final Map<String, Reply> replies = new ConcurrentHashMap<>();
     /** By type: what one that comes later is sent. */
-    private final Map<String, String> newest = new ConcurrentHashMap<>();
+    private final Map<String, String> setInitialResponse = new ConcurrentHashMap<>();
     /** Counts that schedulers told, by their names. */
-    private final Map<String, JsonObject> figures = new ConcurrentHashMap<>();
+    private final Map<String, JsonObject> counters = new ConcurrentHashMap<>();
 
     /** When a scheduler told that it took a version back. */
-    public final Map<String, Long> takenBack = new ConcurrentHashMap<>();
+    public final Map<String, Long> rolledBackNanos = new ConcurrentHashMap<>();
 
     /** What a scheduler said to a response; the error is null for an ACK. */
     public record Reply(String version, String error, long nanos) {}
@@ -75,14 +75,14 @@
                 line(in);
                 long now = System.nanoTime();
                 if (!said.has("response_nonce")) {
-                    figures.put(said.getAsJsonObject("node").get("id").getAsString(), said);
+                    counters.put(said.getAsJsonObject("node").get("id").getAsString(), said);
                     continue;
                 }
                 String nonce = said.get("response_nonce").getAsString();
                 if (name == null) {
                     name = said.getAsJsonObject("node").get("id").getAsString();
                     streams.put(name, socket);
-                    for (String one : newest.values()) {
+                    for (String one : setInitialResponse.values()) {
                         send(socket, one);
                     }
                 }
@@ -97,7 +97,7 @@
                                 error == null ? null : error.get("message").getAsString(),
                                 now));
                 if (error != null && error.get("message").getAsString().contains(" was taken back: ")) {
-                    takenBack.put(name, now);
+                    rolledBackNanos.put(name, now);
                 }
             }
         } catch (IOException | NumberFormatException e) {
@@ -131,27 +131,27 @@
     }
 
     /** The counts that a scheduler told last, or null. */
-    JsonObject figures(String scheduler) {
-        return figures.get(scheduler);
+    JsonObject counters(String scheduler) {
+        return counters.get(scheduler);
     }
 
     public int streams() {
         return streams.size();
     }
 
-    public boolean has(String scheduler) {
+    public boolean hasStream(String scheduler) {
         return streams.containsKey(scheduler);
     }
 
     /** Its process has been killed: the next stream under that name is a new one. */
-    public void forget(String scheduler) {
+    public void dropStream(String scheduler) {
         streams.remove(scheduler);
     }
 
     /** Sends a line to all; one that comes later is sent the newest that was to be kept. */
     public void publish(String text, boolean keep) {
         if (keep) {
-            newest.put(
+            setInitialResponse.put(
                     JsonParser.parseString(text)
                             .getAsJsonObject()
                             .get("type_url")
@@ -168,8 +168,8 @@
     }
 
     /** What one that comes later is sent, without a word to those that are here. */
-    public void newest(String text) {
-        newest.put(
+    public void setInitialResponse(String text) {
+        setInitialResponse.put(
                 JsonParser.parseString(text).getAsJsonObject().get("type_url").getAsString(), text);
     }
 
--- a/src/main/java/laneflow/lab/standin/StandInDiscovery.java
+++ b/src/main/java/laneflow/lab/standin/StandInDiscovery.java
@@ -26,7 +26,7 @@
     /** Nothing is told before the first list. */
     public StandInDiscovery(int port) throws IOException {
         this.port = port;
-        up();
+        startListening();
     }
 
     public String address() {
@@ -34,7 +34,7 @@
     }
 
     /** Takes watches, again. */
-    public synchronized void up() throws IOException {
+    public synchronized void startListening() throws IOException {
         server = new ServerSocket();
         server.setReuseAddress(true);
         server.bind(new java.net.InetSocketAddress(InetAddress.getLoopbackAddress(), port), 64);
@@ -43,7 +43,7 @@
     }
 
     /** Breaks all watches off, and takes none. */
-    public synchronized void down() throws IOException {
+    public synchronized void stopListening() throws IOException {
         server.close();
         for (Socket watch : watches) {
             watch.close();
@@ -52,7 +52,7 @@
     }
 
     /** From now on all that listen hear of these hosts and no other: a JSON object each. */
-    public synchronized void tell(List<String> hosts) {
+    public synchronized void publish(List<String> hosts) {
         list = "{\"seq\":" + ++seq + ",\"whole\":true,\"hosts\":[" + String.join(",", hosts) + "]}\n";
         notifyAll();
     }
@@ -115,6 +115,6 @@
 
     @Override
     public void close() throws IOException {
-        down();
+        stopListening();
     }
 }
--- a/src/main/java/laneflow/lab/standin/StandInPool.java
+++ b/src/main/java/laneflow/lab/standin/StandInPool.java
@@ -36,11 +36,11 @@
      * @param coldShare of its speed's budget right after a start, up to all after {@code coldSeconds}
      * @param fallMultiple times what it can do that it may be sent in {@code fallSeconds} before it falls
      */
-    public record Sort(
+    public record Profile(
             int slots, int queue, double coldShare, double coldSeconds, double fallMultiple, double fallSeconds) {}
 
     /** One endpoint. */
-    public final class Node {
+    public final class Endpoint {
         public final String name;
         public final int zone;
         public final int rack;
@@ -60,7 +60,7 @@
         private boolean fell;
         private boolean up;
 
-        private Node(String name, int zone, int rack, int port) {
+        private Endpoint(String name, int zone, int rack, int port) {
             this.name = name;
             this.zone = zone;
             this.rack = rack;
@@ -72,7 +72,7 @@
         }
 
         /** Whoever dials that port is told so many free slots and waiting jobs, whatever there are. */
-        public void lieAt(int door, int free, int queue) throws IOException {
+        public void listenWithFalseLoad(int door, int free, int queue) throws IOException {
             open(door, "\"x0\":" + free + ",\"q\":" + queue);
         }
 
@@ -91,7 +91,7 @@
         }
 
         /** Dies with all it has in hand: nobody hears any more of it. */
-        public synchronized void die() throws IOException {
+        public synchronized void crash() throws IOException {
             up = false;
             life++;
             freeFrom.put(System.nanoTime(), 0);
@@ -120,17 +120,17 @@
         }
 
         /** From now on lists say that it drains. */
-        public synchronized void drains() {
+        public synchronized void startDraining() {
             drainToldNs = System.nanoTime();
         }
 
         /** From now on lists have it as ready again. */
-        public synchronized void drainsNoMore() {
+        public synchronized void stopDraining() {
             drainToldNs = Long.MAX_VALUE;
         }
 
         /** As discovery tells of it. */
-        public synchronized String listed() {
+        public synchronized String discoveryEntry() {
             return "{\"host\":\"" + name + "\",\"dial\":\"127.0.0.1:" + port + "\",\"site\":\"" + zones.get(zone)
                     + "\",\"block\":" + rack + ",\"health\":\""
                     + (drainToldNs == Long.MAX_VALUE ? "Ready" : "Terminating") + "\",\"share\":1.0,"
@@ -303,26 +303,26 @@
     /** A job's place at an endpoint, in that life of it. */
     private record Place(int life, CountDownLatch turn) {}
 
-    public final List<Node> nodes = new ArrayList<>();
+    public final List<Endpoint> endpoints = new ArrayList<>();
     private final List<String> zones;
-    private final Sort sort;
+    private final Profile sort;
     private final AtomicInteger sentToDrained = new AtomicInteger();
     private final AtomicInteger fallen = new AtomicInteger();
 
     /** @param ports of the endpoints; their zones and, within a zone, their racks go by turns */
-    public StandInPool(List<Integer> ports, List<String> zones, int racks, Sort sort) throws IOException {
+    public StandInPool(List<Integer> ports, List<String> zones, int racks, Profile sort) throws IOException {
         this.zones = List.copyOf(zones);
         this.sort = sort;
         for (int i = 0; i < ports.size(); i++) {
-            Node node = new Node("e" + i, i % zones.size(), i % (zones.size() * racks), ports.get(i));
-            nodes.add(node);
+            Endpoint node = new Endpoint("e" + i, i % zones.size(), i % (zones.size() * racks), ports.get(i));
+            endpoints.add(node);
             node.begin();
         }
     }
 
     /** All of them as discovery tells of them. */
-    public List<String> listed() {
-        return nodes.stream().map(Node::listed).toList();
+    public List<String> discoveryEntries() {
+        return endpoints.stream().map(Endpoint::discoveryEntry).toList();
     }
 
     /** Jobs that came to endpoints that drain, beyond the grace. */
@@ -331,14 +331,14 @@
     }
 
     /** Cold endpoints that were sent more than they can bear. */
-    public int coldFallen() {
+    public int coldOverloads() {
         return fallen.get();
     }
 
     /** Of all jobs since that instant, behind how many each had to wait, in no order. */
-    public List<Long> waitedBehind(long sinceNs) {
+    public List<Long> queuePositions(long sinceNs) {
         List<Long> all = new ArrayList<>();
-        for (Node node : nodes) {
+        for (Endpoint node : endpoints) {
             synchronized (node) {
                 for (int i = 0; i < node.sentAt.size(); i++) {
                     if (node.sentAt.get(i) >= sinceNs) {
@@ -362,9 +362,9 @@
 
     @Override
     public void close() throws IOException {
-        for (Node node : nodes) {
+        for (Endpoint node : endpoints) {
             if (node.up) {
-                node.die();
+                node.crash();
             }
         }
     }
--- a/src/main/java/laneflow/lab/standin/StandInRacks.java
+++ b/src/main/java/laneflow/lab/standin/StandInRacks.java
@@ -59,12 +59,12 @@
         this.keeps = keeps;
         this.ports.putAll(ports);
         for (String name : ports.keySet()) {
-            bringBack(name);
+            startEndpoint(name);
         }
     }
 
     /** It is there, or there again under its old address. */
-    public void bringBack(String name) throws IOException {
+    public void startEndpoint(String name) throws IOException {
         ServerSocket server = new ServerSocket();
         server.setReuseAddress(true);
         server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), ports.get(name)), 256);
@@ -73,7 +73,7 @@
     }
 
     /** It is gone without a word: its connections break, and none comes up any more. */
-    public void lose(String name) throws IOException {
+    public void stopEndpoint(String name) throws IOException {
         servers.get(name).close();
         for (Map.Entry<Socket, String> one : sockets.entrySet()) {
             if (one.getValue().equals(name)) {
--- a/src/main/java/laneflow/lab/standin/StandInReceiver.java
+++ b/src/main/java/laneflow/lab/standin/StandInReceiver.java
@@ -39,7 +39,7 @@
             boolean accepted,
             long beganNs,
             long endedNs,
-            boolean cutOff) {}
+            boolean closedByCaller) {}
 
     private final ServerSocket server;
     private final int workMs;
--- a/src/main/java/laneflow/lab/standin/StandInTenants.java
+++ b/src/main/java/laneflow/lab/standin/StandInTenants.java
@@ -26,10 +26,10 @@
     private final boolean keeps;
     private final List<Thread> threads = new ArrayList<>();
     private final Map<String, Integer> wanted = new ConcurrentHashMap<>();
-    private final ConcurrentLinkedQueue<String> served = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger refused = new AtomicInteger();
-    private final AtomicInteger broken = new AtomicInteger();
-    private final AtomicInteger silent = new AtomicInteger();
+    private final ConcurrentLinkedQueue<String> completedJobs = new ConcurrentLinkedQueue<>();
+    private final AtomicInteger errorResponses = new AtomicInteger();
+    private final AtomicInteger brokenConnections = new AtomicInteger();
+    private final AtomicInteger timeouts = new AtomicInteger();
     private volatile boolean over;
 
     /**
@@ -44,7 +44,7 @@
     }
 
     /** From now on that tenant has so many clients at work, for that class. */
-    public void want(String tenant, String jobClass, int clients) {
+    public void setClients(String tenant, String jobClass, int clients) {
         int before = wanted.getOrDefault(tenant, 0);
         wanted.put(tenant, clients);
         for (int i = before; i < clients; i++) {
@@ -68,10 +68,10 @@
                     Thread.sleep(pauseMs);
                 } while (!over && number < wanted.get(tenant) && n % 16 != 0);
             } catch (java.net.SocketTimeoutException e) {
-                silent.incrementAndGet();
+                timeouts.incrementAndGet();
             } catch (IOException e) {
                 // Its scheduler is killed, or ends.
-                broken.incrementAndGet();
+                brokenConnections.incrementAndGet();
                 pause();
             } catch (InterruptedException e) {
                 return;
@@ -85,9 +85,9 @@
                                 + "\r\nContent-Length: " + job.length() + "\r\n\r\n" + job)
                         .getBytes(StandardCharsets.US_ASCII));
         if (!answer(in).startsWith("HTTP/1.1 200 ")) {
-            refused.incrementAndGet();
+            errorResponses.incrementAndGet();
         } else if (keeps) {
-            served.add(job);
+            completedJobs.add(job);
         }
     }
 
@@ -114,23 +114,23 @@
     }
 
     /** The jobs that were answered with success, where they are kept. */
-    public List<String> served() {
-        return List.copyOf(served);
+    public List<String> completedJobs() {
+        return List.copyOf(completedJobs);
     }
 
     /** Answered with anything but success. */
-    public int refused() {
-        return refused.get();
+    public int errorResponses() {
+        return errorResponses.get();
     }
 
     /** Connections that broke with no answer. */
-    public int broken() {
-        return broken.get();
+    public int brokenConnections() {
+        return brokenConnections.get();
     }
 
     /** Requests to which nobody has said a word. */
-    public int silent() {
-        return silent.get();
+    public int timeouts() {
+        return timeouts.get();
     }
 
     @Override
--- a/src/main/java/laneflow/lab/standin/StandInWorker.java
+++ b/src/main/java/laneflow/lab/standin/StandInWorker.java
@@ -49,15 +49,15 @@
 
     private void serve(GearmanConnection wire, long end) throws IOException, InterruptedException {
         for (String function : functions) {
-            wire.put(GearmanConnection.CAN_DO, function);
+            wire.writePacket(GearmanConnection.CAN_DO, function);
         }
         if (untold != null) {
-            wire.put(GearmanConnection.WORK_COMPLETE, untold);
+            wire.writePacket(GearmanConnection.WORK_COMPLETE, untold);
             untold = null;
         }
         wire.send(GearmanConnection.GRAB_JOB_ALL);
         while (System.nanoTime() < end) {
-            GearmanConnection.Packet packet = wire.read();
+            GearmanConnection.Packet packet = wire.readPacket();
             if (packet.type() == GearmanConnection.NO_JOB) {
                 wire.send(GearmanConnection.PRE_SLEEP);
             } else if (packet.type() == GearmanConnection.NOOP) {
@@ -76,7 +76,7 @@
         ledger.write("done", name);
         String[] word = {job[0], "ran " + name};
         try {
-            wire.put(GearmanConnection.WORK_COMPLETE, word);
+            wire.writePacket(GearmanConnection.WORK_COMPLETE, word);
             wire.send(GearmanConnection.GRAB_JOB_ALL);
         } catch (IOException e) {
             untold = word;
--- a/src/test/java/laneflow/capacity/CapacityFaultsStoryTest.java
+++ b/src/test/java/laneflow/capacity/CapacityFaultsStoryTest.java
@@ -24,7 +24,7 @@
 import laneflow.lab.rig.Rig;
 import laneflow.lab.standin.StandInDiscovery;
 import laneflow.lab.standin.StandInPool;
-import laneflow.lab.standin.StandInPool.Node;
+import laneflow.lab.standin.StandInPool.Endpoint;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -37,7 +37,7 @@
 @Timeout(300)
 class CapacityFaultsStoryTest {
     private static final int SLOTS = 4;
-    private static final StandInPool.Sort NODE_SORT = new StandInPool.Sort(SLOTS, 8, 0.2, 5, 2, 2);
+    private static final StandInPool.Profile NODE_SORT = new StandInPool.Profile(SLOTS, 8, 0.2, 5, 2, 2);
     private static final int SHORT_MICROS = 5_000;
     private static final int LONG_MICROS = 300_000;
     private static final int ENDLESS_MICROS = 100_000_000;
@@ -63,17 +63,17 @@
     private void setUpFleet(int schedulers, int endpoints) throws Exception {
         List<Integer> ports = new ArrayList<>();
         for (int i = 0; i < endpoints; i++) {
-            ports.add(ChildProcesses.port());
+            ports.add(ChildProcesses.freePort());
         }
         pool = new StandInPool(ports, List.of("z"), 2, NODE_SORT);
-        discovery = new StandInDiscovery(ChildProcesses.port());
-        discovery.tell(pool.listed());
+        discovery = new StandInDiscovery(ChildProcesses.freePort());
+        discovery.publish(pool.discoveryEntries());
         rig = new Rig(folder, schedulers, 1, 5, "");
         for (int i = 0; i < schedulers; i++) {
-            rig.file(i, config("discovery = \"" + discovery.address() + "\"\n"));
-            rig.platform(i, "{\"settings\":{\"slotNo\":" + i + ",\"siblings\":" + schedulers + "}}");
+            rig.setConfig(i, config("discovery = \"" + discovery.address() + "\"\n"));
+            rig.setPlatformFile(i, "{\"settings\":{\"slotNo\":" + i + ",\"siblings\":" + schedulers + "}}");
         }
-        rig.members(5, 100, 0, 1);
+        rig.enableGossip(5, 100, 0, 1);
     }
 
     private static String config(String endpointSource) {
@@ -132,7 +132,7 @@
     }
 
     private JsonObject capacityStatus(int i) throws IOException, InterruptedException {
-        HttpResponse<String> answer = rig.ask(i, "/capacity", null);
+        HttpResponse<String> answer = rig.request(i, "/capacity", null);
         if (answer.statusCode() != 200) {
             throw new IOException(answer.body());
         }
@@ -158,7 +158,7 @@
     void halvesWithOppositePicturesComeToTheNewest() throws Exception {
         setUpFleet(4, 1);
         startFleet();
-        rig.partAll(List.of(0, 1));
+        rig.isolate(List.of(0, 1));
         // One side sees the endpoint idle; the slot count is learned from reports that include a request, so
         // it is 3.
         rig.await("one side has a report of 3 free slots", () -> {
@@ -193,10 +193,11 @@
         rig.await(
                 "the last scheduler has peer reports of all endpoints",
                 () -> capacityStatus(3).get("known_share").getAsDouble() == 1);
-        List<Node> rack = pool.nodes.stream().filter(node -> node.rack == 0).toList();
+        List<Endpoint> rack =
+                pool.endpoints.stream().filter(node -> node.rack == 0).toList();
         assertEquals(3, rack.size());
-        for (Node node : rack) {
-            node.die();
+        for (Endpoint node : rack) {
+            node.crash();
         }
         // The lists still have the rack as ready and reports have it as idle: failed attempts must go
         // elsewhere.
@@ -206,10 +207,10 @@
             }
         }
         // Restarted cold at the old addresses: reports from before the restart must be ignored.
-        for (Node node : rack) {
+        for (Endpoint node : rack) {
             node.restart();
         }
-        discovery.tell(pool.listed());
+        discovery.publish(pool.discoveryEntries());
         rig.await("all schedulers have the new list", () -> {
             for (int i : rig.all()) {
                 if (rig.counter(i, "discovery.lists") < 2) {
@@ -221,11 +222,11 @@
         long from = System.nanoTime();
         int[] answers = burst(60, LONG_MICROS, rig.all());
         assertTrue(answers[0] >= 20, "served " + answers[0]);
-        assertTrue(pool.nodes.stream()
+        assertTrue(pool.endpoints.stream()
                         .mapToInt(node -> node.sentBetween(from, System.nanoTime()))
                         .sum()
                 >= 20);
-        assertEquals(0, pool.coldFallen(), "cold endpoints that were overloaded");
+        assertEquals(0, pool.coldOverloads(), "cold endpoints that were overloaded");
     }
 
     @Test
@@ -233,9 +234,9 @@
         setUpFleet(5, 5);
         // The endpoints report 64 free slots each to one scheduler, which passes that on.
         StringBuilder endpointTables = new StringBuilder();
-        for (Node node : pool.nodes) {
-            int faultyPort = ChildProcesses.port();
-            node.lieAt(faultyPort, 64, 0);
+        for (Endpoint node : pool.endpoints) {
+            int faultyPort = ChildProcesses.freePort();
+            node.listenWithFalseLoad(faultyPort, 64, 0);
             endpointTables
                     .append("[endpoints.")
                     .append(node.name)
@@ -243,7 +244,7 @@
                     .append(faultyPort)
                     .append("\"\n");
         }
-        rig.file(1, config(endpointTables.toString()));
+        rig.setConfig(1, config(endpointTables.toString()));
         startFleet();
         rig.await("the first scheduler rejects the false reports", () -> {
             burst(20, SHORT_MICROS, 0, 1);
@@ -281,12 +282,12 @@
     void reportsNeverAddEndpointsWhileDiscoveryIsDown() throws Exception {
         setUpFleet(3, 4);
         // The last scheduler has an older list: one endpoint drains in it, another is missing.
-        try (StandInDiscovery older = new StandInDiscovery(ChildProcesses.port())) {
-            pool.nodes.get(0).drains();
-            List<String> list = pool.listed();
-            pool.nodes.get(0).drainsNoMore();
-            older.tell(list.subList(0, 3));
-            rig.file(2, config("discovery = \"" + older.address() + "\"\n"));
+        try (StandInDiscovery older = new StandInDiscovery(ChildProcesses.freePort())) {
+            pool.endpoints.get(0).startDraining();
+            List<String> list = pool.discoveryEntries();
+            pool.endpoints.get(0).stopDraining();
+            older.publish(list.subList(0, 3));
+            rig.setConfig(2, config("discovery = \"" + older.address() + "\"\n"));
             startFleet();
             burst(40, SHORT_MICROS, 0);
             rig.await("the last scheduler has reports of all that it lists", () -> {
@@ -294,8 +295,8 @@
                 JsonObject stored = capacityStatus(2).getAsJsonObject("endpoints");
                 return stored.has("e1") && stored.has("e2") && rig.counter(2, "capacity.received") > 0;
             });
-            older.down();
-            discovery.down();
+            older.stopListening();
+            discovery.stopListening();
             rig.await("the last scheduler has lost its watch", () -> rig.counter(2, "discovery.watches") > 1);
             long from = System.nanoTime();
             // More than two endpoints can take at once, so that reports of the other two would be used if
@@ -303,8 +304,8 @@
             int[] answers = burst(24, LONG_MICROS, 2);
             assertTrue(answers[0] >= 2 * SLOTS, "requests are still served: " + answers[0]);
             long to = System.nanoTime();
-            assertEquals(0, pool.nodes.get(0).sentBetween(from, to), "sent to the draining endpoint");
-            assertEquals(0, pool.nodes.get(3).sentBetween(from, to), "sent to an unlisted endpoint");
+            assertEquals(0, pool.endpoints.get(0).sentBetween(from, to), "sent to the draining endpoint");
+            assertEquals(0, pool.endpoints.get(3).sentBetween(from, to), "sent to an unlisted endpoint");
             JsonObject stored = capacityStatus(2);
             assertFalse(stored.getAsJsonObject("endpoints").has("e0")
                     || stored.getAsJsonObject("endpoints").has("e3"));
@@ -314,12 +315,12 @@
                             .getAsJsonObject("z")
                             .get("endpoints")
                             .getAsInt());
-            older.up();
-            discovery.up();
-            older.tell(pool.listed());
+            older.startListening();
+            discovery.startListening();
+            older.publish(pool.discoveryEntries());
             rig.await("all endpoints are used after the full list", () -> {
                 burst(8, SHORT_MICROS, 2);
-                return pool.nodes.get(3).sentBetween(to, System.nanoTime()) > 0;
+                return pool.endpoints.get(3).sentBetween(to, System.nanoTime()) > 0;
             });
         }
     }
--- a/src/test/java/laneflow/capacity/CapacityStoryTest.java
+++ b/src/test/java/laneflow/capacity/CapacityStoryTest.java
@@ -44,9 +44,9 @@
 
     private void startFleet() throws Exception {
         int[] nodes = {port(), port(), port()};
-        rig = new Rig(folder, SCHEDULERS, 1, 5, CONFIG + Rig.endpoints(nodes) + "[capacity]\nround_ms = 50\n");
-        rig.nodes(nodes, 4, 5, 120);
-        rig.members(5, 100, 0, 1);
+        rig = new Rig(folder, SCHEDULERS, 1, 5, CONFIG + Rig.endpointTables(nodes) + "[capacity]\nround_ms = 50\n");
+        rig.startNodes(nodes, 4, 5, 120);
+        rig.enableGossip(5, 100, 0, 1);
         rig.startAll();
         rig.awaitSettled(SCHEDULERS, rig.all());
     }
@@ -67,7 +67,7 @@
     }
 
     private JsonObject capacityStatus(int i) throws IOException, InterruptedException {
-        return JsonParser.parseString(rig.ask(i, "/capacity", null).body()).getAsJsonObject();
+        return JsonParser.parseString(rig.request(i, "/capacity", null).body()).getAsJsonObject();
     }
 
     /** Returns the number of endpoints with a peer report that is at most that old. */
@@ -99,7 +99,7 @@
                         .get("endpoints")
                         .getAsInt());
 
-        rig.partAll(List.of(0, 1));
+        rig.isolate(List.of(0, 1));
         rig.await("no recent reports cross the partition", () -> {
             return postRequest(0) == 200 && peerReports(3, 1000) == 0 && peerReports(1, 1000) > 0;
         });
--- a/src/test/java/laneflow/lab/measure/TakenBackStoryTest.java
+++ b/src/test/java/laneflow/lab/measure/TakenBackStoryTest.java
@@ -20,7 +20,7 @@
 
     @Test
     void whatMakesServiceWorseIsTakenBackEverywhere() throws Exception {
-        int node = ChildProcesses.port();
+        int node = ChildProcesses.freePort();
         String common = "zones = [\"z\"]\n[classes.check]\nrepeat = \"safe\"\n[classes.capture]\n[endpoints.till]\n"
                 + "dial = \"127.0.0.1:" + node
                 + "\"\n[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\nprobation_ms = 3000\n";
@@ -35,10 +35,10 @@
             }
             rig.await("the usual state is known", () -> loads[0].said.size() > 300);
             // One that harms nobody stays.
-            rig.proposeUntilTaken(0, "harmless", "{\"bans\":[{\"name\":\"nobody\"}]}");
+            rig.proposeUntilAccepted(0, "harmless", "{\"bans\":[{\"name\":\"nobody\"}]}");
             rig.awaitDeciding(1, rig.all());
             rig.await("its trial is over", () -> loads[0].said.size() > 900);
-            rig.proposeUntilTaken(0, "worse", "{\"bans\":[{\"name\":\"till\"}]}");
+            rig.proposeUntilAccepted(0, "worse", "{\"bans\":[{\"name\":\"till\"}]}");
             rig.await("it is taken back", () -> {
                 JsonObject back = rig.change(0, "worse.taken-back");
                 return back != null && back.get("state").getAsString().equals("applied");
--- a/src/test/java/laneflow/maintenance/MaintenanceFaultStoryTest.java
+++ b/src/test/java/laneflow/maintenance/MaintenanceFaultStoryTest.java
@@ -47,13 +47,15 @@
         assertEquals(200, order("power-c", "begin").statusCode());
         long from = System.nanoTime();
         int cut = coordinator();
-        rig.partAll(List.of(cut));
+        rig.isolate(List.of(cut));
         rig.await("another coordinates", () -> {
             int other = rig.leader();
             return other >= 0
                     && other != cut
-                    && !rig.ask(other, "/maintenance", null).body().contains("\"coordinator\":\"" + Rig.name(cut) + "#")
-                    && rig.ask(other, "/maintenance", null).body().contains("\"coordinator\":\"n");
+                    && !rig.request(other, "/maintenance", null)
+                            .body()
+                            .contains("\"coordinator\":\"" + Rig.name(cut) + "#")
+                    && rig.request(other, "/maintenance", null).body().contains("\"coordinator\":\"n");
         });
         rig.heal();
         rig.awaitDeciding(rig.policy((cut + 1) % 3).get("policy").getAsLong(), rig.all());
--- a/src/test/java/laneflow/maintenance/MaintenanceStorySupport.java
+++ b/src/test/java/laneflow/maintenance/MaintenanceStorySupport.java
@@ -149,7 +149,7 @@
         List<HttpResponse<String>> found = new ArrayList<>();
         rig.await(path + " is answered", () -> {
             for (int i : rig.all()) {
-                HttpResponse<String> answer = rig.isUp(i) ? rig.ask(i, path, body) : null;
+                HttpResponse<String> answer = rig.isUp(i) ? rig.request(i, path, body) : null;
                 if (answer != null && answer.statusCode() < 500 && answer.statusCode() != 307) {
                     found.add(answer);
                     return true;
--- a/src/test/java/laneflow/maintenance/MaintenanceStoryTest.java
+++ b/src/test/java/laneflow/maintenance/MaintenanceStoryTest.java
@@ -41,7 +41,7 @@
         assertAnswer(order("nobody", "begin"), 404, "no window");
         await("firmware-a", "draining", "down");
         assertAnswer(
-                rig.ask(0, "/policy/changes", "{\"name\":\"give-back\",\"types\":{\"bans\":[]}}"),
+                rig.request(0, "/policy/changes", "{\"name\":\"give-back\",\"types\":{\"bans\":[]}}"),
                 409,
                 "rack a is away",
                 "till-0, till-1");
--- a/src/test/java/laneflow/membership/MembersStoryTest.java
+++ b/src/test/java/laneflow/membership/MembersStoryTest.java
@@ -37,7 +37,7 @@
 
     private void createFleet(int periodMs, int members, int voters, String file, int[] seeds) throws IOException {
         rig = new Rig(folder, members, voters, 5, file);
-        rig.members(5, periodMs, seeds);
+        rig.enableGossip(5, periodMs, seeds);
     }
 
     @AfterEach
@@ -56,7 +56,7 @@
     private void awaitState(int observer, int member, String state) throws IOException, InterruptedException {
         rig.await(
                 Rig.name(observer) + " sees " + Rig.name(member) + " " + state,
-                () -> rig.standing(observer, member).equals(state));
+                () -> rig.memberState(observer, member).equals(state));
     }
 
     private long sumCounters(String name, int... members) throws IOException, InterruptedException {
@@ -110,7 +110,7 @@
         assertNotEquals(former, generation(5, 0), "the seed has a new instance");
         // Graceful stops one after the other: each announces that it leaves and is seen as LEFT.
         for (int i = 6; i < 9; i++) {
-            assertEquals(143, rig.end(i));
+            assertEquals(143, rig.stop(i));
             awaitState(5, i, "left");
             rig.start(i);
             rig.awaitSettled(10, rig.all());
@@ -133,13 +133,13 @@
         rig.awaitSettled(6, rig.all());
         long generationBefore = generation(0, 4);
         // Long enough to be suspected, but not to be declared dead.
-        rig.partAll(java.util.List.of(4));
+        rig.isolate(java.util.List.of(4));
         awaitState(0, 4, "suspect");
         rig.heal();
         rig.awaitSettled(6, rig.all());
         assertEquals(generationBefore, generation(0, 4), "the member was not declared dead");
         // Two halves; during the partition a member crashes in each, and one of them restarts.
-        rig.partAll(java.util.List.of(0, 1, 2));
+        rig.isolate(java.util.List.of(0, 1, 2));
         rig.awaitSettled(3, 0, 1, 2);
         rig.awaitSettled(3, 3, 4, 5);
         rig.kill(1);
@@ -150,8 +150,8 @@
         rig.heal();
         rig.awaitSettled(5, 0, 2, 3, 4, 5);
         // Three partitions, one with a single member.
-        rig.partAll(java.util.List.of(0, 2));
-        rig.partAll(java.util.List.of(5));
+        rig.isolate(java.util.List.of(0, 2));
+        rig.isolate(java.util.List.of(5));
         rig.awaitSettled(2, 0, 2);
         rig.awaitSettled(2, 3, 4);
         rig.await("the member is alone", () -> rig.fleet(5).get("live").getAsInt() == 1);
@@ -187,8 +187,8 @@
         rig.heal();
         rig.awaitSettled(6, rig.all());
         // A member whose leave message is lost is declared dead.
-        rig.partAll(java.util.List.of(5));
-        rig.end(5);
+        rig.isolate(java.util.List.of(5));
+        rig.stop(5);
         awaitState(0, 5, "dead");
         rig.heal();
         rig.awaitSettled(5, 0, 1, 2, 3, 4);
@@ -200,17 +200,17 @@
         startAll();
         rig.awaitSettled(5, rig.all());
         long generation = generation(0, 3);
-        rig.stall(3);
+        rig.suspend(3);
         awaitState(0, 3, "suspect");
-        rig.wake(3);
+        rig.resume(3);
         rig.awaitSettled(5, rig.all());
         assertEquals(generation, generation(0, 3));
         long deathsBefore = sumCounters("members.buried", 3);
         // A flapping member that stalls repeatedly for longer than the suspicion timeout.
         for (int round = 0; round < 3; round++) {
-            rig.stall(3);
+            rig.suspend(3);
             awaitState(0, 3, "dead");
-            rig.wake(3);
+            rig.resume(3);
             rig.awaitSettled(5, rig.all());
             assertTrue(generation(0, 3) > generation, "a new instance each time");
             generation = generation(0, 3);
@@ -236,11 +236,11 @@
                 byte[] bytes = new byte[length];
                 random.nextBytes(bytes);
                 bytes[0] = 1;
-                foreign.send(new DatagramPacket(bytes, length, InetAddress.getLoopbackAddress(), rig.memberSocket(0)));
+                foreign.send(new DatagramPacket(bytes, length, InetAddress.getLoopbackAddress(), rig.memberPort(0)));
             }
             byte[] authentic = rig.lastDatagram(1, 0);
             foreign.send(new DatagramPacket(
-                    authentic, authentic.length, InetAddress.getLoopbackAddress(), rig.memberSocket(0)));
+                    authentic, authentic.length, InetAddress.getLoopbackAddress(), rig.memberPort(0)));
             rig.await(
                     "all rejected datagrams are counted",
                     () -> rig.counter(0, "members.oversized") >= 2 && rig.counter(0, "members.unsealed") >= 5);
@@ -292,7 +292,7 @@
         startAll();
         rig.awaitDeciding(0, rig.all());
         rig.awaitSettled(5, rig.all());
-        rig.proposeUntilTaken(0, "one", "{\"bans\":[{\"name\":\"x\"}]}");
+        rig.proposeUntilAccepted(0, "one", "{\"bans\":[{\"name\":\"x\"}]}");
         rig.awaitDeciding(1, rig.all());
         rig.await("the view shows the new policy and a ready condition for all members", () -> {
             for (var one : rig.fleet(4).getAsJsonArray("members")) {
@@ -307,9 +307,9 @@
         // A stalled member delays a change by its lease, and is named with its state in the view.
         int leader = rig.leader();
         int stalled = 4;
-        rig.stall(stalled);
+        rig.suspend(stalled);
         awaitState(leader, stalled, "suspect");
-        rig.proposeUntilTaken(leader, "two", "{\"bans\":[{\"name\":\"y\"}]}");
+        rig.proposeUntilAccepted(leader, "two", "{\"bans\":[{\"name\":\"y\"}]}");
         boolean[] namedAsPending = {false};
         rig.await("the change takes effect", () -> {
             JsonObject leads = rig.policy(leader).getAsJsonObject("leads");
@@ -317,10 +317,10 @@
                     && leads.has("waits_for")
                     && leads.get("waits_for").toString().contains("n5#")
                     && leads.get("waits_for").toString().contains("(suspect)");
-            return rig.decides(leader, 2);
+            return rig.isDecidingBy(leader, 2);
         });
         // A member that loses its links to the voters, but not its datagrams, is seen as fenced.
-        rig.wake(stalled);
+        rig.resume(stalled);
         rig.awaitDeciding(2, rig.all());
         rig.cutLinks(4);
         rig.await("the member is seen as fenced", () -> {
--- a/src/test/java/laneflow/policy/PolicyDisruptionStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyDisruptionStoryTest.java
@@ -35,9 +35,9 @@
                 // made.
                 call.beginResponse("{'id':'open','state':'started'}");
                 // It drains during the change and still accepts requests.
-                rig.term(3);
+                rig.signalTerm(3);
                 rig.await("it logs that it stops", () -> rig.log(3).contains("stopping, 1 open"));
-                rig.proposeUntilTaken(0, "during-drain", bans("x"));
+                rig.proposeUntilAccepted(0, "during-drain", bans("x"));
                 awaitState(0, "during-drain", "applied");
                 rig.awaitDeciding(1, rig.all());
                 String late = responseOrRefusal(3, "late");
@@ -46,10 +46,10 @@
                 assertTrue(late.contains("policy=1") || late.contains(" 503 "), late);
             }
         }
-        assertEquals(143, rig.ended(3));
+        assertEquals(143, rig.awaitExit(3));
         // It has announced its stop: the next change does not wait for its lease.
         long from = System.nanoTime();
-        rig.proposeUntilTaken(0, "after-stop", bans("y"));
+        rig.proposeUntilAccepted(0, "after-stop", bans("y"));
         rig.awaitDeciding(2, 0, 1, 2);
         assertTrue(System.nanoTime() - from < TimeUnit.SECONDS.toNanos(30));
         checkHistory();
@@ -71,12 +71,12 @@
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         int leader = rig.leader();
-        rig.term(leader);
+        rig.signalTerm(leader);
         rig.await(
                 "the proposal is accepted",
                 () -> rig.propose(3, "during-stop", bans("x")) != null
                         || changeState(3, "during-stop").equals("applied"));
-        assertEquals(143, rig.ended(leader));
+        assertEquals(143, rig.awaitExit(leader));
         awaitState(3, "during-stop", "applied");
         for (int i : rig.all()) {
             if (i != leader) {
@@ -90,7 +90,7 @@
     void fullDiskCostsTheVoteButNotTheService() throws Exception {
         fleet(4);
         // The SQLite library unpacks itself there first and is somewhat smaller than this.
-        rig.fullAt(1, 2_500_000);
+        rig.limitFileSize(1, 2_500_000);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         // Each change takes about ten pages of the voter's log.
@@ -107,14 +107,14 @@
         while (rig.policy(1).getAsJsonObject("voter").get("votes").getAsBoolean()) {
             long next = ++changes;
             String types = "{\"bans\":[" + names + ",{\"name\":\"till-" + next + "\"}]}";
-            rig.proposeUntilTaken(0, "big-" + next, types);
+            rig.proposeUntilAccepted(0, "big-" + next, types);
             awaitState(0, "big-" + next, "applied");
             assertTrue(next < 500, "the disk did not fill up");
         }
         assertTrue(rig.log(1).contains("this process has stopped voting"), rig.log(1));
         // It continues to serve, the others continue to decide, and it learns their decisions.
         long last = changes + 1;
-        rig.proposeUntilTaken(0, "after-failure", bans("z"));
+        rig.proposeUntilAccepted(0, "after-failure", bans("z"));
         rig.awaitDeciding(last, rig.all());
         assertTrue(request(1, "r").contains("policy=" + last));
         checkHistory();
@@ -135,19 +135,20 @@
             sendLine(old, "{'t':'unknown-kind','x':1}");
             sendLine(old, renewal(0, "[]"));
             readUntil(old, "\"t\":\"grant\"");
-            rig.proposeUntilTaken(leader, "new-type", "{\"module\":[{\"name\":\"module\",\"cross_each_way\":0.3}]}");
+            rig.proposeUntilAccepted(leader, "new-type", "{\"module\":[{\"name\":\"module\",\"cross_each_way\":0.3}]}");
             readUntil(old, "\"t\":\"content\"");
             sendLine(old, renewal(1, "['module: is not a type accepted by this scheduler']"));
             awaitState(leader, "new-type", "abandoned");
             JsonObject change = rig.change(leader, "new-type");
             assertTrue(change.get("reasons").toString().contains("old#1: module: is not a type"), change.toString());
             // It never announced its stop: the next change waits until its lease ends, and no longer.
-            rig.proposeUntilTaken(leader, "next", bans("x"));
+            rig.proposeUntilAccepted(leader, "next", bans("x"));
         }
         awaitState(leader, "next", "applied");
         rig.awaitDeciding(2, rig.all());
         // Once all schedulers know the type, the change is applied.
-        rig.proposeUntilTaken(leader, "new-type-again", "{\"module\":[{\"name\":\"module\",\"cross_each_way\":0.3}]}");
+        rig.proposeUntilAccepted(
+                leader, "new-type-again", "{\"module\":[{\"name\":\"module\",\"cross_each_way\":0.3}]}");
         rig.awaitDeciding(3, rig.all());
         checkHistory();
     }
@@ -176,19 +177,19 @@
         rig.start(0);
         rig.start(1);
         rig.start(3);
-        Path config = rig.write(2);
+        Path config = rig.writeConfig(2);
         try (Platform platform = new Platform(
                 folder, folder.resolve(Rig.name(2) + ".log"), Map.of(), "serve", "--config", config.toString())) {
             SchedulerProcess former = platform.launch();
             rig.await("it serves", () -> former.call("check").equals("done"));
             rig.awaitDeciding(0, rig.all());
-            rig.proposeUntilTaken(0, "before", bans("a"));
+            rig.proposeUntilAccepted(0, "before", bans("a"));
             rig.awaitDeciding(1, rig.all());
             SchedulerProcess next = platform.launch();
             // Both processes run and decide, and a change applies to both.
-            rig.proposeUntilTaken(0, "during-upgrade-1", bans("b"));
+            rig.proposeUntilAccepted(0, "during-upgrade-1", bans("b"));
             rig.await("the new process can serve", () -> next.call("check").equals("done"));
-            rig.proposeUntilTaken(1, "during-upgrade-2", bans("c"));
+            rig.proposeUntilAccepted(1, "during-upgrade-2", bans("c"));
             awaitState(0, "during-upgrade-2", "applied");
             // Between two policies no request reaches the endpoint: send one when both decide by the new
             // policy.
@@ -208,7 +209,7 @@
                     "it votes",
                     () -> rig.policy(2).getAsJsonObject("voter").get("votes").getAsBoolean());
             rig.kill(0);
-            rig.proposeUntilTaken(1, "with-its-vote", bans("d"));
+            rig.proposeUntilAccepted(1, "with-its-vote", bans("d"));
             rig.awaitDeciding(4, 1, 2, 3);
             rig.start(0);
             rig.awaitDeciding(4, rig.all());
--- a/src/test/java/laneflow/policy/PolicyStoryBase.java
+++ b/src/test/java/laneflow/policy/PolicyStoryBase.java
@@ -88,8 +88,8 @@
                 int at = i;
                 rig.await(
                         "the outcomes are readable",
-                        () -> rig.ask(at, "/policy/history", null).statusCode() == 200);
-                JsonParser.parseString(rig.ask(i, "/policy/history", null).body())
+                        () -> rig.request(at, "/policy/history", null).statusCode() == 200);
+                JsonParser.parseString(rig.request(i, "/policy/history", null).body())
                         .getAsJsonArray()
                         .forEach(one -> {
                             JsonObject change = one.getAsJsonObject();
--- a/src/test/java/laneflow/policy/PolicyStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyStoryTest.java
@@ -19,22 +19,22 @@
     void changeIsAppliedEverywhereOrNowhere() throws Exception {
         fleet(4);
         // Its own file does not declare posts safe to repeat, and no policy can declare that there.
-        rig.file(3, file(CLASSES + "[classes.post]\ndeadline_ms = 5000\n"));
+        rig.setConfig(3, file(CLASSES + "[classes.post]\ndeadline_ms = 5000\n"));
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         assertTrue(request(3, "r0").contains("Config-Version: policy=0"));
-        rig.proposeUntilTaken(3, "ban-9", bans("till-9"));
+        rig.proposeUntilAccepted(3, "ban-9", bans("till-9"));
         awaitState(0, "ban-9", "applied");
         rig.awaitDeciding(1, rig.all());
         assertTrue(request(2, "r1").contains("Config-Version: policy=1"));
         // The same name and content is the same change; different content under that name is an error.
         assertEquals(
                 "applied", rig.propose(1, "ban-9", bans("till-9")).get("state").getAsString());
-        assertTrue(rig.ask(1, "/policy/changes", "{\"name\":\"ban-9\",\"types\":" + bans("till") + "}")
+        assertTrue(rig.request(1, "/policy/changes", "{\"name\":\"ban-9\",\"types\":" + bans("till") + "}")
                 .body()
                 .contains("different content"));
         // A rejection by one scheduler abandons the change for all and tells the reason.
-        rig.proposeUntilTaken(
+        rig.proposeUntilAccepted(
                 0,
                 "post-safe",
                 "{\"classes\":[{\"name\":\"check\",\"repeat\":\"safe\"},"
@@ -48,7 +48,7 @@
             client.write("POST /check HTTP/1.1\r\nHost: c\r\nReq-Id: o\r\nContent-Length: 0\r\n\r\n");
             try (Peer call = endpoint.accept()) {
                 call.message();
-                rig.proposeUntilTaken(2, "ban-till", bans("till"));
+                rig.proposeUntilAccepted(2, "ban-till", bans("till"));
                 rig.awaitDeciding(3, rig.all());
                 call.respond("{'id':'o','state':'done','result':'ran'}");
                 String answer = client.message();
@@ -56,7 +56,7 @@
             }
         }
         assertTrue(requestWithoutEndpoint(0, "r2").startsWith("HTTP/1.1 503 "));
-        rig.proposeUntilTaken(2, "no-bans", "{\"bans\":[]}");
+        rig.proposeUntilAccepted(2, "no-bans", "{\"bans\":[]}");
         rig.awaitDeciding(4, rig.all());
         assertTrue(request(1, "r3").contains("policy=4"));
         checkHistory();
@@ -104,7 +104,7 @@
             leader = rig.leader();
             rig.kill(leader);
             int other = awaitNewLeader(leader);
-            rig.proposeUntilTaken(other, "c" + round, bans("b" + round));
+            rig.proposeUntilAccepted(other, "c" + round, bans("b" + round));
             rig.awaitDeciding(round, other, 3 - leader - other, 3);
             rig.start(leader);
             rig.awaitDeciding(round, rig.all());
@@ -112,7 +112,7 @@
         // A leader that stops gracefully transfers its leadership: nobody stops deciding meanwhile.
         int leader = rig.leader();
         int expirations = rig.log(3).split("the lease has expired").length;
-        assertEquals(143, rig.end(leader));
+        assertEquals(143, rig.stop(leader));
         awaitNewLeader(leader);
         assertEquals(expirations, rig.log(3).split("the lease has expired").length);
         checkHistory();
@@ -126,12 +126,12 @@
         int leader = rig.leader();
         // One side has the leader and a scheduler that does not vote, the other two voters and another
         // scheduler.
-        rig.partAll(List.of(leader, 4));
+        rig.isolate(List.of(leader, 4));
         int other = awaitNewLeader(leader);
-        rig.proposeUntilTaken(other, "during-partition", bans("x"));
+        rig.proposeUntilAccepted(other, "during-partition", bans("x"));
         awaitState(other, "during-partition", "applied");
         rig.awaitDeciding(1, other, 3 - leader - other, 3);
-        assertFalse(rig.decides(leader, 0) || rig.decides(4, 0));
+        assertFalse(rig.isDecidingBy(leader, 0) || rig.isDecidingBy(4, 0));
         // Clients are refused at once with a Retry-After, and the health check is not ready.
         String answer = requestWithoutEndpoint(4, "r1");
         assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("Retry-After: 0.1"), answer);
@@ -150,19 +150,19 @@
     @Test
     void cutOffServeKeepsServingAndTheHistoryShowsTheOverlap() throws Exception {
         fleet(4);
-        rig.file(3, file(CLASSES + POST) + "cut_off = \"serve\"\n");
+        rig.setConfig(3, file(CLASSES + POST) + "cut_off = \"serve\"\n");
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
-        rig.partAll(List.of(3));
+        rig.isolate(List.of(3));
         rig.await(
                 "it reports so", () -> rig.policy(3).get("state").getAsString().equals("cut off, serving"));
-        rig.proposeUntilTaken(0, "meanwhile", bans("x"));
+        rig.proposeUntilAccepted(0, "meanwhile", bans("x"));
         rig.awaitDeciding(1, 0, 1, 2);
         Thread.sleep(20);
         // It serves its clients by the previous policy, as configured, and counts these decisions.
         String answer = request(3, "r");
         assertTrue(answer.contains("200 OK") && answer.contains("policy=0"), answer);
-        assertTrue(rig.ask(3, "/counters", null).body().contains("policy.decided_without_lease 1"));
+        assertTrue(rig.request(3, "/counters", null).body().contains("policy.decided_without_lease 1"));
         rig.await("it is logged", () -> rig.log(3).contains("serving on by policy 0 as set by cut_off"));
         rig.heal();
         rig.awaitDeciding(1, rig.all());
@@ -182,17 +182,17 @@
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         int leader = rig.leader();
-        rig.stall(leader);
-        rig.stall(3);
+        rig.suspend(leader);
+        rig.suspend(3);
         // Sent while the process is suspended, the request is handled on resume under the lease of that time.
         try (Peer client = SchedulerHarness.connect("127.0.0.1", rig.clientPort(3))) {
             client.write("POST /check HTTP/1.1\r\nHost: c\r\nReq-Id: w\r\nContent-Length: 0\r\n\r\n");
             int other = awaitNewLeader(leader);
-            rig.proposeUntilTaken(other, "meanwhile", bans("x"));
+            rig.proposeUntilAccepted(other, "meanwhile", bans("x"));
             awaitState(other, "meanwhile", "applied");
             rig.awaitDeciding(1, other, 3 - leader - other);
-            rig.wake(3);
-            rig.wake(leader);
+            rig.resume(3);
+            rig.resume(leader);
             assertTrue(client.message().startsWith("HTTP/1.1 503 "));
         }
         rig.awaitDeciding(1, rig.all());
@@ -204,7 +204,7 @@
         fleet(4);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
-        rig.proposeUntilTaken(1, "kept", bans("x"));
+        rig.proposeUntilAccepted(1, "kept", bans("x"));
         rig.awaitDeciding(1, rig.all());
         for (int i : rig.all()) {
             rig.kill(i);
@@ -220,37 +220,39 @@
         rig.awaitDeciding(1, rig.all());
         // A voter whose disk was wiped does not vote as if it had kept its store.
         rig.kill(1);
-        rig.wipe(1);
+        rig.deleteVotes(1);
         rig.start(1);
         rig.awaitDeciding(1, rig.all());
         rig.await(
                 "it reports so",
                 () -> rig.policy(1).getAsJsonObject("voter").get("lost").getAsBoolean());
         // Replaced as a voter, it votes: it and one other are a majority.
-        assertEquals(409, rig.ask(0, "/policy/voters", "{\"replace\":\"n4\"}").statusCode());
+        assertEquals(
+                409, rig.request(0, "/policy/voters", "{\"replace\":\"n4\"}").statusCode());
         rig.await(
                 "it is added",
-                () -> rig.ask(0, "/policy/voters", "{\"replace\":\"n2\"}").statusCode() == 200);
+                () -> rig.request(0, "/policy/voters", "{\"replace\":\"n2\"}").statusCode() == 200);
         rig.await(
                 "it votes",
                 () -> rig.policy(1).getAsJsonObject("voter").get("votes").getAsBoolean());
-        assertEquals(409, rig.ask(0, "/policy/voters", "{\"replace\":\"n2\"}").statusCode());
+        assertEquals(
+                409, rig.request(0, "/policy/voters", "{\"replace\":\"n2\"}").statusCode());
         rig.kill(2);
-        rig.proposeUntilTaken(0, "with-the-new", bans("w"));
+        rig.proposeUntilAccepted(0, "with-the-new", bans("w"));
         rig.awaitDeciding(2, 0, 1, 3);
         rig.start(2);
         rig.awaitDeciding(2, rig.all());
         // A damaged log is rejected and costs only the vote.
         rig.kill(1);
-        byte[] log = Files.readAllBytes(rig.votes(1).resolve("votes.db-wal"));
+        byte[] log = Files.readAllBytes(rig.votesFolder(1).resolve("votes.db-wal"));
         for (int at = log.length / 2; at < log.length; at += 50) {
             log[at] ^= 0x55;
         }
-        Files.write(rig.votes(1).resolve("votes.db-wal"), log);
+        Files.write(rig.votesFolder(1).resolve("votes.db-wal"), log);
         rig.start(1);
         rig.awaitDeciding(2, rig.all());
         assertTrue(rig.log(1).contains("this process does not vote"), rig.log(1));
-        rig.proposeUntilTaken(1, "on", bans("y"));
+        rig.proposeUntilAccepted(1, "on", bans("y"));
         rig.awaitDeciding(3, rig.all());
         checkHistory();
     }
@@ -261,8 +263,8 @@
         // seconds to recover.
         fleet(4, "prepare_ms = 60000\n");
         // Clock rates that differ by almost as much as is allowed.
-        rig.option(0, "-Dlaneflow.lab.clock_rate=0.9996");
-        rig.option(3, "-Dlaneflow.lab.clock_rate=1.0005");
+        rig.setJvmOption(0, "-Dlaneflow.lab.clock_rate=0.9996");
+        rig.setJvmOption(3, "-Dlaneflow.lab.clock_rate=1.0005");
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         rig.disturb(0.3, 0.1, 200);
@@ -282,7 +284,7 @@
                 rig.cut(i, deaf);
             }
         }
-        rig.proposeUntilTaken(leader, "without", bans("y"));
+        rig.proposeUntilAccepted(leader, "without", bans("y"));
         awaitState(leader, "without", "applied");
         rig.awaitDeciding(2, leader, 3);
         rig.await(
@@ -291,12 +293,12 @@
         rig.heal();
         rig.awaitDeciding(2, rig.all());
         // Links that break within a line lose what was under way and nothing else.
-        rig.reset(leader);
-        rig.proposeUntilTaken(3, "reset", bans("z"));
+        rig.resetConnections(leader);
+        rig.proposeUntilAccepted(3, "reset", bans("z"));
         rig.awaitDeciding(3, rig.all());
         // A graceful stop is announced: nobody waits for that lease.
-        assertEquals(143, rig.end(3));
-        rig.proposeUntilTaken(0, "last", bans("a"));
+        assertEquals(143, rig.stop(3));
+        rig.proposeUntilAccepted(0, "last", bans("a"));
         rig.awaitDeciding(4, 0, 1, 2);
         checkHistory();
     }
--- a/src/test/java/laneflow/policy/PolicyVotersStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyVotersStoryTest.java
@@ -47,7 +47,7 @@
             try {
                 for (int n = 0; !over; n++) {
                     String name = "load-" + n;
-                    rig.proposeUntilTaken(4, name, bans("x" + name));
+                    rig.proposeUntilAccepted(4, name, bans("x" + name));
                     awaitState(4, name, "applied");
                     names.add(name);
                     try (Peer client = sendRequest(4, name)) {
@@ -72,7 +72,7 @@
     }
 
     private int changeVoter(String what, int voter) throws IOException, InterruptedException {
-        return rig.ask(4, "/policy/voters", "{\"" + what + "\":\"" + Rig.name(voter) + "\"}")
+        return rig.request(4, "/policy/voters", "{\"" + what + "\":\"" + Rig.name(voter) + "\"}")
                 .statusCode();
     }
 
@@ -87,7 +87,7 @@
     @Test
     void votersAreAddedAndRemovedUnderLoad() throws Exception {
         rig = new Rig(folder, 5, 4, 11, file(CLASSES + POST));
-        rig.votersNamed(3);
+        rig.limitNamedVoters(3);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         assertTrue(flag(3, "candidate"));
@@ -110,7 +110,7 @@
             int third = otherVoter(first, second);
             rig.kill(third);
             String then = "three-vote";
-            rig.proposeUntilTaken(4, then, bans("t"));
+            rig.proposeUntilAccepted(4, then, bans("t"));
             awaitState(4, then, "applied");
             rig.start(third);
             rig.await("it votes again", () -> flag(third, "votes"));
@@ -124,7 +124,7 @@
         rig.kill(removed);
         rig.start(removed);
         rig.await("it learns of its removal again", () -> flag(removed, "removed"));
-        rig.proposeUntilTaken(4, "after-restart", bans("s"));
+        rig.proposeUntilAccepted(4, "after-restart", bans("s"));
         awaitState(4, "after-restart", "applied");
         assertEquals(
                 term,
@@ -132,7 +132,7 @@
         // Its old store can't be added again, a new one can.
         assertEquals(409, changeVoter("add", removed));
         rig.kill(removed);
-        rig.wipe(removed);
+        rig.deleteVotes(removed);
         rig.start(removed);
         rig.await("it is up", () -> rig.policy(removed).has("voter"));
         rig.await("it is added", () -> changeVoter("add", removed) == 200);
--- a/src/test/java/laneflow/task/RecoveryStoryTest.java
+++ b/src/test/java/laneflow/task/RecoveryStoryTest.java
@@ -46,20 +46,21 @@
     void begin() throws Exception {
         stores = Files.createDirectory(folder.resolve("stores"));
         for (int i = 0; i < nodes.length; i++) {
-            nodes[i] = ChildProcesses.port();
+            nodes[i] = ChildProcesses.freePort();
         }
         rig = new Rig(folder, 4, 3, 7, "");
         for (int i = 0; i < 4; i++) {
-            rig.file(
+            rig.setConfig(
                     i,
                     "zones = [\"z\"]\n[classes.post]\ndeadline_ms = 3000\nrepeat = \"never\"\n"
-                            + Rig.endpoints(nodes) + "[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\n[durable]\ndir = \""
+                            + Rig.endpointTables(nodes)
+                            + "[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\n[durable]\ndir = \""
                             + stores.resolve(Rig.name(i)) + "\"\n[durable.classes.post]\n[tasks]\nstores = \"" + stores
                             + "\"\nadopt_after_ms = 500\n");
         }
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
-        rig.proposeUntilTaken(0, "no-attempts", BANNED);
+        rig.proposeUntilAccepted(0, "no-attempts", BANNED);
         rig.awaitDeciding(1, rig.all());
         for (int i = 0; i < JOBS; i++) {
             submit(3, i);
@@ -103,8 +104,8 @@
     }
 
     private void allRanOnce(int... schedulers) throws IOException, InterruptedException {
-        rig.nodes(nodes, 60);
-        rig.proposeUntilTaken(schedulers[0], "attempts", "{\"bans\":[]}");
+        rig.startNodes(nodes, 60);
+        rig.proposeUntilAccepted(schedulers[0], "attempts", "{\"bans\":[]}");
         rig.awaitDeciding(2, schedulers);
         Path ran = folder.resolve("ran");
         try {
@@ -149,7 +150,7 @@
     void jobsOfADeadSchedulerAreTakenOverAndRunOnce() throws Exception {
         rig.kill(3);
         rig.await("its store is adopted", () -> isAdopted(Rig.name(3)));
-        allRanOnce(rig.without(Set.of(3)));
+        allRanOnce(rig.allExcept(Set.of(3)));
     }
 
     @Test
@@ -163,16 +164,16 @@
         int killed = adopter[0] >= 0 ? adopter[0] : 0;
         rig.kill(killed);
         rig.await("the adopter's store is adopted", () -> isAdopted(Rig.name(killed)));
-        allRanOnce(rig.without(Set.of(3, killed)));
+        allRanOnce(rig.allExcept(Set.of(3, killed)));
     }
 
     @Test
     void aSuspendedSchedulerKeepsItsJobs() throws Exception {
-        rig.stall(3);
+        rig.suspend(3);
         int leader = rig.leader();
         rig.await(
                 "another scheduler holds the recovery task of its store",
-                () -> rig.ask(leader, "/tasks", null)
+                () -> rig.request(leader, "/tasks", null)
                         .body()
                         .contains("\"task\":\"recover/n4\",\"kind\":\"placed\",\"holder\"" + ":\"n"));
         Set<String> before = new HashSet<>();
@@ -180,7 +181,7 @@
             all.forEach(path -> before.add(path.getFileName().toString()));
         }
         assertTrue(before.contains(Rig.name(3)), before.toString());
-        rig.wake(3);
+        rig.resume(3);
         rig.awaitDeciding(1, 3);
         allRanOnce(rig.all());
         assertTrue(Files.exists(stores.resolve(Rig.name(3))));
--- a/src/test/java/laneflow/task/TaskFaultsStoryTest.java
+++ b/src/test/java/laneflow/task/TaskFaultsStoryTest.java
@@ -65,7 +65,7 @@
 
     @Test
     void aHangingCallIsCutOffAndDelaysNoOther() throws Exception {
-        try (StandInReceiver receiver = new StandInReceiver(ChildProcesses.port(), 5);
+        try (StandInReceiver receiver = new StandInReceiver(ChildProcesses.freePort(), 5);
                 Rig rig = new Rig(
                         folder,
                         3,
@@ -98,13 +98,14 @@
             });
             for (Call call : receiver.calls()) {
                 if (call.task().equals("hook/hang")) {
-                    assertTrue(call.cutOff(), call.toString());
+                    assertTrue(call.closedByCaller(), call.toString());
                     assertTrue(call.endedNs() - call.beganNs() < CUT_OFF_NS, call.toString());
                 }
             }
             int at = Integer.parseInt(holder[0].substring(1, holder[0].indexOf('#'))) - 1;
-            JsonObject all =
-                    JsonParser.parseString(rig.ask(at, "/tasks", null).body()).getAsJsonObject();
+            JsonObject all = JsonParser.parseString(
+                            rig.request(at, "/tasks", null).body())
+                    .getAsJsonObject();
             Set<String> others = new HashSet<>(all.getAsJsonObject("holds").keySet());
             others.remove("hook/hang");
             assertTrue(!others.isEmpty(), all.toString());
@@ -125,13 +126,13 @@
      */
     @Test
     void lateCallsOfAClockBeyondItsBoundAreRejectedByTheReceiver() throws Exception {
-        try (StandInReceiver receiver = new StandInReceiver(ChildProcesses.port(), 0);
+        try (StandInReceiver receiver = new StandInReceiver(ChildProcesses.freePort(), 0);
                 Rig rig = new Rig(folder, 4, 3, 7, checked(receiver.port()))) {
-            rig.option(3, "-Dlaneflow.lab.clock_rate=0.4");
+            rig.setJvmOption(3, "-Dlaneflow.lab.clock_rate=0.4");
             rig.startAll();
             rig.awaitDeciding(0, rig.all());
             awaitCalls(rig, receiver, 4);
-            rig.partAll(List.of(3));
+            rig.isolate(List.of(3));
             rig.await(
                     "it calls after its lease and is rejected",
                     () -> receiver.calls().stream()
@@ -145,11 +146,11 @@
 
     @Test
     void oldAndNewProcessOfAnUpgradeAreSeparateHolders() throws Exception {
-        try (StandInReceiver receiver = new StandInReceiver(ChildProcesses.port(), 5);
+        try (StandInReceiver receiver = new StandInReceiver(ChildProcesses.freePort(), 5);
                 Rig rig = new Rig(folder, 3, 1, 7, checked(receiver.port()))) {
             rig.start(0);
             rig.start(1);
-            Path file = rig.write(2);
+            Path file = rig.writeConfig(2);
             try (Platform platform =
                     new Platform(folder, folder.resolve("n3.log"), Map.of(), "serve", "--config", file.toString())) {
                 SchedulerProcess former = platform.launch();
@@ -176,7 +177,7 @@
     /** A proxy to the receiver that can delay the calls of one scheduler, even beyond its death. */
     private static final class DelayingProxy implements AutoCloseable {
         private final ServerSocket server =
-                new ServerSocket(ChildProcesses.port(), 64, InetAddress.getLoopbackAddress());
+                new ServerSocket(ChildProcesses.freePort(), 64, InetAddress.getLoopbackAddress());
         private final int target;
         private volatile String delayedName = "#";
         private volatile String delayedHead = "";
@@ -229,7 +230,7 @@
 
     @Test
     void aDelayedCallOfAnEarlierInstanceIsRejected() throws Exception {
-        try (StandInReceiver receiver = new StandInReceiver(ChildProcesses.port(), 5);
+        try (StandInReceiver receiver = new StandInReceiver(ChildProcesses.freePort(), 5);
                 DelayingProxy proxy = new DelayingProxy(receiver.port());
                 Rig rig = new Rig(folder, 3, 3, 7, checked(proxy.server.getLocalPort()))) {
             rig.startAll();
--- a/src/test/java/laneflow/task/TaskStoryTest.java
+++ b/src/test/java/laneflow/task/TaskStoryTest.java
@@ -33,7 +33,7 @@
 
     @BeforeEach
     void begin() throws Exception {
-        receiver = new StandInReceiver(ChildProcesses.port(), 10);
+        receiver = new StandInReceiver(ChildProcesses.freePort(), 10);
         rig = new Rig(folder, 3, 3, 7, TaskMeasure.file(receiver.port(), TASKS));
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
@@ -68,7 +68,7 @@
     }
 
     private JsonObject tasks(int i) throws IOException, InterruptedException {
-        return JsonParser.parseString(rig.ask(i, "/tasks", null).body()).getAsJsonObject();
+        return JsonParser.parseString(rig.request(i, "/tasks", null).body()).getAsJsonObject();
     }
 
     private int other(int scheduler) {
@@ -87,9 +87,9 @@
     @Test
     void aSchedulerSuspendedBeyondItsLeaseMakesNoLateCalls() throws Exception {
         int suspended = other(rig.leader());
-        rig.stall(suspended);
+        rig.suspend(suspended);
         awaitCalls("others make its calls", 2, Set.of(Rig.name(suspended)));
-        rig.wake(suspended);
+        rig.resume(suspended);
         awaitCalls("it gets its share of the hooks again", 3, Set.of());
     }
 
@@ -112,14 +112,14 @@
     @Test
     void callsStopWithoutAMajorityAndResumeWithIt() throws Exception {
         int leader = rig.leader();
-        rig.stall(other(leader));
-        rig.stall(other(other(leader)));
+        rig.suspend(other(leader));
+        rig.suspend(other(other(leader)));
         rig.await(
                 "the leader's lease has ended",
                 () -> tasks(leader).get("lease_ms").getAsLong() == 0);
         long from = System.nanoTime();
-        rig.wake(other(leader));
-        rig.wake(other(other(leader)));
+        rig.resume(other(leader));
+        rig.resume(other(other(leader)));
         awaitCalls("all hooks are called again", 1, Set.of());
         assertTrue(receiver.calls().stream().anyMatch(call -> call.beganNs() > from));
     }
@@ -127,12 +127,12 @@
     @Test
     void aPartitionedSchedulerIsReplacedAndAStoppedOneHandsOver() throws Exception {
         int partitioned = other(rig.leader());
-        rig.partAll(List.of(partitioned));
+        rig.isolate(List.of(partitioned));
         awaitCalls("others make its calls", 2, Set.of(Rig.name(partitioned)));
         rig.heal();
         awaitCalls("it gets its share of the hooks again", 3, Set.of());
         int stopping = other(rig.leader());
-        rig.end(stopping);
+        rig.stop(stopping);
         awaitCalls("others make its calls", 2, Set.of(Rig.name(stopping)));
     }
 
--- a/src/test/java/laneflow/transcripts/FleetTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/FleetTranscriptsTest.java
@@ -59,7 +59,7 @@
                 transcript -> {
                     Path own = Files.createTempDirectory(folder, "fleet");
                     try (Rig rig = new Rig(own, 3, 1, 5, CONFIG)) {
-                        rig.members(5, 250, 0, 1);
+                        rig.enableGossip(5, 250, 0, 1);
                         rig.startAll();
                         recordFleetShow(transcript, rig, 0, "n2 sees 3 live", 0, 1, 2);
                         transcript.note("n3 is killed");
--- a/src/test/java/laneflow/transcripts/GossipTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/GossipTranscriptsTest.java
@@ -62,7 +62,7 @@
         }
 
         private String capacityStatus(int i) throws IOException, InterruptedException {
-            HttpResponse<String> answer = rig.ask(i, "/capacity", null);
+            HttpResponse<String> answer = rig.request(i, "/capacity", null);
             if (answer.statusCode() != 200) {
                 throw new IOException(answer.body());
             }
@@ -101,17 +101,17 @@
                 "Reports of one endpoint at two schedulers: before, during and after a network partition."
                         + " Requests go to n1 only; the schedulers' own datagrams are sealed, and not shown.",
                 transcript -> {
-                    int port = ChildProcesses.port();
+                    int port = ChildProcesses.freePort();
                     Path directory = Files.createTempDirectory(folder, "fleet");
                     try (StandInPool pool = new StandInPool(
-                                    List.of(port), List.of("z"), 1, new StandInPool.Sort(4, 4, 1, 1, 100, 1));
+                                    List.of(port), List.of("z"), 1, new StandInPool.Profile(4, 4, 1, 1, 100, 1));
                             Rig rig = new Rig(
                                     directory,
                                     2,
                                     1,
                                     5,
                                     CONFIG.replace('\'', '"').replace("PORT", "" + port))) {
-                        rig.members(5, 100, 0, 1);
+                        rig.enableGossip(5, 100, 0, 1);
                         rig.startAll();
                         rig.awaitSettled(2, rig.all());
                         rig.awaitClients(0);
@@ -121,7 +121,7 @@
                         session.recordStatus();
                         transcript.note(
                                 "n1 and n2 are partitioned; two long requests go to n1, and short ones beside them");
-                        rig.partAll(List.of(0));
+                        rig.isolate(List.of(0));
                         session.open.add(session.openRequest(0, ENDLESS_MICROS));
                         session.open.add(session.openRequest(0, ENDLESS_MICROS));
                         session.awaitStatus(0, 0, "\"free\":2,");
--- a/src/test/java/laneflow/transcripts/MaintenanceTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/MaintenanceTranscriptsTest.java
@@ -48,7 +48,7 @@
         Path own = Files.createTempDirectory(folder, "n1");
         Endpoint a = new Endpoint("e1");
         Endpoint b = new Endpoint("e2");
-        int fleet = ChildProcesses.port();
+        int fleet = ChildProcesses.freePort();
         Path file = Files.writeString(
                 own.resolve("n1.toml"),
                 "name = 'n1'\nlisten = '127.0.0.1:0'\nzones = ['z']\n"
--- a/src/test/java/laneflow/transcripts/PolicyTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/PolicyTranscriptsTest.java
@@ -28,7 +28,7 @@
     private void withDecidingScheduler(Transcript transcript, Scenario scenario) throws Exception {
         Path own = Files.createTempDirectory(folder, "n1");
         Endpoint endpoint = new Endpoint("e1");
-        int fleet = ChildProcesses.port();
+        int fleet = ChildProcesses.freePort();
         Path file = Files.writeString(
                 own.resolve("n1.toml"),
                 "name = 'n1'\nlisten = '127.0.0.1:0'\nzones = ['z']\n"
--- a/src/test/java/laneflow/transcripts/TaskTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/TaskTranscriptsTest.java
@@ -33,7 +33,7 @@
     private final class TestFleet implements AutoCloseable {
         private final Transcript transcript;
         private final Endpoint receiver = new Endpoint("receiver");
-        private final int leaderPort = ChildProcesses.port();
+        private final int leaderPort = ChildProcesses.freePort();
         private final Path files = Files.createTempDirectory(folder, "fleet");
         private final Serve voter;
 
@@ -60,7 +60,7 @@
         Path candidateFile(String name, int everyMs) throws IOException {
             return file(
                     name,
-                    ChildProcesses.port(),
+                    ChildProcesses.freePort(),
                     "[tasks.hooks.tidy]\nat = '" + receiver.dial() + "'\npath = '/tidy'\n" + "every_ms = " + everyMs
                             + "\nmost_ms = " + LEASE_MS / 2 + "\nlate_calls = 'checked'\n");
         }
@@ -122,10 +122,10 @@
                 transcript -> {
                     try (TestFleet fleet = new TestFleet(transcript);
                             ChildProcesses crew = new ChildProcesses(fleet.files)) {
-                        Process holder = crew.scheduler(
+                        Process holder = crew.startScheduler(
                                 "n2", HEAP_MB, fleet.candidateFile("n2", DAY_MS).toString());
                         fleet.answerCall("n2", DONE);
-                        Process next = crew.scheduler(
+                        Process next = crew.startScheduler(
                                 "n3", HEAP_MB, fleet.candidateFile("n3", DAY_MS).toString());
                         fleet.showTasks("\"n3#");
                         transcript.note("n2 is killed");
