--- a/src/main/java/laneflow/lab/measure/DurableMeasure.java
+++ b/src/main/java/laneflow/lab/measure/DurableMeasure.java
@@ -495,7 +495,7 @@
             Thread.sleep(open.isEmpty() ? 0 : 100);
         }
         verdict.unsettled = open.size();
-        Map<String, List<RunLog.Line>> ran = ledgers();
+        Map<String, List<RunLog.Entry>> ran = ledgers();
         for (String name : acked.keySet()) {
             judge(name, found.get(name), ran.getOrDefault(name, List.of()), verdict);
         }
@@ -503,17 +503,17 @@
         return verdict;
     }
 
-    private Map<String, List<RunLog.Line>> ledgers() throws IOException {
-        Map<String, List<RunLog.Line>> ran = new HashMap<>();
+    private Map<String, List<RunLog.Entry>> ledgers() throws IOException {
+        Map<String, List<RunLog.Entry>> ran = new HashMap<>();
         for (String file : new String[] {"nodes", "worker-0", "worker-1", "worker-2", "worker-3"}) {
-            for (RunLog.Line line : RunLog.read(folder.resolve(file + ".ledger"))) {
+            for (RunLog.Entry line : RunLog.read(folder.resolve(file + ".ledger"))) {
                 ran.computeIfAbsent(line.job(), none -> new ArrayList<>()).add(line);
             }
         }
         return ran;
     }
 
-    private void judge(String name, JsonObject job, List<RunLog.Line> lines, Verdict verdict) {
+    private void judge(String name, JsonObject job, List<RunLog.Entry> lines, Verdict verdict) {
         if (job == null) {
             verdict.lost++;
             say("lost: %s", name);
@@ -521,7 +521,7 @@
         }
         List<Long> starts = lines.stream()
                 .filter(line -> line.event().equals("start"))
-                .map(RunLog.Line::ms)
+                .map(RunLog.Entry::ms)
                 .sorted()
                 .toList();
         String state = job.get("state").getAsString();
--- a/src/main/java/laneflow/lab/measure/GearmanMeasure.java
+++ b/src/main/java/laneflow/lab/measure/GearmanMeasure.java
@@ -294,8 +294,8 @@
 
     private Verdict judge(String crowdName) throws IOException {
         Map<String, int[]> ran = new HashMap<>();
-        List<RunLog.Line> lines = RunLog.read(folder.resolve(crowdName + ".ledger"));
-        for (RunLog.Line line : lines) {
+        List<RunLog.Entry> lines = RunLog.read(folder.resolve(crowdName + ".ledger"));
+        for (RunLog.Entry line : lines) {
             int[] counts = ran.computeIfAbsent(line.job(), name -> new int[3]);
             counts[0] += line.event().equals("start") ? 1 : 0;
             counts[1] += line.event().equals("done") ? 1 : 0;
--- a/src/main/java/laneflow/lab/measure/PolicyMeasure.java
+++ b/src/main/java/laneflow/lab/measure/PolicyMeasure.java
@@ -151,7 +151,7 @@
     /** Proposes it wherever it is taken, and again by the same name until it is known to be. */
     private void propose(String name, String types, int... at) throws IOException, InterruptedException {
         proposedNs.put(name, System.nanoTime());
-        rig.record("propose " + name);
+        rig.recordEvent("propose " + name);
         rig.await(name + " is taken", () -> {
             for (int i : at) {
                 if (rig.isUp(i) && taken(i, name, types)) {
@@ -283,7 +283,7 @@
             outcome(name, others);
             long number = change(others);
             leaderLostMostMs = Math.max(leaderLostMostMs, (System.nanoTime() - from) / 1_000_000);
-            rig.record("leader lost, asked " + asked);
+            rig.recordEvent("leader lost, asked " + asked);
             lateStart(leader, number);
         }
     }
@@ -480,7 +480,7 @@
     /** Jobs that must not run twice, and did, by the nodes' own book. */
     private long twice() throws IOException {
         Map<String, Integer> runs = new HashMap<>();
-        for (RunLog.Line line : RunLog.read(folder.resolve("ran"))) {
+        for (RunLog.Entry line : RunLog.read(folder.resolve("ran"))) {
             if (line.event().equals("start")) {
                 runs.merge(line.job(), 1, Integer::sum);
             }
--- a/src/main/java/laneflow/lab/rig/Await.java
+++ b/src/main/java/laneflow/lab/rig/Await.java
@@ -4,8 +4,8 @@
 
 /** Waiting for processes on events: until something holds, and not forever. */
 public final class Await {
-    static final long PATIENCE_NS = 60_000_000_000L;
-    private static final int PAUSE_MS = 3;
+    static final long TIMEOUT_NS = 60_000_000_000L;
+    private static final int POLL_INTERVAL_MS = 3;
 
     private Await() {}
 
@@ -20,9 +20,9 @@
     }
 
     /** Returns once it holds; fails with what is known after a minute. */
-    public static void until(String what, Condition condition, Diagnostics said)
+    public static void until(String description, Condition condition, Diagnostics diagnostics)
             throws IOException, InterruptedException {
-        long end = System.nanoTime() + PATIENCE_NS;
+        long deadline = System.nanoTime() + TIMEOUT_NS;
         while (true) {
             try {
                 if (condition.holds()) {
@@ -32,10 +32,10 @@
                 // Not listening yet, or stopped.
                 Thread.onSpinWait();
             }
-            if (System.nanoTime() > end) {
-                throw new IOException("waited in vain until " + what + "\n" + said.text());
+            if (System.nanoTime() > deadline) {
+                throw new IOException("waited in vain until " + description + "\n" + diagnostics.text());
             }
-            Thread.sleep(PAUSE_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 }
--- a/src/main/java/laneflow/lab/rig/ChildProcesses.java
+++ b/src/main/java/laneflow/lab/rig/ChildProcesses.java
@@ -25,21 +25,21 @@
     private static final int PORT_TRIES = 1000;
     private static final int KIB = 1024;
     /** The program as users start it: by its name, since nothing here may depend on the command line. */
-    private static final String PROGRAM = "laneflow.Main";
+    private static final String SCHEDULER_MAIN_CLASS = "laneflow.Main";
 
-    private static final Set<Integer> GIVEN = ConcurrentHashMap.newKeySet();
+    private static final Set<Integer> RESERVED_PORTS = ConcurrentHashMap.newKeySet();
     /** A byte for each port, locked until its taker ends: others on this machine pass it over. */
-    private static FileChannel taken;
+    private static FileChannel portLocks;
 
     private final Path folder;
     private final String classPath;
-    private final List<Process> all = new CopyOnWriteArrayList<>();
+    private final List<Process> processes = new CopyOnWriteArrayList<>();
 
     public ChildProcesses(Path folder) {
         this.folder = folder;
         classPath = System.getProperty("java.class.path");
         // Also where the measurement itself is ended early.
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> all.forEach(Process::destroyForcibly)));
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> processes.forEach(Process::destroyForcibly)));
     }
 
     /**
@@ -50,7 +50,7 @@
         for (int i = 0; i < PORT_TRIES; i++) {
             int port = ThreadLocalRandom.current().nextInt(FIRST_PORT, LAST_PORT);
             try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
-                if (GIVEN.add(port) && take(port)) {
+                if (RESERVED_PORTS.add(port) && lockPort(port)) {
                     return socket.getLocalPort();
                 }
             } catch (BindException e) {
@@ -61,15 +61,15 @@
         throw new IOException("no free port between " + FIRST_PORT + " and " + LAST_PORT);
     }
 
-    private static synchronized boolean take(int port) throws IOException {
-        if (taken == null) {
-            taken = FileChannel.open(
+    private static synchronized boolean lockPort(int port) throws IOException {
+        if (portLocks == null) {
+            portLocks = FileChannel.open(
                     Path.of(System.getProperty("java.io.tmpdir"), "laneflow-ports-" + System.getProperty("user.name")),
                     StandardOpenOption.CREATE,
                     StandardOpenOption.WRITE);
         }
         // Never released here: the system does it when this process ends.
-        return taken.tryLock(port, 1, false) != null;
+        return portLocks.tryLock(port, 1, false) != null;
     }
 
     /** Starts a class of this program; its output goes to a file of that name. */
@@ -78,37 +78,52 @@
     }
 
     /** The same with further options of the virtual machine. */
-    public Process start(String name, int heapMb, List<String> options, Class<?> main, String... args)
+    public Process start(String name, int heapMb, List<String> jvmOptions, Class<?> main, String... args)
             throws IOException {
-        return start(0, name, heapMb, options, main.getName(), "", args);
+        return start(0, name, heapMb, jvmOptions, main.getName(), "", args);
     }
 
     /** Starts a scheduler by the operators' file of that name. */
-    public Process startScheduler(String name, int heapMb, String file) throws IOException {
-        return startScheduler(0, name, heapMb, List.of(), file);
+    public Process startScheduler(String name, int heapMb, String configFile) throws IOException {
+        return startScheduler(0, name, heapMb, List.of(), configFile);
     }
 
     /** The same for a process none of whose files may grow beyond so many bytes; 0: no limit. */
-    public Process startScheduler(long mostBytes, String name, int heapMb, List<String> options, String file)
-            throws IOException {
-        return startScheduler(mostBytes, name, heapMb, options, file, "");
+    public Process startScheduler(
+            long maxFileBytes, String name, int heapMb, List<String> jvmOptions, String configFile) throws IOException {
+        return startScheduler(maxFileBytes, name, heapMb, jvmOptions, configFile, "");
     }
 
     /** The same with the platform's file beside the operators', unless that is empty. */
     public Process startScheduler(
-            long mostBytes, String name, int heapMb, List<String> options, String file, String platform)
+            long maxFileBytes, String name, int heapMb, List<String> jvmOptions, String configFile, String platformFile)
             throws IOException {
-        return start(mostBytes, name, heapMb, options, PROGRAM, platform, "serve", "--config", file);
+        return start(
+                maxFileBytes,
+                name,
+                heapMb,
+                jvmOptions,
+                SCHEDULER_MAIN_CLASS,
+                platformFile,
+                "serve",
+                "--config",
+                configFile);
     }
 
     private Process start(
-            long mostBytes, String name, int heapMb, List<String> options, String main, String platform, String... args)
+            long maxFileBytes,
+            String name,
+            int heapMb,
+            List<String> jvmOptions,
+            String main,
+            String platformFile,
+            String... args)
             throws IOException {
-        List<String> line = new ArrayList<>();
-        if (mostBytes > 0) {
-            line.addAll(List.of("bash", "-c", "ulimit -f " + mostBytes / KIB + "; exec \"$@\"", "limited"));
+        List<String> command = new ArrayList<>();
+        if (maxFileBytes > 0) {
+            command.addAll(List.of("bash", "-c", "ulimit -f " + maxFileBytes / KIB + "; exec \"$@\"", "limited"));
         }
-        line.addAll(List.of(
+        command.addAll(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1",
@@ -117,18 +132,18 @@
                 "-Xms" + heapMb + "m",
                 "-Xmx" + heapMb + "m",
                 "-Xshare:auto"));
-        line.addAll(options);
-        line.addAll(List.of("-cp", classPath, main));
-        line.addAll(List.of(args));
+        command.addAll(jvmOptions);
+        command.addAll(List.of("-cp", classPath, main));
+        command.addAll(List.of(args));
         File log = folder.resolve(name + ".log").toFile();
-        ProcessBuilder builder = new ProcessBuilder(line)
+        ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log));
-        if (!platform.isEmpty()) {
-            builder.environment().put("ROUTER_CONFIG", platform);
+        if (!platformFile.isEmpty()) {
+            builder.environment().put("ROUTER_CONFIG", platformFile);
         }
         Process process = builder.start();
-        all.add(process);
+        processes.add(process);
         return process;
     }
 
@@ -155,7 +170,7 @@
 
     @Override
     public void close() throws InterruptedException {
-        for (Process process : all) {
+        for (Process process : processes) {
             kill(process);
         }
     }
--- a/src/main/java/laneflow/lab/rig/DatagramRelay.java
+++ b/src/main/java/laneflow/lab/rig/DatagramRelay.java
@@ -16,51 +16,54 @@
  * overtake each other.
  */
 public final class DatagramRelay implements AutoCloseable {
-    private static final int MOST = 2048;
+    private static final int MAX_DATAGRAM_BYTES = 2048;
 
     /** One direction between two members. */
-    static final class Path extends Faults {
+    static final class DirectedPath extends Faults {
         /** The last datagram that came. */
-        volatile byte[] last;
+        volatile byte[] lastDatagram;
     }
 
-    private record Due(long at, long order, int from, int to, byte[] bytes) implements Comparable<Due> {
+    private record DelayedDatagram(long dueNanos, long sequence, int from, int to, byte[] bytes)
+            implements Comparable<DelayedDatagram> {
         @Override
-        public int compareTo(Due other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+        public int compareTo(DelayedDatagram other) {
+            return dueNanos != other.dueNanos
+                    ? Long.compare(dueNanos, other.dueNanos)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
-    private final DatagramSocket[] doors;
-    private final InetSocketAddress[] members;
-    private final Path[][] paths;
+    private final DatagramSocket[] sockets;
+    private final InetSocketAddress[] memberAddresses;
+    private final DirectedPath[][] paths;
     private final SplittableRandom random;
-    private final PriorityQueue<Due> waiting = new PriorityQueue<>();
-    private long order;
+    private final PriorityQueue<DelayedDatagram> delayed = new PriorityQueue<>();
+    private long nextSequence;
     private volatile boolean closed;
 
     /** @param ports of the members, on the loopback interface */
     DatagramRelay(int[] ports, long seed) throws IOException {
-        int n = ports.length;
-        doors = new DatagramSocket[n];
-        members = new InetSocketAddress[n];
-        paths = new Path[n][n];
+        int memberCount = ports.length;
+        sockets = new DatagramSocket[memberCount];
+        memberAddresses = new InetSocketAddress[memberCount];
+        paths = new DirectedPath[memberCount][memberCount];
         random = new SplittableRandom(seed);
-        for (int i = 0; i < n; i++) {
-            doors[i] = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            members[i] = new InetSocketAddress(InetAddress.getLoopbackAddress(), ports[i]);
-            for (int k = 0; k < n; k++) {
-                paths[i][k] = new Path();
+        for (int i = 0; i < memberCount; i++) {
+            sockets[i] = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            memberAddresses[i] = new InetSocketAddress(InetAddress.getLoopbackAddress(), ports[i]);
+            for (int k = 0; k < memberCount; k++) {
+                paths[i][k] = new DirectedPath();
             }
         }
-        for (int i = 0; i < n; i++) {
-            int door = i;
-            start(() -> receive(door));
+        for (int i = 0; i < memberCount; i++) {
+            int member = i;
+            startThread(() -> receive(member));
         }
-        start(this::deliver);
+        startThread(this::deliverDelayed);
     }
 
-    private static void start(Runnable work) {
+    private static void startThread(Runnable work) {
         Thread thread = new Thread(work, "datagram-relay");
         thread.setDaemon(true);
         thread.start();
@@ -68,104 +71,104 @@
 
     /** By which others know that member. */
     int port(int member) {
-        return doors[member].getLocalPort();
+        return sockets[member].getLocalPort();
     }
 
-    Path path(int from, int to) {
+    DirectedPath path(int from, int to) {
         return paths[from][to];
     }
 
     /** Puts a datagram in, as if that member had sent it. */
     void inject(int from, int to, byte[] bytes) {
-        add(from, to, bytes, 0);
+        schedule(from, to, bytes, 0);
     }
 
-    private void receive(int door) {
-        byte[] bytes = new byte[MOST];
-        DatagramPacket packet = new DatagramPacket(bytes, MOST);
+    private void receive(int to) {
+        byte[] bytes = new byte[MAX_DATAGRAM_BYTES];
+        DatagramPacket packet = new DatagramPacket(bytes, MAX_DATAGRAM_BYTES);
         while (!closed) {
             try {
-                packet.setLength(MOST);
-                doors[door].receive(packet);
+                packet.setLength(MAX_DATAGRAM_BYTES);
+                sockets[to].receive(packet);
             } catch (IOException e) {
-                if (closed || doors[door].isClosed()) {
+                if (closed || sockets[to].isClosed()) {
                     return;
                 }
                 continue;
             }
-            int from = member(packet.getPort());
+            int from = memberByPort(packet.getPort());
             if (from < 0) {
                 continue;
             }
-            Path path = paths[from][door];
+            DirectedPath path = paths[from][to];
             byte[] copy = new byte[packet.getLength()];
             System.arraycopy(bytes, 0, copy, 0, copy.length);
-            path.last = copy;
-            boolean lost;
+            path.lastDatagram = copy;
+            boolean isLost;
             int copies;
             long delay;
-            synchronized (waiting) {
-                lost = path.cut || random.nextDouble() < path.lost;
-                copies = random.nextDouble() < path.doubled ? 2 : 1;
-                delay = path.takes(random);
+            synchronized (delayed) {
+                isLost = path.isCut || random.nextDouble() < path.lossShare;
+                copies = random.nextDouble() < path.duplicateShare ? 2 : 1;
+                delay = path.nextDelayMs(random);
             }
-            for (int i = 0; i < (lost ? 0 : copies); i++) {
-                add(from, door, copy, delay * (1 + i));
+            for (int i = 0; i < (isLost ? 0 : copies); i++) {
+                schedule(from, to, copy, delay * (1 + i));
             }
         }
     }
 
-    private int member(int port) {
-        for (int i = 0; i < members.length; i++) {
-            if (members[i].getPort() == port) {
+    private int memberByPort(int port) {
+        for (int i = 0; i < memberAddresses.length; i++) {
+            if (memberAddresses[i].getPort() == port) {
                 return i;
             }
         }
         return -1;
     }
 
-    private void add(int from, int to, byte[] bytes, long delayMs) {
+    private void schedule(int from, int to, byte[] bytes, long delayMs) {
         if (delayMs == 0) {
             send(from, to, bytes);
             return;
         }
-        synchronized (waiting) {
-            waiting.add(new Due(System.nanoTime() + delayMs * 1_000_000, order++, from, to, bytes));
-            waiting.notifyAll();
+        synchronized (delayed) {
+            delayed.add(new DelayedDatagram(System.nanoTime() + delayMs * 1_000_000, nextSequence++, from, to, bytes));
+            delayed.notifyAll();
         }
     }
 
     private void send(int from, int to, byte[] bytes) {
         try {
-            doors[from].send(new DatagramPacket(bytes, bytes.length, members[to]));
+            sockets[from].send(new DatagramPacket(bytes, bytes.length, memberAddresses[to]));
         } catch (SocketException e) {
-            closed |= doors[from].isClosed();
+            closed |= sockets[from].isClosed();
         } catch (IOException e) {
             // Nobody is there: as with any datagram.
             Thread.onSpinWait();
         }
     }
 
-    private void deliver() {
+    private void deliverDelayed() {
         while (!closed) {
-            Due due = null;
-            synchronized (waiting) {
+            DelayedDatagram datagram = null;
+            synchronized (delayed) {
                 try {
-                    Due first = waiting.peek();
-                    long left = first == null ? 0 : first.at - System.nanoTime();
+                    DelayedDatagram first = delayed.peek();
+                    long remainingNanos = first == null ? 0 : first.dueNanos - System.nanoTime();
                     if (first == null) {
-                        waiting.wait();
-                    } else if (left > 0) {
-                        waiting.wait(left / 1_000_000, (int) (left % 1_000_000));
+                        delayed.wait();
+                    } else if (remainingNanos > 0) {
+                        delayed.wait(remainingNanos / 1_000_000, (int) (remainingNanos % 1_000_000));
                     } else {
-                        due = waiting.poll();
+                        datagram = delayed.poll();
                     }
                 } catch (InterruptedException e) {
                     return;
                 }
             }
-            if (due != null) {
-                send(due.from, due.to, due.bytes);
+            if (datagram != null) {
+                send(datagram.from, datagram.to, datagram.bytes);
             }
         }
     }
@@ -173,11 +176,11 @@
     @Override
     public void close() {
         closed = true;
-        for (DatagramSocket door : doors) {
-            door.close();
+        for (DatagramSocket socket : sockets) {
+            socket.close();
         }
-        synchronized (waiting) {
-            waiting.notifyAll();
+        synchronized (delayed) {
+            delayed.notifyAll();
         }
     }
 }
--- a/src/main/java/laneflow/lab/rig/FileTree.java
+++ b/src/main/java/laneflow/lab/rig/FileTree.java
@@ -11,8 +11,8 @@
     private FileTree() {}
 
     public static void delete(Path folder) throws IOException {
-        try (Stream<Path> all = Files.walk(folder)) {
-            for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
+        try (Stream<Path> paths = Files.walk(folder)) {
+            for (Path path : paths.sorted(Comparator.reverseOrder()).toList()) {
                 Files.deleteIfExists(path);
             }
         }
--- a/src/main/java/laneflow/lab/rig/Relay.java
+++ b/src/main/java/laneflow/lab/rig/Relay.java
@@ -21,39 +21,41 @@
  * TCP by itself never does; what rests on messages must stand all of it.
  */
 public final class Relay implements AutoCloseable {
-    private static final int STACK = 128 * 1024;
+    private static final int STACK_BYTES = 128 * 1024;
 
     /** A line under way. */
-    private record Due(long at, long order, byte[] bytes) implements Comparable<Due> {
+    private record DelayedChunk(long dueNanos, long sequence, byte[] bytes) implements Comparable<DelayedChunk> {
         @Override
-        public int compareTo(Due other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+        public int compareTo(DelayedChunk other) {
+            return dueNanos != other.dueNanos
+                    ? Long.compare(dueNanos, other.dueNanos)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
     /** From the process that connects to the one that listens, and back. */
-    final Faults there = new Faults();
+    final Faults forward = new Faults();
 
-    final Faults back = new Faults();
+    final Faults backward = new Faults();
     private final int target;
     private final SplittableRandom random;
     private final ServerSocket server;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
 
     /** A path to a port of the loopback interface. */
     Relay(int target, long seed) throws IOException {
         this.target = target;
         random = new SplittableRandom(seed);
         server = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
-        daemon(this::accept);
+        startThread(this::accept);
     }
 
     int port() {
         return server.getLocalPort();
     }
 
-    private static void daemon(Runnable work) {
-        Thread thread = new Thread(null, work, "relay", STACK);
+    private static void startThread(Runnable work) {
+        Thread thread = new Thread(null, work, "relay", STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
     }
@@ -62,29 +64,29 @@
         while (!server.isClosed()) {
             try {
                 Socket from = server.accept();
-                open.add(from);
-                daemon(() -> join(from));
+                openSockets.add(from);
+                startThread(() -> connect(from));
             } catch (IOException e) {
                 return;
             }
         }
     }
 
-    private void join(Socket from) {
+    private void connect(Socket from) {
         try {
             from.setTcpNoDelay(true);
             Socket to = new Socket(InetAddress.getLoopbackAddress(), target);
             to.setTcpNoDelay(true);
-            open.add(to);
-            daemon(() -> pass(from, to, there));
-            pass(to, from, back);
+            openSockets.add(to);
+            startThread(() -> forwardChunks(from, to, forward));
+            forwardChunks(to, from, backward);
         } catch (IOException e) {
-            end(from);
+            closeSocket(from);
         }
     }
 
-    private void end(Socket socket) {
-        open.remove(socket);
+    private void closeSocket(Socket socket) {
+        openSockets.remove(socket);
         try {
             socket.close();
         } catch (IOException e) {
@@ -95,93 +97,93 @@
 
     /** Breaks all connections as a machine does that is reset, with whatever is under way. */
     void reset() {
-        for (Socket socket : open) {
+        for (Socket socket : openSockets) {
             try {
                 socket.setSoLinger(true, 0);
             } catch (IOException e) {
                 continue;
             } finally {
-                end(socket);
+                closeSocket(socket);
             }
         }
     }
 
-    private void pass(Socket from, Socket to, Faults way) {
-        Line line = new Line(to, way);
-        daemon(line::write);
+    private void forwardChunks(Socket from, Socket to, Faults faults) {
+        DelayedWriter writer = new DelayedWriter(to, faults);
+        startThread(writer::writeAll);
         try {
             InputStream in = new BufferedInputStream(from.getInputStream());
-            line.add(head(in), true);
-            for (byte[] chunk = chunk(in); chunk != null; chunk = chunk(in)) {
-                line.add(chunk, false);
+            writer.add(readHead(in), true);
+            for (byte[] chunk = readChunk(in); chunk != null; chunk = readChunk(in)) {
+                writer.add(chunk, false);
             }
         } catch (IOException e) {
             // Closed by one of the ends, or by a reset.
-            line.close();
+            writer.close();
         }
-        line.close();
-        end(from);
-        end(to);
+        writer.close();
+        closeSocket(from);
+        closeSocket(to);
     }
 
     /** All up to the empty line; cut off where the stream ends. */
-    private static byte[] head(InputStream in) throws IOException {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        int last = 0;
+    private static byte[] readHead(InputStream in) throws IOException {
+        ByteArrayOutputStream head = new ByteArrayOutputStream();
+        int lastFourBytes = 0;
         for (int next = in.read(); next >= 0; next = in.read()) {
-            all.write(next);
-            last = last << 8 | next;
-            if (last == 0x0d0a0d0a) {
-                return all.toByteArray();
+            head.write(next);
+            lastFourBytes = lastFourBytes << 8 | next;
+            if (lastFourBytes == 0x0d0a0d0a) {
+                return head.toByteArray();
             }
         }
         throw new IOException("it ended");
     }
 
     /** One chunk with its size and its end, or null at the end of the stream. */
-    private static byte[] chunk(InputStream in) throws IOException {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
+    private static byte[] readChunk(InputStream in) throws IOException {
+        ByteArrayOutputStream chunk = new ByteArrayOutputStream();
         int next = in.read();
         while (next >= 0 && next != '\n') {
-            all.write(next);
+            chunk.write(next);
             next = in.read();
         }
         if (next < 0) {
             return null;
         }
-        all.write('\n');
-        if (all.size() > 18) {
+        chunk.write('\n');
+        if (chunk.size() > 18) {
             throw new IOException("no chunk");
         }
-        int size = Integer.parseInt(all.toString(StandardCharsets.US_ASCII).strip(), 16);
-        all.write(in.readNBytes(size + 2));
-        return all.toByteArray();
+        int size = Integer.parseInt(chunk.toString(StandardCharsets.US_ASCII).strip(), 16);
+        chunk.write(in.readNBytes(size + 2));
+        return chunk.toByteArray();
     }
 
     /** What waits for its time in one direction of one connection. */
-    private final class Line {
-        private final PriorityQueue<Due> waiting = new PriorityQueue<>();
-        private final Socket to;
-        private final Faults way;
-        private long order;
+    private final class DelayedWriter {
+        private final PriorityQueue<DelayedChunk> delayed = new PriorityQueue<>();
+        private final Socket target;
+        private final Faults faults;
+        private long nextSequence;
         private boolean closed;
 
-        private Line(Socket to, Faults way) {
-            this.to = to;
-            this.way = way;
+        private DelayedWriter(Socket target, Faults faults) {
+            this.target = target;
+            this.faults = faults;
         }
 
-        synchronized void add(byte[] bytes, boolean head) {
-            boolean lost;
-            boolean twice;
+        synchronized void add(byte[] bytes, boolean isHead) {
+            boolean isLost;
+            boolean isDuplicated;
             long delay;
             synchronized (random) {
-                lost = way.cut || !head && random.nextDouble() < way.lost;
-                twice = !head && random.nextDouble() < way.doubled;
-                delay = head ? way.delayMs : way.takes(random);
+                isLost = faults.isCut || !isHead && random.nextDouble() < faults.lossShare;
+                isDuplicated = !isHead && random.nextDouble() < faults.duplicateShare;
+                delay = isHead ? faults.delayMs : faults.nextDelayMs(random);
             }
-            for (int i = 0; i < (lost ? 0 : twice ? 2 : 1); i++) {
-                waiting.add(new Due(System.nanoTime() + (1 + i) * delay * 1_000_000, order++, bytes));
+            for (int i = 0; i < (isLost ? 0 : isDuplicated ? 2 : 1); i++) {
+                delayed.add(new DelayedChunk(System.nanoTime() + (1 + i) * delay * 1_000_000, nextSequence++, bytes));
             }
             notifyAll();
         }
@@ -192,30 +194,30 @@
         }
 
         /** The next line, when it is due; null once there will be none. */
-        private synchronized byte[] next() throws InterruptedException {
+        private synchronized byte[] takeDue() throws InterruptedException {
             while (!closed) {
-                Due first = waiting.peek();
-                long left = first == null ? 0 : first.at - System.nanoTime();
-                if (first != null && left <= 0) {
-                    return waiting.poll().bytes;
+                DelayedChunk first = delayed.peek();
+                long remainingNanos = first == null ? 0 : first.dueNanos - System.nanoTime();
+                if (first != null && remainingNanos <= 0) {
+                    return delayed.poll().bytes;
                 }
                 if (first == null) {
                     wait();
                 } else {
-                    wait(left / 1_000_000, (int) (left % 1_000_000));
+                    wait(remainingNanos / 1_000_000, (int) (remainingNanos % 1_000_000));
                 }
             }
             return null;
         }
 
-        void write() {
+        void writeAll() {
             try {
-                OutputStream out = to.getOutputStream();
-                for (byte[] bytes = next(); bytes != null; bytes = next()) {
+                OutputStream out = target.getOutputStream();
+                for (byte[] bytes = takeDue(); bytes != null; bytes = takeDue()) {
                     out.write(bytes);
                 }
             } catch (IOException | InterruptedException e) {
-                end(to);
+                closeSocket(target);
             }
         }
     }
--- a/src/main/java/laneflow/lab/rig/Rig.java
+++ b/src/main/java/laneflow/lab/rig/Rig.java
@@ -30,36 +30,36 @@
  * clock, into a history that is read beside the processes' own. It ends only processes that it has started.
  */
 public final class Rig implements AutoCloseable {
-    private static final Duration ASK_WITHIN = Duration.ofSeconds(3);
-    private static final Duration ELECTED_WITHIN = Duration.ofSeconds(20);
-    private static final int TICKS_A_SECOND = 100;
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(3);
+    private static final Duration ELECTION_TIMEOUT = Duration.ofSeconds(20);
+    private static final int CPU_TICKS_PER_SECOND = 100;
     private static final int HEAP_MB = 64;
 
     private final Path folder;
     /** Those of the first so many can be dialled by all, and vote or may be taken in. */
     private final int voters;
 
-    private int named;
-    private final ChildProcesses crew;
+    private int namedVoters;
+    private final ChildProcesses childProcesses;
     private final Process[] processes;
-    private final long[] limits;
+    private final long[] maxFileBytes;
     private final int[] clientPorts;
     private final int[] fleetPorts;
     private final Relay[][] relays;
     private final HttpClient client = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(ASK_WITHIN)
+            .connectTimeout(REQUEST_TIMEOUT)
             .build();
-    private final List<String> more = new ArrayList<>();
-    private final List<String> options = new ArrayList<>();
+    private final List<String> configs = new ArrayList<>();
+    private final List<String> jvmOptions = new ArrayList<>();
     /** Null where no view is kept. */
-    private DatagramRelay datagrams;
+    private DatagramRelay datagramRelay;
 
     private int[] memberPorts;
-    private int[] memberSeeds;
-    private int memberPeriodMs;
+    private int[] gossipSeeds;
+    private int probePeriodMs;
     private final Map<Integer, Path> keyFiles = new HashMap<>();
-    private final Map<Integer, String> platforms = new HashMap<>();
+    private final Map<Integer, String> platformFiles = new HashMap<>();
 
     /**
      * None of the schedulers is started yet.
@@ -69,18 +69,18 @@
     public Rig(Path folder, int schedulers, int voters, long seed, String common) throws IOException {
         this.folder = folder;
         this.voters = voters;
-        named = voters;
-        crew = new ChildProcesses(folder);
+        namedVoters = voters;
+        childProcesses = new ChildProcesses(folder);
         processes = new Process[schedulers];
-        limits = new long[schedulers];
+        maxFileBytes = new long[schedulers];
         clientPorts = new int[schedulers];
         fleetPorts = new int[schedulers];
         relays = new Relay[schedulers][voters];
         for (int i = 0; i < schedulers; i++) {
             clientPorts[i] = ChildProcesses.freePort();
             fleetPorts[i] = ChildProcesses.freePort();
-            more.add(common);
-            options.add("");
+            configs.add(common);
+            jvmOptions.add("");
         }
         for (int i = 0; i < schedulers; i++) {
             for (int k = 0; k < voters; k++) {
@@ -99,23 +99,23 @@
 
     /** What the file of this one says in the place of what all say. */
     public void setConfig(int i, String text) {
-        more.set(i, text);
+        configs.set(i, text);
     }
 
     /** Files name only the first so many as voters; others that can be dialled may be taken in. */
-    public void limitNamedVoters(int first) {
-        named = first;
+    public void limitNamedVoters(int count) {
+        namedVoters = count;
     }
 
     /** What the platform's file says to this one, a JSON object. */
     public void setPlatformFile(int i, String text) throws IOException {
-        platforms.put(
+        platformFiles.put(
                 i, Files.writeString(folder.resolve(name(i) + ".json"), text).toString());
     }
 
     /** No file of this one grows beyond so many bytes: to the program its disk is full then. */
     public void limitFileSize(int i, long bytes) {
-        limits[i] = bytes;
+        maxFileBytes[i] = bytes;
     }
 
     /**
@@ -125,13 +125,13 @@
      * @param seeds what the file of each names as others' places
      */
     public void enableGossip(long seed, int periodMs, int... seeds) throws IOException {
-        memberPeriodMs = periodMs;
+        probePeriodMs = periodMs;
         memberPorts = new int[processes.length];
         for (int i = 0; i < processes.length; i++) {
             memberPorts[i] = ChildProcesses.freePort();
         }
-        datagrams = new DatagramRelay(memberPorts, seed);
-        memberSeeds = seeds;
+        datagramRelay = new DatagramRelay(memberPorts, seed);
+        gossipSeeds = seeds;
         Files.writeString(keyFile(), "the-key-of-this-fleet-1\n");
     }
 
@@ -147,12 +147,12 @@
 
     /** Puts a datagram in, as if one had sent it to the other. */
     public void inject(int from, int to, byte[] datagram) {
-        datagrams.inject(from, to, datagram);
+        datagramRelay.inject(from, to, datagram);
     }
 
     /** The last datagram that one has sent to the other, or null. */
     public byte[] lastDatagram(int from, int to) {
-        return datagrams.path(from, to).last;
+        return datagramRelay.path(from, to).lastDatagram;
     }
 
     /** Where a member's own socket is, behind the relay. */
@@ -170,37 +170,37 @@
         return 0;
     }
 
-    private String membersTable(int i) {
-        if (datagrams == null) {
+    private String membersConfig(int i) {
+        if (datagramRelay == null) {
             return "";
         }
         StringBuilder seeds = new StringBuilder();
-        for (int seed : memberSeeds) {
+        for (int seed : gossipSeeds) {
             seeds.append(seeds.isEmpty() ? "" : ", ")
                     .append("\"127.0.0.1:")
-                    .append(datagrams.port(seed))
+                    .append(datagramRelay.port(seed))
                     .append('"');
         }
         return "[members]\nlisten = \"127.0.0.1:" + memberPorts[i] + "\"\nadvertise = \"127.0.0.1:"
-                + datagrams.port(i) + "\"\nseeds = [" + seeds
+                + datagramRelay.port(i) + "\"\nseeds = [" + seeds
                 + "]\nallowed = [\"127.0.0.0/8\"]\nkey_file = \""
-                + keyFiles.getOrDefault(i, keyFile()) + "\"\nperiod_ms = " + memberPeriodMs + "\n";
+                + keyFiles.getOrDefault(i, keyFile()) + "\"\nperiod_ms = " + probePeriodMs + "\n";
     }
 
     /** What a scheduler says of all, {@code GET /fleet}. */
     public JsonObject fleet(int i) throws IOException, InterruptedException {
-        HttpResponse<String> answer = request(i, "/fleet", null);
-        if (answer.statusCode() != 200) {
-            throw new IOException(answer.body());
+        HttpResponse<String> response = request(i, "/fleet", null);
+        if (response.statusCode() != 200) {
+            throw new IOException(response.body());
         }
-        return JsonParser.parseString(answer.body()).getAsJsonObject();
+        return JsonParser.parseString(response.body()).getAsJsonObject();
     }
 
     /** What one has on another, or null. */
     public JsonObject member(int i, int other) throws IOException, InterruptedException {
-        for (var one : fleet(i).getAsJsonArray("members")) {
-            if (one.getAsJsonObject().get("name").getAsString().equals(name(other))) {
-                return one.getAsJsonObject();
+        for (var member : fleet(i).getAsJsonArray("members")) {
+            if (member.getAsJsonObject().get("name").getAsString().equals(name(other))) {
+                return member.getAsJsonObject();
             }
         }
         return null;
@@ -213,9 +213,9 @@
     }
 
     /** True if all of these hold the same view, of so many. */
-    public boolean haveSameView(int live, int... these) throws IOException, InterruptedException {
+    public boolean haveSameView(int live, int... schedulers) throws IOException, InterruptedException {
         String digest = null;
-        for (int i : these) {
+        for (int i : schedulers) {
             JsonObject view = fleet(i);
             if (view.get("live").getAsInt() != live
                     || digest != null && !digest.equals(view.get("digest").getAsString())) {
@@ -227,68 +227,68 @@
     }
 
     /** True if besides all of them are settled. */
-    public boolean settled(int live, int... these) throws IOException, InterruptedException {
-        for (int i : these) {
+    public boolean settled(int live, int... schedulers) throws IOException, InterruptedException {
+        for (int i : schedulers) {
             if (!fleet(i).get("settled").getAsBoolean()) {
                 return false;
             }
         }
-        return haveSameView(live, these);
+        return haveSameView(live, schedulers);
     }
 
     /** Waits for that. */
-    public void awaitSettled(int live, int... these) throws IOException, InterruptedException {
-        await("all of " + Arrays.toString(these) + " hold one view of " + live, () -> settled(live, these));
+    public void awaitSettled(int live, int... schedulers) throws IOException, InterruptedException {
+        await("all of " + Arrays.toString(schedulers) + " hold one view of " + live, () -> settled(live, schedulers));
     }
 
     /** An option of the virtual machine of this one, as for a clock that runs otherwise. */
-    public void setJvmOption(int i, String option) {
-        options.set(i, option);
+    public void setJvmOption(int i, String jvmOption) {
+        jvmOptions.set(i, jvmOption);
     }
 
     /** Another process of ours, such as stand-in nodes. */
     public Process start(String name, Class<?> main, String... args) throws IOException {
-        return crew.start(name, HEAP_MB, main, args);
+        return childProcesses.start(name, HEAP_MB, main, args);
     }
 
     // ---- processes ----
 
     public void start(int i) throws IOException {
         Path file = writeConfig(i);
-        record("start " + name(i));
-        String option = options.get(i);
-        processes[i] = crew.startScheduler(
-                limits[i],
+        recordEvent("start " + name(i));
+        String jvmOption = jvmOptions.get(i);
+        processes[i] = childProcesses.startScheduler(
+                maxFileBytes[i],
                 name(i),
                 HEAP_MB,
-                option.isEmpty() ? List.of() : List.of(option),
+                jvmOption.isEmpty() ? List.of() : List.of(jvmOption),
                 file.toString(),
-                platforms.getOrDefault(i, ""));
+                platformFiles.getOrDefault(i, ""));
     }
 
     /** Writes the file that this one starts by, for a start by other means. */
     public Path writeConfig(int i) throws IOException {
         StringBuilder peers = new StringBuilder();
-        StringBuilder names = new StringBuilder();
+        StringBuilder voterNames = new StringBuilder();
         for (int k = 0; k < voters; k++) {
             peers.append(name(k))
                     .append(" = \"127.0.0.1:")
                     .append(k == i ? fleetPorts[k] : relays[i][k].port())
                     .append("\"\n");
-            if (k < named) {
-                names.append(k == 0 ? "\"" : ", \"").append(name(k)).append('"');
+            if (k < namedVoters) {
+                voterNames.append(k == 0 ? "\"" : ", \"").append(name(k)).append('"');
             }
         }
         Path file = folder.resolve(name(i) + ".toml");
         Files.writeString(
                 file,
                 "name = \"" + name(i) + "\"\nlisten = \"127.0.0.1:" + clientPorts[i] + "\"\n"
-                        + more.get(i)
-                                .replace("VOTERS", "[" + names + "]")
+                        + configs.get(i)
+                                .replace("VOTERS", "[" + voterNames + "]")
                                 .replace("FOLDER", folder.resolve(name(i)) + "-votes")
                         + "\n[fleet]\nlisten = \"127.0.0.1:" + fleetPorts[i]
                         + "\"\nsilence_ms = 1000\nlongest_backoff_ms = 100\n[fleet.peers]\n" + peers
-                        + membersTable(i));
+                        + membersConfig(i));
         return file;
     }
 
@@ -304,7 +304,7 @@
 
     /** SIGKILL. */
     public void kill(int i) throws InterruptedException, IOException {
-        record("kill " + name(i));
+        recordEvent("kill " + name(i));
         ChildProcesses.kill(processes[i]);
     }
 
@@ -316,13 +316,13 @@
 
     /** SIGTERM. */
     public void signalTerm(int i) throws IOException {
-        record("term " + name(i));
+        recordEvent("term " + name(i));
         processes[i].destroy();
     }
 
     /** Waits for the end of one that was told to; returns its exit code. */
     public int awaitExit(int i) throws InterruptedException, IOException {
-        if (!processes[i].waitFor(Await.PATIENCE_NS, TimeUnit.NANOSECONDS)) {
+        if (!processes[i].waitFor(Await.TIMEOUT_NS, TimeUnit.NANOSECONDS)) {
             throw new IOException(name(i) + " does not end");
         }
         return processes[i].exitValue();
@@ -339,7 +339,7 @@
     }
 
     private void signal(int i, String signal) throws InterruptedException, IOException {
-        record(signal + " " + name(i));
+        recordEvent(signal + " " + name(i));
         new ProcessBuilder("kill", "-" + signal, String.valueOf(processes[i].pid()))
                 .start()
                 .waitFor();
@@ -351,7 +351,7 @@
 
     /** The disk of a voter that is down is gone. */
     public void deleteVotes(int i) throws IOException {
-        record("wipe " + name(i));
+        recordEvent("wipe " + name(i));
         FileTree.delete(votesFolder(i));
     }
 
@@ -364,85 +364,85 @@
 
     /** Nothing that the one says reaches the other. */
     public void cut(int from, int to) throws IOException {
-        record("cut " + name(from) + " to " + name(to));
-        way(from, to, true);
+        recordEvent("cut " + name(from) + " to " + name(to));
+        setPathCut(from, to, true);
     }
 
     /** Neither hears the other. */
-    public void partition(int one, int other) throws IOException {
-        cut(one, other);
-        cut(other, one);
+    public void partition(int first, int second) throws IOException {
+        cut(first, second);
+        cut(second, first);
     }
 
     /** Nobody of these hears anybody of the others. */
-    public void isolate(List<Integer> these) throws IOException {
-        for (int one : these) {
-            for (int other = 0; other < processes.length; other++) {
-                if (!these.contains(other)) {
-                    partition(one, other);
+    public void isolate(List<Integer> group) throws IOException {
+        for (int member : group) {
+            for (int outsider = 0; outsider < processes.length; outsider++) {
+                if (!group.contains(outsider)) {
+                    partition(member, outsider);
                 }
             }
         }
     }
 
     /** No line of the links gets to or from this one; datagrams do. */
-    public void cutLinks(int one) throws IOException {
-        record("cut links of " + name(one));
+    public void cutLinks(int scheduler) throws IOException {
+        recordEvent("cut links of " + name(scheduler));
         for (int other = 0; other < processes.length; other++) {
-            links(one, other, true);
-            links(other, one, true);
+            setLinkCut(scheduler, other, true);
+            setLinkCut(other, scheduler, true);
         }
     }
 
-    private void way(int from, int to, boolean cut) {
-        links(from, to, cut);
-        if (datagrams != null) {
-            datagrams.path(from, to).cut = cut;
+    private void setPathCut(int from, int to, boolean cut) {
+        setLinkCut(from, to, cut);
+        if (datagramRelay != null) {
+            datagramRelay.path(from, to).isCut = cut;
         }
     }
 
-    private void links(int from, int to, boolean cut) {
+    private void setLinkCut(int from, int to, boolean cut) {
         if (to < voters) {
-            relays[from][to].there.cut = cut;
+            relays[from][to].forward.isCut = cut;
         }
         if (from < voters) {
-            relays[to][from].back.cut = cut;
+            relays[to][from].backward.isCut = cut;
         }
     }
 
     /** All paths pass everything again. */
     public void heal() throws IOException {
-        record("heal");
-        each(Faults::clear);
+        recordEvent("heal");
+        forEachPath(Faults::clear);
     }
 
     /** All paths lose and double such shares of lines, and delay each by up to so much. */
-    public void disturb(double lost, double doubled, int jitterMs) throws IOException {
-        record("disturb " + lost + " " + doubled + " " + jitterMs);
-        each(way -> {
-            way.lost = lost;
-            way.doubled = doubled;
-            way.jitterMs = jitterMs;
+    public void disturb(double lossShare, double duplicateShare, int jitterMs) throws IOException {
+        recordEvent("disturb " + lossShare + " " + duplicateShare + " " + jitterMs);
+        forEachPath(faults -> {
+            faults.lossShare = lossShare;
+            faults.duplicateShare = duplicateShare;
+            faults.jitterMs = jitterMs;
         });
     }
 
-    private void each(Consumer<Faults> change) {
+    private void forEachPath(Consumer<Faults> change) {
         for (Relay[] row : relays) {
             for (Relay relay : row) {
-                change.accept(relay.there);
-                change.accept(relay.back);
+                change.accept(relay.forward);
+                change.accept(relay.backward);
             }
         }
-        for (int i = 0; datagrams != null && i < processes.length; i++) {
+        for (int i = 0; datagramRelay != null && i < processes.length; i++) {
             for (int k = 0; k < processes.length; k++) {
-                change.accept(datagrams.path(i, k));
+                change.accept(datagramRelay.path(i, k));
             }
         }
     }
 
     /** Breaks all links of this one amid whatever they carry. */
     public void resetConnections(int i) throws IOException {
-        record("reset " + name(i));
+        recordEvent("reset " + name(i));
         Arrays.stream(relays[i]).forEach(Relay::reset);
         for (Relay[] row : relays) {
             if (i < voters) {
@@ -472,30 +472,30 @@
 
     /** Asks a scheduler at its fleet address, and follows where it points; by no relay. */
     public HttpResponse<String> request(int i, String path, String body) throws IOException, InterruptedException {
-        URI to = URI.create("http://" + fleetAddress(i) + path);
-        for (int hop = 0; ; hop++) {
-            HttpRequest.Builder request = HttpRequest.newBuilder(to).timeout(ASK_WITHIN);
+        URI uri = URI.create("http://" + fleetAddress(i) + path);
+        for (int redirects = 0; ; redirects++) {
+            HttpRequest.Builder request = HttpRequest.newBuilder(uri).timeout(REQUEST_TIMEOUT);
             request = body == null ? request.GET() : request.POST(HttpRequest.BodyPublishers.ofString(body));
-            HttpResponse<String> answer = client.send(request.build(), HttpResponse.BodyHandlers.ofString());
-            if (answer.statusCode() != 307 || hop == 2) {
-                return answer;
+            HttpResponse<String> response = client.send(request.build(), HttpResponse.BodyHandlers.ofString());
+            if (response.statusCode() != 307 || redirects == 2) {
+                return response;
             }
             // Peers are known by their relays: those are not for us.
-            int port = URI.create(answer.headers().firstValue("Location").orElseThrow())
+            int port = URI.create(response.headers().firstValue("Location").orElseThrow())
                     .getPort();
-            to = URI.create("http://127.0.0.1:" + behind(port) + path);
+            uri = URI.create("http://127.0.0.1:" + targetPort(port) + path);
         }
     }
 
-    private int behind(int port) {
+    private int targetPort(int relayPort) {
         for (Relay[] row : relays) {
             for (int k = 0; k < row.length; k++) {
-                if (row[k].port() == port) {
+                if (row[k].port() == relayPort) {
                     return fleetPorts[k];
                 }
             }
         }
-        return port;
+        return relayPort;
     }
 
     /** What a scheduler says of itself, {@code GET /policy}. */
@@ -504,24 +504,24 @@
     }
 
     /** True if it decides, by this policy. */
-    public boolean isDecidingBy(int i, long number) throws IOException, InterruptedException {
-        JsonObject all = policy(i);
-        return all.get("state").getAsString().equals("deciding")
-                && all.get("policy").getAsLong() == number;
+    public boolean isDecidingBy(int i, long policyNumber) throws IOException, InterruptedException {
+        JsonObject state = policy(i);
+        return state.get("state").getAsString().equals("deciding")
+                && state.get("policy").getAsLong() == policyNumber;
     }
 
     /** The voter that leads, as it says itself, among those that are up; -1: none, as long as one waits. */
     public int leader() throws InterruptedException {
-        long end = System.nanoTime() + ELECTED_WITHIN.toNanos();
-        int found = leads();
-        while (found < 0 && System.nanoTime() < end) {
+        long deadline = System.nanoTime() + ELECTION_TIMEOUT.toNanos();
+        int leader = findLeader();
+        while (leader < 0 && System.nanoTime() < deadline) {
             Thread.sleep(20);
-            found = leads();
+            leader = findLeader();
         }
-        return found;
+        return leader;
     }
 
-    private int leads() throws InterruptedException {
+    private int findLeader() throws InterruptedException {
         for (int i = 0; i < voters; i++) {
             try {
                 if (isUp(i) && policy(i).has("leads")) {
@@ -537,16 +537,16 @@
 
     /** Proposes a change at this scheduler; null where it is not known to be taken. */
     public JsonObject propose(int i, String name, String types) throws IOException, InterruptedException {
-        HttpResponse<String> answer =
+        HttpResponse<String> response =
                 request(i, "/policy/changes", "{\"name\":\"" + name + "\",\"types\":" + types + "}");
-        if (answer.statusCode() >= 500) {
+        if (response.statusCode() >= 500) {
             return null;
         }
-        if (answer.statusCode() != 200) {
+        if (response.statusCode() != 200) {
             throw new IOException(
-                    name + ": " + answer.statusCode() + " " + answer.body().strip());
+                    name + ": " + response.statusCode() + " " + response.body().strip());
         }
-        return JsonParser.parseString(answer.body()).getAsJsonObject();
+        return JsonParser.parseString(response.body()).getAsJsonObject();
     }
 
     /**
@@ -559,27 +559,27 @@
 
     /** What a majority holds of a change, as this scheduler or whom it points to says; null: not known. */
     public JsonObject change(int i, String name) throws IOException, InterruptedException {
-        HttpResponse<String> answer = request(i, "/policy/changes/" + name, null);
-        return answer.statusCode() == 200
-                ? JsonParser.parseString(answer.body()).getAsJsonObject()
+        HttpResponse<String> response = request(i, "/policy/changes/" + name, null);
+        return response.statusCode() == 200
+                ? JsonParser.parseString(response.body()).getAsJsonObject()
                 : null;
     }
 
     /** Waits until it holds; fails with what the processes have said. */
-    public void await(String what, Await.Condition condition) throws IOException, InterruptedException {
-        Await.until(what, condition, () -> {
-            StringBuilder said = new StringBuilder(history());
+    public void await(String description, Await.Condition condition) throws IOException, InterruptedException {
+        Await.until(description, condition, () -> {
+            StringBuilder text = new StringBuilder(history());
             for (int i = 0; i < processes.length; i++) {
-                said.append("--- ").append(name(i)).append('\n').append(log(i));
+                text.append("--- ").append(name(i)).append('\n').append(log(i));
             }
-            return said.toString();
+            return text.toString();
         });
     }
 
     /** Waits until all of these decide by that policy. */
-    public void awaitDeciding(long number, int... these) throws IOException, InterruptedException {
-        for (int i : these) {
-            await(name(i) + " decides by " + number, () -> isDecidingBy(i, number));
+    public void awaitDeciding(long policyNumber, int... schedulers) throws IOException, InterruptedException {
+        for (int i : schedulers) {
+            await(name(i) + " decides by " + policyNumber, () -> isDecidingBy(i, policyNumber));
         }
     }
 
@@ -598,14 +598,14 @@
 
     /** Stand-in nodes that tell their load: so many slots each, jobs of so many milliseconds in the mean. */
     public void startNodes(int[] ports, int slots, int runMs, int seconds) throws IOException {
-        StringBuilder all = new StringBuilder();
+        StringBuilder portList = new StringBuilder();
         for (int port : ports) {
-            all.append(all.isEmpty() ? "" : ",").append(port);
+            portList.append(portList.isEmpty() ? "" : ",").append(port);
         }
         start(
                 "nodes",
                 StandInNodes.class,
-                all.toString(),
+                portList.toString(),
                 "",
                 "5",
                 String.valueOf(slots),
@@ -616,30 +616,30 @@
 
     /** The operators' file's tables of these. */
     public static String endpointTables(int[] ports) {
-        StringBuilder all = new StringBuilder();
+        StringBuilder tables = new StringBuilder();
         for (int i = 0; i < ports.length; i++) {
-            all.append("[endpoints.till-")
+            tables.append("[endpoints.till-")
                     .append(i)
                     .append("]\ndial = \"127.0.0.1:")
                     .append(ports[i])
                     .append("\"\n");
         }
-        return all.toString();
+        return tables.toString();
     }
 
     /** Milliseconds of processor time a second that each needs over such a span. */
     public double[] cpuMillisPerSecond(long spanMs) throws IOException, InterruptedException {
-        double[] all = new double[processes.length];
-        for (int i = 0; i < all.length; i++) {
-            all[i] = -cpuTicks(pid(i));
+        double[] millisPerSecond = new double[processes.length];
+        for (int i = 0; i < millisPerSecond.length; i++) {
+            millisPerSecond[i] = -cpuTicks(pid(i));
         }
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         Thread.sleep(spanMs);
-        double seconds = (System.nanoTime() - began) / 1e9;
-        for (int i = 0; i < all.length; i++) {
-            all[i] = (cpuTicks(pid(i)) + all[i]) * 1000.0 / TICKS_A_SECOND / seconds;
+        double seconds = (System.nanoTime() - startNanos) / 1e9;
+        for (int i = 0; i < millisPerSecond.length; i++) {
+            millisPerSecond[i] = (cpuTicks(pid(i)) + millisPerSecond[i]) * 1000.0 / CPU_TICKS_PER_SECOND / seconds;
         }
-        return all;
+        return millisPerSecond;
     }
 
     private static long cpuTicks(long pid) throws IOException {
@@ -649,8 +649,8 @@
     }
 
     /** The numbers of all schedulers but these. */
-    public int[] allExcept(Set<Integer> these) {
-        return Arrays.stream(all()).filter(i -> !these.contains(i)).toArray();
+    public int[] allExcept(Set<Integer> excluded) {
+        return Arrays.stream(all()).filter(i -> !excluded.contains(i)).toArray();
     }
 
     /** The numbers of all schedulers. */
@@ -662,7 +662,7 @@
 
     // ---- history ----
 
-    public void record(String event) throws IOException {
+    public void recordEvent(String event) throws IOException {
         Files.writeString(
                 folder.resolve("history"),
                 System.nanoTime() + " " + event + "\n",
@@ -683,9 +683,9 @@
 
     @Override
     public void close() throws IOException, InterruptedException {
-        crew.close();
-        if (datagrams != null) {
-            datagrams.close();
+        childProcesses.close();
+        if (datagramRelay != null) {
+            datagramRelay.close();
         }
         for (Relay[] row : relays) {
             for (Relay relay : row) {
--- a/src/main/java/laneflow/lab/standin/RunLog.java
+++ b/src/main/java/laneflow/lab/standin/RunLog.java
@@ -18,7 +18,7 @@
     private final FileChannel file;
 
     /** One line: when, what happened, to which job. Unix time in milliseconds. */
-    public record Line(long ms, String event, String job) {}
+    public record Entry(long ms, String event, String job) {}
 
     RunLog(Path path) throws IOException {
         file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
@@ -29,12 +29,12 @@
         file.write(ByteBuffer.wrap(line.getBytes(StandardCharsets.UTF_8)));
     }
 
-    public static List<Line> read(Path path) throws IOException {
-        List<Line> lines = new ArrayList<>();
+    public static List<Entry> read(Path path) throws IOException {
+        List<Entry> lines = new ArrayList<>();
         if (Files.exists(path)) {
             for (String line : Files.readAllLines(path)) {
                 String[] parts = line.split(" ", 3);
-                lines.add(new Line(Long.parseLong(parts[0]), parts[1], parts[2]));
+                lines.add(new Entry(Long.parseLong(parts[0]), parts[1], parts[2]));
             }
         }
         return lines;
--- a/src/main/java/laneflow/lab/standin/StandInWorkerGroup.java
+++ b/src/main/java/laneflow/lab/standin/StandInWorkerGroup.java
@@ -35,11 +35,11 @@
     private final double failing;
     private final double vanishing;
     private final Selector selector = Selector.open();
-    private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
+    private final PriorityQueue<TimedAction> due = new PriorityQueue<>((a, b) -> Long.compare(a.dueNanos, b.dueNanos));
     private long noops;
 
     /** What a worker does at an instant. */
-    private record Due(long at, Runnable what) {}
+    private record TimedAction(long dueNanos, Runnable what) {}
 
     private StandInWorkerGroup(
             int port, String ledger, long seed, int functions, int runMs, double failing, double vanishing)
@@ -80,13 +80,14 @@
         long end = now() + forMs;
         if (atOnceMs > 0) {
             // Half of them, with what they have.
-            due.add(new Due(now() + atOnceMs, () -> all.subList(0, workers / 2).forEach(One::vanish)));
+            due.add(new TimedAction(
+                    now() + atOnceMs, () -> all.subList(0, workers / 2).forEach(One::vanish)));
         }
         while (now() < end) {
-            while (!due.isEmpty() && due.peek().at <= now()) {
+            while (!due.isEmpty() && due.peek().dueNanos <= now()) {
                 due.poll().what.run();
             }
-            long wait = due.isEmpty() ? 20 : Math.max(1, Math.min(20, due.peek().at - now()));
+            long wait = due.isEmpty() ? 20 : Math.max(1, Math.min(20, due.peek().dueNanos - now()));
             selector.select(wait);
             for (SelectionKey key : selector.selectedKeys()) {
                 if (key.isValid()) {
@@ -151,7 +152,7 @@
                 // It is gone either way.
                 lastDone = null;
             }
-            due.add(new Due(now() + BACK_MS + random.nextInt(BACK_MS), this::connect));
+            due.add(new TimedAction(now() + BACK_MS + random.nextInt(BACK_MS), this::connect));
         }
 
         private void readable() {
@@ -188,7 +189,7 @@
                 ledger.write("start", name);
                 int of = life;
                 double draw = random.nextDouble();
-                due.add(new Due(now() + 1 + random.nextInt(2 * runMs), () -> end(of, packet, name, draw)));
+                due.add(new TimedAction(now() + 1 + random.nextInt(2 * runMs), () -> end(of, packet, name, draw)));
             }
         }
 
--- a/src/test/java/laneflow/task/RecoveryStoryTest.java
+++ b/src/test/java/laneflow/task/RecoveryStoryTest.java
@@ -142,7 +142,7 @@
     private static List<String> runs(Path ran) throws IOException {
         return RunLog.read(ran).stream()
                 .filter(line -> line.event().equals("start"))
-                .map(RunLog.Line::job)
+                .map(RunLog.Entry::job)
                 .toList();
     }
 
