--- a/src/main/java/laneflow/lab/measure/CapacityProcesses.java
+++ b/src/main/java/laneflow/lab/measure/CapacityProcesses.java
@@ -95,8 +95,8 @@
                 + discovery.address() + "\"\n[classes.check]\naim_ms = " + (int) (1000 * CapacityDay.AIM)
                 + "\nstretch = " + CapacityDay.STRETCH + "\ndeadline_ms = 8000\nrepeat = \"safe\"\n"
                 + "[rules]\ncold_share = " + SORT.coldShare() + "\ncold_ms = "
-                + (int) (1000 * SORT.coldSeconds()) + "\nfall_multiple = " + SORT.fallMultiple()
-                + "\nfall_ms = " + (int) (1000 * SORT.fallSeconds()) + "\n"
+                + (int) (1000 * SORT.coldSeconds()) + "\nfall_multiple = " + SORT.overloadFactor()
+                + "\nfall_ms = " + (int) (1000 * SORT.overloadSeconds()) + "\n"
                 + (news ? "[capacity]\nround_ms = " + ROUND_MS + "\n" : "");
     }
 
--- a/src/main/java/laneflow/lab/standin/GearmanConnection.java
+++ b/src/main/java/laneflow/lab/standin/GearmanConnection.java
@@ -28,8 +28,8 @@
     static final int ERROR = 19;
     static final int GRAB_JOB_ALL = 39;
     static final int JOB_ASSIGN_ALL = 40;
-    private static final int REQUEST = 0x00524551;
-    private static final int MOST = 1 << 24;
+    private static final int REQUEST_MAGIC = 0x00524551;
+    private static final int MAX_PACKET_BYTES = 1 << 24;
 
     private final Socket socket;
     private final DataInputStream in;
@@ -50,7 +50,7 @@
     /** Puts a packet into the buffer. */
     public void writePacket(int type, String... args) throws IOException {
         byte[] data = String.join("\0", args).getBytes(StandardCharsets.UTF_8);
-        out.writeInt(REQUEST);
+        out.writeInt(REQUEST_MAGIC);
         out.writeInt(type);
         out.writeInt(data.length);
         out.write(data);
@@ -69,7 +69,7 @@
         in.readInt();
         int type = in.readInt();
         int length = in.readInt();
-        if (length < 0 || length > MOST) {
+        if (length < 0 || length > MAX_PACKET_BYTES) {
             throw new IOException("a packet of " + length + " bytes");
         }
         return new Packet(type, new String(in.readNBytes(length), StandardCharsets.UTF_8).split("\0", -1));
--- a/src/main/java/laneflow/lab/standin/HttpText.java
+++ b/src/main/java/laneflow/lab/standin/HttpText.java
@@ -11,7 +11,7 @@
     private HttpText() {}
 
     /** A whole head with its empty line; null where the connection ends before. */
-    public static String head(InputStream in) throws IOException {
+    public static String readHead(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         for (int next = in.read(); next >= 0; next = in.read()) {
             head.append((char) next);
@@ -23,10 +23,10 @@
     }
 
     /** A field of a head, by its name as it was sent. */
-    public static String field(String head, String name, String absent) {
-        int at = head.indexOf("\r\n" + name + ": ");
-        int from = at + name.length() + 4;
-        return at < 0 ? absent : head.substring(from, head.indexOf('\r', from));
+    public static String field(String head, String name, String defaultValue) {
+        int fieldStart = head.indexOf("\r\n" + name + ": ");
+        int valueStart = fieldStart + name.length() + 4;
+        return fieldStart < 0 ? defaultValue : head.substring(valueStart, head.indexOf('\r', valueStart));
     }
 
     /** A chunk of a body, with its length before it; ASCII. */
--- a/src/main/java/laneflow/lab/standin/RunLog.java
+++ b/src/main/java/laneflow/lab/standin/RunLog.java
@@ -15,28 +15,28 @@
  * written. What the scheduler says of a job is held against it.
  */
 public final class RunLog {
-    private final FileChannel file;
+    private final FileChannel channel;
 
     /** One line: when, what happened, to which job. Unix time in milliseconds. */
     public record Entry(long ms, String event, String job) {}
 
     RunLog(Path path) throws IOException {
-        file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+        channel = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
     }
 
     void write(String event, String job) throws IOException {
         String line = System.currentTimeMillis() + " " + event + " " + job + "\n";
-        file.write(ByteBuffer.wrap(line.getBytes(StandardCharsets.UTF_8)));
+        channel.write(ByteBuffer.wrap(line.getBytes(StandardCharsets.UTF_8)));
     }
 
     public static List<Entry> read(Path path) throws IOException {
-        List<Entry> lines = new ArrayList<>();
+        List<Entry> entries = new ArrayList<>();
         if (Files.exists(path)) {
             for (String line : Files.readAllLines(path)) {
-                String[] parts = line.split(" ", 3);
-                lines.add(new Entry(Long.parseLong(parts[0]), parts[1], parts[2]));
+                String[] fields = line.split(" ", 3);
+                entries.add(new Entry(Long.parseLong(fields[0]), fields[1], fields[2]));
             }
         }
-        return lines;
+        return entries;
     }
 }
--- a/src/main/java/laneflow/lab/standin/StandInControl.java
+++ b/src/main/java/laneflow/lab/standin/StandInControl.java
@@ -23,7 +23,7 @@
     /** By scheduler and nonce. */
     private final Map<String, Reply> replies = new ConcurrentHashMap<>();
     /** By type: what one that comes later is sent. */
-    private final Map<String, String> setInitialResponse = new ConcurrentHashMap<>();
+    private final Map<String, String> initialResponses = new ConcurrentHashMap<>();
     /** Counts that schedulers told, by their names. */
     private final Map<String, JsonObject> counters = new ConcurrentHashMap<>();
 
@@ -62,38 +62,38 @@
         try (socket) {
             socket.setTcpNoDelay(true);
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            while (!line(in).isEmpty()) {
+            while (!readLine(in).isEmpty()) {
                 // The head holds nothing that is wanted here.
                 continue;
             }
             socket.getOutputStream()
                     .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             while (true) {
-                int size = Integer.parseInt(line(in), 16);
-                JsonObject said = JsonParser.parseString(new String(in.readNBytes(size), StandardCharsets.UTF_8))
+                int size = Integer.parseInt(readLine(in), 16);
+                JsonObject message = JsonParser.parseString(new String(in.readNBytes(size), StandardCharsets.UTF_8))
                         .getAsJsonObject();
-                line(in);
+                readLine(in);
                 long now = System.nanoTime();
-                if (!said.has("response_nonce")) {
-                    counters.put(said.getAsJsonObject("node").get("id").getAsString(), said);
+                if (!message.has("response_nonce")) {
+                    counters.put(message.getAsJsonObject("node").get("id").getAsString(), message);
                     continue;
                 }
-                String nonce = said.get("response_nonce").getAsString();
+                String nonce = message.get("response_nonce").getAsString();
                 if (name == null) {
-                    name = said.getAsJsonObject("node").get("id").getAsString();
+                    name = message.getAsJsonObject("node").get("id").getAsString();
                     streams.put(name, socket);
-                    for (String one : setInitialResponse.values()) {
-                        send(socket, one);
+                    for (String response : initialResponses.values()) {
+                        send(socket, response);
                     }
                 }
                 if (nonce.isEmpty()) {
                     continue;
                 }
-                JsonObject error = said.getAsJsonObject("error_detail");
+                JsonObject error = message.getAsJsonObject("error_detail");
                 replies.putIfAbsent(
                         name + " " + nonce,
                         new Reply(
-                                said.get("version_info").getAsString(),
+                                message.get("version_info").getAsString(),
                                 error == null ? null : error.get("message").getAsString(),
                                 now));
                 if (error != null && error.get("message").getAsString().contains(" was taken back: ")) {
@@ -107,7 +107,7 @@
         }
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int next = in.read(); next != '\n'; next = in.read()) {
             if (next < 0) {
@@ -149,9 +149,9 @@
     }
 
     /** Sends a line to all; one that comes later is sent the newest that was to be kept. */
-    public void publish(String text, boolean keep) {
-        if (keep) {
-            setInitialResponse.put(
+    public void publish(String text, boolean sendToNewStreams) {
+        if (sendToNewStreams) {
+            initialResponses.put(
                     JsonParser.parseString(text)
                             .getAsJsonObject()
                             .get("type_url")
@@ -169,7 +169,7 @@
 
     /** What one that comes later is sent, without a word to those that are here. */
     public void setInitialResponse(String text) {
-        setInitialResponse.put(
+        initialResponses.put(
                 JsonParser.parseString(text).getAsJsonObject().get("type_url").getAsString(), text);
     }
 
--- a/src/main/java/laneflow/lab/standin/StandInDiscovery.java
+++ b/src/main/java/laneflow/lab/standin/StandInDiscovery.java
@@ -15,13 +15,13 @@
  * line a second between them. It can be taken down for a while: watches break off, and none can be begun.
  */
 public final class StandInDiscovery implements AutoCloseable {
-    private static final long BEAT_MS = 1000;
+    private static final long HEARTBEAT_MS = 1000;
 
     private final int port;
     private final List<Socket> watches = new ArrayList<>();
     private ServerSocket server;
     private String list = "";
-    private int seq;
+    private int sequence;
 
     /** Nothing is told before the first list. */
     public StandInDiscovery(int port) throws IOException {
@@ -38,8 +38,8 @@
         server = new ServerSocket();
         server.setReuseAddress(true);
         server.bind(new java.net.InetSocketAddress(InetAddress.getLoopbackAddress(), port), 64);
-        ServerSocket open = server;
-        daemon(() -> accept(open));
+        ServerSocket listener = server;
+        startThread(() -> accept(listener));
     }
 
     /** Breaks all watches off, and takes none. */
@@ -53,24 +53,24 @@
 
     /** From now on all that listen hear of these hosts and no other: a JSON object each. */
     public synchronized void publish(List<String> hosts) {
-        list = "{\"seq\":" + ++seq + ",\"whole\":true,\"hosts\":[" + String.join(",", hosts) + "]}\n";
+        list = "{\"seq\":" + ++sequence + ",\"whole\":true,\"hosts\":[" + String.join(",", hosts) + "]}\n";
         notifyAll();
     }
 
-    private static void daemon(Runnable work) {
+    private static void startThread(Runnable work) {
         Thread thread = new Thread(null, work, "discovery", 256 * 1024);
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void accept(ServerSocket open) {
+    private void accept(ServerSocket listener) {
         while (true) {
             try {
-                Socket socket = open.accept();
+                Socket socket = listener.accept();
                 synchronized (this) {
                     watches.add(socket);
                 }
-                daemon(() -> serve(socket));
+                startThread(() -> serve(socket));
             } catch (IOException e) {
                 return;
             }
@@ -90,16 +90,16 @@
             }
             OutputStream out = socket.getOutputStream();
             out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            int told = 0;
+            int sentSequence = 0;
             while (!socket.isClosed()) {
                 String line = "\n";
                 synchronized (this) {
-                    if (told == seq) {
-                        wait(BEAT_MS);
+                    if (sentSequence == sequence) {
+                        wait(HEARTBEAT_MS);
                     }
-                    if (told < seq) {
+                    if (sentSequence < sequence) {
                         line = list;
-                        told = seq;
+                        sentSequence = sequence;
                     }
                 }
                 out.write((Integer.toHexString(line.length()) + "\r\n" + line + "\r\n")
--- a/src/main/java/laneflow/lab/standin/StandInNodes.java
+++ b/src/main/java/laneflow/lab/standin/StandInNodes.java
@@ -17,60 +17,60 @@
  * answered 503 with Srv-Declined. Each run is written to the ledger as a worker's is.
  */
 public final class StandInNodes {
-    private static final int MOST_QUEUED = 16;
-    private static final int HANGS_MS = 2000;
+    private static final int MAX_QUEUED = 16;
+    private static final int HANG_MS = 2000;
 
-    private final RunLog ledger;
+    private final RunLog runLog;
     private final SplittableRandom seeds;
     private final int slots;
     private final int runMs;
-    private final boolean tellsLoad;
+    private final boolean reportsLoad;
 
-    private StandInNodes(RunLog ledger, long seed, int slots, int runMs, boolean tellsLoad) {
-        this.ledger = ledger;
+    private StandInNodes(RunLog runLog, long seed, int slots, int runMs, boolean reportsLoad) {
+        this.runLog = runLog;
         this.seeds = new SplittableRandom(seed);
         this.slots = slots;
         this.runMs = runMs;
-        this.tellsLoad = tellsLoad;
+        this.reportsLoad = reportsLoad;
     }
 
     /** PORT,... LEDGER SEED SLOTS RUN_MS SECONDS [load: each answer tells of it]. */
     public static void main(String[] args) throws IOException, InterruptedException {
-        RunLog ledger = args[1].isEmpty() ? null : new RunLog(Path.of(args[1]));
+        RunLog runLog = args[1].isEmpty() ? null : new RunLog(Path.of(args[1]));
         StandInNodes nodes = new StandInNodes(
-                ledger, Long.parseLong(args[2]), Integer.parseInt(args[3]), Integer.parseInt(args[4]), args.length > 6);
+                runLog, Long.parseLong(args[2]), Integer.parseInt(args[3]), Integer.parseInt(args[4]), args.length > 6);
         for (String port : args[0].split(",")) {
             ServerSocket server = new ServerSocket(Integer.parseInt(port), 512, InetAddress.getLoopbackAddress());
-            Semaphore free = new Semaphore(nodes.slots, true);
-            daemon(() -> nodes.accept(server, free));
+            Semaphore freeSlots = new Semaphore(nodes.slots, true);
+            startThread(() -> nodes.accept(server, freeSlots));
         }
         Thread.sleep(Long.parseLong(args[5]) * 1000);
         System.exit(0);
     }
 
-    private static void daemon(Runnable work) {
+    private static void startThread(Runnable work) {
         Thread thread = new Thread(null, work, "node", 256 * 1024);
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void accept(ServerSocket server, Semaphore free) {
+    private void accept(ServerSocket server, Semaphore freeSlots) {
         while (true) {
             try {
                 Socket socket = server.accept();
                 socket.setTcpNoDelay(true);
                 SplittableRandom random = seeds.split();
-                daemon(() -> serve(socket, free, random));
+                startThread(() -> serve(socket, freeSlots, random));
             } catch (IOException e) {
                 return;
             }
         }
     }
 
-    private void serve(Socket socket, Semaphore free, SplittableRandom random) {
+    private void serve(Socket socket, Semaphore freeSlots, SplittableRandom random) {
         try (socket) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            for (String head = HttpText.head(in); head != null; head = HttpText.head(in)) {
+            for (String head = HttpText.readHead(in); head != null; head = HttpText.readHead(in)) {
                 String id = HttpText.field(head, "Req-Id", "0");
                 int length = Integer.parseInt(HttpText.field(head, "Content-Length", "0"));
                 byte[] bytes = in.readNBytes(length);
@@ -81,35 +81,35 @@
                 String body = new String(bytes, StandardCharsets.UTF_8);
                 if (body.startsWith("hang")) {
                     // Accepted, and no word ever: the scheduler's deadline is all that ends it.
-                    Thread.sleep(HANGS_MS);
+                    Thread.sleep(HANG_MS);
                     return;
                 }
-                if (free.getQueueLength() >= MOST_QUEUED) {
+                if (freeSlots.getQueueLength() >= MAX_QUEUED) {
                     write(socket, "HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
                     continue;
                 }
-                free.acquire();
+                freeSlots.acquire();
                 try {
                     String name = body.split(" ", 2)[0];
                     write(
                             socket,
                             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                                     + HttpText.chunk("{\"id\":\"" + id + "\",\"state\":\"started\"}\n"));
-                    if (ledger != null) {
-                        ledger.write("start", name);
+                    if (runLog != null) {
+                        runLog.write("start", name);
                     }
                     Thread.sleep(1 + random.nextInt(2 * runMs));
-                    if (ledger != null) {
-                        ledger.write("done", name);
+                    if (runLog != null) {
+                        runLog.write("done", name);
                     }
                     write(
                             socket,
                             HttpText.chunk("{\"id\":\"" + id
                                             + "\",\"state\":\"done\",\"result\":\"ran " + name
-                                            + "\"" + load(free) + "}\n")
+                                            + "\"" + load(freeSlots) + "}\n")
                                     + "0\r\n\r\n");
                 } finally {
-                    free.release();
+                    freeSlots.release();
                 }
             }
         } catch (IOException | InterruptedException e) {
@@ -118,10 +118,10 @@
         }
     }
 
-    private String load(Semaphore free) {
-        return !tellsLoad
+    private String load(Semaphore freeSlots) {
+        return !reportsLoad
                 ? ""
-                : ",\"load\":{\"x0\":" + free.availablePermits() + ",\"q\":" + free.getQueueLength() + "}";
+                : ",\"load\":{\"x0\":" + freeSlots.availablePermits() + ",\"q\":" + freeSlots.getQueueLength() + "}";
     }
 
     private static void write(Socket socket, String text) throws IOException {
--- a/src/main/java/laneflow/lab/standin/StandInPool.java
+++ b/src/main/java/laneflow/lab/standin/StandInPool.java
@@ -25,9 +25,9 @@
  * tells whoever comes there a load that is a lie.
  */
 public final class StandInPool implements AutoCloseable {
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
     /** No call goes out later than 500 ms after a list has told of a drain; both are under way a while. */
-    private static final long GRACE_NS = 1_000_000_000L;
+    private static final long DRAIN_GRACE_NS = 1_000_000_000L;
 
     /**
      * What endpoints of one sort are like.
@@ -37,7 +37,12 @@
      * @param fallMultiple times what it can do that it may be sent in {@code fallSeconds} before it falls
      */
     public record Profile(
-            int slots, int queue, double coldShare, double coldSeconds, double fallMultiple, double fallSeconds) {}
+            int slots,
+            int maxQueued,
+            double coldShare,
+            double coldSeconds,
+            double overloadFactor,
+            double overloadSeconds) {}
 
     /** One endpoint. */
     public final class Endpoint {
@@ -45,20 +50,20 @@
         public final int zone;
         public final int rack;
         private final int port;
-        private final TreeMap<Long, Integer> freeFrom = new TreeMap<>();
-        private final List<Long> sentAt = new ArrayList<>();
-        private final List<Long> waitedBehind = new ArrayList<>();
+        private final TreeMap<Long, Integer> freeSlotsSince = new TreeMap<>();
+        private final List<Long> receivedNanos = new ArrayList<>();
+        private final List<Long> queuePositions = new ArrayList<>();
         private final ArrayDeque<CountDownLatch> waiting = new ArrayDeque<>();
-        private final ArrayDeque<long[]> sentOfLate = new ArrayDeque<>();
+        private final ArrayDeque<long[]> recentCosts = new ArrayDeque<>();
         private final List<Socket> sockets = new ArrayList<>();
-        private final List<ServerSocket> doors = new ArrayList<>();
-        private int busy;
-        private int life;
-        private long bornMs;
-        private long bornNs;
-        private long drainToldNs = Long.MAX_VALUE;
-        private boolean fell;
-        private boolean up;
+        private final List<ServerSocket> listeners = new ArrayList<>();
+        private int busySlots;
+        private int incarnation;
+        private long startedMs;
+        private long startedNanos;
+        private long drainNanos = Long.MAX_VALUE;
+        private boolean overloaded;
+        private boolean running;
 
         private Endpoint(String name, int zone, int rack, int port) {
             this.name = name;
@@ -72,38 +77,38 @@
         }
 
         /** Whoever dials that port is told so many free slots and waiting jobs, whatever there are. */
-        public void listenWithFalseLoad(int door, int free, int queue) throws IOException {
-            open(door, "\"x0\":" + free + ",\"q\":" + queue);
+        public void listenWithFalseLoad(int listenPort, int freeSlots, int queued) throws IOException {
+            listen(listenPort, "\"x0\":" + freeSlots + ",\"q\":" + queued);
         }
 
-        private synchronized void open(int at, String lie) throws IOException {
+        private synchronized void listen(int listenPort, String falseLoad) throws IOException {
             ServerSocket server = new ServerSocket();
             server.setReuseAddress(true);
-            server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), at), 512);
-            doors.add(server);
-            daemon(() -> accept(server, lie));
+            server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), listenPort), 512);
+            listeners.add(server);
+            startThread(() -> accept(server, falseLoad));
         }
 
-        private synchronized void begin() throws IOException {
-            up = true;
-            open(port, null);
-            freeFrom.put(System.nanoTime(), sort.slots);
+        private synchronized void start() throws IOException {
+            running = true;
+            listen(port, null);
+            freeSlotsSince.put(System.nanoTime(), profile.slots);
         }
 
         /** Dies with all it has in hand: nobody hears any more of it. */
         public synchronized void crash() throws IOException {
-            up = false;
-            life++;
-            freeFrom.put(System.nanoTime(), 0);
-            busy = 0;
-            for (CountDownLatch one : waiting) {
-                one.countDown();
+            running = false;
+            incarnation++;
+            freeSlotsSince.put(System.nanoTime(), 0);
+            busySlots = 0;
+            for (CountDownLatch turn : waiting) {
+                turn.countDown();
             }
             waiting.clear();
-            for (ServerSocket door : doors) {
-                door.close();
+            for (ServerSocket listener : listeners) {
+                listener.close();
             }
-            doors.clear();
+            listeners.clear();
             for (Socket socket : sockets) {
                 socket.close();
             }
@@ -112,106 +117,109 @@
 
         /** Comes back at its old address, cold. */
         public synchronized void restart() throws IOException {
-            bornMs = System.currentTimeMillis();
-            bornNs = System.nanoTime();
-            fell = false;
-            sentOfLate.clear();
-            begin();
+            startedMs = System.currentTimeMillis();
+            startedNanos = System.nanoTime();
+            overloaded = false;
+            recentCosts.clear();
+            start();
         }
 
         /** From now on lists say that it drains. */
         public synchronized void startDraining() {
-            drainToldNs = System.nanoTime();
+            drainNanos = System.nanoTime();
         }
 
         /** From now on lists have it as ready again. */
         public synchronized void stopDraining() {
-            drainToldNs = Long.MAX_VALUE;
+            drainNanos = Long.MAX_VALUE;
         }
 
         /** As discovery tells of it. */
         public synchronized String discoveryEntry() {
             return "{\"host\":\"" + name + "\",\"dial\":\"127.0.0.1:" + port + "\",\"site\":\"" + zones.get(zone)
                     + "\",\"block\":" + rack + ",\"health\":\""
-                    + (drainToldNs == Long.MAX_VALUE ? "Ready" : "Terminating") + "\",\"share\":1.0,"
-                    + "\"born_ms\":" + bornMs + "}";
+                    + (drainNanos == Long.MAX_VALUE ? "Ready" : "Terminating") + "\",\"share\":1.0,"
+                    + "\"born_ms\":" + startedMs + "}";
         }
 
         /** Slots that were free at that instant. */
-        public synchronized int freeAt(long ns) {
-            Map.Entry<Long, Integer> last = freeFrom.floorEntry(ns);
-            boolean drained = ns >= drainToldNs;
+        public synchronized int freeAt(long nanos) {
+            Map.Entry<Long, Integer> latest = freeSlotsSince.floorEntry(nanos);
+            boolean drained = nanos >= drainNanos;
             // One that is warming up has a budget besides slots: what is free there is not free for all.
-            boolean cold = bornMs > 0 && ns - bornNs < sort.coldSeconds * NANOS;
-            return last == null || drained || cold ? 0 : last.getValue();
+            boolean cold = startedMs > 0 && nanos - startedNanos < profile.coldSeconds * NANOS_PER_SECOND;
+            return latest == null || drained || cold ? 0 : latest.getValue();
         }
 
         /** Jobs that were sent to it between those instants. */
-        public synchronized int sentBetween(long from, long to) {
-            return (int) sentAt.stream().filter(ns -> ns >= from && ns < to).count();
+        public synchronized int receivedBetween(long from, long to) {
+            return (int)
+                    receivedNanos.stream().filter(ns -> ns >= from && ns < to).count();
         }
 
         /** Null where it is declined. */
-        private synchronized Place enter(long cost) {
+        private synchronized Admission admit(long costMicros) {
             long now = System.nanoTime();
-            sentAt.add(now);
-            if (now - drainToldNs > GRACE_NS) {
+            receivedNanos.add(now);
+            if (now - drainNanos > DRAIN_GRACE_NS) {
                 sentToDrained.incrementAndGet();
             }
-            budget(now, cost);
-            waitedBehind.add((long) (busy < sort.slots ? 0 : waiting.size() + 1));
-            Place place = new Place(life, new CountDownLatch(busy < sort.slots ? 0 : 1));
-            if (busy < sort.slots) {
-                taken(1);
-            } else if (waiting.size() < sort.queue) {
-                waiting.add(place.turn);
+            checkColdBudget(now, costMicros);
+            queuePositions.add((long) (busySlots < profile.slots ? 0 : waiting.size() + 1));
+            Admission admission = new Admission(incarnation, new CountDownLatch(busySlots < profile.slots ? 0 : 1));
+            if (busySlots < profile.slots) {
+                addBusySlots(1);
+            } else if (waiting.size() < profile.maxQueued) {
+                waiting.add(admission.turn);
             } else {
                 return null;
             }
-            return place;
+            return admission;
         }
 
         /** It falls where in any span more work was sent than a multiple of what it can do by then. */
-        private void budget(long now, long cost) {
-            if (bornMs == 0 || now - bornNs > sort.coldSeconds * NANOS) {
+        private void checkColdBudget(long now, long costMicros) {
+            if (startedMs == 0 || now - startedNanos > profile.coldSeconds * NANOS_PER_SECOND) {
                 return;
             }
-            sentOfLate.add(new long[] {now, cost});
-            while (sentOfLate.peek()[0] < now - sort.fallSeconds * NANOS) {
-                sentOfLate.poll();
+            recentCosts.add(new long[] {now, costMicros});
+            while (recentCosts.peek()[0] < now - profile.overloadSeconds * NANOS_PER_SECOND) {
+                recentCosts.poll();
             }
-            double sent = sentOfLate.stream().mapToLong(one -> one[1]).sum() / 1e6;
-            double age = (now - bornNs) / NANOS / sort.coldSeconds;
-            double may =
-                    sort.fallMultiple * (sort.coldShare + (1 - sort.coldShare) * age) * sort.slots * sort.fallSeconds;
-            if (sent > may && !fell) {
-                fell = true;
-                fallen.incrementAndGet();
+            double sentSeconds = recentCosts.stream().mapToLong(one -> one[1]).sum() / 1e6;
+            double warmedShare = (now - startedNanos) / NANOS_PER_SECOND / profile.coldSeconds;
+            double allowedSeconds = profile.overloadFactor
+                    * (profile.coldShare + (1 - profile.coldShare) * warmedShare)
+                    * profile.slots
+                    * profile.overloadSeconds;
+            if (sentSeconds > allowedSeconds && !overloaded) {
+                overloaded = true;
+                overloadCount.incrementAndGet();
             }
         }
 
-        private void taken(int more) {
-            busy += more;
-            freeFrom.put(System.nanoTime(), sort.slots - busy);
+        private void addBusySlots(int change) {
+            busySlots += change;
+            freeSlotsSince.put(System.nanoTime(), profile.slots - busySlots);
         }
 
-        private synchronized void leave(int of) {
-            if (of != life) {
+        private synchronized void release(int admittedIn) {
+            if (admittedIn != incarnation) {
                 return;
             }
             CountDownLatch next = waiting.poll();
             if (next != null) {
                 next.countDown();
             } else {
-                taken(-1);
+                addBusySlots(-1);
             }
         }
 
-        private synchronized String load(String lie) {
-            return lie != null ? lie : "\"x0\":" + (sort.slots - busy) + ",\"q\":" + waiting.size();
+        private synchronized String load(String falseLoad) {
+            return falseLoad != null ? falseLoad : "\"x0\":" + (profile.slots - busySlots) + ",\"q\":" + waiting.size();
         }
 
-        private void accept(ServerSocket server, String lie) {
+        private void accept(ServerSocket server, String falseLoad) {
             while (true) {
                 try {
                     Socket socket = server.accept();
@@ -219,21 +227,21 @@
                     synchronized (this) {
                         sockets.add(socket);
                     }
-                    daemon(() -> serve(socket, lie));
+                    startThread(() -> serve(socket, falseLoad));
                 } catch (IOException e) {
                     return;
                 }
             }
         }
 
-        private void serve(Socket socket, String lie) {
+        private void serve(Socket socket, String falseLoad) {
             try (socket) {
                 InputStream in = new BufferedInputStream(socket.getInputStream());
-                for (String head = HttpText.head(in); head != null; head = HttpText.head(in)) {
+                for (String head = HttpText.readHead(in); head != null; head = HttpText.readHead(in)) {
                     String id = HttpText.field(head, "Req-Id", "0");
                     int length = Integer.parseInt(HttpText.field(head, "Content-Length", "0"));
                     String[] job = new String(in.readNBytes(length), StandardCharsets.UTF_8).split(" ");
-                    run(socket, in, id, Long.parseLong(job[1]), lie);
+                    run(socket, in, id, Long.parseLong(job[1]), falseLoad);
                 }
             } catch (IOException | InterruptedException e) {
                 // The scheduler has closed, or this endpoint is dead.
@@ -245,22 +253,22 @@
             }
         }
 
-        private void run(Socket socket, InputStream in, String id, long micros, String lie)
+        private void run(Socket socket, InputStream in, String id, long micros, String falseLoad)
                 throws IOException, InterruptedException {
-            Place place = enter(micros);
-            if (place == null) {
+            Admission admission = admit(micros);
+            if (admission == null) {
                 write(
                         socket,
                         "HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nSrv-Load: "
-                                + load(lie).replace("\"", "").replace(':', '=')
+                                + load(falseLoad).replace("\"", "").replace(':', '=')
                                 + "\r\nContent-Length: 0\r\n\r\n");
                 return;
             }
             // Taken in: the head says so at once, whatever the job waits for.
-            boolean told = tell(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            place.turn.await();
+            boolean headSent = tryWrite(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            admission.turn.await();
             try {
-                if (!told || isGone(socket, in)) {
+                if (!headSent || isClosed(socket, in)) {
                     return;
                 }
                 write(socket, HttpText.chunk("{\"id\":\"" + id + "\",\"state\":\"started\"}\n"));
@@ -270,15 +278,15 @@
                         socket,
                         HttpText.chunk("{\"id\":\"" + id
                                         + "\",\"state\":\"done\",\"result\":\"ran\",\"load\":{"
-                                        + load(lie) + "}}\n")
+                                        + load(falseLoad) + "}}\n")
                                 + "0\r\n\r\n");
             } finally {
-                leave(place.life);
+                release(admission.incarnation);
             }
         }
 
         /** False where nobody is there any more; its place in the queue comes up all the same. */
-        private static boolean tell(Socket socket, String text) {
+        private static boolean tryWrite(Socket socket, String text) {
             try {
                 write(socket, text);
                 return true;
@@ -288,7 +296,7 @@
         }
 
         /** A job whose caller has closed meanwhile is not begun. */
-        private static boolean isGone(Socket socket, InputStream in) throws IOException {
+        private static boolean isClosed(Socket socket, InputStream in) throws IOException {
             socket.setSoTimeout(1);
             try {
                 return in.read() < 0;
@@ -301,22 +309,22 @@
     }
 
     /** A job's place at an endpoint, in that life of it. */
-    private record Place(int life, CountDownLatch turn) {}
+    private record Admission(int incarnation, CountDownLatch turn) {}
 
     public final List<Endpoint> endpoints = new ArrayList<>();
     private final List<String> zones;
-    private final Profile sort;
+    private final Profile profile;
     private final AtomicInteger sentToDrained = new AtomicInteger();
-    private final AtomicInteger fallen = new AtomicInteger();
+    private final AtomicInteger overloadCount = new AtomicInteger();
 
     /** @param ports of the endpoints; their zones and, within a zone, their racks go by turns */
-    public StandInPool(List<Integer> ports, List<String> zones, int racks, Profile sort) throws IOException {
+    public StandInPool(List<Integer> ports, List<String> zones, int racks, Profile profile) throws IOException {
         this.zones = List.copyOf(zones);
-        this.sort = sort;
+        this.profile = profile;
         for (int i = 0; i < ports.size(); i++) {
-            Endpoint node = new Endpoint("e" + i, i % zones.size(), i % (zones.size() * racks), ports.get(i));
-            endpoints.add(node);
-            node.begin();
+            Endpoint endpoint = new Endpoint("e" + i, i % zones.size(), i % (zones.size() * racks), ports.get(i));
+            endpoints.add(endpoint);
+            endpoint.start();
         }
     }
 
@@ -332,25 +340,25 @@
 
     /** Cold endpoints that were sent more than they can bear. */
     public int coldOverloads() {
-        return fallen.get();
+        return overloadCount.get();
     }
 
     /** Of all jobs since that instant, behind how many each had to wait, in no order. */
     public List<Long> queuePositions(long sinceNs) {
-        List<Long> all = new ArrayList<>();
-        for (Endpoint node : endpoints) {
-            synchronized (node) {
-                for (int i = 0; i < node.sentAt.size(); i++) {
-                    if (node.sentAt.get(i) >= sinceNs) {
-                        all.add(node.waitedBehind.get(i));
+        List<Long> positions = new ArrayList<>();
+        for (Endpoint endpoint : endpoints) {
+            synchronized (endpoint) {
+                for (int i = 0; i < endpoint.receivedNanos.size(); i++) {
+                    if (endpoint.receivedNanos.get(i) >= sinceNs) {
+                        positions.add(endpoint.queuePositions.get(i));
                     }
                 }
             }
         }
-        return all;
+        return positions;
     }
 
-    private static void daemon(Runnable work) {
+    private static void startThread(Runnable work) {
         Thread thread = new Thread(null, work, "endpoint", 128 * 1024);
         thread.setDaemon(true);
         thread.start();
@@ -362,9 +370,9 @@
 
     @Override
     public void close() throws IOException {
-        for (Endpoint node : endpoints) {
-            if (node.up) {
-                node.crash();
+        for (Endpoint endpoint : endpoints) {
+            if (endpoint.running) {
+                endpoint.crash();
             }
         }
     }
--- a/src/main/java/laneflow/lab/standin/StandInRacks.java
+++ b/src/main/java/laneflow/lab/standin/StandInRacks.java
@@ -18,7 +18,7 @@
  * beginning and its end on the machine's one clock, and whoever checks holds that against what crews did.
  */
 public final class StandInRacks implements AutoCloseable {
-    private static final int STACK = 256 * 1024;
+    private static final int STACK_BYTES = 256 * 1024;
 
     /** A call at an endpoint; while it goes on its end is the largest number. */
     public static final class Call {
@@ -47,16 +47,16 @@
     private final ConcurrentLinkedQueue<Call> calls = new ConcurrentLinkedQueue<>();
     private final Map<Socket, String> sockets = new ConcurrentHashMap<>();
     private final int runMs;
-    private final boolean keeps;
+    private final boolean recordsCalls;
 
     /**
      * @param ports of the loopback interface, by the endpoint's name
      * @param runMs how long each job takes
      * @param keeps false where nobody is going to read the calls
      */
-    public StandInRacks(Map<String, Integer> ports, int runMs, boolean keeps) throws IOException {
+    public StandInRacks(Map<String, Integer> ports, int runMs, boolean recordsCalls) throws IOException {
         this.runMs = runMs;
-        this.keeps = keeps;
+        this.recordsCalls = recordsCalls;
         this.ports.putAll(ports);
         for (String name : ports.keySet()) {
             startEndpoint(name);
@@ -69,15 +69,15 @@
         server.setReuseAddress(true);
         server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), ports.get(name)), 256);
         servers.put(name, server);
-        daemon(() -> accept(name, server));
+        startThread(() -> accept(name, server));
     }
 
     /** It is gone without a word: its connections break, and none comes up any more. */
     public void stopEndpoint(String name) throws IOException {
         servers.get(name).close();
-        for (Map.Entry<Socket, String> one : sockets.entrySet()) {
-            if (one.getValue().equals(name)) {
-                one.getKey().close();
+        for (Map.Entry<Socket, String> connection : sockets.entrySet()) {
+            if (connection.getValue().equals(name)) {
+                connection.getKey().close();
             }
         }
     }
@@ -87,8 +87,8 @@
         return List.copyOf(calls);
     }
 
-    private static void daemon(Runnable work) {
-        Thread thread = new Thread(null, work, "rack", STACK);
+    private static void startThread(Runnable work) {
+        Thread thread = new Thread(null, work, "rack", STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
     }
@@ -99,7 +99,7 @@
                 Socket socket = server.accept();
                 socket.setTcpNoDelay(true);
                 sockets.put(socket, name);
-                daemon(() -> serve(name, socket));
+                startThread(() -> serve(name, socket));
             } catch (IOException e) {
                 return;
             }
@@ -110,20 +110,20 @@
         Call call = null;
         try (socket) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            for (String head = HttpText.head(in); head != null; head = HttpText.head(in)) {
+            for (String head = HttpText.readHead(in); head != null; head = HttpText.readHead(in)) {
                 int length = Integer.parseInt(HttpText.field(head, "Content-Length", "0"));
                 String job = new String(in.readNBytes(length), StandardCharsets.UTF_8);
                 call = new Call(name, HttpText.field(head, "Req-Owner", ""), job);
-                if (keeps) {
+                if (recordsCalls) {
                     calls.add(call);
                 }
                 Thread.sleep(runMs);
-                String line = "{\"id\":\"" + HttpText.field(head, "Req-Id", "") + "\",\"state\":\"done\","
+                String response = "{\"id\":\"" + HttpText.field(head, "Req-Id", "") + "\",\"state\":\"done\","
                         + "\"result\":\"" + name + "\"}\n";
                 // Over before its caller can know.
                 call.endedNs = System.nanoTime();
                 socket.getOutputStream()
-                        .write(("HTTP/1.1 200 OK\r\nContent-Length: " + line.length() + "\r\n\r\n" + line)
+                        .write(("HTTP/1.1 200 OK\r\nContent-Length: " + response.length() + "\r\n\r\n" + response)
                                 .getBytes(StandardCharsets.UTF_8));
             }
         } catch (IOException | InterruptedException e) {
--- a/src/main/java/laneflow/lab/standin/StandInReceiver.java
+++ b/src/main/java/laneflow/lab/standin/StandInReceiver.java
@@ -23,7 +23,7 @@
  * never answered: they end when their caller closes the connection.
  */
 public final class StandInReceiver implements AutoCloseable {
-    private static final int MOST_HEAD = 4096;
+    private static final int MAX_HEAD_BYTES = 4096;
 
     /**
      * A call.
@@ -49,7 +49,7 @@
         return thread;
     });
     private final List<Call> calls = new ArrayList<>();
-    private final Map<String, Long> highest = new HashMap<>();
+    private final Map<String, Long> highestTokens = new HashMap<>();
 
     /** @param workMs how long each call is at work */
     public StandInReceiver(int port, int workMs) throws IOException {
@@ -82,8 +82,8 @@
 
     private void serve(Socket socket) {
         try (socket) {
-            String head = head(socket.getInputStream());
-            long began = System.nanoTime();
+            String head = readHead(socket.getInputStream());
+            long startNanos = System.nanoTime();
             if (!head.contains("\r\nTask: ")) {
                 return;
             }
@@ -92,9 +92,9 @@
             boolean checked = head.startsWith("POST /checked");
             boolean accepted;
             synchronized (calls) {
-                accepted = !checked || token >= highest.getOrDefault(task, 0L);
+                accepted = !checked || token >= highestTokens.getOrDefault(task, 0L);
                 if (accepted) {
-                    highest.merge(task, token, Math::max);
+                    highestTokens.merge(task, token, Math::max);
                 }
             }
             if (head.startsWith("POST /hang")) {
@@ -102,10 +102,18 @@
             } else if (accepted) {
                 Thread.sleep(workMs);
             }
-            long ended = System.nanoTime();
-            boolean cutOff = isGone(socket);
+            long endNanos = System.nanoTime();
+            boolean closedByCaller = isClosed(socket);
             synchronized (calls) {
-                calls.add(new Call(task, token, field(head, "Task-Holder"), checked, accepted, began, ended, cutOff));
+                calls.add(new Call(
+                        task,
+                        token,
+                        field(head, "Task-Holder"),
+                        checked,
+                        accepted,
+                        startNanos,
+                        endNanos,
+                        closedByCaller));
             }
             socket.getOutputStream()
                     .write(("HTTP/1.1 " + (accepted ? "204 Done" : "409 Stale") + "\r\nContent-Length: 0\r\n\r\n")
@@ -118,7 +126,7 @@
         }
     }
 
-    private static boolean isGone(Socket socket) throws IOException {
+    private static boolean isClosed(Socket socket) throws IOException {
         try {
             socket.setSoTimeout(1);
             return socket.getInputStream().read() < 0;
@@ -129,14 +137,14 @@
         }
     }
 
-    private static String head(InputStream in) throws IOException {
+    private static String readHead(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
-        while (head.indexOf("\r\n\r\n") < 0 && head.length() < MOST_HEAD) {
-            int one = in.read();
-            if (one < 0) {
+        while (head.indexOf("\r\n\r\n") < 0 && head.length() < MAX_HEAD_BYTES) {
+            int next = in.read();
+            if (next < 0) {
                 break;
             }
-            head.append((char) one);
+            head.append((char) next);
         }
         return head.toString();
     }
--- a/src/main/java/laneflow/lab/standin/StandInTenants.java
+++ b/src/main/java/laneflow/lab/standin/StandInTenants.java
@@ -18,55 +18,56 @@
  * count what they heard. They know nothing of racks and windows.
  */
 public final class StandInTenants implements AutoCloseable {
-    private static final int STACK = 256 * 1024;
-    private static final int PATIENCE_MS = 15_000;
+    private static final int STACK_BYTES = 256 * 1024;
+    private static final int ANSWER_TIMEOUT_MS = 15_000;
 
     private final int[] ports;
     private final int pauseMs;
-    private final boolean keeps;
+    private final boolean recordsJobs;
     private final List<Thread> threads = new ArrayList<>();
-    private final Map<String, Integer> wanted = new ConcurrentHashMap<>();
+    private final Map<String, Integer> clientsByTenant = new ConcurrentHashMap<>();
     private final ConcurrentLinkedQueue<String> completedJobs = new ConcurrentLinkedQueue<>();
     private final AtomicInteger errorResponses = new AtomicInteger();
     private final AtomicInteger brokenConnections = new AtomicInteger();
     private final AtomicInteger timeouts = new AtomicInteger();
-    private volatile boolean over;
+    private volatile boolean closed;
 
     /**
      * @param ports of schedulers
      * @param pauseMs between an answer and the next request
      * @param keeps false where nobody is going to read what was served
      */
-    public StandInTenants(int[] ports, int pauseMs, boolean keeps) {
-        this.keeps = keeps;
+    public StandInTenants(int[] ports, int pauseMs, boolean recordsJobs) {
+        this.recordsJobs = recordsJobs;
         this.ports = ports.clone();
         this.pauseMs = pauseMs;
     }
 
     /** From now on that tenant has so many clients at work, for that class. */
     public void setClients(String tenant, String jobClass, int clients) {
-        int before = wanted.getOrDefault(tenant, 0);
-        wanted.put(tenant, clients);
-        for (int i = before; i < clients; i++) {
+        int currentClients = clientsByTenant.getOrDefault(tenant, 0);
+        clientsByTenant.put(tenant, clients);
+        for (int i = currentClients; i < clients; i++) {
             int number = i;
             String prefix = tenant + "-" + threads.size() + "-";
-            Thread thread = new Thread(null, () -> ask(tenant, jobClass, number, prefix), "tenant", STACK);
+            Thread thread =
+                    new Thread(null, () -> sendRequests(tenant, jobClass, number, prefix), "tenant", STACK_BYTES);
             thread.setDaemon(true);
             threads.add(thread);
             thread.start();
         }
     }
 
-    private void ask(String tenant, String jobClass, int number, String prefix) {
-        for (int n = 0; !over && number < wanted.get(tenant); n++) {
-            int port = ports[(number + n / 16) % ports.length];
+    private void sendRequests(String tenant, String jobClass, int number, String prefix) {
+        for (int requestCount = 0; !closed && number < clientsByTenant.get(tenant); requestCount++) {
+            int port = ports[(number + requestCount / 16) % ports.length];
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
-                socket.setSoTimeout(PATIENCE_MS);
+                socket.setSoTimeout(ANSWER_TIMEOUT_MS);
                 InputStream in = new BufferedInputStream(socket.getInputStream());
                 do {
-                    ask(socket, in, tenant, jobClass, prefix + n++);
+                    sendRequests(socket, in, tenant, jobClass, prefix + requestCount++);
                     Thread.sleep(pauseMs);
-                } while (!over && number < wanted.get(tenant) && n % 16 != 0);
+                } while (!closed && number < clientsByTenant.get(tenant) && requestCount % 16 != 0);
             } catch (java.net.SocketTimeoutException e) {
                 timeouts.incrementAndGet();
             } catch (IOException e) {
@@ -79,19 +80,20 @@
         }
     }
 
-    private void ask(Socket socket, InputStream in, String tenant, String jobClass, String job) throws IOException {
+    private void sendRequests(Socket socket, InputStream in, String tenant, String jobClass, String job)
+            throws IOException {
         socket.getOutputStream()
                 .write(("POST /" + jobClass + " HTTP/1.1\r\nHost: t\r\nReq-Id: " + job + "\r\nReq-Owner: " + tenant
                                 + "\r\nContent-Length: " + job.length() + "\r\n\r\n" + job)
                         .getBytes(StandardCharsets.US_ASCII));
-        if (!answer(in).startsWith("HTTP/1.1 200 ")) {
+        if (!readResponse(in).startsWith("HTTP/1.1 200 ")) {
             errorResponses.incrementAndGet();
-        } else if (keeps) {
+        } else if (recordsJobs) {
             completedJobs.add(job);
         }
     }
 
-    private static String answer(InputStream in) throws IOException {
+    private static String readResponse(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n", Math.max(0, head.length() - 4)) < 0) {
             int next = in.read();
@@ -100,8 +102,11 @@
             }
             head.append((char) next);
         }
-        int at = head.indexOf("Content-Length: ");
-        in.readNBytes(at < 0 ? 0 : Integer.parseInt(head.substring(at + 16, head.indexOf("\r", at))));
+        int lengthField = head.indexOf("Content-Length: ");
+        in.readNBytes(
+                lengthField < 0
+                        ? 0
+                        : Integer.parseInt(head.substring(lengthField + 16, head.indexOf("\r", lengthField))));
         return head.toString();
     }
 
@@ -109,7 +114,7 @@
         try {
             Thread.sleep(pauseMs + 50);
         } catch (InterruptedException e) {
-            over = true;
+            closed = true;
         }
     }
 
@@ -135,9 +140,9 @@
 
     @Override
     public void close() throws InterruptedException {
-        over = true;
+        closed = true;
         for (Thread thread : threads) {
-            thread.join(PATIENCE_MS);
+            thread.join(ANSWER_TIMEOUT_MS);
         }
     }
 }
--- a/src/main/java/laneflow/lab/standin/StandInWorker.java
+++ b/src/main/java/laneflow/lab/standin/StandInWorker.java
@@ -15,21 +15,21 @@
     private static final long RETRY_MS = 50;
 
     private final int port;
-    private final RunLog ledger;
+    private final RunLog runLog;
     private final SplittableRandom random;
     private final int runMs;
-    private final double stalls;
+    private final double stallShare;
     private final int stallMs;
     private final String[] functions;
     /** What is still to be told of a job that ended while there was nobody to hear it. */
-    private String[] untold;
+    private String[] unsentCompletion;
 
     private StandInWorker(String[] args) throws IOException {
         port = Integer.parseInt(args[0]);
-        ledger = new RunLog(Path.of(args[1]));
+        runLog = new RunLog(Path.of(args[1]));
         random = new SplittableRandom(Long.parseLong(args[2]));
         runMs = Integer.parseInt(args[3]);
-        stalls = Double.parseDouble(args[4]);
+        stallShare = Double.parseDouble(args[4]);
         stallMs = Integer.parseInt(args[5]);
         functions = args[6].split(",");
     }
@@ -37,49 +37,49 @@
     /** PORT LEDGER SEED RUN_MS STALL_SHARE STALL_MS FUNCTION,... SECONDS. */
     public static void main(String[] args) throws IOException, InterruptedException {
         StandInWorker worker = new StandInWorker(args);
-        long end = System.nanoTime() + Long.parseLong(args[7]) * 1_000_000_000L;
-        while (System.nanoTime() < end) {
-            try (GearmanConnection wire = new GearmanConnection(worker.port, TIMEOUT_MS)) {
-                worker.serve(wire, end);
+        long endNanos = System.nanoTime() + Long.parseLong(args[7]) * 1_000_000_000L;
+        while (System.nanoTime() < endNanos) {
+            try (GearmanConnection connection = new GearmanConnection(worker.port, TIMEOUT_MS)) {
+                worker.serve(connection, endNanos);
             } catch (IOException e) {
                 Thread.sleep(RETRY_MS);
             }
         }
     }
 
-    private void serve(GearmanConnection wire, long end) throws IOException, InterruptedException {
+    private void serve(GearmanConnection connection, long endNanos) throws IOException, InterruptedException {
         for (String function : functions) {
-            wire.writePacket(GearmanConnection.CAN_DO, function);
+            connection.writePacket(GearmanConnection.CAN_DO, function);
         }
-        if (untold != null) {
-            wire.writePacket(GearmanConnection.WORK_COMPLETE, untold);
-            untold = null;
+        if (unsentCompletion != null) {
+            connection.writePacket(GearmanConnection.WORK_COMPLETE, unsentCompletion);
+            unsentCompletion = null;
         }
-        wire.send(GearmanConnection.GRAB_JOB_ALL);
-        while (System.nanoTime() < end) {
-            GearmanConnection.Packet packet = wire.readPacket();
+        connection.send(GearmanConnection.GRAB_JOB_ALL);
+        while (System.nanoTime() < endNanos) {
+            GearmanConnection.Packet packet = connection.readPacket();
             if (packet.type() == GearmanConnection.NO_JOB) {
-                wire.send(GearmanConnection.PRE_SLEEP);
+                connection.send(GearmanConnection.PRE_SLEEP);
             } else if (packet.type() == GearmanConnection.NOOP) {
-                wire.send(GearmanConnection.GRAB_JOB_ALL);
+                connection.send(GearmanConnection.GRAB_JOB_ALL);
             } else if (packet.type() == GearmanConnection.JOB_ASSIGN_ALL) {
-                run(packet.args(), wire);
+                run(packet.args(), connection);
             }
         }
     }
 
-    private void run(String[] job, GearmanConnection wire) throws IOException, InterruptedException {
+    private void run(String[] job, GearmanConnection connection) throws IOException, InterruptedException {
         String name = job[4].split(" ", 2)[0];
-        ledger.write("start", name);
-        boolean stalled = random.nextDouble() < stalls;
+        runLog.write("start", name);
+        boolean stalled = random.nextDouble() < stallShare;
         Thread.sleep(stalled ? stallMs : 1 + random.nextInt(2 * runMs));
-        ledger.write("done", name);
-        String[] word = {job[0], "ran " + name};
+        runLog.write("done", name);
+        String[] completion = {job[0], "ran " + name};
         try {
-            wire.writePacket(GearmanConnection.WORK_COMPLETE, word);
-            wire.send(GearmanConnection.GRAB_JOB_ALL);
+            connection.writePacket(GearmanConnection.WORK_COMPLETE, completion);
+            connection.send(GearmanConnection.GRAB_JOB_ALL);
         } catch (IOException e) {
-            untold = word;
+            unsentCompletion = completion;
             throw e;
         }
     }
--- a/src/main/java/laneflow/lab/standin/StandInWorkerGroup.java
+++ b/src/main/java/laneflow/lab/standin/StandInWorkerGroup.java
@@ -22,40 +22,47 @@
  * at once. The codec is the stand-ins' own, over non-blocking channels.
  */
 public final class StandInWorkerGroup {
-    private static final int REQUEST = 0x00524551;
+    private static final int REQUEST_MAGIC = 0x00524551;
     private static final int JOB_ASSIGN_ALL = GearmanConnection.JOB_ASSIGN_ALL;
-    private static final int BACK_MS = 300;
-    private static final int UNREAD_MS = 100;
+    private static final int RECONNECT_MS = 300;
+    private static final int POSSIBLY_UNREAD_MS = 100;
 
     private final SplittableRandom random;
-    private final RunLog ledger;
+    private final RunLog runLog;
     private final int port;
     private final int functions;
     private final int runMs;
-    private final double failing;
-    private final double vanishing;
+    private final double failureShare;
+    private final double disconnectShare;
     private final Selector selector = Selector.open();
-    private final PriorityQueue<TimedAction> due = new PriorityQueue<>((a, b) -> Long.compare(a.dueNanos, b.dueNanos));
+    private final PriorityQueue<TimedAction> timedActions =
+            new PriorityQueue<>((a, b) -> Long.compare(a.dueMs, b.dueMs));
     private long noops;
 
     /** What a worker does at an instant. */
-    private record TimedAction(long dueNanos, Runnable what) {}
+    private record TimedAction(long dueMs, Runnable action) {}
 
     private StandInWorkerGroup(
-            int port, String ledger, long seed, int functions, int runMs, double failing, double vanishing)
+            int port,
+            String runLogPath,
+            long seed,
+            int functions,
+            int runMs,
+            double failureShare,
+            double disconnectShare)
             throws IOException {
         this.port = port;
-        this.ledger = new RunLog(Path.of(ledger));
+        this.runLog = new RunLog(Path.of(runLogPath));
         random = new SplittableRandom(seed);
         this.functions = functions;
         this.runMs = runMs;
-        this.failing = failing;
-        this.vanishing = vanishing;
+        this.failureShare = failureShare;
+        this.disconnectShare = disconnectShare;
     }
 
     /** PORT LEDGER SEED WORKERS FUNCTIONS RUN_MS FAILING VANISHING SECONDS AT_ONCE_MS. */
     public static void main(String[] args) throws IOException {
-        StandInWorkerGroup crowd = new StandInWorkerGroup(
+        StandInWorkerGroup group = new StandInWorkerGroup(
                 Integer.parseInt(args[0]),
                 args[1],
                 Long.parseLong(args[2]),
@@ -63,35 +70,37 @@
                 Integer.parseInt(args[5]),
                 Double.parseDouble(args[6]),
                 Double.parseDouble(args[7]));
-        crowd.run(Integer.parseInt(args[3]), Long.parseLong(args[8]) * 1000, Long.parseLong(args[9]));
-        System.out.println("noops=" + crowd.noops);
+        group.run(Integer.parseInt(args[3]), Long.parseLong(args[8]) * 1000, Long.parseLong(args[9]));
+        System.out.println("noops=" + group.noops);
         System.exit(0);
     }
 
-    private static long now() {
+    private static long nowMs() {
         return System.nanoTime() / 1_000_000;
     }
 
-    private void run(int workers, long forMs, long atOnceMs) throws IOException {
-        List<One> all = new ArrayList<>();
-        for (int i = 0; i < workers; i++) {
-            all.add(new One(i));
+    private void run(int workerCount, long durationMs, long massDisconnectMs) throws IOException {
+        List<Worker> workerList = new ArrayList<>();
+        for (int i = 0; i < workerCount; i++) {
+            workerList.add(new Worker(i));
         }
-        long end = now() + forMs;
-        if (atOnceMs > 0) {
+        long endMs = nowMs() + durationMs;
+        if (massDisconnectMs > 0) {
             // Half of them, with what they have.
-            due.add(new TimedAction(
-                    now() + atOnceMs, () -> all.subList(0, workers / 2).forEach(One::vanish)));
+            timedActions.add(new TimedAction(
+                    nowMs() + massDisconnectMs,
+                    () -> workerList.subList(0, workerCount / 2).forEach(Worker::disconnect)));
         }
-        while (now() < end) {
-            while (!due.isEmpty() && due.peek().dueNanos <= now()) {
-                due.poll().what.run();
+        while (nowMs() < endMs) {
+            while (!timedActions.isEmpty() && timedActions.peek().dueMs <= nowMs()) {
+                timedActions.poll().action.run();
             }
-            long wait = due.isEmpty() ? 20 : Math.max(1, Math.min(20, due.peek().dueNanos - now()));
-            selector.select(wait);
+            long timeoutMs =
+                    timedActions.isEmpty() ? 20 : Math.max(1, Math.min(20, timedActions.peek().dueMs - nowMs()));
+            selector.select(timeoutMs);
             for (SelectionKey key : selector.selectedKeys()) {
                 if (key.isValid()) {
-                    ((One) key.attachment()).readable();
+                    ((Worker) key.attachment()).read();
                 }
             }
             selector.selectedKeys().clear();
@@ -99,26 +108,26 @@
     }
 
     /** One worker. */
-    private final class One {
+    private final class Worker {
         private final int number;
         private SocketChannel channel;
         private ByteBuffer in = ByteBuffer.allocate(4096);
-        private boolean alive;
-        private int life;
+        private boolean connected;
+        private int connectionNumber;
         private String lastDone;
-        private long lastDoneAt;
+        private long lastDoneMs;
 
-        One(int number) {
+        Worker(int number) {
             this.number = number;
             connect();
         }
 
         private void connect() {
-            if (alive) {
+            if (connected) {
                 return;
             }
-            alive = true;
-            life++;
+            connected = true;
+            connectionNumber++;
             try {
                 channel = SocketChannel.open(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
                 channel.socket().setTcpNoDelay(true);
@@ -129,21 +138,21 @@
                 send(GearmanConnection.CAN_DO, "f" + (number * 7 + 1) % functions);
                 send(GearmanConnection.PRE_SLEEP);
             } catch (IOException e) {
-                vanish();
+                disconnect();
             }
         }
 
-        private void vanish() {
+        private void disconnect() {
             // What it still had to say is said by nobody: a second leaving would bring two back.
-            if (!alive) {
+            if (!connected) {
                 return;
             }
-            alive = false;
-            life++;
+            connected = false;
+            connectionNumber++;
             try {
-                if (lastDone != null && now() - lastDoneAt < UNREAD_MS) {
+                if (lastDone != null && nowMs() - lastDoneMs < POSSIBLY_UNREAD_MS) {
                     // Closed with input unread the connection is reset, and its last word may go with it.
-                    ledger.write("cut", lastDone);
+                    runLog.write("cut", lastDone);
                 }
                 if (channel != null) {
                     channel.close();
@@ -152,16 +161,16 @@
                 // It is gone either way.
                 lastDone = null;
             }
-            due.add(new TimedAction(now() + BACK_MS + random.nextInt(BACK_MS), this::connect));
+            timedActions.add(new TimedAction(nowMs() + RECONNECT_MS + random.nextInt(RECONNECT_MS), this::connect));
         }
 
-        private void readable() {
+        private void read() {
             try {
-                if (!alive) {
+                if (!connected) {
                     return;
                 }
                 if (channel.read(in) < 0) {
-                    vanish();
+                    disconnect();
                     return;
                 }
                 in.flip();
@@ -170,15 +179,15 @@
                     int type = in.getInt();
                     byte[] data = new byte[in.getInt()];
                     in.get(data);
-                    take(new Packet(type, new String(data, StandardCharsets.UTF_8).split("\0", -1)));
+                    handle(new Packet(type, new String(data, StandardCharsets.UTF_8).split("\0", -1)));
                 }
                 in.compact();
             } catch (IOException e) {
-                vanish();
+                disconnect();
             }
         }
 
-        private void take(Packet packet) throws IOException {
+        private void handle(Packet packet) throws IOException {
             if (packet.type() == GearmanConnection.NOOP) {
                 noops++;
                 send(GearmanConnection.GRAB_JOB_ALL);
@@ -186,40 +195,42 @@
                 send(GearmanConnection.PRE_SLEEP);
             } else if (packet.type() == JOB_ASSIGN_ALL) {
                 String name = packet.args()[4].split(" ", 2)[0];
-                ledger.write("start", name);
-                int of = life;
-                double draw = random.nextDouble();
-                due.add(new TimedAction(now() + 1 + random.nextInt(2 * runMs), () -> end(of, packet, name, draw)));
+                runLog.write("start", name);
+                int startedOnConnection = connectionNumber;
+                double outcomeDraw = random.nextDouble();
+                timedActions.add(new TimedAction(
+                        nowMs() + 1 + random.nextInt(2 * runMs),
+                        () -> finishJob(startedOnConnection, packet, name, outcomeDraw)));
             }
         }
 
-        private void end(int of, Packet job, String name, double draw) {
-            if (of != life) {
+        private void finishJob(int startedOnConnection, Packet job, String name, double outcomeDraw) {
+            if (startedOnConnection != connectionNumber) {
                 return;
             }
             try {
-                if (draw < vanishing) {
-                    vanish();
-                } else if (draw < vanishing + failing) {
-                    ledger.write("failed", name);
+                if (outcomeDraw < disconnectShare) {
+                    disconnect();
+                } else if (outcomeDraw < disconnectShare + failureShare) {
+                    runLog.write("failed", name);
                     send(GearmanConnection.WORK_FAIL, job.args()[0]);
                     send(GearmanConnection.GRAB_JOB_ALL);
                 } else {
-                    ledger.write("done", name);
+                    runLog.write("done", name);
                     lastDone = name;
-                    lastDoneAt = now();
+                    lastDoneMs = nowMs();
                     send(GearmanConnection.WORK_COMPLETE, job.args()[0], "ran " + name);
                     send(GearmanConnection.GRAB_JOB_ALL);
                 }
             } catch (IOException e) {
-                vanish();
+                disconnect();
             }
         }
 
         private void send(int type, String... args) throws IOException {
             byte[] data = String.join("\0", args).getBytes(StandardCharsets.UTF_8);
             ByteBuffer out = ByteBuffer.allocate(12 + data.length)
-                    .putInt(REQUEST)
+                    .putInt(REQUEST_MAGIC)
                     .putInt(type)
                     .putInt(data.length)
                     .put(data)
--- a/src/test/java/laneflow/capacity/CapacityFaultsStoryTest.java
+++ b/src/test/java/laneflow/capacity/CapacityFaultsStoryTest.java
@@ -223,7 +223,7 @@
         int[] answers = burst(60, LONG_MICROS, rig.all());
         assertTrue(answers[0] >= 20, "served " + answers[0]);
         assertTrue(pool.endpoints.stream()
-                        .mapToInt(node -> node.sentBetween(from, System.nanoTime()))
+                        .mapToInt(node -> node.receivedBetween(from, System.nanoTime()))
                         .sum()
                 >= 20);
         assertEquals(0, pool.coldOverloads(), "cold endpoints that were overloaded");
@@ -304,8 +304,8 @@
             int[] answers = burst(24, LONG_MICROS, 2);
             assertTrue(answers[0] >= 2 * SLOTS, "requests are still served: " + answers[0]);
             long to = System.nanoTime();
-            assertEquals(0, pool.endpoints.get(0).sentBetween(from, to), "sent to the draining endpoint");
-            assertEquals(0, pool.endpoints.get(3).sentBetween(from, to), "sent to an unlisted endpoint");
+            assertEquals(0, pool.endpoints.get(0).receivedBetween(from, to), "sent to the draining endpoint");
+            assertEquals(0, pool.endpoints.get(3).receivedBetween(from, to), "sent to an unlisted endpoint");
             JsonObject stored = capacityStatus(2);
             assertFalse(stored.getAsJsonObject("endpoints").has("e0")
                     || stored.getAsJsonObject("endpoints").has("e3"));
@@ -320,7 +320,7 @@
             older.publish(pool.discoveryEntries());
             rig.await("all endpoints are used after the full list", () -> {
                 burst(8, SHORT_MICROS, 2);
-                return pool.endpoints.get(3).sentBetween(to, System.nanoTime()) > 0;
+                return pool.endpoints.get(3).receivedBetween(to, System.nanoTime()) > 0;
             });
         }
     }
--- a/src/test/java/laneflow/maintenance/RecordingEndpoints.java
+++ b/src/test/java/laneflow/maintenance/RecordingEndpoints.java
@@ -113,7 +113,7 @@
         Call[] call = new Call[1];
         try (socket) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            for (String head = HttpText.head(in); head != null; head = HttpText.head(in)) {
+            for (String head = HttpText.readHead(in); head != null; head = HttpText.readHead(in)) {
                 call[0] = new Call(name);
                 calls.add(call[0]);
                 String id = HttpText.field(head, "Req-Id", "0");
