--- a/src/main/java/laneflow/lab/rig/ChildProcesses.java
+++ b/src/main/java/laneflow/lab/rig/ChildProcesses.java
@@ -18,17 +18,17 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 
-/** The processes of a measurement: started from this program's own jar, and ended by it, whatever happens. */
+/** Starts child processes with this program's class path, and kills them on close or at shutdown. */
 public final class ChildProcesses implements AutoCloseable {
     private static final int FIRST_PORT = 12_000;
     private static final int LAST_PORT = 32_000;
     private static final int PORT_TRIES = 1000;
     private static final int KIB = 1024;
-    /** The program as users start it: by its name, since nothing here may depend on the command line. */
+    /** Main class of a scheduler; a string because this package must not depend on the command line. */
     private static final String SCHEDULER_MAIN_CLASS = "laneflow.Main";
 
     private static final Set<Integer> RESERVED_PORTS = ConcurrentHashMap.newKeySet();
-    /** A byte for each port, locked until its taker ends: others on this machine pass it over. */
+    /** Lock file with one byte for each port, so that concurrent runs on this machine choose different ports. */
     private static FileChannel portLocks;
 
     private final Path folder;
@@ -38,13 +38,13 @@
     public ChildProcesses(Path folder) {
         this.folder = folder;
         classPath = System.getProperty("java.class.path");
-        // Also where the measurement itself is ended early.
+        // Kills the children also when this process is ended before close().
         Runtime.getRuntime().addShutdownHook(new Thread(() -> processes.forEach(Process::destroyForcibly)));
     }
 
     /**
-     * A port of the loopback interface that is free now, and that the system gives to nobody by itself: a
-     * process that is killed must find its own again.
+     * Reserves a free port on the loopback interface, below the range of ephemeral ports, so that a process
+     * that is killed can bind the same port again after a restart.
      */
     public static int freePort() throws IOException {
         for (int i = 0; i < PORT_TRIES; i++) {
@@ -54,7 +54,7 @@
                     return socket.getLocalPort();
                 }
             } catch (BindException e) {
-                // Somebody else's: another one.
+                // The port is in use: try another one.
                 continue;
             }
         }
@@ -68,33 +68,33 @@
                     StandardOpenOption.CREATE,
                     StandardOpenOption.WRITE);
         }
-        // Never released here: the system does it when this process ends.
+        // The lock is held until the operating system releases it at the end of this process.
         return portLocks.tryLock(port, 1, false) != null;
     }
 
-    /** Starts a class of this program; its output goes to a file of that name. */
+    /** Starts a main class of this program; its output is appended to {@code NAME.log}. */
     public Process start(String name, int heapMb, Class<?> main, String... args) throws IOException {
         return start(name, heapMb, List.of(), main, args);
     }
 
-    /** The same with further options of the virtual machine. */
+    /** Starts a main class of this program with additional JVM options. */
     public Process start(String name, int heapMb, List<String> jvmOptions, Class<?> main, String... args)
             throws IOException {
         return start(0, name, heapMb, jvmOptions, main.getName(), "", args);
     }
 
-    /** Starts a scheduler by the operators' file of that name. */
+    /** Starts a scheduler with this operators' file. */
     public Process startScheduler(String name, int heapMb, String configFile) throws IOException {
         return startScheduler(0, name, heapMb, List.of(), configFile);
     }
 
-    /** The same for a process none of whose files may grow beyond so many bytes; 0: no limit. */
+    /** Starts a scheduler whose files cannot grow beyond {@code maxFileBytes}; 0 means no limit. */
     public Process startScheduler(
             long maxFileBytes, String name, int heapMb, List<String> jvmOptions, String configFile) throws IOException {
         return startScheduler(maxFileBytes, name, heapMb, jvmOptions, configFile, "");
     }
 
-    /** The same with the platform's file beside the operators', unless that is empty. */
+    /** Starts a scheduler with a platform file besides the operators' file; an empty name means none. */
     public Process startScheduler(
             long maxFileBytes, String name, int heapMb, List<String> jvmOptions, String configFile, String platformFile)
             throws IOException {
@@ -147,7 +147,7 @@
         return process;
     }
 
-    /** Waits until a process that was started under that name listens there. */
+    /** Waits until the process accepts connections on the port; fails with its log otherwise. */
     public void awaitPort(Process process, String name, int port) throws IOException, InterruptedException {
         for (int i = 0; i < 2000 && process.isAlive(); i++) {
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
@@ -156,14 +156,14 @@
                 Thread.sleep(10);
             }
         }
-        throw new IOException(name + " did not come up at port " + port + ": " + log(name));
+        throw new IOException(name + " does not listen on port " + port + ": " + log(name));
     }
 
     public String log(String name) throws IOException {
         return Files.readString(folder.resolve(name + ".log"));
     }
 
-    /** SIGKILL, and waits until it is gone. */
+    /** Sends SIGKILL and waits up to 10 seconds for the process to end. */
     public static void kill(Process process) throws InterruptedException {
         process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
     }
--- a/src/main/java/laneflow/lab/rig/DatagramRelay.java
+++ b/src/main/java/laneflow/lab/rig/DatagramRelay.java
@@ -10,17 +10,17 @@
 import java.util.SplittableRandom;
 
 /**
- * All paths of datagrams between members: each member is known to the others by a port of the relay's, and
- * what comes there from another goes on to it from that one's port, so that addresses look to all as they are
- * told. Each ordered pair is a path with faults of its own: cut, loss, doubles, delay that lets datagrams
- * overtake each other.
+ * Forwards the gossip datagrams between members. The relay has one socket for each member, whose address the
+ * member advertises. A datagram that arrives at the receiver's socket is forwarded to the receiver from the
+ * sender's socket, so that every member sees the advertised address as the source. Each ordered pair of
+ * members is a path with its own faults: cut, loss, duplication, and delay that can reorder datagrams.
  */
 public final class DatagramRelay implements AutoCloseable {
     private static final int MAX_DATAGRAM_BYTES = 2048;
 
-    /** One direction between two members. */
+    /** The path from one member to another. */
     static final class DirectedPath extends Faults {
-        /** The last datagram that came. */
+        /** The last datagram received on this path, dropped ones included. */
         volatile byte[] lastDatagram;
     }
 
@@ -42,7 +42,7 @@
     private long nextSequence;
     private volatile boolean closed;
 
-    /** @param ports of the members, on the loopback interface */
+    /** @param ports the ports on the loopback interface that the members listen on */
     DatagramRelay(int[] ports, long seed) throws IOException {
         int memberCount = ports.length;
         sockets = new DatagramSocket[memberCount];
@@ -69,7 +69,7 @@
         thread.start();
     }
 
-    /** By which others know that member. */
+    /** The relay's port for a member, which the member advertises. */
     int port(int member) {
         return sockets[member].getLocalPort();
     }
@@ -78,7 +78,7 @@
         return paths[from][to];
     }
 
-    /** Puts a datagram in, as if that member had sent it. */
+    /** Sends a datagram to one member as if it came from the other; bypasses the faults. */
     void inject(int from, int to, byte[] bytes) {
         schedule(from, to, bytes, 0);
     }
@@ -144,7 +144,7 @@
         } catch (SocketException e) {
             closed |= sockets[from].isClosed();
         } catch (IOException e) {
-            // Nobody is there: as with any datagram.
+            // The receiver is not listening; the datagram is lost, as on any network.
             Thread.onSpinWait();
         }
     }
--- a/src/main/java/laneflow/lab/rig/Faults.java
+++ b/src/main/java/laneflow/lab/rig/Faults.java
@@ -2,17 +2,18 @@
 
 import java.util.SplittableRandom;
 
-/** What befalls one direction of a path; all may be changed at any time. */
+/** The faults injected into one direction of a path. They may be changed while messages pass. */
 public class Faults {
-    /** Nothing gets through, and nothing says so. */
+    /** Drops every message without an error to the sender. */
     volatile boolean isCut;
 
     volatile int delayMs;
-    /** Up to so much more, drawn for each message; they may overtake each other then. */
+    /** Maximum random delay added to each message; messages may be reordered by it. */
     volatile int jitterMs;
-    /** Shares of messages. */
+    /** Share of messages that are dropped, 0 to 1. */
     volatile double lossShare;
 
+    /** Share of messages that are sent twice, 0 to 1. */
     volatile double duplicateShare;
 
     void clear() {
@@ -23,7 +24,7 @@
         isCut = false;
     }
 
-    /** Milliseconds that the next message takes. */
+    /** Returns the delay of the next message in milliseconds. */
     long nextDelayMs(SplittableRandom random) {
         return delayMs + (jitterMs == 0 ? 0 : random.nextInt(jitterMs + 1));
     }
--- a/src/main/java/laneflow/lab/rig/FileTree.java
+++ b/src/main/java/laneflow/lab/rig/FileTree.java
@@ -6,7 +6,7 @@
 import java.util.Comparator;
 import java.util.stream.Stream;
 
-/** Takes a measurement's folder away. */
+/** Deletes a folder with all files and folders in it. */
 public final class FileTree {
     private FileTree() {}
 
--- a/src/main/java/laneflow/lab/rig/Relay.java
+++ b/src/main/java/laneflow/lab/rig/Relay.java
@@ -15,15 +15,15 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A path between two processes with faults put into it: it accepts on a port of its own, connects to the
- * other process, and passes on what comes, each way by itself. Streams of lines are passed line by line (each
- * is a chunk), so that single messages can be lost, doubled, delayed and made to overtake each other, which
- * TCP by itself never does; what rests on messages must stand all of it.
+ * A TCP proxy that injects faults between two processes: it accepts connections on a port of its own, connects
+ * to the target, and forwards the HTTP head and then chunk by chunk in each direction. A chunk holds one line,
+ * that is one message. Single messages can be lost, duplicated, delayed and reordered, which TCP by itself
+ * never does; protocols built on messages must tolerate all of it.
  */
 public final class Relay implements AutoCloseable {
     private static final int STACK_BYTES = 128 * 1024;
 
-    /** A line under way. */
+    /** A chunk to be written at a later time. */
     private record DelayedChunk(long dueNanos, long sequence, byte[] bytes) implements Comparable<DelayedChunk> {
         @Override
         public int compareTo(DelayedChunk other) {
@@ -33,16 +33,18 @@
         }
     }
 
-    /** From the process that connects to the one that listens, and back. */
+    /** Faults from the connecting process to the target. */
     final Faults forward = new Faults();
 
+    /** Faults from the target to the connecting process. */
     final Faults backward = new Faults();
+
     private final int target;
     private final SplittableRandom random;
     private final ServerSocket server;
     private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
 
-    /** A path to a port of the loopback interface. */
+    /** @param target the port on the loopback interface to connect to */
     Relay(int target, long seed) throws IOException {
         this.target = target;
         random = new SplittableRandom(seed);
@@ -90,12 +92,12 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // It is closed all the same.
+            // The socket counts as closed all the same.
             return;
         }
     }
 
-    /** Breaks all connections as a machine does that is reset, with whatever is under way. */
+    /** Resets all connections (RST), as a host that restarts does; data in flight is lost. */
     void reset() {
         for (Socket socket : openSockets) {
             try {
@@ -118,7 +120,7 @@
                 writer.add(chunk, false);
             }
         } catch (IOException e) {
-            // Closed by one of the ends, or by a reset.
+            // Closed by one of the two processes, or by reset().
             writer.close();
         }
         writer.close();
@@ -126,7 +128,7 @@
         closeSocket(to);
     }
 
-    /** All up to the empty line; cut off where the stream ends. */
+    /** Reads an HTTP head including its empty line. */
     private static byte[] readHead(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         int lastFourBytes = 0;
@@ -137,10 +139,10 @@
                 return head.toByteArray();
             }
         }
-        throw new IOException("it ended");
+        throw new IOException("the stream ended within the head");
     }
 
-    /** One chunk with its size and its end, or null at the end of the stream. */
+    /** Reads one chunk with its size line and trailing CRLF; null at the end of the stream. */
     private static byte[] readChunk(InputStream in) throws IOException {
         ByteArrayOutputStream chunk = new ByteArrayOutputStream();
         int next = in.read();
@@ -153,14 +155,14 @@
         }
         chunk.write('\n');
         if (chunk.size() > 18) {
-            throw new IOException("no chunk");
+            throw new IOException("the size line of a chunk is too long");
         }
         int size = Integer.parseInt(chunk.toString(StandardCharsets.US_ASCII).strip(), 16);
         chunk.write(in.readNBytes(size + 2));
         return chunk.toByteArray();
     }
 
-    /** What waits for its time in one direction of one connection. */
+    /** Applies the faults to one direction of a connection and writes each chunk when it is due. */
     private final class DelayedWriter {
         private final PriorityQueue<DelayedChunk> delayed = new PriorityQueue<>();
         private final Socket target;
@@ -193,7 +195,7 @@
             notifyAll();
         }
 
-        /** The next line, when it is due; null once there will be none. */
+        /** Waits until the next chunk is due and removes it; null once the writer is closed. */
         private synchronized byte[] takeDue() throws InterruptedException {
             while (!closed) {
                 DelayedChunk first = delayed.peek();
--- a/src/main/java/laneflow/lab/rig/Rig.java
+++ b/src/main/java/laneflow/lab/rig/Rig.java
@@ -24,10 +24,11 @@
 import laneflow.lab.standin.StandInNodes;
 
 /**
- * Schedulers as real processes on loopback, with a relay of our own on each path between two of them, and
- * faults put into both: paths cut one way or both, delayed, lossy; processes stopped, woken, killed, started
- * anew with their disk or without. Every fault is written, with the instant on the machine's one monotonic
- * clock, into a history that is read beside the processes' own. It ends only processes that it has started.
+ * Runs schedulers as real processes on loopback with a relay on each path between two of them. Faults can be
+ * injected into both: paths are cut in one or both directions, delayed or made lossy; processes are suspended,
+ * resumed, killed, and restarted with or without their files. Every fault is written with its time on the
+ * machine's monotonic clock to a history file, which can be compared with the processes' logs. It ends only
+ * processes that it has started.
  */
 public final class Rig implements AutoCloseable {
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(3);
@@ -36,10 +37,12 @@
     private static final int HEAP_MB = 64;
 
     private final Path folder;
-    /** Those of the first so many can be dialled by all, and vote or may be taken in. */
+    /** The number of schedulers, from the first one, that all others can dial; they vote or may become voters. */
     private final int voters;
 
+    /** The number of schedulers that configuration files name as voters. */
     private int namedVoters;
+
     private final ChildProcesses childProcesses;
     private final Process[] processes;
     private final long[] maxFileBytes;
@@ -52,7 +55,7 @@
             .build();
     private final List<String> configs = new ArrayList<>();
     private final List<String> jvmOptions = new ArrayList<>();
-    /** Null where no view is kept. */
+    /** Null while gossip is not enabled. */
     private DatagramRelay datagramRelay;
 
     private int[] memberPorts;
@@ -62,9 +65,10 @@
     private final Map<Integer, String> platformFiles = new HashMap<>();
 
     /**
-     * None of the schedulers is started yet.
+     * Reserves ports and starts the relays, but no scheduler.
      *
-     * @param common what the file of each says besides names, addresses and who votes
+     * @param common the part of the operators' file that is the same for all schedulers; VOTERS and FOLDER in
+     *     it are replaced by the names of the voters and the scheduler's folder of votes
      */
     public Rig(Path folder, int schedulers, int voters, long seed, String common) throws IOException {
         this.folder = folder;
@@ -97,32 +101,32 @@
         return "n" + (i + 1);
     }
 
-    /** What the file of this one says in the place of what all say. */
+    /** Replaces the common part of this scheduler's operators' file. */
     public void setConfig(int i, String text) {
         configs.set(i, text);
     }
 
-    /** Files name only the first so many as voters; others that can be dialled may be taken in. */
+    /** Makes the files name only the first {@code count} as voters; other dialable ones may be added later. */
     public void limitNamedVoters(int count) {
         namedVoters = count;
     }
 
-    /** What the platform's file says to this one, a JSON object. */
+    /** Writes a platform file for this scheduler, a JSON object. */
     public void setPlatformFile(int i, String text) throws IOException {
         platformFiles.put(
                 i, Files.writeString(folder.resolve(name(i) + ".json"), text).toString());
     }
 
-    /** No file of this one grows beyond so many bytes: to the program its disk is full then. */
+    /** Limits the size of this scheduler's files, which the process sees as a full disk. */
     public void limitFileSize(int i, long bytes) {
         maxFileBytes[i] = bytes;
     }
 
     /**
-     * All keep a view of each other from the next start on, by datagrams through a relay.
+     * Enables gossip membership from the next start on, with datagrams through a relay.
      *
-     * @param periodMs between two probes
-     * @param seeds what the file of each names as others' places
+     * @param periodMs the time between two probes
+     * @param seeds the members whose addresses each file names as seeds
      */
     public void enableGossip(long seed, int periodMs, int... seeds) throws IOException {
         probePeriodMs = periodMs;
@@ -135,32 +139,32 @@
         Files.writeString(keyFile(), "the-key-of-this-fleet-1\n");
     }
 
-    /** Where the keys of all members are. */
+    /** The key file of all members without a key file of their own. */
     public Path keyFile() {
         return folder.resolve("members.key");
     }
 
-    /** Others than all have. */
+    /** Gives this member a key file of its own. */
     public void keyFile(int i, Path file) {
         keyFiles.put(i, file);
     }
 
-    /** Puts a datagram in, as if one had sent it to the other. */
+    /** Sends a datagram to one member as if it came from the other. */
     public void inject(int from, int to, byte[] datagram) {
         datagramRelay.inject(from, to, datagram);
     }
 
-    /** The last datagram that one has sent to the other, or null. */
+    /** The last datagram that one member sent to the other, or null. */
     public byte[] lastDatagram(int from, int to) {
         return datagramRelay.path(from, to).lastDatagram;
     }
 
-    /** Where a member's own socket is, behind the relay. */
+    /** The port that the member itself listens on, not the one of the relay. */
     public int memberPort(int i) {
         return memberPorts[i];
     }
 
-    /** What one has counted under that name. */
+    /** The value of a counter of this scheduler; 0 where it has none of that name. */
     public long counter(int i, String name) throws IOException, InterruptedException {
         for (String line : request(i, "/counters", null).body().split("\n")) {
             if (line.startsWith(name + " ")) {
@@ -187,7 +191,7 @@
                 + keyFiles.getOrDefault(i, keyFile()) + "\"\nperiod_ms = " + probePeriodMs + "\n";
     }
 
-    /** What a scheduler says of all, {@code GET /fleet}. */
+    /** This scheduler's view of the fleet, {@code GET /fleet}. */
     public JsonObject fleet(int i) throws IOException, InterruptedException {
         HttpResponse<String> response = request(i, "/fleet", null);
         if (response.statusCode() != 200) {
@@ -196,7 +200,7 @@
         return JsonParser.parseString(response.body()).getAsJsonObject();
     }
 
-    /** What one has on another, or null. */
+    /** The entry for another member in this scheduler's view, or null. */
     public JsonObject member(int i, int other) throws IOException, InterruptedException {
         for (var member : fleet(i).getAsJsonArray("members")) {
             if (member.getAsJsonObject().get("name").getAsString().equals(name(other))) {
@@ -206,13 +210,13 @@
         return null;
     }
 
-    /** Its state, or "unknown". */
+    /** The state of another member in this scheduler's view, or "unknown". */
     public String memberState(int i, int other) throws IOException, InterruptedException {
         JsonObject member = member(i, other);
         return member == null ? "unknown" : member.get("state").getAsString();
     }
 
-    /** True if all of these hold the same view, of so many. */
+    /** True if all these schedulers have the same view, with that number of live members. */
     public boolean haveSameView(int live, int... schedulers) throws IOException, InterruptedException {
         String digest = null;
         for (int i : schedulers) {
@@ -226,7 +230,7 @@
         return true;
     }
 
-    /** True if besides all of them are settled. */
+    /** True if all these schedulers have the same view and report it as settled. */
     public boolean settled(int live, int... schedulers) throws IOException, InterruptedException {
         for (int i : schedulers) {
             if (!fleet(i).get("settled").getAsBoolean()) {
@@ -236,17 +240,17 @@
         return haveSameView(live, schedulers);
     }
 
-    /** Waits for that. */
+    /** Waits until {@link #settled} is true. */
     public void awaitSettled(int live, int... schedulers) throws IOException, InterruptedException {
         await("all of " + Arrays.toString(schedulers) + " hold one view of " + live, () -> settled(live, schedulers));
     }
 
-    /** An option of the virtual machine of this one, as for a clock that runs otherwise. */
+    /** Sets a JVM option of this scheduler, for example one that changes its clock. */
     public void setJvmOption(int i, String jvmOption) {
         jvmOptions.set(i, jvmOption);
     }
 
-    /** Another process of ours, such as stand-in nodes. */
+    /** Starts another child process, such as stand-in nodes. */
     public Process start(String name, Class<?> main, String... args) throws IOException {
         return childProcesses.start(name, HEAP_MB, main, args);
     }
@@ -266,7 +270,7 @@
                 platformFiles.getOrDefault(i, ""));
     }
 
-    /** Writes the file that this one starts by, for a start by other means. */
+    /** Writes this scheduler's operators' file, also for a start by other means than {@link #start(int)}. */
     public Path writeConfig(int i) throws IOException {
         StringBuilder peers = new StringBuilder();
         StringBuilder voterNames = new StringBuilder();
@@ -302,38 +306,38 @@
         return processes[i] != null && processes[i].isAlive();
     }
 
-    /** SIGKILL. */
+    /** Sends SIGKILL and waits for the end of the process. */
     public void kill(int i) throws InterruptedException, IOException {
         recordEvent("kill " + name(i));
         ChildProcesses.kill(processes[i]);
     }
 
-    /** SIGTERM, and waits for its end. */
+    /** Sends SIGTERM, waits for the end of the process, and returns its exit code. */
     public int stop(int i) throws InterruptedException, IOException {
         signalTerm(i);
         return awaitExit(i);
     }
 
-    /** SIGTERM. */
+    /** Sends SIGTERM. */
     public void signalTerm(int i) throws IOException {
         recordEvent("term " + name(i));
         processes[i].destroy();
     }
 
-    /** Waits for the end of one that was told to; returns its exit code. */
+    /** Waits for the end of the process and returns its exit code. */
     public int awaitExit(int i) throws InterruptedException, IOException {
         if (!processes[i].waitFor(Await.TIMEOUT_NS, TimeUnit.NANOSECONDS)) {
-            throw new IOException(name(i) + " does not end");
+            throw new IOException(name(i) + " did not exit within a minute of waiting");
         }
         return processes[i].exitValue();
     }
 
-    /** SIGSTOP: it stands still, amid whatever it is at. */
+    /** Sends SIGSTOP, which suspends the process at whatever point it has reached. */
     public void suspend(int i) throws InterruptedException, IOException {
         signal(i, "STOP");
     }
 
-    /** SIGCONT. */
+    /** Sends SIGCONT. */
     public void resume(int i) throws InterruptedException, IOException {
         signal(i, "CONT");
     }
@@ -349,32 +353,32 @@
         return processes[i].pid();
     }
 
-    /** The disk of a voter that is down is gone. */
+    /** Deletes the stored votes of a voter that is not running, as if its disk were lost. */
     public void deleteVotes(int i) throws IOException {
         recordEvent("wipe " + name(i));
         FileTree.delete(votesFolder(i));
     }
 
-    /** Where a voter keeps its votes. */
+    /** The folder where a voter stores its votes. */
     public Path votesFolder(int i) {
         return folder.resolve(name(i) + "-votes");
     }
 
     // ---- paths ----
 
-    /** Nothing that the one says reaches the other. */
+    /** Drops all messages from one scheduler to the other. */
     public void cut(int from, int to) throws IOException {
         recordEvent("cut " + name(from) + " to " + name(to));
         setPathCut(from, to, true);
     }
 
-    /** Neither hears the other. */
+    /** Drops all messages between two schedulers in both directions. */
     public void partition(int first, int second) throws IOException {
         cut(first, second);
         cut(second, first);
     }
 
-    /** Nobody of these hears anybody of the others. */
+    /** Drops all messages between the group and the other schedulers. */
     public void isolate(List<Integer> group) throws IOException {
         for (int member : group) {
             for (int outsider = 0; outsider < processes.length; outsider++) {
@@ -385,7 +389,7 @@
         }
     }
 
-    /** No line of the links gets to or from this one; datagrams do. */
+    /** Drops all messages on the TCP links of this scheduler; datagrams still pass. */
     public void cutLinks(int scheduler) throws IOException {
         recordEvent("cut links of " + name(scheduler));
         for (int other = 0; other < processes.length; other++) {
@@ -410,13 +414,13 @@
         }
     }
 
-    /** All paths pass everything again. */
+    /** Removes all faults from all paths. */
     public void heal() throws IOException {
         recordEvent("heal");
         forEachPath(Faults::clear);
     }
 
-    /** All paths lose and double such shares of lines, and delay each by up to so much. */
+    /** Makes all paths lose and duplicate these shares of messages and delay each by up to {@code jitterMs}. */
     public void disturb(double lossShare, double duplicateShare, int jitterMs) throws IOException {
         recordEvent("disturb " + lossShare + " " + duplicateShare + " " + jitterMs);
         forEachPath(faults -> {
@@ -440,7 +444,7 @@
         }
     }
 
-    /** Breaks all links of this one amid whatever they carry. */
+    /** Resets all TCP links of this scheduler; data in flight is lost. */
     public void resetConnections(int i) throws IOException {
         recordEvent("reset " + name(i));
         Arrays.stream(relays[i]).forEach(Relay::reset);
@@ -451,15 +455,15 @@
         }
     }
 
-    // ---- asking ----
+    // ---- requests ----
 
     public int clientPort(int i) {
         return clientPorts[i];
     }
 
-    /** Waits until clients can come to this one. */
+    /** Waits until this scheduler accepts client connections. */
     public void awaitClients(int i) throws IOException, InterruptedException {
-        await(name(i) + " lets clients in", () -> {
+        await(name(i) + " accepts clients", () -> {
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), clientPorts[i])) {
                 return socket.isConnected();
             }
@@ -470,7 +474,7 @@
         return "127.0.0.1:" + fleetPorts[i];
     }
 
-    /** Asks a scheduler at its fleet address, and follows where it points; by no relay. */
+    /** Sends a request to the fleet address of a scheduler and follows redirects; bypasses the relays. */
     public HttpResponse<String> request(int i, String path, String body) throws IOException, InterruptedException {
         URI uri = URI.create("http://" + fleetAddress(i) + path);
         for (int redirects = 0; ; redirects++) {
@@ -480,7 +484,7 @@
             if (response.statusCode() != 307 || redirects == 2) {
                 return response;
             }
-            // Peers are known by their relays: those are not for us.
+            // The redirect names the relay's port: connect to the scheduler behind it instead.
             int port = URI.create(response.headers().firstValue("Location").orElseThrow())
                     .getPort();
             uri = URI.create("http://127.0.0.1:" + targetPort(port) + path);
@@ -498,19 +502,19 @@
         return relayPort;
     }
 
-    /** What a scheduler says of itself, {@code GET /policy}. */
+    /** The policy state of a scheduler, {@code GET /policy}. */
     public JsonObject policy(int i) throws IOException, InterruptedException {
         return JsonParser.parseString(request(i, "/policy", null).body()).getAsJsonObject();
     }
 
-    /** True if it decides, by this policy. */
+    /** True if the scheduler is deciding by the policy of this number. */
     public boolean isDecidingBy(int i, long policyNumber) throws IOException, InterruptedException {
         JsonObject state = policy(i);
         return state.get("state").getAsString().equals("deciding")
                 && state.get("policy").getAsLong() == policyNumber;
     }
 
-    /** The voter that leads, as it says itself, among those that are up; -1: none, as long as one waits. */
+    /** The index of the running voter that reports itself as leader; -1 if none does within the time limit. */
     public int leader() throws InterruptedException {
         long deadline = System.nanoTime() + ELECTION_TIMEOUT.toNanos();
         int leader = findLeader();
@@ -528,14 +532,14 @@
                     return i;
                 }
             } catch (IOException e) {
-                // Stopped, or not listening yet.
+                // The process is suspended, or not listening yet.
                 continue;
             }
         }
         return -1;
     }
 
-    /** Proposes a change at this scheduler; null where it is not known to be taken. */
+    /** Proposes a change at this scheduler; null where it is not known to be accepted. */
     public JsonObject propose(int i, String name, String types) throws IOException, InterruptedException {
         HttpResponse<String> response =
                 request(i, "/policy/changes", "{\"name\":\"" + name + "\",\"types\":" + types + "}");
@@ -550,14 +554,14 @@
     }
 
     /**
-     * Proposes a change until it is known to be taken. While no leader is known, as behind a fault, a
-     * proposal is turned away; the same name is the same change, so asking again does no harm.
+     * Proposes a change until it is known to be accepted. While no leader is known, as during a fault, a
+     * proposal is rejected. Repeating it is safe, since the same name denotes the same change.
      */
     public void proposeUntilAccepted(int i, String name, String types) throws IOException, InterruptedException {
-        await(name + " is taken", () -> propose(i, name, types) != null);
+        await(name + " is accepted", () -> propose(i, name, types) != null);
     }
 
-    /** What a majority holds of a change, as this scheduler or whom it points to says; null: not known. */
+    /** The state of a change that a majority stores, from this scheduler or the one it redirects to; or null. */
     public JsonObject change(int i, String name) throws IOException, InterruptedException {
         HttpResponse<String> response = request(i, "/policy/changes/" + name, null);
         return response.statusCode() == 200
@@ -565,7 +569,7 @@
                 : null;
     }
 
-    /** Waits until it holds; fails with what the processes have said. */
+    /** Waits until the condition holds; fails with the history and the logs of all schedulers. */
     public void await(String description, Await.Condition condition) throws IOException, InterruptedException {
         Await.until(description, condition, () -> {
             StringBuilder text = new StringBuilder(history());
@@ -576,14 +580,14 @@
         });
     }
 
-    /** Waits until all of these decide by that policy. */
+    /** Waits until all these schedulers are deciding by the policy of this number. */
     public void awaitDeciding(long policyNumber, int... schedulers) throws IOException, InterruptedException {
         for (int i : schedulers) {
             await(name(i) + " decides by " + policyNumber, () -> isDecidingBy(i, policyNumber));
         }
     }
 
-    /** Stand-in nodes at these ports, until the rig is closed or so many seconds have passed. */
+    /** Starts stand-in nodes on three ports; they run until the rig is closed or the seconds have passed. */
     public void startNodes(int[] ports, int seconds) throws IOException {
         start(
                 "nodes",
@@ -596,7 +600,7 @@
                 String.valueOf(seconds));
     }
 
-    /** Stand-in nodes that tell their load: so many slots each, jobs of so many milliseconds in the mean. */
+    /** Starts stand-in nodes that report their load; {@code runMs} is the mean duration of their jobs. */
     public void startNodes(int[] ports, int slots, int runMs, int seconds) throws IOException {
         StringBuilder portList = new StringBuilder();
         for (int port : ports) {
@@ -614,7 +618,7 @@
                 "load");
     }
 
-    /** The operators' file's tables of these. */
+    /** The endpoint tables of the operators' file for nodes on these ports. */
     public static String endpointTables(int[] ports) {
         StringBuilder tables = new StringBuilder();
         for (int i = 0; i < ports.length; i++) {
@@ -627,7 +631,7 @@
         return tables.toString();
     }
 
-    /** Milliseconds of processor time a second that each needs over such a span. */
+    /** Measures over a span the CPU time of each scheduler, in milliseconds per second. */
     public double[] cpuMillisPerSecond(long spanMs) throws IOException, InterruptedException {
         double[] millisPerSecond = new double[processes.length];
         for (int i = 0; i < millisPerSecond.length; i++) {
@@ -648,12 +652,12 @@
         return Long.parseLong(fields[11]) + Long.parseLong(fields[12]);
     }
 
-    /** The numbers of all schedulers but these. */
+    /** The indexes of all schedulers except these. */
     public int[] allExcept(Set<Integer> excluded) {
         return Arrays.stream(all()).filter(i -> !excluded.contains(i)).toArray();
     }
 
-    /** The numbers of all schedulers. */
+    /** The indexes of all schedulers. */
     public int[] all() {
         int[] all = new int[processes.length];
         Arrays.setAll(all, i -> i);
@@ -662,6 +666,7 @@
 
     // ---- history ----
 
+    /** Appends an event with its time on the monotonic clock to the history file. */
     public void recordEvent(String event) throws IOException {
         Files.writeString(
                 folder.resolve("history"),
@@ -675,7 +680,7 @@
         return Files.exists(file) ? Files.readString(file) : "";
     }
 
-    /** All that this one has logged, in all its lives. */
+    /** The log of this scheduler, over all its starts. */
     public String log(int i) throws IOException {
         Path file = folder.resolve(name(i) + ".log");
         return Files.exists(file) ? Files.readString(file) : "";
--- a/src/main/java/laneflow/lab/standin/GearmanConnection.java
+++ b/src/main/java/laneflow/lab/standin/GearmanConnection.java
@@ -11,8 +11,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One end of a Gearman connection, for stand-ins: blocking, and independent of the front's own codec, so
- * that a mistake there is not made here too. Binary packets as on gearman.org/protocol.
+ * A blocking Gearman connection for stand-ins, with the binary packets of gearman.org/protocol. It does not
+ * share code with the front's codec, so that a mistake there is not repeated here.
  */
 public final class GearmanConnection implements AutoCloseable {
     static final int CAN_DO = 1;
@@ -35,7 +35,7 @@
     private final DataInputStream in;
     private final DataOutputStream out;
 
-    /** A packet as it came: its arguments, the last of them whole. */
+    /** A received packet: its type and its arguments, which NUL bytes separate. */
     public record Packet(int type, String[] args) {}
 
     public GearmanConnection(int port, int timeoutMs) throws IOException {
@@ -47,7 +47,7 @@
         out = new DataOutputStream(new BufferedOutputStream(socket.getOutputStream(), 1 << 16));
     }
 
-    /** Puts a packet into the buffer. */
+    /** Writes a packet to the buffer without flushing it. */
     public void writePacket(int type, String... args) throws IOException {
         byte[] data = String.join("\0", args).getBytes(StandardCharsets.UTF_8);
         out.writeInt(REQUEST_MAGIC);
@@ -70,7 +70,7 @@
         int type = in.readInt();
         int length = in.readInt();
         if (length < 0 || length > MAX_PACKET_BYTES) {
-            throw new IOException("a packet of " + length + " bytes");
+            throw new IOException("invalid packet length: " + length + " bytes");
         }
         return new Packet(type, new String(in.readNBytes(length), StandardCharsets.UTF_8).split("\0", -1));
     }
--- a/src/main/java/laneflow/lab/standin/HttpText.java
+++ b/src/main/java/laneflow/lab/standin/HttpText.java
@@ -4,13 +4,13 @@
 import java.io.InputStream;
 
 /**
- * As much of HTTP/1.1 as stand-ins read and write: blocking, a byte at a time, and independent of the
- * product's own parser, so that a mistake there is not made here too.
+ * The part of HTTP/1.1 that stand-ins use, read blocking and byte by byte. It does not share code with the
+ * product's parser, so that a mistake there is not repeated here.
  */
 public final class HttpText {
     private HttpText() {}
 
-    /** A whole head with its empty line; null where the connection ends before. */
+    /** Reads a head including its empty line; null if the connection ends before that. */
     public static String readHead(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         for (int next = in.read(); next >= 0; next = in.read()) {
@@ -22,14 +22,14 @@
         return null;
     }
 
-    /** A field of a head, by its name as it was sent. */
+    /** The value of a header field; the name is case-sensitive. */
     public static String field(String head, String name, String defaultValue) {
         int fieldStart = head.indexOf("\r\n" + name + ": ");
         int valueStart = fieldStart + name.length() + 4;
         return fieldStart < 0 ? defaultValue : head.substring(valueStart, head.indexOf('\r', valueStart));
     }
 
-    /** A chunk of a body, with its length before it; ASCII. */
+    /** Encodes ASCII text as one chunk of a chunked body. */
     public static String chunk(String line) {
         return Integer.toHexString(line.length()) + "\r\n" + line + "\r\n";
     }
--- a/src/main/java/laneflow/lab/standin/RunLog.java
+++ b/src/main/java/laneflow/lab/standin/RunLog.java
@@ -11,13 +11,13 @@
 import java.util.List;
 
 /**
- * A stand-in's own book of what it ran, line by line in one write each: a kill can't take back what is
- * written. What the scheduler says of a job is held against it.
+ * A stand-in's log of the jobs that it ran. Each line is one write to the file, so it survives a kill of the
+ * process. Tests compare the states that the scheduler reports with this log.
  */
 public final class RunLog {
     private final FileChannel channel;
 
-    /** One line: when, what happened, to which job. Unix time in milliseconds. */
+    /** A line of the log: Unix time in milliseconds, the event, and the name of the job. */
     public record Entry(long ms, String event, String job) {}
 
     RunLog(Path path) throws IOException {
--- a/src/main/java/laneflow/lab/standin/StandInControl.java
+++ b/src/main/java/laneflow/lab/standin/StandInControl.java
@@ -13,24 +13,23 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A stand-in control service: it holds the streams of all schedulers, sends each the same lines, and writes
- * down what each answered to which nonce and when. It has no opinion of its own: the measurement knows what
- * is right.
+ * A stand-in control service. It holds the streams of all schedulers, sends the same responses to each, and
+ * records which scheduler answered which nonce and when. It does not check the answers: the measurement does.
  */
 public final class StandInControl implements AutoCloseable {
     private final ServerSocket server;
     private final Map<String, Socket> streams = new ConcurrentHashMap<>();
-    /** By scheduler and nonce. */
+    /** The first reply for each "SCHEDULER NONCE". */
     private final Map<String, Reply> replies = new ConcurrentHashMap<>();
-    /** By type: what one that comes later is sent. */
+    /** By type URL: the responses that are sent on a new stream. */
     private final Map<String, String> initialResponses = new ConcurrentHashMap<>();
-    /** Counts that schedulers told, by their names. */
+    /** The latest counters reported by each scheduler, by the scheduler's name. */
     private final Map<String, JsonObject> counters = new ConcurrentHashMap<>();
 
-    /** When a scheduler told that it took a version back. */
+    /** The time of the latest message of each scheduler that it rolled a version back, by its name. */
     public final Map<String, Long> rolledBackNanos = new ConcurrentHashMap<>();
 
-    /** What a scheduler said to a response; the error is null for an ACK. */
+    /** A scheduler's answer to a response; the error is null for an ACK. */
     public record Reply(String version, String error, long nanos) {}
 
     public StandInControl() throws IOException {
@@ -63,7 +62,7 @@
             socket.setTcpNoDelay(true);
             InputStream in = new BufferedInputStream(socket.getInputStream());
             while (!readLine(in).isEmpty()) {
-                // The head holds nothing that is wanted here.
+                // Skips the request head.
                 continue;
             }
             socket.getOutputStream()
@@ -111,7 +110,7 @@
         StringBuilder line = new StringBuilder();
         for (int next = in.read(); next != '\n'; next = in.read()) {
             if (next < 0) {
-                throw new IOException("ended");
+                throw new IOException("the stream ended within a line");
             }
             if (next != '\r') {
                 line.append((char) next);
@@ -130,7 +129,7 @@
         }
     }
 
-    /** The counts that a scheduler told last, or null. */
+    /** The counters that a scheduler reported last, or null. */
     JsonObject counters(String scheduler) {
         return counters.get(scheduler);
     }
@@ -143,12 +142,12 @@
         return streams.containsKey(scheduler);
     }
 
-    /** Its process has been killed: the next stream under that name is a new one. */
+    /** Drops the stream of a scheduler whose process was killed, so that its next stream counts as new. */
     public void dropStream(String scheduler) {
         streams.remove(scheduler);
     }
 
-    /** Sends a line to all; one that comes later is sent the newest that was to be kept. */
+    /** Sends a response on all streams; with {@code sendToNewStreams} also on streams that are opened later. */
     public void publish(String text, boolean sendToNewStreams) {
         if (sendToNewStreams) {
             initialResponses.put(
@@ -167,13 +166,13 @@
         });
     }
 
-    /** What one that comes later is sent, without a word to those that are here. */
+    /** Sets the response of its type for streams that are opened later, without sending it on the open ones. */
     public void setInitialResponse(String text) {
         initialResponses.put(
                 JsonParser.parseString(text).getAsJsonObject().get("type_url").getAsString(), text);
     }
 
-    /** What that scheduler answered, or null as long as it has not. */
+    /** The scheduler's reply to this nonce, or null if there is none yet. */
     public Reply reply(String scheduler, String nonce) {
         return replies.get(scheduler + " " + nonce);
     }
--- a/src/main/java/laneflow/lab/standin/StandInDiscovery.java
+++ b/src/main/java/laneflow/lab/standin/StandInDiscovery.java
@@ -11,8 +11,9 @@
 import java.util.List;
 
 /**
- * A stand-in for discovery: each watch is told the whole list, then each later one as it comes, and an empty
- * line a second between them. It can be taken down for a while: watches break off, and none can be begun.
+ * A stand-in discovery service. Each watch receives the complete list, then every later list, and an empty line
+ * as a heartbeat after each second without one. The service can be stopped for a while: open watches are closed
+ * and new ones are not accepted.
  */
 public final class StandInDiscovery implements AutoCloseable {
     private static final long HEARTBEAT_MS = 1000;
@@ -23,7 +24,7 @@
     private String list = "";
     private int sequence;
 
-    /** Nothing is told before the first list. */
+    /** Sends no list before the first call of {@link #publish}. */
     public StandInDiscovery(int port) throws IOException {
         this.port = port;
         startListening();
@@ -33,7 +34,7 @@
         return "127.0.0.1:" + port;
     }
 
-    /** Takes watches, again. */
+    /** Accepts watches, also after {@link #stopListening}. */
     public synchronized void startListening() throws IOException {
         server = new ServerSocket();
         server.setReuseAddress(true);
@@ -42,7 +43,7 @@
         startThread(() -> accept(listener));
     }
 
-    /** Breaks all watches off, and takes none. */
+    /** Closes all watches and accepts no new ones. */
     public synchronized void stopListening() throws IOException {
         server.close();
         for (Socket watch : watches) {
@@ -51,7 +52,7 @@
         watches.clear();
     }
 
-    /** From now on all that listen hear of these hosts and no other: a JSON object each. */
+    /** Sends a new complete list to all watches; each host is a JSON object. */
     public synchronized void publish(List<String> hosts) {
         list = "{\"seq\":" + ++sequence + ",\"whole\":true,\"hosts\":[" + String.join(",", hosts) + "]}\n";
         notifyAll();
@@ -106,7 +107,7 @@
                         .getBytes(StandardCharsets.US_ASCII));
             }
         } catch (IOException e) {
-            // Whoever watched has gone, or this is down: it comes again.
+            // The client closed the watch, or the service is stopped; the client reconnects.
             return;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/laneflow/lab/standin/StandInNodes.java
+++ b/src/main/java/laneflow/lab/standin/StandInNodes.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * Stand-in till nodes, several in one process, each with slots and a queue served in order. They speak the
- * platform's protocol: 200 with a line when a job starts and one when it is done. A queue beyond its bound is
- * answered 503 with Srv-Declined. Each run is written to the ledger as a worker's is.
+ * Stand-in till nodes, several in one process, each with slots and a FIFO queue. They use the platform's
+ * protocol: 200 with a line when a job starts and another when it is done; 503 with Srv-Declined when the
+ * queue is full. Each run is written to a run log, in the format of {@link StandInWorker}.
  */
 public final class StandInNodes {
     private static final int MAX_QUEUED = 16;
@@ -34,7 +34,7 @@
         this.reportsLoad = reportsLoad;
     }
 
-    /** PORT,... LEDGER SEED SLOTS RUN_MS SECONDS [load: each answer tells of it]. */
+    /** Arguments: PORT,... RUN_LOG SEED SLOTS RUN_MS SECONDS [load: each answer reports the load]. */
     public static void main(String[] args) throws IOException, InterruptedException {
         RunLog runLog = args[1].isEmpty() ? null : new RunLog(Path.of(args[1]));
         StandInNodes nodes = new StandInNodes(
@@ -75,12 +75,12 @@
                 int length = Integer.parseInt(HttpText.field(head, "Content-Length", "0"));
                 byte[] bytes = in.readNBytes(length);
                 if (bytes.length < length) {
-                    // Its sender died before the last byte: that is no request.
+                    // The sender closed the connection within the body: the request is incomplete.
                     return;
                 }
                 String body = new String(bytes, StandardCharsets.UTF_8);
                 if (body.startsWith("hang")) {
-                    // Accepted, and no word ever: the scheduler's deadline is all that ends it.
+                    // The job is accepted but never answered: only the scheduler's deadline can end it.
                     Thread.sleep(HANG_MS);
                     return;
                 }
@@ -113,7 +113,7 @@
                 }
             }
         } catch (IOException | InterruptedException e) {
-            // The scheduler has closed or died: whatever it had sent has run or not, as the ledger says.
+            // The scheduler closed the connection or died; the run log tells which jobs ran.
             return;
         }
     }
--- a/src/main/java/laneflow/lab/standin/StandInPool.java
+++ b/src/main/java/laneflow/lab/standin/StandInPool.java
@@ -18,23 +18,25 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Stand-in endpoints with slots and a bounded queue in order, which know nothing of gossip. A job's body says
- * how long it takes, {@code NAME MICROSECONDS}. Each writes down, on the machine's one monotonic clock, what
- * it was sent and how many slots were free from when on; that is all that the measurement reads. One can
- * drain, die with all it has in hand, and come back cold at its old address; a second door of an endpoint
- * tells whoever comes there a load that is a lie.
+ * Stand-in endpoints with slots and a bounded FIFO queue, independent of gossip. A job's body is
+ * {@code NAME MICROSECONDS}, the second being its duration. Each endpoint records on the machine's monotonic
+ * clock when jobs arrived and how many slots were free since when; the measurement reads only these records.
+ * An endpoint can drain, crash with all its jobs, and restart cold at the same address. On an additional port
+ * it can report a false load.
  */
 public final class StandInPool implements AutoCloseable {
     private static final double NANOS_PER_SECOND = 1e9;
-    /** No call goes out later than 500 ms after a list has told of a drain; both are under way a while. */
+    /** Schedulers send no job later than 500 ms after a list announced a drain; the rest covers transmission. */
     private static final long DRAIN_GRACE_NS = 1_000_000_000L;
 
     /**
-     * What endpoints of one sort are like.
+     * The capacity of the endpoints.
      *
-     * @param queue jobs that may wait; a further one is declined
-     * @param coldShare of its speed's budget right after a start, up to all after {@code coldSeconds}
-     * @param fallMultiple times what it can do that it may be sent in {@code fallSeconds} before it falls
+     * @param maxQueued the number of jobs that may wait; further ones are declined
+     * @param coldShare the share of the full capacity right after a restart; it grows linearly to all of it
+     *     within {@code coldSeconds}
+     * @param overloadFactor a cold endpoint counts as overloaded when, within {@code overloadSeconds}, it is
+     *     sent more than this multiple of its capacity at that time
      */
     public record Profile(
             int slots,
@@ -44,7 +46,7 @@
             double overloadFactor,
             double overloadSeconds) {}
 
-    /** One endpoint. */
+    /** An endpoint; the zone and the rack are indexes. */
     public final class Endpoint {
         public final String name;
         public final int zone;
@@ -76,7 +78,7 @@
             return port;
         }
 
-        /** Whoever dials that port is told so many free slots and waiting jobs, whatever there are. */
+        /** Listens on an additional port and reports this load there, whatever the real one is. */
         public void listenWithFalseLoad(int listenPort, int freeSlots, int queued) throws IOException {
             listen(listenPort, "\"x0\":" + freeSlots + ",\"q\":" + queued);
         }
@@ -95,7 +97,7 @@
             freeSlotsSince.put(System.nanoTime(), profile.slots);
         }
 
-        /** Dies with all it has in hand: nobody hears any more of it. */
+        /** Stops abruptly: closes all connections and drops all running and waiting jobs. */
         public synchronized void crash() throws IOException {
             running = false;
             incarnation++;
@@ -115,7 +117,7 @@
             sockets.clear();
         }
 
-        /** Comes back at its old address, cold. */
+        /** Starts again at the same address, cold. */
         public synchronized void restart() throws IOException {
             startedMs = System.currentTimeMillis();
             startedNanos = System.nanoTime();
@@ -124,17 +126,17 @@
             start();
         }
 
-        /** From now on lists say that it drains. */
+        /** Marks the endpoint as draining in discovery lists. */
         public synchronized void startDraining() {
             drainNanos = System.nanoTime();
         }
 
-        /** From now on lists have it as ready again. */
+        /** Marks the endpoint as ready again in discovery lists. */
         public synchronized void stopDraining() {
             drainNanos = Long.MAX_VALUE;
         }
 
-        /** As discovery tells of it. */
+        /** The entry for this endpoint in a discovery list. */
         public synchronized String discoveryEntry() {
             return "{\"host\":\"" + name + "\",\"dial\":\"127.0.0.1:" + port + "\",\"site\":\"" + zones.get(zone)
                     + "\",\"block\":" + rack + ",\"health\":\""
@@ -142,22 +144,22 @@
                     + "\"born_ms\":" + startedMs + "}";
         }
 
-        /** Slots that were free at that instant. */
+        /** The number of slots that were free at that time; 0 while it drains or is cold. */
         public synchronized int freeAt(long nanos) {
             Map.Entry<Long, Integer> latest = freeSlotsSince.floorEntry(nanos);
             boolean drained = nanos >= drainNanos;
-            // One that is warming up has a budget besides slots: what is free there is not free for all.
+            // While it warms up, a budget limits it besides its slots, so free slots need not be usable.
             boolean cold = startedMs > 0 && nanos - startedNanos < profile.coldSeconds * NANOS_PER_SECOND;
             return latest == null || drained || cold ? 0 : latest.getValue();
         }
 
-        /** Jobs that were sent to it between those instants. */
+        /** The number of jobs that arrived between two times, the second excluded. */
         public synchronized int receivedBetween(long from, long to) {
             return (int)
                     receivedNanos.stream().filter(ns -> ns >= from && ns < to).count();
         }
 
-        /** Null where it is declined. */
+        /** Admits a job to a slot or to the queue; null if the queue is full. */
         private synchronized Admission admit(long costMicros) {
             long now = System.nanoTime();
             receivedNanos.add(now);
@@ -177,7 +179,7 @@
             return admission;
         }
 
-        /** It falls where in any span more work was sent than a multiple of what it can do by then. */
+        /** Counts the cold endpoint as overloaded if it was sent too much in the last span; see {@link Profile}. */
         private void checkColdBudget(long now, long costMicros) {
             if (startedMs == 0 || now - startedNanos > profile.coldSeconds * NANOS_PER_SECOND) {
                 return;
@@ -244,7 +246,7 @@
                     run(socket, in, id, Long.parseLong(job[1]), falseLoad);
                 }
             } catch (IOException | InterruptedException e) {
-                // The scheduler has closed, or this endpoint is dead.
+                // The scheduler closed the connection, or this endpoint has crashed.
                 return;
             } finally {
                 synchronized (this) {
@@ -264,7 +266,7 @@
                                 + "\r\nContent-Length: 0\r\n\r\n");
                 return;
             }
-            // Taken in: the head says so at once, whatever the job waits for.
+            // The head is sent at once to acknowledge the job, even if the job has to wait for a slot.
             boolean headSent = tryWrite(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             admission.turn.await();
             try {
@@ -273,7 +275,7 @@
                 }
                 write(socket, HttpText.chunk("{\"id\":\"" + id + "\",\"state\":\"started\"}\n"));
                 Thread.sleep(micros / 1000, (int) (micros % 1000) * 1000);
-                // The report is made before the slot is free: it counts the job that has ended.
+                // The load is reported before the slot is released, so it still counts the finished job.
                 write(
                         socket,
                         HttpText.chunk("{\"id\":\"" + id
@@ -285,7 +287,7 @@
             }
         }
 
-        /** False where nobody is there any more; its place in the queue comes up all the same. */
+        /** Writes the text; false if the connection is closed. The job keeps its place in the queue either way. */
         private static boolean tryWrite(Socket socket, String text) {
             try {
                 write(socket, text);
@@ -295,7 +297,7 @@
             }
         }
 
-        /** A job whose caller has closed meanwhile is not begun. */
+        /** True if the caller has closed the connection meanwhile; the job is not started then. */
         private static boolean isClosed(Socket socket, InputStream in) throws IOException {
             socket.setSoTimeout(1);
             try {
@@ -308,7 +310,7 @@
         }
     }
 
-    /** A job's place at an endpoint, in that life of it. */
+    /** A job admitted by an endpoint: the endpoint's incarnation, and a latch that opens when the job may run. */
     private record Admission(int incarnation, CountDownLatch turn) {}
 
     public final List<Endpoint> endpoints = new ArrayList<>();
@@ -317,7 +319,7 @@
     private final AtomicInteger sentToDrained = new AtomicInteger();
     private final AtomicInteger overloadCount = new AtomicInteger();
 
-    /** @param ports of the endpoints; their zones and, within a zone, their racks go by turns */
+    /** @param ports the ports of the endpoints, which are assigned to the zones and their racks in turn */
     public StandInPool(List<Integer> ports, List<String> zones, int racks, Profile profile) throws IOException {
         this.zones = List.copyOf(zones);
         this.profile = profile;
@@ -328,22 +330,22 @@
         }
     }
 
-    /** All of them as discovery tells of them. */
+    /** The entries of all endpoints for a discovery list. */
     public List<String> discoveryEntries() {
         return endpoints.stream().map(Endpoint::discoveryEntry).toList();
     }
 
-    /** Jobs that came to endpoints that drain, beyond the grace. */
+    /** The number of jobs that arrived at draining endpoints after the grace period. */
     public int sentToDrained() {
         return sentToDrained.get();
     }
 
-    /** Cold endpoints that were sent more than they can bear. */
+    /** The number of times that a cold endpoint was overloaded, at most one for each restart. */
     public int coldOverloads() {
         return overloadCount.get();
     }
 
-    /** Of all jobs since that instant, behind how many each had to wait, in no order. */
+    /** The queue position of each job since that time, 0 for one that found a free slot; in no order. */
     public List<Long> queuePositions(long sinceNs) {
         List<Long> positions = new ArrayList<>();
         for (Endpoint endpoint : endpoints) {
--- a/src/main/java/laneflow/lab/standin/StandInRacks.java
+++ b/src/main/java/laneflow/lab/standin/StandInRacks.java
@@ -14,18 +14,19 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * Stand-in endpoints that stand in racks. They know nothing of windows: each writes down every call with its
- * beginning and its end on the machine's one clock, and whoever checks holds that against what crews did.
+ * Stand-in endpoints in racks. They have no information on maintenance windows: they record the start and the
+ * end of every call on the machine's monotonic clock, and the checks compare the calls with the times at which
+ * maintenance crews worked.
  */
 public final class StandInRacks implements AutoCloseable {
     private static final int STACK_BYTES = 256 * 1024;
 
-    /** A call at an endpoint; while it goes on its end is the largest number. */
+    /** A call at an endpoint. Until it ends, its end time is {@link Long#MAX_VALUE}. */
     public static final class Call {
         public final String endpoint;
-        /** Whose it is, as the request says. */
+        /** The tenant, from the Req-Owner header. */
         public final String owner;
-        /** What its client called it, by which a second run is known. */
+        /** The name that the client gave the job; identifies repeated runs of it. */
         public final String job;
 
         public final long beganNs = System.nanoTime();
@@ -50,9 +51,9 @@
     private final boolean recordsCalls;
 
     /**
-     * @param ports of the loopback interface, by the endpoint's name
+     * @param ports the ports on the loopback interface by the endpoint's name
      * @param runMs how long each job takes
-     * @param keeps false where nobody is going to read the calls
+     * @param recordsCalls false where {@link #calls} is not used, which saves the memory
      */
     public StandInRacks(Map<String, Integer> ports, int runMs, boolean recordsCalls) throws IOException {
         this.runMs = runMs;
@@ -63,7 +64,7 @@
         }
     }
 
-    /** It is there, or there again under its old address. */
+    /** Starts an endpoint, or restarts it at the same address. */
     public void startEndpoint(String name) throws IOException {
         ServerSocket server = new ServerSocket();
         server.setReuseAddress(true);
@@ -72,7 +73,7 @@
         startThread(() -> accept(name, server));
     }
 
-    /** It is gone without a word: its connections break, and none comes up any more. */
+    /** Stops an endpoint abruptly: closes its connections and accepts no further ones. */
     public void stopEndpoint(String name) throws IOException {
         servers.get(name).close();
         for (Map.Entry<Socket, String> connection : sockets.entrySet()) {
@@ -82,7 +83,7 @@
         }
     }
 
-    /** All calls so far, those that go on included. */
+    /** All calls so far, including those in progress. */
     public List<Call> calls() {
         return List.copyOf(calls);
     }
@@ -120,7 +121,7 @@
                 Thread.sleep(runMs);
                 String response = "{\"id\":\"" + HttpText.field(head, "Req-Id", "") + "\",\"state\":\"done\","
                         + "\"result\":\"" + name + "\"}\n";
-                // Over before its caller can know.
+                // Set before the answer is sent, so that the caller never sees the call as in progress.
                 call.endedNs = System.nanoTime();
                 socket.getOutputStream()
                         .write(("HTTP/1.1 200 OK\r\nContent-Length: " + response.length() + "\r\n\r\n" + response)
--- a/src/main/java/laneflow/lab/standin/StandInReceiver.java
+++ b/src/main/java/laneflow/lab/standin/StandInReceiver.java
@@ -16,20 +16,20 @@
 import java.util.concurrent.Executors;
 
 /**
- * Where fleet-wide calls have their effect, as somebody else's service that knows nothing of leases: each
- * call is at work for a while, and is written down with its beginning and its end on this machine's monotonic
- * clock. Calls to a path that begins with {@code /checked} are turned down (409) where their token is lower
- * than the highest that such a call has shown, as a store does that checks it. Calls to {@code /hang} are
- * never answered: they end when their caller closes the connection.
+ * A stand-in for the external service that receives the calls of fleet tasks and has no information on leases.
+ * Each call takes a fixed time and is recorded with its start and end on this machine's monotonic clock. Calls
+ * to a path that begins with {@code /checked} are rejected with 409 if their token is lower than the highest
+ * token seen for the task, as a store with fencing tokens does. Calls to {@code /hang} are never answered:
+ * they end when the caller closes the connection.
  */
 public final class StandInReceiver implements AutoCloseable {
     private static final int MAX_HEAD_BYTES = 4096;
 
     /**
-     * A call.
+     * A call whose work is over.
      *
-     * @param accepted false where its token was too low
-     * @param cutOff true where its caller had closed the connection before its work was over
+     * @param accepted false if it was rejected because its token was too low
+     * @param closedByCaller true if the caller closed the connection before the work was over
      */
     public record Call(
             String task,
@@ -51,7 +51,7 @@
     private final List<Call> calls = new ArrayList<>();
     private final Map<String, Long> highestTokens = new HashMap<>();
 
-    /** @param workMs how long each call is at work */
+    /** @param workMs the duration of each call */
     public StandInReceiver(int port, int workMs) throws IOException {
         this.workMs = workMs;
         server = new ServerSocket(port, 512, InetAddress.getLoopbackAddress());
@@ -62,7 +62,7 @@
         return server.getLocalPort();
     }
 
-    /** All calls whose work is over, as of now. */
+    /** All calls so far whose work is over. */
     public List<Call> calls() {
         synchronized (calls) {
             return List.copyOf(calls);
@@ -119,7 +119,7 @@
                     .write(("HTTP/1.1 " + (accepted ? "204 Done" : "409 Stale") + "\r\nContent-Length: 0\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
         } catch (IOException e) {
-            // The caller has gone; what was done is written down already.
+            // The caller closed the connection; a finished call is recorded already.
             Thread.onSpinWait();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/laneflow/lab/standin/StandInTenants.java
+++ b/src/main/java/laneflow/lab/standin/StandInTenants.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Stand-in tenants: clients that ask one scheduler after the other, each with one request at a time, and
- * count what they heard. They know nothing of racks and windows.
+ * Stand-in tenants: clients that send requests to the schedulers in turn, one request at a time each, and
+ * count the outcomes. They have no information on racks and maintenance windows.
  */
 public final class StandInTenants implements AutoCloseable {
     private static final int STACK_BYTES = 256 * 1024;
@@ -33,9 +33,9 @@
     private volatile boolean closed;
 
     /**
-     * @param ports of schedulers
-     * @param pauseMs between an answer and the next request
-     * @param keeps false where nobody is going to read what was served
+     * @param ports the client ports of the schedulers
+     * @param pauseMs the pause between an answer and the next request
+     * @param recordsJobs false where {@link #completedJobs} is not used, which saves the memory
      */
     public StandInTenants(int[] ports, int pauseMs, boolean recordsJobs) {
         this.recordsJobs = recordsJobs;
@@ -43,7 +43,7 @@
         this.pauseMs = pauseMs;
     }
 
-    /** From now on that tenant has so many clients at work, for that class. */
+    /** Sets the number of clients of a tenant, which send jobs of this class. */
     public void setClients(String tenant, String jobClass, int clients) {
         int currentClients = clientsByTenant.getOrDefault(tenant, 0);
         clientsByTenant.put(tenant, clients);
@@ -71,7 +71,7 @@
             } catch (java.net.SocketTimeoutException e) {
                 timeouts.incrementAndGet();
             } catch (IOException e) {
-                // Its scheduler is killed, or ends.
+                // The scheduler was killed or has shut down.
                 brokenConnections.incrementAndGet();
                 pause();
             } catch (InterruptedException e) {
@@ -98,7 +98,7 @@
         while (head.indexOf("\r\n\r\n", Math.max(0, head.length() - 4)) < 0) {
             int next = in.read();
             if (next < 0) {
-                throw new IOException("ended after " + head);
+                throw new IOException("the connection ended within the head: " + head);
             }
             head.append((char) next);
         }
@@ -118,22 +118,22 @@
         }
     }
 
-    /** The jobs that were answered with success, where they are kept. */
+    /** The jobs that were answered with 200, if jobs are recorded. */
     public List<String> completedJobs() {
         return List.copyOf(completedJobs);
     }
 
-    /** Answered with anything but success. */
+    /** The number of requests answered with a status other than 200. */
     public int errorResponses() {
         return errorResponses.get();
     }
 
-    /** Connections that broke with no answer. */
+    /** The number of connections that failed or closed without an answer. */
     public int brokenConnections() {
         return brokenConnections.get();
     }
 
-    /** Requests to which nobody has said a word. */
+    /** The number of requests that were not answered in time. */
     public int timeouts() {
         return timeouts.get();
     }
--- a/src/main/java/laneflow/lab/standin/StandInWorker.java
+++ b/src/main/java/laneflow/lab/standin/StandInWorker.java
@@ -5,10 +5,10 @@
 import java.util.SplittableRandom;
 
 /**
- * A stand-in Gearman worker as a process of its own. A job's name is its body up to the first blank; each
- * run is written to the ledger before it begins and when it is done. Some runs stall beyond any lease. A
- * worker that loses its scheduler in the middle of a job goes on, connects anew and tells how it ended, as a
- * stock worker may.
+ * A stand-in Gearman worker in a process of its own. A job's name is its body up to the first blank; each
+ * run is written to the run log when it starts and when it is done. Some runs stall for longer than any lease.
+ * A worker that loses the connection during a job finishes the job, reconnects and sends the completion
+ * then, as stock workers may do.
  */
 public final class StandInWorker {
     private static final int TIMEOUT_MS = 60_000;
@@ -21,7 +21,7 @@
     private final double stallShare;
     private final int stallMs;
     private final String[] functions;
-    /** What is still to be told of a job that ended while there was nobody to hear it. */
+    /** The completion of a job that could not be sent because the connection was lost; null if none. */
     private String[] unsentCompletion;
 
     private StandInWorker(String[] args) throws IOException {
@@ -34,7 +34,7 @@
         functions = args[6].split(",");
     }
 
-    /** PORT LEDGER SEED RUN_MS STALL_SHARE STALL_MS FUNCTION,... SECONDS. */
+    /** Arguments: PORT RUN_LOG SEED RUN_MS STALL_SHARE STALL_MS FUNCTION,... SECONDS. */
     public static void main(String[] args) throws IOException, InterruptedException {
         StandInWorker worker = new StandInWorker(args);
         long endNanos = System.nanoTime() + Long.parseLong(args[7]) * 1_000_000_000L;
--- a/src/main/java/laneflow/lab/standin/StandInWorkerGroup.java
+++ b/src/main/java/laneflow/lab/standin/StandInWorkerGroup.java
@@ -16,10 +16,11 @@
 import laneflow.lab.standin.GearmanConnection.Packet;
 
 /**
- * Many stand-in Gearman workers on one thread, each with two functions of a set: they sleep, grab when they
- * are woken, run for a drawn time and complete; now and then one fails, or vanishes with its job and comes
- * back. Each run is written to the ledger before anything is answered. Now and then a part of them vanishes
- * at once. The codec is the stand-ins' own, over non-blocking channels.
+ * Runs many stand-in Gearman workers on one thread, each with two functions of a set. A worker sleeps, grabs
+ * jobs when a NOOP wakes it, runs each for a random time and completes it; a share of the jobs fails, and on
+ * another share the worker disconnects without an answer and reconnects later. Each run is written to the run
+ * log before the answer is sent. Optionally half of the workers disconnect at the same time. Packets are
+ * encoded here, for non-blocking channels, independently of the front's codec.
  */
 public final class StandInWorkerGroup {
     private static final int REQUEST_MAGIC = 0x00524551;
@@ -39,7 +40,7 @@
             new PriorityQueue<>((a, b) -> Long.compare(a.dueMs, b.dueMs));
     private long noops;
 
-    /** What a worker does at an instant. */
+    /** An action that is due at a time, in milliseconds of the monotonic clock. */
     private record TimedAction(long dueMs, Runnable action) {}
 
     private StandInWorkerGroup(
@@ -60,7 +61,7 @@
         this.disconnectShare = disconnectShare;
     }
 
-    /** PORT LEDGER SEED WORKERS FUNCTIONS RUN_MS FAILING VANISHING SECONDS AT_ONCE_MS. */
+    /** Arguments: PORT RUN_LOG SEED WORKERS FUNCTIONS RUN_MS FAILING VANISHING SECONDS AT_ONCE_MS. */
     public static void main(String[] args) throws IOException {
         StandInWorkerGroup group = new StandInWorkerGroup(
                 Integer.parseInt(args[0]),
@@ -86,7 +87,7 @@
         }
         long endMs = nowMs() + durationMs;
         if (massDisconnectMs > 0) {
-            // Half of them, with what they have.
+            // Half of the workers disconnect, together with the jobs that they hold.
             timedActions.add(new TimedAction(
                     nowMs() + massDisconnectMs,
                     () -> workerList.subList(0, workerCount / 2).forEach(Worker::disconnect)));
@@ -107,7 +108,7 @@
         }
     }
 
-    /** One worker. */
+    /** A worker with a connection of its own. */
     private final class Worker {
         private final int number;
         private SocketChannel channel;
@@ -143,7 +144,7 @@
         }
 
         private void disconnect() {
-            // What it still had to say is said by nobody: a second leaving would bring two back.
+            // Already disconnected: scheduling a second reconnect would open two connections.
             if (!connected) {
                 return;
             }
@@ -151,14 +152,14 @@
             connectionNumber++;
             try {
                 if (lastDone != null && nowMs() - lastDoneMs < POSSIBLY_UNREAD_MS) {
-                    // Closed with input unread the connection is reset, and its last word may go with it.
+                    // Closing a socket with unread input resets it, and the last completion may be lost.
                     runLog.write("cut", lastDone);
                 }
                 if (channel != null) {
                     channel.close();
                 }
             } catch (IOException e) {
-                // It is gone either way.
+                // The connection counts as closed all the same.
                 lastDone = null;
             }
             timedActions.add(new TimedAction(nowMs() + RECONNECT_MS + random.nextInt(RECONNECT_MS), this::connect));
