--- a/src/main/java/laneflow/lab/rig/Rig.java
+++ b/src/main/java/laneflow/lab/rig/Rig.java
@@ -106,7 +106,7 @@
         configs.set(i, text);
     }
 
-    /** Makes the files name only the first {@code count} as voters; other dialable ones may be added later. */
+    /** Makes the files name only the first {@code count} as voters; others with a relay may become voters later. */
     public void limitNamedVoters(int count) {
         namedVoters = count;
     }
--- a/src/main/java/laneflow/lab/standin/StandInPool.java
+++ b/src/main/java/laneflow/lab/standin/StandInPool.java
@@ -61,8 +61,10 @@
         private final List<ServerSocket> listeners = new ArrayList<>();
         private int busySlots;
         private int incarnation;
-        private long startedMs;
-        private long startedNanos;
+        /** Unix time of the last restart; 0 before the first one, as the initial start is warm. */
+        private long restartedMs;
+
+        private long restartedNanos;
         private long drainNanos = Long.MAX_VALUE;
         private boolean overloaded;
         private boolean running;
@@ -119,8 +121,8 @@
 
         /** Starts again at the same address, cold. */
         public synchronized void restart() throws IOException {
-            startedMs = System.currentTimeMillis();
-            startedNanos = System.nanoTime();
+            restartedMs = System.currentTimeMillis();
+            restartedNanos = System.nanoTime();
             overloaded = false;
             recentCosts.clear();
             start();
@@ -141,7 +143,7 @@
             return "{\"host\":\"" + name + "\",\"dial\":\"127.0.0.1:" + port + "\",\"site\":\"" + zones.get(zone)
                     + "\",\"block\":" + rack + ",\"health\":\""
                     + (drainNanos == Long.MAX_VALUE ? "Ready" : "Terminating") + "\",\"share\":1.0,"
-                    + "\"born_ms\":" + startedMs + "}";
+                    + "\"born_ms\":" + restartedMs + "}";
         }
 
         /** The number of slots that were free at that time; 0 while it drains or is cold. */
@@ -149,7 +151,7 @@
             Map.Entry<Long, Integer> latest = freeSlotsSince.floorEntry(nanos);
             boolean drained = nanos >= drainNanos;
             // While it warms up, a budget limits it besides its slots, so free slots need not be usable.
-            boolean cold = startedMs > 0 && nanos - startedNanos < profile.coldSeconds * NANOS_PER_SECOND;
+            boolean cold = restartedMs > 0 && nanos - restartedNanos < profile.coldSeconds * NANOS_PER_SECOND;
             return latest == null || drained || cold ? 0 : latest.getValue();
         }
 
@@ -181,7 +183,7 @@
 
         /** Counts the cold endpoint as overloaded if it was sent too much in the last span; see {@link Profile}. */
         private void checkColdBudget(long now, long costMicros) {
-            if (startedMs == 0 || now - startedNanos > profile.coldSeconds * NANOS_PER_SECOND) {
+            if (restartedMs == 0 || now - restartedNanos > profile.coldSeconds * NANOS_PER_SECOND) {
                 return;
             }
             recentCosts.add(new long[] {now, costMicros});
@@ -189,7 +191,7 @@
                 recentCosts.poll();
             }
             double sentSeconds = recentCosts.stream().mapToLong(one -> one[1]).sum() / 1e6;
-            double warmedShare = (now - startedNanos) / NANOS_PER_SECOND / profile.coldSeconds;
+            double warmedShare = (now - restartedNanos) / NANOS_PER_SECOND / profile.coldSeconds;
             double allowedSeconds = profile.overloadFactor
                     * (profile.coldShare + (1 - profile.coldShare) * warmedShare)
                     * profile.slots
