--- a/src/main/java/laneflow/lab/standin/StandInControl.java
+++ b/src/main/java/laneflow/lab/standin/StandInControl.java
@@ -26,7 +26,7 @@
     /** The latest counters reported by each scheduler, by the scheduler's name. */
     private final Map<String, JsonObject> counters = new ConcurrentHashMap<>();
 
-    /** The time of the latest message of each scheduler that it rolled a version back, by its name. */
+    /** When each scheduler last reported that it rolled a version back, by the name of the scheduler. */
     public final Map<String, Long> rolledBackNanos = new ConcurrentHashMap<>();
 
     /** A scheduler's answer to a response; the error is null for an ACK. */
--- a/src/main/java/laneflow/lab/standin/StandInTenants.java
+++ b/src/main/java/laneflow/lab/standin/StandInTenants.java
@@ -59,15 +59,15 @@
     }
 
     private void sendRequests(String tenant, String jobClass, int number, String prefix) {
-        for (int requestCount = 0; !closed && number < clientsByTenant.get(tenant); requestCount++) {
-            int port = ports[(number + requestCount / 16) % ports.length];
+        for (int jobNumber = 0; !closed && number < clientsByTenant.get(tenant); jobNumber++) {
+            int port = ports[(number + jobNumber / 16) % ports.length];
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 socket.setSoTimeout(ANSWER_TIMEOUT_MS);
                 InputStream in = new BufferedInputStream(socket.getInputStream());
                 do {
-                    sendRequests(socket, in, tenant, jobClass, prefix + requestCount++);
+                    sendRequest(socket, in, tenant, jobClass, prefix + jobNumber++);
                     Thread.sleep(pauseMs);
-                } while (!closed && number < clientsByTenant.get(tenant) && requestCount % 16 != 0);
+                } while (!closed && number < clientsByTenant.get(tenant) && jobNumber % 16 != 0);
             } catch (java.net.SocketTimeoutException e) {
                 timeouts.incrementAndGet();
             } catch (IOException e) {
@@ -80,7 +80,7 @@
         }
     }
 
-    private void sendRequests(Socket socket, InputStream in, String tenant, String jobClass, String job)
+    private void sendRequest(Socket socket, InputStream in, String tenant, String jobClass, String job)
             throws IOException {
         socket.getOutputStream()
                 .write(("POST /" + jobClass + " HTTP/1.1\r\nHost: t\r\nReq-Id: " + job + "\r\nReq-Owner: " + tenant
--- a/src/test/java/laneflow/transcripts/TaskTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/TaskTranscriptsTest.java
@@ -121,11 +121,11 @@
                 "A holder is killed; once its lease has ended another candidate gets the task with the next token.",
                 transcript -> {
                     try (TestFleet fleet = new TestFleet(transcript);
-                            ChildProcesses crew = new ChildProcesses(fleet.files)) {
-                        Process holder = crew.startScheduler(
+                            ChildProcesses processes = new ChildProcesses(fleet.files)) {
+                        Process holder = processes.startScheduler(
                                 "n2", HEAP_MB, fleet.candidateFile("n2", DAY_MS).toString());
                         fleet.answerCall("n2", DONE);
-                        Process next = crew.startScheduler(
+                        Process next = processes.startScheduler(
                                 "n3", HEAP_MB, fleet.candidateFile("n3", DAY_MS).toString());
                         fleet.showTasks("\"n3#");
                         transcript.note("n2 is killed");
