--- a/src/main/java/laneflow/lab/LocalFleet.java
+++ b/src/main/java/laneflow/lab/LocalFleet.java
@@ -11,8 +11,8 @@
 import java.util.TreeMap;
 import java.util.concurrent.Callable;
 import java.util.stream.Stream;
-import laneflow.lab.rig.Crew;
-import laneflow.lab.rig.Trash;
+import laneflow.lab.rig.ChildProcesses;
+import laneflow.lab.rig.FileTree;
 import laneflow.lab.standin.StandInRacks;
 import laneflow.lab.standin.StandInTenants;
 import picocli.CommandLine.Command;
@@ -62,17 +62,18 @@
     public Integer call() throws Exception {
         prepareFolder();
         for (int i = 0; i < SCHEDULERS; i++) {
-            clientPorts[i] = Crew.port();
-            fleetPorts[i] = Crew.port();
-            memberPorts[i] = Crew.port();
+            clientPorts[i] = ChildProcesses.freePort();
+            fleetPorts[i] = ChildProcesses.freePort();
+            memberPorts[i] = ChildProcesses.freePort();
         }
         for (int i = 0; i < RACKS * ENDPOINTS_PER_RACK; i++) {
-            endpointPorts.put(rackName(i / ENDPOINTS_PER_RACK) + "-" + (i % ENDPOINTS_PER_RACK + 1), Crew.port());
+            endpointPorts.put(
+                    rackName(i / ENDPOINTS_PER_RACK) + "-" + (i % ENDPOINTS_PER_RACK + 1), ChildProcesses.freePort());
         }
         Files.writeString(folder.resolve("members.key"), "the-key-of-this-fleet-1\n");
         writeWindowRequests();
         try (StandInRacks racks = new StandInRacks(endpointPorts, JOB_RUN_MS, false);
-                Crew crew = new Crew(folder);
+                ChildProcesses crew = new ChildProcesses(folder);
                 StandInTenants tenants = new StandInTenants(clientPorts, TENANT_PAUSE_MS, false)) {
             Process[] schedulers = new Process[SCHEDULERS];
             for (int i = 0; i < SCHEDULERS; i++) {
@@ -81,8 +82,8 @@
             for (int i = 0; i < SCHEDULERS; i++) {
                 crew.awaitPort(schedulers[i], schedulerName(i), clientPorts[i]);
             }
-            tenants.want("shops", "basket-check", 12);
-            tenants.want("web", "basket-check", 6);
+            tenants.setClients("shops", "basket-check", 12);
+            tenants.setClients("web", "basket-check", 6);
             printAddresses(schedulers);
             restartWhenEnded(crew, schedulers);
             return 0;
@@ -98,7 +99,7 @@
                 }
             }
         } else if (Files.isDirectory(folder)) {
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
         Files.createDirectories(folder);
         Files.writeString(folder.resolve(MARKER_FILE), "emptied at the next start\n");
@@ -113,10 +114,10 @@
         return (i < RACKS / 2 ? "a" : "b") + (i % (RACKS / 2) + 1);
     }
 
-    private void start(Crew crew, Process[] schedulers, int index) throws IOException {
+    private void start(ChildProcesses crew, Process[] schedulers, int index) throws IOException {
         Path configFile = folder.resolve(schedulerName(index) + ".toml");
         Files.writeString(configFile, configText(index));
-        schedulers[index] = crew.scheduler(schedulerName(index), HEAP_MB, configFile.toString());
+        schedulers[index] = crew.startScheduler(schedulerName(index), HEAP_MB, configFile.toString());
         Files.writeString(folder.resolve(schedulerName(index) + ".pid"), schedulers[index].pid() + "\n");
     }
 
@@ -190,7 +191,7 @@
         out.flush();
     }
 
-    private void restartWhenEnded(Crew crew, Process[] schedulers) throws IOException, InterruptedException {
+    private void restartWhenEnded(ChildProcesses crew, Process[] schedulers) throws IOException, InterruptedException {
         long endNanos = System.nanoTime() + seconds * 1_000_000_000L;
         long[] endedAtNanos = new long[SCHEDULERS];
         while (seconds == 0 || System.nanoTime() < endNanos) {
--- a/src/main/java/laneflow/lab/Quickstart.java
+++ b/src/main/java/laneflow/lab/Quickstart.java
@@ -12,12 +12,12 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import laneflow.lab.measure.LiveLoad;
-import laneflow.lab.rig.Crew;
-import laneflow.lab.rig.Trash;
-import laneflow.lab.standin.Ledger;
+import laneflow.lab.rig.ChildProcesses;
+import laneflow.lab.rig.FileTree;
+import laneflow.lab.standin.GearmanConnection;
+import laneflow.lab.standin.RunLog;
 import laneflow.lab.standin.StandInNodes;
 import laneflow.lab.standin.StandInWorker;
-import laneflow.lab.standin.Wire;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -41,16 +41,16 @@
     @Override
     public Integer call() throws Exception {
         Path folder = Files.createTempDirectory("laneflow-quickstart");
-        try (Crew crew = new Crew(folder)) {
+        try (ChildProcesses crew = new ChildProcesses(folder)) {
             return run(crew, folder);
         } finally {
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
     }
 
-    private int run(Crew crew, Path folder) throws IOException, InterruptedException {
-        int httpPort = Crew.port();
-        int gearmanPort = Crew.port();
+    private int run(ChildProcesses crew, Path folder) throws IOException, InterruptedException {
+        int httpPort = ChildProcesses.freePort();
+        int gearmanPort = ChildProcesses.freePort();
         // Replaces the addresses, which may be in use on this machine, and the store of durable jobs.
         String configText = Files.readString(config)
                 .replace("127.0.0.1:8081", "127.0.0.1:" + httpPort)
@@ -58,14 +58,14 @@
                 .replace("dir = \"durable-jobs\"", "dir = \"" + folder.resolve("store") + "\"");
         List<String> ledgerFiles = new ArrayList<>();
         for (int index = 1; index <= 3; index++) {
-            int port = Crew.port();
+            int port = ChildProcesses.freePort();
             configText = configText.replace("127.0.0.1:910" + index, "127.0.0.1:" + port);
             String ledgerFile = folder.resolve("till-" + index).toString();
             ledgerFiles.add(ledgerFile);
             crew.start("node-" + index, 64, StandInNodes.class, "" + port, ledgerFile, "" + index, "2", "30", "30");
         }
         Path configFile = Files.writeString(folder.resolve("laneflow.toml"), configText);
-        Process scheduler = crew.scheduler("scheduler", 128, configFile.toString());
+        Process scheduler = crew.startScheduler("scheduler", 128, configFile.toString());
         crew.awaitPort(scheduler, "scheduler", httpPort);
         ledgerFiles.add(folder.resolve("worker").toString());
         crew.start(
@@ -161,7 +161,7 @@
     }
 
     private static String submit(int port, String function, String name) {
-        try (Wire wire = new Wire(port, 10_000)) {
+        try (GearmanConnection wire = new GearmanConnection(port, 10_000)) {
             String result = submit(wire, function, name);
             for (int i = 0; i < RETRIES && result.equals("WORK_FAIL"); i++) {
                 Thread.sleep(RETRY_DELAY_MS);
@@ -175,13 +175,14 @@
         }
     }
 
-    private static String submit(Wire wire, String function, String name) throws IOException {
-        wire.send(Wire.SUBMIT_JOB, function, "", name);
-        for (Wire.Packet packet = wire.read(); ; packet = wire.read()) {
-            if (packet.type() == Wire.WORK_COMPLETE) {
+    private static String submit(GearmanConnection wire, String function, String name) throws IOException {
+        wire.send(GearmanConnection.SUBMIT_JOB, function, "", name);
+        for (GearmanConnection.Packet packet = wire.readPacket(); ; packet = wire.readPacket()) {
+            if (packet.type() == GearmanConnection.WORK_COMPLETE) {
                 return "WORK_COMPLETE " + packet.args()[1];
-            } else if (packet.type() != Wire.JOB_CREATED && packet.type() != Wire.WORK_STATUS) {
-                return packet.type() == Wire.WORK_FAIL ? "WORK_FAIL" : "packet " + packet.type();
+            } else if (packet.type() != GearmanConnection.JOB_CREATED
+                    && packet.type() != GearmanConnection.WORK_STATUS) {
+                return packet.type() == GearmanConnection.WORK_FAIL ? "WORK_FAIL" : "packet " + packet.type();
             }
         }
     }
@@ -190,7 +191,7 @@
             throws IOException {
         String ranAt = "";
         for (String ledgerFile : ledgerFiles) {
-            if (Ledger.read(Path.of(ledgerFile)).stream()
+            if (RunLog.read(Path.of(ledgerFile)).stream()
                     .anyMatch(line -> line.job().equals(name))) {
                 ranAt += " " + Path.of(ledgerFile).getFileName();
             }
--- a/src/main/java/laneflow/lab/measure/CapacityProcesses.java
+++ b/src/main/java/laneflow/lab/measure/CapacityProcesses.java
@@ -9,12 +9,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
+import laneflow.lab.rig.FileTree;
 import laneflow.lab.rig.Rig;
-import laneflow.lab.rig.Trash;
 import laneflow.lab.standin.StandInDiscovery;
 import laneflow.lab.standin.StandInPool;
-import laneflow.lab.standin.StandInPool.Node;
+import laneflow.lab.standin.StandInPool.Endpoint;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -28,7 +28,7 @@
     static final int ENDPOINTS = 27;
     private static final List<String> ZONES = List.of("a", "b", "c");
     private static final int RACKS = 3;
-    private static final StandInPool.Sort NODE_SPEC = new StandInPool.Sort(4, 4, 0.2, 5, 2, 2);
+    private static final StandInPool.Profile NODE_SPEC = new StandInPool.Profile(4, 4, 0.2, 5, 2, 2);
     private static final double MEAN_RUN_SECONDS = 1;
     private static final double TARGET_UTILIZATION = 0.7;
     private static final double WARMUP_SECONDS = 3;
@@ -79,14 +79,14 @@
         Path folder = Files.createTempDirectory("laneflow-capacity");
         List<Integer> ports = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
-            ports.add(Crew.port());
+            ports.add(ChildProcesses.freePort());
         }
-        try (StandInDiscovery discovery = new StandInDiscovery(Crew.port());
+        try (StandInDiscovery discovery = new StandInDiscovery(ChildProcesses.freePort());
                 StandInPool pool = new StandInPool(ports, ZONES, RACKS, NODE_SPEC);
                 Rig rig = new Rig(folder, SCHEDULERS, 1, seed, "")) {
             return new CapacityProcesses(seed, withNews, seconds, rig, pool, discovery).run();
         } finally {
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
     }
 
@@ -96,19 +96,19 @@
                 + discovery.address() + "\"\n[classes.check]\naim_ms = " + (int) (1000 * CapacityWorkload.AIM_SECONDS)
                 + "\nstretch = " + CapacityWorkload.STRETCH + "\ndeadline_ms = 8000\nrepeat = \"safe\"\n"
                 + "[rules]\ncold_share = " + NODE_SPEC.coldShare() + "\ncold_ms = "
-                + (int) (1000 * NODE_SPEC.coldSeconds()) + "\nfall_multiple = " + NODE_SPEC.fallMultiple()
-                + "\nfall_ms = " + (int) (1000 * NODE_SPEC.fallSeconds()) + "\n"
+                + (int) (1000 * NODE_SPEC.coldSeconds()) + "\nfall_multiple = " + NODE_SPEC.overloadFactor()
+                + "\nfall_ms = " + (int) (1000 * NODE_SPEC.overloadSeconds()) + "\n"
                 + (withNews ? "[capacity]\nround_ms = " + ROUND_MS + "\n" : "");
     }
 
     private Result run() throws IOException, InterruptedException {
         for (int i = 0; i < SCHEDULERS; i++) {
-            rig.file(i, schedulerConfig(i));
+            rig.setConfig(i, schedulerConfig(i));
             // A scheduler's part of a cold budget depends on the number of schedulers; only the platform states it.
-            rig.platform(i, "{\"settings\":{\"slotNo\":" + i + ",\"siblings\":" + SCHEDULERS + "}}");
+            rig.setPlatformFile(i, "{\"settings\":{\"slotNo\":" + i + ",\"siblings\":" + SCHEDULERS + "}}");
         }
-        rig.members(seed, PERIOD_MS, 0, 1);
-        discovery.tell(pool.listed());
+        rig.enableGossip(seed, PERIOD_MS, 0, 1);
+        discovery.publish(pool.discoveryEntries());
         rig.startAll();
         rig.awaitSettled(SCHEDULERS, rig.all());
         for (int i : rig.all()) {
@@ -152,13 +152,13 @@
     private void evaluate() {
         for (CapacityWorkload.Refusal refusal : result.outcome.refusals) {
             // With three zones on a ring, every zone is in reach.
-            boolean slotFree = pool.nodes.stream()
+            boolean slotFree = pool.endpoints.stream()
                     .anyMatch(node -> node.freeAt(refusal.dueNanos()) > 0 && node.freeAt(refusal.answeredNanos()) > 0);
             result.refusedWhileIdle += slotFree ? 1 : 0;
         }
-        pool.waitedBehind(result.outcome.measuredFromNanos).forEach(result.queuedAhead::recordValue);
+        pool.queuePositions(result.outcome.measuredFromNanos).forEach(result.queuedAhead::recordValue);
         result.sentToDrained = pool.sentToDrained();
-        result.coldCollapses = pool.coldFallen();
+        result.coldCollapses = pool.coldOverloads();
     }
 
     // ---- faults of endpoints ----
@@ -170,18 +170,18 @@
             double partSeconds = seconds / 6;
             for (int i = 0; i < 4; i++) {
                 sleepUntil(startNanos, WARMUP_SECONDS + partSeconds * (i + random.nextDouble() / 2));
-                Node node = pool.nodes.get(random.nextInt(ENDPOINTS));
+                Endpoint node = pool.endpoints.get(random.nextInt(ENDPOINTS));
                 if (i % 2 == 0) {
-                    node.drains();
-                    discovery.tell(pool.listed());
+                    node.startDraining();
+                    discovery.publish(pool.discoveryEntries());
                     sleepUntil(startNanos, WARMUP_SECONDS + partSeconds * (i + 1));
-                    node.drainsNoMore();
+                    node.stopDraining();
                 } else {
-                    node.die();
+                    node.crash();
                     sleepUntil(startNanos, WARMUP_SECONDS + partSeconds * (i + 0.75));
                     node.restart();
                 }
-                discovery.tell(pool.listed());
+                discovery.publish(pool.discoveryEntries());
             }
         } catch (IOException e) {
             throw new IllegalStateException("an endpoint could not listen on its address again", e);
@@ -198,7 +198,7 @@
     // ---- capacity news ----
 
     private JsonObject capacity(int i) throws IOException, InterruptedException {
-        HttpResponse<String> response = rig.ask(i, "/capacity", null);
+        HttpResponse<String> response = rig.request(i, "/capacity", null);
         if (response.statusCode() != 200) {
             throw new IOException(response.body());
         }
--- a/src/main/java/laneflow/lab/measure/ConfigMeasure.java
+++ b/src/main/java/laneflow/lab/measure/ConfigMeasure.java
@@ -18,8 +18,8 @@
 import java.util.SplittableRandom;
 import laneflow.control.DestinationType;
 import laneflow.control.Message;
-import laneflow.lab.rig.Crew;
-import laneflow.lab.rig.Trash;
+import laneflow.lab.rig.ChildProcesses;
+import laneflow.lab.rig.FileTree;
 import laneflow.lab.standin.StandInControl;
 import laneflow.lab.standin.StandInNodes;
 import org.HdrHistogram.Histogram;
@@ -46,7 +46,7 @@
     private final boolean large;
     private final Path folder;
     private final PrintStream out;
-    private final Crew crew;
+    private final ChildProcesses crew;
     private final StandInControl control = new StandInControl();
     private final int[] schedulerPorts = new int[SCHEDULERS];
     private final int[] nodePorts = new int[NODE_COUNT];
@@ -69,7 +69,8 @@
     private long stepCpuMaxUs;
     private long stepMaxUs;
 
-    private ConfigMeasure(long seed, boolean large, Path folder, PrintStream out, Crew crew) throws IOException {
+    private ConfigMeasure(long seed, boolean large, Path folder, PrintStream out, ChildProcesses crew)
+            throws IOException {
         random = new SplittableRandom(seed);
         this.large = large;
         this.folder = folder;
@@ -80,16 +81,16 @@
     /** Runs the measurement and returns the exit code. */
     public static int run(long seed, boolean large, PrintStream out) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("laneflow-config");
-        try (Crew crew = new Crew(folder)) {
+        try (ChildProcesses crew = new ChildProcesses(folder)) {
             return new ConfigMeasure(seed, large, folder, out, crew).measure();
         } finally {
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
     }
 
     private void startAll() throws IOException, InterruptedException {
         for (int i = 0; i < NODE_COUNT; i++) {
-            nodePorts[i] = Crew.port();
+            nodePorts[i] = ChildProcesses.freePort();
         }
         crew.start(
                 "nodes",
@@ -102,7 +103,7 @@
                 "20",
                 large ? "600" : "60");
         for (int i = 0; i < SCHEDULERS; i++) {
-            schedulerPorts[i] = Crew.port();
+            schedulerPorts[i] = ChildProcesses.freePort();
             schedulers[i] = start(i);
             hangLoads[i] = new HangLoad(schedulerPorts[i], Map.of());
         }
@@ -213,7 +214,7 @@
         String name = "s" + i;
         Path file = folder.resolve(name + ".toml");
         writeConfig(file, name, schedulerPorts[i], control, "probation_ms = 0\n");
-        Process process = crew.scheduler(name, 128, file.toString());
+        Process process = crew.startScheduler(name, 128, file.toString());
         crew.awaitPort(process, name, schedulerPorts[i]);
         return process;
     }
@@ -283,11 +284,11 @@
      */
     private double measureRollback() throws IOException, InterruptedException {
         try (StandInControl controlService = new StandInControl()) {
-            int port = Crew.port();
+            int port = ChildProcesses.freePort();
             Path file = folder.resolve("r0.toml");
             writeConfig(file, "r0", port, controlService, "probation_ms = 2000\n");
-            crew.scheduler("r0", 128, file.toString());
-            await(() -> controlService.has("r0"), "r0");
+            crew.startScheduler("r0", 128, file.toString());
+            await(() -> controlService.hasStream("r0"), "r0");
             controlService.publish(
                     snapshotMessage(DestinationType.URL, "1-aa", "b1", destinations(nodeIndices(NODE_COUNT))), true);
             await(() -> controlService.reply("r0", "b1") != null, "r0's first reply");
@@ -304,7 +305,7 @@
             controlService.publish(
                     snapshotMessage(DestinationType.URL, "2-aa", "b2", destinations(List.of(0, 1))), true);
             Thread.sleep(2600);
-            boolean validVersionKept = !controlService.takenBack.containsKey("r0");
+            boolean validVersionKept = !controlService.rolledBackNanos.containsKey("r0");
             long publishedNanos = System.nanoTime();
             // A valid version whose endpoint refuses connections.
             controlService.publish(
@@ -316,11 +317,11 @@
                                     endpoint(0, "").replaceFirst("127.0.0.1:[0-9]+", "127.0.0.1:9"),
                                     hangingEndpoint())),
                     true);
-            while (!controlService.takenBack.containsKey("r0")
+            while (!controlService.rolledBackNanos.containsKey("r0")
                     && System.nanoTime() - publishedNanos < 2 * REPLY_TIMEOUT_NS) {
                 Thread.sleep(1);
             }
-            Long takenBackNanos = controlService.takenBack.get("r0");
+            Long takenBackNanos = controlService.rolledBackNanos.get("r0");
             controlService.publish(
                     snapshotMessage(DestinationType.URL, "3-aa", "b4", destinations(nodeIndices(NODE_COUNT))), false);
             await(() -> controlService.reply("r0", "b4") != null, "r0's last reply");
@@ -354,10 +355,10 @@
 
     /** Kills and restarts a scheduler, and waits until it runs the newest version again. */
     private void killAndRestart(int i) throws IOException, InterruptedException {
-        Crew.kill(schedulers[i]);
-        control.forget("s" + i);
+        ChildProcesses.kill(schedulers[i]);
+        control.dropStream("s" + i);
         schedulers[i] = start(i);
-        await(() -> control.has("s" + i), "the stream of the restarted scheduler");
+        await(() -> control.hasStream("s" + i), "the stream of the restarted scheduler");
         await(
                 () -> responseBody(get(i, "/config")).contains("\"" + runningVersion + "\""),
                 "the newest version at s" + i);
@@ -526,7 +527,7 @@
             runningVersion = version;
             runningResources = newResources;
             // A scheduler that connects later gets the snapshot.
-            control.newest(
+            control.setInitialResponse(
                     snapshotMessage(DestinationType.URL, version, nonce, List.of(withoutBrackets(newResources))));
         }
         send(DestinationType.URL, version, text, nonce, valid, false, previous);
--- a/src/main/java/laneflow/lab/measure/Conformance.java
+++ b/src/main/java/laneflow/lab/measure/Conformance.java
@@ -20,15 +20,15 @@
 import java.util.concurrent.Callable;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import laneflow.lab.rig.Crew;
-import laneflow.lab.rig.Trash;
+import laneflow.lab.rig.ChildProcesses;
+import laneflow.lab.rig.FileTree;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
 /**
  * {@code lab conformance}: plays the cases of gearman-cases.txt over loopback against a scheduler process that
- * it starts. Like {@link Wire}, it has a codec of its own, so that it does not repeat a fault in the codec of
- * the Gearman front. The last line of output counts the cases that passed; the exit code is 1 if one failed.
+ * it starts. Like {@link laneflow.lab.standin.GearmanConnection}, it has a codec of its own, so that it does not repeat a
+ * fault in the codec of the Gearman front. The last line of output counts the cases that passed; the exit code is 1 if one failed.
  */
 @Command(
         name = "conformance",
@@ -132,23 +132,23 @@
     /** Plays the cases whose names contain {@code only} against a scheduler process that it starts. */
     static Result run(PrintStream out, String only) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("laneflow-conformance");
-        try (Crew crew = new Crew(folder)) {
-            int port = Crew.port();
+        try (ChildProcesses crew = new ChildProcesses(folder)) {
+            int port = ChildProcesses.freePort();
             Path file = folder.resolve("laneflow.toml");
             Files.writeString(
                     file,
-                    "listen = \"127.0.0.1:" + Crew.port() + "\"\nzones = [\"a\"]\n"
+                    "listen = \"127.0.0.1:" + ChildProcesses.freePort() + "\"\nzones = [\"a\"]\n"
                             + "[classes.basket-check]\naim_ms = 200\ndeadline_ms = 5000\nrepeat = \"safe\"\n"
                             + "[classes.card-capture]\naim_ms = 150\ndeadline_ms = 6000\n"
                             + "[gearman]\nlisten = \"127.0.0.1:" + port + "\"\n" + FUNCTIONS);
-            Process scheduler = crew.scheduler("scheduler", 128, file.toString());
+            Process scheduler = crew.startScheduler("scheduler", 128, file.toString());
             crew.awaitPort(scheduler, "scheduler", port);
             Result result = play(port, only);
             result.failures().forEach(out::println);
             out.println("conformance: " + result.passed() + "/" + result.played());
             return result;
         } finally {
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
     }
 
--- a/src/main/java/laneflow/lab/measure/ControlMeasure.java
+++ b/src/main/java/laneflow/lab/measure/ControlMeasure.java
@@ -7,9 +7,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Locale;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
+import laneflow.lab.rig.FileTree;
 import laneflow.lab.rig.Rig;
-import laneflow.lab.rig.Trash;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -92,19 +92,19 @@
 
     private void measure(boolean oneLoop, boolean large) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("laneflow-control");
-        int[] nodes = {Crew.port(), Crew.port(), Crew.port()};
-        String config = COMMON_CONFIG + Rig.endpoints(nodes) + "[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\n";
+        int[] nodes = {ChildProcesses.freePort(), ChildProcesses.freePort(), ChildProcesses.freePort()};
+        String config = COMMON_CONFIG + Rig.endpointTables(nodes) + "[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\n";
         try (Rig rig = new Rig(folder, SCHEDULERS, SCHEDULERS, seed, config)) {
-            rig.nodes(nodes, 300);
-            rig.members(seed, PERIOD_MS, 0, 1);
+            rig.startNodes(nodes, 300);
+            rig.enableGossip(seed, PERIOD_MS, 0, 1);
             for (int i = 0; i < SCHEDULERS; i++) {
-                rig.option(i, "-Dlaneflow.lab.one_loop=" + oneLoop);
+                rig.setJvmOption(i, "-Dlaneflow.lab.one_loop=" + oneLoop);
             }
             rig.startAll();
             rig.awaitDeciding(0, rig.all());
             String key = Files.readAllLines(rig.keyFile()).get(0);
             InetSocketAddress memberAddress =
-                    new InetSocketAddress(InetAddress.getLoopbackAddress(), rig.memberSocket(0));
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), rig.memberPort(0));
             PolicyLoad load = new PolicyLoad(Rig.name(0), rig.clientPort(0), 8, REQUESTS_PER_SECOND);
             try (ControlStorm announcer =
                     new ControlStorm(memberAddress, key, PERIOD_MS * 1000L, MESSAGES_PER_SECOND, seed)) {
@@ -151,7 +151,7 @@
                     microsPerRequest(quietTimes.waitedNs(), quiet),
                     microsPerRequest(stormTimes.waitedNs(), storm));
         } finally {
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
     }
 
--- a/src/main/java/laneflow/lab/measure/DurableMeasure.java
+++ b/src/main/java/laneflow/lab/measure/DurableMeasure.java
@@ -24,12 +24,12 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import laneflow.lab.rig.Crew;
-import laneflow.lab.rig.Trash;
-import laneflow.lab.standin.Ledger;
+import laneflow.lab.rig.ChildProcesses;
+import laneflow.lab.rig.FileTree;
+import laneflow.lab.standin.GearmanConnection;
+import laneflow.lab.standin.RunLog;
 import laneflow.lab.standin.StandInNodes;
 import laneflow.lab.standin.StandInWorker;
-import laneflow.lab.standin.Wire;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -52,17 +52,18 @@
     private final boolean large;
     private final Path folder;
     private final PrintStream out;
-    private final Crew crew;
-    private final int httpPort = Crew.port();
-    private final int gearmanPort = Crew.port();
-    private final int[] nodePorts = {Crew.port(), Crew.port(), Crew.port()};
+    private final ChildProcesses crew;
+    private final int httpPort = ChildProcesses.freePort();
+    private final int gearmanPort = ChildProcesses.freePort();
+    private final int[] nodePorts = {ChildProcesses.freePort(), ChildProcesses.freePort(), ChildProcesses.freePort()};
     /** The ids of the acknowledged jobs. */
     private final Map<String, String> jobIdsByName = new ConcurrentHashMap<>();
 
     private volatile boolean submitting = true;
     private int kills;
 
-    private DurableMeasure(long seed, boolean large, Path folder, PrintStream out, Crew crew) throws IOException {
+    private DurableMeasure(long seed, boolean large, Path folder, PrintStream out, ChildProcesses crew)
+            throws IOException {
         random = new SplittableRandom(seed);
         this.large = large;
         this.folder = folder;
@@ -73,10 +74,10 @@
     /** Runs the measurement and returns the exit code. */
     public static int run(long seed, boolean large, PrintStream out) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("laneflow-durable");
-        try (Crew crew = new Crew(folder)) {
+        try (ChildProcesses crew = new ChildProcesses(folder)) {
             return new DurableMeasure(seed, large, folder, out, crew).measure();
         } finally {
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
     }
 
@@ -100,7 +101,7 @@
         print(
                 "%d jobs acknowledged in %.2f s, %.0f a second with %.0f commits a second",
                 jobs, seconds, jobs / seconds, commitsPerSecond);
-        Crew.kill(scheduler);
+        ChildProcesses.kill(scheduler);
         double shareDuring = liveServedShare("recover", "fast");
         Matcher recoveryLine = Pattern.compile("(\\d+) taken over in (\\d+) ms").matcher(crew.log("recover"));
         long recovered = recoveryLine.find() ? Long.parseLong(recoveryLine.group(1)) : -1;
@@ -108,7 +109,7 @@
         print(
                 "%d jobs recovered in %d ms; live service meanwhile %.2f %%, %d of them served",
                 recovered, recoverMs, shareDuring * 100, servedJobs);
-        Crew.kill(tills);
+        ChildProcesses.kill(tills);
         Verdict verdict = runWithKills();
         out.printf(
                 Locale.ROOT,
@@ -183,10 +184,10 @@
 
     /** Starts a scheduler and waits until its Gearman front accepts connections. */
     private Process startScheduler(String name, String config) throws IOException, InterruptedException {
-        Process process = crew.scheduler(name, 1024, config);
+        Process process = crew.startScheduler(name, 1024, config);
         long deadlineNanos = System.nanoTime() + 20_000_000_000L;
         while (process.isAlive() && System.nanoTime() < deadlineNanos) {
-            try (Wire wire = new Wire(gearmanPort, 1000)) {
+            try (GearmanConnection wire = new GearmanConnection(gearmanPort, 1000)) {
                 return process;
             } catch (IOException e) {
                 Thread.sleep(5);
@@ -247,7 +248,7 @@
         new LiveLoad(httpPort, "check", 32, 250, 200).run(1);
         double share = new LiveLoad(httpPort, "check", 32, 250, 200).run(large ? 20 : 4);
         servedJobs = counter("durable.done");
-        Crew.kill(scheduler);
+        ChildProcesses.kill(scheduler);
         return share;
     }
 
@@ -281,7 +282,7 @@
     }
 
     private void submitPaced(int connection, int round, Histogram latencyNanos) {
-        try (Wire wire = new Wire(gearmanPort, 10_000)) {
+        try (GearmanConnection wire = new GearmanConnection(gearmanPort, 10_000)) {
             long startNanos = System.nanoTime();
             for (int index = 0; index < 500; index++) {
                 long dueNanos = startNanos + index * 4_000_000L + connection * 1_000_000L;
@@ -295,8 +296,12 @@
                         Thread.onSpinWait();
                     }
                 }
-                wire.send(Wire.SUBMIT_JOB_BG, "kcheck", "l" + round + "-" + connection + "-" + index, "x".repeat(200));
-                if (wire.read().type() != Wire.JOB_CREATED) {
+                wire.send(
+                        GearmanConnection.SUBMIT_JOB_BG,
+                        "kcheck",
+                        "l" + round + "-" + connection + "-" + index,
+                        "x".repeat(200));
+                if (wire.readPacket().type() != GearmanConnection.JOB_CREATED) {
                     throw new IOException("the scheduler did not accept the job");
                 }
                 synchronized (latencyNanos) {
@@ -314,15 +319,19 @@
         for (int i = 0; i < CONNECTIONS; i++) {
             int connection = i;
             threads[i] = new Thread(() -> {
-                try (Wire wire = new Wire(gearmanPort, 20_000)) {
+                try (GearmanConnection wire = new GearmanConnection(gearmanPort, 20_000)) {
                     int sent = 0;
                     int count = jobs / CONNECTIONS;
                     for (int acknowledged = 0; acknowledged < count; acknowledged++) {
                         while (sent < count && sent - acknowledged < MAX_UNACKNOWLEDGED) {
-                            wire.put(Wire.SUBMIT_JOB_BG, "kcheck", "f" + connection + "-" + sent++, "x".repeat(200));
+                            wire.writePacket(
+                                    GearmanConnection.SUBMIT_JOB_BG,
+                                    "kcheck",
+                                    "f" + connection + "-" + sent++,
+                                    "x".repeat(200));
                         }
                         wire.flush();
-                        if (wire.read().type() != Wire.JOB_CREATED) {
+                        if (wire.readPacket().type() != GearmanConnection.JOB_CREATED) {
                             throw new IOException("the scheduler rejected a job; acknowledged before: " + acknowledged);
                         }
                     }
@@ -401,19 +410,19 @@
             // Every eighth round kills all processes, and keeps them down for longer than the window of the keys.
             boolean killAll = ++round % 8 == 5;
             if (killAll || draw < 0.5) {
-                Crew.kill(scheduler);
+                ChildProcesses.kill(scheduler);
                 kills++;
             }
             if (killAll || draw >= 0.5 && draw < 0.85) {
                 for (int i = 0; i < workers.length; i++) {
                     if (killAll || i == random.nextInt(workers.length)) {
-                        Crew.kill(workers[i]);
+                        ChildProcesses.kill(workers[i]);
                         kills++;
                     }
                 }
             }
             if (killAll || draw >= 0.85) {
-                Crew.kill(nodes);
+                ChildProcesses.kill(nodes);
                 kills++;
             }
             Thread.sleep(killAll ? WINDOW_MS + 500 : random.nextInt(250));
@@ -432,16 +441,16 @@
 
     /** Submits jobs one by one, and repeats each on a new connection until it is acknowledged. */
     private void submit(int number) {
-        Wire wire = null;
+        GearmanConnection wire = null;
         for (int i = 0; submitting; i++) {
             String function = FUNCTIONS[i % FUNCTIONS.length];
             String name = function + "-" + number + "-" + i;
             for (boolean accepted = false; !accepted; ) {
                 try {
-                    wire = wire == null ? new Wire(gearmanPort, 3000) : wire;
-                    wire.send(Wire.SUBMIT_JOB_BG, function, name, name + " body");
-                    Wire.Packet response = wire.read();
-                    accepted = response.type() == Wire.JOB_CREATED;
+                    wire = wire == null ? new GearmanConnection(gearmanPort, 3000) : wire;
+                    wire.send(GearmanConnection.SUBMIT_JOB_BG, function, name, name + " body");
+                    GearmanConnection.Packet response = wire.readPacket();
+                    accepted = response.type() == GearmanConnection.JOB_CREATED;
                     if (accepted) {
                         jobIdsByName.put(name, response.args()[0].substring("H:laneflow:d".length()));
                     }
@@ -490,7 +499,7 @@
             Thread.sleep(unsettledNames.isEmpty() ? 0 : 100);
         }
         verdict.unsettled = unsettledNames.size();
-        Map<String, List<Ledger.Line>> ledgerLinesByName = readLedgers();
+        Map<String, List<RunLog.Entry>> ledgerLinesByName = readLedgers();
         for (String name : jobIdsByName.keySet()) {
             judge(name, jobsByName.get(name), ledgerLinesByName.getOrDefault(name, List.of()), verdict);
         }
@@ -498,10 +507,10 @@
         return verdict;
     }
 
-    private Map<String, List<Ledger.Line>> readLedgers() throws IOException {
-        Map<String, List<Ledger.Line>> linesByName = new HashMap<>();
+    private Map<String, List<RunLog.Entry>> readLedgers() throws IOException {
+        Map<String, List<RunLog.Entry>> linesByName = new HashMap<>();
         for (String file : new String[] {"nodes", "worker-0", "worker-1", "worker-2", "worker-3"}) {
-            for (Ledger.Line line : Ledger.read(folder.resolve(file + ".ledger"))) {
+            for (RunLog.Entry line : RunLog.read(folder.resolve(file + ".ledger"))) {
                 linesByName
                         .computeIfAbsent(line.job(), none -> new ArrayList<>())
                         .add(line);
@@ -510,7 +519,7 @@
         return linesByName;
     }
 
-    private void judge(String name, JsonObject job, List<Ledger.Line> lines, Verdict verdict) {
+    private void judge(String name, JsonObject job, List<RunLog.Entry> lines, Verdict verdict) {
         if (job == null) {
             verdict.lost++;
             print("lost: %s", name);
@@ -518,7 +527,7 @@
         }
         List<Long> startTimesMs = lines.stream()
                 .filter(line -> line.event().equals("start"))
-                .map(Ledger.Line::ms)
+                .map(RunLog.Entry::ms)
                 .sorted()
                 .toList();
         String state = job.get("state").getAsString();
@@ -554,12 +563,12 @@
 
     /** After all the crashes, a key that is submitted again must name the same job. */
     private void resubmitKeys(Verdict verdict) throws IOException {
-        try (Wire wire = new Wire(gearmanPort, 3000)) {
+        try (GearmanConnection wire = new GearmanConnection(gearmanPort, 3000)) {
             for (Map.Entry<String, String> entry :
                     jobIdsByName.entrySet().stream().limit(200).toList()) {
                 String name = entry.getKey();
-                wire.send(Wire.SUBMIT_JOB_BG, name.substring(0, name.indexOf('-')), name, name + " body");
-                if (!wire.read().args()[0].endsWith(entry.getValue())) {
+                wire.send(GearmanConnection.SUBMIT_JOB_BG, name.substring(0, name.indexOf('-')), name, name + " body");
+                if (!wire.readPacket().args()[0].endsWith(entry.getValue())) {
                     verdict.keyChanged++;
                 }
             }
--- a/src/main/java/laneflow/lab/measure/FleetMeasure.java
+++ b/src/main/java/laneflow/lab/measure/FleetMeasure.java
@@ -13,9 +13,9 @@
 import java.util.SplittableRandom;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
+import laneflow.lab.rig.FileTree;
 import laneflow.lab.rig.Rig;
-import laneflow.lab.rig.Trash;
 import laneflow.lab.world.MemberWorld;
 import laneflow.membership.decision.Seal;
 import laneflow.membership.decision.State;
@@ -72,12 +72,12 @@
     /** Runs the measurement and returns the exit code. */
     public static int run(long seed, boolean large, PrintStream out) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("laneflow-fleet");
-        int[] nodes = {Crew.port(), Crew.port(), Crew.port()};
-        try (Rig rig = new Rig(folder, large ? 32 : 12, 1, seed, COMMON_CONFIG + Rig.endpoints(nodes))) {
-            rig.nodes(nodes, large ? 900 : 300);
+        int[] nodes = {ChildProcesses.freePort(), ChildProcesses.freePort(), ChildProcesses.freePort()};
+        try (Rig rig = new Rig(folder, large ? 32 : 12, 1, seed, COMMON_CONFIG + Rig.endpointTables(nodes))) {
+            rig.startNodes(nodes, large ? 900 : 300);
             return new FleetMeasure(seed, large, out, rig).measure(seed);
         } finally {
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
     }
 
@@ -89,7 +89,7 @@
         for (int i = 0; i < members; i++) {
             rig.kill(i);
         }
-        rig.members(seed, (int) (PERIOD_US / 1000), 0, 1);
+        rig.enableGossip(seed, (int) (PERIOD_US / 1000), 0, 1);
         long startNanos = System.nanoTime();
         rig.startAll();
         joins += members;
@@ -172,7 +172,7 @@
             int index = i;
             rig.await(
                     "the scheduler answers HTTP requests",
-                    () -> rig.ask(index, "/counters", null).statusCode() > 0);
+                    () -> rig.request(index, "/counters", null).statusCode() > 0);
             loads[i] = new PolicyLoad(Rig.name(i), rig.clientPort(i), 4, REQUESTS_PER_SECOND);
             loads[i].begin();
         }
@@ -192,7 +192,7 @@
     /** Returns the processor time per second in ms, the mean of all members, without requests. */
     private double idleCpuMsPerSecond() throws IOException, InterruptedException {
         Thread.sleep(large ? 20_000 : 500);
-        return Arrays.stream(rig.cpu(4000)).average().orElse(0);
+        return Arrays.stream(rig.cpuMillisPerSecond(4000)).average().orElse(0);
     }
 
     private long membershipBytes() throws IOException, InterruptedException {
@@ -210,7 +210,9 @@
             throws IOException, InterruptedException {
         expectedEvents++;
         try {
-            rig.await("all members agree: " + description, () -> rig.agree(expectedMembers.length, expectedMembers));
+            rig.await(
+                    "all members agree: " + description,
+                    () -> rig.haveSameView(expectedMembers.length, expectedMembers));
             settledEvents++;
             long elapsedMs = (System.nanoTime() - fromNs) / 1_000_000;
             settleMs.recordValue(elapsedMs);
@@ -268,8 +270,8 @@
                 rig.kill(i);
                 crashes++;
             }
-            awaitOneView(crashed.size() + " crashed", startNanos, rig.without(crashed));
-            for (int i : rig.without(crashed)) {
+            awaitOneView(crashed.size() + " crashed", startNanos, rig.allExcept(crashed));
+            for (int i : rig.allExcept(crashed)) {
                 Matcher matcher = STATE_CHANGE.matcher(rig.log(i).substring(logLengths[i]));
                 while (matcher.find()) {
                     if (matcher.group(3).equals(State.DEAD.name())) {
@@ -295,16 +297,16 @@
                 mayBeDeclaredDead.add(Rig.name(stalled));
             }
             long startNanos = System.nanoTime();
-            rig.stall(stalled);
+            rig.suspend(stalled);
             stalls++;
             if (expectDead) {
-                awaitOneView("a member stalls until it is declared dead", startNanos, rig.without(Set.of(stalled)));
+                awaitOneView("a member stalls until it is declared dead", startNanos, rig.allExcept(Set.of(stalled)));
             } else {
                 // Well under the shortest suspicion timeout.
                 Thread.sleep(500);
             }
             startNanos = System.nanoTime();
-            rig.wake(stalled);
+            rig.resume(stalled);
             awaitOneView("the stalled member resumes", startNanos, rig.all());
             mayBeDeclaredDead.clear();
         }
@@ -324,11 +326,11 @@
                 mayBeDeclaredDead.add(Rig.name(i));
             }
             long startNanos = System.nanoTime();
-            rig.partAll(group);
+            rig.isolate(group);
             partitions++;
             int[] groupMembers = group.stream().mapToInt(Integer::intValue).toArray();
             awaitOneView("a group of " + groupSize + " is partitioned off", startNanos, groupMembers);
-            awaitOneView("the other side of the partition", startNanos, rig.without(new HashSet<>(group)));
+            awaitOneView("the other side of the partition", startNanos, rig.allExcept(new HashSet<>(group)));
             startNanos = System.nanoTime();
             rig.heal();
             int settledBefore = settledEvents;
@@ -348,9 +350,9 @@
         int member = members - 1;
         mayBeDeclaredDead.add(Rig.name(member));
         long startNanos = System.nanoTime();
-        rig.term(member);
-        awaitOneView("a member leaves", startNanos, rig.without(Set.of(member)));
-        rig.ended(member);
+        rig.signalTerm(member);
+        awaitOneView("a member leaves", startNanos, rig.allExcept(Set.of(member)));
+        rig.awaitExit(member);
         rig.start(member);
         joins++;
         awaitOneView("the member that left restarted", System.nanoTime(), rig.all());
--- a/src/main/java/laneflow/lab/measure/GearmanMeasure.java
+++ b/src/main/java/laneflow/lab/measure/GearmanMeasure.java
@@ -17,11 +17,11 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import laneflow.lab.rig.Crew;
-import laneflow.lab.rig.Trash;
-import laneflow.lab.standin.Ledger;
-import laneflow.lab.standin.StandInCrowd;
-import laneflow.lab.standin.Wire;
+import laneflow.lab.rig.ChildProcesses;
+import laneflow.lab.rig.FileTree;
+import laneflow.lab.standin.GearmanConnection;
+import laneflow.lab.standin.RunLog;
+import laneflow.lab.standin.StandInWorkerGroup;
 import org.HdrHistogram.ConcurrentHistogram;
 
 /**
@@ -44,7 +44,7 @@
     private final int seconds;
     private final Path folder;
     private final PrintStream out;
-    private final Crew crew;
+    private final ChildProcesses crew;
     private final AtomicInteger names = new AtomicInteger();
     private final AtomicInteger lost = new AtomicInteger();
     /** What clients were told of each job: its function's number, and whether it was served. */
@@ -55,7 +55,7 @@
 
     private record Told(int function, boolean served) {}
 
-    private GearmanMeasure(long seed, boolean large, Path folder, PrintStream out, Crew crew) {
+    private GearmanMeasure(long seed, boolean large, Path folder, PrintStream out, ChildProcesses crew) {
         this.seed = seed;
         workers = large ? 5000 : 1000;
         seconds = large ? 60 : 8;
@@ -68,17 +68,17 @@
     public static int run(long seed, boolean large, PrintStream out) throws IOException, InterruptedException {
         Conformance.Result cases = Conformance.run(out, "");
         Path folder = Files.createTempDirectory("laneflow-gearman");
-        try (Crew crew = new Crew(folder)) {
+        try (ChildProcesses crew = new ChildProcesses(folder)) {
             return new GearmanMeasure(seed, large, folder, out, crew).all(cases);
         } finally {
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
     }
 
     private int all(Conformance.Result cases) throws IOException, InterruptedException {
-        port = Crew.port();
-        int http = Crew.port();
-        Process scheduler = crew.scheduler("scheduler", 256, settings(http).toString());
+        port = ChildProcesses.freePort();
+        int http = ChildProcesses.freePort();
+        Process scheduler = crew.startScheduler("scheduler", 256, settings(http).toString());
         crew.awaitPort(scheduler, "scheduler", http);
         long before = liveBytes(scheduler);
         // Failures: a share of jobs fail or lose their worker, and once half of the workers vanish.
@@ -162,7 +162,7 @@
         return crew.start(
                 name,
                 256,
-                StandInCrowd.class,
+                StandInWorkerGroup.class,
                 "" + port,
                 folder.resolve(name + ".ledger").toString(),
                 "" + seed,
@@ -176,7 +176,7 @@
     }
 
     private double noops(String name) throws IOException {
-        long runs = Ledger.read(folder.resolve(name + ".ledger")).stream()
+        long runs = RunLog.read(folder.resolve(name + ".ledger")).stream()
                 .filter(line -> line.event().equals("start"))
                 .count();
         String log = crew.log(name);
@@ -255,18 +255,18 @@
     }
 
     private void client(SplittableRandom random, long end) {
-        try (Wire wire = new Wire(port, PATIENCE_MS)) {
+        try (GearmanConnection wire = new GearmanConnection(port, PATIENCE_MS)) {
             while (System.nanoTime() < end) {
                 int function = random.nextInt(FUNCTIONS);
                 String name = "j" + names.incrementAndGet();
                 long at = System.nanoTime();
-                wire.send(Wire.SUBMIT_JOB, "f" + function, "", name);
+                wire.send(GearmanConnection.SUBMIT_JOB, "f" + function, "", name);
                 int type = 0;
-                while (type != Wire.WORK_COMPLETE && type != Wire.WORK_FAIL) {
-                    type = wire.read().type();
+                while (type != GearmanConnection.WORK_COMPLETE && type != GearmanConnection.WORK_FAIL) {
+                    type = wire.readPacket().type();
                 }
                 latency.recordValue((System.nanoTime() - at) / 1000);
-                told.put(name, new Told(function, type == Wire.WORK_COMPLETE));
+                told.put(name, new Told(function, type == GearmanConnection.WORK_COMPLETE));
             }
         } catch (SocketTimeoutException e) {
             lost.incrementAndGet();
@@ -294,8 +294,8 @@
 
     private Verdict judge(String crowdName) throws IOException {
         Map<String, int[]> ran = new HashMap<>();
-        List<Ledger.Line> lines = Ledger.read(folder.resolve(crowdName + ".ledger"));
-        for (Ledger.Line line : lines) {
+        List<RunLog.Entry> lines = RunLog.read(folder.resolve(crowdName + ".ledger"));
+        for (RunLog.Entry line : lines) {
             int[] counts = ran.computeIfAbsent(line.job(), name -> new int[3]);
             counts[0] += line.event().equals("start") ? 1 : 0;
             counts[1] += line.event().equals("done") ? 1 : 0;
--- a/src/main/java/laneflow/lab/measure/IdleMeasure.java
+++ b/src/main/java/laneflow/lab/measure/IdleMeasure.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
+import laneflow.lab.rig.FileTree;
 import laneflow.lab.rig.Rig;
-import laneflow.lab.rig.Trash;
 
 /**
  * {@code lab measure idle}: what a scheduler costs that nobody asks, a minute after its start, by itself,
@@ -44,15 +44,15 @@
         Path folder = Files.createTempDirectory("laneflow-idle");
         List<Rig> rigs = new ArrayList<>();
         String[] kinds = {"alone", "view", "policy and view"};
-        int[] nodes = {Crew.port(), Crew.port(), Crew.port()};
+        int[] nodes = {ChildProcesses.freePort(), ChildProcesses.freePort(), ChildProcesses.freePort()};
         try {
             for (int kind = 0; kind < kinds.length; kind++) {
                 Path here = Files.createDirectory(folder.resolve("kind-" + kind));
                 String policy = kind < 2 ? "" : "[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\n";
-                Rig rig = new Rig(here, SCHEDULERS, VOTERS, seed, FILE + Rig.endpoints(nodes) + policy);
+                Rig rig = new Rig(here, SCHEDULERS, VOTERS, seed, FILE + Rig.endpointTables(nodes) + policy);
                 rigs.add(rig);
                 if (kind > 0) {
-                    rig.members(seed, PERIOD_MS, 0, 1);
+                    rig.enableGossip(seed, PERIOD_MS, 0, 1);
                 }
                 rig.startAll();
             }
@@ -93,7 +93,7 @@
             for (Rig rig : rigs) {
                 rig.close();
             }
-            Trash.remove(folder);
+            FileTree.delete(folder);
         }
     }
 
--- a/src/main/java/laneflow/lab/rig/Await.java
+++ b/src/main/java/laneflow/lab/rig/Await.java
@@ -2,39 +2,40 @@
 
 import java.io.IOException;
 
-/** Waiting for processes on events: until something holds, and not forever. */
+/** Polls until a condition on other processes holds, with a time limit. */
 public final class Await {
-    static final long PATIENCE_NS = 60_000_000_000L;
-    private static final int PAUSE_MS = 3;
+    static final long TIMEOUT_NS = 60_000_000_000L;
+    private static final int POLL_INTERVAL_MS = 3;
 
     private Await() {}
 
-    /** Holds, or not yet; a process that does not answer is no reason to give up. */
+    /** A condition to wait for. An IOException counts as "not yet": the process may not be listening. */
     public interface Condition {
         boolean holds() throws IOException, InterruptedException;
     }
 
-    /** What is known of it where one has waited in vain. */
-    public interface Said {
+    /** Supplies details for the error message when the time limit is exceeded. */
+    public interface Diagnostics {
         String text() throws IOException;
     }
 
-    /** Returns once it holds; fails with what is known after a minute. */
-    public static void until(String what, Condition condition, Said said) throws IOException, InterruptedException {
-        long end = System.nanoTime() + PATIENCE_NS;
+    /** Returns once the condition holds; after a minute fails with the description and the diagnostics. */
+    public static void until(String description, Condition condition, Diagnostics diagnostics)
+            throws IOException, InterruptedException {
+        long deadline = System.nanoTime() + TIMEOUT_NS;
         while (true) {
             try {
                 if (condition.holds()) {
                     return;
                 }
             } catch (IOException e) {
-                // Not listening yet, or stopped.
+                // The process is not listening yet, or is suspended.
                 Thread.onSpinWait();
             }
-            if (System.nanoTime() > end) {
-                throw new IOException("waited in vain until " + what + "\n" + said.text());
+            if (System.nanoTime() > deadline) {
+                throw new IOException("timed out waiting until " + description + "\n" + diagnostics.text());
             }
-            Thread.sleep(PAUSE_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 }
--- a/src/main/java/laneflow/lab/rig/Faults.java
+++ b/src/main/java/laneflow/lab/rig/Faults.java
@@ -2,29 +2,30 @@
 
 import java.util.SplittableRandom;
 
-/** What befalls one direction of a path; all may be changed at any time. */
+/** The faults injected into one direction of a path. They may be changed while messages pass. */
 public class Faults {
-    /** Nothing gets through, and nothing says so. */
-    volatile boolean cut;
+    /** Drops every message without an error to the sender. */
+    volatile boolean isCut;
 
     volatile int delayMs;
-    /** Up to so much more, drawn for each message; they may overtake each other then. */
+    /** Maximum random delay added to each message; messages may be reordered by it. */
     volatile int jitterMs;
-    /** Shares of messages. */
-    volatile double lost;
+    /** Share of messages that are dropped, 0 to 1. */
+    volatile double lossShare;
 
-    volatile double doubled;
+    /** Share of messages that are sent twice, 0 to 1. */
+    volatile double duplicateShare;
 
     void clear() {
         delayMs = 0;
         jitterMs = 0;
-        lost = 0;
-        doubled = 0;
-        cut = false;
+        lossShare = 0;
+        duplicateShare = 0;
+        isCut = false;
     }
 
-    /** Milliseconds that the next message takes. */
-    long takes(SplittableRandom random) {
+    /** Returns the delay of the next message in milliseconds. */
+    long nextDelayMs(SplittableRandom random) {
         return delayMs + (jitterMs == 0 ? 0 : random.nextInt(jitterMs + 1));
     }
 }
--- a/src/main/java/laneflow/lab/rig/Rig.java
+++ b/src/main/java/laneflow/lab/rig/Rig.java
@@ -24,63 +24,67 @@
 import laneflow.lab.standin.StandInNodes;
 
 /**
- * Schedulers as real processes on loopback, with a relay of our own on each path between two of them, and
- * faults put into both: paths cut one way or both, delayed, lossy; processes stopped, woken, killed, started
- * anew with their disk or without. Every fault is written, with the instant on the machine's one monotonic
- * clock, into a history that is read beside the processes' own. It ends only processes that it has started.
+ * Runs schedulers as real processes on loopback with a relay on each path between two of them. Faults can be
+ * injected into both: paths are cut in one or both directions, delayed or made lossy; processes are suspended,
+ * resumed, killed, and restarted with or without their files. Every fault is written with its time on the
+ * machine's monotonic clock to a history file, which can be compared with the processes' logs. It ends only
+ * processes that it has started.
  */
 public final class Rig implements AutoCloseable {
-    private static final Duration ASK_WITHIN = Duration.ofSeconds(3);
-    private static final Duration ELECTED_WITHIN = Duration.ofSeconds(20);
-    private static final int TICKS_A_SECOND = 100;
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(3);
+    private static final Duration ELECTION_TIMEOUT = Duration.ofSeconds(20);
+    private static final int CPU_TICKS_PER_SECOND = 100;
     private static final int HEAP_MB = 64;
 
     private final Path folder;
-    /** Those of the first so many can be dialled by all, and vote or may be taken in. */
+    /** The number of schedulers, from the first one, that all others can dial; they vote or may become voters. */
     private final int voters;
 
-    private int named;
-    private final Crew crew;
+    /** The number of schedulers that configuration files name as voters. */
+    private int namedVoters;
+
+    private final ChildProcesses childProcesses;
     private final Process[] processes;
-    private final long[] limits;
+    private final long[] maxFileBytes;
     private final int[] clientPorts;
     private final int[] fleetPorts;
     private final Relay[][] relays;
     private final HttpClient client = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(ASK_WITHIN)
+            .connectTimeout(REQUEST_TIMEOUT)
             .build();
-    private final List<String> more = new ArrayList<>();
-    private final List<String> options = new ArrayList<>();
-    /** Null where no view is kept. */
-    private DatagramRelay datagrams;
+    private final List<String> configs = new ArrayList<>();
+    private final List<String> jvmOptions = new ArrayList<>();
+    /** Null while gossip is not enabled. */
+    private DatagramRelay datagramRelay;
 
     private int[] memberPorts;
-    private int[] memberSeeds;
-    private int memberPeriodMs;
+    private int[] gossipSeeds;
+    private int probePeriodMs;
     private final Map<Integer, Path> keyFiles = new HashMap<>();
-    private final Map<Integer, String> platforms = new HashMap<>();
+    private final Map<Integer, String> platformFiles = new HashMap<>();
 
     /**
-     * None of the schedulers is started yet.
+     * Reserves ports and starts the relays, but no scheduler.
      *
-     * @param common what the file of each says besides names, addresses and who votes
+     * @param common the part of the operators' file that is the same for all schedulers; VOTERS and FOLDER in
+     *     it are replaced by the names of the voters and the scheduler's folder of votes
      */
     public Rig(Path folder, int schedulers, int voters, long seed, String common) throws IOException {
         this.folder = folder;
         this.voters = voters;
-        named = voters;
-        crew = new Crew(folder);
+        namedVoters = voters;
+        childProcesses = new ChildProcesses(folder);
         processes = new Process[schedulers];
-        limits = new long[schedulers];
+        maxFileBytes = new long[schedulers];
         clientPorts = new int[schedulers];
         fleetPorts = new int[schedulers];
         relays = new Relay[schedulers][voters];
         for (int i = 0; i < schedulers; i++) {
-            clientPorts[i] = Crew.port();
-            fleetPorts[i] = Crew.port();
-            more.add(common);
-            options.add("");
+            clientPorts[i] = ChildProcesses.freePort();
+            fleetPorts[i] = ChildProcesses.freePort();
+            configs.add(common);
+            jvmOptions.add("");
         }
         for (int i = 0; i < schedulers; i++) {
             for (int k = 0; k < voters; k++) {
@@ -97,72 +101,72 @@
         return "n" + (i + 1);
     }
 
-    /** What the file of this one says in the place of what all say. */
-    public void file(int i, String text) {
-        more.set(i, text);
+    /** Replaces the common part of this scheduler's operators' file. */
+    public void setConfig(int i, String text) {
+        configs.set(i, text);
     }
 
-    /** Files name only the first so many as voters; others that can be dialled may be taken in. */
-    public void votersNamed(int first) {
-        named = first;
+    /** Makes the files name only the first {@code count} as voters; others with a relay may become voters later. */
+    public void limitNamedVoters(int count) {
+        namedVoters = count;
     }
 
-    /** What the platform's file says to this one, a JSON object. */
-    public void platform(int i, String text) throws IOException {
-        platforms.put(
+    /** Writes a platform file for this scheduler, a JSON object. */
+    public void setPlatformFile(int i, String text) throws IOException {
+        platformFiles.put(
                 i, Files.writeString(folder.resolve(name(i) + ".json"), text).toString());
     }
 
-    /** No file of this one grows beyond so many bytes: to the program its disk is full then. */
-    public void fullAt(int i, long bytes) {
-        limits[i] = bytes;
+    /** Limits the size of this scheduler's files, which the process sees as a full disk. */
+    public void limitFileSize(int i, long bytes) {
+        maxFileBytes[i] = bytes;
     }
 
     /**
-     * All keep a view of each other from the next start on, by datagrams through a relay.
+     * Enables gossip membership from the next start on, with datagrams through a relay.
      *
-     * @param periodMs between two probes
-     * @param seeds what the file of each names as others' places
+     * @param periodMs the time between two probes
+     * @param seeds the members whose addresses each file names as seeds
      */
-    public void members(long seed, int periodMs, int... seeds) throws IOException {
-        memberPeriodMs = periodMs;
+    public void enableGossip(long seed, int periodMs, int... seeds) throws IOException {
+        probePeriodMs = periodMs;
         memberPorts = new int[processes.length];
         for (int i = 0; i < processes.length; i++) {
-            memberPorts[i] = Crew.port();
+            memberPorts[i] = ChildProcesses.freePort();
         }
-        datagrams = new DatagramRelay(memberPorts, seed);
-        memberSeeds = seeds;
+        datagramRelay = new DatagramRelay(memberPorts, seed);
+        gossipSeeds = seeds;
         Files.writeString(keyFile(), "the-key-of-this-fleet-1\n");
     }
 
-    /** Where the keys of all members are. */
+    /** The key file of all members without a key file of their own. */
     public Path keyFile() {
         return folder.resolve("members.key");
     }
 
-    /** Others than all have. */
+    /** Gives this member a key file of its own. */
     public void keyFile(int i, Path file) {
         keyFiles.put(i, file);
     }
 
-    /** Puts a datagram in, as if one had sent it to the other. */
+    /** Sends a datagram to one member as if it came from the other. */
     public void inject(int from, int to, byte[] datagram) {
-        datagrams.inject(from, to, datagram);
+        datagramRelay.inject(from, to, datagram);
     }
 
-    /** The last datagram that one has sent to the other, or null. */
+    /** The last datagram that one member sent to the other, or null. */
     public byte[] lastDatagram(int from, int to) {
-        return datagrams.path(from, to).last;
+        return datagramRelay.path(from, to).lastDatagram;
     }
 
-    /** Where a member's own socket is, behind the relay. */
-    public int memberSocket(int i) {
+    /** The port that the member itself listens on, not the one of the relay. */
+    public int memberPort(int i) {
         return memberPorts[i];
     }
 
-    /** What one has counted under that name. */
+    /** The value of a counter of this scheduler; 0 where it has none of that name. */
     public long counter(int i, String name) throws IOException, InterruptedException {
-        for (String line : ask(i, "/counters", null).body().split("\n")) {
+        for (String line : request(i, "/counters", null).body().split("\n")) {
             if (line.startsWith(name + " ")) {
                 return Long.parseLong(line.substring(name.length() + 1));
             }
@@ -170,52 +174,52 @@
         return 0;
     }
 
-    private String membersTable(int i) {
-        if (datagrams == null) {
+    private String membersConfig(int i) {
+        if (datagramRelay == null) {
             return "";
         }
         StringBuilder seeds = new StringBuilder();
-        for (int seed : memberSeeds) {
+        for (int seed : gossipSeeds) {
             seeds.append(seeds.isEmpty() ? "" : ", ")
                     .append("\"127.0.0.1:")
-                    .append(datagrams.port(seed))
+                    .append(datagramRelay.port(seed))
                     .append('"');
         }
         return "[members]\nlisten = \"127.0.0.1:" + memberPorts[i] + "\"\nadvertise = \"127.0.0.1:"
-                + datagrams.port(i) + "\"\nseeds = [" + seeds
+                + datagramRelay.port(i) + "\"\nseeds = [" + seeds
                 + "]\nallowed = [\"127.0.0.0/8\"]\nkey_file = \""
-                + keyFiles.getOrDefault(i, keyFile()) + "\"\nperiod_ms = " + memberPeriodMs + "\n";
+                + keyFiles.getOrDefault(i, keyFile()) + "\"\nperiod_ms = " + probePeriodMs + "\n";
     }
 
-    /** What a scheduler says of all, {@code GET /fleet}. */
+    /** This scheduler's view of the fleet, {@code GET /fleet}. */
     public JsonObject fleet(int i) throws IOException, InterruptedException {
-        HttpResponse<String> answer = ask(i, "/fleet", null);
-        if (answer.statusCode() != 200) {
-            throw new IOException(answer.body());
+        HttpResponse<String> response = request(i, "/fleet", null);
+        if (response.statusCode() != 200) {
+            throw new IOException(response.body());
         }
-        return JsonParser.parseString(answer.body()).getAsJsonObject();
+        return JsonParser.parseString(response.body()).getAsJsonObject();
     }
 
-    /** What one has on another, or null. */
+    /** The entry for another member in this scheduler's view, or null. */
     public JsonObject member(int i, int other) throws IOException, InterruptedException {
-        for (var one : fleet(i).getAsJsonArray("members")) {
-            if (one.getAsJsonObject().get("name").getAsString().equals(name(other))) {
-                return one.getAsJsonObject();
+        for (var member : fleet(i).getAsJsonArray("members")) {
+            if (member.getAsJsonObject().get("name").getAsString().equals(name(other))) {
+                return member.getAsJsonObject();
             }
         }
         return null;
     }
 
-    /** Its state, or "unknown". */
-    public String standing(int i, int other) throws IOException, InterruptedException {
+    /** The state of another member in this scheduler's view, or "unknown". */
+    public String memberState(int i, int other) throws IOException, InterruptedException {
         JsonObject member = member(i, other);
         return member == null ? "unknown" : member.get("state").getAsString();
     }
 
-    /** True if all of these hold the same view, of so many. */
-    public boolean agree(int live, int... these) throws IOException, InterruptedException {
+    /** True if all these schedulers have the same view, with that number of live members. */
+    public boolean haveSameView(int live, int... schedulers) throws IOException, InterruptedException {
         String digest = null;
-        for (int i : these) {
+        for (int i : schedulers) {
             JsonObject view = fleet(i);
             if (view.get("live").getAsInt() != live
                     || digest != null && !digest.equals(view.get("digest").getAsString())) {
@@ -226,69 +230,69 @@
         return true;
     }
 
-    /** True if besides all of them are settled. */
-    public boolean settled(int live, int... these) throws IOException, InterruptedException {
-        for (int i : these) {
+    /** True if all these schedulers have the same view and report it as settled. */
+    public boolean settled(int live, int... schedulers) throws IOException, InterruptedException {
+        for (int i : schedulers) {
             if (!fleet(i).get("settled").getAsBoolean()) {
                 return false;
             }
         }
-        return agree(live, these);
+        return haveSameView(live, schedulers);
     }
 
-    /** Waits for that. */
-    public void awaitSettled(int live, int... these) throws IOException, InterruptedException {
-        await("all of " + Arrays.toString(these) + " hold one view of " + live, () -> settled(live, these));
+    /** Waits until {@link #settled} is true. */
+    public void awaitSettled(int live, int... schedulers) throws IOException, InterruptedException {
+        await("all of " + Arrays.toString(schedulers) + " hold one view of " + live, () -> settled(live, schedulers));
     }
 
-    /** An option of the virtual machine of this one, as for a clock that runs otherwise. */
-    public void option(int i, String option) {
-        options.set(i, option);
+    /** Sets a JVM option of this scheduler, for example one that changes its clock. */
+    public void setJvmOption(int i, String jvmOption) {
+        jvmOptions.set(i, jvmOption);
     }
 
-    /** Another process of ours, such as stand-in nodes. */
+    /** Starts another child process, such as stand-in nodes. */
     public Process start(String name, Class<?> main, String... args) throws IOException {
-        return crew.start(name, HEAP_MB, main, args);
+        return childProcesses.start(name, HEAP_MB, main, args);
     }
 
     // ---- processes ----
 
     public void start(int i) throws IOException {
-        Path file = write(i);
-        note("start " + name(i));
-        String option = options.get(i);
-        processes[i] = crew.scheduler(
-                limits[i],
+        Path file = writeConfig(i);
+        recordEvent("start " + name(i));
+        String jvmOption = jvmOptions.get(i);
+        processes[i] = childProcesses.startScheduler(
+                maxFileBytes[i],
                 name(i),
                 HEAP_MB,
-                option.isEmpty() ? List.of() : List.of(option),
+                jvmOption.isEmpty() ? List.of() : List.of(jvmOption),
                 file.toString(),
-                platforms.getOrDefault(i, ""));
+                platformFiles.getOrDefault(i, ""));
     }
 
-    /** Writes the file that this one starts by, for a start by other means. */
-    public Path write(int i) throws IOException {
+    /** Writes this scheduler's operators' file, also for a start by other means than {@link #start(int)}. */
+    public Path writeConfig(int i) throws IOException {
         StringBuilder peers = new StringBuilder();
-        StringBuilder names = new StringBuilder();
+        StringBuilder voterNames = new StringBuilder();
         for (int k = 0; k < voters; k++) {
             peers.append(name(k))
                     .append(" = \"127.0.0.1:")
                     .append(k == i ? fleetPorts[k] : relays[i][k].port())
                     .append("\"\n");
-            if (k < named) {
-                names.append(k == 0 ? "\"" : ", \"").append(name(k)).append('"');
+            if (k < namedVoters) {
+                voterNames.append(k == 0 ? "\"" : ", \"").append(name(k)).append('"');
             }
         }
         Path file = folder.resolve(name(i) + ".toml");
         Files.writeString(
                 file,
                 "name = \"" + name(i) + "\"\nlisten = \"127.0.0.1:" + clientPorts[i] + "\"\n"
-                        + more.get(i)
-                                .replace("VOTERS", "[" + names + "]")
+                        + configs.get(i)
+                                .replace("VOTERS", "[" + voterNames + "]")
                                 .replace("FOLDER", folder.resolve(name(i)) + "-votes")
                         + "\n[fleet]\nlisten = \"127.0.0.1:" + fleetPorts[i]
                         + "\"\nsilence_ms = 1000\nlongest_backoff_ms = 100\n[fleet.peers]\n" + peers
-                        + membersTable(i));
+                        + membersConfig(i));
         return file;
     }
 
@@ -302,44 +306,44 @@
         return processes[i] != null && processes[i].isAlive();
     }
 
-    /** SIGKILL. */
+    /** Sends SIGKILL and waits for the end of the process. */
     public void kill(int i) throws InterruptedException, IOException {
-        note("kill " + name(i));
-        Crew.kill(processes[i]);
+        recordEvent("kill " + name(i));
+        ChildProcesses.kill(processes[i]);
     }
 
-    /** SIGTERM, and waits for its end. */
-    public int end(int i) throws InterruptedException, IOException {
-        term(i);
-        return ended(i);
+    /** Sends SIGTERM, waits for the end of the process, and returns its exit code. */
+    public int stop(int i) throws InterruptedException, IOException {
+        signalTerm(i);
+        return awaitExit(i);
     }
 
-    /** SIGTERM. */
-    public void term(int i) throws IOException {
-        note("term " + name(i));
+    /** Sends SIGTERM. */
+    public void signalTerm(int i) throws IOException {
+        recordEvent("term " + name(i));
         processes[i].destroy();
     }
 
-    /** Waits for the end of one that was told to; returns its exit code. */
-    public int ended(int i) throws InterruptedException, IOException {
-        if (!processes[i].waitFor(Await.PATIENCE_NS, TimeUnit.NANOSECONDS)) {
-            throw new IOException(name(i) + " does not end");
+    /** Waits for the end of the process and returns its exit code. */
+    public int awaitExit(int i) throws InterruptedException, IOException {
+        if (!processes[i].waitFor(Await.TIMEOUT_NS, TimeUnit.NANOSECONDS)) {
+            throw new IOException(name(i) + " did not exit within a minute of waiting");
         }
         return processes[i].exitValue();
     }
 
-    /** SIGSTOP: it stands still, amid whatever it is at. */
-    public void stall(int i) throws InterruptedException, IOException {
+    /** Sends SIGSTOP, which suspends the process at whatever point it has reached. */
+    public void suspend(int i) throws InterruptedException, IOException {
         signal(i, "STOP");
     }
 
-    /** SIGCONT. */
-    public void wake(int i) throws InterruptedException, IOException {
+    /** Sends SIGCONT. */
+    public void resume(int i) throws InterruptedException, IOException {
         signal(i, "CONT");
     }
 
     private void signal(int i, String signal) throws InterruptedException, IOException {
-        note(signal + " " + name(i));
+        recordEvent(signal + " " + name(i));
         new ProcessBuilder("kill", "-" + signal, String.valueOf(processes[i].pid()))
                 .start()
                 .waitFor();
@@ -349,100 +353,100 @@
         return processes[i].pid();
     }
 
-    /** The disk of a voter that is down is gone. */
-    public void wipe(int i) throws IOException {
-        note("wipe " + name(i));
-        Trash.remove(votes(i));
+    /** Deletes the stored votes of a voter that is not running, as if its disk were lost. */
+    public void deleteVotes(int i) throws IOException {
+        recordEvent("wipe " + name(i));
+        FileTree.delete(votesFolder(i));
     }
 
-    /** Where a voter keeps its votes. */
-    public Path votes(int i) {
+    /** The folder where a voter stores its votes. */
+    public Path votesFolder(int i) {
         return folder.resolve(name(i) + "-votes");
     }
 
     // ---- paths ----
 
-    /** Nothing that the one says reaches the other. */
+    /** Drops all messages from one scheduler to the other. */
     public void cut(int from, int to) throws IOException {
-        note("cut " + name(from) + " to " + name(to));
-        way(from, to, true);
+        recordEvent("cut " + name(from) + " to " + name(to));
+        setPathCut(from, to, true);
     }
 
-    /** Neither hears the other. */
-    public void part(int one, int other) throws IOException {
-        cut(one, other);
-        cut(other, one);
+    /** Drops all messages between two schedulers in both directions. */
+    public void partition(int first, int second) throws IOException {
+        cut(first, second);
+        cut(second, first);
     }
 
-    /** Nobody of these hears anybody of the others. */
-    public void partAll(List<Integer> these) throws IOException {
-        for (int one : these) {
-            for (int other = 0; other < processes.length; other++) {
-                if (!these.contains(other)) {
-                    part(one, other);
+    /** Drops all messages between the group and the other schedulers. */
+    public void isolate(List<Integer> group) throws IOException {
+        for (int member : group) {
+            for (int outsider = 0; outsider < processes.length; outsider++) {
+                if (!group.contains(outsider)) {
+                    partition(member, outsider);
                 }
             }
         }
     }
 
-    /** No line of the links gets to or from this one; datagrams do. */
-    public void cutLinks(int one) throws IOException {
-        note("cut links of " + name(one));
+    /** Drops all messages on the TCP links of this scheduler; datagrams still pass. */
+    public void cutLinks(int scheduler) throws IOException {
+        recordEvent("cut links of " + name(scheduler));
         for (int other = 0; other < processes.length; other++) {
-            links(one, other, true);
-            links(other, one, true);
+            setLinkCut(scheduler, other, true);
+            setLinkCut(other, scheduler, true);
         }
     }
 
-    private void way(int from, int to, boolean cut) {
-        links(from, to, cut);
-        if (datagrams != null) {
-            datagrams.path(from, to).cut = cut;
+    private void setPathCut(int from, int to, boolean cut) {
+        setLinkCut(from, to, cut);
+        if (datagramRelay != null) {
+            datagramRelay.path(from, to).isCut = cut;
         }
     }
 
-    private void links(int from, int to, boolean cut) {
+    private void setLinkCut(int from, int to, boolean cut) {
         if (to < voters) {
-            relays[from][to].there.cut = cut;
+            relays[from][to].forward.isCut = cut;
         }
         if (from < voters) {
-            relays[to][from].back.cut = cut;
+            relays[to][from].backward.isCut = cut;
         }
     }
 
-    /** All paths pass everything again. */
+    /** Removes all faults from all paths. */
     public void heal() throws IOException {
-        note("heal");
-        each(Faults::clear);
+        recordEvent("heal");
+        forEachPath(Faults::clear);
     }
 
-    /** All paths lose and double such shares of lines, and delay each by up to so much. */
-    public void disturb(double lost, double doubled, int jitterMs) throws IOException {
-        note("disturb " + lost + " " + doubled + " " + jitterMs);
-        each(way -> {
-            way.lost = lost;
-            way.doubled = doubled;
-            way.jitterMs = jitterMs;
+    /** Makes all paths lose and duplicate these shares of messages and delay each by up to {@code jitterMs}. */
+    public void disturb(double lossShare, double duplicateShare, int jitterMs) throws IOException {
+        recordEvent("disturb " + lossShare + " " + duplicateShare + " " + jitterMs);
+        forEachPath(faults -> {
+            faults.lossShare = lossShare;
+            faults.duplicateShare = duplicateShare;
+            faults.jitterMs = jitterMs;
         });
     }
 
-    private void each(Consumer<Faults> change) {
+    private void forEachPath(Consumer<Faults> change) {
         for (Relay[] row : relays) {
             for (Relay relay : row) {
-                change.accept(relay.there);
-                change.accept(relay.back);
+                change.accept(relay.forward);
+                change.accept(relay.backward);
             }
         }
-        for (int i = 0; datagrams != null && i < processes.length; i++) {
+        for (int i = 0; datagramRelay != null && i < processes.length; i++) {
             for (int k = 0; k < processes.length; k++) {
-                change.accept(datagrams.path(i, k));
+                change.accept(datagramRelay.path(i, k));
             }
         }
     }
 
-    /** Breaks all links of this one amid whatever they carry. */
-    public void reset(int i) throws IOException {
-        note("reset " + name(i));
+    /** Resets all TCP links of this scheduler; data in flight is lost. */
+    public void resetConnections(int i) throws IOException {
+        recordEvent("reset " + name(i));
         Arrays.stream(relays[i]).forEach(Relay::reset);
         for (Relay[] row : relays) {
             if (i < voters) {
@@ -451,15 +455,15 @@
         }
     }
 
-    // ---- asking ----
+    // ---- requests ----
 
     public int clientPort(int i) {
         return clientPorts[i];
     }
 
-    /** Waits until clients can come to this one. */
+    /** Waits until this scheduler accepts client connections. */
     public void awaitClients(int i) throws IOException, InterruptedException {
-        await(name(i) + " lets clients in", () -> {
+        await(name(i) + " accepts clients", () -> {
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), clientPorts[i])) {
                 return socket.isConnected();
             }
@@ -470,120 +474,121 @@
         return "127.0.0.1:" + fleetPorts[i];
     }
 
-    /** Asks a scheduler at its fleet address, and follows where it points; by no relay. */
-    public HttpResponse<String> ask(int i, String path, String body) throws IOException, InterruptedException {
-        URI to = URI.create("http://" + fleetAddress(i) + path);
-        for (int hop = 0; ; hop++) {
-            HttpRequest.Builder request = HttpRequest.newBuilder(to).timeout(ASK_WITHIN);
+    /** Sends a request to the fleet address of a scheduler and follows redirects; bypasses the relays. */
+    public HttpResponse<String> request(int i, String path, String body) throws IOException, InterruptedException {
+        URI uri = URI.create("http://" + fleetAddress(i) + path);
+        for (int redirects = 0; ; redirects++) {
+            HttpRequest.Builder request = HttpRequest.newBuilder(uri).timeout(REQUEST_TIMEOUT);
             request = body == null ? request.GET() : request.POST(HttpRequest.BodyPublishers.ofString(body));
-            HttpResponse<String> answer = client.send(request.build(), HttpResponse.BodyHandlers.ofString());
-            if (answer.statusCode() != 307 || hop == 2) {
-                return answer;
+            HttpResponse<String> response = client.send(request.build(), HttpResponse.BodyHandlers.ofString());
+            if (response.statusCode() != 307 || redirects == 2) {
+                return response;
             }
-            // Peers are known by their relays: those are not for us.
-            int port = URI.create(answer.headers().firstValue("Location").orElseThrow())
+            // The redirect names the relay's port: connect to the scheduler behind it instead.
+            int port = URI.create(response.headers().firstValue("Location").orElseThrow())
                     .getPort();
-            to = URI.create("http://127.0.0.1:" + behind(port) + path);
+            uri = URI.create("http://127.0.0.1:" + targetPort(port) + path);
         }
     }
 
-    private int behind(int port) {
+    private int targetPort(int relayPort) {
         for (Relay[] row : relays) {
             for (int k = 0; k < row.length; k++) {
-                if (row[k].port() == port) {
+                if (row[k].port() == relayPort) {
                     return fleetPorts[k];
                 }
             }
         }
-        return port;
+        return relayPort;
     }
 
-    /** What a scheduler says of itself, {@code GET /policy}. */
+    /** The policy state of a scheduler, {@code GET /policy}. */
     public JsonObject policy(int i) throws IOException, InterruptedException {
-        return JsonParser.parseString(ask(i, "/policy", null).body()).getAsJsonObject();
+        return JsonParser.parseString(request(i, "/policy", null).body()).getAsJsonObject();
     }
 
-    /** True if it decides, by this policy. */
-    public boolean decides(int i, long number) throws IOException, InterruptedException {
-        JsonObject all = policy(i);
-        return all.get("state").getAsString().equals("deciding")
-                && all.get("policy").getAsLong() == number;
+    /** True if the scheduler is deciding by the policy of this number. */
+    public boolean isDecidingBy(int i, long policyNumber) throws IOException, InterruptedException {
+        JsonObject state = policy(i);
+        return state.get("state").getAsString().equals("deciding")
+                && state.get("policy").getAsLong() == policyNumber;
     }
 
-    /** The voter that leads, as it says itself, among those that are up; -1: none, as long as one waits. */
+    /** The index of the running voter that reports itself as leader; -1 if none does within the time limit. */
     public int leader() throws InterruptedException {
-        long end = System.nanoTime() + ELECTED_WITHIN.toNanos();
-        int found = leads();
-        while (found < 0 && System.nanoTime() < end) {
+        long deadline = System.nanoTime() + ELECTION_TIMEOUT.toNanos();
+        int leader = findLeader();
+        while (leader < 0 && System.nanoTime() < deadline) {
             Thread.sleep(20);
-            found = leads();
+            leader = findLeader();
         }
-        return found;
+        return leader;
     }
 
-    private int leads() throws InterruptedException {
+    private int findLeader() throws InterruptedException {
         for (int i = 0; i < voters; i++) {
             try {
                 if (isUp(i) && policy(i).has("leads")) {
                     return i;
                 }
             } catch (IOException e) {
-                // Stopped, or not listening yet.
+                // The process is suspended, or not listening yet.
                 continue;
             }
         }
         return -1;
     }
 
-    /** Proposes a change at this scheduler; null where it is not known to be taken. */
+    /** Proposes a change at this scheduler; null where it is not known to be accepted. */
     public JsonObject propose(int i, String name, String types) throws IOException, InterruptedException {
-        HttpResponse<String> answer = ask(i, "/policy/changes", "{\"name\":\"" + name + "\",\"types\":" + types + "}");
-        if (answer.statusCode() >= 500) {
+        HttpResponse<String> response =
+                request(i, "/policy/changes", "{\"name\":\"" + name + "\",\"types\":" + types + "}");
+        if (response.statusCode() >= 500) {
             return null;
         }
-        if (answer.statusCode() != 200) {
+        if (response.statusCode() != 200) {
             throw new IOException(
-                    name + ": " + answer.statusCode() + " " + answer.body().strip());
+                    name + ": " + response.statusCode() + " " + response.body().strip());
         }
-        return JsonParser.parseString(answer.body()).getAsJsonObject();
+        return JsonParser.parseString(response.body()).getAsJsonObject();
     }
 
     /**
-     * Proposes a change until it is known to be taken. While no leader is known, as behind a fault, a
-     * proposal is turned away; the same name is the same change, so asking again does no harm.
+     * Proposes a change until it is known to be accepted. While no leader is known, as during a fault, a
+     * proposal is rejected. Repeating it is safe, since the same name denotes the same change.
      */
-    public void proposeUntilTaken(int i, String name, String types) throws IOException, InterruptedException {
-        await(name + " is taken", () -> propose(i, name, types) != null);
+    public void proposeUntilAccepted(int i, String name, String types) throws IOException, InterruptedException {
+        await(name + " is accepted", () -> propose(i, name, types) != null);
     }
 
-    /** What a majority holds of a change, as this scheduler or whom it points to says; null: not known. */
+    /** The state of a change that a majority stores, from this scheduler or the one it redirects to; or null. */
     public JsonObject change(int i, String name) throws IOException, InterruptedException {
-        HttpResponse<String> answer = ask(i, "/policy/changes/" + name, null);
-        return answer.statusCode() == 200
-                ? JsonParser.parseString(answer.body()).getAsJsonObject()
+        HttpResponse<String> response = request(i, "/policy/changes/" + name, null);
+        return response.statusCode() == 200
+                ? JsonParser.parseString(response.body()).getAsJsonObject()
                 : null;
     }
 
-    /** Waits until it holds; fails with what the processes have said. */
-    public void await(String what, Await.Condition condition) throws IOException, InterruptedException {
-        Await.until(what, condition, () -> {
-            StringBuilder said = new StringBuilder(history());
+    /** Waits until the condition holds; fails with the history and the logs of all schedulers. */
+    public void await(String description, Await.Condition condition) throws IOException, InterruptedException {
+        Await.until(description, condition, () -> {
+            StringBuilder text = new StringBuilder(history());
             for (int i = 0; i < processes.length; i++) {
-                said.append("--- ").append(name(i)).append('\n').append(log(i));
+                text.append("--- ").append(name(i)).append('\n').append(log(i));
             }
-            return said.toString();
+            return text.toString();
         });
     }
 
-    /** Waits until all of these decide by that policy. */
-    public void awaitDeciding(long number, int... these) throws IOException, InterruptedException {
-        for (int i : these) {
-            await(name(i) + " decides by " + number, () -> decides(i, number));
+    /** Waits until all these schedulers are deciding by the policy of this number. */
+    public void awaitDeciding(long policyNumber, int... schedulers) throws IOException, InterruptedException {
+        for (int i : schedulers) {
+            await(name(i) + " decides by " + policyNumber, () -> isDecidingBy(i, policyNumber));
         }
     }
 
-    /** Stand-in nodes at these ports, until the rig is closed or so many seconds have passed. */
-    public void nodes(int[] ports, int seconds) throws IOException {
+    /** Starts stand-in nodes on three ports; they run until the rig is closed or the seconds have passed. */
+    public void startNodes(int[] ports, int seconds) throws IOException {
         start(
                 "nodes",
                 StandInNodes.class,
@@ -595,16 +600,16 @@
                 String.valueOf(seconds));
     }
 
-    /** Stand-in nodes that tell their load: so many slots each, jobs of so many milliseconds in the mean. */
-    public void nodes(int[] ports, int slots, int runMs, int seconds) throws IOException {
-        StringBuilder all = new StringBuilder();
+    /** Starts stand-in nodes that report their load; {@code runMs} is the mean duration of their jobs. */
+    public void startNodes(int[] ports, int slots, int runMs, int seconds) throws IOException {
+        StringBuilder portList = new StringBuilder();
         for (int port : ports) {
-            all.append(all.isEmpty() ? "" : ",").append(port);
+            portList.append(portList.isEmpty() ? "" : ",").append(port);
         }
         start(
                 "nodes",
                 StandInNodes.class,
-                all.toString(),
+                portList.toString(),
                 "",
                 "5",
                 String.valueOf(slots),
@@ -613,32 +618,32 @@
                 "load");
     }
 
-    /** The operators' file's tables of these. */
-    public static String endpoints(int[] ports) {
-        StringBuilder all = new StringBuilder();
+    /** The endpoint tables of the operators' file for nodes on these ports. */
+    public static String endpointTables(int[] ports) {
+        StringBuilder tables = new StringBuilder();
         for (int i = 0; i < ports.length; i++) {
-            all.append("[endpoints.till-")
+            tables.append("[endpoints.till-")
                     .append(i)
                     .append("]\ndial = \"127.0.0.1:")
                     .append(ports[i])
                     .append("\"\n");
         }
-        return all.toString();
+        return tables.toString();
     }
 
-    /** Milliseconds of processor time a second that each needs over such a span. */
-    public double[] cpu(long spanMs) throws IOException, InterruptedException {
-        double[] all = new double[processes.length];
-        for (int i = 0; i < all.length; i++) {
-            all[i] = -cpuTicks(pid(i));
+    /** Measures over a span the CPU time of each scheduler, in milliseconds per second. */
+    public double[] cpuMillisPerSecond(long spanMs) throws IOException, InterruptedException {
+        double[] millisPerSecond = new double[processes.length];
+        for (int i = 0; i < millisPerSecond.length; i++) {
+            millisPerSecond[i] = -cpuTicks(pid(i));
         }
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         Thread.sleep(spanMs);
-        double seconds = (System.nanoTime() - began) / 1e9;
-        for (int i = 0; i < all.length; i++) {
-            all[i] = (cpuTicks(pid(i)) + all[i]) * 1000.0 / TICKS_A_SECOND / seconds;
+        double seconds = (System.nanoTime() - startNanos) / 1e9;
+        for (int i = 0; i < millisPerSecond.length; i++) {
+            millisPerSecond[i] = (cpuTicks(pid(i)) + millisPerSecond[i]) * 1000.0 / CPU_TICKS_PER_SECOND / seconds;
         }
-        return all;
+        return millisPerSecond;
     }
 
     private static long cpuTicks(long pid) throws IOException {
@@ -647,12 +652,12 @@
         return Long.parseLong(fields[11]) + Long.parseLong(fields[12]);
     }
 
-    /** The numbers of all schedulers but these. */
-    public int[] without(Set<Integer> these) {
-        return Arrays.stream(all()).filter(i -> !these.contains(i)).toArray();
+    /** The indexes of all schedulers except these. */
+    public int[] allExcept(Set<Integer> excluded) {
+        return Arrays.stream(all()).filter(i -> !excluded.contains(i)).toArray();
     }
 
-    /** The numbers of all schedulers. */
+    /** The indexes of all schedulers. */
     public int[] all() {
         int[] all = new int[processes.length];
         Arrays.setAll(all, i -> i);
@@ -661,7 +666,8 @@
 
     // ---- history ----
 
-    public void note(String event) throws IOException {
+    /** Appends an event with its time on the monotonic clock to the history file. */
+    public void recordEvent(String event) throws IOException {
         Files.writeString(
                 folder.resolve("history"),
                 System.nanoTime() + " " + event + "\n",
@@ -674,7 +680,7 @@
         return Files.exists(file) ? Files.readString(file) : "";
     }
 
-    /** All that this one has logged, in all its lives. */
+    /** The log of this scheduler, over all its starts. */
     public String log(int i) throws IOException {
         Path file = folder.resolve(name(i) + ".log");
         return Files.exists(file) ? Files.readString(file) : "";
@@ -682,9 +688,9 @@
 
     @Override
     public void close() throws IOException, InterruptedException {
-        crew.close();
-        if (datagrams != null) {
-            datagrams.close();
+        childProcesses.close();
+        if (datagramRelay != null) {
+            datagramRelay.close();
         }
         for (Relay[] row : relays) {
             for (Relay relay : row) {
--- a/src/main/java/laneflow/lab/standin/Wire.java
+++ b/src/main/java/laneflow/lab/standin/GearmanConnection.java
@@ -11,10 +11,10 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One end of a Gearman connection, for stand-ins: blocking, and independent of the front's own codec, so
- * that a mistake there is not made here too. Binary packets as on gearman.org/protocol.
+ * A blocking Gearman connection for stand-ins, with the binary packets of gearman.org/protocol. It does not
+ * share code with the front's codec, so that a mistake there is not repeated here.
  */
-public final class Wire implements AutoCloseable {
+public final class GearmanConnection implements AutoCloseable {
     static final int CAN_DO = 1;
     static final int PRE_SLEEP = 4;
     static final int NOOP = 6;
@@ -28,17 +28,17 @@
     static final int ERROR = 19;
     static final int GRAB_JOB_ALL = 39;
     static final int JOB_ASSIGN_ALL = 40;
-    private static final int REQUEST = 0x00524551;
-    private static final int MOST = 1 << 24;
+    private static final int REQUEST_MAGIC = 0x00524551;
+    private static final int MAX_PACKET_BYTES = 1 << 24;
 
     private final Socket socket;
     private final DataInputStream in;
     private final DataOutputStream out;
 
-    /** A packet as it came: its arguments, the last of them whole. */
+    /** A received packet: its type and its arguments, which NUL bytes separate. */
     public record Packet(int type, String[] args) {}
 
-    public Wire(int port, int timeoutMs) throws IOException {
+    public GearmanConnection(int port, int timeoutMs) throws IOException {
         socket = new Socket();
         socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), timeoutMs);
         socket.setTcpNoDelay(true);
@@ -47,10 +47,10 @@
         out = new DataOutputStream(new BufferedOutputStream(socket.getOutputStream(), 1 << 16));
     }
 
-    /** Puts a packet into the buffer. */
-    public void put(int type, String... args) throws IOException {
+    /** Writes a packet to the buffer without flushing it. */
+    public void writePacket(int type, String... args) throws IOException {
         byte[] data = String.join("\0", args).getBytes(StandardCharsets.UTF_8);
-        out.writeInt(REQUEST);
+        out.writeInt(REQUEST_MAGIC);
         out.writeInt(type);
         out.writeInt(data.length);
         out.write(data);
@@ -61,16 +61,16 @@
     }
 
     public void send(int type, String... args) throws IOException {
-        put(type, args);
+        writePacket(type, args);
         out.flush();
     }
 
-    public Packet read() throws IOException {
+    public Packet readPacket() throws IOException {
         in.readInt();
         int type = in.readInt();
         int length = in.readInt();
-        if (length < 0 || length > MOST) {
-            throw new IOException("a packet of " + length + " bytes");
+        if (length < 0 || length > MAX_PACKET_BYTES) {
+            throw new IOException("invalid packet length: " + length + " bytes");
         }
         return new Packet(type, new String(in.readNBytes(length), StandardCharsets.UTF_8).split("\0", -1));
     }
--- a/src/main/java/laneflow/lab/standin/StandInControl.java
+++ b/src/main/java/laneflow/lab/standin/StandInControl.java
@@ -13,24 +13,23 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A stand-in control service: it holds the streams of all schedulers, sends each the same lines, and writes
- * down what each answered to which nonce and when. It has no opinion of its own: the measurement knows what
- * is right.
+ * A stand-in control service. It holds the streams of all schedulers, sends the same responses to each, and
+ * records which scheduler answered which nonce and when. It does not check the answers: the measurement does.
  */
 public final class StandInControl implements AutoCloseable {
     private final ServerSocket server;
     private final Map<String, Socket> streams = new ConcurrentHashMap<>();
-    /** By scheduler and nonce. */
+    /** The first reply for each "SCHEDULER NONCE". */
     private final Map<String, Reply> replies = new ConcurrentHashMap<>();
-    /** By type: what one that comes later is sent. */
-    private final Map<String, String> newest = new ConcurrentHashMap<>();
-    /** Counts that schedulers told, by their names. */
-    private final Map<String, JsonObject> figures = new ConcurrentHashMap<>();
+    /** By type URL: the responses that are sent on a new stream. */
+    private final Map<String, String> initialResponses = new ConcurrentHashMap<>();
+    /** The latest counters reported by each scheduler, by the scheduler's name. */
+    private final Map<String, JsonObject> counters = new ConcurrentHashMap<>();
 
-    /** When a scheduler told that it took a version back. */
-    public final Map<String, Long> takenBack = new ConcurrentHashMap<>();
+    /** When each scheduler last reported that it rolled a version back, by the name of the scheduler. */
+    public final Map<String, Long> rolledBackNanos = new ConcurrentHashMap<>();
 
-    /** What a scheduler said to a response; the error is null for an ACK. */
+    /** A scheduler's answer to a response; the error is null for an ACK. */
     public record Reply(String version, String error, long nanos) {}
 
     public StandInControl() throws IOException {
@@ -62,42 +61,42 @@
         try (socket) {
             socket.setTcpNoDelay(true);
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            while (!line(in).isEmpty()) {
-                // The head holds nothing that is wanted here.
+            while (!readLine(in).isEmpty()) {
+                // Skips the request head.
                 continue;
             }
             socket.getOutputStream()
                     .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             while (true) {
-                int size = Integer.parseInt(line(in), 16);
-                JsonObject said = JsonParser.parseString(new String(in.readNBytes(size), StandardCharsets.UTF_8))
+                int size = Integer.parseInt(readLine(in), 16);
+                JsonObject message = JsonParser.parseString(new String(in.readNBytes(size), StandardCharsets.UTF_8))
                         .getAsJsonObject();
-                line(in);
+                readLine(in);
                 long now = System.nanoTime();
-                if (!said.has("response_nonce")) {
-                    figures.put(said.getAsJsonObject("node").get("id").getAsString(), said);
+                if (!message.has("response_nonce")) {
+                    counters.put(message.getAsJsonObject("node").get("id").getAsString(), message);
                     continue;
                 }
-                String nonce = said.get("response_nonce").getAsString();
+                String nonce = message.get("response_nonce").getAsString();
                 if (name == null) {
-                    name = said.getAsJsonObject("node").get("id").getAsString();
+                    name = message.getAsJsonObject("node").get("id").getAsString();
                     streams.put(name, socket);
-                    for (String one : newest.values()) {
-                        send(socket, one);
+                    for (String response : initialResponses.values()) {
+                        send(socket, response);
                     }
                 }
                 if (nonce.isEmpty()) {
                     continue;
                 }
-                JsonObject error = said.getAsJsonObject("error_detail");
+                JsonObject error = message.getAsJsonObject("error_detail");
                 replies.putIfAbsent(
                         name + " " + nonce,
                         new Reply(
-                                said.get("version_info").getAsString(),
+                                message.get("version_info").getAsString(),
                                 error == null ? null : error.get("message").getAsString(),
                                 now));
                 if (error != null && error.get("message").getAsString().contains(" was taken back: ")) {
-                    takenBack.put(name, now);
+                    rolledBackNanos.put(name, now);
                 }
             }
         } catch (IOException | NumberFormatException e) {
@@ -107,11 +106,11 @@
         }
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int next = in.read(); next != '\n'; next = in.read()) {
             if (next < 0) {
-                throw new IOException("ended");
+                throw new IOException("the stream ended within a line");
             }
             if (next != '\r') {
                 line.append((char) next);
@@ -130,28 +129,28 @@
         }
     }
 
-    /** The counts that a scheduler told last, or null. */
-    JsonObject figures(String scheduler) {
-        return figures.get(scheduler);
+    /** The counters that a scheduler reported last, or null. */
+    JsonObject counters(String scheduler) {
+        return counters.get(scheduler);
     }
 
     public int streams() {
         return streams.size();
     }
 
-    public boolean has(String scheduler) {
+    public boolean hasStream(String scheduler) {
         return streams.containsKey(scheduler);
     }
 
-    /** Its process has been killed: the next stream under that name is a new one. */
-    public void forget(String scheduler) {
+    /** Drops the stream of a scheduler whose process was killed, so that its next stream counts as new. */
+    public void dropStream(String scheduler) {
         streams.remove(scheduler);
     }
 
-    /** Sends a line to all; one that comes later is sent the newest that was to be kept. */
-    public void publish(String text, boolean keep) {
-        if (keep) {
-            newest.put(
+    /** Sends a response on all streams; with {@code sendToNewStreams} also on streams that are opened later. */
+    public void publish(String text, boolean sendToNewStreams) {
+        if (sendToNewStreams) {
+            initialResponses.put(
                     JsonParser.parseString(text)
                             .getAsJsonObject()
                             .get("type_url")
@@ -167,13 +166,13 @@
         });
     }
 
-    /** What one that comes later is sent, without a word to those that are here. */
-    public void newest(String text) {
-        newest.put(
+    /** Sets the response of its type for streams that are opened later, without sending it on the open ones. */
+    public void setInitialResponse(String text) {
+        initialResponses.put(
                 JsonParser.parseString(text).getAsJsonObject().get("type_url").getAsString(), text);
     }
 
-    /** What that scheduler answered, or null as long as it has not. */
+    /** The scheduler's reply to this nonce, or null if there is none yet. */
     public Reply reply(String scheduler, String nonce) {
         return replies.get(scheduler + " " + nonce);
     }
--- a/src/main/java/laneflow/lab/standin/StandInDiscovery.java
+++ b/src/main/java/laneflow/lab/standin/StandInDiscovery.java
@@ -11,39 +11,40 @@
 import java.util.List;
 
 /**
- * A stand-in for discovery: each watch is told the whole list, then each later one as it comes, and an empty
- * line a second between them. It can be taken down for a while: watches break off, and none can be begun.
+ * A stand-in discovery service. Each watch receives the complete list, then every later list, and an empty line
+ * as a heartbeat after each second without one. The service can be stopped for a while: open watches are closed
+ * and new ones are not accepted.
  */
 public final class StandInDiscovery implements AutoCloseable {
-    private static final long BEAT_MS = 1000;
+    private static final long HEARTBEAT_MS = 1000;
 
     private final int port;
     private final List<Socket> watches = new ArrayList<>();
     private ServerSocket server;
     private String list = "";
-    private int seq;
+    private int sequence;
 
-    /** Nothing is told before the first list. */
+    /** Sends no list before the first call of {@link #publish}. */
     public StandInDiscovery(int port) throws IOException {
         this.port = port;
-        up();
+        startListening();
     }
 
     public String address() {
         return "127.0.0.1:" + port;
     }
 
-    /** Takes watches, again. */
-    public synchronized void up() throws IOException {
+    /** Accepts watches, also after {@link #stopListening}. */
+    public synchronized void startListening() throws IOException {
         server = new ServerSocket();
         server.setReuseAddress(true);
         server.bind(new java.net.InetSocketAddress(InetAddress.getLoopbackAddress(), port), 64);
-        ServerSocket open = server;
-        daemon(() -> accept(open));
+        ServerSocket listener = server;
+        startThread(() -> accept(listener));
     }
 
-    /** Breaks all watches off, and takes none. */
-    public synchronized void down() throws IOException {
+    /** Closes all watches and accepts no new ones. */
+    public synchronized void stopListening() throws IOException {
         server.close();
         for (Socket watch : watches) {
             watch.close();
@@ -51,26 +52,26 @@
         watches.clear();
     }
 
-    /** From now on all that listen hear of these hosts and no other: a JSON object each. */
-    public synchronized void tell(List<String> hosts) {
-        list = "{\"seq\":" + ++seq + ",\"whole\":true,\"hosts\":[" + String.join(",", hosts) + "]}\n";
+    /** Sends a new complete list to all watches; each host is a JSON object. */
+    public synchronized void publish(List<String> hosts) {
+        list = "{\"seq\":" + ++sequence + ",\"whole\":true,\"hosts\":[" + String.join(",", hosts) + "]}\n";
         notifyAll();
     }
 
-    private static void daemon(Runnable work) {
+    private static void startThread(Runnable work) {
         Thread thread = new Thread(null, work, "discovery", 256 * 1024);
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void accept(ServerSocket open) {
+    private void accept(ServerSocket listener) {
         while (true) {
             try {
-                Socket socket = open.accept();
+                Socket socket = listener.accept();
                 synchronized (this) {
                     watches.add(socket);
                 }
-                daemon(() -> serve(socket));
+                startThread(() -> serve(socket));
             } catch (IOException e) {
                 return;
             }
@@ -90,23 +91,23 @@
             }
             OutputStream out = socket.getOutputStream();
             out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            int told = 0;
+            int sentSequence = 0;
             while (!socket.isClosed()) {
                 String line = "\n";
                 synchronized (this) {
-                    if (told == seq) {
-                        wait(BEAT_MS);
+                    if (sentSequence == sequence) {
+                        wait(HEARTBEAT_MS);
                     }
-                    if (told < seq) {
+                    if (sentSequence < sequence) {
                         line = list;
-                        told = seq;
+                        sentSequence = sequence;
                     }
                 }
                 out.write((Integer.toHexString(line.length()) + "\r\n" + line + "\r\n")
                         .getBytes(StandardCharsets.US_ASCII));
             }
         } catch (IOException e) {
-            // Whoever watched has gone, or this is down: it comes again.
+            // The client closed the watch, or the service is stopped; the client reconnects.
             return;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -115,6 +116,6 @@
 
     @Override
     public void close() throws IOException {
-        down();
+        stopListening();
     }
 }
--- a/src/main/java/laneflow/lab/standin/StandInPool.java
+++ b/src/main/java/laneflow/lab/standin/StandInPool.java
@@ -18,49 +18,58 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Stand-in endpoints with slots and a bounded queue in order, which know nothing of gossip. A job's body says
- * how long it takes, {@code NAME MICROSECONDS}. Each writes down, on the machine's one monotonic clock, what
- * it was sent and how many slots were free from when on; that is all that the measurement reads. One can
- * drain, die with all it has in hand, and come back cold at its old address; a second door of an endpoint
- * tells whoever comes there a load that is a lie.
+ * Stand-in endpoints with slots and a bounded FIFO queue, independent of gossip. A job's body is
+ * {@code NAME MICROSECONDS}, the second being its duration. Each endpoint records on the machine's monotonic
+ * clock when jobs arrived and how many slots were free since when; the measurement reads only these records.
+ * An endpoint can drain, crash with all its jobs, and restart cold at the same address. On an additional port
+ * it can report a false load.
  */
 public final class StandInPool implements AutoCloseable {
-    private static final double NANOS = 1e9;
-    /** No call goes out later than 500 ms after a list has told of a drain; both are under way a while. */
-    private static final long GRACE_NS = 1_000_000_000L;
+    private static final double NANOS_PER_SECOND = 1e9;
+    /** Schedulers send no job later than 500 ms after a list announced a drain; the rest covers transmission. */
+    private static final long DRAIN_GRACE_NS = 1_000_000_000L;
 
     /**
-     * What endpoints of one sort are like.
+     * The capacity of the endpoints.
      *
-     * @param queue jobs that may wait; a further one is declined
-     * @param coldShare of its speed's budget right after a start, up to all after {@code coldSeconds}
-     * @param fallMultiple times what it can do that it may be sent in {@code fallSeconds} before it falls
+     * @param maxQueued the number of jobs that may wait; further ones are declined
+     * @param coldShare the share of the full capacity right after a restart; it grows linearly to all of it
+     *     within {@code coldSeconds}
+     * @param overloadFactor a cold endpoint counts as overloaded when, within {@code overloadSeconds}, it is
+     *     sent more than this multiple of its capacity at that time
      */
-    public record Sort(
-            int slots, int queue, double coldShare, double coldSeconds, double fallMultiple, double fallSeconds) {}
-
-    /** One endpoint. */
-    public final class Node {
+    public record Profile(
+            int slots,
+            int maxQueued,
+            double coldShare,
+            double coldSeconds,
+            double overloadFactor,
+            double overloadSeconds) {}
+
+    /** An endpoint; the zone and the rack are indexes. */
+    public final class Endpoint {
         public final String name;
         public final int zone;
         public final int rack;
         private final int port;
-        private final TreeMap<Long, Integer> freeFrom = new TreeMap<>();
-        private final List<Long> sentAt = new ArrayList<>();
-        private final List<Long> waitedBehind = new ArrayList<>();
+        private final TreeMap<Long, Integer> freeSlotsSince = new TreeMap<>();
+        private final List<Long> receivedNanos = new ArrayList<>();
+        private final List<Long> queuePositions = new ArrayList<>();
         private final ArrayDeque<CountDownLatch> waiting = new ArrayDeque<>();
-        private final ArrayDeque<long[]> sentOfLate = new ArrayDeque<>();
+        private final ArrayDeque<long[]> recentCosts = new ArrayDeque<>();
         private final List<Socket> sockets = new ArrayList<>();
-        private final List<ServerSocket> doors = new ArrayList<>();
-        private int busy;
-        private int life;
-        private long bornMs;
-        private long bornNs;
-        private long drainToldNs = Long.MAX_VALUE;
-        private boolean fell;
-        private boolean up;
-
-        private Node(String name, int zone, int rack, int port) {
+        private final List<ServerSocket> listeners = new ArrayList<>();
+        private int busySlots;
+        private int incarnation;
+        /** Unix time of the last restart; 0 before the first one, as the initial start is warm. */
+        private long restartedMs;
+
+        private long restartedNanos;
+        private long drainNanos = Long.MAX_VALUE;
+        private boolean overloaded;
+        private boolean running;
+
+        private Endpoint(String name, int zone, int rack, int port) {
             this.name = name;
             this.zone = zone;
             this.rack = rack;
@@ -71,147 +80,150 @@
             return port;
         }
 
-        /** Whoever dials that port is told so many free slots and waiting jobs, whatever there are. */
-        public void lieAt(int door, int free, int queue) throws IOException {
-            open(door, "\"x0\":" + free + ",\"q\":" + queue);
+        /** Listens on an additional port and reports this load there, whatever the real one is. */
+        public void listenWithFalseLoad(int listenPort, int freeSlots, int queued) throws IOException {
+            listen(listenPort, "\"x0\":" + freeSlots + ",\"q\":" + queued);
         }
 
-        private synchronized void open(int at, String lie) throws IOException {
+        private synchronized void listen(int listenPort, String falseLoad) throws IOException {
             ServerSocket server = new ServerSocket();
             server.setReuseAddress(true);
-            server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), at), 512);
-            doors.add(server);
-            daemon(() -> accept(server, lie));
+            server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), listenPort), 512);
+            listeners.add(server);
+            startThread(() -> accept(server, falseLoad));
         }
 
-        private synchronized void begin() throws IOException {
-            up = true;
-            open(port, null);
-            freeFrom.put(System.nanoTime(), sort.slots);
+        private synchronized void start() throws IOException {
+            running = true;
+            listen(port, null);
+            freeSlotsSince.put(System.nanoTime(), profile.slots);
         }
 
-        /** Dies with all it has in hand: nobody hears any more of it. */
-        public synchronized void die() throws IOException {
-            up = false;
-            life++;
-            freeFrom.put(System.nanoTime(), 0);
-            busy = 0;
-            for (CountDownLatch one : waiting) {
-                one.countDown();
+        /** Stops abruptly: closes all connections and drops all running and waiting jobs. */
+        public synchronized void crash() throws IOException {
+            running = false;
+            incarnation++;
+            freeSlotsSince.put(System.nanoTime(), 0);
+            busySlots = 0;
+            for (CountDownLatch turn : waiting) {
+                turn.countDown();
             }
             waiting.clear();
-            for (ServerSocket door : doors) {
-                door.close();
+            for (ServerSocket listener : listeners) {
+                listener.close();
             }
-            doors.clear();
+            listeners.clear();
             for (Socket socket : sockets) {
                 socket.close();
             }
             sockets.clear();
         }
 
-        /** Comes back at its old address, cold. */
+        /** Starts again at the same address, cold. */
         public synchronized void restart() throws IOException {
-            bornMs = System.currentTimeMillis();
-            bornNs = System.nanoTime();
-            fell = false;
-            sentOfLate.clear();
-            begin();
+            restartedMs = System.currentTimeMillis();
+            restartedNanos = System.nanoTime();
+            overloaded = false;
+            recentCosts.clear();
+            start();
         }
 
-        /** From now on lists say that it drains. */
-        public synchronized void drains() {
-            drainToldNs = System.nanoTime();
+        /** Marks the endpoint as draining in discovery lists. */
+        public synchronized void startDraining() {
+            drainNanos = System.nanoTime();
         }
 
-        /** From now on lists have it as ready again. */
-        public synchronized void drainsNoMore() {
-            drainToldNs = Long.MAX_VALUE;
+        /** Marks the endpoint as ready again in discovery lists. */
+        public synchronized void stopDraining() {
+            drainNanos = Long.MAX_VALUE;
         }
 
-        /** As discovery tells of it. */
-        public synchronized String listed() {
+        /** The entry for this endpoint in a discovery list. */
+        public synchronized String discoveryEntry() {
             return "{\"host\":\"" + name + "\",\"dial\":\"127.0.0.1:" + port + "\",\"site\":\"" + zones.get(zone)
                     + "\",\"block\":" + rack + ",\"health\":\""
-                    + (drainToldNs == Long.MAX_VALUE ? "Ready" : "Terminating") + "\",\"share\":1.0,"
-                    + "\"born_ms\":" + bornMs + "}";
+                    + (drainNanos == Long.MAX_VALUE ? "Ready" : "Terminating") + "\",\"share\":1.0,"
+                    + "\"born_ms\":" + restartedMs + "}";
         }
 
-        /** Slots that were free at that instant. */
-        public synchronized int freeAt(long ns) {
-            Map.Entry<Long, Integer> last = freeFrom.floorEntry(ns);
-            boolean drained = ns >= drainToldNs;
-            // One that is warming up has a budget besides slots: what is free there is not free for all.
-            boolean cold = bornMs > 0 && ns - bornNs < sort.coldSeconds * NANOS;
-            return last == null || drained || cold ? 0 : last.getValue();
+        /** The number of slots that were free at that time; 0 while it drains or is cold. */
+        public synchronized int freeAt(long nanos) {
+            Map.Entry<Long, Integer> latest = freeSlotsSince.floorEntry(nanos);
+            boolean drained = nanos >= drainNanos;
+            // While it warms up, a budget limits it besides its slots, so free slots need not be usable.
+            boolean cold = restartedMs > 0 && nanos - restartedNanos < profile.coldSeconds * NANOS_PER_SECOND;
+            return latest == null || drained || cold ? 0 : latest.getValue();
         }
 
-        /** Jobs that were sent to it between those instants. */
-        public synchronized int sentBetween(long from, long to) {
-            return (int) sentAt.stream().filter(ns -> ns >= from && ns < to).count();
+        /** The number of jobs that arrived between two times, the second excluded. */
+        public synchronized int receivedBetween(long from, long to) {
+            return (int)
+                    receivedNanos.stream().filter(ns -> ns >= from && ns < to).count();
         }
 
-        /** Null where it is declined. */
-        private synchronized Place enter(long cost) {
+        /** Admits a job to a slot or to the queue; null if the queue is full. */
+        private synchronized Admission admit(long costMicros) {
             long now = System.nanoTime();
-            sentAt.add(now);
-            if (now - drainToldNs > GRACE_NS) {
+            receivedNanos.add(now);
+            if (now - drainNanos > DRAIN_GRACE_NS) {
                 sentToDrained.incrementAndGet();
             }
-            budget(now, cost);
-            waitedBehind.add((long) (busy < sort.slots ? 0 : waiting.size() + 1));
-            Place place = new Place(life, new CountDownLatch(busy < sort.slots ? 0 : 1));
-            if (busy < sort.slots) {
-                taken(1);
-            } else if (waiting.size() < sort.queue) {
-                waiting.add(place.turn);
+            checkColdBudget(now, costMicros);
+            queuePositions.add((long) (busySlots < profile.slots ? 0 : waiting.size() + 1));
+            Admission admission = new Admission(incarnation, new CountDownLatch(busySlots < profile.slots ? 0 : 1));
+            if (busySlots < profile.slots) {
+                addBusySlots(1);
+            } else if (waiting.size() < profile.maxQueued) {
+                waiting.add(admission.turn);
             } else {
                 return null;
             }
-            return place;
+            return admission;
         }
 
-        /** It falls where in any span more work was sent than a multiple of what it can do by then. */
-        private void budget(long now, long cost) {
-            if (bornMs == 0 || now - bornNs > sort.coldSeconds * NANOS) {
+        /** Counts the cold endpoint as overloaded if it was sent too much in the last span; see {@link Profile}. */
+        private void checkColdBudget(long now, long costMicros) {
+            if (restartedMs == 0 || now - restartedNanos > profile.coldSeconds * NANOS_PER_SECOND) {
                 return;
             }
-            sentOfLate.add(new long[] {now, cost});
-            while (sentOfLate.peek()[0] < now - sort.fallSeconds * NANOS) {
-                sentOfLate.poll();
+            recentCosts.add(new long[] {now, costMicros});
+            while (recentCosts.peek()[0] < now - profile.overloadSeconds * NANOS_PER_SECOND) {
+                recentCosts.poll();
             }
-            double sent = sentOfLate.stream().mapToLong(one -> one[1]).sum() / 1e6;
-            double age = (now - bornNs) / NANOS / sort.coldSeconds;
-            double may =
-                    sort.fallMultiple * (sort.coldShare + (1 - sort.coldShare) * age) * sort.slots * sort.fallSeconds;
-            if (sent > may && !fell) {
-                fell = true;
-                fallen.incrementAndGet();
+            double sentSeconds = recentCosts.stream().mapToLong(one -> one[1]).sum() / 1e6;
+            double warmedShare = (now - restartedNanos) / NANOS_PER_SECOND / profile.coldSeconds;
+            double allowedSeconds = profile.overloadFactor
+                    * (profile.coldShare + (1 - profile.coldShare) * warmedShare)
+                    * profile.slots
+                    * profile.overloadSeconds;
+            if (sentSeconds > allowedSeconds && !overloaded) {
+                overloaded = true;
+                overloadCount.incrementAndGet();
             }
         }
 
-        private void taken(int more) {
-            busy += more;
-            freeFrom.put(System.nanoTime(), sort.slots - busy);
+        private void addBusySlots(int change) {
+            busySlots += change;
+            freeSlotsSince.put(System.nanoTime(), profile.slots - busySlots);
         }
 
-        private synchronized void leave(int of) {
-            if (of != life) {
+        private synchronized void release(int admittedIn) {
+            if (admittedIn != incarnation) {
                 return;
             }
             CountDownLatch next = waiting.poll();
             if (next != null) {
                 next.countDown();
             } else {
-                taken(-1);
+                addBusySlots(-1);
             }
         }
 
-        private synchronized String load(String lie) {
-            return lie != null ? lie : "\"x0\":" + (sort.slots - busy) + ",\"q\":" + waiting.size();
+        private synchronized String load(String falseLoad) {
+            return falseLoad != null ? falseLoad : "\"x0\":" + (profile.slots - busySlots) + ",\"q\":" + waiting.size();
         }
 
-        private void accept(ServerSocket server, String lie) {
+        private void accept(ServerSocket server, String falseLoad) {
             while (true) {
                 try {
                     Socket socket = server.accept();
@@ -219,24 +231,24 @@
                     synchronized (this) {
                         sockets.add(socket);
                     }
-                    daemon(() -> serve(socket, lie));
+                    startThread(() -> serve(socket, falseLoad));
                 } catch (IOException e) {
                     return;
                 }
             }
         }
 
-        private void serve(Socket socket, String lie) {
+        private void serve(Socket socket, String falseLoad) {
             try (socket) {
                 InputStream in = new BufferedInputStream(socket.getInputStream());
-                for (String head = HttpText.head(in); head != null; head = HttpText.head(in)) {
+                for (String head = HttpText.readHead(in); head != null; head = HttpText.readHead(in)) {
                     String id = HttpText.field(head, "Req-Id", "0");
                     int length = Integer.parseInt(HttpText.field(head, "Content-Length", "0"));
                     String[] job = new String(in.readNBytes(length), StandardCharsets.UTF_8).split(" ");
-                    run(socket, in, id, Long.parseLong(job[1]), lie);
+                    run(socket, in, id, Long.parseLong(job[1]), falseLoad);
                 }
             } catch (IOException | InterruptedException e) {
-                // The scheduler has closed, or this endpoint is dead.
+                // The scheduler closed the connection, or this endpoint has crashed.
                 return;
             } finally {
                 synchronized (this) {
@@ -245,40 +257,40 @@
             }
         }
 
-        private void run(Socket socket, InputStream in, String id, long micros, String lie)
+        private void run(Socket socket, InputStream in, String id, long micros, String falseLoad)
                 throws IOException, InterruptedException {
-            Place place = enter(micros);
-            if (place == null) {
+            Admission admission = admit(micros);
+            if (admission == null) {
                 write(
                         socket,
                         "HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nSrv-Load: "
-                                + load(lie).replace("\"", "").replace(':', '=')
+                                + load(falseLoad).replace("\"", "").replace(':', '=')
                                 + "\r\nContent-Length: 0\r\n\r\n");
                 return;
             }
-            // Taken in: the head says so at once, whatever the job waits for.
-            boolean told = tell(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            place.turn.await();
+            // The head is sent at once to acknowledge the job, even if the job has to wait for a slot.
+            boolean headSent = tryWrite(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            admission.turn.await();
             try {
-                if (!told || isGone(socket, in)) {
+                if (!headSent || isClosed(socket, in)) {
                     return;
                 }
                 write(socket, HttpText.chunk("{\"id\":\"" + id + "\",\"state\":\"started\"}\n"));
                 Thread.sleep(micros / 1000, (int) (micros % 1000) * 1000);
-                // The report is made before the slot is free: it counts the job that has ended.
+                // The load is reported before the slot is released, so it still counts the finished job.
                 write(
                         socket,
                         HttpText.chunk("{\"id\":\"" + id
                                         + "\",\"state\":\"done\",\"result\":\"ran\",\"load\":{"
-                                        + load(lie) + "}}\n")
+                                        + load(falseLoad) + "}}\n")
                                 + "0\r\n\r\n");
             } finally {
-                leave(place.life);
+                release(admission.incarnation);
             }
         }
 
-        /** False where nobody is there any more; its place in the queue comes up all the same. */
-        private static boolean tell(Socket socket, String text) {
+        /** Writes the text; false if the connection is closed. The job keeps its place in the queue either way. */
+        private static boolean tryWrite(Socket socket, String text) {
             try {
                 write(socket, text);
                 return true;
@@ -287,8 +299,8 @@
             }
         }
 
-        /** A job whose caller has closed meanwhile is not begun. */
-        private static boolean isGone(Socket socket, InputStream in) throws IOException {
+        /** True if the caller has closed the connection meanwhile; the job is not started then. */
+        private static boolean isClosed(Socket socket, InputStream in) throws IOException {
             socket.setSoTimeout(1);
             try {
                 return in.read() < 0;
@@ -300,57 +312,57 @@
         }
     }
 
-    /** A job's place at an endpoint, in that life of it. */
-    private record Place(int life, CountDownLatch turn) {}
+    /** A job admitted by an endpoint: the endpoint's incarnation, and a latch that opens when the job may run. */
+    private record Admission(int incarnation, CountDownLatch turn) {}
 
-    public final List<Node> nodes = new ArrayList<>();
+    public final List<Endpoint> endpoints = new ArrayList<>();
     private final List<String> zones;
-    private final Sort sort;
+    private final Profile profile;
     private final AtomicInteger sentToDrained = new AtomicInteger();
-    private final AtomicInteger fallen = new AtomicInteger();
+    private final AtomicInteger overloadCount = new AtomicInteger();
 
-    /** @param ports of the endpoints; their zones and, within a zone, their racks go by turns */
-    public StandInPool(List<Integer> ports, List<String> zones, int racks, Sort sort) throws IOException {
+    /** @param ports the ports of the endpoints, which are assigned to the zones and their racks in turn */
+    public StandInPool(List<Integer> ports, List<String> zones, int racks, Profile profile) throws IOException {
         this.zones = List.copyOf(zones);
-        this.sort = sort;
+        this.profile = profile;
         for (int i = 0; i < ports.size(); i++) {
-            Node node = new Node("e" + i, i % zones.size(), i % (zones.size() * racks), ports.get(i));
-            nodes.add(node);
-            node.begin();
+            Endpoint endpoint = new Endpoint("e" + i, i % zones.size(), i % (zones.size() * racks), ports.get(i));
+            endpoints.add(endpoint);
+            endpoint.start();
         }
     }
 
-    /** All of them as discovery tells of them. */
-    public List<String> listed() {
-        return nodes.stream().map(Node::listed).toList();
+    /** The entries of all endpoints for a discovery list. */
+    public List<String> discoveryEntries() {
+        return endpoints.stream().map(Endpoint::discoveryEntry).toList();
     }
 
-    /** Jobs that came to endpoints that drain, beyond the grace. */
+    /** The number of jobs that arrived at draining endpoints after the grace period. */
     public int sentToDrained() {
         return sentToDrained.get();
     }
 
-    /** Cold endpoints that were sent more than they can bear. */
-    public int coldFallen() {
-        return fallen.get();
+    /** The number of times that a cold endpoint was overloaded, at most one for each restart. */
+    public int coldOverloads() {
+        return overloadCount.get();
     }
 
-    /** Of all jobs since that instant, behind how many each had to wait, in no order. */
-    public List<Long> waitedBehind(long sinceNs) {
-        List<Long> all = new ArrayList<>();
-        for (Node node : nodes) {
-            synchronized (node) {
-                for (int i = 0; i < node.sentAt.size(); i++) {
-                    if (node.sentAt.get(i) >= sinceNs) {
-                        all.add(node.waitedBehind.get(i));
+    /** The queue position of each job since that time, 0 for one that found a free slot; in no order. */
+    public List<Long> queuePositions(long sinceNs) {
+        List<Long> positions = new ArrayList<>();
+        for (Endpoint endpoint : endpoints) {
+            synchronized (endpoint) {
+                for (int i = 0; i < endpoint.receivedNanos.size(); i++) {
+                    if (endpoint.receivedNanos.get(i) >= sinceNs) {
+                        positions.add(endpoint.queuePositions.get(i));
                     }
                 }
             }
         }
-        return all;
+        return positions;
     }
 
-    private static void daemon(Runnable work) {
+    private static void startThread(Runnable work) {
         Thread thread = new Thread(null, work, "endpoint", 128 * 1024);
         thread.setDaemon(true);
         thread.start();
@@ -362,9 +374,9 @@
 
     @Override
     public void close() throws IOException {
-        for (Node node : nodes) {
-            if (node.up) {
-                node.die();
+        for (Endpoint endpoint : endpoints) {
+            if (endpoint.running) {
+                endpoint.crash();
             }
         }
     }
--- a/src/main/java/laneflow/lab/standin/StandInRacks.java
+++ b/src/main/java/laneflow/lab/standin/StandInRacks.java
@@ -14,18 +14,19 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * Stand-in endpoints that stand in racks. They know nothing of windows: each writes down every call with its
- * beginning and its end on the machine's one clock, and whoever checks holds that against what crews did.
+ * Stand-in endpoints in racks. They have no information on maintenance windows: they record the start and the
+ * end of every call on the machine's monotonic clock, and the checks compare the calls with the times at which
+ * maintenance crews worked.
  */
 public final class StandInRacks implements AutoCloseable {
-    private static final int STACK = 256 * 1024;
+    private static final int STACK_BYTES = 256 * 1024;
 
-    /** A call at an endpoint; while it goes on its end is the largest number. */
+    /** A call at an endpoint. Until it ends, its end time is {@link Long#MAX_VALUE}. */
     public static final class Call {
         public final String endpoint;
-        /** Whose it is, as the request says. */
+        /** The tenant, from the Req-Owner header. */
         public final String owner;
-        /** What its client called it, by which a second run is known. */
+        /** The name that the client gave the job; identifies repeated runs of it. */
         public final String job;
 
         public final long beganNs = System.nanoTime();
@@ -47,48 +48,48 @@
     private final ConcurrentLinkedQueue<Call> calls = new ConcurrentLinkedQueue<>();
     private final Map<Socket, String> sockets = new ConcurrentHashMap<>();
     private final int runMs;
-    private final boolean keeps;
+    private final boolean recordsCalls;
 
     /**
-     * @param ports of the loopback interface, by the endpoint's name
+     * @param ports the ports on the loopback interface by the endpoint's name
      * @param runMs how long each job takes
-     * @param keeps false where nobody is going to read the calls
+     * @param recordsCalls false where {@link #calls} is not used, which saves the memory
      */
-    public StandInRacks(Map<String, Integer> ports, int runMs, boolean keeps) throws IOException {
+    public StandInRacks(Map<String, Integer> ports, int runMs, boolean recordsCalls) throws IOException {
         this.runMs = runMs;
-        this.keeps = keeps;
+        this.recordsCalls = recordsCalls;
         this.ports.putAll(ports);
         for (String name : ports.keySet()) {
-            bringBack(name);
+            startEndpoint(name);
         }
     }
 
-    /** It is there, or there again under its old address. */
-    public void bringBack(String name) throws IOException {
+    /** Starts an endpoint, or restarts it at the same address. */
+    public void startEndpoint(String name) throws IOException {
         ServerSocket server = new ServerSocket();
         server.setReuseAddress(true);
         server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), ports.get(name)), 256);
         servers.put(name, server);
-        daemon(() -> accept(name, server));
+        startThread(() -> accept(name, server));
     }
 
-    /** It is gone without a word: its connections break, and none comes up any more. */
-    public void lose(String name) throws IOException {
+    /** Stops an endpoint abruptly: closes its connections and accepts no further ones. */
+    public void stopEndpoint(String name) throws IOException {
         servers.get(name).close();
-        for (Map.Entry<Socket, String> one : sockets.entrySet()) {
-            if (one.getValue().equals(name)) {
-                one.getKey().close();
+        for (Map.Entry<Socket, String> connection : sockets.entrySet()) {
+            if (connection.getValue().equals(name)) {
+                connection.getKey().close();
             }
         }
     }
 
-    /** All calls so far, those that go on included. */
+    /** All calls so far, including those in progress. */
     public List<Call> calls() {
         return List.copyOf(calls);
     }
 
-    private static void daemon(Runnable work) {
-        Thread thread = new Thread(null, work, "rack", STACK);
+    private static void startThread(Runnable work) {
+        Thread thread = new Thread(null, work, "rack", STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
     }
@@ -99,7 +100,7 @@
                 Socket socket = server.accept();
                 socket.setTcpNoDelay(true);
                 sockets.put(socket, name);
-                daemon(() -> serve(name, socket));
+                startThread(() -> serve(name, socket));
             } catch (IOException e) {
                 return;
             }
@@ -110,20 +111,20 @@
         Call call = null;
         try (socket) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            for (String head = HttpText.head(in); head != null; head = HttpText.head(in)) {
+            for (String head = HttpText.readHead(in); head != null; head = HttpText.readHead(in)) {
                 int length = Integer.parseInt(HttpText.field(head, "Content-Length", "0"));
                 String job = new String(in.readNBytes(length), StandardCharsets.UTF_8);
                 call = new Call(name, HttpText.field(head, "Req-Owner", ""), job);
-                if (keeps) {
+                if (recordsCalls) {
                     calls.add(call);
                 }
                 Thread.sleep(runMs);
-                String line = "{\"id\":\"" + HttpText.field(head, "Req-Id", "") + "\",\"state\":\"done\","
+                String response = "{\"id\":\"" + HttpText.field(head, "Req-Id", "") + "\",\"state\":\"done\","
                         + "\"result\":\"" + name + "\"}\n";
-                // Over before its caller can know.
+                // Set before the answer is sent, so that the caller never sees the call as in progress.
                 call.endedNs = System.nanoTime();
                 socket.getOutputStream()
-                        .write(("HTTP/1.1 200 OK\r\nContent-Length: " + line.length() + "\r\n\r\n" + line)
+                        .write(("HTTP/1.1 200 OK\r\nContent-Length: " + response.length() + "\r\n\r\n" + response)
                                 .getBytes(StandardCharsets.UTF_8));
             }
         } catch (IOException | InterruptedException e) {
--- a/src/main/java/laneflow/lab/standin/StandInReceiver.java
+++ b/src/main/java/laneflow/lab/standin/StandInReceiver.java
@@ -16,20 +16,20 @@
 import java.util.concurrent.Executors;
 
 /**
- * Where fleet-wide calls have their effect, as somebody else's service that knows nothing of leases: each
- * call is at work for a while, and is written down with its beginning and its end on this machine's monotonic
- * clock. Calls to a path that begins with {@code /checked} are turned down (409) where their token is lower
- * than the highest that such a call has shown, as a store does that checks it. Calls to {@code /hang} are
- * never answered: they end when their caller closes the connection.
+ * A stand-in for the external service that receives the calls of fleet tasks and has no information on leases.
+ * Each call takes a fixed time and is recorded with its start and end on this machine's monotonic clock. Calls
+ * to a path that begins with {@code /checked} are rejected with 409 if their token is lower than the highest
+ * token seen for the task, as a store with fencing tokens does. Calls to {@code /hang} are never answered:
+ * they end when the caller closes the connection.
  */
 public final class StandInReceiver implements AutoCloseable {
-    private static final int MOST_HEAD = 4096;
+    private static final int MAX_HEAD_BYTES = 4096;
 
     /**
-     * A call.
+     * A call whose work is over.
      *
-     * @param accepted false where its token was too low
-     * @param cutOff true where its caller had closed the connection before its work was over
+     * @param accepted false if it was rejected because its token was too low
+     * @param closedByCaller true if the caller closed the connection before the work was over
      */
     public record Call(
             String task,
@@ -39,7 +39,7 @@
             boolean accepted,
             long beganNs,
             long endedNs,
-            boolean cutOff) {}
+            boolean closedByCaller) {}
 
     private final ServerSocket server;
     private final int workMs;
@@ -49,9 +49,9 @@
         return thread;
     });
     private final List<Call> calls = new ArrayList<>();
-    private final Map<String, Long> highest = new HashMap<>();
+    private final Map<String, Long> highestTokens = new HashMap<>();
 
-    /** @param workMs how long each call is at work */
+    /** @param workMs the duration of each call */
     public StandInReceiver(int port, int workMs) throws IOException {
         this.workMs = workMs;
         server = new ServerSocket(port, 512, InetAddress.getLoopbackAddress());
@@ -62,7 +62,7 @@
         return server.getLocalPort();
     }
 
-    /** All calls whose work is over, as of now. */
+    /** All calls so far whose work is over. */
     public List<Call> calls() {
         synchronized (calls) {
             return List.copyOf(calls);
@@ -82,8 +82,8 @@
 
     private void serve(Socket socket) {
         try (socket) {
-            String head = head(socket.getInputStream());
-            long began = System.nanoTime();
+            String head = readHead(socket.getInputStream());
+            long startNanos = System.nanoTime();
             if (!head.contains("\r\nTask: ")) {
                 return;
             }
@@ -92,9 +92,9 @@
             boolean checked = head.startsWith("POST /checked");
             boolean accepted;
             synchronized (calls) {
-                accepted = !checked || token >= highest.getOrDefault(task, 0L);
+                accepted = !checked || token >= highestTokens.getOrDefault(task, 0L);
                 if (accepted) {
-                    highest.merge(task, token, Math::max);
+                    highestTokens.merge(task, token, Math::max);
                 }
             }
             if (head.startsWith("POST /hang")) {
@@ -102,23 +102,31 @@
             } else if (accepted) {
                 Thread.sleep(workMs);
             }
-            long ended = System.nanoTime();
-            boolean cutOff = isGone(socket);
+            long endNanos = System.nanoTime();
+            boolean closedByCaller = isClosed(socket);
             synchronized (calls) {
-                calls.add(new Call(task, token, field(head, "Task-Holder"), checked, accepted, began, ended, cutOff));
+                calls.add(new Call(
+                        task,
+                        token,
+                        field(head, "Task-Holder"),
+                        checked,
+                        accepted,
+                        startNanos,
+                        endNanos,
+                        closedByCaller));
             }
             socket.getOutputStream()
                     .write(("HTTP/1.1 " + (accepted ? "204 Done" : "409 Stale") + "\r\nContent-Length: 0\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
         } catch (IOException e) {
-            // The caller has gone; what was done is written down already.
+            // The caller closed the connection; a finished call is recorded already.
             Thread.onSpinWait();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private static boolean isGone(Socket socket) throws IOException {
+    private static boolean isClosed(Socket socket) throws IOException {
         try {
             socket.setSoTimeout(1);
             return socket.getInputStream().read() < 0;
@@ -129,14 +137,14 @@
         }
     }
 
-    private static String head(InputStream in) throws IOException {
+    private static String readHead(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
-        while (head.indexOf("\r\n\r\n") < 0 && head.length() < MOST_HEAD) {
-            int one = in.read();
-            if (one < 0) {
+        while (head.indexOf("\r\n\r\n") < 0 && head.length() < MAX_HEAD_BYTES) {
+            int next = in.read();
+            if (next < 0) {
                 break;
             }
-            head.append((char) one);
+            head.append((char) next);
         }
         return head.toString();
     }
--- a/src/main/java/laneflow/lab/standin/StandInTenants.java
+++ b/src/main/java/laneflow/lab/standin/StandInTenants.java
@@ -14,64 +14,65 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Stand-in tenants: clients that ask one scheduler after the other, each with one request at a time, and
- * count what they heard. They know nothing of racks and windows.
+ * Stand-in tenants: clients that send requests to the schedulers in turn, one request at a time each, and
+ * count the outcomes. They have no information on racks and maintenance windows.
  */
 public final class StandInTenants implements AutoCloseable {
-    private static final int STACK = 256 * 1024;
-    private static final int PATIENCE_MS = 15_000;
+    private static final int STACK_BYTES = 256 * 1024;
+    private static final int ANSWER_TIMEOUT_MS = 15_000;
 
     private final int[] ports;
     private final int pauseMs;
-    private final boolean keeps;
+    private final boolean recordsJobs;
     private final List<Thread> threads = new ArrayList<>();
-    private final Map<String, Integer> wanted = new ConcurrentHashMap<>();
-    private final ConcurrentLinkedQueue<String> served = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger refused = new AtomicInteger();
-    private final AtomicInteger broken = new AtomicInteger();
-    private final AtomicInteger silent = new AtomicInteger();
-    private volatile boolean over;
+    private final Map<String, Integer> clientsByTenant = new ConcurrentHashMap<>();
+    private final ConcurrentLinkedQueue<String> completedJobs = new ConcurrentLinkedQueue<>();
+    private final AtomicInteger errorResponses = new AtomicInteger();
+    private final AtomicInteger brokenConnections = new AtomicInteger();
+    private final AtomicInteger timeouts = new AtomicInteger();
+    private volatile boolean closed;
 
     /**
-     * @param ports of schedulers
-     * @param pauseMs between an answer and the next request
-     * @param keeps false where nobody is going to read what was served
+     * @param ports the client ports of the schedulers
+     * @param pauseMs the pause between an answer and the next request
+     * @param recordsJobs false where {@link #completedJobs} is not used, which saves the memory
      */
-    public StandInTenants(int[] ports, int pauseMs, boolean keeps) {
-        this.keeps = keeps;
+    public StandInTenants(int[] ports, int pauseMs, boolean recordsJobs) {
+        this.recordsJobs = recordsJobs;
         this.ports = ports.clone();
         this.pauseMs = pauseMs;
     }
 
-    /** From now on that tenant has so many clients at work, for that class. */
-    public void want(String tenant, String jobClass, int clients) {
-        int before = wanted.getOrDefault(tenant, 0);
-        wanted.put(tenant, clients);
-        for (int i = before; i < clients; i++) {
+    /** Sets the number of clients of a tenant, which send jobs of this class. */
+    public void setClients(String tenant, String jobClass, int clients) {
+        int currentClients = clientsByTenant.getOrDefault(tenant, 0);
+        clientsByTenant.put(tenant, clients);
+        for (int i = currentClients; i < clients; i++) {
             int number = i;
             String prefix = tenant + "-" + threads.size() + "-";
-            Thread thread = new Thread(null, () -> ask(tenant, jobClass, number, prefix), "tenant", STACK);
+            Thread thread =
+                    new Thread(null, () -> sendRequests(tenant, jobClass, number, prefix), "tenant", STACK_BYTES);
             thread.setDaemon(true);
             threads.add(thread);
             thread.start();
         }
     }
 
-    private void ask(String tenant, String jobClass, int number, String prefix) {
-        for (int n = 0; !over && number < wanted.get(tenant); n++) {
-            int port = ports[(number + n / 16) % ports.length];
+    private void sendRequests(String tenant, String jobClass, int number, String prefix) {
+        for (int jobNumber = 0; !closed && number < clientsByTenant.get(tenant); jobNumber++) {
+            int port = ports[(number + jobNumber / 16) % ports.length];
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
-                socket.setSoTimeout(PATIENCE_MS);
+                socket.setSoTimeout(ANSWER_TIMEOUT_MS);
                 InputStream in = new BufferedInputStream(socket.getInputStream());
                 do {
-                    ask(socket, in, tenant, jobClass, prefix + n++);
+                    sendRequest(socket, in, tenant, jobClass, prefix + jobNumber++);
                     Thread.sleep(pauseMs);
-                } while (!over && number < wanted.get(tenant) && n % 16 != 0);
+                } while (!closed && number < clientsByTenant.get(tenant) && jobNumber % 16 != 0);
             } catch (java.net.SocketTimeoutException e) {
-                silent.incrementAndGet();
+                timeouts.incrementAndGet();
             } catch (IOException e) {
-                // Its scheduler is killed, or ends.
-                broken.incrementAndGet();
+                // The scheduler was killed or has shut down.
+                brokenConnections.incrementAndGet();
                 pause();
             } catch (InterruptedException e) {
                 return;
@@ -79,29 +80,33 @@
         }
     }
 
-    private void ask(Socket socket, InputStream in, String tenant, String jobClass, String job) throws IOException {
+    private void sendRequest(Socket socket, InputStream in, String tenant, String jobClass, String job)
+            throws IOException {
         socket.getOutputStream()
                 .write(("POST /" + jobClass + " HTTP/1.1\r\nHost: t\r\nReq-Id: " + job + "\r\nReq-Owner: " + tenant
                                 + "\r\nContent-Length: " + job.length() + "\r\n\r\n" + job)
                         .getBytes(StandardCharsets.US_ASCII));
-        if (!answer(in).startsWith("HTTP/1.1 200 ")) {
-            refused.incrementAndGet();
-        } else if (keeps) {
-            served.add(job);
+        if (!readResponse(in).startsWith("HTTP/1.1 200 ")) {
+            errorResponses.incrementAndGet();
+        } else if (recordsJobs) {
+            completedJobs.add(job);
         }
     }
 
-    private static String answer(InputStream in) throws IOException {
+    private static String readResponse(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n", Math.max(0, head.length() - 4)) < 0) {
             int next = in.read();
             if (next < 0) {
-                throw new IOException("ended after " + head);
+                throw new IOException("the connection ended within the head: " + head);
             }
             head.append((char) next);
         }
-        int at = head.indexOf("Content-Length: ");
-        in.readNBytes(at < 0 ? 0 : Integer.parseInt(head.substring(at + 16, head.indexOf("\r", at))));
+        int lengthField = head.indexOf("Content-Length: ");
+        in.readNBytes(
+                lengthField < 0
+                        ? 0
+                        : Integer.parseInt(head.substring(lengthField + 16, head.indexOf("\r", lengthField))));
         return head.toString();
     }
 
@@ -109,35 +114,35 @@
         try {
             Thread.sleep(pauseMs + 50);
         } catch (InterruptedException e) {
-            over = true;
+            closed = true;
         }
     }
 
-    /** The jobs that were answered with success, where they are kept. */
-    public List<String> served() {
-        return List.copyOf(served);
+    /** The jobs that were answered with 200, if jobs are recorded. */
+    public List<String> completedJobs() {
+        return List.copyOf(completedJobs);
     }
 
-    /** Answered with anything but success. */
-    public int refused() {
-        return refused.get();
+    /** The number of requests answered with a status other than 200. */
+    public int errorResponses() {
+        return errorResponses.get();
     }
 
-    /** Connections that broke with no answer. */
-    public int broken() {
-        return broken.get();
+    /** The number of connections that failed or closed without an answer. */
+    public int brokenConnections() {
+        return brokenConnections.get();
     }
 
-    /** Requests to which nobody has said a word. */
-    public int silent() {
-        return silent.get();
+    /** The number of requests that were not answered in time. */
+    public int timeouts() {
+        return timeouts.get();
     }
 
     @Override
     public void close() throws InterruptedException {
-        over = true;
+        closed = true;
         for (Thread thread : threads) {
-            thread.join(PATIENCE_MS);
+            thread.join(ANSWER_TIMEOUT_MS);
         }
     }
 }
--- a/src/test/java/laneflow/policy/PolicyStoryBase.java
+++ b/src/test/java/laneflow/policy/PolicyStoryBase.java
@@ -88,8 +88,8 @@
                 int scheduler = i;
                 rig.await(
                         "the outcomes are readable",
-                        () -> rig.ask(scheduler, "/policy/history", null).statusCode() == 200);
-                JsonParser.parseString(rig.ask(i, "/policy/history", null).body())
+                        () -> rig.request(scheduler, "/policy/history", null).statusCode() == 200);
+                JsonParser.parseString(rig.request(i, "/policy/history", null).body())
                         .getAsJsonArray()
                         .forEach(element -> {
                             JsonObject change = element.getAsJsonObject();
--- a/src/test/java/laneflow/policy/PolicyStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyStoryTest.java
@@ -19,22 +19,22 @@
     void changeIsAppliedEverywhereOrNowhere() throws Exception {
         createFleet(4);
         // The file of n4 does not declare posts safe to repeat, and no policy can change that at n4.
-        rig.file(3, configText(CLASSES + "[classes.post]\ndeadline_ms = 5000\n"));
+        rig.setConfig(3, configText(CLASSES + "[classes.post]\ndeadline_ms = 5000\n"));
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         assertTrue(request(3, "r0").contains("Config-Version: policy=0"));
-        rig.proposeUntilTaken(3, "ban-9", bans("till-9"));
+        rig.proposeUntilAccepted(3, "ban-9", bans("till-9"));
         awaitState(0, "ban-9", "applied");
         rig.awaitDeciding(1, rig.all());
         assertTrue(request(2, "r1").contains("Config-Version: policy=1"));
         // The same name and content is the same change; different content under that name is an error.
         assertEquals(
                 "applied", rig.propose(1, "ban-9", bans("till-9")).get("state").getAsString());
-        assertTrue(rig.ask(1, "/policy/changes", "{\"name\":\"ban-9\",\"types\":" + bans("till") + "}")
+        assertTrue(rig.request(1, "/policy/changes", "{\"name\":\"ban-9\",\"types\":" + bans("till") + "}")
                 .body()
                 .contains("different content"));
         // If one scheduler rejects a change, it is abandoned for all, and the change shows the reason.
-        rig.proposeUntilTaken(
+        rig.proposeUntilAccepted(
                 0,
                 "post-safe",
                 "{\"classes\":[{\"name\":\"check\",\"repeat\":\"safe\"},"
@@ -48,7 +48,7 @@
             client.write("POST /check HTTP/1.1\r\nHost: c\r\nReq-Id: o\r\nContent-Length: 0\r\n\r\n");
             try (Peer call = endpoint.accept()) {
                 call.message();
-                rig.proposeUntilTaken(2, "ban-till", bans("till"));
+                rig.proposeUntilAccepted(2, "ban-till", bans("till"));
                 rig.awaitDeciding(3, rig.all());
                 call.respond("{'id':'o','state':'done','result':'ran'}");
                 String answer = client.message();
@@ -56,7 +56,7 @@
             }
         }
         assertTrue(requestWithoutEndpoint(0, "r2").startsWith("HTTP/1.1 503 "));
-        rig.proposeUntilTaken(2, "no-bans", "{\"bans\":[]}");
+        rig.proposeUntilAccepted(2, "no-bans", "{\"bans\":[]}");
         rig.awaitDeciding(4, rig.all());
         assertTrue(request(1, "r3").contains("policy=4"));
         checkHistory();
@@ -104,7 +104,7 @@
             leader = rig.leader();
             rig.kill(leader);
             int other = awaitNewLeader(leader);
-            rig.proposeUntilTaken(other, "c" + round, bans("b" + round));
+            rig.proposeUntilAccepted(other, "c" + round, bans("b" + round));
             rig.awaitDeciding(round, other, 3 - leader - other, 3);
             rig.start(leader);
             rig.awaitDeciding(round, rig.all());
@@ -112,7 +112,7 @@
         // A leader that stops gracefully transfers its leadership: no scheduler stops deciding meanwhile.
         int leader = rig.leader();
         int expirations = rig.log(3).split("the lease has expired").length;
-        assertEquals(143, rig.end(leader));
+        assertEquals(143, rig.stop(leader));
         awaitNewLeader(leader);
         assertEquals(expirations, rig.log(3).split("the lease has expired").length);
         checkHistory();
@@ -126,12 +126,12 @@
         int leader = rig.leader();
         // One side has the leader and a scheduler that does not vote; the other side has the other two voters
         // and another scheduler.
-        rig.partAll(List.of(leader, 4));
+        rig.isolate(List.of(leader, 4));
         int other = awaitNewLeader(leader);
-        rig.proposeUntilTaken(other, "during-partition", bans("x"));
+        rig.proposeUntilAccepted(other, "during-partition", bans("x"));
         awaitState(other, "during-partition", "applied");
         rig.awaitDeciding(1, other, 3 - leader - other, 3);
-        assertFalse(rig.decides(leader, 0) || rig.decides(4, 0));
+        assertFalse(rig.isDecidingBy(leader, 0) || rig.isDecidingBy(4, 0));
         // Clients are refused at once with a Retry-After, and the health check is not ready.
         String answer = requestWithoutEndpoint(4, "r1");
         assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("Retry-After: 0.1"), answer);
@@ -150,20 +150,20 @@
     @Test
     void cutOffServeKeepsServingAndTheHistoryShowsTheOverlap() throws Exception {
         createFleet(4);
-        rig.file(3, configText(CLASSES + POST) + "cut_off = \"serve\"\n");
+        rig.setConfig(3, configText(CLASSES + POST) + "cut_off = \"serve\"\n");
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
-        rig.partAll(List.of(3));
+        rig.isolate(List.of(3));
         rig.await(
                 "n4 reports that it is cut off",
                 () -> rig.policy(3).get("state").getAsString().equals("cut off, serving"));
-        rig.proposeUntilTaken(0, "meanwhile", bans("x"));
+        rig.proposeUntilAccepted(0, "meanwhile", bans("x"));
         rig.awaitDeciding(1, 0, 1, 2);
         Thread.sleep(20);
         // The cut-off scheduler serves clients by the previous policy, as configured, and counts these decisions.
         String answer = request(3, "r");
         assertTrue(answer.contains("200 OK") && answer.contains("policy=0"), answer);
-        assertTrue(rig.ask(3, "/counters", null).body().contains("policy.decided_without_lease 1"));
+        assertTrue(rig.request(3, "/counters", null).body().contains("policy.decided_without_lease 1"));
         rig.await("the overlap is logged", () -> rig.log(3).contains("serving on by policy 0 as set by cut_off"));
         rig.heal();
         rig.awaitDeciding(1, rig.all());
@@ -183,17 +183,17 @@
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         int leader = rig.leader();
-        rig.stall(leader);
-        rig.stall(3);
+        rig.suspend(leader);
+        rig.suspend(3);
         // Sent while the process is suspended, the request is handled on resume under the lease of that time.
         try (Peer client = SchedulerHarness.connect("127.0.0.1", rig.clientPort(3))) {
             client.write("POST /check HTTP/1.1\r\nHost: c\r\nReq-Id: w\r\nContent-Length: 0\r\n\r\n");
             int other = awaitNewLeader(leader);
-            rig.proposeUntilTaken(other, "meanwhile", bans("x"));
+            rig.proposeUntilAccepted(other, "meanwhile", bans("x"));
             awaitState(other, "meanwhile", "applied");
             rig.awaitDeciding(1, other, 3 - leader - other);
-            rig.wake(3);
-            rig.wake(leader);
+            rig.resume(3);
+            rig.resume(leader);
             assertTrue(client.message().startsWith("HTTP/1.1 503 "));
         }
         rig.awaitDeciding(1, rig.all());
@@ -205,7 +205,7 @@
         createFleet(4);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
-        rig.proposeUntilTaken(1, "kept", bans("x"));
+        rig.proposeUntilAccepted(1, "kept", bans("x"));
         rig.awaitDeciding(1, rig.all());
         for (int i : rig.all()) {
             rig.kill(i);
@@ -221,37 +221,39 @@
         rig.awaitDeciding(1, rig.all());
         // A voter whose disk was wiped does not vote as if it had kept its store.
         rig.kill(1);
-        rig.wipe(1);
+        rig.deleteVotes(1);
         rig.start(1);
         rig.awaitDeciding(1, rig.all());
         rig.await(
                 "n2 reports that its store is lost",
                 () -> rig.policy(1).getAsJsonObject("voter").get("lost").getAsBoolean());
         // Replaced as a voter, n2 votes again: without n3 it is needed for a majority.
-        assertEquals(409, rig.ask(0, "/policy/voters", "{\"replace\":\"n4\"}").statusCode());
+        assertEquals(
+                409, rig.request(0, "/policy/voters", "{\"replace\":\"n4\"}").statusCode());
         rig.await(
                 "n2 is added",
-                () -> rig.ask(0, "/policy/voters", "{\"replace\":\"n2\"}").statusCode() == 200);
+                () -> rig.request(0, "/policy/voters", "{\"replace\":\"n2\"}").statusCode() == 200);
         rig.await(
                 "n2 votes",
                 () -> rig.policy(1).getAsJsonObject("voter").get("votes").getAsBoolean());
-        assertEquals(409, rig.ask(0, "/policy/voters", "{\"replace\":\"n2\"}").statusCode());
+        assertEquals(
+                409, rig.request(0, "/policy/voters", "{\"replace\":\"n2\"}").statusCode());
         rig.kill(2);
-        rig.proposeUntilTaken(0, "with-the-new", bans("w"));
+        rig.proposeUntilAccepted(0, "with-the-new", bans("w"));
         rig.awaitDeciding(2, 0, 1, 3);
         rig.start(2);
         rig.awaitDeciding(2, rig.all());
         // A damaged log is rejected and costs only the vote.
         rig.kill(1);
-        byte[] writeAheadLog = Files.readAllBytes(rig.votes(1).resolve("votes.db-wal"));
+        byte[] writeAheadLog = Files.readAllBytes(rig.votesFolder(1).resolve("votes.db-wal"));
         for (int offset = writeAheadLog.length / 2; offset < writeAheadLog.length; offset += 50) {
             writeAheadLog[offset] ^= 0x55;
         }
-        Files.write(rig.votes(1).resolve("votes.db-wal"), writeAheadLog);
+        Files.write(rig.votesFolder(1).resolve("votes.db-wal"), writeAheadLog);
         rig.start(1);
         rig.awaitDeciding(2, rig.all());
         assertTrue(rig.log(1).contains("this process does not vote"), rig.log(1));
-        rig.proposeUntilTaken(1, "on", bans("y"));
+        rig.proposeUntilAccepted(1, "on", bans("y"));
         rig.awaitDeciding(3, rig.all());
         checkHistory();
     }
@@ -262,8 +264,8 @@
         // seconds to recover.
         createFleet(4, "prepare_ms = 60000\n");
         // Clock rates that differ by almost as much as is allowed.
-        rig.option(0, "-Dlaneflow.lab.clock_rate=0.9996");
-        rig.option(3, "-Dlaneflow.lab.clock_rate=1.0005");
+        rig.setJvmOption(0, "-Dlaneflow.lab.clock_rate=0.9996");
+        rig.setJvmOption(3, "-Dlaneflow.lab.clock_rate=1.0005");
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         rig.disturb(0.3, 0.1, 200);
@@ -283,7 +285,7 @@
                 rig.cut(i, sendOnly);
             }
         }
-        rig.proposeUntilTaken(leader, "without", bans("y"));
+        rig.proposeUntilAccepted(leader, "without", bans("y"));
         awaitState(leader, "without", "applied");
         rig.awaitDeciding(2, leader, 3);
         rig.await(
@@ -292,12 +294,12 @@
         rig.heal();
         rig.awaitDeciding(2, rig.all());
         // Links that break in the middle of a message lose only the messages in flight.
-        rig.reset(leader);
-        rig.proposeUntilTaken(3, "reset", bans("z"));
+        rig.resetConnections(leader);
+        rig.proposeUntilAccepted(3, "reset", bans("z"));
         rig.awaitDeciding(3, rig.all());
         // A graceful stop is announced: no change waits for that scheduler's lease.
-        assertEquals(143, rig.end(3));
-        rig.proposeUntilTaken(0, "last", bans("a"));
+        assertEquals(143, rig.stop(3));
+        rig.proposeUntilAccepted(0, "last", bans("a"));
         rig.awaitDeciding(4, 0, 1, 2);
         checkHistory();
     }
--- a/src/test/java/laneflow/policy/PolicyVotersStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyVotersStoryTest.java
@@ -47,7 +47,7 @@
             try {
                 for (int n = 0; !stopped; n++) {
                     String name = "load-" + n;
-                    rig.proposeUntilTaken(4, name, bans("x" + name));
+                    rig.proposeUntilAccepted(4, name, bans("x" + name));
                     awaitState(4, name, "applied");
                     decidedNames.add(name);
                     try (Peer client = sendRequest(4, name)) {
@@ -72,7 +72,7 @@
     }
 
     private int changeVoter(String operation, int voter) throws IOException, InterruptedException {
-        return rig.ask(4, "/policy/voters", "{\"" + operation + "\":\"" + Rig.name(voter) + "\"}")
+        return rig.request(4, "/policy/voters", "{\"" + operation + "\":\"" + Rig.name(voter) + "\"}")
                 .statusCode();
     }
 
@@ -87,7 +87,7 @@
     @Test
     void votersAreAddedAndRemovedUnderLoad() throws Exception {
         rig = new Rig(folder, 5, 4, 11, configText(CLASSES + POST));
-        rig.votersNamed(3);
+        rig.limitNamedVoters(3);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         assertTrue(flag(3, "candidate"));
@@ -110,7 +110,7 @@
             int killed = otherVoter(formerLeader, leader);
             rig.kill(killed);
             String changeName = "three-vote";
-            rig.proposeUntilTaken(4, changeName, bans("t"));
+            rig.proposeUntilAccepted(4, changeName, bans("t"));
             awaitState(4, changeName, "applied");
             rig.start(killed);
             rig.await("the restarted voter votes again", () -> flag(killed, "votes"));
@@ -124,7 +124,7 @@
         rig.kill(removed);
         rig.start(removed);
         rig.await("the restarted voter learns of its removal again", () -> flag(removed, "removed"));
-        rig.proposeUntilTaken(4, "after-restart", bans("s"));
+        rig.proposeUntilAccepted(4, "after-restart", bans("s"));
         awaitState(4, "after-restart", "applied");
         assertEquals(
                 term,
@@ -132,7 +132,7 @@
         // The removed voter can't be added again with its old store, but with a new one.
         assertEquals(409, changeVoter("add", removed));
         rig.kill(removed);
-        rig.wipe(removed);
+        rig.deleteVotes(removed);
         rig.start(removed);
         rig.await(
                 "the removed voter is up with an empty store",
--- a/src/test/java/laneflow/task/RecoveryStoryTest.java
+++ b/src/test/java/laneflow/task/RecoveryStoryTest.java
@@ -15,9 +15,9 @@
 import java.util.Set;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Rig;
-import laneflow.lab.standin.Ledger;
+import laneflow.lab.standin.RunLog;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -46,20 +46,21 @@
     void startFleetWithBannedEndpoints() throws Exception {
         stores = Files.createDirectory(folder.resolve("stores"));
         for (int i = 0; i < nodes.length; i++) {
-            nodes[i] = Crew.port();
+            nodes[i] = ChildProcesses.freePort();
         }
         rig = new Rig(folder, 4, 3, 7, "");
         for (int i = 0; i < 4; i++) {
-            rig.file(
+            rig.setConfig(
                     i,
                     "zones = [\"z\"]\n[classes.post]\ndeadline_ms = 3000\nrepeat = \"never\"\n"
-                            + Rig.endpoints(nodes) + "[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\n[durable]\ndir = \""
+                            + Rig.endpointTables(nodes)
+                            + "[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\n[durable]\ndir = \""
                             + stores.resolve(Rig.name(i)) + "\"\n[durable.classes.post]\n[tasks]\nstores = \"" + stores
                             + "\"\nadopt_after_ms = 500\n");
         }
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
-        rig.proposeUntilTaken(0, "no-attempts", BANNED);
+        rig.proposeUntilAccepted(0, "no-attempts", BANNED);
         rig.awaitDeciding(1, rig.all());
         for (int i = 0; i < JOBS; i++) {
             submit(3, i);
@@ -103,8 +104,8 @@
     }
 
     private void assertAllRunOnce(int... schedulers) throws IOException, InterruptedException {
-        rig.nodes(nodes, 60);
-        rig.proposeUntilTaken(schedulers[0], "attempts", "{\"bans\":[]}");
+        rig.startNodes(nodes, 60);
+        rig.proposeUntilAccepted(schedulers[0], "attempts", "{\"bans\":[]}");
         rig.awaitDeciding(2, schedulers);
         Path ledgerFile = folder.resolve("ran");
         try {
@@ -140,9 +141,9 @@
     }
 
     private static List<String> runs(Path ledgerFile) throws IOException {
-        return Ledger.read(ledgerFile).stream()
+        return RunLog.read(ledgerFile).stream()
                 .filter(line -> line.event().equals("start"))
-                .map(Ledger.Line::job)
+                .map(RunLog.Entry::job)
                 .toList();
     }
 
@@ -150,7 +151,7 @@
     void jobsOfADeadSchedulerAreAdoptedAndRunOnce() throws Exception {
         rig.kill(3);
         rig.await("its store is adopted", () -> isAdopted(Rig.name(3)));
-        assertAllRunOnce(rig.without(Set.of(3)));
+        assertAllRunOnce(rig.allExcept(Set.of(3)));
     }
 
     @Test
@@ -164,16 +165,16 @@
         int killedAdopter = adopter[0] >= 0 ? adopter[0] : 0;
         rig.kill(killedAdopter);
         rig.await("the adopter's store is adopted", () -> isAdopted(Rig.name(killedAdopter)));
-        assertAllRunOnce(rig.without(Set.of(3, killedAdopter)));
+        assertAllRunOnce(rig.allExcept(Set.of(3, killedAdopter)));
     }
 
     @Test
     void aSuspendedSchedulerKeepsItsJobs() throws Exception {
-        rig.stall(3);
+        rig.suspend(3);
         int leader = rig.leader();
         rig.await(
                 "another scheduler holds the recovery task of its store",
-                () -> rig.ask(leader, "/tasks", null)
+                () -> rig.request(leader, "/tasks", null)
                         .body()
                         .contains("\"task\":\"recover/n4\",\"kind\":\"placed\",\"holder\"" + ":\"n"));
         Set<String> storesBefore = new HashSet<>();
@@ -181,7 +182,7 @@
             paths.forEach(path -> storesBefore.add(path.getFileName().toString()));
         }
         assertTrue(storesBefore.contains(Rig.name(3)), storesBefore.toString());
-        rig.wake(3);
+        rig.resume(3);
         rig.awaitDeciding(1, 3);
         assertAllRunOnce(rig.all());
         assertTrue(Files.exists(stores.resolve(Rig.name(3))));
--- a/src/test/java/laneflow/task/TaskFaultsStoryTest.java
+++ b/src/test/java/laneflow/task/TaskFaultsStoryTest.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.CountDownLatch;
 import laneflow.lab.measure.TaskHistory;
 import laneflow.lab.measure.TaskMeasure;
-import laneflow.lab.rig.Crew;
+import laneflow.lab.rig.ChildProcesses;
 import laneflow.lab.rig.Rig;
 import laneflow.lab.standin.StandInReceiver;
 import laneflow.lab.standin.StandInReceiver.Call;
@@ -65,7 +65,7 @@
 
     @Test
     void aHangingCallIsCutOffAndDelaysNoOther() throws Exception {
-        try (StandInReceiver receiver = new StandInReceiver(Crew.port(), 5);
+        try (StandInReceiver receiver = new StandInReceiver(ChildProcesses.freePort(), 5);
                 Rig rig = new Rig(
                         folder,
                         3,
@@ -101,13 +101,13 @@
             });
             for (Call call : receiver.calls()) {
                 if (call.task().equals("hook/hang")) {
-                    assertTrue(call.cutOff(), call.toString());
+                    assertTrue(call.closedByCaller(), call.toString());
                     assertTrue(call.endedNs() - call.beganNs() < MAX_CALL_NS, call.toString());
                 }
             }
             int holderIndex = Integer.parseInt(holder[0].substring(1, holder[0].indexOf('#'))) - 1;
             JsonObject status = JsonParser.parseString(
-                            rig.ask(holderIndex, "/tasks", null).body())
+                            rig.request(holderIndex, "/tasks", null).body())
                     .getAsJsonObject();
             Set<String> others = new HashSet<>(status.getAsJsonObject("holds").keySet());
             others.remove("hook/hang");
@@ -129,13 +129,13 @@
      */
     @Test
     void lateCallsOfAClockBeyondItsBoundAreRejectedByTheReceiver() throws Exception {
-        try (StandInReceiver receiver = new StandInReceiver(Crew.port(), 0);
+        try (StandInReceiver receiver = new StandInReceiver(ChildProcesses.freePort(), 0);
                 Rig rig = new Rig(folder, 4, 3, 7, hooksWithTokenCheck(receiver.port()))) {
-            rig.option(3, "-Dlaneflow.lab.clock_rate=0.4");
+            rig.setJvmOption(3, "-Dlaneflow.lab.clock_rate=0.4");
             rig.startAll();
             rig.awaitDeciding(0, rig.all());
             awaitCalls(rig, receiver, 4);
-            rig.partAll(List.of(3));
+            rig.isolate(List.of(3));
             rig.await(
                     "it calls after its lease and is rejected",
                     () -> receiver.calls().stream()
@@ -149,11 +149,11 @@
 
     @Test
     void oldAndNewProcessOfAnUpgradeAreSeparateHolders() throws Exception {
-        try (StandInReceiver receiver = new StandInReceiver(Crew.port(), 5);
+        try (StandInReceiver receiver = new StandInReceiver(ChildProcesses.freePort(), 5);
                 Rig rig = new Rig(folder, 3, 1, 7, hooksWithTokenCheck(receiver.port()))) {
             rig.start(0);
             rig.start(1);
-            Path file = rig.write(2);
+            Path file = rig.writeConfig(2);
             try (Platform platform =
                     new Platform(folder, folder.resolve("n3.log"), Map.of(), "serve", "--config", file.toString())) {
                 SchedulerProcess oldProcess = platform.launch();
@@ -179,7 +179,8 @@
 
     /** A proxy to the receiver that can delay the calls of one scheduler, even beyond its death. */
     private static final class DelayingProxy implements AutoCloseable {
-        private final ServerSocket server = new ServerSocket(Crew.port(), 64, InetAddress.getLoopbackAddress());
+        private final ServerSocket server =
+                new ServerSocket(ChildProcesses.freePort(), 64, InetAddress.getLoopbackAddress());
         private final int target;
         private volatile String delayedName = "#";
         private volatile String delayedHead = "";
@@ -232,7 +233,7 @@
 
     @Test
     void aDelayedCallOfAnEarlierInstanceIsRejected() throws Exception {
-        try (StandInReceiver receiver = new StandInReceiver(Crew.port(), 5);
+        try (StandInReceiver receiver = new StandInReceiver(ChildProcesses.freePort(), 5);
                 DelayingProxy proxy = new DelayingProxy(receiver.port());
                 Rig rig = new Rig(folder, 3, 3, 7, hooksWithTokenCheck(proxy.server.getLocalPort()))) {
             rig.startAll();
