--- a/src/main/java/laneflow/lab/Quickstart.java
+++ b/src/main/java/laneflow/lab/Quickstart.java
@@ -118,7 +118,7 @@
                 socket.getOutputStream()
                         .write(("GET /jobs/" + id + " HTTP/1.1\r\nHost: q\r\n\r\n")
                                 .getBytes(StandardCharsets.US_ASCII));
-                state = LiveLoad.answer(in);
+                state = LiveLoad.readResponse(in);
             }
             served += row("durable", "points-post", "d0", state.contains("\"done\"") ? "200 ran d0" : state, ledgers);
         }
@@ -136,7 +136,7 @@
                                 + "\r\n"
                                 + headers + "Content-Length: " + name.length() + "\r\n\r\n" + name)
                         .getBytes(StandardCharsets.US_ASCII));
-        String answer = LiveLoad.answer(in);
+        String answer = LiveLoad.readResponse(in);
         return answer.substring(9, 13)
                 + answer.substring(answer.indexOf("\r\n\r\n") + 4).strip();
     }
--- a/src/main/java/laneflow/lab/measure/CapacityDay.java
+++ b/src/main/java/laneflow/lab/measure/CapacityDay.java
@@ -157,7 +157,7 @@
                                     + "\r\nReq-Cost: " + Math.round(job.hint * 1e6) + "\r\nContent-Length: "
                                     + body.length() + "\r\n\r\n" + body)
                             .getBytes(StandardCharsets.US_ASCII));
-            String answer = LiveLoad.answer(in);
+            String answer = LiveLoad.readResponse(in);
             long now = System.nanoTime();
             idle.get(job.scheduler).push(socket);
             if (answer.startsWith("HTTP/1.1 200 ")) {
--- a/src/main/java/laneflow/lab/measure/ConfigMeasure.java
+++ b/src/main/java/laneflow/lab/measure/ConfigMeasure.java
@@ -167,7 +167,7 @@
         for (HangLoad load : hangs) {
             mixed += load.mixed.get();
             checked += load.checked.get();
-            across += load.across.get();
+            across += load.openAcrossChange.get();
         }
         out.printf(
                 Locale.ROOT,
@@ -431,7 +431,7 @@
         String version = number + "-" + Long.toHexString(random.nextLong() >>> 8);
         if (good) {
             for (HangLoad load : hangs) {
-                load.version(version, deadline);
+                load.addVersion(version, deadline);
             }
         }
         String was = classes;
@@ -618,7 +618,7 @@
             socket.setSoTimeout(5000);
             socket.getOutputStream()
                     .write(("GET " + path + " HTTP/1.1\r\nHost: l\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
-            return LiveLoad.answer(new BufferedInputStream(socket.getInputStream()));
+            return LiveLoad.readResponse(new BufferedInputStream(socket.getInputStream()));
         }
     }
 
--- a/src/main/java/laneflow/lab/measure/ControlMeasure.java
+++ b/src/main/java/laneflow/lab/measure/ControlMeasure.java
@@ -106,7 +106,7 @@
             PolicyLoad load = new PolicyLoad(Rig.name(0), rig.clientPort(0), 8, PER_SECOND);
             try (ControlStorm source = new ControlStorm(at, key, PERIOD_MS * 1000L, NEWS_PER_SECOND, seed)) {
                 source.begin();
-                load.begin();
+                load.start();
                 Thread.sleep(large ? 10_000 : 4000);
                 for (int i = 0; i < WINDOWS; i++) {
                     quietTimes = quietTimes.plus(window(rig, load, quiet, () -> {}));
@@ -118,7 +118,7 @@
                 }
                 news = source.sent();
             }
-            load.end();
+            load.stop();
             long[] known = new long[1];
             rig.await("it tells how many it came to know", () -> {
                 known[0] = rig.counter(0, "members.to_alive");
@@ -168,9 +168,9 @@
             Thread.sleep(20);
         }
         to = System.nanoTime();
-        for (PolicyLoad.Said one : load.said) {
-            if (one.sentNs() >= from && one.saidNs() < to && one.status() == 200) {
-                into.recordValue((one.saidNs() - one.sentNs()) / 1000);
+        for (PolicyLoad.Response response : load.responses) {
+            if (response.sentNs() >= from && response.receivedNs() < to && response.status() == 200) {
+                into.recordValue((response.receivedNs() - response.sentNs()) / 1000);
             }
         }
         return ThreadTimes.of(rig.pid(0)).get(TRAFFIC).less(before);
--- a/src/main/java/laneflow/lab/measure/DurableMeasure.java
+++ b/src/main/java/laneflow/lab/measure/DurableMeasure.java
@@ -353,7 +353,7 @@
         socket.setSoTimeout(10_000);
         socket.getOutputStream()
                 .write(("GET " + path + " HTTP/1.1\r\nHost: l\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
-        return LiveLoad.answer(in);
+        return LiveLoad.readResponse(in);
     }
 
     // ---- what is promised ----
--- a/src/main/java/laneflow/lab/measure/FleetMeasure.java
+++ b/src/main/java/laneflow/lab/measure/FleetMeasure.java
@@ -168,7 +168,7 @@
             int one = i;
             rig.await("it serves", () -> rig.ask(one, "/counters", null).statusCode() > 0);
             loads[i] = new PolicyLoad(Rig.name(i), rig.clientPort(i), 4, PER_SECOND);
-            loads[i].begin();
+            loads[i].start();
         }
         Thread.sleep(large ? 10_000 : 2000);
         long from = System.nanoTime();
@@ -176,7 +176,7 @@
         long to = System.nanoTime();
         double served = PolicyLoad.served(loads, from, to);
         for (PolicyLoad load : loads) {
-            load.end();
+            load.stop();
         }
         out.printf(Locale.ROOT, "%s view: %.4f served in time%n", view ? "with a" : "without a", served);
         return served;
--- a/src/main/java/laneflow/lab/measure/HangLoad.java
+++ b/src/main/java/laneflow/lab/measure/HangLoad.java
@@ -26,7 +26,7 @@
     final AtomicLong checked = new AtomicLong();
     final AtomicLong mixed = new AtomicLong();
     /** Of those checked, how many were open while another version was adopted. */
-    final AtomicLong across = new AtomicLong();
+    final AtomicLong openAcrossChange = new AtomicLong();
 
     private volatile String newest = "";
     private volatile boolean over;
@@ -37,7 +37,7 @@
     }
 
     /** A version that may run from now on. */
-    void version(String version, int deadlineMs) {
+    void addVersion(String version, int deadlineMs) {
         deadlines.put(version, deadlineMs);
         newest = version;
     }
@@ -60,7 +60,7 @@
                                         + "-" + at
                                         + "\r\nContent-Length: 4\r\n\r\nhang")
                                 .getBytes(StandardCharsets.US_ASCII));
-                String answer = LiveLoad.answer(in);
+                String answer = LiveLoad.readResponse(in);
                 check(answer, (System.nanoTime() - at) / 1e6);
             } catch (IOException e) {
                 // The scheduler is killed on purpose now and then; what it owed then is counted by others.
@@ -89,7 +89,7 @@
         String version = answer.substring(at + 8, end);
         Integer deadline = deadlines.get(version);
         checked.incrementAndGet();
-        across.addAndGet(version.equals(newest) ? 0 : 1);
+        openAcrossChange.addAndGet(version.equals(newest) ? 0 : 1);
         if (deadline == null || tookMs < deadline - EARLY_MS || tookMs > deadline + LATE_MS) {
             mixed.incrementAndGet();
             System.out.println(
--- a/src/main/java/laneflow/lab/measure/LiveLoad.java
+++ b/src/main/java/laneflow/lab/measure/LiveLoad.java
@@ -76,7 +76,7 @@
                                         + first + "-"
                                         + i + "-" + from + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                                 .getBytes(StandardCharsets.US_ASCII));
-                boolean served = answer(in).startsWith("HTTP/1.1 200 ");
+                boolean served = readResponse(in).startsWith("HTTP/1.1 200 ");
                 if (served && System.nanoTime() - at <= aimNanos) {
                     inTime.incrementAndGet();
                 }
@@ -100,7 +100,7 @@
     }
 
     /** Reads one answer, whole, and returns its head and body. */
-    public static String answer(InputStream in) throws IOException {
+    public static String readResponse(InputStream in) throws IOException {
         StringBuilder text = new StringBuilder();
         int body = -1;
         for (int next = in.read(); next >= 0; next = in.read()) {
--- a/src/main/java/laneflow/lab/measure/PolicyHistory.java
+++ b/src/main/java/laneflow/lab/measure/PolicyHistory.java
@@ -40,10 +40,10 @@
     private final List<String> found = new ArrayList<>();
     private int split;
     private int undecided;
-    private int overlapping;
+    private int overlaps;
 
     /** All that a scheduler has logged. */
-    public void log(String scheduler, String text) {
+    public void addLog(String scheduler, String text) {
         Matcher one = BEGINS.matcher(text);
         while (one.find()) {
             begins.add(new Begin(
@@ -56,12 +56,12 @@
         }
     }
 
-    public void answer(Answer answer) {
+    public void addAnswer(Answer answer) {
         answers.add(answer);
     }
 
     /** A change as some scheduler has told it; one that is undecided says nothing. */
-    public void outcome(String name, long number, String state) {
+    public void addOutcome(String name, long number, String state) {
         if (!state.equals("applied") && !state.equals("abandoned")) {
             return;
         }
@@ -95,7 +95,7 @@
     private void overlap(TreeMap<Long, Long> first, String scheduler, long by, long atNs, String what) {
         for (Map.Entry<Long, Long> later : first.tailMap(by, false).entrySet()) {
             if (atNs > later.getValue() + BOUND_NS) {
-                overlapping++;
+                overlaps++;
                 found.add(scheduler + " " + what + " by " + by + " " + (atNs - later.getValue()) / 1000
                         + " us behind the first beginning of " + later.getKey());
                 return;
@@ -125,7 +125,7 @@
         return undecided;
     }
 
-    public int overlapping() {
-        return overlapping;
+    public int overlaps() {
+        return overlaps;
     }
 }
--- a/src/main/java/laneflow/lab/measure/PolicyLoad.java
+++ b/src/main/java/laneflow/lab/measure/PolicyLoad.java
@@ -22,13 +22,13 @@
     private static final String MARK = "Config-Version: policy=";
 
     /** One answer: status 0 where the connection broke, -1 where none came in time. */
-    record Said(long sentNs, long saidNs, int status, long policy) {}
+    record Response(long sentNs, long receivedNs, int status, long policy) {}
 
     private final String scheduler;
     private final int port;
     private final int connections;
     private final int perSecond;
-    final ConcurrentLinkedQueue<Said> said = new ConcurrentLinkedQueue<>();
+    final ConcurrentLinkedQueue<Response> responses = new ConcurrentLinkedQueue<>();
     final AtomicLong lost = new AtomicLong();
     private final Thread[] threads;
     private volatile boolean over;
@@ -41,7 +41,7 @@
         threads = new Thread[connections];
     }
 
-    void begin() {
+    void start() {
         long from = System.nanoTime();
         for (int i = 0; i < connections; i++) {
             int first = i;
@@ -51,7 +51,7 @@
         }
     }
 
-    void end() throws InterruptedException {
+    void stop() throws InterruptedException {
         over = true;
         for (Thread thread : threads) {
             thread.join();
@@ -85,7 +85,7 @@
                                         + name.length()
                                         + "\r\n\r\n" + name)
                                 .getBytes(StandardCharsets.US_ASCII));
-                String answer = LiveLoad.answer(in);
+                String answer = LiveLoad.readResponse(in);
                 note(sent, answer);
                 if (answer.contains("Connection: close")) {
                     socket.close();
@@ -117,16 +117,16 @@
 
     private void note(long sent, String answer) {
         int at = answer.indexOf(MARK);
-        int end = at < 0 ? 0 : answer.indexOf('\r', at);
+        int lineEnd = at < 0 ? 0 : answer.indexOf('\r', at);
         int status = answer.length() < 12 ? 0 : Integer.parseInt(answer.substring(9, 12));
-        said.add(new Said(
+        responses.add(new Response(
                 sent,
                 System.nanoTime(),
                 status,
                 at < 0
                         ? -1
                         : Long.parseLong(
-                                answer.substring(at + MARK.length(), end).strip())));
+                                answer.substring(at + MARK.length(), lineEnd).strip())));
     }
 
     /** The mean of these loads' shares; those that asked nothing then do not count. */
@@ -142,10 +142,10 @@
     double served(long fromNs, long toNs) {
         long asked = 0;
         long inTime = 0;
-        for (Said one : said) {
+        for (Response one : responses) {
             if (one.sentNs >= fromNs && one.sentNs < toNs) {
                 asked++;
-                inTime += one.status == 200 && one.saidNs - one.sentNs <= AIM_NS ? 1 : 0;
+                inTime += one.status == 200 && one.receivedNs - one.sentNs <= AIM_NS ? 1 : 0;
             }
         }
         return asked == 0 ? Double.NaN : (double) inTime / asked;
--- a/src/main/java/laneflow/lab/measure/PolicyMeasure.java
+++ b/src/main/java/laneflow/lab/measure/PolicyMeasure.java
@@ -99,7 +99,7 @@
         rig.awaitDeciding(0, rig.all());
         for (int i = 0; i < schedulers; i++) {
             loads[i] = new PolicyLoad(Rig.name(i), rig.clientPort(i), 4, PER_SECOND);
-            loads[i].begin();
+            loads[i].start();
         }
         // Young processes are slow: what they cost is no change's doing.
         Thread.sleep(3000);
@@ -119,7 +119,7 @@
         wholeFleet();
         double idle = idle();
         for (PolicyLoad load : loads) {
-            load.end();
+            load.stop();
         }
         return tell(before, during, idle);
     }
@@ -180,7 +180,7 @@
                     String state = now == null ? "" : now.get("state").getAsString();
                     if (state.equals("applied") || state.equals("abandoned")) {
                         found[0] = now;
-                        history.outcome(name, now.get("number").getAsLong(), state);
+                        history.addOutcome(name, now.get("number").getAsLong(), state);
                         return true;
                     }
                 }
@@ -216,7 +216,7 @@
         // By the processes' own stamps: how long until the last of them had begun.
         PolicyHistory begun = new PolicyHistory();
         for (int i = 0; i < schedulers; i++) {
-            begun.log(Rig.name(i), rig.log(i));
+            begun.addLog(Rig.name(i), rig.log(i));
         }
         for (int k = 0; k < names.size(); k++) {
             long last = 0;
@@ -239,7 +239,7 @@
         rig.awaitDeciding(number, i);
         lateStarts++;
         PolicyHistory life = new PolicyHistory();
-        life.log(Rig.name(i), rig.log(i).substring(from));
+        life.addLog(Rig.name(i), rig.log(i).substring(from));
         boolean right = life.began(Rig.name(i), number) > 0;
         for (long other = 0; other < number; other++) {
             right &= life.began(Rig.name(i), other) < 0;
@@ -381,7 +381,7 @@
      */
     private double idle() throws IOException, InterruptedException {
         for (PolicyLoad load : loads) {
-            load.end();
+            load.stop();
         }
         Thread.sleep(1000);
         double[] cpu = rig.cpu(4000);
@@ -400,7 +400,7 @@
         int applied = 0;
         int abandoned = 0;
         for (int i = 0; i < schedulers; i++) {
-            history.log(Rig.name(i), rig.log(i));
+            history.addLog(Rig.name(i), rig.log(i));
             int at = i;
             rig.await("its history", () -> rig.ask(at, "/policy/history", null).statusCode() == 200);
             applied = 0;
@@ -410,7 +410,7 @@
                     .getAsJsonArray()) {
                 JsonObject change = one.getAsJsonObject();
                 String state = change.get("state").getAsString();
-                history.outcome(
+                history.addOutcome(
                         change.get("name").getAsString(), change.get("number").getAsLong(), state);
                 applied += state.equals("applied") ? 1 : 0;
                 abandoned += state.equals("abandoned") ? 1 : 0;
@@ -422,12 +422,12 @@
         long mixed = 0;
         for (int i = 0; i < schedulers; i++) {
             lost += loads[i].lost.get();
-            for (PolicyLoad.Said said : loads[i].said) {
-                if (said.policy() >= 0) {
-                    history.answer(new PolicyHistory.Answer(Rig.name(i), said.sentNs(), said.policy()));
+            for (PolicyLoad.Response response : loads[i].responses) {
+                if (response.policy() >= 0) {
+                    history.addAnswer(new PolicyHistory.Answer(Rig.name(i), response.sentNs(), response.policy()));
                 }
                 // Whatever was decided on names the policy that it came under.
-                mixed += said.status() == 200 && said.policy() < 0 ? 1 : 0;
+                mixed += response.status() == 200 && response.policy() < 0 ? 1 : 0;
             }
         }
         long twice = twice();
@@ -456,7 +456,7 @@
                 cuts,
                 history.split(),
                 history.undecided(),
-                history.overlapping(),
+                history.overlaps(),
                 mixed,
                 stuck,
                 lost,
--- a/src/test/java/laneflow/lab/measure/PolicyHistoryTest.java
+++ b/src/test/java/laneflow/lab/measure/PolicyHistoryTest.java
@@ -11,7 +11,7 @@
     private final PolicyHistory history = new PolicyHistory();
 
     private void begins(String who, long number, long before, long lastDecidedMs, long beganMs) {
-        history.log(
+        history.addLog(
                 who,
                 "x INFO Policy - policy begins number=" + number + " before=" + before
                         + " last_decided_ns=" + lastDecidedMs * 1_000_000 + " began_ns=" + beganMs * 1_000_000
@@ -23,11 +23,11 @@
         begins("n2", 0, 0, 0, 1001);
         begins("n1", 1, 0, 1999, 2001);
         begins("n2", 1, 0, 1998, 2005);
-        history.outcome("a", 1, "applied");
-        history.outcome("a", 1, "open");
-        history.outcome("b", 2, "abandoned");
-        history.answer(new PolicyHistory.Answer("n1", 1_990_000_000L, 0));
-        history.answer(new PolicyHistory.Answer("n1", 2_990_000_000L, 1));
+        history.addOutcome("a", 1, "applied");
+        history.addOutcome("a", 1, "open");
+        history.addOutcome("b", 2, "abandoned");
+        history.addAnswer(new PolicyHistory.Answer("n1", 1_990_000_000L, 0));
+        history.addAnswer(new PolicyHistory.Answer("n1", 2_990_000_000L, 1));
     }
 
     @Test
@@ -42,7 +42,7 @@
     @Test
     void twoOutcomesOfOneChangeAreFound() {
         sound();
-        history.outcome("b", 2, "applied");
+        history.addOutcome("b", 2, "applied");
         assertTrue(history.check().get(0).startsWith("change b was told as abandoned 2"));
         assertEquals(1, history.split());
     }
@@ -60,13 +60,13 @@
         sound();
         begins("n3", 1, 0, 2050, 2100);
         assertEquals(1, history.check().size());
-        assertEquals(1, history.overlapping());
+        assertEquals(1, history.overlaps());
     }
 
     @Test
     void anAnswerByTheOldBehindTheNewIsFound() {
         sound();
-        history.answer(new PolicyHistory.Answer("n9", 2_010_000_000L, 0));
+        history.addAnswer(new PolicyHistory.Answer("n9", 2_010_000_000L, 0));
         assertEquals(List.of("n9 took a request by 0 9000 us behind the first beginning of 1"), history.check());
     }
 }
--- a/src/test/java/laneflow/lab/measure/TakenBackStoryTest.java
+++ b/src/test/java/laneflow/lab/measure/TakenBackStoryTest.java
@@ -31,13 +31,13 @@
             PolicyLoad[] loads = new PolicyLoad[3];
             for (int i : rig.all()) {
                 loads[i] = new PolicyLoad(Rig.name(i), rig.clientPort(i), 4, 60);
-                loads[i].begin();
+                loads[i].start();
             }
-            rig.await("the usual state is known", () -> loads[0].said.size() > 300);
+            rig.await("the usual state is known", () -> loads[0].responses.size() > 300);
             // One that harms nobody stays.
             rig.proposeUntilTaken(0, "harmless", "{\"bans\":[{\"name\":\"nobody\"}]}");
             rig.awaitDeciding(1, rig.all());
-            rig.await("its trial is over", () -> loads[0].said.size() > 900);
+            rig.await("its trial is over", () -> loads[0].responses.size() > 900);
             rig.proposeUntilTaken(0, "worse", "{\"bans\":[{\"name\":\"till\"}]}");
             rig.await("it is taken back", () -> {
                 JsonObject back = rig.change(0, "worse.taken-back");
@@ -48,7 +48,7 @@
             JsonObject back = rig.change(2, "worse.taken-back");
             assertTrue(back.get("by").getAsString().startsWith("the trial: "), back.toString());
             for (PolicyLoad load : loads) {
-                load.end();
+                load.stop();
                 assertEquals(0, load.lost.get());
             }
         }
--- a/src/test/java/laneflow/policy/PolicyStoryBase.java
+++ b/src/test/java/laneflow/policy/PolicyStoryBase.java
@@ -83,7 +83,7 @@
     void checkHistoryWith(int startedElsewhere) throws Exception {
         checked = true;
         for (int i = 0; i < rig.size(); i++) {
-            history.log(Rig.name(i), rig.log(i));
+            history.addLog(Rig.name(i), rig.log(i));
             if (rig.isUp(i) || i == startedElsewhere) {
                 int at = i;
                 rig.await(
@@ -93,7 +93,7 @@
                         .getAsJsonArray()
                         .forEach(one -> {
                             JsonObject change = one.getAsJsonObject();
-                            history.outcome(
+                            history.addOutcome(
                                     change.get("name").getAsString(),
                                     change.get("number").getAsLong(),
                                     change.get("state").getAsString());
--- a/src/test/java/laneflow/policy/PolicyStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyStoryTest.java
@@ -167,13 +167,13 @@
         rig.heal();
         rig.awaitDeciding(1, rig.all());
         checked = true;
-        history.outcome("meanwhile", 1, "applied");
+        history.addOutcome("meanwhile", 1, "applied");
         for (int i : rig.all()) {
-            history.log(Rig.name(i), rig.log(i));
+            history.addLog(Rig.name(i), rig.log(i));
         }
         // The check of the history finds the overlap that this setting permits.
         assertEquals(1, history.check().size());
-        assertEquals(1, history.overlapping());
+        assertEquals(1, history.overlaps());
     }
 
     @Test
