--- a/src/main/java/laneflow/lab/measure/PolicyHistory.java
+++ b/src/main/java/laneflow/lab/measure/PolicyHistory.java
@@ -9,122 +9,131 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads what the processes of a fleet have written, all on the machine's one monotonic clock, and holds it
- * against what is promised: nobody begins with a policy that was not applied, and nobody decides by a policy
- * behind the first beginning of a later one anywhere.
+ * Checks the policy guarantees against the logs of all schedulers of a fleet and the responses of their
+ * clients: no scheduler activates a policy that was not applied, and none decides by a policy after any
+ * scheduler has activated a later one. All instants are of the machine's monotonic clock.
  */
 public final class PolicyHistory {
-    /** What clocks and a turn may make of it: a thousandth of a lease of a second, and a turn of the loop. */
-    public static final long BOUND_NS = 6_000_000;
+    /** Permitted overlap of two policies: clock drift (1/1000 of a lease of one second) plus one loop iteration. */
+    public static final long MAX_OVERLAP_NS = 6_000_000;
 
-    private static final Pattern BEGINS = Pattern.compile(
+    private static final Pattern ACTIVATION_LOG_LINE = Pattern.compile(
             "policy begins number=(\\d+) before=(\\d+)" + " last_decided_ns=(\\d+) began_ns=(\\d+) fence_us=(\\d+)");
 
     /**
-     * An answer that a client has had.
+     * A response that a client received.
      *
-     * @param sentNs when it began to ask: it was taken no sooner
-     * @param policy that it came under, by the answer's head
+     * @param sentNs when the client began to send the request; the scheduler accepted it no earlier
+     * @param policy number of the policy that the response's header names
      */
-    public record Answer(String scheduler, long sentNs, long policy) {}
+    public record Response(String scheduler, long sentNs, long policy) {}
 
-    /** A beginning that a process has logged. */
-    private record Begin(String scheduler, long number, long before, long lastDecidedNs, long beganNs, long fenceUs) {}
+    /** An activation of a policy, as the scheduler logged it. */
+    private record Activation(
+            String scheduler, long number, long previous, long lastDecidedNs, long activatedNs, long fenceUs) {}
 
-    private final List<Begin> begins = new ArrayList<>();
-    private final List<Answer> answers = new ArrayList<>();
-    /** Outcomes by name, as told at any time by any voter. */
+    private final List<Activation> activations = new ArrayList<>();
+    private final List<Response> responses = new ArrayList<>();
+    /** First reported state and number of each decided change, by the change's name. */
     private final Map<String, String> outcomes = new HashMap<>();
 
     private final Map<Long, Boolean> applied = new HashMap<>();
-    private final List<String> found = new ArrayList<>();
-    private int split;
-    private int undecided;
+    private final List<String> violations = new ArrayList<>();
+    private int contradictions;
+    private int notApplied;
     private int overlaps;
 
-    /** All that a scheduler has logged. */
+    /** Adds the activations from a scheduler's log. */
     public void addLog(String scheduler, String text) {
-        Matcher one = BEGINS.matcher(text);
-        while (one.find()) {
-            begins.add(new Begin(
+        Matcher matcher = ACTIVATION_LOG_LINE.matcher(text);
+        while (matcher.find()) {
+            activations.add(new Activation(
                     scheduler,
-                    Long.parseLong(one.group(1)),
-                    Long.parseLong(one.group(2)),
-                    Long.parseLong(one.group(3)),
-                    Long.parseLong(one.group(4)),
-                    Long.parseLong(one.group(5))));
+                    Long.parseLong(matcher.group(1)),
+                    Long.parseLong(matcher.group(2)),
+                    Long.parseLong(matcher.group(3)),
+                    Long.parseLong(matcher.group(4)),
+                    Long.parseLong(matcher.group(5))));
         }
     }
 
-    public void addAnswer(Answer answer) {
-        answers.add(answer);
+    public void addResponse(Response response) {
+        responses.add(response);
     }
 
-    /** A change as some scheduler has told it; one that is undecided says nothing. */
+    /** Adds a change's state as reported by a scheduler; ignored while the change is undecided. */
     public void addOutcome(String name, long number, String state) {
         if (!state.equals("applied") && !state.equals("abandoned")) {
             return;
         }
-        String before = outcomes.putIfAbsent(name, state + " " + number);
-        if (before != null && !before.equals(state + " " + number)) {
-            split++;
-            found.add("change " + name + " was told as " + before + " and as " + state + " " + number);
+        String previous = outcomes.putIfAbsent(name, state + " " + number);
+        if (previous != null && !previous.equals(state + " " + number)) {
+            contradictions++;
+            violations.add("change " + name + " was reported as " + previous + " and as " + state + " " + number);
         }
         applied.put(number, state.equals("applied"));
     }
 
-    /** Looks at all of it; empty where every promise was kept. */
+    /** Returns all violations; empty if every guarantee was kept. */
     public List<String> check() {
-        TreeMap<Long, Long> first = new TreeMap<>();
-        for (Begin begin : begins) {
-            first.merge(begin.number, begin.beganNs, Math::min);
-            if (begin.number > 0 && !applied.getOrDefault(begin.number, false)) {
-                undecided++;
-                found.add(begin.scheduler + " began with " + begin.number + ", which was not applied");
+        TreeMap<Long, Long> firstActivations = new TreeMap<>();
+        for (Activation activation : activations) {
+            firstActivations.merge(activation.number, activation.activatedNs, Math::min);
+            if (activation.number > 0 && !applied.getOrDefault(activation.number, false)) {
+                notApplied++;
+                violations.add(
+                        activation.scheduler + " activated policy " + activation.number + ", which was not applied");
             }
         }
-        for (Begin begin : begins) {
-            overlap(first, begin.scheduler, begin.before, begin.lastDecidedNs, "decided");
+        for (Activation activation : activations) {
+            checkOverlap(
+                    firstActivations, activation.scheduler, activation.previous, activation.lastDecidedNs, "decided");
         }
-        for (Answer answer : answers) {
-            overlap(first, answer.scheduler, answer.policy, answer.sentNs, "took a request");
+        for (Response response : responses) {
+            checkOverlap(firstActivations, response.scheduler, response.policy, response.sentNs, "accepted a request");
         }
-        return found;
+        return violations;
     }
 
-    private void overlap(TreeMap<Long, Long> first, String scheduler, long by, long atNs, String what) {
-        for (Map.Entry<Long, Long> later : first.tailMap(by, false).entrySet()) {
-            if (atNs > later.getValue() + BOUND_NS) {
+    private void checkOverlap(
+            TreeMap<Long, Long> firstActivations, String scheduler, long policyInUse, long lastUseNs, String action) {
+        for (Map.Entry<Long, Long> laterPolicy :
+                firstActivations.tailMap(policyInUse, false).entrySet()) {
+            if (lastUseNs > laterPolicy.getValue() + MAX_OVERLAP_NS) {
                 overlaps++;
-                found.add(scheduler + " " + what + " by " + by + " " + (atNs - later.getValue()) / 1000
-                        + " us behind the first beginning of " + later.getKey());
+                violations.add(scheduler + " " + action + " under policy " + policyInUse + ", "
+                        + (lastUseNs - laterPolicy.getValue()) / 1000 + " us after the first activation of policy "
+                        + laterPolicy.getKey());
                 return;
             }
         }
     }
 
-    /** When a scheduler first began with a policy, or -1. */
-    public long began(String scheduler, long number) {
-        return begins.stream()
-                .filter(one -> one.scheduler.equals(scheduler) && one.number == number)
-                .mapToLong(Begin::beganNs)
+    /** When the scheduler first activated the policy, or -1. */
+    public long firstActivationNs(String scheduler, long number) {
+        return activations.stream()
+                .filter(activation -> activation.scheduler.equals(scheduler) && activation.number == number)
+                .mapToLong(Activation::activatedNs)
                 .min()
                 .orElse(-1);
     }
 
-    /** The longest time for which one decided by neither policy while it went from one to the next. */
-    public long fenceMostUs() {
-        return begins.stream().mapToLong(Begin::fenceUs).max().orElse(0);
+    /** The longest time for which a scheduler decided by neither policy while it changed from one to the next. */
+    public long longestFenceUs() {
+        return activations.stream().mapToLong(Activation::fenceUs).max().orElse(0);
     }
 
-    public int split() {
-        return split;
+    /** Changes that were reported with two different outcomes. */
+    public int contradictions() {
+        return contradictions;
     }
 
-    public int undecided() {
-        return undecided;
+    /** Activations of a policy that was not applied. */
+    public int notApplied() {
+        return notApplied;
     }
 
+    /** Uses of a policy after the first activation of a later one. */
     public int overlaps() {
         return overlaps;
     }
--- a/src/main/java/laneflow/lab/measure/PolicyLoad.java
+++ b/src/main/java/laneflow/lab/measure/PolicyLoad.java
@@ -12,16 +12,17 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Clients of one scheduler, open loop at an even rate, who note when they asked, what they were answered and
- * under which policy. Jobs have names of their own, so that runs can be counted; every second one must not
- * run twice. One that finds its scheduler gone asks again with the next job.
+ * Open-loop clients of one scheduler that send requests at a constant rate and record for each when it was
+ * sent, its status and the policy that its response names. Each job has a unique name, so that its runs can
+ * be counted; every second job must not run twice. A client that loses its connection reconnects with its
+ * next job.
  */
 public final class PolicyLoad {
-    private static final int TIMEOUT_MS = 10_000;
-    private static final long AIM_NS = 200_000_000;
-    private static final String MARK = "Config-Version: policy=";
+    private static final int RESPONSE_TIMEOUT_MS = 10_000;
+    private static final long LATENCY_TARGET_NS = 200_000_000;
+    private static final String POLICY_HEADER = "Config-Version: policy=";
 
-    /** One answer: status 0 where the connection broke, -1 where none came in time. */
+    /** A response: status 0 if it has no complete status line; policy -1 if its header names none. */
     record Response(long sentNs, long receivedNs, int status, long policy) {}
 
     private final String scheduler;
@@ -31,7 +32,7 @@
     final ConcurrentLinkedQueue<Response> responses = new ConcurrentLinkedQueue<>();
     final AtomicLong lost = new AtomicLong();
     private final Thread[] threads;
-    private volatile boolean over;
+    private volatile boolean stopped;
 
     PolicyLoad(String scheduler, int port, int connections, int perSecond) {
         this.scheduler = scheduler;
@@ -42,52 +43,52 @@
     }
 
     void start() {
-        long from = System.nanoTime();
+        long startNs = System.nanoTime();
         for (int i = 0; i < connections; i++) {
-            int first = i;
-            threads[i] = new Thread(null, () -> ask(first, from), "client", 256 * 1024);
+            int firstIndex = i;
+            threads[i] = new Thread(null, () -> sendRequests(firstIndex, startNs), "client", 256 * 1024);
             threads[i].setDaemon(true);
             threads[i].start();
         }
     }
 
     void stop() throws InterruptedException {
-        over = true;
+        stopped = true;
         for (Thread thread : threads) {
             thread.join();
         }
     }
 
-    private void ask(int first, long from) {
+    private void sendRequests(int firstIndex, long startNs) {
         Socket socket = null;
         InputStream in = null;
-        for (long i = first; !over; i += connections) {
-            long at = from + i * 1_000_000_000L / perSecond;
+        for (long i = firstIndex; !stopped; i += connections) {
+            long scheduledNs = startNs + i * 1_000_000_000L / perSecond;
             try {
-                long wait = at - System.nanoTime();
-                if (wait > 0) {
-                    Thread.sleep(wait / 1_000_000, (int) (wait % 1_000_000));
-                } else if (wait < -AIM_NS) {
-                    // It stood still: what would have been asked meanwhile is not asked in one go.
+                long waitNs = scheduledNs - System.nanoTime();
+                if (waitNs > 0) {
+                    Thread.sleep(waitNs / 1_000_000, (int) (waitNs % 1_000_000));
+                } else if (waitNs < -LATENCY_TARGET_NS) {
+                    // After a stall the overdue requests are skipped, not sent in one burst.
                     continue;
                 }
                 if (socket == null) {
                     socket = new Socket(InetAddress.getLoopbackAddress(), port);
                     socket.setTcpNoDelay(true);
-                    socket.setSoTimeout(TIMEOUT_MS);
+                    socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
                     in = new BufferedInputStream(socket.getInputStream());
                 }
-                String name = scheduler + "-" + i + "-" + from;
-                long sent = System.nanoTime();
+                String jobName = scheduler + "-" + i + "-" + startNs;
+                long sentNs = System.nanoTime();
                 socket.getOutputStream()
                         .write(("POST /" + (i % 2 == 0 ? "check" : "capture")
-                                        + " HTTP/1.1\r\nHost: l\r\nReq-Id: " + name + "\r\nContent-Length: "
-                                        + name.length()
-                                        + "\r\n\r\n" + name)
+                                        + " HTTP/1.1\r\nHost: l\r\nReq-Id: " + jobName + "\r\nContent-Length: "
+                                        + jobName.length()
+                                        + "\r\n\r\n" + jobName)
                                 .getBytes(StandardCharsets.US_ASCII));
-                String answer = LiveLoad.readResponse(in);
-                note(sent, answer);
-                if (answer.contains("Connection: close")) {
+                String response = LiveLoad.readResponse(in);
+                recordResponse(sentNs, response);
+                if (response.contains("Connection: close")) {
                     socket.close();
                     socket = null;
                 }
@@ -95,7 +96,8 @@
                 lost.incrementAndGet();
                 socket = close(socket);
             } catch (IOException e) {
-                // Killed with it, or not there: asked of another in service, of nobody here.
+                // The scheduler was killed or is not running. In production clients retry at another one; here
+                // the request is dropped.
                 socket = close(socket);
             } catch (InterruptedException e) {
                 return;
@@ -115,39 +117,39 @@
         return null;
     }
 
-    private void note(long sent, String answer) {
-        int at = answer.indexOf(MARK);
-        int lineEnd = at < 0 ? 0 : answer.indexOf('\r', at);
-        int status = answer.length() < 12 ? 0 : Integer.parseInt(answer.substring(9, 12));
+    private void recordResponse(long sentNs, String response) {
+        int headerStart = response.indexOf(POLICY_HEADER);
+        int headerEnd = headerStart < 0 ? 0 : response.indexOf('\r', headerStart);
+        int status = response.length() < 12 ? 0 : Integer.parseInt(response.substring(9, 12));
         responses.add(new Response(
-                sent,
+                sentNs,
                 System.nanoTime(),
                 status,
-                at < 0
+                headerStart < 0
                         ? -1
-                        : Long.parseLong(
-                                answer.substring(at + MARK.length(), lineEnd).strip())));
+                        : Long.parseLong(response.substring(headerStart + POLICY_HEADER.length(), headerEnd)
+                                .strip())));
     }
 
-    /** The mean of these loads' shares; those that asked nothing then do not count. */
+    /** The mean of the loads' served shares; loads without a response in the interval are left out. */
     static double served(PolicyLoad[] loads, long fromNs, long toNs) {
         return Arrays.stream(loads)
                 .mapToDouble(load -> load.served(fromNs, toNs))
-                .filter(one -> !Double.isNaN(one))
+                .filter(share -> !Double.isNaN(share))
                 .average()
                 .orElse(0);
     }
 
-    /** The share of those asked between two instants that were served in time; NaN where none was. */
+    /** The share of requests sent in the interval that were served in time; NaN if none has a response. */
     double served(long fromNs, long toNs) {
-        long asked = 0;
+        long sent = 0;
         long inTime = 0;
-        for (Response one : responses) {
-            if (one.sentNs >= fromNs && one.sentNs < toNs) {
-                asked++;
-                inTime += one.status == 200 && one.receivedNs - one.sentNs <= AIM_NS ? 1 : 0;
+        for (Response response : responses) {
+            if (response.sentNs >= fromNs && response.sentNs < toNs) {
+                sent++;
+                inTime += response.status == 200 && response.receivedNs - response.sentNs <= LATENCY_TARGET_NS ? 1 : 0;
             }
         }
-        return asked == 0 ? Double.NaN : (double) inTime / asked;
+        return sent == 0 ? Double.NaN : (double) inTime / sent;
     }
 }
--- a/src/main/java/laneflow/lab/measure/PolicyMeasure.java
+++ b/src/main/java/laneflow/lab/measure/PolicyMeasure.java
@@ -21,18 +21,17 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * {@code lab measure policy}: schedulers as processes, three of which vote, under steady traffic. Changes
- * with
- * nothing broken first, for what they cost; then changes while schedulers are killed, stopped, cut off both
- * ways and one way, behind lossy paths, proposed at once from both sides of a cut, forbidden by one
- * scheduler's
- * own file, left by their leader; last the whole fleet is killed and started in another order. All that the
- * processes and the clients have noted is held against what is promised; exit code 1 where a promise is
- * broken.
+ * {@code lab measure policy}: runs a fleet of scheduler processes, three of them voters, under steady
+ * traffic. It first measures what policy changes cost without faults. Then it changes the policy while
+ * schedulers are killed, suspended, partitioned in both directions and in one, and behind lossy links; from
+ * both sides of a partition at once; against the configuration file of one scheduler; and with a leader that
+ * is killed right after the proposal. Last it kills the whole fleet and starts it in another order. The logs
+ * of the processes and the responses of the clients are checked against the policy guarantees; exit code 1
+ * if one is broken.
  */
 public final class PolicyMeasure {
     private static final int VOTERS = 3;
-    private static final int PER_SECOND = 30;
+    private static final int REQUESTS_PER_SECOND = 30;
     private static final int LEASE_MS = 1000;
     private static final long SECOND = 1_000_000_000L;
 
@@ -44,7 +43,7 @@
     private final Rig rig;
     private final PolicyLoad[] loads;
     private final PolicyHistory history = new PolicyHistory();
-    private final Histogram takeHold = new Histogram(3);
+    private final Histogram activationLatencyUs = new Histogram(3);
     private final Map<String, Long> proposedNs = new HashMap<>();
     private int changes;
     private int kills;
@@ -52,9 +51,9 @@
     private int cuts;
     private int stuck;
     private int lateStarts;
-    private int lateStartsRight;
+    private int correctLateStarts;
     private long thirdDownMs;
-    private long leaderLostMostMs;
+    private long longestLeaderLossMs;
 
     private PolicyMeasure(long seed, boolean large, Path folder, PrintStream out, Rig rig, int schedulers) {
         random = new SplittableRandom(seed);
@@ -66,7 +65,7 @@
         loads = new PolicyLoad[schedulers];
     }
 
-    /** Runs all of it; 0 if every promise was kept. */
+    /** Runs the measurement and returns the exit code: 0 if every guarantee was kept. */
     public static int run(long seed, boolean large, PrintStream out) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("laneflow-policy");
         int schedulers = large ? 24 : 9;
@@ -80,7 +79,7 @@
         try (Rig rig = new Rig(folder, schedulers, VOTERS, seed, common.toString())) {
             rig.file(schedulers - 1, common.toString().replace(classes("safe"), classes("never")));
             rig.nodes(nodes, large ? 900 : 300);
-            return new PolicyMeasure(seed, large, folder, out, rig, schedulers).all();
+            return new PolicyMeasure(seed, large, folder, out, rig, schedulers).runAll();
         } finally {
             Trash.remove(folder);
         }
@@ -92,69 +91,69 @@
                 + "\"\n";
     }
 
-    private int all() throws IOException, InterruptedException {
+    private int runAll() throws IOException, InterruptedException {
         for (int i : shuffled()) {
             rig.start(i);
         }
         rig.awaitDeciding(0, rig.all());
         for (int i = 0; i < schedulers; i++) {
-            loads[i] = new PolicyLoad(Rig.name(i), rig.clientPort(i), 4, PER_SECOND);
+            loads[i] = new PolicyLoad(Rig.name(i), rig.clientPort(i), 4, REQUESTS_PER_SECOND);
             loads[i].start();
         }
-        // Young processes are slow: what they cost is no change's doing.
+        // Processes are slow right after their start; that must not count as a cost of the changes.
         Thread.sleep(3000);
-        long calmFrom = System.nanoTime();
+        long quietStartNs = System.nanoTime();
         Thread.sleep(3000);
-        long calmTo = System.nanoTime();
-        calm();
-        long changedTo = System.nanoTime();
-        double before = PolicyLoad.served(loads, calmFrom, calmTo);
-        double during = PolicyLoad.served(loads, calmTo, changedTo);
-        thirdDown();
-        leadersLost();
-        stalled();
-        cut();
-        lossy();
-        forbidden();
-        wholeFleet();
-        double idle = idle();
+        long quietEndNs = System.nanoTime();
+        changesWithoutFaults();
+        long changesEndNs = System.nanoTime();
+        double shareBefore = PolicyLoad.served(loads, quietStartNs, quietEndNs);
+        double shareDuring = PolicyLoad.served(loads, quietEndNs, changesEndNs);
+        changeWithAThirdDown();
+        killLeaders();
+        stallLeader();
+        partitionLeader();
+        changeOverLossyLinks();
+        proposeForbiddenChange();
+        restartFleet();
+        double idleCpu = idleCpuPerFollower();
         for (PolicyLoad load : loads) {
             load.stop();
         }
-        return tell(before, during, idle);
+        return report(shareBefore, shareDuring, idleCpu);
     }
 
     private int[] shuffled() {
         int[] all = rig.all();
         for (int i = all.length - 1; i > 0; i--) {
             int k = random.nextInt(i + 1);
-            int one = all[i];
+            int swapped = all[i];
             all[i] = all[k];
-            all[k] = one;
+            all[k] = swapped;
         }
         return all;
     }
 
     // ---- changes ----
 
-    /** A change drawn from the seed: a ban of nobody who is there, or other limits. */
-    private String types() {
+    /** A random change as JSON: a ban of an endpoint that does not exist, or new limits. */
+    private String randomChange() {
         return random.nextBoolean()
                 ? "{\"bans\":[{\"name\":\"gone-" + random.nextInt(1000) + "\"}]}"
                 : "{\"limits\":[{\"name\":\"limits\",\"sockets\":512,\"attempts\":" + (2 + random.nextInt(4)) + "}]}";
     }
 
-    private String name() {
+    private String nextChangeName() {
         return "c" + ++changes;
     }
 
-    /** Proposes it wherever it is taken, and again by the same name until it is known to be. */
-    private void propose(String name, String types, int... at) throws IOException, InterruptedException {
+    /** Proposes the change under the same name at one scheduler after the other until one accepts it. */
+    private void propose(String name, String changeJson, int... targets) throws IOException, InterruptedException {
         proposedNs.put(name, System.nanoTime());
         rig.note("propose " + name);
-        rig.await(name + " is taken", () -> {
-            for (int i : at) {
-                if (rig.isUp(i) && taken(i, name, types)) {
+        rig.await(name + " is accepted", () -> {
+            for (int i : targets) {
+                if (rig.isUp(i) && tryPropose(i, name, changeJson)) {
                     return true;
                 }
             }
@@ -162,25 +161,25 @@
         });
     }
 
-    private boolean taken(int i, String name, String types) throws InterruptedException {
+    private boolean tryPropose(int i, String name, String changeJson) throws InterruptedException {
         try {
-            return rig.propose(i, name, types) != null;
+            return rig.propose(i, name, changeJson) != null;
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** Waits for its outcome; a change without one is stuck. */
-    private JsonObject outcome(String name, int... at) throws InterruptedException {
+    /** Waits until the change is applied or abandoned; null, and counted as stuck, if it never is. */
+    private JsonObject awaitOutcome(String name, int... targets) throws InterruptedException {
         JsonObject[] found = new JsonObject[1];
         try {
             rig.await(name + " is decided", () -> {
-                for (int i : at) {
-                    JsonObject now = rig.isUp(i) ? rig.change(i, name) : null;
-                    String state = now == null ? "" : now.get("state").getAsString();
+                for (int i : targets) {
+                    JsonObject reported = rig.isUp(i) ? rig.change(i, name) : null;
+                    String state = reported == null ? "" : reported.get("state").getAsString();
                     if (state.equals("applied") || state.equals("abandoned")) {
-                        found[0] = now;
-                        history.addOutcome(name, now.get("number").getAsLong(), state);
+                        found[0] = reported;
+                        history.addOutcome(name, reported.get("number").getAsLong(), state);
                         return true;
                     }
                 }
@@ -193,37 +192,37 @@
         return found[0];
     }
 
-    /** Proposes, waits until all of these decide by it, and returns its number. */
-    private long change(int... these) throws IOException, InterruptedException {
-        String name = name();
-        propose(name, types(), these);
-        JsonObject now = outcome(name, these);
-        long number = now == null ? -1 : now.get("number").getAsLong();
-        if (now != null && now.get("state").getAsString().equals("applied")) {
-            rig.awaitDeciding(number, these);
+    /** Proposes a random change, waits until the given schedulers decide by it, and returns its number. */
+    private long applyChange(int... schedulerIndexes) throws IOException, InterruptedException {
+        String name = nextChangeName();
+        propose(name, randomChange(), schedulerIndexes);
+        JsonObject decided = awaitOutcome(name, schedulerIndexes);
+        long number = decided == null ? -1 : decided.get("number").getAsLong();
+        if (decided != null && decided.get("state").getAsString().equals("applied")) {
+            rig.awaitDeciding(number, schedulerIndexes);
         }
         return number;
     }
 
-    private void calm() throws IOException, InterruptedException {
+    private void changesWithoutFaults() throws IOException, InterruptedException {
         List<String> names = new ArrayList<>();
         List<Long> numbers = new ArrayList<>();
         for (int i = 0; i < (large ? 60 : 25); i++) {
             names.add("c" + (changes + 1));
-            numbers.add(change(rig.all()));
+            numbers.add(applyChange(rig.all()));
             Thread.sleep(100);
         }
-        // By the processes' own stamps: how long until the last of them had begun.
-        PolicyHistory begun = new PolicyHistory();
+        // Latency until the last scheduler activated the policy, by the times in the schedulers' logs.
+        PolicyHistory activations = new PolicyHistory();
         for (int i = 0; i < schedulers; i++) {
-            begun.addLog(Rig.name(i), rig.log(i));
+            activations.addLog(Rig.name(i), rig.log(i));
         }
         for (int k = 0; k < names.size(); k++) {
             long last = 0;
             for (int i = 0; i < schedulers; i++) {
-                last = Math.max(last, begun.began(Rig.name(i), numbers.get(k)));
+                last = Math.max(last, activations.firstActivationNs(Rig.name(i), numbers.get(k)));
             }
-            takeHold.recordValue(Math.max(0, last - proposedNs.get(names.get(k))) / 1000);
+            activationLatencyUs.recordValue(Math.max(0, last - proposedNs.get(names.get(k))) / 1000);
         }
     }
 
@@ -232,25 +231,25 @@
         rig.kill(i);
     }
 
-    /** Started behind a change, it must begin with what holds, and with nothing before it. */
-    private void lateStart(int i, long number) throws IOException, InterruptedException {
+    /** Starts a scheduler after a change; it must activate the current policy and no earlier one. */
+    private void startAfterChange(int i, long number) throws IOException, InterruptedException {
         int from = rig.log(i).length();
         rig.start(i);
         rig.awaitDeciding(number, i);
         lateStarts++;
-        PolicyHistory life = new PolicyHistory();
-        life.addLog(Rig.name(i), rig.log(i).substring(from));
-        boolean right = life.began(Rig.name(i), number) > 0;
-        for (long other = 0; other < number; other++) {
-            right &= life.began(Rig.name(i), other) < 0;
+        PolicyHistory restartHistory = new PolicyHistory();
+        restartHistory.addLog(Rig.name(i), rig.log(i).substring(from));
+        boolean correct = restartHistory.firstActivationNs(Rig.name(i), number) > 0;
+        for (long earlier = 0; earlier < number; earlier++) {
+            correct &= restartHistory.firstActivationNs(Rig.name(i), earlier) < 0;
         }
-        lateStartsRight += right ? 1 : 0;
+        correctLateStarts += correct ? 1 : 0;
     }
 
-    private void thirdDown() throws IOException, InterruptedException {
+    private void changeWithAThirdDown() throws IOException, InterruptedException {
         Set<Integer> down = new HashSet<>();
         int leader = rig.leader();
-        // One voter that does not lead, and others that don't vote.
+        // One voter that is not the leader; the others are non-voters.
         down.add((leader + 1) % VOTERS);
         while (down.size() < schedulers / 3) {
             down.add(VOTERS + random.nextInt(schedulers - VOTERS));
@@ -259,20 +258,21 @@
             kill(i);
         }
         long from = System.nanoTime();
-        long number = change(rig.without(down));
+        long number = applyChange(rig.without(down));
         thirdDownMs = (System.nanoTime() - from) / 1_000_000;
         for (int i : down) {
-            lateStart(i, number);
+            startAfterChange(i, number);
         }
     }
 
-    private void leadersLost() throws IOException, InterruptedException {
+    private void killLeaders() throws IOException, InterruptedException {
         for (int i = 0; i < (large ? 6 : 2); i++) {
             int leader = rig.leader();
-            String name = name();
+            String name = nextChangeName();
             proposedNs.put(name, System.nanoTime());
-            // Killed behind the proposal: it is finished, or was never there and is proposed again.
-            boolean asked = taken(leader, name, "{\"bans\":[{\"name\":\"left-" + i + "\"}]}");
+            // The leader is killed right after the proposal. The change either survives or was never stored;
+            // proposing it again under the same name covers both.
+            boolean accepted = tryPropose(leader, name, "{\"bans\":[{\"name\":\"left-" + i + "\"}]}");
             if (random.nextBoolean()) {
                 Thread.sleep(random.nextInt(20));
             }
@@ -280,19 +280,19 @@
             long from = System.nanoTime();
             int[] others = rig.without(Set.of(leader));
             propose(name, "{\"bans\":[{\"name\":\"left-" + i + "\"}]}", others);
-            outcome(name, others);
-            long number = change(others);
-            leaderLostMostMs = Math.max(leaderLostMostMs, (System.nanoTime() - from) / 1_000_000);
-            rig.note("leader lost, asked " + asked);
-            lateStart(leader, number);
+            awaitOutcome(name, others);
+            long number = applyChange(others);
+            longestLeaderLossMs = Math.max(longestLeaderLossMs, (System.nanoTime() - from) / 1_000_000);
+            rig.note("leader lost, proposal accepted: " + accepted);
+            startAfterChange(leader, number);
         }
     }
 
-    private int anotherLeads(int former) throws IOException, InterruptedException {
+    private int awaitNewLeader(int formerLeader) throws IOException, InterruptedException {
         int[] found = {-1};
-        rig.await("another leads", () -> {
+        rig.await("a new leader", () -> {
             for (int i = 0; i < VOTERS; i++) {
-                if (i != former && rig.isUp(i) && rig.policy(i).has("leads")) {
+                if (i != formerLeader && rig.isUp(i) && rig.policy(i).has("leads")) {
                     found[0] = i;
                 }
             }
@@ -301,68 +301,68 @@
         return found[0];
     }
 
-    private void stalled() throws IOException, InterruptedException {
+    private void stallLeader() throws IOException, InterruptedException {
         int leader = rig.leader();
-        int other = VOTERS + random.nextInt(schedulers - VOTERS);
+        int stalled = VOTERS + random.nextInt(schedulers - VOTERS);
         rig.stall(leader);
-        rig.stall(other);
+        rig.stall(stalled);
         stalls += 2;
-        anotherLeads(leader);
-        long number = change(rig.without(Set.of(leader, other)));
+        awaitNewLeader(leader);
+        long number = applyChange(rig.without(Set.of(leader, stalled)));
         Thread.sleep(LEASE_MS * 3L / 2);
-        rig.wake(other);
+        rig.wake(stalled);
         rig.wake(leader);
         rig.awaitDeciding(number, rig.all());
     }
 
-    private void cut() throws IOException, InterruptedException {
+    private void partitionLeader() throws IOException, InterruptedException {
         int leader = rig.leader();
-        int lone = VOTERS + random.nextInt(schedulers - VOTERS);
-        Set<Integer> minority = Set.of(leader, lone);
+        int follower = VOTERS + random.nextInt(schedulers - VOTERS);
+        Set<Integer> minority = Set.of(leader, follower);
         rig.partAll(List.copyOf(minority));
         cuts++;
-        // From both sides at once: the side without a majority can't have it decided.
-        String theirs = name();
-        String types = types();
-        taken(leader, theirs, types);
-        anotherLeads(leader);
-        long number = change(rig.without(minority));
+        // Both sides propose at once; the side without a majority can't decide its change.
+        String minorityChange = nextChangeName();
+        String changeJson = randomChange();
+        tryPropose(leader, minorityChange, changeJson);
+        awaitNewLeader(leader);
+        long number = applyChange(rig.without(minority));
         rig.heal();
         rig.awaitDeciding(number, rig.all());
-        // What was asked for behind the cut is proposed again by its name, and is the same change.
-        propose(theirs, types, rig.all());
-        outcome(theirs, rig.all());
-        // One way: it is heard, and hears nothing.
-        int deaf = VOTERS + random.nextInt(schedulers - VOTERS);
+        // The minority's change is proposed again under its name and counts as the same change.
+        propose(minorityChange, changeJson, rig.all());
+        awaitOutcome(minorityChange, rig.all());
+        // One-way partition: the voters receive its datagrams, but it receives none of theirs.
+        int isolated = VOTERS + random.nextInt(schedulers - VOTERS);
         for (int i = 0; i < VOTERS; i++) {
-            rig.cut(i, deaf);
+            rig.cut(i, isolated);
         }
         cuts++;
-        number = change(rig.without(Set.of(deaf)));
+        number = applyChange(rig.without(Set.of(isolated)));
         rig.heal();
         rig.awaitDeciding(number, rig.all());
     }
 
-    private void lossy() throws IOException, InterruptedException {
+    private void changeOverLossyLinks() throws IOException, InterruptedException {
         rig.disturb(0.3, 0.1, 200);
-        String name = name();
-        propose(name, types(), rig.all());
-        outcome(name, rig.all());
+        String name = nextChangeName();
+        propose(name, randomChange(), rig.all());
+        awaitOutcome(name, rig.all());
         rig.heal();
     }
 
-    private void forbidden() throws IOException, InterruptedException {
-        String name = name();
+    private void proposeForbiddenChange() throws IOException, InterruptedException {
+        String name = nextChangeName();
         propose(
                 name,
                 "{\"classes\":[{\"name\":\"check\",\"aim_ms\":200,\"repeat\":\"safe\"},"
                         + "{\"name\":\"capture\",\"aim_ms\":200},{\"name\":\"post\",\"repeat\":\"safe\"}]}",
                 rig.all());
-        outcome(name, rig.all());
+        awaitOutcome(name, rig.all());
     }
 
-    private void wholeFleet() throws IOException, InterruptedException {
-        long number = change(rig.all());
+    private void restartFleet() throws IOException, InterruptedException {
+        long number = applyChange(rig.all());
         for (int i : shuffled()) {
             kill(i);
         }
@@ -370,45 +370,45 @@
             rig.start(i);
         }
         rig.awaitDeciding(number, rig.all());
-        change(rig.all());
+        applyChange(rig.all());
     }
 
     // ---- figures ----
 
-    /**
-     * Processor time that schedulers need a second while nothing changes and few ask, beyond their
-     * clients'.
-     */
-    private double idle() throws IOException, InterruptedException {
+    /** Mean processor time in ms per second that a scheduler other than the leader uses without load or changes. */
+    private double idleCpuPerFollower() throws IOException, InterruptedException {
         for (PolicyLoad load : loads) {
             load.stop();
         }
         Thread.sleep(1000);
         double[] cpu = rig.cpu(4000);
         int leader = rig.leader();
-        double most = 0;
+        double highest = 0;
         double sum = 0;
         for (int i = 0; i < schedulers; i++) {
             sum += i == leader ? 0 : cpu[i];
-            most = Math.max(most, cpu[i]);
+            highest = Math.max(highest, cpu[i]);
         }
-        out.printf(Locale.ROOT, "idle: the most of one process %.1f ms a second%n", most);
+        out.printf(Locale.ROOT, "idle: highest of one process %.1f ms per second%n", highest);
         return sum / (schedulers - 1);
     }
 
-    private int tell(double before, double during, double idle) throws IOException, InterruptedException {
+    private int report(double shareBefore, double shareDuring, double idleCpu)
+            throws IOException, InterruptedException {
         int applied = 0;
         int abandoned = 0;
         for (int i = 0; i < schedulers; i++) {
             history.addLog(Rig.name(i), rig.log(i));
-            int at = i;
-            rig.await("its history", () -> rig.ask(at, "/policy/history", null).statusCode() == 200);
+            int index = i;
+            rig.await(
+                    "the policy history",
+                    () -> rig.ask(index, "/policy/history", null).statusCode() == 200);
             applied = 0;
             abandoned = 0;
-            for (var one : JsonParser.parseString(
+            for (var element : JsonParser.parseString(
                             rig.ask(i, "/policy/history", null).body())
                     .getAsJsonArray()) {
-                JsonObject change = one.getAsJsonObject();
+                JsonObject change = element.getAsJsonObject();
                 String state = change.get("state").getAsString();
                 history.addOutcome(
                         change.get("name").getAsString(), change.get("number").getAsLong(), state);
@@ -424,21 +424,21 @@
             lost += loads[i].lost.get();
             for (PolicyLoad.Response response : loads[i].responses) {
                 if (response.policy() >= 0) {
-                    history.addAnswer(new PolicyHistory.Answer(Rig.name(i), response.sentNs(), response.policy()));
+                    history.addResponse(new PolicyHistory.Response(Rig.name(i), response.sentNs(), response.policy()));
                 }
-                // Whatever was decided on names the policy that it came under.
+                // Every served response must name the policy under which it was decided.
                 mixed += response.status() == 200 && response.policy() < 0 ? 1 : 0;
             }
         }
-        long twice = twice();
-        List<String> found = history.check();
-        found.stream().limit(20).forEach(out::println);
+        long twice = countForbiddenRepeats();
+        List<String> violations = history.check();
+        violations.stream().limit(20).forEach(out::println);
         out.printf(
                 Locale.ROOT,
-                "third down: %d ms; leader lost: next change within %d ms; take hold p50 %.1f ms%n",
+                "change with a third down: %d ms; change after loss of leader: %d ms at most; activation p50 %.1f ms%n",
                 thirdDownMs,
-                leaderLostMostMs,
-                takeHold.getValueAtPercentile(50) / 1e3);
+                longestLeaderLossMs,
+                activationLatencyUs.getValueAtPercentile(50) / 1e3);
         out.printf(
                 Locale.ROOT,
                 "policy: schedulers=%d voters=%d changes=%d applied=%d abandoned=%d kills=%d"
@@ -454,29 +454,29 @@
                 kills,
                 stalls,
                 cuts,
-                history.split(),
-                history.undecided(),
+                history.contradictions(),
+                history.notApplied(),
                 history.overlaps(),
                 mixed,
                 stuck,
                 lost,
                 twice,
-                takeHold.getValueAtPercentile(99) / 1e3,
-                history.fenceMostUs() / 1e3,
-                lateStartsRight,
+                activationLatencyUs.getValueAtPercentile(99) / 1e3,
+                history.longestFenceUs() / 1e3,
+                correctLateStarts,
                 lateStarts,
-                (before - during) * 100,
-                idle);
-        boolean kept = found.isEmpty()
+                (shareBefore - shareDuring) * 100,
+                idleCpu);
+        boolean passed = violations.isEmpty()
                 && mixed + stuck + lost + twice == 0
-                && lateStartsRight == lateStarts
+                && correctLateStarts == lateStarts
                 && abandoned > 0
                 && applied > 0;
-        return kept ? 0 : 1;
+        return passed ? 0 : 1;
     }
 
-    /** Jobs that must not run twice, and did, by the nodes' own book. */
-    private long twice() throws IOException {
+    /** Number of jobs that must not run twice and did, by the ledger of the nodes. */
+    private long countForbiddenRepeats() throws IOException {
         Map<String, Integer> runs = new HashMap<>();
         for (Ledger.Line line : Ledger.read(folder.resolve("ran"))) {
             if (line.event().equals("start")) {
@@ -484,7 +484,7 @@
             }
         }
         return runs.entrySet().stream()
-                .filter(one -> one.getValue() > 1 && Long.parseLong(one.getKey().split("-")[1]) % 2 == 1)
+                .filter(run -> run.getValue() > 1 && Long.parseLong(run.getKey().split("-")[1]) % 2 == 1)
                 .count();
     }
 }
