--- a/src/main/java/laneflow/lab/measure/GearmanMeasure.java
+++ b/src/main/java/laneflow/lab/measure/GearmanMeasure.java
@@ -25,19 +25,19 @@
 import org.HdrHistogram.ConcurrentHistogram;
 
 /**
- * {@code lab measure gearman}: a scheduler as a process, a thousand stand-in workers with two of 200
- * functions each, and clients that ask one job after the other. First with workers that fail, vanish, and
- * half of them at once; what each client was told is held against the workers' ledger. Then without
- * failures, for the cost of a job. The suite of the protocol's cases is played too. Exit code 1 for a job
- * without an answer, one that must not run twice and did, an answer that is not what happened, or a case
- * that fails.
+ * {@code lab measure gearman}: runs a scheduler process with a thousand stand-in workers, each with two of
+ * 200 functions, and clients that submit one job after the other. In the first phase workers fail or vanish,
+ * half of them at once, and the result that each client received is compared with the workers' ledger. The
+ * second phase has no failures and measures the cost of a job. The protocol's conformance suite runs too.
+ * Exit code 1 for a job without a result, a job that ran twice and must not, a wrong result, or a failed
+ * conformance case.
  */
 public final class GearmanMeasure {
     private static final int FUNCTIONS = 200;
     private static final int CLIENTS = 16;
-    private static final int PATIENCE_MS = 10_000;
-    /** Ticks of the kernel's clock in a second, by which it counts a process's time. */
-    private static final double TICKS = 100;
+    private static final int READ_TIMEOUT_MS = 10_000;
+    /** Unit of the processor times in {@code /proc/PID/stat}: clock ticks per second. */
+    private static final double CLOCK_TICKS_PER_SECOND = 100;
 
     private final long seed;
     private final int workers;
@@ -45,15 +45,15 @@
     private final Path folder;
     private final PrintStream out;
     private final Crew crew;
-    private final AtomicInteger names = new AtomicInteger();
+    private final AtomicInteger jobCounter = new AtomicInteger();
     private final AtomicInteger lost = new AtomicInteger();
-    /** What clients were told of each job: its function's number, and whether it was served. */
-    private final Map<String, Told> told = new ConcurrentHashMap<>();
+    /** The result that the client received, by job: the function's number and whether the job was completed. */
+    private final Map<String, Outcome> outcomes = new ConcurrentHashMap<>();
 
     private final ConcurrentHistogram latency = new ConcurrentHistogram(3);
     private int port;
 
-    private record Told(int function, boolean served) {}
+    private record Outcome(int function, boolean served) {}
 
     private GearmanMeasure(long seed, boolean large, Path folder, PrintStream out, Crew crew) {
         this.seed = seed;
@@ -64,52 +64,52 @@
         this.crew = crew;
     }
 
-    /** Runs all of it; 0 if every promise was kept. */
+    /** Runs the measurement and returns the exit code: 0 if every guarantee was kept. */
     public static int run(long seed, boolean large, PrintStream out) throws IOException, InterruptedException {
         Conformance.Result cases = Conformance.run(out, "");
         Path folder = Files.createTempDirectory("laneflow-gearman");
         try (Crew crew = new Crew(folder)) {
-            return new GearmanMeasure(seed, large, folder, out, crew).all(cases);
+            return new GearmanMeasure(seed, large, folder, out, crew).runAll(cases);
         } finally {
             Trash.remove(folder);
         }
     }
 
-    private int all(Conformance.Result cases) throws IOException, InterruptedException {
+    private int runAll(Conformance.Result cases) throws IOException, InterruptedException {
         port = Crew.port();
         int http = Crew.port();
-        Process scheduler = crew.scheduler("scheduler", 256, settings(http).toString());
+        Process scheduler = crew.scheduler("scheduler", 256, writeSettings(http).toString());
         crew.awaitPort(scheduler, "scheduler", http);
-        long before = liveBytes(scheduler);
-        // Failures: a share of jobs fail or lose their worker, and once half of the workers vanish.
-        Process crowd = crowd("rough", 10, 0.02, 0.02, seconds / 2 * 1000L + 2000, seconds + 5);
+        long bytesBefore = liveBytes(scheduler);
+        // Phase with failures: a share of the jobs fail or lose their worker, and once half of the workers vanish.
+        Process workersProcess = startWorkers("rough", 10, 0.02, 0.02, seconds / 2 * 1000L + 2000, seconds + 5);
         awaitWorkers(workers);
-        double perWorker = before < 0 ? -1 : (liveBytes(scheduler) - before) / (double) workers;
-        ask(seconds);
-        crowd.waitFor(30, TimeUnit.SECONDS);
-        Verdict verdict = judge("rough");
-        told.clear();
-        // Without: the cost of a job.
+        double bytesPerWorker = bytesBefore < 0 ? -1 : (liveBytes(scheduler) - bytesBefore) / (double) workers;
+        runClients(seconds);
+        workersProcess.waitFor(30, TimeUnit.SECONDS);
+        Verdict verdict = compareWithLedger("rough");
+        outcomes.clear();
+        // Phase without failures: the cost of a job.
         awaitWorkers(0);
-        crowd = crowd("calm", 1, 0, 0, 0, seconds + 6);
+        workersProcess = startWorkers("calm", 1, 0, 0, 0, seconds + 6);
         awaitWorkers(workers);
-        ask(2);
+        runClients(2);
         latency.reset();
-        told.clear();
-        double cpu = cpuSeconds(scheduler);
-        double took = ask(seconds);
-        double used = cpuSeconds(scheduler) - cpu;
-        int jobs = told.size();
-        crowd.waitFor(30, TimeUnit.SECONDS);
-        verdict.add(judge("calm"));
-        double noops = noops("calm");
-        int all = names.get();
+        outcomes.clear();
+        double cpuBefore = cpuSeconds(scheduler);
+        double elapsedSeconds = runClients(seconds);
+        double cpuUsed = cpuSeconds(scheduler) - cpuBefore;
+        int jobs = outcomes.size();
+        workersProcess.waitFor(30, TimeUnit.SECONDS);
+        verdict.add(compareWithLedger("calm"));
+        double noopsPerJob = noopsPerJob("calm");
+        int allJobs = jobCounter.get();
         out.printf(
                 Locale.ROOT,
                 "gearman: jobs=%d lost=%d twice=%d misreported=%d cut=%d refused=%d conformance=%d/%d"
                         + " workers=%d functions=%d jobs_per_s=%.0f p99_ms=%.2f cpu_us_per_job=%.1f"
                         + " bytes_per_idle_worker=%.0f noops_per_job=%.2f%n",
-                all,
+                allJobs,
                 lost.get(),
                 verdict.twice,
                 verdict.misreported,
@@ -119,11 +119,11 @@
                 cases.played(),
                 workers,
                 FUNCTIONS,
-                jobs / took,
+                jobs / elapsedSeconds,
                 latency.getValueAtPercentile(99) / 1e3,
-                used * 1e6 / Math.max(1, jobs),
-                perWorker,
-                noops);
+                cpuUsed * 1e6 / Math.max(1, jobs),
+                bytesPerWorker,
+                noopsPerJob);
         return lost.get()
                                 + verdict.twice
                                 + verdict.misreported
@@ -135,7 +135,7 @@
 
     // ---- processes ----
 
-    private Path settings(int http) throws IOException {
+    private Path writeSettings(int http) throws IOException {
         StringBuilder text = new StringBuilder("listen = \"127.0.0.1:" + http
                 + "\"\nzones = [\"a\"]\n[limits]\n"
                 + "sockets = 16384\n[classes.safe]\naim_ms = 500\ndeadline_ms = 5000\nrepeat = \"safe\"\n"
@@ -157,7 +157,8 @@
         return function % 2 == 1;
     }
 
-    private Process crowd(String name, int runMs, double failing, double vanishing, long atOnceMs, int forSeconds)
+    private Process startWorkers(
+            String name, int runMs, double failureRate, double vanishRate, long massVanishMs, int durationSeconds)
             throws IOException {
         return crew.start(
                 name,
@@ -169,13 +170,13 @@
                 "" + workers,
                 "" + FUNCTIONS,
                 "" + runMs,
-                "" + failing,
-                "" + vanishing,
-                "" + forSeconds,
-                "" + atOnceMs);
+                "" + failureRate,
+                "" + vanishRate,
+                "" + durationSeconds,
+                "" + massVanishMs);
     }
 
-    private double noops(String name) throws IOException {
+    private double noopsPerJob(String name) throws IOException {
         long runs = Ledger.read(folder.resolve(name + ".ledger")).stream()
                 .filter(line -> line.event().equals("start"))
                 .count();
@@ -184,13 +185,13 @@
         return at < 0 ? -1 : Long.parseLong(log.substring(at + 6).strip()) / (double) Math.max(1, runs);
     }
 
-    /** Until so many workers are connected, by the text protocol. */
-    private void awaitWorkers(int wanted) throws IOException, InterruptedException {
-        int there = -1;
-        for (int i = 0; i < 400 && there != wanted; i++) {
+    /** Waits until the given number of workers is connected, as the text protocol's command {@code workers} reports. */
+    private void awaitWorkers(int expected) throws IOException, InterruptedException {
+        int connected = -1;
+        for (int i = 0; i < 400 && connected != expected; i++) {
             Thread.sleep(50);
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
-                socket.setSoTimeout(PATIENCE_MS);
+                socket.setSoTimeout(READ_TIMEOUT_MS);
                 socket.getOutputStream().write("workers\n".getBytes(StandardCharsets.US_ASCII));
                 BufferedInputStream in = new BufferedInputStream(socket.getInputStream());
                 StringBuilder text = new StringBuilder();
@@ -199,28 +200,28 @@
                         || text.length() > 2 && text.charAt(text.length() - 3) != '\n') {
                     text.append((char) in.read());
                 }
-                there = (int) text.toString()
+                connected = (int) text.toString()
                         .lines()
                         .filter(line -> line.contains(" : f"))
                         .count();
             }
         }
-        if (there != wanted) {
-            throw new IOException(there + " workers came of " + wanted);
+        if (connected != expected) {
+            throw new IOException(connected + " workers are connected, expected " + expected);
         }
     }
 
-    /** Bytes of live objects, after a full collection; below 0 where the JDK's own tool for it is missing. */
+    /** Bytes of live objects after a full collection; -1 if the JDK's {@code jcmd} is missing. */
     private static long liveBytes(Process process) throws IOException, InterruptedException {
         Path tool = Path.of(System.getProperty("java.home"), "bin", "jcmd");
         if (!Files.isExecutable(tool)) {
             return -1;
         }
-        Process asked = new ProcessBuilder(tool.toString(), "" + process.pid(), "GC.class_histogram")
+        Process jcmd = new ProcessBuilder(tool.toString(), "" + process.pid(), "GC.class_histogram")
                 .redirectErrorStream(true)
                 .start();
-        String text = new String(asked.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        asked.waitFor();
+        String text = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        jcmd.waitFor();
         for (String line : text.split("\n")) {
             if (line.startsWith("Total")) {
                 return Long.parseLong(line.strip().split(" +")[2]);
@@ -229,22 +230,22 @@
         return -1;
     }
 
-    /** User and system time of a process, all its threads, as the kernel has it. */
+    /** User and system time of all threads of a process, in seconds. */
     private static double cpuSeconds(Process process) throws IOException {
         String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / TICKS;
+        return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / CLOCK_TICKS_PER_SECOND;
     }
 
     // ---- clients ----
 
-    /** Clients that ask one job after the other for so long; returns the seconds that it took. */
-    private double ask(int forSeconds) throws InterruptedException {
+    /** Runs clients that submit one job after the other; returns the elapsed seconds. */
+    private double runClients(int durationSeconds) throws InterruptedException {
         long from = System.nanoTime();
-        long end = from + forSeconds * 1_000_000_000L;
+        long end = from + durationSeconds * 1_000_000_000L;
         Thread[] threads = new Thread[CLIENTS];
         for (int i = 0; i < CLIENTS; i++) {
-            SplittableRandom random = new SplittableRandom(seed * 1000 + i + names.get());
+            SplittableRandom random = new SplittableRandom(seed * 1000 + i + jobCounter.get());
             threads[i] = new Thread(() -> client(random, end));
             threads[i].start();
         }
@@ -255,10 +256,10 @@
     }
 
     private void client(SplittableRandom random, long end) {
-        try (Wire wire = new Wire(port, PATIENCE_MS)) {
+        try (Wire wire = new Wire(port, READ_TIMEOUT_MS)) {
             while (System.nanoTime() < end) {
                 int function = random.nextInt(FUNCTIONS);
-                String name = "j" + names.incrementAndGet();
+                String name = "j" + jobCounter.incrementAndGet();
                 long at = System.nanoTime();
                 wire.send(Wire.SUBMIT_JOB, "f" + function, "", name);
                 int type = 0;
@@ -266,17 +267,17 @@
                     type = wire.read().type();
                 }
                 latency.recordValue((System.nanoTime() - at) / 1000);
-                told.put(name, new Told(function, type == Wire.WORK_COMPLETE));
+                outcomes.put(name, new Outcome(function, type == Wire.WORK_COMPLETE));
             }
         } catch (SocketTimeoutException e) {
             lost.incrementAndGet();
         } catch (IOException e) {
-            // The scheduler is not killed here: a connection that breaks has lost its job.
+            // The scheduler is not killed in this measurement, so a broken connection means a lost job.
             lost.incrementAndGet();
         }
     }
 
-    // ---- what happened ----
+    // ---- comparison with the ledger ----
 
     private static final class Verdict {
         private int twice;
@@ -292,25 +293,25 @@
         }
     }
 
-    private Verdict judge(String crowdName) throws IOException {
-        Map<String, int[]> ran = new HashMap<>();
-        List<Ledger.Line> lines = Ledger.read(folder.resolve(crowdName + ".ledger"));
+    private Verdict compareWithLedger(String ledgerName) throws IOException {
+        Map<String, int[]> countsByJob = new HashMap<>();
+        List<Ledger.Line> lines = Ledger.read(folder.resolve(ledgerName + ".ledger"));
         for (Ledger.Line line : lines) {
-            int[] counts = ran.computeIfAbsent(line.job(), name -> new int[3]);
+            int[] counts = countsByJob.computeIfAbsent(line.job(), name -> new int[3]);
             counts[0] += line.event().equals("start") ? 1 : 0;
             counts[1] += line.event().equals("done") ? 1 : 0;
             counts[2] += line.event().equals("cut") ? 1 : 0;
         }
         Verdict verdict = new Verdict();
-        told.forEach((name, said) -> {
-            int[] counts = ran.getOrDefault(name, new int[3]);
-            verdict.twice += neverTwice(said.function()) && counts[0] > 1 || counts[0] > 5 ? 1 : 0;
-            // A job that was done and reported as failed is as wrong as one that was not and reported as
-            // done, but where the word on it was lost with its connection: a failure says it may have run.
-            boolean wrong = said.served() ? counts[1] == 0 : counts[1] > 0 && counts[2] == 0;
-            verdict.misreported += wrong ? 1 : 0;
-            verdict.cut += !said.served() && counts[1] > 0 && counts[2] > 0 ? 1 : 0;
-            verdict.refused += !said.served() && counts[0] == 0 ? 1 : 0;
+        outcomes.forEach((name, outcome) -> {
+            int[] counts = countsByJob.getOrDefault(name, new int[3]);
+            verdict.twice += neverTwice(outcome.function()) && counts[0] > 1 || counts[0] > 5 ? 1 : 0;
+            // A completed job reported as failed is as wrong as the reverse, unless the worker's result was
+            // lost with its connection: a reported failure does not exclude that the job ran.
+            boolean isMisreported = outcome.served() ? counts[1] == 0 : counts[1] > 0 && counts[2] == 0;
+            verdict.misreported += isMisreported ? 1 : 0;
+            verdict.cut += !outcome.served() && counts[1] > 0 && counts[2] > 0 ? 1 : 0;
+            verdict.refused += !outcome.served() && counts[0] == 0 ? 1 : 0;
         });
         return verdict;
     }
--- a/src/main/java/laneflow/lab/measure/HangLoad.java
+++ b/src/main/java/laneflow/lab/measure/HangLoad.java
@@ -11,59 +11,59 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Requests that no endpoint ever answers: what ends them is their class's deadline, which differs from
- * version to version. Each answer names the versions that its request came under; one that came at another
- * version's deadline saw two.
+ * Sends requests that no endpoint ever answers, so that each ends at the deadline of its class, which differs
+ * between the versions of the configuration. The response names the version that the request came under; a
+ * response at the deadline of another version shows that the request used two versions.
  */
 public final class HangLoad {
-    private static final double EARLY_MS = 25;
-    private static final double LATE_MS = 60;
+    private static final double MAX_EARLY_MS = 25;
+    private static final double MAX_LATE_MS = 60;
 
     private final int port;
-    /** Deadlines in milliseconds by the version of the classes. */
+    /** Deadline in milliseconds by version of the classes. */
     private final Map<String, Integer> deadlines;
 
     final AtomicLong checked = new AtomicLong();
     final AtomicLong mixed = new AtomicLong();
-    /** Of those checked, how many were open while another version was adopted. */
+    /** Number of checked responses whose request was open while another version was adopted. */
     final AtomicLong openAcrossChange = new AtomicLong();
 
-    private volatile String newest = "";
-    private volatile boolean over;
+    private volatile String newestVersion = "";
+    private volatile boolean stopped;
 
     HangLoad(int port, Map<String, Integer> deadlines) {
         this.port = port;
         this.deadlines = new ConcurrentHashMap<>(deadlines);
     }
 
-    /** A version that may run from now on. */
+    /** Adds a version that the scheduler may use from now on. */
     void addVersion(String version, int deadlineMs) {
         deadlines.put(version, deadlineMs);
-        newest = version;
+        newestVersion = version;
     }
 
     void stop() {
-        over = true;
+        stopped = true;
     }
 
-    /** Asks one after the other until it is stopped. */
-    void run(int first) {
-        for (int i = 0; !over; i++) {
+    /** Sends one request after the other until stopped. */
+    void run(int clientNumber) {
+        for (int i = 0; !stopped; i++) {
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 socket.setTcpNoDelay(true);
                 socket.setSoTimeout(10_000);
                 InputStream in = new BufferedInputStream(socket.getInputStream());
-                long at = System.nanoTime();
+                long sentNs = System.nanoTime();
                 socket.getOutputStream()
-                        .write(("POST /hang HTTP/1.1\r\nHost: l\r\nReq-Id: hang-" + first
+                        .write(("POST /hang HTTP/1.1\r\nHost: l\r\nReq-Id: hang-" + clientNumber
                                         + "-" + i
-                                        + "-" + at
+                                        + "-" + sentNs
                                         + "\r\nContent-Length: 4\r\n\r\nhang")
                                 .getBytes(StandardCharsets.US_ASCII));
-                String answer = LiveLoad.readResponse(in);
-                check(answer, (System.nanoTime() - at) / 1e6);
+                String response = LiveLoad.readResponse(in);
+                check(response, (System.nanoTime() - sentNs) / 1e6);
             } catch (IOException e) {
-                // The scheduler is killed on purpose now and then; what it owed then is counted by others.
+                // The measurement kills schedulers on purpose; other loads count the requests lost by that.
                 pause();
             }
         }
@@ -77,23 +77,23 @@
         }
     }
 
-    private void check(String answer, double tookMs) {
-        int at = answer.indexOf("classes=");
-        if (!answer.startsWith("HTTP/1.1 500 ") || at < 0) {
+    private void check(String response, double elapsedMs) {
+        int start = response.indexOf("classes=");
+        if (!response.startsWith("HTTP/1.1 500 ") || start < 0) {
             return;
         }
-        int end = at + 8;
-        while (end < answer.length() && answer.charAt(end) > ' ') {
+        int end = start + 8;
+        while (end < response.length() && response.charAt(end) > ' ') {
             end++;
         }
-        String version = answer.substring(at + 8, end);
+        String version = response.substring(start + 8, end);
         Integer deadline = deadlines.get(version);
         checked.incrementAndGet();
-        openAcrossChange.addAndGet(version.equals(newest) ? 0 : 1);
-        if (deadline == null || tookMs < deadline - EARLY_MS || tookMs > deadline + LATE_MS) {
+        openAcrossChange.addAndGet(version.equals(newestVersion) ? 0 : 1);
+        if (deadline == null || elapsedMs < deadline - MAX_EARLY_MS || elapsedMs > deadline + MAX_LATE_MS) {
             mixed.incrementAndGet();
-            System.out.println(
-                    "an answer under classes " + version + " (deadline " + deadline + " ms) took " + tookMs + " ms");
+            System.out.println("a response under classes " + version + " (deadline " + deadline + " ms) took "
+                    + elapsedMs + " ms");
         }
     }
 }
--- a/src/main/java/laneflow/lab/measure/IdleMeasure.java
+++ b/src/main/java/laneflow/lab/measure/IdleMeasure.java
@@ -13,68 +13,70 @@
 import laneflow.lab.rig.Trash;
 
 /**
- * {@code lab measure idle}: what a scheduler costs that nobody asks, a minute after its start, by itself,
- * with a view of the others, and with policy besides; for each thread the processor time and how often it
- * woke. Ticks of 10 ms say nothing of 2 ms a second.
+ * {@code lab measure idle}: processor time and wake-ups, by thread, of schedulers without load a minute after
+ * their start, in three setups: alone, with membership, and with membership and policy. Uses the times of
+ * {@link ThreadTimes}, since clock ticks of 10 ms are too coarse for 2 ms per second.
  */
 public final class IdleMeasure {
     private static final int SCHEDULERS = 4;
     private static final int VOTERS = 3;
     private static final int PERIOD_MS = 250;
-    private static final double AIM_MS = 2;
-    private static final String FILE = "zones = [\"z\"]\n[limits]\nsockets = 512\n[classes.check]\n"
+    private static final double MAX_EXTRA_MS_PER_SECOND = 2;
+    private static final String COMMON_SETTINGS = "zones = [\"z\"]\n[limits]\nsockets = 512\n[classes.check]\n"
             + "aim_ms = 200\ndeadline_ms = 5000\nrepeat = \"safe\"\n";
 
     private final PrintStream out;
-    private final int age;
-    private final int span;
+    private final int ageSeconds;
+    private final int spanSeconds;
 
     private IdleMeasure(boolean large, PrintStream out) {
         this.out = out;
-        age = large ? 120 : 60;
-        span = large ? 60 : 20;
+        ageSeconds = large ? 120 : 60;
+        spanSeconds = large ? 60 : 20;
     }
 
-    /** Runs all three beside each other; 0 if a process with view and policy needs no more than it may. */
+    /** Runs all setups at the same time; 0 if membership and policy add no more processor time than permitted. */
     public static int run(long seed, boolean large, PrintStream out) throws IOException, InterruptedException {
-        return new IdleMeasure(large, out).all(seed);
+        return new IdleMeasure(large, out).runAll(seed);
     }
 
-    private int all(long seed) throws IOException, InterruptedException {
+    private int runAll(long seed) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("laneflow-idle");
         List<Rig> rigs = new ArrayList<>();
-        String[] kinds = {"alone", "view", "policy and view"};
+        String[] setups = {"alone", "view", "policy and view"};
         int[] nodes = {Crew.port(), Crew.port(), Crew.port()};
         try {
-            for (int kind = 0; kind < kinds.length; kind++) {
-                Path here = Files.createDirectory(folder.resolve("kind-" + kind));
-                String policy = kind < 2 ? "" : "[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\n";
-                Rig rig = new Rig(here, SCHEDULERS, VOTERS, seed, FILE + Rig.endpoints(nodes) + policy);
+            for (int setup = 0; setup < setups.length; setup++) {
+                Path setupFolder = Files.createDirectory(folder.resolve("kind-" + setup));
+                String policy = setup < 2 ? "" : "[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\n";
+                Rig rig =
+                        new Rig(setupFolder, SCHEDULERS, VOTERS, seed, COMMON_SETTINGS + Rig.endpoints(nodes) + policy);
                 rigs.add(rig);
-                if (kind > 0) {
+                if (setup > 0) {
                     rig.members(seed, PERIOD_MS, 0, 1);
                 }
                 rig.startAll();
             }
             rigs.get(1).awaitSettled(SCHEDULERS, rigs.get(1).all());
             rigs.get(2).awaitDeciding(0, rigs.get(2).all());
-            Thread.sleep(age * 1000L);
-            List<List<Map<String, ThreadTimes>>> before = used(rigs);
+            Thread.sleep(ageSeconds * 1000L);
+            List<List<Map<String, ThreadTimes>>> before = threadTimes(rigs);
             long from = System.nanoTime();
-            Thread.sleep(span * 1000L);
-            List<List<Map<String, ThreadTimes>>> after = used(rigs);
+            Thread.sleep(spanSeconds * 1000L);
+            List<List<Map<String, ThreadTimes>>> after = threadTimes(rigs);
             double seconds = (System.nanoTime() - from) / 1e9;
-            double[] means = new double[kinds.length];
-            StringBuilder each = new StringBuilder();
-            for (int kind = 0; kind < kinds.length; kind++) {
+            double[] means = new double[setups.length];
+            StringBuilder perScheduler = new StringBuilder();
+            for (int setup = 0; setup < setups.length; setup++) {
                 for (int i = 0; i < SCHEDULERS; i++) {
-                    double one = tell(
-                            kinds[kind] + ", " + Rig.name(i),
-                            before.get(kind).get(i),
-                            after.get(kind).get(i),
+                    double msPerSecond = report(
+                            setups[setup] + ", " + Rig.name(i),
+                            before.get(setup).get(i),
+                            after.get(setup).get(i),
                             seconds);
-                    means[kind] += one / SCHEDULERS;
-                    each.append(kind < 2 ? "" : String.format(Locale.ROOT, " %s_ms=%.2f", Rig.name(i), one));
+                    means[setup] += msPerSecond / SCHEDULERS;
+                    perScheduler.append(
+                            setup < 2 ? "" : String.format(Locale.ROOT, " %s_ms=%.2f", Rig.name(i), msPerSecond));
                 }
             }
             out.printf(
@@ -83,12 +85,12 @@
                             + " view_ms_per_s=%.2f policy_view_ms_per_s=%.2f%s%n",
                     SCHEDULERS,
                     VOTERS,
-                    age,
+                    ageSeconds,
                     means[0],
                     means[1],
                     means[2],
-                    each);
-            return means[2] - means[0] <= AIM_MS ? 0 : 1;
+                    perScheduler);
+            return means[2] - means[0] <= MAX_EXTRA_MS_PER_SECOND ? 0 : 1;
         } finally {
             for (Rig rig : rigs) {
                 rig.close();
@@ -97,31 +99,32 @@
         }
     }
 
-    private double tell(String who, Map<String, ThreadTimes> before, Map<String, ThreadTimes> after, double seconds) {
-        StringBuilder line = new StringBuilder();
-        double all = 0;
+    private double report(
+            String label, Map<String, ThreadTimes> before, Map<String, ThreadTimes> after, double seconds) {
+        StringBuilder threadDetails = new StringBuilder();
+        double totalMs = 0;
         for (Map.Entry<String, ThreadTimes> thread : after.entrySet()) {
             ThreadTimes used = thread.getValue().less(before.get(thread.getKey()));
             double ms = used.ns() / 1e6 / seconds;
-            all += ms;
+            totalMs += ms;
             if (ms >= 0.05) {
-                line.append(String.format(
-                        Locale.ROOT, "; %s %.2f ms, %.1f wakes", thread.getKey(), ms, used.wakes() / seconds));
+                threadDetails.append(String.format(
+                        Locale.ROOT, "; %s %.2f ms, %.1f wake-ups", thread.getKey(), ms, used.wakes() / seconds));
             }
         }
-        out.printf(Locale.ROOT, "%s: %.2f ms a second%s%n", who, all, line);
-        return all;
+        out.printf(Locale.ROOT, "%s: %.2f ms per second%s%n", label, totalMs, threadDetails);
+        return totalMs;
     }
 
-    private static List<List<Map<String, ThreadTimes>>> used(List<Rig> rigs) throws IOException {
-        List<List<Map<String, ThreadTimes>>> all = new ArrayList<>();
+    private static List<List<Map<String, ThreadTimes>>> threadTimes(List<Rig> rigs) throws IOException {
+        List<List<Map<String, ThreadTimes>>> timesByRig = new ArrayList<>();
         for (Rig rig : rigs) {
-            List<Map<String, ThreadTimes>> some = new ArrayList<>();
+            List<Map<String, ThreadTimes>> timesByScheduler = new ArrayList<>();
             for (int i : rig.all()) {
-                some.add(ThreadTimes.of(rig.pid(i)));
+                timesByScheduler.add(ThreadTimes.of(rig.pid(i)));
             }
-            all.add(some);
+            timesByRig.add(timesByScheduler);
         }
-        return all;
+        return timesByRig;
     }
 }
--- a/src/main/java/laneflow/lab/measure/LiveLoad.java
+++ b/src/main/java/laneflow/lab/measure/LiveLoad.java
@@ -10,60 +10,60 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Live requests of a class at an even rate, open loop: each has its instant, and its time is counted from
- * there whether a connection was free or not (no coordinated omission). Service is the share answered 200
- * within the aim.
+ * Open-loop load of one job class at a constant rate. Latency counts from the scheduled time of a request,
+ * even if no connection was free then (no coordinated omission). The result is the share of requests that
+ * were answered with status 200 within the latency target.
  */
 public final class LiveLoad {
     private final int port;
     private final String jobClass;
     private final int connections;
     private final int perSecond;
-    private final long aimNanos;
-    private final AtomicLong asked = new AtomicLong();
+    private final long latencyTargetNs;
+    private final AtomicLong sent = new AtomicLong();
     private final AtomicLong inTime = new AtomicLong();
     private final AtomicLong timedOut = new AtomicLong();
 
-    LiveLoad(int port, String jobClass, int connections, int perSecond, long aimMs) {
+    LiveLoad(int port, String jobClass, int connections, int perSecond, long latencyTargetMs) {
         this.port = port;
         this.jobClass = jobClass;
         this.connections = connections;
         this.perSecond = perSecond;
-        aimNanos = aimMs * 1_000_000;
+        latencyTargetNs = latencyTargetMs * 1_000_000;
     }
 
-    /** Asks for so long and returns the share served in time. */
+    /** Sends requests for the given time and returns the share served in time. */
     double run(double seconds) throws InterruptedException {
-        long from = System.nanoTime() + 50_000_000;
+        long startNs = System.nanoTime() + 50_000_000;
         long count = (long) (seconds * perSecond);
         Thread[] threads = new Thread[connections];
         for (int i = 0; i < connections; i++) {
-            int first = i;
-            threads[i] = new Thread(() -> ask(first, from, count));
+            int firstIndex = i;
+            threads[i] = new Thread(() -> sendRequests(firstIndex, startNs, count));
             threads[i].start();
         }
         for (Thread thread : threads) {
             thread.join();
         }
-        return asked.get() == 0 ? 0 : (double) inTime.get() / asked.get();
+        return sent.get() == 0 ? 0 : (double) inTime.get() / sent.get();
     }
 
-    /** Requests that were taken and had no answer in ten seconds. */
+    /** Number of requests that were sent and not answered within ten seconds. */
     long timedOut() {
         return timedOut.get();
     }
 
-    private void ask(int first, long from, long count) {
+    private void sendRequests(int firstIndex, long startNs, long count) {
         Socket socket = null;
         InputStream in = null;
-        for (long i = first; i < count; i += connections) {
-            long at = from + i * 1_000_000_000L / perSecond;
+        for (long i = firstIndex; i < count; i += connections) {
+            long scheduledNs = startNs + i * 1_000_000_000L / perSecond;
             try {
-                long wait = at - System.nanoTime();
-                if (wait > 0) {
-                    Thread.sleep(wait / 1_000_000, (int) (wait % 1_000_000));
+                long waitNs = scheduledNs - System.nanoTime();
+                if (waitNs > 0) {
+                    Thread.sleep(waitNs / 1_000_000, (int) (waitNs % 1_000_000));
                 }
-                asked.incrementAndGet();
+                sent.incrementAndGet();
                 if (socket == null) {
                     socket = new Socket(InetAddress.getLoopbackAddress(), port);
                     socket.setTcpNoDelay(true);
@@ -73,11 +73,12 @@
                 String body = "live" + i;
                 socket.getOutputStream()
                         .write(("POST /" + jobClass + " HTTP/1.1\r\nHost: l\r\nReq-Id: "
-                                        + first + "-"
-                                        + i + "-" + from + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+                                        + firstIndex + "-"
+                                        + i + "-" + startNs + "\r\nContent-Length: " + body.length() + "\r\n\r\n"
+                                        + body)
                                 .getBytes(StandardCharsets.US_ASCII));
                 boolean served = readResponse(in).startsWith("HTTP/1.1 200 ");
-                if (served && System.nanoTime() - at <= aimNanos) {
+                if (served && System.nanoTime() - scheduledNs <= latencyTargetNs) {
                     inTime.incrementAndGet();
                 }
             } catch (SocketTimeoutException e) {
@@ -94,27 +95,30 @@
                 socket.close();
             }
         } catch (IOException e) {
-            // Nothing is owed on it any more.
+            // All responses have been read; a failed close has no effect.
             return;
         }
     }
 
-    /** Reads one answer, whole, and returns its head and body. */
+    /** Reads one complete response and returns its head and body. */
     public static String readResponse(InputStream in) throws IOException {
         StringBuilder text = new StringBuilder();
-        int body = -1;
-        for (int next = in.read(); next >= 0; next = in.read()) {
-            text.append((char) next);
-            if (body < 0 && next == '\n' && text.length() > 3 && text.indexOf("\r\n\r\n", text.length() - 4) >= 0) {
-                int at = text.indexOf("Content-Length: ");
-                body = Integer.parseInt(text.substring(at + 16, text.indexOf("\r", at)));
-            } else if (body > 0) {
-                body--;
+        int bodyLeft = -1;
+        for (int nextByte = in.read(); nextByte >= 0; nextByte = in.read()) {
+            text.append((char) nextByte);
+            if (bodyLeft < 0
+                    && nextByte == '\n'
+                    && text.length() > 3
+                    && text.indexOf("\r\n\r\n", text.length() - 4) >= 0) {
+                int header = text.indexOf("Content-Length: ");
+                bodyLeft = Integer.parseInt(text.substring(header + 16, text.indexOf("\r", header)));
+            } else if (bodyLeft > 0) {
+                bodyLeft--;
             }
-            if (body == 0) {
+            if (bodyLeft == 0) {
                 return text.toString();
             }
         }
-        throw new IOException("ended after " + text);
+        throw new IOException("connection ended after " + text);
     }
 }
