--- a/src/main/java/laneflow/lab/measure/IdleMeasure.java
+++ b/src/main/java/laneflow/lab/measure/IdleMeasure.java
@@ -109,7 +109,7 @@
             totalMs += ms;
             if (ms >= 0.05) {
                 threadDetails.append(String.format(
-                        Locale.ROOT, "; %s %.2f ms, %.1f wake-ups", thread.getKey(), ms, used.wakes() / seconds));
+                        Locale.ROOT, "; %s %.2f ms, %.1f wakes", thread.getKey(), ms, used.wakes() / seconds));
             }
         }
         out.printf(Locale.ROOT, "%s: %.2f ms per second%s%n", label, totalMs, threadDetails);
--- a/src/main/java/laneflow/lab/measure/PolicyMeasure.java
+++ b/src/main/java/laneflow/lab/measure/PolicyMeasure.java
@@ -435,7 +435,7 @@
         violations.stream().limit(20).forEach(out::println);
         out.printf(
                 Locale.ROOT,
-                "change with a third down: %d ms; change after loss of leader: %d ms at most; activation p50 %.1f ms%n",
+                "third down: %d ms; leader lost: next change within %d ms; take hold p50 %.1f ms%n",
                 thirdDownMs,
                 longestLeaderLossMs,
                 activationLatencyUs.getValueAtPercentile(50) / 1e3);
