--- a/src/main/java/laneflow/lab/measure/GearmanMeasure.java
+++ b/src/main/java/laneflow/lab/measure/GearmanMeasure.java
@@ -282,7 +282,9 @@
     private static final class Verdict {
         private int twice;
         private int misreported;
+        /** Jobs reported as failed that never ran. */
         private int refused;
+        /** Jobs that were completed but reported as failed, as the connection broke before the result. */
         private int cut;
 
         void add(Verdict other) {
--- a/src/main/java/laneflow/lab/measure/MaintenanceMeasure.java
+++ b/src/main/java/laneflow/lab/measure/MaintenanceMeasure.java
@@ -176,8 +176,8 @@
         }
         injectFaults();
         rig.heal();
-        Request last = requests.get(requests.size() - 1);
-        while (!isFinished() && System.currentTimeMillis() < last.latestMs() + STUCK_AFTER_MS) {
+        Request lastRequest = requests.get(requests.size() - 1);
+        while (!isFinished() && System.currentTimeMillis() < lastRequest.latestMs() + STUCK_AFTER_MS) {
             Thread.sleep(100);
         }
         stopped = true;
@@ -189,7 +189,7 @@
     }
 
     private boolean isFinished() {
-        return latest.values().stream().allMatch(one -> FINAL_STATES.contains(one.state()));
+        return latest.values().stream().allMatch(observation -> FINAL_STATES.contains(observation.state()));
     }
 
     private void startDaemon(Runnable work) {
