--- a/src/main/java/laneflow/lab/Quickstart.java
+++ b/src/main/java/laneflow/lab/Quickstart.java
@@ -119,7 +119,7 @@
                 socket.getOutputStream()
                         .write(("GET /jobs/" + id + " HTTP/1.1\r\nHost: q\r\n\r\n")
                                 .getBytes(StandardCharsets.US_ASCII));
-                state = LiveLoad.answer(in);
+                state = LiveLoad.readResponse(in);
             }
             servedCount += printRow(
                     "durable", "points-post", "d0", state.contains("\"done\"") ? "200 ran d0" : state, ledgerFiles);
@@ -138,7 +138,7 @@
                                 + "\r\n"
                                 + headers + "Content-Length: " + name.length() + "\r\n\r\n" + name)
                         .getBytes(StandardCharsets.US_ASCII));
-        String response = LiveLoad.answer(in);
+        String response = LiveLoad.readResponse(in);
         return response.substring(9, 13)
                 + response.substring(response.indexOf("\r\n\r\n") + 4).strip();
     }
--- a/src/main/java/laneflow/lab/measure/CapacityWorkload.java
+++ b/src/main/java/laneflow/lab/measure/CapacityWorkload.java
@@ -162,7 +162,7 @@
                                     + "\r\nReq-Cost: " + Math.round(request.hintSeconds * 1e6) + "\r\nContent-Length: "
                                     + body.length() + "\r\n\r\n" + body)
                             .getBytes(StandardCharsets.US_ASCII));
-            String response = LiveLoad.answer(in);
+            String response = LiveLoad.readResponse(in);
             long answeredNanos = System.nanoTime();
             idleConnections.get(request.scheduler).push(socket);
             if (response.startsWith("HTTP/1.1 200 ")) {
--- a/src/main/java/laneflow/lab/measure/ConfigMeasure.java
+++ b/src/main/java/laneflow/lab/measure/ConfigMeasure.java
@@ -170,7 +170,7 @@
         for (HangLoad load : hangLoads) {
             mixedAnswers += load.mixed.get();
             checkedAnswers += load.checked.get();
-            acrossVersions += load.across.get();
+            acrossVersions += load.openAcrossChange.get();
         }
         out.printf(
                 Locale.ROOT,
@@ -447,7 +447,7 @@
         String version = versionNumber + "-" + Long.toHexString(random.nextLong() >>> 8);
         if (valid) {
             for (HangLoad load : hangLoads) {
-                load.version(version, deadlineMs);
+                load.addVersion(version, deadlineMs);
             }
         }
         String previous = classesVersion;
@@ -647,7 +647,7 @@
             socket.setSoTimeout(5000);
             socket.getOutputStream()
                     .write(("GET " + path + " HTTP/1.1\r\nHost: l\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
-            return LiveLoad.answer(new BufferedInputStream(socket.getInputStream()));
+            return LiveLoad.readResponse(new BufferedInputStream(socket.getInputStream()));
         }
     }
 
--- a/src/main/java/laneflow/lab/measure/ControlMeasure.java
+++ b/src/main/java/laneflow/lab/measure/ControlMeasure.java
@@ -109,7 +109,7 @@
             try (ControlStorm announcer =
                     new ControlStorm(memberAddress, key, PERIOD_MS * 1000L, MESSAGES_PER_SECOND, seed)) {
                 announcer.start();
-                load.begin();
+                load.start();
                 Thread.sleep(large ? 10_000 : 4000);
                 for (int i = 0; i < WINDOWS; i++) {
                     quietTimes = quietTimes.plus(measureWindow(rig, load, quiet, () -> {}));
@@ -121,7 +121,7 @@
                 }
                 messagesSent = announcer.messagesSent();
             }
-            load.end();
+            load.stop();
             long[] knownMembers = new long[1];
             rig.await("the scheduler answers GET /counters", () -> {
                 knownMembers[0] = rig.counter(0, "members.to_alive");
@@ -171,9 +171,9 @@
             Thread.sleep(20);
         }
         endNanos = System.nanoTime();
-        for (PolicyLoad.Said response : load.said) {
-            if (response.sentNs() >= startNanos && response.saidNs() < endNanos && response.status() == 200) {
-                latencyUs.recordValue((response.saidNs() - response.sentNs()) / 1000);
+        for (PolicyLoad.Response response : load.responses) {
+            if (response.sentNs() >= startNanos && response.receivedNs() < endNanos && response.status() == 200) {
+                latencyUs.recordValue((response.receivedNs() - response.sentNs()) / 1000);
             }
         }
         return ThreadTimes.of(rig.pid(0)).get(TRAFFIC_THREAD).less(before);
--- a/src/main/java/laneflow/lab/measure/FleetMeasure.java
+++ b/src/main/java/laneflow/lab/measure/FleetMeasure.java
@@ -174,7 +174,7 @@
                     "the scheduler answers HTTP requests",
                     () -> rig.request(index, "/counters", null).statusCode() > 0);
             loads[i] = new PolicyLoad(Rig.name(i), rig.clientPort(i), 4, REQUESTS_PER_SECOND);
-            loads[i].begin();
+            loads[i].start();
         }
         Thread.sleep(large ? 10_000 : 2000);
         long startNanos = System.nanoTime();
@@ -182,7 +182,7 @@
         long endNanos = System.nanoTime();
         double servedShare = PolicyLoad.served(loads, startNanos, endNanos);
         for (PolicyLoad load : loads) {
-            load.end();
+            load.stop();
         }
         out.printf(
                 Locale.ROOT, "%s membership: %.4f served in time%n", withMembership ? "with" : "without", servedShare);
