--- a/src/main/java/laneflow/lab/measure/Conformance.java
+++ b/src/main/java/laneflow/lab/measure/Conformance.java
@@ -27,8 +27,9 @@
 
 /**
  * {@code lab conformance}: plays the cases of gearman-cases.txt over loopback against a scheduler process that
- * it starts. Like {@link laneflow.lab.standin.GearmanConnection}, it has a codec of its own, so that it does not repeat a
- * fault in the codec of the Gearman front. The last line of output counts the cases that passed; the exit code is 1 if one failed.
+ * it starts. Like {@link laneflow.lab.standin.GearmanConnection}, it has a codec of its own, so that it does
+ * not repeat a fault in the codec of the Gearman front. The last line of output counts the cases that passed;
+ * the exit code is 1 if one failed.
  */
 @Command(
         name = "conformance",
--- a/src/main/java/laneflow/lab/measure/GearmanMeasure.java
+++ b/src/main/java/laneflow/lab/measure/GearmanMeasure.java
@@ -78,7 +78,8 @@
     private int runAll(Conformance.Result cases) throws IOException, InterruptedException {
         port = ChildProcesses.freePort();
         int http = ChildProcesses.freePort();
-        Process scheduler = crew.startScheduler("scheduler", 256, writeSettings(http).toString());
+        Process scheduler =
+                crew.startScheduler("scheduler", 256, writeSettings(http).toString());
         crew.awaitPort(scheduler, "scheduler", http);
         long bytesBefore = liveBytes(scheduler);
         // Phase with failures: a share of the jobs fail or lose their worker, and once half of the workers vanish.
--- a/src/main/java/laneflow/lab/measure/IdleMeasure.java
+++ b/src/main/java/laneflow/lab/measure/IdleMeasure.java
@@ -49,8 +49,8 @@
             for (int setup = 0; setup < setups.length; setup++) {
                 Path setupFolder = Files.createDirectory(folder.resolve("kind-" + setup));
                 String policy = setup < 2 ? "" : "[policy]\nvoters = VOTERS\ndir = \"FOLDER\"\n";
-                Rig rig =
-                        new Rig(setupFolder, SCHEDULERS, VOTERS, seed, COMMON_SETTINGS + Rig.endpointTables(nodes) + policy);
+                Rig rig = new Rig(
+                        setupFolder, SCHEDULERS, VOTERS, seed, COMMON_SETTINGS + Rig.endpointTables(nodes) + policy);
                 rigs.add(rig);
                 if (setup > 0) {
                     rig.enableGossip(seed, PERIOD_MS, 0, 1);
--- a/src/main/java/laneflow/lab/measure/MaintenanceMeasure.java
+++ b/src/main/java/laneflow/lab/measure/MaintenanceMeasure.java
@@ -398,8 +398,8 @@
     }
 
     private void setDemand(int factor) {
-        CLIENTS.forEach(
-                (tenant, clients) -> tenants.setClients(tenant, CLASSES.get(CLASS_BY_TENANT.get(tenant)), factor * clients));
+        CLIENTS.forEach((tenant, clients) ->
+                tenants.setClients(tenant, CLASSES.get(CLASS_BY_TENANT.get(tenant)), factor * clients));
     }
 
     private void loseRack() throws IOException, InterruptedException {
