--- a/src/main/java/laneflow/lab/measure/CapacityMeasure.java
+++ b/src/main/java/laneflow/lab/measure/CapacityMeasure.java
@@ -5,9 +5,9 @@
 import java.util.Locale;
 import laneflow.capacity.decision.LoadEstimator;
 import laneflow.lab.world.CapacityWorld;
-import laneflow.lab.world.CapacityWorld.Day;
 import laneflow.lab.world.CapacityWorld.Fault;
 import laneflow.lab.world.CapacityWorld.Result;
+import laneflow.lab.world.CapacityWorld.Scenario;
 
 /**
  * {@code lab measure capacity}: with real processes the same drawn day without news of capacity and with it,
@@ -46,7 +46,7 @@
     // ---- processes ----
 
     private void processes(double seconds) throws IOException, InterruptedException {
-        CapacityProcesses.Day[] all = new CapacityProcesses.Day[PAIRS.length];
+        CapacityProcesses.Day[] all = new CapacityProcesses.Scenario[PAIRS.length];
         double[] points = new double[2];
         double[] idle = new double[2];
         double[] bytes = new double[2];
@@ -117,12 +117,12 @@
             LoadEstimator news,
             boolean central,
             Fault fault) {
-        return CapacityWorld.play(
-                new Day(schedulers, endpoints, zones, 1, 0.7, seconds, seed, news, central, 0, WIRE_SECONDS, fault));
+        return CapacityWorld.play(new Scenario(
+                schedulers, endpoints, zones, 1, 0.7, seconds, seed, news, central, 0, WIRE_SECONDS, fault));
     }
 
     private static double idle(Result result) {
-        return 100.0 * result.idleRefused / result.asked;
+        return 100.0 * result.idleRefused / result.submitted;
     }
 
     /** What a member sends a second, over the size of the fleet. */
@@ -163,8 +163,8 @@
                 with.age.getValueAtPercentile(50),
                 with.age.getValueAtPercentile(99),
                 with.bytes / seconds / schedulers,
-                with.mostBytes,
+                with.largestDatagramBytes,
                 lost);
-        kept &= with.mostBytes <= MOST_BYTES && lost < 1;
+        kept &= with.largestDatagramBytes <= MOST_BYTES && lost < 1;
     }
 }
--- a/src/main/java/laneflow/lab/measure/FleetMeasure.java
+++ b/src/main/java/laneflow/lab/measure/FleetMeasure.java
@@ -374,14 +374,14 @@
                 all.append(rounds(size, rounds));
                 continue;
             }
-            world.pass(20_000_000);
+            world.runFor(20_000_000);
             int crashesThere = size == 200 ? 30 : 2;
             long longest = 0;
             for (int k = 0; k < crashesThere; k++) {
                 int one = 3 + random.nextInt(size - 3);
                 long[] at = {world.now()};
-                world.watch((by, before, now) -> {
-                    if (now.state() == State.DEAD && world.place(now.instance()) == one) {
+                world.onChange((by, before, now) -> {
+                    if (now.state() == State.DEAD && world.indexOf(now.instance()) == one) {
                         long ms = (world.now() - at[0]) / 1000;
                         if (size == 200) {
                             seen.recordValue(ms);
@@ -390,14 +390,14 @@
                 });
                 world.crash(one);
                 longest = Math.max(longest, world.runUntil(() -> world.agree(i -> true), 60_000_000, 20_000));
-                world.watch((by, before, now) -> {});
+                world.onChange((by, before, now) -> {});
                 world.start(one, 0, 1, 2);
                 world.runUntil(world::isSettled, 60_000_000, 50_000);
-                world.pass(2_000_000);
+                world.runFor(2_000_000);
             }
-            world.pass(20_000_000);
-            long bytes = world.bytes();
-            world.pass(10_000_000);
+            world.runFor(20_000_000);
+            long bytes = world.bytesSent();
+            world.runFor(10_000_000);
             out.printf(
                     Locale.ROOT,
                     "%d members in virtual time: begun at once one view after %.0f rounds,"
@@ -405,7 +405,7 @@
                     size,
                     rounds,
                     longest / 1000,
-                    (world.bytes() - bytes) / 10.0 / size);
+                    (world.bytesSent() - bytes) / 10.0 / size);
             all.append(rounds(size, rounds));
         }
         return all.substring(1) + " detect_p99_ms=" + seen.getValueAtPercentile(99);
--- a/src/main/java/laneflow/lab/world/CapacityWorld.java
+++ b/src/main/java/laneflow/lab/world/CapacityWorld.java
@@ -59,7 +59,7 @@
      * @param news how news is weighed; null: nobody talks
      * @param central one that sees all at once decides in the place of all
      */
-    public record Day(
+    public record Scenario(
             int schedulers,
             int endpoints,
             int zones,
@@ -75,7 +75,7 @@
 
     /** What came of it. */
     public static final class Result {
-        public long asked;
+        public long submitted;
         public long inTime;
         public long late;
         public long refused;
@@ -83,14 +83,14 @@
         public long failed;
         public long datagrams;
         public long bytes;
-        public int mostBytes;
+        public int largestDatagramBytes;
         public long news;
         public final Histogram overshoot = new Histogram(3);
         public final Histogram age = new Histogram(3);
 
         /** Of a hundred jobs those answered in time, in the span that counts. */
         public double points() {
-            return asked == 0 ? 0 : 100.0 * inTime / asked;
+            return submitted == 0 ? 0 : 100.0 * inTime / submitted;
         }
     }
 
@@ -392,7 +392,7 @@
         }
     }
 
-    private final Day day;
+    private final Scenario day;
     private final SplittableRandom draws;
     private final SplittableRandom chance;
     private final PriorityQueue<Event> events =
@@ -407,7 +407,7 @@
     private final double begins;
     private long requests;
 
-    private CapacityWorld(Day day) {
+    private CapacityWorld(Scenario day) {
         this.day = day;
         draws = new SplittableRandom(day.seed);
         chance = new SplittableRandom(day.seed + 1);
@@ -415,7 +415,7 @@
     }
 
     /** Plays the day. */
-    public static Result play(Day day) {
+    public static Result play(Scenario day) {
         return new CapacityWorld(day).play();
     }
 
@@ -523,7 +523,7 @@
         job.takes = Math.min(4 * day.job, day.job * (0.25 - 0.75 * Math.log(1 - draws.nextDouble())));
         job.hint = job.takes * (0.7 + 0.6 * draws.nextDouble());
         if (counts()) {
-            result.asked++;
+            result.submitted++;
         }
         if (day.central) {
             central(sites.get(i), job);
@@ -604,7 +604,7 @@
             result.datagrams++;
             result.bytes += bytes.length;
         }
-        result.mostBytes = Math.max(result.mostBytes, bytes.length);
+        result.largestDatagramBytes = Math.max(result.largestDatagramBytes, bytes.length);
         if (chance.nextDouble() < day.lost) {
             return;
         }
--- a/src/main/java/laneflow/lab/world/MemberWorld.java
+++ b/src/main/java/laneflow/lab/world/MemberWorld.java
@@ -80,7 +80,7 @@
     }
 
     /** Told of each change of a member's view. */
-    public interface Changes {
+    public interface ChangeListener {
         void changed(int by, Update.MemberRecord before, Update.MemberRecord now);
     }
 
@@ -103,11 +103,11 @@
     private double doubled;
     private long delay = 200;
     private long jitter = 300;
-    private Cut cut = (from, to) -> false;
-    private Changes changes = (by, before, after) -> {};
+    private Partition cut = (from, to) -> false;
+    private ChangeListener changes = (by, before, after) -> {};
 
     /** Whether nothing gets from one to the other. */
-    public interface Cut {
+    public interface Partition {
         boolean holds(int from, int to);
     }
 
@@ -205,7 +205,7 @@
         wake(node);
     }
 
-    public void tell(int i, MemberMetadata facts) {
+    public void updateMetadata(int i, MemberMetadata facts) {
         nodes[i].swim.updateMetadata(now, facts);
         wake(nodes[i]);
     }
@@ -236,16 +236,16 @@
         jitter = jitterUs;
     }
 
-    public void cut(Cut between) {
+    public void cut(Partition between) {
         cut = between;
     }
 
-    public void watch(Changes watcher) {
-        changes = watcher;
+    public void onChange(ChangeListener listener) {
+        changes = listener;
     }
 
     /** Whose place that is. */
-    public int place(MemberInstance life) {
+    public int indexOf(MemberInstance life) {
         return at.get(life.address());
     }
 
@@ -290,7 +290,7 @@
     }
 
     /** Runs for so many microseconds. */
-    public void pass(long span) {
+    public void runFor(long span) {
         run(now + span);
     }
 
@@ -380,17 +380,17 @@
     }
 
     /** Datagrams sent so far. */
-    public long sent() {
+    public long datagramsSent() {
         return sent;
     }
 
     /** Bytes of them, without the headers of IP and UDP. */
-    public long bytes() {
+    public long bytesSent() {
         return bytes;
     }
 
     /** The longest. */
-    public int most() {
+    public int largestDatagramBytes() {
         return most;
     }
 }
--- a/src/test/java/laneflow/lab/world/CapacityWorldTest.java
+++ b/src/test/java/laneflow/lab/world/CapacityWorldTest.java
@@ -4,15 +4,15 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import laneflow.capacity.decision.LoadEstimator;
-import laneflow.lab.world.CapacityWorld.Day;
 import laneflow.lab.world.CapacityWorld.Fault;
 import laneflow.lab.world.CapacityWorld.Result;
+import laneflow.lab.world.CapacityWorld.Scenario;
 import org.junit.jupiter.api.Test;
 
 /** Days of a fleet in virtual time, with the module itself deciding: what news of capacity does to it. */
 class CapacityWorldTest {
     private static Result day(LoadEstimator news, double lost, Fault fault) {
-        return CapacityWorld.play(new Day(36, 180, 6, 1, 0.7, 4, 7, news, false, lost, 0.002, fault));
+        return CapacityWorld.play(new Scenario(36, 180, 6, 1, 0.7, 4, 7, news, false, lost, 0.002, fault));
     }
 
     @Test
@@ -21,7 +21,7 @@
         // All is told and heard, and nothing is made of it.
         Result heard = day(news -> Double.NaN, 0, Fault.NONE);
         assertTrue(heard.datagrams > 0 && heard.news == 0);
-        assertEquals(without.asked, heard.asked);
+        assertEquals(without.submitted, heard.submitted);
         assertEquals(without.inTime, heard.inTime);
         assertEquals(without.late, heard.late);
         assertEquals(without.refused, heard.refused);
@@ -32,7 +32,7 @@
     }
 
     private static Result fullDay(LoadEstimator news) {
-        return CapacityWorld.play(new Day(36, 180, 6, 1, 1.0, 4, 7, news, false, 0, 0.002, Fault.NONE));
+        return CapacityWorld.play(new Scenario(36, 180, 6, 1, 1.0, 4, 7, news, false, 0, 0.002, Fault.NONE));
     }
 
     /** On a full day: with less load only some of 2,000 are refused so, and fewer or more by chance. */
@@ -42,7 +42,7 @@
         Result with = fullDay(LoadEstimator.SELECTIVE);
         assertTrue(without.idleRefused > 50 && with.news > 0, without.idleRefused + " and " + with.news);
         assertTrue(with.idleRefused < 0.8 * without.idleRefused, with.idleRefused + " of " + without.idleRefused);
-        assertTrue(with.mostBytes <= 200);
+        assertTrue(with.largestDatagramBytes <= 200);
     }
 
     @Test
--- a/src/test/java/laneflow/lab/world/SettlePlotTest.java
+++ b/src/test/java/laneflow/lab/world/SettlePlotTest.java
@@ -35,12 +35,12 @@
             world.start(i, 0, 1, 2);
         }
         double begun = rounds(world.runUntil(world::isSettled, 120_000_000, 20_000));
-        world.pass(20_000_000);
+        world.runFor(20_000_000);
         world.crash(members - 1);
         double crash = rounds(world.runUntil(() -> world.agree(i -> true), 60_000_000, 20_000));
         int half = members / 2;
         world.cut((from, to) -> from < half != to < half);
-        world.pass(20_000_000);
+        world.runFor(20_000_000);
         world.cut((from, to) -> false);
         double healed = rounds(world.runUntil(() -> world.agree(i -> true), 60_000_000, 20_000));
         return new double[] {begun, crash, healed};
--- a/src/test/java/laneflow/membership/decision/SwimDaysTest.java
+++ b/src/test/java/laneflow/membership/decision/SwimDaysTest.java
@@ -22,7 +22,7 @@
 
     private MemberWorld newWorld(int members, long seed) {
         MemberWorld world = new MemberWorld(members, new Times(PERIOD), seed);
-        world.watch((by, before, now) -> {
+        world.onChange((by, before, now) -> {
             if (before != null && before.instance().id() == now.instance().id()) {
                 if (now.incarnation() < before.incarnation()) {
                     violations.add("incarnation decreased: " + before + " to " + now);
@@ -45,7 +45,7 @@
         }
         awaitSettled(world, 20, "initial start");
         // Gossip goes on for a while after that.
-        world.pass(10 * SECOND);
+        world.runFor(10 * SECOND);
         return world;
     }
 
@@ -59,9 +59,9 @@
     @CsvSource({"3, 1", "12, 2", "200, 3"})
     void crashesLeavesAndRejoinsAreDetectedByAll(int members, long seed) {
         MemberWorld world = started(newWorld(members, seed));
-        long bytes = world.bytes();
-        world.pass(10 * SECOND);
-        double idle = (world.bytes() - bytes) / 10.0 / members;
+        long bytes = world.bytesSent();
+        world.runFor(10 * SECOND);
+        double idle = (world.bytesSent() - bytes) / 10.0 / members;
         assertTrue(idle < 1000, idle + " bytes per second when idle");
         for (int round = 0; round < 5; round++) {
             int one = 1 + round % (members - 1);
@@ -70,12 +70,12 @@
             assertTrue(seen >= 0 && seen < 4 * SECOND, "crash detected after " + seen);
             world.start(one, 0, 1, 2);
             awaitSettled(world, 12, "member restarted");
-            world.pass(SECOND);
+            world.runFor(SECOND);
         }
         world.leave(members - 1);
         long left = world.runUntil(() -> world.agree(i -> true), 10 * SECOND, PERIOD / 10);
         assertTrue(left >= 0 && left < 3 * SECOND / 2, "a leave takes " + left);
-        assertTrue(world.most() <= Seal.MAX_DATAGRAM_BYTES, world.most() + " bytes");
+        assertTrue(world.largestDatagramBytes() <= Seal.MAX_DATAGRAM_BYTES, world.largestDatagramBytes() + " bytes");
         assertEquals(List.of(), violations);
     }
 
@@ -84,11 +84,11 @@
         double[] cost = new double[2];
         for (int k = 0; k < 2; k++) {
             MemberWorld world = started(newWorld(k == 0 ? 12 : 400, 5));
-            world.pass(20 * SECOND);
-            long bytes = world.bytes();
+            world.runFor(20 * SECOND);
+            long bytes = world.bytesSent();
             int digest = world.swim(0).digest();
-            world.pass(10 * SECOND);
-            cost[k] = (world.bytes() - bytes) / 10.0 / world.size();
+            world.runFor(10 * SECOND);
+            cost[k] = (world.bytesSent() - bytes) / 10.0 / world.size();
             assertTrue(world.isSettled());
             assertEquals(digest, world.swim(0).digest(), "the digest is stable while nothing changes");
         }
@@ -108,7 +108,7 @@
         world.crash(1);
         world.crash(half + 1);
         world.start(half + 1, half, half + 2);
-        world.pass(15 * SECOND);
+        world.runFor(15 * SECOND);
         world.cut((from, to) -> false);
         long mergedAfter = world.runUntil(() -> world.agree(i -> true), 20 * SECOND, PERIOD / 5);
         assertTrue(mergedAfter >= 0 && mergedAfter < 5 * SECOND, "found again after " + mergedAfter);
@@ -143,10 +143,10 @@
         for (int i = 0; i < members; i++) {
             world.crash(i);
         }
-        world.pass(SECOND);
+        world.runFor(SECOND);
         for (int i = members - 1; i >= 0; i--) {
             world.start(i, 0, 1, 2);
-            world.pass(3000);
+            world.runFor(3000);
         }
         awaitSettled(world, 20, "all restarted in another order");
         assertEquals(List.of(), violations);
@@ -156,7 +156,7 @@
     void packetLossAndShortStallsCauseNoFalseDeaths() {
         MemberWorld world = started(newWorld(200, 8));
         int[] deaths = {0};
-        world.watch((by, before, now) -> deaths[0] += now.state() == State.DEAD ? 1 : 0);
+        world.onChange((by, before, now) -> deaths[0] += now.state() == State.DEAD ? 1 : 0);
         world.network(0.2, 0.05, 200, 1000);
         SplittableRandom random = new SplittableRandom(8);
         for (int round = 0; round < 15; round++) {
@@ -167,9 +167,9 @@
                     stalled.add(i);
                 }
             }
-            world.pass(SECOND / 2);
+            world.runFor(SECOND / 2);
             stalled.forEach(world::resume);
-            world.pass(SECOND / 2);
+            world.runFor(SECOND / 2);
         }
         assertEquals(0, deaths[0]);
         world.network(0, 0, 200, 300);
@@ -180,9 +180,9 @@
     void delaysOfThreeHundredMsWithLossCauseNoFalseDeaths() {
         MemberWorld world = started(newWorld(20, 9));
         int[] deaths = {0};
-        world.watch((by, before, now) -> deaths[0] += now.state() == State.DEAD ? 1 : 0);
+        world.onChange((by, before, now) -> deaths[0] += now.state() == State.DEAD ? 1 : 0);
         world.network(0.3, 0.1, 0, 300_000);
-        world.pass(30 * SECOND);
+        world.runFor(30 * SECOND);
         assertEquals(0, deaths[0]);
         world.network(0, 0, 200, 300);
         awaitSettled(world, 10, "the network has recovered");
@@ -194,7 +194,7 @@
         world.cut((from, to) -> from == 3 || to == 5);
         long agreed = world.runUntil(() -> world.agree(i -> i != 3 && i != 5), 30 * SECOND, PERIOD / 5);
         assertTrue(agreed >= 0, "the others agree on the remaining members");
-        world.pass(10 * SECOND);
+        world.runFor(10 * SECOND);
         assertTrue(world.agree(i -> i != 3 && i != 5), "the others still agree");
         world.cut((from, to) -> false);
         awaitSettled(world, 10, "the cut has healed");
@@ -205,9 +205,9 @@
     void aSingleOneWayCutCausesNoDeath() {
         MemberWorld world = started(newWorld(6, 4));
         int[] deaths = {0};
-        world.watch((by, before, now) -> deaths[0] += now.state() == State.DEAD ? 1 : 0);
+        world.onChange((by, before, now) -> deaths[0] += now.state() == State.DEAD ? 1 : 0);
         world.cut((from, to) -> from == 1 && to == 2);
-        world.pass(30 * SECOND);
+        world.runFor(30 * SECOND);
         assertEquals(0, deaths[0]);
         assertTrue(world.agree(i -> true));
     }
@@ -217,9 +217,9 @@
         MemberWorld world = started(newWorld(10, 6));
         for (int round = 0; round < 8; round++) {
             world.stall(4);
-            world.pass(round % 2 == 0 ? SECOND / 3 : 6 * SECOND);
+            world.runFor(round % 2 == 0 ? SECOND / 3 : 6 * SECOND);
             world.resume(4);
-            world.pass(SECOND);
+            world.runFor(SECOND);
         }
         awaitSettled(world, 10, "the member runs again");
         assertTrue(world.count(4, "reborn") >= 4, "each death leads to a new instance");
@@ -232,7 +232,7 @@
         world.crash(5);
         world.runUntil(() -> world.agree(i -> true), 10 * SECOND, PERIOD / 5);
         world.startAs(5, "n1", 0, 1, 2);
-        world.pass(10 * SECOND);
+        world.runFor(10 * SECOND);
         assertTrue(world.swim(5).isNameTaken(), "the younger instance knows that its name is taken");
         assertTrue(world.agree(i -> i != 5), "the others keep their view");
         for (int i : new int[] {0, 2, 3, 4}) {
@@ -270,7 +270,7 @@
         MemberWorld world = started(newWorld(8, 7));
         Update.MemberRecord victim = world.swim(0).other("n5");
         int[] deaths = {0};
-        world.watch((by, before, now) -> deaths[0] += now.state().isLive() ? 0 : 1);
+        world.onChange((by, before, now) -> deaths[0] += now.state().isLive() ? 0 : 1);
         for (State claimed : new State[] {State.SUSPECT, State.DEAD, State.LEFT}) {
             for (int incarnation : new int[] {0, victim.incarnation() + 1, Integer.MAX_VALUE}) {
                 List<Update> claims = new ArrayList<>();
@@ -284,7 +284,7 @@
                         victim.metadata()));
                 long from = world.swim(1).self().instance().id();
                 world.inject(2, world.address(1), new Message(Message.Kind.GOSSIP, from, 0, 0, 0, null, claims));
-                world.pass(6 * SECOND);
+                world.runFor(6 * SECOND);
                 assertTrue(world.swim(2).other("n5").state().isLive(), claimed + " " + incarnation);
             }
         }
@@ -310,14 +310,14 @@
                 case 2 -> {
                     if (world.isRunning(one)) {
                         world.stall(one);
-                        world.pass(random.nextLong(8 * SECOND));
+                        world.runFor(random.nextLong(8 * SECOND));
                         world.resume(one);
                     }
                 }
                 case 3 -> {
                     int part = 1 + random.nextInt(members - 1);
                     world.cut((from, to) -> from < part != to < part);
-                    world.pass(random.nextLong(12 * SECOND));
+                    world.runFor(random.nextLong(12 * SECOND));
                     world.cut((from, to) -> false);
                 }
                 case 4 -> world.network(0.3 * random.nextDouble(), 0.1, 200, random.nextInt(100_000));
@@ -327,7 +327,7 @@
                     }
                 }
             }
-            world.pass(random.nextLong(3 * SECOND));
+            world.runFor(random.nextLong(3 * SECOND));
         }
         world.network(0, 0, 200, 300);
         for (int i = 0; i < members; i++) {
@@ -336,7 +336,7 @@
             }
         }
         awaitSettled(world, 30, "all faults are over");
-        world.pass(20 * SECOND);
+        world.runFor(20 * SECOND);
         assertTrue(world.isSettled(), "the views stay settled");
         assertEquals(List.of(), violations);
     }
--- a/src/test/java/laneflow/membership/decision/SwimOrdersTest.java
+++ b/src/test/java/laneflow/membership/decision/SwimOrdersTest.java
@@ -58,7 +58,7 @@
 
     private void runOrder(List<Integer> order, long gap) {
         MemberWorld world = new MemberWorld(3, new Times(PERIOD), 17 + runs);
-        world.watch((by, before, now) -> {
+        world.onChange((by, before, now) -> {
             if (before != null
                     && before.instance().id() == now.instance().id()
                     && (now.incarnation() < before.incarnation()
@@ -69,10 +69,10 @@
         for (int i = 0; i < 3; i++) {
             world.start(i, 0, 1);
         }
-        world.pass(4 * SECOND);
+        world.runFor(4 * SECOND);
         for (int event : order) {
             EVENTS.get(event).applyTo(world);
-            world.pass(gap);
+            world.runFor(gap);
         }
         world.resume(1);
         world.cut((from, to) -> false);
