--- a/src/main/java/laneflow/lab/measure/CapacityMeasure.java
+++ b/src/main/java/laneflow/lab/measure/CapacityMeasure.java
@@ -46,7 +46,7 @@
     // ---- processes ----
 
     private void processes(double seconds) throws IOException, InterruptedException {
-        CapacityProcesses.Day[] all = new CapacityProcesses.Scenario[PAIRS.length];
+        CapacityProcesses.Day[] all = new CapacityProcesses.Day[PAIRS.length];
         double[] points = new double[2];
         double[] idle = new double[2];
         double[] bytes = new double[2];
--- a/src/main/java/laneflow/lab/world/MemberWorld.java
+++ b/src/main/java/laneflow/lab/world/MemberWorld.java
@@ -23,36 +23,38 @@
 import laneflow.membership.decision.Update;
 
 /**
- * A fleet in virtual time: the members' own classes, and a network in memory that loses, delays, doubles and
- * cuts. Nothing waits: a minute of a thousand members takes seconds. The same seed gives the same day.
+ * Simulates a fleet of members in virtual time. The members run the production membership classes; an in-memory
+ * network loses, delays, duplicates and blocks their datagrams. Nothing sleeps, so a simulated minute of a thousand
+ * members takes seconds. The same seed gives the same run. Times are in microseconds.
  */
 public final class MemberWorld {
-    private static final long START = 1_000_000;
-    private static final int BUFFER = 512;
+    private static final long START_MICROS = 1_000_000;
+    private static final int RECEIVE_BUFFER_DATAGRAMS = 512;
     private static final int PORT = 7000;
     private static final long FIRST_GENERATION = 1_700_000_000_000L;
 
-    /** Something to happen; a wake-up where there is no message. */
-    private record Event(long at, long order, int to, int life, InetSocketAddress from, Message message) {}
+    /** A datagram's arrival at a member, or a member's timer if there is no message. */
+    private record Event(long at, long sequence, int to, int startNumber, InetSocketAddress from, Message message) {}
 
     private final class Node implements Swim.Environment {
         private final int number;
-        private final int life;
+        private final int startNumber;
         private final Swim swim;
         private final ArrayDeque<Event> buffer = new ArrayDeque<>();
         private boolean stalled;
         private long wakeAt = Long.MAX_VALUE;
         private final Map<String, Integer> counts = new HashMap<>();
 
-        private Node(int number, int life, String name, List<InetSocketAddress> seeds) {
+        private Node(int number, int startNumber, String name, List<InetSocketAddress> seeds) {
             this.number = number;
-            this.life = life;
+            this.startNumber = startNumber;
             swim = new Swim(
-                    MemberInstance.of(name, FIRST_GENERATION + clockWrong + now / 1000 + life, address(number)),
-                    facts(number),
+                    MemberInstance.of(
+                            name, FIRST_GENERATION + clockOffsetMs + now / 1000 + startNumber, address(number)),
+                    metadata(number),
                     seeds,
                     times,
-                    wire,
+                    codec,
                     random.nextLong(),
                     now,
                     this);
@@ -70,65 +72,65 @@
 
         @Override
         public void memberChanged(Update.MemberRecord before, Update.MemberRecord after) {
-            changes.changed(number, before, after);
+            changeListener.changed(number, before, after);
         }
 
         @Override
-        public void count(String what) {
-            counts.merge(what, 1, Integer::sum);
+        public void count(String counter) {
+            counts.merge(counter, 1, Integer::sum);
         }
     }
 
-    /** Told of each change of a member's view. */
+    /** Is called for each change of a member's view. */
     public interface ChangeListener {
-        void changed(int by, Update.MemberRecord before, Update.MemberRecord now);
+        void changed(int observer, Update.MemberRecord before, Update.MemberRecord now);
     }
 
     private final Times times;
-    private final MessageCodec wire = new MessageCodec(Seal.MAX_DATAGRAM_BYTES - Seal.OVERHEAD_BYTES);
+    private final MessageCodec codec = new MessageCodec(Seal.MAX_DATAGRAM_BYTES - Seal.OVERHEAD_BYTES);
     private final SplittableRandom random;
-    private final PriorityQueue<Event> events =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Event> events = new PriorityQueue<>(
+            (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
     private final Node[] nodes;
-    private final int[] lives;
-    private final Map<InetSocketAddress, Integer> at = new HashMap<>();
+    private final int[] startCounts;
+    private final Map<InetSocketAddress, Integer> indexByAddress = new HashMap<>();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
-    private long now = START;
-    private long order;
-    private long clockWrong;
+    private long now = START_MICROS;
+    private long sequence;
+    private long clockOffsetMs;
     private long sent;
     private long bytes;
-    private int most;
-    private double lost;
-    private double doubled;
-    private long delay = 200;
-    private long jitter = 300;
-    private Partition cut = (from, to) -> false;
-    private ChangeListener changes = (by, before, after) -> {};
-
-    /** Whether nothing gets from one to the other. */
+    private int largestDatagram;
+    private double lossRate;
+    private double duplicationRate;
+    private long delayMicros = 200;
+    private long jitterMicros = 300;
+    private Partition partition = (from, to) -> false;
+    private ChangeListener changeListener = (observer, before, after) -> {};
+
+    /** Decides whether datagrams from one member to another are blocked. */
     public interface Partition {
-        boolean holds(int from, int to);
+        boolean blocks(int from, int to);
     }
 
-    /** A world of so many places, at none of which anybody lives yet. */
-    public MemberWorld(int places, Times times, long seed) {
+    /** Creates a fleet with this many member slots, none of which runs a member yet. */
+    public MemberWorld(int slots, Times times, long seed) {
         this.times = times;
         random = new SplittableRandom(seed);
-        nodes = new Node[places];
-        lives = new int[places];
-        for (int i = 0; i < places; i++) {
+        nodes = new Node[slots];
+        startCounts = new int[slots];
+        for (int i = 0; i < slots; i++) {
             try {
                 addresses.add(new InetSocketAddress(
                         InetAddress.getByAddress(new byte[] {10, (byte) (i >> 16), (byte) (i >> 8), (byte) i}), PORT));
             } catch (UnknownHostException e) {
-                throw new IllegalStateException("four bytes are an address", e);
+                throw new IllegalStateException("a four-byte array is a valid IPv4 address", e);
             }
-            at.put(addresses.get(i), i);
+            indexByAddress.put(addresses.get(i), i);
         }
     }
 
-    private static MemberMetadata facts(int number) {
+    private static MemberMetadata metadata(int number) {
         return new MemberMetadata("zone-" + number % 3, "1.0", null, 7, MemberMetadata.Condition.READY, 3, 5, false);
     }
 
@@ -144,36 +146,36 @@
         return nodes.length;
     }
 
-    // ---- what happens to members ----
+    // ---- members: start, stop and stall ----
 
-    /** Starts a member at that place, which knows these places; the same name at the same place. */
+    /** Starts a member in that slot with the members of these slots as its seeds. A slot's default name is fixed. */
     public void start(int i, int... seeds) {
         startAs(i, "n" + i, seeds);
     }
 
-    /** The same by a clock that goes wrong by so much. */
-    public void startWithClock(int i, long wrongMs, int... seeds) {
-        clockWrong = wrongMs;
+    /** Starts a member whose wall clock is off by this many milliseconds. */
+    public void startWithClock(int i, long offsetMs, int... seeds) {
+        clockOffsetMs = offsetMs;
         start(i, seeds);
-        clockWrong = 0;
+        clockOffsetMs = 0;
     }
 
-    /** The same by another name. */
+    /** Starts a member under another name than its slot's default. */
     public void startAs(int i, String name, int... seeds) {
         List<InetSocketAddress> known = new ArrayList<>();
         for (int seed : seeds) {
             known.add(addresses.get(seed));
         }
-        nodes[i] = new Node(i, ++lives[i], name, known);
+        nodes[i] = new Node(i, ++startCounts[i], name, known);
         wake(nodes[i]);
     }
 
-    /** It is gone, and says nothing. */
+    /** Stops the member at once, without a leave message. */
     public void crash(int i) {
         nodes[i] = null;
     }
 
-    /** It says that it goes, and is gone a little later. */
+    /** Lets the member announce that it leaves, and stops it four gossip intervals later. */
     public void leave(int i) {
         Node node = nodes[i];
         node.swim.leave(now);
@@ -182,7 +184,7 @@
         nodes[i] = null;
     }
 
-    /** It stands still; what comes waits, up to a bound. */
+    /** Suspends the member. Datagrams for it are buffered, up to the size of its receive buffer. */
     public void stall(int i) {
         nodes[i].stalled = true;
     }
@@ -193,20 +195,20 @@
             return;
         }
         node.stalled = false;
-        // Its timers are overdue and its socket is full: either may be seen to first.
+        // Timers are overdue and the receive buffer holds datagrams: a real process may handle either first.
         if (random.nextBoolean()) {
             node.swim.tick(now);
         }
         while (!node.buffer.isEmpty()) {
-            Event one = node.buffer.poll();
-            node.swim.receive(now, one.from, one.message);
+            Event event = node.buffer.poll();
+            node.swim.receive(now, event.from, event.message);
         }
         node.swim.tick(now);
         wake(node);
     }
 
-    public void updateMetadata(int i, MemberMetadata facts) {
-        nodes[i].swim.updateMetadata(now, facts);
+    public void updateMetadata(int i, MemberMetadata metadata) {
+        nodes[i].swim.updateMetadata(now, metadata);
         wake(nodes[i]);
     }
 
@@ -222,34 +224,34 @@
         return nodes[i].swim;
     }
 
-    public int count(int i, String what) {
-        return nodes[i] == null ? 0 : nodes[i].counts.getOrDefault(what, 0);
+    public int count(int i, String counter) {
+        return nodes[i] == null ? 0 : nodes[i].counts.getOrDefault(counter, 0);
     }
 
     // ---- the network ----
 
-    /** Shares of datagrams, and microseconds. */
-    public void network(double lostShare, double doubledShare, long delayUs, long jitterUs) {
-        lost = lostShare;
-        doubled = doubledShare;
-        delay = delayUs;
-        jitter = jitterUs;
+    /** Sets the shares of datagrams that are lost and duplicated, and the latency's fixed and random parts. */
+    public void network(double lossShare, double duplicateShare, long delayUs, long jitterUs) {
+        lossRate = lossShare;
+        duplicationRate = duplicateShare;
+        delayMicros = delayUs;
+        jitterMicros = jitterUs;
     }
 
-    public void cut(Partition between) {
-        cut = between;
+    public void cut(Partition blocked) {
+        partition = blocked;
     }
 
     public void onChange(ChangeListener listener) {
-        changes = listener;
+        changeListener = listener;
     }
 
-    /** Whose place that is. */
-    public int indexOf(MemberInstance life) {
-        return at.get(life.address());
+    /** Returns the slot of the member with this instance's address. */
+    public int indexOf(MemberInstance instance) {
+        return indexByAddress.get(instance.address());
     }
 
-    /** Puts a datagram's content in, as if it came from that address. */
+    /** Delivers a message to a member at once, as if it came from that address. */
     public void inject(int to, InetSocketAddress from, Message message) {
         nodes[to].swim.receive(now, from, message);
         wake(nodes[to]);
@@ -257,17 +259,17 @@
 
     private void transmit(int from, InetSocketAddress to, Message message) {
         sent++;
-        int size = wire.maxSize(message) + Seal.OVERHEAD_BYTES;
+        int size = codec.maxSize(message) + Seal.OVERHEAD_BYTES;
         bytes += size;
-        most = Math.max(most, size);
-        Integer target = at.get(to);
-        if (target == null || random.nextDouble() < lost || cut.holds(from, target)) {
+        largestDatagram = Math.max(largestDatagram, size);
+        Integer target = indexByAddress.get(to);
+        if (target == null || random.nextDouble() < lossRate || partition.blocks(from, target)) {
             return;
         }
-        int copies = random.nextDouble() < doubled ? 2 : 1;
+        int copies = random.nextDouble() < duplicationRate ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            long takes = delay + (jitter == 0 ? 0 : random.nextLong(jitter));
-            events.add(new Event(now + takes, order++, target, -1, addresses.get(from), message));
+            long latency = delayMicros + (jitterMicros == 0 ? 0 : random.nextLong(jitterMicros));
+            events.add(new Event(now + latency, sequence++, target, -1, addresses.get(from), message));
         }
     }
 
@@ -277,11 +279,11 @@
         long next = Math.max(now, node.swim.nextTick());
         if (next < node.wakeAt || node.wakeAt <= now) {
             node.wakeAt = next;
-            events.add(new Event(next, order++, node.number, node.life, null, null));
+            events.add(new Event(next, sequence++, node.number, node.startNumber, null, null));
         }
     }
 
-    /** Runs until that instant. */
+    /** Runs the simulation until that instant. */
     public void run(long until) {
         while (!events.isEmpty() && events.peek().at <= until) {
             step(events.poll());
@@ -289,19 +291,23 @@
         now = Math.max(now, until);
     }
 
-    /** Runs for so many microseconds. */
-    public void runFor(long span) {
-        run(now + span);
+    /** Runs the simulation for this many microseconds. */
+    public void runFor(long micros) {
+        run(now + micros);
     }
 
-    /** Runs until it holds, looked at so often; how long that took, or -1 if not within the span. */
-    public long runUntil(BooleanSupplier holds, long within, long every) {
+    /**
+     * Runs until the condition holds, which is checked once per interval.
+     *
+     * @return the microseconds that took, or -1 after the timeout
+     */
+    public long runUntil(BooleanSupplier condition, long timeoutMicros, long intervalMicros) {
         long from = now;
-        while (now - from <= within) {
-            if (holds.getAsBoolean()) {
+        while (now - from <= timeoutMicros) {
+            if (condition.getAsBoolean()) {
                 return now - from;
             }
-            run(now + every);
+            run(now + intervalMicros);
         }
         return -1;
     }
@@ -309,7 +315,7 @@
     private void step(Event event) {
         now = Math.max(now, event.at);
         Node node = nodes[event.to];
-        if (node == null || event.life >= 0 && node.life != event.life) {
+        if (node == null || event.startNumber >= 0 && node.startNumber != event.startNumber) {
             return;
         }
         if (event.message == null) {
@@ -324,32 +330,32 @@
                 node.swim.tick(now);
             }
         } else if (node.stalled) {
-            if (node.buffer.size() < BUFFER) {
+            if (node.buffer.size() < RECEIVE_BUFFER_DATAGRAMS) {
                 node.buffer.add(event);
             }
             return;
         } else {
             node.swim.receive(now, event.from, event.message);
             if (node.swim.earliestTick() <= now) {
-                // As a process does: it is awake anyway.
+                // A real process is awake at this point too and runs the timers that may run early.
                 node.swim.tick(now);
             }
         }
         wake(node);
     }
 
-    // ---- what holds ----
+    // ---- state of the fleet ----
 
-    /** True if all running members that the condition picks hold the same view, of exactly these. */
-    public boolean agree(IntPredicate among) {
+    /** Returns whether all running members that the predicate selects hold the same view: exactly these members. */
+    public boolean agree(IntPredicate included) {
         int members = 0;
         for (int i = 0; i < nodes.length; i++) {
-            members += among.test(i) && isRunning(i) ? 1 : 0;
+            members += included.test(i) && isRunning(i) ? 1 : 0;
         }
         int digest = 0;
         boolean first = true;
         for (int i = 0; i < nodes.length; i++) {
-            if (!among.test(i) || !isRunning(i)) {
+            if (!included.test(i) || !isRunning(i)) {
                 continue;
             }
             Swim swim = nodes[i].swim;
@@ -362,15 +368,15 @@
         return true;
     }
 
-    /** True if all running members agree and nobody suspects anybody. */
+    /** Returns whether all running members agree and none suspects another. */
     public boolean isSettled() {
         if (!agree(i -> true)) {
             return false;
         }
         for (Node node : nodes) {
             if (node != null && !node.stalled) {
-                for (Update.MemberRecord one : node.swim.others()) {
-                    if (one.state() == State.SUSPECT) {
+                for (Update.MemberRecord other : node.swim.others()) {
+                    if (other.state() == State.SUSPECT) {
                         return false;
                     }
                 }
@@ -379,18 +385,18 @@
         return true;
     }
 
-    /** Datagrams sent so far. */
+    /** Returns the number of datagrams sent so far. */
     public long datagramsSent() {
         return sent;
     }
 
-    /** Bytes of them, without the headers of IP and UDP. */
+    /** Returns the bytes sent so far, without IP and UDP headers. */
     public long bytesSent() {
         return bytes;
     }
 
-    /** The longest. */
+    /** Returns the size of the largest datagram so far, without IP and UDP headers. */
     public int largestDatagramBytes() {
-        return most;
+        return largestDatagram;
     }
 }
--- a/src/test/java/laneflow/lab/world/SettlePlotTest.java
+++ b/src/test/java/laneflow/lab/world/SettlePlotTest.java
@@ -15,35 +15,38 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Draws how long a fleet takes to settle over its size, in virtual time: {@code make plot}. */
+/**
+ * Plots the rounds until all members hold one view against the size of the fleet, in virtual time. Run by
+ * {@code make plot}.
+ */
 @EnabledIfSystemProperty(named = "plot", matches = ".+")
 class SettlePlotTest {
-    private static final long PERIOD = 250_000;
+    private static final long PERIOD_MICROS = 250_000;
     private static final int SEEDS = 5;
 
     private final List<Double> sizes = new ArrayList<>();
-    private final List<List<Double>> took = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
+    private final List<List<Double>> meanRounds = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
 
     private static double rounds(long micros) {
-        assertTrue(micros >= 0, "it did not settle");
-        return micros / (double) PERIOD;
+        assertTrue(micros >= 0, "the fleet did not settle in time");
+        return micros / (double) PERIOD_MICROS;
     }
 
-    private static double[] day(int members, long seed) {
-        MemberWorld world = new MemberWorld(members, new Times(PERIOD), seed);
+    private static double[] measure(int members, long seed) {
+        MemberWorld world = new MemberWorld(members, new Times(PERIOD_MICROS), seed);
         for (int i = 0; i < members; i++) {
             world.start(i, 0, 1, 2);
         }
-        double begun = rounds(world.runUntil(world::isSettled, 120_000_000, 20_000));
+        double started = rounds(world.runUntil(world::isSettled, 120_000_000, 20_000));
         world.runFor(20_000_000);
         world.crash(members - 1);
-        double crash = rounds(world.runUntil(() -> world.agree(i -> true), 60_000_000, 20_000));
+        double crashed = rounds(world.runUntil(() -> world.agree(i -> true), 60_000_000, 20_000));
         int half = members / 2;
         world.cut((from, to) -> from < half != to < half);
         world.runFor(20_000_000);
         world.cut((from, to) -> false);
         double healed = rounds(world.runUntil(() -> world.agree(i -> true), 60_000_000, 20_000));
-        return new double[] {begun, crash, healed};
+        return new double[] {started, crashed, healed};
     }
 
     @Test
@@ -51,29 +54,31 @@
         for (int members : new int[] {4, 8, 16, 32, 64, 128, 256, 512}) {
             double[] sum = new double[3];
             for (long seed = 1; seed <= SEEDS; seed++) {
-                double[] one = day(members, seed);
+                double[] rounds = measure(members, seed);
                 for (int i = 0; i < 3; i++) {
-                    sum[i] += one[i] / SEEDS;
+                    sum[i] += rounds[i] / SEEDS;
                 }
             }
             sizes.add((double) members);
             for (int i = 0; i < 3; i++) {
-                took.get(i).add(sum[i]);
+                meanRounds.get(i).add(sum[i]);
             }
             System.out.printf("%d members: %.1f %.1f %.1f rounds%n", members, sum[0], sum[1], sum[2]);
         }
         XYChart chart = new XYChartBuilder()
                 .width(800)
                 .height(480)
-                .title("Rounds until all hold one view (mean of " + SEEDS + " seeds, virtual time)")
+                .title("Rounds until all members hold one view (mean of " + SEEDS + " seeds, virtual time)")
                 .xAxisTitle("members")
                 .yAxisTitle("rounds of 250 ms")
                 .build();
         chart.getStyler().setXAxisLogarithmic(true);
         chart.getStyler().setYAxisMin(0.0);
-        String[] names = {"all begin at once", "one crashes", "halves that were cut for 20 s heal"};
-        for (int i = 0; i < names.length; i++) {
-            chart.addSeries(names[i], sizes, took.get(i)).setMarker(SeriesMarkers.CIRCLE);
+        String[] seriesNames = {
+            "all members start at once", "one member crashes", "a partition into halves heals after 20 s"
+        };
+        for (int i = 0; i < seriesNames.length; i++) {
+            chart.addSeries(seriesNames[i], sizes, meanRounds.get(i)).setMarker(SeriesMarkers.CIRCLE);
         }
         BitmapEncoder.saveBitmap(chart, Path.of(System.getProperty("plot")).toString(), BitmapFormat.PNG);
     }
