--- a/src/main/java/laneflow/lab/world/CapacityWorld.java
+++ b/src/main/java/laneflow/lab/world/CapacityWorld.java
@@ -23,28 +23,28 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Schedulers and endpoints in virtual time: the module itself decides for each scheduler, its news goes by a
- * network that delays and loses, endpoints have slots and a queue. The same seed draws the same jobs, whoever
- * talks to whom, so days can be held against each other.
+ * Simulates schedulers and endpoints in virtual time. Each scheduler runs the production decision module; its
+ * capacity gossip crosses a network that delays and loses datagrams; endpoints have slots and a queue. The same seed
+ * generates the same jobs whatever is gossiped, so runs of different scenarios can be compared. Times are in seconds.
  */
 public final class CapacityWorld {
-    private static final double MICROS = 1e6;
-    private static final int ROOM = 200;
-    private static final double WIRE = 0.001;
-    private static final double AIM = 0.3;
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final int MAX_DATAGRAM_BYTES = 200;
+    private static final double LINK_DELAY_SECONDS = 0.001;
+    private static final double AIM_SECONDS = 0.3;
     private static final double STRETCH = 2;
-    private static final double DEADLINE = 8;
-    private static final int SLOTS = 4;
-    private static final int QUEUE = 4;
-    private static final double PHASE = 2;
-    /** Part of all calls that the busiest tenth makes; the busiest one has ten times the mean. */
-    private static final double MOST_UNEVEN = 10;
-
-    private static final int FANOUT = 2;
-    private static final double LIE = 192;
-    private static final double OVERDUE_LEFT = 0.5;
-
-    /** What the first member tells of endpoints, whatever it has heard: 192 free slots, or as many jobs. */
+    private static final double DEADLINE_SECONDS = 8;
+    private static final int SLOTS_PER_ENDPOINT = 4;
+    private static final int QUEUE_CAPACITY = 4;
+    private static final double DEMAND_PHASE_SECONDS = 2;
+    /** Demand of a busy scheduler, as a multiple of the mean. */
+    private static final double BUSIEST_WEIGHT = 10;
+
+    private static final int GOSSIP_FANOUT = 2;
+    private static final double FALSE_LOAD = 192;
+    private static final double OVERDUE_REMAINING_SHARE = 0.5;
+
+    /** What the first scheduler's gossip claims of endpoints, whatever they report: 192 free slots, or 192 queued jobs. */
     public enum Fault {
         NONE,
         LIAR_FREE,
@@ -52,12 +52,15 @@
     }
 
     /**
-     * A day.
+     * A simulated fleet and its demand.
      *
-     * @param job seconds that a job takes in the mean
-     * @param load of all slots that jobs would take in the mean
-     * @param news how news is weighed; null: nobody talks
-     * @param central one that sees all at once decides in the place of all
+     * @param job mean duration of a job in seconds
+     * @param load mean share of all slots that the demand would occupy
+     * @param seconds length of the measured span
+     * @param news how gossiped load reports are weighed; null: no gossip
+     * @param central whether one dispatcher with complete, current knowledge replaces the schedulers' decisions
+     * @param lost share of gossip datagrams that are lost
+     * @param delay upper bound of a datagram's random delay in seconds
      */
     public record Scenario(
             int schedulers,
@@ -73,7 +76,7 @@
             double delay,
             Fault fault) {}
 
-    /** What came of it. */
+    /** Counts over the measured span. */
     public static final class Result {
         public long submitted;
         public long inTime;
@@ -88,303 +91,308 @@
         public final Histogram overshoot = new Histogram(3);
         public final Histogram age = new Histogram(3);
 
-        /** Of a hundred jobs those answered in time, in the span that counts. */
+        /** Returns the percentage of submitted jobs that were answered in time. */
         public double points() {
             return submitted == 0 ? 0 : 100.0 * inTime / submitted;
         }
     }
 
-    private record Event(double at, long order, Runnable what) {}
+    private record Event(double at, long sequence, Runnable action) {}
 
-    private final class Node {
+    private final class SimulatedEndpoint {
         private final long id;
         private final int zone;
-        private final ArrayDeque<Call> waiting = new ArrayDeque<>();
-        private final List<Call> running = new ArrayList<>();
+        private final ArrayDeque<Attempt> waiting = new ArrayDeque<>();
+        private final List<Attempt> running = new ArrayList<>();
         private int busy;
 
-        private Node(int number) {
+        private SimulatedEndpoint(int number) {
             id = Endpoint.stableId("e" + number);
-            zone = number % day.zones;
+            zone = number % scenario.zones;
         }
 
-        /** Seconds until it would begin a further job, by what clients said of all that are there. */
-        private double foreseen() {
-            if (busy < SLOTS) {
+        /** Seconds until a further job could start, estimated from the clients' hints for the jobs present. */
+        private double expectedWaitSeconds() {
+            if (busy < SLOTS_PER_ENDPOINT) {
                 return 0;
             }
             PriorityQueue<Double> ends = new PriorityQueue<>();
-            for (Call call : running) {
-                double ran = now - call.beganAt;
-                ends.add(Math.max(OVERDUE_LEFT * ran, call.hint - ran));
+            for (Attempt attempt : running) {
+                double ran = now - attempt.startedAt;
+                ends.add(Math.max(OVERDUE_REMAINING_SHARE * ran, attempt.hint - ran));
             }
-            for (Call call : waiting) {
-                ends.add(ends.poll() + (call.given ? 0 : call.hint));
+            for (Attempt attempt : waiting) {
+                ends.add(ends.poll() + (attempt.cancelled ? 0 : attempt.hint));
             }
             return ends.peek();
         }
 
-        private void arrive(Call call) {
-            if (counts()) {
-                result.overshoot.recordValue(Math.max(0, busy + waiting.size() + 1 - SLOTS));
+        private void arrive(Attempt attempt) {
+            if (isMeasured()) {
+                result.overshoot.recordValue(Math.max(0, busy + waiting.size() + 1 - SLOTS_PER_ENDPOINT));
             }
-            if (busy < SLOTS) {
-                begin(call);
-            } else if (waiting.size() < QUEUE) {
-                waiting.add(call);
+            if (busy < SLOTS_PER_ENDPOINT) {
+                start(attempt);
+            } else if (waiting.size() < QUEUE_CAPACITY) {
+                waiting.add(attempt);
             } else {
-                answer(call, Outcome.FULL);
+                answer(attempt, Outcome.FULL);
             }
         }
 
-        private void begin(Call call) {
+        private void start(Attempt attempt) {
             busy++;
-            running.add(call);
-            call.beganAt = now;
-            call.begun = true;
-            after(WIRE, () -> call.from.note(call));
-            after(call.takes, () -> {
-                if (call.node == this && call.begun) {
-                    // The report is made before the slot is free: it counts the job that has ended.
-                    answer(call, call.given ? Outcome.CANCELLED : Outcome.OK);
+            running.add(attempt);
+            attempt.startedAt = now;
+            attempt.started = true;
+            schedule(LINK_DELAY_SECONDS, () -> attempt.from.note(attempt));
+            schedule(attempt.durationSeconds, () -> {
+                if (attempt.endpoint == this && attempt.started) {
+                    // The report is made before the slot is released, so it still counts the job that has just ended.
+                    answer(attempt, attempt.cancelled ? Outcome.CANCELLED : Outcome.OK);
                     busy--;
-                    running.remove(call);
+                    running.remove(attempt);
                     next();
                 }
             });
         }
 
         private void next() {
-            while (busy < SLOTS && !waiting.isEmpty()) {
-                Call call = waiting.poll();
-                if (!call.given) {
-                    begin(call);
+            while (busy < SLOTS_PER_ENDPOINT && !waiting.isEmpty()) {
+                Attempt attempt = waiting.poll();
+                if (!attempt.cancelled) {
+                    start(attempt);
                 }
             }
         }
 
-        private void answer(Call call, Outcome how) {
+        private void answer(Attempt attempt, Outcome outcome) {
             LoadReport report = report();
-            after(WIRE, () -> call.from.outcome(call, how, report));
+            schedule(LINK_DELAY_SECONDS, () -> attempt.from.outcome(attempt, outcome, report));
         }
 
         private LoadReport report() {
             LoadReport report = new LoadReport();
-            report.freeSlots = SLOTS - busy;
+            report.freeSlots = SLOTS_PER_ENDPOINT - busy;
             report.queue = waiting.size();
             return report;
         }
     }
 
-    private static final class Call {
-        private Site from;
+    private static final class Attempt {
+        private SimulatedScheduler from;
         private long request;
-        private int attempt;
-        private Node node;
-        private double takes;
+        private int attemptNumber;
+        private SimulatedEndpoint endpoint;
+        private double durationSeconds;
         private double hint;
-        private double beganAt;
-        private boolean begun;
-        private boolean given;
+        private double startedAt;
+        private boolean started;
+        private boolean cancelled;
         private boolean ended;
     }
 
     private static final class Job {
         private double arrivedAt;
         private double hint;
-        private double takes;
+        private double durationSeconds;
         private boolean answered;
-        private Call call;
+        private Attempt attempt;
     }
 
-    /** One scheduler: the module, and its news. */
-    private final class Site implements Dispatch.Actions, CapacityGossip.Callbacks {
+    /** A scheduler: the decision module and its capacity gossip. */
+    private final class SimulatedScheduler implements Dispatch.Actions, CapacityGossip.Callbacks {
         private final int number;
         private final int zone;
         private final Map<Long, Job> jobs = new HashMap<>();
         private final List<Runnable> pending = new ArrayList<>();
         private final Logic logic;
         private final CapacityGossip capacity;
-        /** What speaks for it: its own picture, or lies. */
-        private final CapacityGossip voice;
+        /** Builds the outgoing gossip: {@link #capacity}, or a separate instance with false reports. */
+        private final CapacityGossip gossipSender;
 
-        private boolean atWork;
+        private boolean dispatching;
         private double weight;
 
-        private Site(int number, Settings settings) {
+        private SimulatedScheduler(int number, Settings settings) {
             this.number = number;
             zone = settings.zone;
-            logic = new Logic(settings, day.seed * 1000 + number, this);
-            capacity = day.news == null ? null : new CapacityGossip(number, zone, day.news, this);
-            voice = capacity == null || number > 0 || day.fault == Fault.NONE
+            logic = new Logic(settings, scenario.seed * 1000 + number, this);
+            capacity = scenario.news == null ? null : new CapacityGossip(number, zone, scenario.news, this);
+            gossipSender = capacity == null || number > 0 || scenario.fault == Fault.NONE
                     ? capacity
                     : new CapacityGossip(number, zone, news -> Double.NaN, this);
         }
 
-        private void event(Runnable one) {
-            pending.add(one);
-            if (atWork) {
+        private void enqueue(Runnable event) {
+            pending.add(event);
+            if (dispatching) {
                 return;
             }
-            atWork = true;
+            dispatching = true;
             for (int i = 0; i < pending.size(); i++) {
                 pending.get(i).run();
             }
             pending.clear();
-            atWork = false;
+            dispatching = false;
         }
 
-        private void outcome(Call call, Outcome how, LoadReport report) {
-            if (call.ended) {
+        private void outcome(Attempt attempt, Outcome outcome, LoadReport report) {
+            if (attempt.ended) {
                 return;
             }
-            call.ended = true;
-            Job job = jobs.get(call.request);
-            boolean over = job == null || job.answered;
-            if (how == Outcome.OK && !over) {
+            attempt.ended = true;
+            Job job = jobs.get(attempt.request);
+            boolean completed = job == null || job.answered;
+            if (outcome == Outcome.OK && !completed) {
                 job.answered = true;
-                over = true;
-                if (job.arrivedAt >= begins) {
+                completed = true;
+                if (job.arrivedAt >= measuredFrom) {
                     double took = now - job.arrivedAt;
-                    if (took <= AIM + STRETCH * job.hint) {
+                    if (took <= AIM_SECONDS + STRETCH * job.hint) {
                         result.inTime++;
                     } else {
                         result.late++;
                     }
                 }
-                jobs.remove(call.request);
+                jobs.remove(attempt.request);
             }
-            boolean ended = over;
-            event(() -> logic.outcome(now, call.request, call.attempt, call.node.id, how, ended, report));
+            boolean ended = completed;
+            enqueue(() -> logic.outcome(
+                    now, attempt.request, attempt.attemptNumber, attempt.endpoint.id, outcome, ended, report));
             if (capacity != null) {
                 capacity.attemptEnded(
                         micros(),
-                        call.node.id,
-                        how != Outcome.FULL,
+                        attempt.endpoint.id,
+                        outcome != Outcome.FULL,
                         report == null ? Double.NaN : report.freeSlots,
                         report == null ? Double.NaN : report.queue);
-                if (voice != capacity) {
-                    lie();
+                if (gossipSender != capacity) {
+                    sendFalseReport();
                 }
             }
         }
 
-        private void note(Call call) {
-            event(() -> logic.note(now, call.request, call.attempt, call.node.id, Note.STARTED, 0));
+        private void note(Attempt attempt) {
+            enqueue(() ->
+                    logic.note(now, attempt.request, attempt.attemptNumber, attempt.endpoint.id, Note.STARTED, 0));
         }
 
         @Override
-        public void send(long request, int attempt, long worker) {
+        public void send(long request, int attemptNumber, long worker) {
             Job job = jobs.get(request);
-            Call call = new Call();
-            call.from = this;
-            call.request = request;
-            call.attempt = attempt;
-            call.node = byId.get(worker);
-            call.takes = job.takes;
-            call.hint = job.hint;
-            job.call = call;
+            Attempt attempt = new Attempt();
+            attempt.from = this;
+            attempt.request = request;
+            attempt.attemptNumber = attemptNumber;
+            attempt.endpoint = byId.get(worker);
+            attempt.durationSeconds = job.durationSeconds;
+            attempt.hint = job.hint;
+            job.attempt = attempt;
             if (capacity != null) {
                 capacity.attemptSent(micros(), worker);
             }
-            after(WIRE, () -> call.node.arrive(call));
+            schedule(LINK_DELAY_SECONDS, () -> attempt.endpoint.arrive(attempt));
         }
 
         @Override
         public void refuse(long request, double retryAfter) {
             Job job = jobs.remove(request);
-            if (job != null && job.arrivedAt >= begins) {
+            if (job != null && job.arrivedAt >= measuredFrom) {
                 result.refused++;
-                result.idleRefused += roomInReach(zone) ? 1 : 0;
+                result.idleRefused += hasFreeSlotInReach(zone) ? 1 : 0;
             }
         }
 
         @Override
         public void fail(long request) {
-            if (jobs.remove(request) != null && counts()) {
+            if (jobs.remove(request) != null && isMeasured()) {
                 result.failed++;
             }
         }
 
         @Override
-        public boolean cancel(long request, int attempt) {
+        public boolean cancel(long request, int attemptNumber) {
             Job job = jobs.get(request);
-            if (job != null && job.call != null) {
-                job.call.given = true;
+            if (job != null && job.attempt != null) {
+                job.attempt.cancelled = true;
             }
             return false;
         }
 
         @Override
         public void probe(long worker) {
-            // Reports come with answers.
+            // Load reports arrive with the answers.
         }
 
         @Override
         public void closeIdle(long worker) {
-            // Connections are not played.
+            // Connections are not simulated.
         }
 
         @Override
         public void wake(double delay, long token) {
-            after(delay, () -> event(() -> logic.timer(now, token)));
+            schedule(delay, () -> enqueue(() -> logic.timer(now, token)));
         }
 
         @Override
         public void watchList() {
-            // All lists come at once.
+            // The only endpoint list is delivered at the start.
         }
 
-        // ---- its news ----
+        // ---- capacity gossip ----
 
         @Override
-        public void report(long endpoint, double age, LoadReport told) {
+        public void report(long endpoint, double age, LoadReport received) {
             LoadReport copy = new LoadReport();
-            copy.freeSlots = told.freeSlots;
-            copy.queue = told.queue;
-            if (counts()) {
+            copy.freeSlots = received.freeSlots;
+            copy.queue = received.queue;
+            if (isMeasured()) {
                 result.news++;
                 result.age.recordValue(
                         Math.max(0, (micros() - capacity.latestReport(endpoint).observedAt()) / 1000));
             }
-            event(() -> logic.probed(now, endpoint, age, Outcome.MOOT, copy));
+            enqueue(() -> logic.probed(now, endpoint, age, Outcome.MOOT, copy));
         }
 
         @Override
         public void send(int scheduler, byte[] bytes) {
-            transmit(this, sites.get(scheduler), bytes);
+            transmit(this, schedulers.get(scheduler), bytes);
         }
 
         @Override
         public void count(String what) {
-            // Nothing is reported by name here.
+            // The simulation exports no metrics.
         }
 
-        private void lie() {
-            boolean free = day.fault == Fault.LIAR_FREE;
-            Node node = nodes.get(chance.nextInt(nodes.size()));
-            voice.attemptSent(micros(), node.id);
-            voice.attemptEnded(micros(), node.id, false, free ? LIE : 0, free ? 0 : LIE);
+        private void sendFalseReport() {
+            boolean free = scenario.fault == Fault.LIAR_FREE;
+            SimulatedEndpoint endpoint = endpoints.get(networkRandom.nextInt(endpoints.size()));
+            gossipSender.attemptSent(micros(), endpoint.id);
+            gossipSender.attemptEnded(micros(), endpoint.id, false, free ? FALSE_LOAD : 0, free ? 0 : FALSE_LOAD);
         }
 
-        private void round() {
-            for (int i = 0; i < FANOUT; i++) {
-                Site to = other(i % 2 == 0);
-                byte[] bytes = voice.buildMessage(micros(), to.zone, ROOM);
+        private void gossipRound() {
+            for (int i = 0; i < GOSSIP_FANOUT; i++) {
+                SimulatedScheduler to = randomPeer(i % 2 == 0);
+                byte[] bytes = gossipSender.buildMessage(micros(), to.zone, MAX_DATAGRAM_BYTES);
                 if (bytes != null) {
                     transmit(this, to, bytes);
                 }
             }
-            after(CapacityGossip.ROUND_MICROS / MICROS, this::round);
+            schedule(CapacityGossip.ROUND_MICROS / MICROS_PER_SECOND, this::gossipRound);
         }
 
-        /** One of the same zone, or any. */
-        private Site other(boolean near) {
+        /** Picks another scheduler at random; one of the same zone if preferred, unless 20 draws find none. */
+        private SimulatedScheduler randomPeer(boolean preferSameZone) {
             for (int tries = 0; ; tries++) {
-                Site to = near && tries < 20
-                        ? sites.get((chance.nextInt((sites.size() + day.zones - 1) / day.zones) * day.zones + zone)
-                                % sites.size())
-                        : sites.get(chance.nextInt(sites.size()));
+                SimulatedScheduler to = preferSameZone && tries < 20
+                        ? schedulers.get(
+                                (networkRandom.nextInt((schedulers.size() + scenario.zones - 1) / scenario.zones)
+                                                        * scenario.zones
+                                                + zone)
+                                        % schedulers.size())
+                        : schedulers.get(networkRandom.nextInt(schedulers.size()));
                 if (to != this) {
                     return to;
                 }
@@ -392,57 +400,57 @@
         }
     }
 
-    private final Scenario day;
-    private final SplittableRandom draws;
-    private final SplittableRandom chance;
-    private final PriorityQueue<Event> events =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
-    private final List<Site> sites = new ArrayList<>();
-    private final List<Node> nodes = new ArrayList<>();
-    private final Map<Long, Node> byId = new HashMap<>();
+    private final Scenario scenario;
+    private final SplittableRandom demandRandom;
+    private final SplittableRandom networkRandom;
+    private final PriorityQueue<Event> events = new PriorityQueue<>(
+            (a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
+    private final List<SimulatedScheduler> schedulers = new ArrayList<>();
+    private final List<SimulatedEndpoint> endpoints = new ArrayList<>();
+    private final Map<Long, SimulatedEndpoint> byId = new HashMap<>();
     private final Result result = new Result();
-    private double weights;
-    private long order;
+    private double totalWeight;
+    private long sequence;
     private double now = 100;
-    private final double begins;
+    private final double measuredFrom;
     private long requests;
 
-    private CapacityWorld(Scenario day) {
-        this.day = day;
-        draws = new SplittableRandom(day.seed);
-        chance = new SplittableRandom(day.seed + 1);
-        begins = now + 1;
+    private CapacityWorld(Scenario scenario) {
+        this.scenario = scenario;
+        demandRandom = new SplittableRandom(scenario.seed);
+        networkRandom = new SplittableRandom(scenario.seed + 1);
+        measuredFrom = now + 1;
     }
 
-    /** Plays the day. */
-    public static Result play(Scenario day) {
-        return new CapacityWorld(day).play();
+    /** Runs the scenario. */
+    public static Result play(Scenario scenario) {
+        return new CapacityWorld(scenario).play();
     }
 
-    private boolean counts() {
-        return now >= begins;
+    private boolean isMeasured() {
+        return now >= measuredFrom;
     }
 
     private long micros() {
-        return Math.round(now * MICROS);
+        return Math.round(now * MICROS_PER_SECOND);
     }
 
-    private void after(double delay, Runnable what) {
-        events.add(new Event(now + delay, order++, what));
+    private void schedule(double delay, Runnable action) {
+        events.add(new Event(now + delay, sequence++, action));
     }
 
     private Settings settings(int number) {
         Settings settings = new Settings();
         JobClass type = new JobClass();
-        type.aim = AIM;
+        type.aim = AIM_SECONDS;
         type.stretch = STRETCH;
-        type.deadline = DEADLINE;
+        type.deadline = DEADLINE_SECONDS;
         type.effect = Dispatch.Effect.SAFE;
         settings.classes = new JobClass[] {type};
-        settings.zones = day.zones;
-        settings.zone = number % day.zones;
+        settings.zones = scenario.zones;
+        settings.zone = number % scenario.zones;
         settings.dispatcherIndex = number;
-        settings.dispatchers = day.schedulers;
+        settings.dispatchers = scenario.schedulers;
         settings.reports = ReportSource.ANSWERS;
         settings.maxAttempts = 5;
         settings.mayCancel = true;
@@ -460,135 +468,140 @@
 
     private Result play() {
         List<Worker> workers = new ArrayList<>();
-        for (int i = 0; i < day.endpoints; i++) {
-            Node node = new Node(i);
-            nodes.add(node);
-            byId.put(node.id, node);
+        for (int i = 0; i < scenario.endpoints; i++) {
+            SimulatedEndpoint endpoint = new SimulatedEndpoint(i);
+            endpoints.add(endpoint);
+            byId.put(endpoint.id, endpoint);
             Worker worker = new Worker();
-            worker.id = node.id;
-            worker.zone = node.zone;
+            worker.id = endpoint.id;
+            worker.zone = endpoint.zone;
             worker.cell = i;
             workers.add(worker);
         }
-        for (int i = 0; i < day.schedulers; i++) {
-            Site site = new Site(i, settings(i));
-            sites.add(site);
-            site.logic.start(now);
-            site.logic.list(now, ListKind.CACHED, workers);
-            if (site.capacity != null) {
-                for (Node node : nodes) {
-                    site.capacity.addEndpoint(node.id, node.zone, 0, "", 0);
-                    site.voice.addEndpoint(node.id, node.zone, 0, "", 0);
+        for (int i = 0; i < scenario.schedulers; i++) {
+            SimulatedScheduler scheduler = new SimulatedScheduler(i, settings(i));
+            schedulers.add(scheduler);
+            scheduler.logic.start(now);
+            scheduler.logic.list(now, ListKind.CACHED, workers);
+            if (scheduler.capacity != null) {
+                for (SimulatedEndpoint endpoint : endpoints) {
+                    scheduler.capacity.addEndpoint(endpoint.id, endpoint.zone, 0, "", 0);
+                    scheduler.gossipSender.addEndpoint(endpoint.id, endpoint.zone, 0, "", 0);
                 }
-                after(chance.nextDouble() * CapacityGossip.ROUND_MICROS / MICROS, site::round);
+                schedule(
+                        networkRandom.nextDouble() * CapacityGossip.ROUND_MICROS / MICROS_PER_SECOND,
+                        scheduler::gossipRound);
             }
         }
-        phase();
+        startDemandPhase();
         arrive();
-        double ends = begins + day.seconds;
-        while (!events.isEmpty() && events.peek().at < ends + DEADLINE) {
+        double ends = measuredFrom + scenario.seconds;
+        while (!events.isEmpty() && events.peek().at < ends + DEADLINE_SECONDS) {
             Event event = events.poll();
             now = event.at;
-            event.what.run();
+            event.action.run();
         }
         return result;
     }
 
     // ---- demand ----
 
-    /** Who is asked how much: one in twenty for ten times the mean, others for little, anew every while. */
-    private void phase() {
-        weights = 0;
-        for (Site site : sites) {
-            double drawn = draws.nextDouble();
-            site.weight = drawn < 0.05 ? MOST_UNEVEN : 0.1 + 0.8 * draws.nextDouble();
-            weights += site.weight;
+    /** Redraws each scheduler's share of the demand: one in 20 gets ten times the mean, the others 0.1 to 0.9 of it. */
+    private void startDemandPhase() {
+        totalWeight = 0;
+        for (SimulatedScheduler scheduler : schedulers) {
+            double drawn = demandRandom.nextDouble();
+            scheduler.weight = drawn < 0.05 ? BUSIEST_WEIGHT : 0.1 + 0.8 * demandRandom.nextDouble();
+            totalWeight += scheduler.weight;
         }
-        after(PHASE, this::phase);
+        schedule(DEMAND_PHASE_SECONDS, this::startDemandPhase);
     }
 
     private void arrive() {
-        if (now >= begins + day.seconds) {
+        if (now >= measuredFrom + scenario.seconds) {
             return;
         }
-        double perSecond = day.load * day.endpoints * SLOTS / day.job;
-        after(-Math.log(1 - draws.nextDouble()) / perSecond, this::arrive);
-        double pick = draws.nextDouble() * weights;
+        double perSecond = scenario.load * scenario.endpoints * SLOTS_PER_ENDPOINT / scenario.job;
+        schedule(-Math.log(1 - demandRandom.nextDouble()) / perSecond, this::arrive);
+        double pick = demandRandom.nextDouble() * totalWeight;
         int i = 0;
-        while (i < sites.size() - 1 && pick >= sites.get(i).weight) {
-            pick -= sites.get(i++).weight;
+        while (i < schedulers.size() - 1 && pick >= schedulers.get(i).weight) {
+            pick -= schedulers.get(i++).weight;
         }
         Job job = new Job();
         job.arrivedAt = now;
-        job.takes = Math.min(4 * day.job, day.job * (0.25 - 0.75 * Math.log(1 - draws.nextDouble())));
-        job.hint = job.takes * (0.7 + 0.6 * draws.nextDouble());
-        if (counts()) {
+        job.durationSeconds =
+                Math.min(4 * scenario.job, scenario.job * (0.25 - 0.75 * Math.log(1 - demandRandom.nextDouble())));
+        job.hint = job.durationSeconds * (0.7 + 0.6 * demandRandom.nextDouble());
+        if (isMeasured()) {
             result.submitted++;
         }
-        if (day.central) {
-            central(sites.get(i), job);
+        if (scenario.central) {
+            dispatchCentrally(schedulers.get(i), job);
             return;
         }
-        Site site = sites.get(i);
+        SimulatedScheduler scheduler = schedulers.get(i);
         long id = ++requests;
-        site.jobs.put(id, job);
+        scheduler.jobs.put(id, job);
         Dispatch.Request request = new Dispatch.Request();
         request.id = id;
-        request.deadline = now + DEADLINE;
+        request.deadline = now + DEADLINE_SECONDS;
         request.hint = job.hint;
-        site.event(() -> site.logic.request(now, request));
+        scheduler.enqueue(() -> scheduler.logic.request(now, request));
     }
 
-    // ---- one that sees all at once ----
-
-    private void central(Site site, Job job) {
-        // The module's own rule with nothing unknown but how long jobs run, of which clients say the same to
-        // all: the home zone while it can be in time there, then a neighbour.
-        Node best = null;
-        double patience = 0.9 * (AIM + STRETCH * job.hint) - job.hint;
-        int coin = chance.nextBoolean() ? 1 : day.zones - 1;
-        for (int step : new int[] {0, coin, day.zones - coin}) {
-            Node least = least((site.zone + step) % day.zones);
-            if (least != null && least.foreseen() <= patience) {
+    // ---- central dispatcher with complete knowledge ----
+
+    private void dispatchCentrally(SimulatedScheduler scheduler, Job job) {
+        // Applies the decision module's rule with complete knowledge of all endpoints; only the jobs' durations are
+        // estimated, from the same hints: the home zone while the job can be in time there, then a neighbour zone.
+        SimulatedEndpoint best = null;
+        double patience = 0.9 * (AIM_SECONDS + STRETCH * job.hint) - job.hint;
+        int coin = networkRandom.nextBoolean() ? 1 : scenario.zones - 1;
+        for (int step : new int[] {0, coin, scenario.zones - coin}) {
+            SimulatedEndpoint least = leastLoaded((scheduler.zone + step) % scenario.zones);
+            if (least != null && least.expectedWaitSeconds() <= patience) {
                 best = least;
                 break;
             }
         }
         if (best == null) {
-            boolean counts = job.arrivedAt >= begins;
+            boolean counts = job.arrivedAt >= measuredFrom;
             result.refused += counts ? 1 : 0;
-            result.idleRefused += counts && roomInReach(site.zone) ? 1 : 0;
+            result.idleRefused += counts && hasFreeSlotInReach(scheduler.zone) ? 1 : 0;
             return;
         }
-        Call call = new Call();
-        call.from = site;
-        call.request = ++requests;
-        call.node = best;
-        call.takes = job.takes;
-        call.hint = job.hint;
-        site.jobs.put(call.request, job);
-        // What it sends counts at once: it sees all.
-        best.arrive(call);
+        Attempt attempt = new Attempt();
+        attempt.from = scheduler;
+        attempt.request = ++requests;
+        attempt.endpoint = best;
+        attempt.durationSeconds = job.durationSeconds;
+        attempt.hint = job.hint;
+        scheduler.jobs.put(attempt.request, job);
+        // Without a link delay: the dispatcher's next decision must already see this job.
+        best.arrive(attempt);
     }
 
-    private Node least(int zone) {
-        Node best = null;
+    private SimulatedEndpoint leastLoaded(int zone) {
+        SimulatedEndpoint best = null;
         double least = 0;
-        for (int i = zone; i < nodes.size(); i += day.zones) {
-            Node node = nodes.get(i);
-            double wait = node.waiting.size() < QUEUE ? node.foreseen() : Double.POSITIVE_INFINITY;
-            if (best == null || wait < least || wait == least && node.busy < best.busy) {
-                best = node;
+        for (int i = zone; i < endpoints.size(); i += scenario.zones) {
+            SimulatedEndpoint endpoint = endpoints.get(i);
+            double wait = endpoint.waiting.size() < QUEUE_CAPACITY
+                    ? endpoint.expectedWaitSeconds()
+                    : Double.POSITIVE_INFINITY;
+            if (best == null || wait < least || wait == least && endpoint.busy < best.busy) {
+                best = endpoint;
                 least = wait;
             }
         }
         return best;
     }
 
-    private boolean roomInReach(int zone) {
-        for (int step : new int[] {0, 1, day.zones - 1}) {
-            for (int i = (zone + step) % day.zones; i < nodes.size(); i += day.zones) {
-                if (nodes.get(i).busy < SLOTS) {
+    private boolean hasFreeSlotInReach(int zone) {
+        for (int step : new int[] {0, 1, scenario.zones - 1}) {
+            for (int i = (zone + step) % scenario.zones; i < endpoints.size(); i += scenario.zones) {
+                if (endpoints.get(i).busy < SLOTS_PER_ENDPOINT) {
                     return true;
                 }
             }
@@ -598,18 +611,18 @@
 
     // ---- the network ----
 
-    private void transmit(Site from, Site to, byte[] bytes) {
-        // Who comes to know all at first is no running cost, and behind the day nothing is asked for.
-        if (counts() && now < begins + day.seconds) {
+    private void transmit(SimulatedScheduler from, SimulatedScheduler to, byte[] bytes) {
+        // Excludes the initial spread of all reports, which is no running cost, and the time after the last job.
+        if (isMeasured() && now < measuredFrom + scenario.seconds) {
             result.datagrams++;
             result.bytes += bytes.length;
         }
         result.largestDatagramBytes = Math.max(result.largestDatagramBytes, bytes.length);
-        if (chance.nextDouble() < day.lost) {
+        if (networkRandom.nextDouble() < scenario.lost) {
             return;
         }
-        after(
-                WIRE + chance.nextDouble() * day.delay,
-                () -> to.capacity.receive(micros(), from.number, from.zone, bytes, ROOM));
+        schedule(
+                LINK_DELAY_SECONDS + networkRandom.nextDouble() * scenario.delay,
+                () -> to.capacity.receive(micros(), from.number, from.zone, bytes, MAX_DATAGRAM_BYTES));
     }
 }
--- a/src/test/java/laneflow/lab/world/CapacityWorldTest.java
+++ b/src/test/java/laneflow/lab/world/CapacityWorldTest.java
@@ -9,48 +9,49 @@
 import laneflow.lab.world.CapacityWorld.Scenario;
 import org.junit.jupiter.api.Test;
 
-/** Days of a fleet in virtual time, with the module itself deciding: what news of capacity does to it. */
+/** How gossiped load reports change the decisions of a simulated fleet, which the production module makes. */
 class CapacityWorldTest {
-    private static Result day(LoadEstimator news, double lost, Fault fault) {
+    private static Result run(LoadEstimator news, double lost, Fault fault) {
         return CapacityWorld.play(new Scenario(36, 180, 6, 1, 0.7, 4, 7, news, false, lost, 0.002, fault));
     }
 
     @Test
-    void withoutNewsTheModuleChoosesAsItDoesWithout() {
-        Result without = day(null, 0, Fault.NONE);
-        // All is told and heard, and nothing is made of it.
-        Result heard = day(news -> Double.NaN, 0, Fault.NONE);
-        assertTrue(heard.datagrams > 0 && heard.news == 0);
-        assertEquals(without.submitted, heard.submitted);
-        assertEquals(without.inTime, heard.inTime);
-        assertEquals(without.late, heard.late);
-        assertEquals(without.refused, heard.refused);
-        // Where all is lost it is the same.
-        Result lost = day(LoadEstimator.SELECTIVE, 1, Fault.NONE);
+    void ignoredOrLostNewsChangesNoDecision() {
+        Result without = run(null, 0, Fault.NONE);
+        // Reports are sent and received, but the estimator ignores all of them.
+        Result ignored = run(news -> Double.NaN, 0, Fault.NONE);
+        assertTrue(ignored.datagrams > 0 && ignored.news == 0);
+        assertEquals(without.submitted, ignored.submitted);
+        assertEquals(without.inTime, ignored.inTime);
+        assertEquals(without.late, ignored.late);
+        assertEquals(without.refused, ignored.refused);
+        // The same holds if every datagram is lost.
+        Result lost = run(LoadEstimator.SELECTIVE, 1, Fault.NONE);
         assertEquals(without.inTime, lost.inTime);
         assertEquals(without.refused, lost.refused);
     }
 
-    private static Result fullDay(LoadEstimator news) {
+    private static Result runAtFullLoad(LoadEstimator news) {
         return CapacityWorld.play(new Scenario(36, 180, 6, 1, 1.0, 4, 7, news, false, 0, 0.002, Fault.NONE));
     }
 
-    /** On a full day: with less load only some of 2,000 are refused so, and fewer or more by chance. */
+    /** Needs full load: at less, so few of 2,000 jobs are refused that chance decides the comparison. */
     @Test
-    void newsLetsFewerBeRefusedWhileAnEndpointHasRoom() {
-        Result without = fullDay(null);
-        Result with = fullDay(LoadEstimator.SELECTIVE);
+    void newsReducesRefusalsWhileAnEndpointHasAFreeSlot() {
+        Result without = runAtFullLoad(null);
+        Result with = runAtFullLoad(LoadEstimator.SELECTIVE);
         assertTrue(without.idleRefused > 50 && with.news > 0, without.idleRefused + " and " + with.news);
         assertTrue(with.idleRefused < 0.8 * without.idleRefused, with.idleRefused + " of " + without.idleRefused);
         assertTrue(with.largestDatagramBytes <= 200);
     }
 
     @Test
-    void aLiarCostsLessThanAPoint() {
-        Result honest = day(LoadEstimator.SELECTIVE, 0, Fault.NONE);
-        for (Fault lie : new Fault[] {Fault.LIAR_FREE, Fault.LIAR_FULL}) {
-            Result lied = day(LoadEstimator.SELECTIVE, 0, lie);
-            assertTrue(lied.points() > honest.points() - 1, lie + ": " + lied.points() + " of " + honest.points());
+    void aSchedulerWithFalseNewsCostsLessThanOnePoint() {
+        Result honest = run(LoadEstimator.SELECTIVE, 0, Fault.NONE);
+        for (Fault fault : new Fault[] {Fault.LIAR_FREE, Fault.LIAR_FULL}) {
+            Result faulty = run(LoadEstimator.SELECTIVE, 0, fault);
+            assertTrue(
+                    faulty.points() > honest.points() - 1, fault + ": " + faulty.points() + " of " + honest.points());
         }
     }
 }
