--- a/src/main/java/laneflow/lab/measure/TaskHistory.java
+++ b/src/main/java/laneflow/lab/measure/TaskHistory.java
@@ -10,13 +10,12 @@
 import laneflow.lab.standin.StandInReceiver.Call;
 
 /**
- * Holds the calls that a receiver has written down against what is promised of tasks: no two holders at work
- * on one task at once, no call accepted behind one with a higher token, none that its holder counted as done
- * and the receiver has not seen.
+ * Checks the calls that a receiver has recorded against the guarantees for tasks: no two holders work on one task at
+ * the same time, and no call is accepted after one with a higher token.
  */
 public final class TaskHistory {
     private final List<Call> calls;
-    private final List<String> found = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private int twoAtOnce;
     private int staleAccepted;
     private int pastCutOff;
@@ -26,7 +25,7 @@
         this.calls.sort(Comparator.comparingLong(Call::beganNs));
     }
 
-    /** Looks at all of it; empty where every promise was kept. */
+    /** Checks all recorded calls and describes each violation; the list is empty if there are none. */
     public List<String> check() {
         Map<String, Call> latest = new HashMap<>();
         Map<String, Long> highest = new HashMap<>();
@@ -34,18 +33,19 @@
             if (!call.accepted()) {
                 continue;
             }
-            Call before = latest.get(call.task());
+            Call previous = latest.get(call.task());
             boolean overlaps =
-                    before != null && !before.holder().equals(call.holder()) && call.beganNs() < before.endedNs();
-            if (overlaps && (before.cutOff() || call.cutOff())) {
-                // Its receiver worked for one who had closed the connection: no caller can help that.
+                    previous != null && !previous.holder().equals(call.holder()) && call.beganNs() < previous.endedNs();
+            if (overlaps && (previous.cutOff() || call.cutOff())) {
+                // The receiver went on working after the caller had closed the connection, which no caller can prevent.
                 pastCutOff++;
             } else if (overlaps) {
                 twoAtOnce++;
-                found.add(call.task() + ": " + call.holder() + " began " + (before.endedNs() - call.beganNs()) / 1000
-                        + " us before " + before.holder() + " had ended");
+                violations.add(
+                        call.task() + ": " + call.holder() + " began " + (previous.endedNs() - call.beganNs()) / 1000
+                                + " us before " + previous.holder() + " had ended");
             }
-            if (before == null || call.endedNs() > before.endedNs()) {
+            if (previous == null || call.endedNs() > previous.endedNs()) {
                 latest.put(call.task(), call);
             }
             long token = highest.getOrDefault(call.task(), 0L);
@@ -53,32 +53,32 @@
                 pastCutOff++;
             } else if (call.token() < token) {
                 staleAccepted++;
-                found.add(call.task() + ": token " + call.token() + " of " + call.holder() + " was accepted behind "
-                        + token);
+                violations.add(call.task() + ": token " + call.token() + " of " + call.holder()
+                        + " was accepted after token " + token);
             }
             highest.put(call.task(), Math.max(token, call.token()));
         }
-        return found;
+        return violations;
     }
 
-    /** The tasks that this process was the last to call for before that instant. */
+    /** Returns the tasks whose last call before that instant came from this process. */
     public Set<String> heldBy(String name, long atNs) {
-        Map<String, String> last = new HashMap<>();
+        Map<String, String> lastHolders = new HashMap<>();
         for (Call call : calls) {
             if (call.beganNs() < atNs) {
-                last.put(call.task(), call.holder());
+                lastHolders.put(call.task(), call.holder());
             }
         }
-        Set<String> held = new HashSet<>();
-        last.forEach((task, holder) -> {
+        Set<String> tasks = new HashSet<>();
+        lastHolders.forEach((task, holder) -> {
             if (holder.startsWith(name + "#")) {
-                held.add(task);
+                tasks.add(task);
             }
         });
-        return held;
+        return tasks;
     }
 
-    /** Nanoseconds from that instant until another than these called for the task, or -1: never. */
+    /** Returns the nanoseconds from that instant until a process not in the set called for the task, or -1. */
     public long takenUp(String task, Set<String> names, long atNs) {
         for (Call call : calls) {
             String name = call.holder().substring(0, call.holder().indexOf('#'));
@@ -89,18 +89,22 @@
         return -1;
     }
 
-    /** How many tasks the most loaded of these carried between two instants, over even. */
-    public double fair(int live, long fromNs, long toNs) {
-        Map<String, String> last = new HashMap<>();
+    /**
+     * Returns the tasks of the most loaded holder between two instants, divided by an even share.
+     *
+     * @param liveHolders number of processes that share the tasks
+     */
+    public double fair(int liveHolders, long fromNs, long toNs) {
+        Map<String, String> lastHolders = new HashMap<>();
         for (Call call : calls) {
             if (call.beganNs() >= fromNs && call.beganNs() < toNs) {
-                last.put(call.task(), call.holder());
+                lastHolders.put(call.task(), call.holder());
             }
         }
         Map<String, Integer> loads = new HashMap<>();
-        last.values().forEach(holder -> loads.merge(holder, 1, Integer::sum));
-        int most = loads.values().stream().mapToInt(one -> one).max().orElse(0);
-        return last.isEmpty() ? 0 : most * (double) live / last.size();
+        lastHolders.values().forEach(holder -> loads.merge(holder, 1, Integer::sum));
+        int maxLoad = loads.values().stream().mapToInt(load -> load).max().orElse(0);
+        return lastHolders.isEmpty() ? 0 : maxLoad * (double) liveHolders / lastHolders.size();
     }
 
     public int twoAtOnce() {
@@ -111,7 +115,7 @@
         return staleAccepted;
     }
 
-    /** Calls at whose receiver the work went on behind the caller's cut-off, into another holder's. */
+    /** Returns the calls whose work went on after the caller had cut them off, into another holder's work. */
     public int pastCutOff() {
         return pastCutOff;
     }
--- a/src/main/java/laneflow/lab/measure/ThreadTimes.java
+++ b/src/main/java/laneflow/lab/measure/ThreadTimes.java
@@ -9,21 +9,22 @@
 import java.util.TreeMap;
 
 /**
- * What the threads of one name in a process have used, by the kernel's own accounts: what a thread did itself
- * is told apart there from what it waited for because the machine had others to run.
+ * Kernel scheduler statistics of all threads of one name in a process. They separate the time on a processor from the
+ * time that a runnable thread waited for one.
  *
  * @param ns nanoseconds on a processor
- * @param waitedNs nanoseconds in which it could have run, and another did
- * @param wakes how often it gave the processor up by itself
+ * @param waitedNs nanoseconds in which the threads were runnable but waited for a processor
+ * @param wakes voluntary context switches
  */
 record ThreadTimes(long ns, long waitedNs, long wakes) {
-    /** Of all threads of that process, by their names. */
+    /** Reads the statistics of all threads of a process, by thread name. */
     static Map<String, ThreadTimes> of(long pid) throws IOException {
-        Map<String, ThreadTimes> all = new TreeMap<>();
+        Map<String, ThreadTimes> timesByName = new TreeMap<>();
         try (DirectoryStream<Path> tasks = Files.newDirectoryStream(Path.of("/proc/" + pid + "/task"))) {
             for (Path task : tasks) {
                 try {
-                    String[] spent = Files.readString(task.resolve("schedstat")).split(" ");
+                    String[] schedstat =
+                            Files.readString(task.resolve("schedstat")).split(" ");
                     long wakes = 0;
                     for (String line : Files.readAllLines(task.resolve("status"))) {
                         if (line.startsWith("voluntary_ctxt_switches:")) {
@@ -31,24 +32,24 @@
                                     line.substring(line.indexOf(':') + 1).strip());
                         }
                     }
-                    all.merge(
+                    timesByName.merge(
                             Files.readString(task.resolve("comm")).strip(),
-                            new ThreadTimes(Long.parseLong(spent[0]), Long.parseLong(spent[1]), wakes),
+                            new ThreadTimes(Long.parseLong(schedstat[0]), Long.parseLong(schedstat[1]), wakes),
                             ThreadTimes::plus);
                 } catch (NoSuchFileException e) {
-                    // A thread that has just ended.
+                    // The thread has just ended.
                     continue;
                 }
             }
         }
-        return all;
+        return timesByName;
     }
 
     ThreadTimes plus(ThreadTimes other) {
         return new ThreadTimes(ns + other.ns, waitedNs + other.waitedNs, wakes + other.wakes);
     }
 
-    /** Since then; null: since its beginning. */
+    /** Returns the difference to an earlier reading; this reading itself if there is none. */
     ThreadTimes less(ThreadTimes before) {
         return before == null
                 ? this
--- a/src/main/java/laneflow/lab/world/CapacityWorld.java
+++ b/src/main/java/laneflow/lab/world/CapacityWorld.java
@@ -44,7 +44,7 @@
     private static final double FALSE_LOAD = 192;
     private static final double OVERDUE_REMAINING_SHARE = 0.5;
 
-    /** What the first scheduler's gossip claims of endpoints, whatever they report: 192 free slots, or 192 queued jobs. */
+    /** False claims of the first scheduler's gossip about endpoints: 192 free slots, or 192 queued jobs. */
     public enum Fault {
         NONE,
         LIAR_FREE,
--- a/src/test/java/laneflow/lab/measure/TakenBackStoryTest.java
+++ b/src/test/java/laneflow/lab/measure/TakenBackStoryTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A change that makes service worse is taken back at all schedulers, by a change of its own. */
+/** A policy change that makes service worse during its trial is reverted at all schedulers, by a second change. */
 @Timeout(300)
 class TakenBackStoryTest {
     @TempDir
     private Path folder;
 
     @Test
-    void whatMakesServiceWorseIsTakenBackEverywhere() throws Exception {
+    void aHarmfulChangeIsRevertedAtAllSchedulers() throws Exception {
         int node = Crew.port();
         String common = "zones = [\"z\"]\n[classes.check]\nrepeat = \"safe\"\n[classes.capture]\n[endpoints.till]\n"
                 + "dial = \"127.0.0.1:" + node
@@ -33,20 +33,20 @@
                 loads[i] = new PolicyLoad(Rig.name(i), rig.clientPort(i), 4, 60);
                 loads[i].begin();
             }
-            rig.await("the usual state is known", () -> loads[0].said.size() > 300);
-            // One that harms nobody stays.
+            rig.await("enough answers for a baseline", () -> loads[0].said.size() > 300);
+            // A change that does no harm stays in force.
             rig.proposeUntilTaken(0, "harmless", "{\"bans\":[{\"name\":\"nobody\"}]}");
             rig.awaitDeciding(1, rig.all());
-            rig.await("its trial is over", () -> loads[0].said.size() > 900);
+            rig.await("the trial of the harmless change is over", () -> loads[0].said.size() > 900);
             rig.proposeUntilTaken(0, "worse", "{\"bans\":[{\"name\":\"till\"}]}");
-            rig.await("it is taken back", () -> {
-                JsonObject back = rig.change(0, "worse.taken-back");
-                return back != null && back.get("state").getAsString().equals("applied");
+            rig.await("the harmful change is reverted", () -> {
+                JsonObject revert = rig.change(0, "worse.taken-back");
+                return revert != null && revert.get("state").getAsString().equals("applied");
             });
             rig.awaitDeciding(3, rig.all());
             assertEquals("applied", rig.change(1, "harmless").get("state").getAsString());
-            JsonObject back = rig.change(2, "worse.taken-back");
-            assertTrue(back.get("by").getAsString().startsWith("the trial: "), back.toString());
+            JsonObject revert = rig.change(2, "worse.taken-back");
+            assertTrue(revert.get("by").getAsString().startsWith("the trial: "), revert.toString());
             for (PolicyLoad load : loads) {
                 load.end();
                 assertEquals(0, load.lost.get());
--- a/src/test/java/laneflow/lab/measure/TaskHistoryTest.java
+++ b/src/test/java/laneflow/lab/measure/TaskHistoryTest.java
@@ -7,14 +7,14 @@
 import laneflow.lab.standin.StandInReceiver.Call;
 import org.junit.jupiter.api.Test;
 
-/** What is wrong with a history of calls is found, and nothing else. */
+/** {@link TaskHistory} reports every violation in a history of calls, and nothing else. */
 class TaskHistoryTest {
     private static Call call(String holder, long token, long began, long ended) {
         return new Call("t", token, holder, true, true, began, ended, false);
     }
 
     @Test
-    void aSoundHistoryIsSound() {
+    void aCorrectHistoryHasNoViolations() {
         TaskHistory history = new TaskHistory(List.of(
                 call("a#1", 1, 0, 10),
                 call("a#1", 1, 5, 12),
@@ -37,20 +37,20 @@
     }
 
     @Test
-    void twoLivesOfOneNameAreTwoHolders() {
+    void twoProcessesOfOneNameAreTwoHolders() {
         TaskHistory history = new TaskHistory(List.of(call("a#1", 1, 0, 10), call("a#2", 2, 9, 20)));
         history.check();
         assertEquals(1, history.twoAtOnce());
     }
 
     @Test
-    void workThatGoesOnBehindItsCutOffIsToldApart() {
+    void workThatContinuesAfterItsCutOffIsCountedSeparately() {
         TaskHistory history = new TaskHistory(List.of(
                 new Call("t", 1, "a#1", false, true, 0, 10, true), call("b#1", 2, 9, 20), call("c#1", 3, 15, 30)));
         assertEquals(1, history.check().size());
         assertEquals(1, history.pastCutOff());
         assertEquals(1, history.twoAtOnce());
-        // Read late from a connection that was closed long ago: by one that checks no tokens.
+        // A receiver that checks no tokens reads a call late, from a connection that was closed long before.
         TaskHistory late =
                 new TaskHistory(List.of(call("b#1", 2, 0, 10), new Call("t", 1, "a#1", false, true, 20, 30, true)));
         assertEquals(List.of(), late.check());
