--- a/src/main/java/laneflow/gearman/Worker.java
+++ b/src/main/java/laneflow/gearman/Worker.java
@@ -23,17 +23,17 @@
     private final Scheduler scheduler;
     private final Peer peer;
     private final String name;
-    /** Functions it can run, with time limits in seconds, 0 for none. */
+    /** Functions that the worker can run, with time limits in seconds, 0 for none. */
     private final Map<String, Integer> abilities = new LinkedHashMap<>();
     /** Announced functions that are not mapped to a class, kept because a later configuration may map them. */
     private final Map<String, Integer> unmapped = new LinkedHashMap<>();
     /** Attempts that wait to be grabbed. */
     private final List<Attempt> queue = new ArrayList<>();
 
-    private final ByteArrayOutputStream data = new ByteArrayOutputStream();
-    private final Deadline timeLimit;
+    private final ByteArrayOutputStream resultData = new ByteArrayOutputStream();
+    private final Deadline timeLimitTimer;
     private final Deadline drainTimer;
-    private final Deadline grabTimeout;
+    private final Deadline grabTimer;
     private boolean registered;
     private boolean asleep;
     /** The handle of the assigned job, kept even after its attempt was abandoned; null if there is none. */
@@ -51,9 +51,9 @@
         this.scheduler = front.scheduler;
         this.peer = peer;
         this.name = name;
-        timeLimit = front.loop.deadlines().create(this::timeLimitExceeded);
+        timeLimitTimer = front.loop.deadlines().create(this::timeLimitExceeded);
         drainTimer = front.loop.deadlines().create(() -> returnQueued(Outcome.MOOT, true));
-        grabTimeout = front.loop.deadlines().create(() -> returnQueued(Outcome.CONNECT_FAILED, true));
+        grabTimer = front.loop.deadlines().create(() -> returnQueued(Outcome.CONNECT_FAILED, true));
     }
 
     boolean hasFunction(String function) {
@@ -76,7 +76,7 @@
         if (front.config.function(function) == null && unmapped.size() < MAX_UNMAPPED) {
             unmapped.put(function, seconds);
         }
-        // Unmapped functions are never assigned to it.
+        // Unmapped functions are never assigned.
         if (front.config.function(function) != null) {
             if (abilities.put(function, seconds) == null) {
                 front.queues.adjustWorkers(function, 1);
@@ -120,7 +120,7 @@
      * so queued attempts are returned only after the grace period; until then only announced functions are assigned.
      */
     private void startDrain() {
-        front.loop.deadlines().cancel(grabTimeout);
+        front.loop.deadlines().cancel(grabTimer);
         long delayMicros = (long) (scheduler.settings().drainGrace * 1e6);
         front.loop.deadlines().set(drainTimer, front.loop.micros() + delayMicros);
     }
@@ -152,10 +152,10 @@
         scheduler.list(front.connector, false, List.of(entry));
     }
 
-    /** Returns queued attempts to the scheduler: all, or only those whose function it lacks. */
-    private void returnQueued(Outcome outcome, boolean all) {
+    /** Returns queued attempts to the scheduler: all, or only those whose function the worker lacks. */
+    private void returnQueued(Outcome outcome, boolean includeRunnable) {
         for (Attempt queued : new ArrayList<>(queue)) {
-            if (queue.contains(queued) && (all || functionFor(queued) == null)) {
+            if (queue.contains(queued) && (includeRunnable || functionFor(queued) == null)) {
                 queue.remove(queued);
                 scheduler.ended(queued, outcome, null, null);
             }
@@ -164,7 +164,7 @@
 
     // ---- attempts ----
 
-    /** The function under which it can run the attempt's request, or null. */
+    /** The function under which the worker can run the attempt's request, or null. */
     private String functionFor(Attempt attempt) {
         if (attempt.request.function != null) {
             return hasFunction(attempt.request.function) ? attempt.request.function : null;
@@ -179,7 +179,7 @@
 
     void enqueue(Attempt attempt) {
         if (functionFor(attempt) == null) {
-            // It lacks the function: the attempt was never sent, and another worker may run it.
+            // The worker lacks the function: the attempt was never sent, and another worker may run it.
             front.loop.later(() -> scheduler.ended(attempt, Outcome.MOOT, null, null));
             return;
         }
@@ -206,9 +206,9 @@
      * connection to a crashed machine need not break, and attempts queued there would wait for their deadline.
      */
     private void awaitGrab() {
-        if (handle == null && !queue.isEmpty() && !grabTimeout.isSet()) {
+        if (handle == null && !queue.isEmpty() && !grabTimer.isSet()) {
             long delayMicros = (long) (scheduler.settings().connectTimeout * 1e6);
-            front.loop.deadlines().set(grabTimeout, front.loop.micros() + delayMicros);
+            front.loop.deadlines().set(grabTimer, front.loop.micros() + delayMicros);
         }
     }
 
@@ -222,7 +222,7 @@
             // Under a lease a late outcome still counts.
             abandonedAttempt = attempt.lease > 0 ? attempt : null;
             assigned = null;
-            front.loop.deadlines().cancel(timeLimit);
+            front.loop.deadlines().cancel(timeLimitTimer);
         }
         return wasQueued;
     }
@@ -231,7 +231,7 @@
     boolean removeQueued(Attempt attempt) {
         boolean wasQueued = queue.remove(attempt);
         if (queue.isEmpty()) {
-            front.loop.deadlines().cancel(grabTimeout);
+            front.loop.deadlines().cancel(grabTimer);
         }
         return wasQueued;
     }
@@ -246,7 +246,7 @@
     /** Assigns the next attempt with this JOB_ASSIGN packet type: _UNIQ adds the unique id, _ALL also the reducer. */
     void grab(int assignType) {
         asleep = false;
-        front.loop.deadlines().cancel(grabTimeout);
+        front.loop.deadlines().cancel(grabTimer);
         Attempt next = handle == null ? pollRunnable() : null;
         if (next == null) {
             peer.send(Packet.NO_JOB);
@@ -261,10 +261,10 @@
                 : next.lease > 0
                         ? String.format("%s%016x.%d", GearmanFront.DURABLE_HANDLE_PREFIX, next.request.tag, next.lease)
                         : "H:laneflow:c" + Long.toHexString(next.handle());
-        data.reset();
+        resultData.reset();
         int seconds = abilities.get(function);
         if (seconds > 0) {
-            front.loop.deadlines().set(timeLimit, front.loop.micros() + seconds * 1_000_000L);
+            front.loop.deadlines().set(timeLimitTimer, front.loop.micros() + seconds * 1_000_000L);
         }
         byte[] body = next.request.payload.body();
         String unique = job != null
@@ -280,7 +280,7 @@
         scheduler.started(next);
     }
 
-    /** Removes and returns the first queued attempt that it can run and that the drain rules allow, or null. */
+    /** Removes and returns the first queued attempt that the worker can run and the drain rules allow, or null. */
     private Attempt pollRunnable() {
         for (Attempt queued : queue) {
             if (functionFor(queued) != null && scheduler.maySend(queued)) {
@@ -293,7 +293,7 @@
 
     // ---- packets about the assigned job ----
 
-    /** Handles a WORK_* packet; false if the handle is not that of its job. */
+    /** Handles a WORK_* packet; false if the handle is not that of the assigned job. */
     boolean handleWork(int type, String jobHandle, byte[] workData) throws Packet.MalformedPacket {
         if (!jobHandle.equals(handle)) {
             // WORK_EXCEPTION already ends the job; libraries send a redundant WORK_FAIL after it.
@@ -340,7 +340,7 @@
     private void status(byte[] workData) throws Packet.MalformedPacket {
         String[] parts = Packet.text(workData).split("\0", 2);
         if (parts.length < 2 || !parts[0].matches("[0-9]{1,15}") || !parts[1].matches("[0-9]{1,15}")) {
-            throw new Packet.MalformedPacket("a status that is no part of a whole");
+            throw new Packet.MalformedPacket("the status is not a numerator and a denominator");
         }
         if (assigned != null) {
             scheduler.progress(assigned, Long.parseLong(parts[0]), Long.parseLong(parts[1]));
@@ -360,11 +360,11 @@
     }
 
     private void appendResult(byte[] workData) {
-        if (assigned != null && data.size() + workData.length > front.config.maxBodyBytes) {
+        if (assigned != null && resultData.size() + workData.length > front.config.maxBodyBytes) {
             finish(Outcome.ERROR, null);
         } else if (assigned != null
-                || abandonedAttempt != null && data.size() + workData.length <= front.config.maxBodyBytes) {
-            data.writeBytes(workData);
+                || abandonedAttempt != null && resultData.size() + workData.length <= front.config.maxBodyBytes) {
+            resultData.writeBytes(workData);
         }
         if (assigned != null) {
             scheduler.stillRunning(assigned);
@@ -374,7 +374,7 @@
     private void complete(Outcome outcome) {
         previousHandle = handle;
         handle = null;
-        finish(outcome, outcome == Outcome.OK ? data.toByteArray() : null);
+        finish(outcome, outcome == Outcome.OK ? resultData.toByteArray() : null);
         awaitGrab();
     }
 
@@ -387,7 +387,7 @@
 
     /** Reports how the attempt ended; the worker may still be running the job. */
     private void finish(Outcome outcome, byte[] result) {
-        front.loop.deadlines().cancel(timeLimit);
+        front.loop.deadlines().cancel(timeLimitTimer);
         Attempt finished = assigned != null ? assigned : abandonedAttempt;
         assigned = null;
         abandonedAttempt = null;
@@ -396,7 +396,7 @@
         }
     }
 
-    /** The load as known from the connection: it has one slot. */
+    /** The load as known from the connection: a worker has one slot. */
     private LoadReport loadReport() {
         LoadReport report = new LoadReport();
         report.freeSlots = handle == null ? 1 : 0;
@@ -407,7 +407,7 @@
     /** The connection has ended: the assigned job may have run, queued attempts never ran. */
     void disconnected() {
         front.loop.deadlines().cancel(drainTimer);
-        front.loop.deadlines().cancel(grabTimeout);
+        front.loop.deadlines().cancel(grabTimer);
         forgetAbilities();
         if (!registered) {
             return;
--- a/src/main/java/laneflow/lab/world/MemberWorld.java
+++ b/src/main/java/laneflow/lab/world/MemberWorld.java
@@ -19,7 +19,7 @@
 import laneflow.membership.decision.Seal;
 import laneflow.membership.decision.State;
 import laneflow.membership.decision.Swim;
-import laneflow.membership.decision.Times;
+import laneflow.membership.decision.SwimTimings;
 import laneflow.membership.decision.Update;
 
 /**
@@ -86,7 +86,7 @@
         void changed(int observer, Update.MemberRecord before, Update.MemberRecord now);
     }
 
-    private final Times times;
+    private final SwimTimings times;
     private final MessageCodec codec = new MessageCodec(Seal.MAX_DATAGRAM_BYTES - Seal.OVERHEAD_BYTES);
     private final SplittableRandom random;
     private final PriorityQueue<Event> events = new PriorityQueue<>(
@@ -114,7 +114,7 @@
     }
 
     /** Creates a fleet with this many member slots, none of which runs a member yet. */
-    public MemberWorld(int slots, Times times, long seed) {
+    public MemberWorld(int slots, SwimTimings times, long seed) {
         this.times = times;
         random = new SplittableRandom(seed);
         nodes = new Node[slots];
--- a/src/main/java/laneflow/policy/LeaseGate.java
+++ b/src/main/java/laneflow/policy/LeaseGate.java
@@ -21,7 +21,7 @@
  * that: whatever was published before the control thread acknowledged a grant is seen by every later
  * decision. An expired lease closes the gate by the clock alone, whatever the control thread is doing.
  *
- * <p>A policy is adopted here, as a whole and in one turn; the control thread is notified afterwards.
+ * <p>The gate adopts a policy as a whole, in one turn; the control thread is notified afterwards.
  */
 final class LeaseGate implements AdmissionGate {
     private static final Logger LOG = LoggerFactory.getLogger(LeaseGate.class);
@@ -112,14 +112,14 @@
 
     @Override
     public boolean mayDecide() {
-        boolean may = currentPolicy() >= 0;
-        if (!may && servesWithoutLease) {
+        boolean hasPolicy = currentPolicy() >= 0;
+        if (!hasPolicy && servesWithoutLease) {
             counters.add("policy.decided_without_lease");
         }
-        if (may || servesWithoutLease) {
+        if (hasPolicy || servesWithoutLease) {
             lastDecidedNs = System.nanoTime();
         }
-        return may || servesWithoutLease;
+        return hasPolicy || servesWithoutLease;
     }
 
     /** Readiness: whether this scheduler should get clients. */
@@ -203,10 +203,10 @@
         return Math.max(0, adoptedPolicy);
     }
 
-    /** The policy of that epoch's requests, as told to clients; empty before the first policy. */
+    /** The policy of that epoch's requests, as sent to clients; empty before the first policy. */
     String versionOfEpoch(int epoch) {
-        Map.Entry<Integer, Long> at = policyByEpoch.floorEntry(epoch);
-        return at == null ? "" : "policy=" + at.getValue();
+        Map.Entry<Integer, Long> entry = policyByEpoch.floorEntry(epoch);
+        return entry == null ? "" : "policy=" + entry.getValue();
     }
 
     /** Stops using any lease, for good. */
--- a/src/test/java/laneflow/durable/DecisionTest.java
+++ b/src/test/java/laneflow/durable/DecisionTest.java
@@ -9,7 +9,7 @@
 import laneflow.decision.Dispatch.Effect;
 import laneflow.durable.decision.AttemptRecord;
 import laneflow.durable.decision.AttemptRecord.Known;
-import laneflow.durable.decision.Pacer;
+import laneflow.durable.decision.ConcurrencyLimiter;
 import laneflow.durable.decision.Settlement;
 import laneflow.durable.decision.Settlement.Kind;
 import laneflow.durable.decision.Settlement.Verdict;
@@ -23,12 +23,12 @@
 class DecisionTest {
     private static final long WINDOW = 10_000;
 
-    private static List<AttemptRecord> attempts(long at, Known... known) {
-        List<AttemptRecord> all = new ArrayList<>();
-        for (Known one : known) {
-            all.add(new AttemptRecord(all.size() + 1, "e", at, at + 500, one));
+    private static List<AttemptRecord> attempts(long leasedMs, Known... known) {
+        List<AttemptRecord> attempts = new ArrayList<>();
+        for (Known outcome : known) {
+            attempts.add(new AttemptRecord(attempts.size() + 1, "e", leasedMs, leasedMs + 500, outcome));
         }
-        return all;
+        return attempts;
     }
 
     private static Verdict decide(Effect effect, long nowMs, List<AttemptRecord> attempts) {
@@ -40,9 +40,10 @@
         for (Effect effect : Effect.values()) {
             assertEquals(Kind.REQUEUE, decide(effect, 1000, List.of()).kind());
             // Also when the clock was set back, and without a limit on such attempts.
-            Known[] never = new Known[9];
-            java.util.Arrays.fill(never, Known.NEVER_RAN);
-            assertEquals(Kind.REQUEUE, decide(effect, 0, attempts(1000, never)).kind());
+            Known[] neverRan = new Known[9];
+            java.util.Arrays.fill(neverRan, Known.NEVER_RAN);
+            assertEquals(
+                    Kind.REQUEUE, decide(effect, 0, attempts(1000, neverRan)).kind());
         }
     }
 
@@ -65,26 +66,28 @@
 
     @Test
     void keyedJobIsRequeuedOnlyWithinTheWindowOfItsEarliestAttempt() {
-        List<AttemptRecord> two = attempts(1000, Known.NEVER_RAN, Known.MAY_HAVE_RUN);
-        two.add(new AttemptRecord(3, "e", 9000, 9500, Known.MAY_HAVE_RUN));
-        Verdict inside = decide(Effect.KEYED, 10_999, two);
-        assertEquals(Kind.REQUEUE, inside.kind());
-        assertEquals(11_000, inside.untilMs());
-        assertEquals(Kind.UNKNOWN, decide(Effect.KEYED, 11_000, two).kind());
+        List<AttemptRecord> attempts = attempts(1000, Known.NEVER_RAN, Known.MAY_HAVE_RUN);
+        attempts.add(new AttemptRecord(3, "e", 9000, 9500, Known.MAY_HAVE_RUN));
+        Verdict verdict = decide(Effect.KEYED, 10_999, attempts);
+        assertEquals(Kind.REQUEUE, verdict.kind());
+        assertEquals(11_000, verdict.untilMs());
+        assertEquals(Kind.UNKNOWN, decide(Effect.KEYED, 11_000, attempts).kind());
         // With the clock behind the latest record, the attempt's age is unknown.
-        assertEquals(Kind.UNKNOWN, decide(Effect.KEYED, 999, two).kind());
+        assertEquals(Kind.UNKNOWN, decide(Effect.KEYED, 999, attempts).kind());
         assertEquals(
                 Kind.UNKNOWN,
-                Settlement.decide(Effect.KEYED, two, WINDOW, 10_000, 10_001, 5).kind());
+                Settlement.decide(Effect.KEYED, attempts, WINDOW, 10_000, 10_001, 5)
+                        .kind());
     }
 
     @Test
     void attemptsAreLimitedOverTheJobsLifetime() {
-        Known[] five = {Known.MAY_HAVE_RUN, Known.MAY_HAVE_RUN, Known.OUT, Known.SAID_FAILED, Known.MAY_HAVE_RUN};
+        Known[] outcomes = {Known.MAY_HAVE_RUN, Known.MAY_HAVE_RUN, Known.OUT, Known.SAID_FAILED, Known.MAY_HAVE_RUN};
         assertEquals(
-                Kind.FAILED, decide(Effect.SAFE, 1000, attempts(1000, five)).kind());
+                Kind.FAILED, decide(Effect.SAFE, 1000, attempts(1000, outcomes)).kind());
         assertEquals(
-                Kind.UNKNOWN, decide(Effect.KEYED, 1000, attempts(1000, five)).kind());
+                Kind.UNKNOWN,
+                decide(Effect.KEYED, 1000, attempts(1000, outcomes)).kind());
     }
 
     /** For any record: a job that may have run is requeued only if it is safe, or keyed and inside its window. */
@@ -94,58 +97,58 @@
             @ForAll @Size(max = 7) List<Known> known,
             @ForAll @IntRange(max = 40_000) int nowMs,
             @ForAll @IntRange(max = 40_000) int latestMs) {
-        List<AttemptRecord> all = new ArrayList<>();
-        for (Known one : known) {
-            int n = all.size() + 1;
-            all.add(new AttemptRecord(n, "e", 1000L * n, 1000L * n + 500, one));
+        List<AttemptRecord> attempts = new ArrayList<>();
+        for (Known outcome : known) {
+            int number = attempts.size() + 1;
+            attempts.add(new AttemptRecord(number, "e", 1000L * number, 1000L * number + 500, outcome));
         }
-        boolean ran = all.stream().anyMatch(AttemptRecord::mayHaveRun);
-        long first = all.stream()
+        boolean mayHaveRun = attempts.stream().anyMatch(AttemptRecord::mayHaveRun);
+        long firstLeasedMs = attempts.stream()
                 .filter(AttemptRecord::mayHaveRun)
                 .mapToLong(AttemptRecord::leasedMs)
                 .min()
                 .orElse(0);
-        Verdict verdict = Settlement.decide(effect, all, WINDOW, nowMs, latestMs, 5);
-        assertEquals(verdict, Settlement.decide(effect, all, WINDOW, nowMs, latestMs, 5));
-        if (verdict.kind() == Kind.REQUEUE && ran) {
+        Verdict verdict = Settlement.decide(effect, attempts, WINDOW, nowMs, latestMs, 5);
+        assertEquals(verdict, Settlement.decide(effect, attempts, WINDOW, nowMs, latestMs, 5));
+        if (verdict.kind() == Kind.REQUEUE && mayHaveRun) {
             assertTrue(effect == Effect.SAFE
                     || effect == Effect.KEYED
                             && nowMs >= latestMs
-                            && nowMs < first + WINDOW
-                            && verdict.untilMs() == first + WINDOW);
+                            && nowMs < firstLeasedMs + WINDOW
+                            && verdict.untilMs() == firstLeasedMs + WINDOW);
         }
-        assertTrue(ran || verdict.kind() == Kind.REQUEUE);
+        assertTrue(mayHaveRun || verdict.kind() == Kind.REQUEUE);
     }
 
     @Test
     void windowGrowsWithServedJobsAndShrinksOnCongestion() {
-        Pacer pacer = new Pacer(64);
-        assertTrue(pacer.mayStart(0, 0));
-        assertFalse(pacer.mayStart(0, 1));
+        ConcurrencyLimiter limiter = new ConcurrencyLimiter(64);
+        assertTrue(limiter.mayStart(0, 0));
+        assertFalse(limiter.mayStart(0, 1));
         for (int i = 0; i < 40; i++) {
-            pacer.onServed();
+            limiter.onServed();
         }
-        assertEquals(41, pacer.window());
+        assertEquals(41, limiter.window());
         // Queueing at an endpoint shrinks the window by a fifth, once for all calls sent before the decrease.
-        pacer.onStarted(1_000_000, 60_000);
-        pacer.onStarted(1_000_001, 900_000);
-        assertEquals(32, pacer.window());
-        pacer.onLiveRefused(1_300_000);
-        assertEquals(16, pacer.window());
+        limiter.onStarted(1_000_000, 60_000);
+        limiter.onStarted(1_000_001, 900_000);
+        assertEquals(32, limiter.window());
+        limiter.onLiveRefused(1_300_000);
+        assertEquals(16, limiter.window());
         // From now on the window grows by one per window of served jobs.
         for (int i = 0; i < 16; i++) {
-            pacer.onServed();
+            limiter.onServed();
         }
-        assertEquals(16, pacer.window(), 1);
-        pacer.onRefused(2_000_000);
-        assertFalse(pacer.mayStart(2_000_001, 0));
-        assertTrue(pacer.mayStart(2_020_000, 0));
-        pacer.onRefused(2_020_000);
-        assertFalse(pacer.mayStart(2_059_999, 0));
+        assertEquals(16, limiter.window(), 1);
+        limiter.onRefused(2_000_000);
+        assertFalse(limiter.mayStart(2_000_001, 0));
+        assertTrue(limiter.mayStart(2_020_000, 0));
+        limiter.onRefused(2_020_000);
+        assertFalse(limiter.mayStart(2_059_999, 0));
         for (int i = 0; i < 100; i++) {
-            pacer.onRefused(3_000_000 + i * 10_000_000L);
+            limiter.onRefused(3_000_000 + i * 10_000_000L);
         }
-        assertEquals(1, pacer.window());
-        assertEquals(2_000_000, pacer.pausedUntil() - 993_000_000L);
+        assertEquals(1, limiter.window());
+        assertEquals(2_000_000, limiter.pausedUntil() - 993_000_000L);
     }
 }
--- a/src/test/java/laneflow/durable/DurableStoryTest.java
+++ b/src/test/java/laneflow/durable/DurableStoryTest.java
@@ -43,9 +43,9 @@
     /** Polls until the job is in this state, and returns the last response. */
     private static String awaitState(Peer http, String id, String state) throws IOException {
         String response = "";
-        long end = System.nanoTime() + 60_000_000_000L;
+        long deadlineNs = System.nanoTime() + 60_000_000_000L;
         while (!response.contains("\"state\":\"" + state + "\"")) {
-            assertTrue(System.nanoTime() < end, response);
+            assertTrue(System.nanoTime() < deadlineNs, response);
             response = get(http, "/jobs/" + id);
         }
         return response;
@@ -61,8 +61,8 @@
 
     private static String jobId(String answer) {
         assertTrue(answer.startsWith("HTTP/1.1 202 "), answer);
-        int at = answer.indexOf("Location: /jobs/") + 16;
-        return answer.substring(at, at + 16);
+        int start = answer.indexOf("Location: /jobs/") + 16;
+        return answer.substring(start, start + 16);
     }
 
     @Test
@@ -163,8 +163,9 @@
             Peer call = endpoint.accept();
             String sent = call.message();
             awaitState(http, id, "unknown");
-            int at = sent.indexOf("Req-Id: ") + 8;
-            call.respond("{'id':'" + sent.substring(at, sent.indexOf('\r', at)) + "','state':'done','result':'paid'}");
+            int start = sent.indexOf("Req-Id: ") + 8;
+            call.respond(
+                    "{'id':'" + sent.substring(start, sent.indexOf('\r', start)) + "','state':'done','result':'paid'}");
             assertTrue(awaitState(http, id, "done").contains("\"result\":\"paid\""));
             // If it stayed open, the connection would be reused for the next call.
             call.close();
@@ -249,8 +250,8 @@
         try (SchedulerHarness harness =
                         SchedulerHarness.withDurableJobs(folder.resolve("in"), "[classes.points-post]\n", endpoint);
                 Peer http = harness.http()) {
-            Peer again = endpoint.accept();
-            assertTrue(again.message().contains("Idempotency-Key: k1\r\n"));
+            Peer secondCall = endpoint.accept();
+            assertTrue(secondCall.message().contains("Idempotency-Key: k1\r\n"));
             assertTrue(get(http, "/jobs/" + httpJob).contains("\"lease\":2"));
         }
         // Moves the record of the other job back by more than its window of ten seconds.
@@ -259,14 +260,14 @@
             store.read(true, rows::add);
             JobRow row = rows.get(0);
             var old = row.attempts().get(0);
-            long then = old.leasedMs() - 10_001;
+            long earlierMs = old.leasedMs() - 10_001;
             httpJob = Store.hex(row.id());
             store.write(List.of(Op.update(
                     row.id(),
                     State.RUNNING,
                     List.of(new laneflow.durable.decision.AttemptRecord(
-                            1, old.endpoint(), then, then + 500, old.known())),
-                    then)));
+                            1, old.endpoint(), earlierMs, earlierMs + 500, old.known())),
+                    earlierMs)));
         }
         try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(expired, "[classes.points-post]\n", endpoint);
                 Peer http = harness.http()) {
@@ -367,20 +368,20 @@
     @Test
     void shutdownLeavesQueuedAndRunningJobsToTheNextProcess() throws Exception {
         String queued;
-        String out;
+        String running;
         try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, "");
                 Peer client = harness.gearman()) {
             Peer worker = worker(harness, "kcapture");
-            out = submitBackground(client, "kcapture", "", "pay");
+            running = submitBackground(client, "kcapture", "", "pay");
             grab(worker);
             queued = submitBackground(client, "kpost", "u", "post");
-            long from = System.nanoTime();
+            long startNs = System.nanoTime();
             harness.serve.stop(() -> false);
-            assertTrue(System.nanoTime() - from < 6_000_000_000L);
+            assertTrue(System.nanoTime() - startNs < 6_000_000_000L);
         }
         try (SchedulerHarness harness = SchedulerHarness.withDurableJobs(folder, "");
                 Peer http = harness.http()) {
-            awaitState(http, id(out), "unknown");
+            awaitState(http, id(running), "unknown");
             awaitState(http, id(queued), "queued");
             Peer worker = worker(harness, "kpost");
             send(worker, Gearman.COMPLETE, grab(worker)[0], "posted");
--- a/src/test/java/laneflow/lab/world/SettlePlotTest.java
+++ b/src/test/java/laneflow/lab/world/SettlePlotTest.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import laneflow.membership.decision.Times;
+import laneflow.membership.decision.SwimTimings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 import org.knowm.xchart.BitmapEncoder;
@@ -33,7 +33,7 @@
     }
 
     private static double[] measure(int members, long seed) {
-        MemberWorld world = new MemberWorld(members, new Times(PERIOD_MICROS), seed);
+        MemberWorld world = new MemberWorld(members, new SwimTimings(PERIOD_MICROS), seed);
         for (int i = 0; i < members; i++) {
             world.start(i, 0, 1, 2);
         }
--- a/src/test/java/laneflow/maintenance/RequestFileTest.java
+++ b/src/test/java/laneflow/maintenance/RequestFileTest.java
@@ -21,12 +21,12 @@
         return Instant.parse(instant).toEpochMilli();
     }
 
-    private static List<Request> read(String earliest, String latest, String more) {
+    private static List<Request> read(String earliest, String latest, String extraFields) {
         return RequestFile.read(
                 "name = \"fw\"\nowner = \"crew\"\nracks = [\"a1\"]\nwork_minutes = 60\n"
                         + "time_zone = \"Europe/Ljubljana\"\nearliest = \"" + earliest + "\"\nlatest = \"" + latest
                         + "\"\n"
-                        + more,
+                        + extraFields,
                 "fw.toml",
                 RACKS,
                 UNTIL);
@@ -34,7 +34,7 @@
 
     @Test
     void allFieldsAreRead() {
-        Request one = read(
+        Request request = read(
                         "2026-12-10T22:00",
                         "2026-12-11T06:00",
                         "notice_minutes = 1440\nabort_minutes = 30\n" + "apart = [\"power-3\"]\nafter = [\"other\"]")
@@ -51,20 +51,20 @@
                         1_800_000,
                         Set.of("power-3"),
                         List.of("other")),
-                one);
+                request);
     }
 
     @Test
     void aRepeatedLocalTimeGivesTheLongestPeriod() {
-        Request one = read("2026-10-25T02:30", "2026-10-25T02:45", "").get(0);
-        assertEquals(ms("2026-10-25T00:30:00Z"), one.earliestMs());
-        assertEquals(ms("2026-10-25T01:45:00Z"), one.latestMs());
+        Request request = read("2026-10-25T02:30", "2026-10-25T02:45", "").get(0);
+        assertEquals(ms("2026-10-25T00:30:00Z"), request.earliestMs());
+        assertEquals(ms("2026-10-25T01:45:00Z"), request.latestMs());
     }
 
     @Test
     void aSkippedLocalTimeBeginsAnHourLater() {
-        Request one = read("2026-03-29T02:30", "2026-03-29T05:00", "").get(0);
-        assertEquals(ms("2026-03-29T01:30:00Z"), one.earliestMs());
+        Request request = read("2026-03-29T02:30", "2026-03-29T05:00", "").get(0);
+        assertEquals(ms("2026-03-29T01:30:00Z"), request.earliestMs());
         // Four hours by local time are three real hours in that night.
         assertEquals(
                 3 * 3_600_000L,
@@ -79,13 +79,14 @@
 
     @Test
     void monthlyOccurrencesKeepTheirLocalTime() {
-        List<Request> all = read("2026-09-01T02:30", "2026-09-01T06:00", "rule = \"FREQ=MONTHLY;BYDAY=-1SU;COUNT=3\"");
+        List<Request> requests =
+                read("2026-09-01T02:30", "2026-09-01T06:00", "rule = \"FREQ=MONTHLY;BYDAY=-1SU;COUNT=3\"");
         assertEquals(
                 List.of("fw-20260927", "fw-20261025", "fw-20261129"),
-                all.stream().map(Request::name).toList());
+                requests.stream().map(Request::name).toList());
         assertEquals(
                 List.of(ms("2026-09-27T00:30:00Z"), ms("2026-10-25T00:30:00Z"), ms("2026-11-29T01:30:00Z")),
-                all.stream().map(Request::earliestMs).toList());
+                requests.stream().map(Request::earliestMs).toList());
     }
 
     @Test
@@ -116,21 +117,21 @@
 
     @Test
     void invalidRulesAreRefused() {
-        for (String[] one : new String[][] {
+        for (String[] ruleAndError : new String[][] {
             {"FREQ=OFTEN", "is no rule of RFC 5545"},
             {"FREQ=HOURLY", "before the one before it has to end"},
             {"FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=30", "never happens within what is planned"}
         }) {
             ConfigException e = assertThrows(
                     ConfigException.class,
-                    () -> read("2026-09-01T02:30", "2026-09-01T06:00", "rule = \"" + one[0] + "\""));
-            assertTrue(e.getMessage().contains(one[1]), e.getMessage());
+                    () -> read("2026-09-01T02:30", "2026-09-01T06:00", "rule = \"" + ruleAndError[0] + "\""));
+            assertTrue(e.getMessage().contains(ruleAndError[1]), e.getMessage());
         }
     }
 
     @Test
     void freezesRecurToo() {
-        List<Freeze> all = RequestFile.freezes(
+        List<Freeze> freezes = RequestFile.freezes(
                 "time_zone = \"Europe/Ljubljana\"\n[freezes.payday]\n"
                         + "from = \"2026-12-28T00:00\"\nto = \"2026-12-30T00:00\"\nrule = \"FREQ=MONTHLY;COUNT=2\"\n",
                 "calendar.toml",
@@ -139,7 +140,7 @@
                 List.of(
                         new Freeze("payday", ms("2026-12-27T23:00:00Z"), ms("2026-12-29T23:00:00Z")),
                         new Freeze("payday", ms("2027-01-27T23:00:00Z"), ms("2027-01-29T23:00:00Z"))),
-                all);
+                freezes);
         assertTrue(assertThrows(
                         ConfigException.class,
                         () -> RequestFile.freezes(
--- a/src/test/java/laneflow/membership/MembersConfigTest.java
+++ b/src/test/java/laneflow/membership/MembersConfigTest.java
@@ -23,11 +23,11 @@
     private MembersConfig read(String tables) throws Exception {
         Path file = folder.resolve("f.toml");
         Files.writeString(file, "name = \"n1\"\nlisten = \"127.0.0.1:0\"\nzones = [\"z\"]\n[classes.check]\n" + tables);
-        return Setup.operators(file, null, null).members();
+        return Setup.fromOperatorsFile(file, null, null).members();
     }
 
     @Test
-    void settingsAreReadAndOffWithoutTheirTable() throws Exception {
+    void settingsAreReadAndMembershipIsOffWithoutItsTable() throws Exception {
         MembersConfig read = read(FLEET + "[members]\nlisten = \"0.0.0.0:9501\"\nadvertise = \"10.1.0.5:9501\"\n"
                 + "seeds = [\"10.1.0.6:9501\", \"[::1]:9501\"]\nallowed = [\"10.1.0.0/16\"]\nkey_file = \"k\"\n");
         assertEquals(new InetSocketAddress("10.1.0.5", 9501), read.advertise);
--- a/src/test/java/laneflow/policy/PolicyStoryTest.java
+++ b/src/test/java/laneflow/policy/PolicyStoryTest.java
@@ -17,9 +17,9 @@
 class PolicyStoryTest extends PolicyStoryBase {
     @Test
     void changeIsAppliedEverywhereOrNowhere() throws Exception {
-        fleet(4);
-        // Its own file does not declare posts safe to repeat, and no policy can declare that there.
-        rig.file(3, file(CLASSES + "[classes.post]\ndeadline_ms = 5000\n"));
+        createFleet(4);
+        // The file of n4 does not declare posts safe to repeat, and no policy can change that at n4.
+        rig.file(3, configText(CLASSES + "[classes.post]\ndeadline_ms = 5000\n"));
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         assertTrue(request(3, "r0").contains("Config-Version: policy=0"));
@@ -33,7 +33,7 @@
         assertTrue(rig.ask(1, "/policy/changes", "{\"name\":\"ban-9\",\"types\":" + bans("till") + "}")
                 .body()
                 .contains("different content"));
-        // A rejection by one scheduler abandons the change for all and tells the reason.
+        // If one scheduler rejects a change, it is abandoned for all, and the change shows the reason.
         rig.proposeUntilTaken(
                 0,
                 "post-safe",
@@ -43,7 +43,7 @@
         String reasons = rig.change(1, "post-safe").get("reasons").toString();
         assertTrue(reasons.contains("n4#") && reasons.contains("'post' must not run twice here"), reasons);
         rig.awaitDeciding(1, rig.all());
-        // A banned endpoint gets nothing anywhere until the ban is lifted; an open call continues.
+        // No scheduler sends to a banned endpoint until the ban is lifted; an open call continues.
         try (Peer client = SchedulerHarness.connect("127.0.0.1", rig.clientPort(0))) {
             client.write("POST /check HTTP/1.1\r\nHost: c\r\nReq-Id: o\r\nContent-Length: 0\r\n\r\n");
             try (Peer call = endpoint.accept()) {
@@ -64,7 +64,7 @@
 
     @Test
     void proposalOfAKilledLeaderIsDecided() throws Exception {
-        fleet(5);
+        createFleet(5);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         for (int round = 1; round <= 2; round++) {
@@ -88,7 +88,7 @@
 
     @Test
     void restartedVotersElectANewLeader() throws Exception {
-        fleet(4);
+        createFleet(4);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         for (int round = 1; round <= 3; round++) {
@@ -100,7 +100,7 @@
                     rig.awaitDeciding(round - 1, i);
                 }
             }
-            // These two are a majority; electing a leader takes at most a lease and an election.
+            // The restarted voters are a majority; electing a leader takes at most a lease and an election.
             leader = rig.leader();
             rig.kill(leader);
             int other = awaitNewLeader(leader);
@@ -109,7 +109,7 @@
             rig.start(leader);
             rig.awaitDeciding(round, rig.all());
         }
-        // A leader that stops gracefully transfers its leadership: nobody stops deciding meanwhile.
+        // A leader that stops gracefully transfers its leadership: no scheduler stops deciding meanwhile.
         int leader = rig.leader();
         int expirations = rig.log(3).split("the lease has expired").length;
         assertEquals(143, rig.end(leader));
@@ -120,12 +120,12 @@
 
     @Test
     void partitionedMinorityStopsDecidingAndCatchesUp() throws Exception {
-        fleet(5);
+        createFleet(5);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         int leader = rig.leader();
-        // One side has the leader and a scheduler that does not vote, the other two voters and another
-        // scheduler.
+        // One side has the leader and a scheduler that does not vote; the other side has the other two voters
+        // and another scheduler.
         rig.partAll(List.of(leader, 4));
         int other = awaitNewLeader(leader);
         rig.proposeUntilTaken(other, "during-partition", bans("x"));
@@ -149,24 +149,25 @@
 
     @Test
     void cutOffServeKeepsServingAndTheHistoryShowsTheOverlap() throws Exception {
-        fleet(4);
-        rig.file(3, file(CLASSES + POST) + "cut_off = \"serve\"\n");
+        createFleet(4);
+        rig.file(3, configText(CLASSES + POST) + "cut_off = \"serve\"\n");
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         rig.partAll(List.of(3));
         rig.await(
-                "it reports so", () -> rig.policy(3).get("state").getAsString().equals("cut off, serving"));
+                "n4 reports that it is cut off",
+                () -> rig.policy(3).get("state").getAsString().equals("cut off, serving"));
         rig.proposeUntilTaken(0, "meanwhile", bans("x"));
         rig.awaitDeciding(1, 0, 1, 2);
         Thread.sleep(20);
-        // It serves its clients by the previous policy, as configured, and counts these decisions.
+        // The cut-off scheduler serves clients by the previous policy, as configured, and counts these decisions.
         String answer = request(3, "r");
         assertTrue(answer.contains("200 OK") && answer.contains("policy=0"), answer);
         assertTrue(rig.ask(3, "/counters", null).body().contains("policy.decided_without_lease 1"));
-        rig.await("it is logged", () -> rig.log(3).contains("serving on by policy 0 as set by cut_off"));
+        rig.await("the overlap is logged", () -> rig.log(3).contains("serving on by policy 0 as set by cut_off"));
         rig.heal();
         rig.awaitDeciding(1, rig.all());
-        checked = true;
+        historyChecked = true;
         history.outcome("meanwhile", 1, "applied");
         for (int i : rig.all()) {
             history.log(Rig.name(i), rig.log(i));
@@ -178,7 +179,7 @@
 
     @Test
     void suspendedProcessDecidesNothingOnResume() throws Exception {
-        fleet(4);
+        createFleet(4);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         int leader = rig.leader();
@@ -201,7 +202,7 @@
 
     @Test
     void killedFleetRestartsWithWhatWasDecided() throws Exception {
-        fleet(4);
+        createFleet(4);
         rig.startAll();
         rig.awaitDeciding(0, rig.all());
         rig.proposeUntilTaken(1, "kept", bans("x"));
@@ -212,7 +213,7 @@
         // Without a majority of voters nothing is decided.
         rig.start(3);
         rig.start(2);
-        rig.await("it listens", () -> rig.policy(2).get("state").getAsString().equals("not deciding"));
+        rig.await("n3 listens", () -> rig.policy(2).get("state").getAsString().equals("not deciding"));
         assertTrue(requestWithoutEndpoint(2, "r").startsWith("HTTP/1.1 503 "));
         rig.start(0);
         rig.awaitDeciding(1, 0, 2, 3);
@@ -224,15 +225,15 @@
         rig.start(1);
         rig.awaitDeciding(1, rig.all());
         rig.await(
-                "it reports so",
+                "n2 reports that its store is lost",
                 () -> rig.policy(1).getAsJsonObject("voter").get("lost").getAsBoolean());
-        // Replaced as a voter, it votes: it and one other are a majority.
+        // Replaced as a voter, n2 votes again: without n3 it is needed for a majority.
         assertEquals(409, rig.ask(0, "/policy/voters", "{\"replace\":\"n4\"}").statusCode());
         rig.await(
-                "it is added",
+                "n2 is added",
                 () -> rig.ask(0, "/policy/voters", "{\"replace\":\"n2\"}").statusCode() == 200);
         rig.await(
-                "it votes",
+                "n2 votes",
                 () -> rig.policy(1).getAsJsonObject("voter").get("votes").getAsBoolean());
         assertEquals(409, rig.ask(0, "/policy/voters", "{\"replace\":\"n2\"}").statusCode());
         rig.kill(2);
@@ -242,11 +243,11 @@
         rig.awaitDeciding(2, rig.all());
         // A damaged log is rejected and costs only the vote.
         rig.kill(1);
-        byte[] log = Files.readAllBytes(rig.votes(1).resolve("votes.db-wal"));
-        for (int at = log.length / 2; at < log.length; at += 50) {
-            log[at] ^= 0x55;
+        byte[] writeAheadLog = Files.readAllBytes(rig.votes(1).resolve("votes.db-wal"));
+        for (int offset = writeAheadLog.length / 2; offset < writeAheadLog.length; offset += 50) {
+            writeAheadLog[offset] ^= 0x55;
         }
-        Files.write(rig.votes(1).resolve("votes.db-wal"), log);
+        Files.write(rig.votes(1).resolve("votes.db-wal"), writeAheadLog);
         rig.start(1);
         rig.awaitDeciding(2, rig.all());
         assertTrue(rig.log(1).contains("this process does not vote"), rig.log(1));
@@ -259,7 +260,7 @@
     void changeSurvivesLossDuplicatesJitterAndAOneWayCut() throws Exception {
         // A reachable scheduler that is not ready in time has the change abandoned, and broken links take
         // seconds to recover.
-        fleet(4, "prepare_ms = 60000\n");
+        createFleet(4, "prepare_ms = 60000\n");
         // Clock rates that differ by almost as much as is allowed.
         rig.option(0, "-Dlaneflow.lab.clock_rate=0.9996");
         rig.option(3, "-Dlaneflow.lab.clock_rate=1.0005");
@@ -273,28 +274,28 @@
         rig.await("the change is applied", () -> changeState(1, "through").equals("applied"));
         rig.heal();
         rig.awaitDeciding(1, rig.all());
-        // A scheduler that sends but receives nothing: it stops deciding, and the change waits no longer than
-        // for its lease.
+        // A scheduler that sends but receives nothing stops deciding, and a change waits for it only until its
+        // lease expires.
         int leader = rig.leader();
-        int deaf = (leader + 1) % 3;
+        int sendOnly = (leader + 1) % 3;
         for (int i : rig.all()) {
-            if (i != deaf) {
-                rig.cut(i, deaf);
+            if (i != sendOnly) {
+                rig.cut(i, sendOnly);
             }
         }
         rig.proposeUntilTaken(leader, "without", bans("y"));
         awaitState(leader, "without", "applied");
         rig.awaitDeciding(2, leader, 3);
         rig.await(
-                "it stops deciding",
-                () -> rig.policy(deaf).get("state").getAsString().equals("not deciding"));
+                "the scheduler without incoming messages stops deciding",
+                () -> rig.policy(sendOnly).get("state").getAsString().equals("not deciding"));
         rig.heal();
         rig.awaitDeciding(2, rig.all());
-        // Links that break within a line lose what was under way and nothing else.
+        // Links that break in the middle of a message lose only the messages in flight.
         rig.reset(leader);
         rig.proposeUntilTaken(3, "reset", bans("z"));
         rig.awaitDeciding(3, rig.all());
-        // A graceful stop is announced: nobody waits for that lease.
+        // A graceful stop is announced: no change waits for that scheduler's lease.
         assertEquals(143, rig.end(3));
         rig.proposeUntilTaken(0, "last", bans("a"));
         rig.awaitDeciding(4, 0, 1, 2);
--- a/src/test/java/laneflow/transcripts/SchedulerTranscriptsTest.java
+++ b/src/test/java/laneflow/transcripts/SchedulerTranscriptsTest.java
@@ -32,20 +32,20 @@
                 "Discovery lists an endpoint as terminating: its attempt goes on, new ones go elsewhere.",
                 transcript -> {
                     Endpoint discovery = new Endpoint("discovery");
-                    Endpoint one = new Endpoint("e1");
-                    Endpoint two = new Endpoint("e2");
-                    try (SchedulerHarness harness = new SchedulerHarness(discovery, one);
+                    Endpoint first = new Endpoint("e1");
+                    Endpoint second = new Endpoint("e2");
+                    try (SchedulerHarness harness = new SchedulerHarness(discovery, first);
                             RecordedPeer client = client(transcript, harness);
                             RecordedPeer other = new RecordedPeer(transcript, "another client", harness.http())) {
                         RecordedPeer watch = watch(transcript, "discovery", discovery);
                         client.post("card-capture", "1", "", "pay");
-                        RecordedPeer command = new RecordedPeer(transcript, "e1", one.accept());
+                        RecordedPeer command = new RecordedPeer(transcript, "e1", first.accept());
                         command.message();
                         watch.write(SchedulerHarness.watchResponse(
-                                SchedulerHarness.hostList(2, false, one.host("Terminating"), two.host("Ready"))));
+                                SchedulerHarness.hostList(2, false, first.host("Terminating"), second.host("Ready"))));
                         harness.awaitCounter("discovery.lists", 1);
                         other.post("card-capture", "2", "", "pay");
-                        RecordedPeer next = new RecordedPeer(transcript, "e2", two.accept());
+                        RecordedPeer next = new RecordedPeer(transcript, "e2", second.accept());
                         next.message();
                         command.reply("{'id':'1','state':'done','result':'paid'}");
                         client.message();
@@ -61,16 +61,16 @@
                 "A watch that ends resumes at the last version; after a malformed one the full list is asked for.",
                 transcript -> {
                     Endpoint discovery = new Endpoint("discovery");
-                    Endpoint one = new Endpoint("e1");
-                    try (SchedulerHarness harness = new SchedulerHarness(discovery, one)) {
+                    Endpoint endpoint = new Endpoint("e1");
+                    try (SchedulerHarness harness = new SchedulerHarness(discovery, endpoint)) {
                         RecordedPeer first = watch(transcript, "discovery", discovery);
-                        first.reply(SchedulerHarness.hostList(2, false, one.host("Ready"))
+                        first.reply(SchedulerHarness.hostList(2, false, endpoint.host("Ready"))
                                 .replace('"', '\''));
                         RecordedPeer second = watch(transcript, "discovery, 2nd watch", discovery);
                         second.reply("no list at all");
                         RecordedPeer third = watch(transcript, "discovery, 3rd watch", discovery);
-                        third.write(
-                                SchedulerHarness.watchResponse(SchedulerHarness.hostList(9, true, one.host("Ready"))));
+                        third.write(SchedulerHarness.watchResponse(
+                                SchedulerHarness.hostList(9, true, endpoint.host("Ready"))));
                         harness.awaitCounter("discovery.lists", 2);
                     }
                 });
@@ -82,16 +82,16 @@
                 "No heartbeat for 2.5 s: the watch resumes at the last version, and the list stays in use.",
                 transcript -> {
                     Endpoint discovery = new Endpoint("discovery");
-                    Endpoint one = new Endpoint("e1");
-                    try (SchedulerHarness harness = new SchedulerHarness(discovery, one)) {
+                    Endpoint endpoint = new Endpoint("e1");
+                    try (SchedulerHarness harness = new SchedulerHarness(discovery, endpoint)) {
                         RecordedPeer first = watch(transcript, "discovery", discovery);
-                        first.write(
-                                SchedulerHarness.watchResponse(SchedulerHarness.hostList(2, true, one.host("Ready"))));
+                        first.write(SchedulerHarness.watchResponse(
+                                SchedulerHarness.hostList(2, true, endpoint.host("Ready"))));
                         harness.awaitCounter("discovery.lists", 1);
                         watch(transcript, "discovery, 2nd watch", discovery);
                         RecordedPeer client = client(transcript, harness);
                         client.post("card-capture", "1", "", "pay");
-                        RecordedPeer command = new RecordedPeer(transcript, "e1", one.accept());
+                        RecordedPeer command = new RecordedPeer(transcript, "e1", endpoint.accept());
                         command.message();
                         command.reply("{'id':'1','state':'done','result':'paid'}");
                         client.message();
@@ -124,8 +124,8 @@
                 transcript -> {
                     Endpoint first = new Endpoint("d1");
                     Endpoint second = new Endpoint("d2");
-                    Endpoint one = new Endpoint("e1");
-                    try (SchedulerHarness harness = new SchedulerHarness(first, one)) {
+                    Endpoint endpoint = new Endpoint("e1");
+                    try (SchedulerHarness harness = new SchedulerHarness(first, endpoint)) {
                         RecordedPeer old = watch(transcript, "discovery", first);
                         for (String bad :
                                 new String[] {"{\"disco", SchedulerHarness.configWithDiscovery("discovery.svc")}) {
@@ -136,10 +136,10 @@
                         reload(harness, SchedulerHarness.configWithDiscovery(second.dial()));
                         RecordedPeer next = watch(transcript, "discovery, moved", second);
                         old.write(SchedulerHarness.watchResponse(
-                                SchedulerHarness.hostList(8, false, one.host("Terminating"))));
+                                SchedulerHarness.hostList(8, false, endpoint.host("Terminating"))));
                         harness.awaitCounter("discovery.lists", 1);
-                        next.write(
-                                SchedulerHarness.watchResponse(SchedulerHarness.hostList(3, true, one.host("Ready"))));
+                        next.write(SchedulerHarness.watchResponse(
+                                SchedulerHarness.hostList(3, true, endpoint.host("Ready"))));
                         harness.awaitCounter("discovery.lists", 2);
                         old.expectEnd();
                         transcript.note("moves: " + harness.counter("discovery.moves"));
@@ -177,17 +177,17 @@
                 "Operator commands: a worker is set down and up again, and invalid commands are rejected.",
                 transcript -> {
                     Endpoint endpoint = new Endpoint("e1");
-                    Path own = Files.createTempDirectory(folder, "stand");
-                    try (SchedulerHarness harness = SchedulerHarness.withOpsPort(own, endpoint)) {
+                    Path ownFolder = Files.createTempDirectory(folder, "stand");
+                    try (SchedulerHarness harness = SchedulerHarness.withOpsPort(ownFolder, endpoint)) {
                         for (String command : new String[] {
                             "check", "", "checks", "check now", "set-down", "set-down e9", "drain-on 3", "set-down e1"
                         }) {
-                            operator(transcript, harness, command);
+                            sendOperatorCommand(transcript, harness, command);
                         }
                         try (RecordedPeer client = client(transcript, harness)) {
                             client.post("card-capture", "1", "", "pay");
                             client.message();
-                            operator(transcript, harness, "set-up e1");
+                            sendOperatorCommand(transcript, harness, "set-up e1");
                             client.post("card-capture", "2", "", "pay");
                             RecordedPeer command = new RecordedPeer(transcript, "e1", endpoint.accept());
                             command.message();
@@ -201,10 +201,11 @@
     /** Reloads with a file of its own for each call: the files are read later, one after the other. */
     private void reload(SchedulerHarness harness, String text) throws IOException {
         Path file = Files.writeString(Files.createTempFile(folder, "config", ".json"), text);
-        harness.serve.reload(() -> Setup.platform(file, null, null));
+        harness.serve.reload(() -> Setup.fromPlatformFile(file, null, null));
     }
 
-    private static void operator(Transcript transcript, SchedulerHarness harness, String command) throws IOException {
+    private static void sendOperatorCommand(Transcript transcript, SchedulerHarness harness, String command)
+            throws IOException {
         try (RecordedPeer operator = new RecordedPeer(transcript, "operator", harness.opsClient())) {
             operator.write(command + "\n");
             operator.line();
