--- a/src/main/java/laneflow/lab/measure/CapacityMeasure.java
+++ b/src/main/java/laneflow/lab/measure/CapacityMeasure.java
@@ -5,9 +5,9 @@
 import java.util.Locale;
 import laneflow.capacity.decision.LoadEstimator;
 import laneflow.lab.world.CapacityWorld;
-import laneflow.lab.world.CapacityWorld.Day;
 import laneflow.lab.world.CapacityWorld.Fault;
 import laneflow.lab.world.CapacityWorld.Result;
+import laneflow.lab.world.CapacityWorld.Scenario;
 
 /**
  * {@code lab measure capacity}: measures what the exchange of capacity news between schedulers gains. It runs
@@ -119,12 +119,12 @@
             LoadEstimator news,
             boolean central,
             Fault fault) {
-        return CapacityWorld.play(new Day(
+        return CapacityWorld.play(new Scenario(
                 schedulers, endpoints, zones, 1, 0.7, seconds, seed, news, central, 0, NETWORK_DELAY_SECONDS, fault));
     }
 
     private static double refusedWhileIdlePercent(Result result) {
-        return 100.0 * result.idleRefused / result.asked;
+        return 100.0 * result.idleRefused / result.submitted;
     }
 
     /** Prints the bytes per second that a member sends, for fleets of several sizes. */
@@ -165,8 +165,8 @@
                 with.age.getValueAtPercentile(50),
                 with.age.getValueAtPercentile(99),
                 with.bytes / seconds / schedulers,
-                with.mostBytes,
+                with.largestDatagramBytes,
                 liarLossPoints);
-        guaranteesHold &= with.mostBytes <= MAX_NEWS_BYTES && liarLossPoints < 1;
+        guaranteesHold &= with.largestDatagramBytes <= MAX_NEWS_BYTES && liarLossPoints < 1;
     }
 }
--- a/src/main/java/laneflow/lab/measure/FleetMeasure.java
+++ b/src/main/java/laneflow/lab/measure/FleetMeasure.java
@@ -384,14 +384,14 @@
                 figures.append(settleFigure(size, rounds));
                 continue;
             }
-            world.pass(20_000_000);
+            world.runFor(20_000_000);
             int crashCount = size == 200 ? 30 : 2;
             long longestDetectionUs = 0;
             for (int crash = 0; crash < crashCount; crash++) {
                 int crashed = 3 + random.nextInt(size - 3);
                 long[] crashedAtUs = {world.now()};
-                world.watch((by, before, now) -> {
-                    if (now.state() == State.DEAD && world.place(now.instance()) == crashed) {
+                world.onChange((by, before, now) -> {
+                    if (now.state() == State.DEAD && world.indexOf(now.instance()) == crashed) {
                         long elapsedMs = (world.now() - crashedAtUs[0]) / 1000;
                         if (size == 200) {
                             detectionMs.recordValue(elapsedMs);
@@ -401,14 +401,14 @@
                 world.crash(crashed);
                 longestDetectionUs =
                         Math.max(longestDetectionUs, world.runUntil(() -> world.agree(i -> true), 60_000_000, 20_000));
-                world.watch((by, before, now) -> {});
+                world.onChange((by, before, now) -> {});
                 world.start(crashed, 0, 1, 2);
                 world.runUntil(world::isSettled, 60_000_000, 50_000);
-                world.pass(2_000_000);
+                world.runFor(2_000_000);
             }
-            world.pass(20_000_000);
-            long bytesBefore = world.bytes();
-            world.pass(10_000_000);
+            world.runFor(20_000_000);
+            long bytesBefore = world.bytesSent();
+            world.runFor(10_000_000);
             out.printf(
                     Locale.ROOT,
                     "%d members in virtual time: started at once, one view after %.0f rounds,"
@@ -416,7 +416,7 @@
                     size,
                     rounds,
                     longestDetectionUs / 1000,
-                    (world.bytes() - bytesBefore) / 10.0 / size);
+                    (world.bytesSent() - bytesBefore) / 10.0 / size);
             figures.append(settleFigure(size, rounds));
         }
         return figures.substring(1) + " detect_p99_ms=" + detectionMs.getValueAtPercentile(99);
